--- a/crates/coordination/src/simulation/mod.rs
+++ b/crates/coordination/src/simulation/mod.rs
@@ -21,4 +21,4 @@
 pub use scenario::{ParseError, Scenario};
 pub use schedule::{random_scenario, shrink};
 pub use step::{Expectation, Machine, Machines, NoStep, Step};
-pub use world::World;
+pub use world::{Observation, World};
--- a/crates/coordination/src/simulation/world.rs
+++ b/crates/coordination/src/simulation/world.rs
@@ -53,6 +53,17 @@
     }
 }
 
+/// What the replica on a machine asked its driver to do, and when.
+#[derive(Debug, Clone)]
+pub struct Observation {
+    /// Simulated time.
+    pub at: Duration,
+    /// The machine of the replica.
+    pub machine: Index,
+    /// What was asked.
+    pub output: Output,
+}
+
 /// Machines, network and time.
 pub struct World {
     pub(super) now: Duration,
@@ -66,6 +77,8 @@
     pub(super) changes: Vec<MemberChange>,
     fault: Option<Fault>,
     pub(super) next_entry: u32,
+    /// All outputs of the replicas, if someone wants them.
+    observations: Option<Vec<Observation>>,
 }
 
 impl World {
@@ -74,12 +87,23 @@
     /// # Errors
     /// The rule that was broken.
     pub fn play(scenario: &Scenario, fault: Option<Fault>) -> Result<(), Violation> {
+        Self::new(scenario, fault).play_steps(scenario)
+    }
+
+    /// As [`World::play`], and gives all outputs of the replicas up to the end or the first broken rule.
+    pub fn observe(scenario: &Scenario, fault: Option<Fault>) -> (Vec<Observation>, Result<(), Violation>) {
         let mut world = Self::new(scenario, fault);
-        for index in 0..world.machines.len() {
-            world.start(index, index < scenario.founders)?;
+        world.observations = Some(Vec::new());
+        let result = world.play_steps(scenario);
+        (world.observations.unwrap_or_default(), result)
+    }
+
+    fn play_steps(&mut self, scenario: &Scenario) -> Result<(), Violation> {
+        for index in 0..self.machines.len() {
+            self.start(index, index < scenario.founders)?;
         }
         for (index, step) in scenario.steps.iter().enumerate() {
-            world.step(index + 1, *step)?;
+            self.step(index + 1, *step)?;
         }
         Ok(())
     }
@@ -98,6 +122,7 @@
             changes: Vec::new(),
             fault,
             next_entry: 0,
+            observations: None,
         }
     }
 
@@ -292,6 +317,9 @@
     /// Carries out what a process ordered.
     fn flush(&mut self, at: Index) -> Result<(), Violation> {
         while let Some(output) = self.machines[at].poll_output() {
+            if let Some(observations) = &mut self.observations {
+                observations.push(Observation { at: self.now, machine: at, output: output.clone() });
+            }
             match output {
                 Output::Send { to, message } => {
                     let bytes = message.encode().map_err(|_| Violation::Message(at))?;
--- /dev/null
+++ b/crates/coordination/tests/golden_bytes.rs
@@ -0,0 +1,175 @@
+//! The exact bytes of every message on the wire and every record on disk.
+
+mod support;
+
+use std::net::{Ipv4Addr, SocketAddrV4};
+
+use bytes::Bytes;
+use lanegate_coordination::lease::{LeaseMessage, LeaseRelease, LeaseReply, LeaseRequest};
+use lanegate_coordination::membership::{Heartbeat, NodeId};
+use lanegate_coordination::register::{
+    Ballot, Carried, Change, ChangeId, Floors, Group, Message, Node, Record, Value,
+};
+use lanegate_coordination::storage::{Directory, SimulatedDirectory, VersionedStore};
+use support::golden::{check, committed};
+
+fn node(last: u32) -> Node {
+    Node { ip: 0x0a00_0000 + last, port: 8_146 }
+}
+
+fn ballot(counter: u64) -> Ballot {
+    Ballot { counter, node: node(2), nonce: 0x0102_0304_0506_0708, step: 3 }
+}
+
+fn floors() -> Floors {
+    let mut floors = Floors::default();
+    floors.raise(node(3), 5);
+    floors.raise(node(1), 6);
+    floors
+}
+
+fn value() -> Value {
+    let change = |sequence, revision| Change { id: ChangeId { nonce: 77, sequence }, revision };
+    Value {
+        revision: 258,
+        groups: vec![Group::new(vec![node(1), node(2), node(3)]), Group::new(vec![node(2), node(4)])],
+        history: vec![change(1, 257), change(2, 258)],
+        state: Bytes::from_static(b"state"),
+    }
+}
+
+fn register_messages() -> Vec<(&'static str, Message)> {
+    let promise = |value| Message::Promise {
+        ballot: ballot(9),
+        incarnation: 4,
+        floors: floors(),
+        accepted: ballot(8),
+        value,
+    };
+    let state = |value| Message::State {
+        request: 11,
+        incarnation: 4,
+        floors: floors(),
+        promised: ballot(9),
+        accepted: ballot(8),
+        value,
+    };
+    let registered = Message::Registered {
+        nonce: 13,
+        asked: 14,
+        incarnation: 4,
+        floors: floors(),
+        promised: ballot(9),
+        accepted: ballot(8),
+        value: value(),
+    };
+    vec![
+        ("prepare", Message::Prepare { ballot: ballot(9), known: ballot(7) }),
+        ("promise", promise(Carried::Full(value()))),
+        ("promise-without-value", promise(Carried::Omitted)),
+        ("accept", Message::Accept { ballot: ballot(9), value: value() }),
+        ("accepted", Message::Accepted { ballot: ballot(9), incarnation: 4, floors: floors() }),
+        ("refused", Message::Refused { ballot: ballot(9), promised: ballot(10) }),
+        ("decided", Message::Decided { ballot: ballot(9), value: Carried::Full(value()) }),
+        ("decided-without-value", Message::Decided { ballot: ballot(9), value: Carried::Omitted }),
+        ("query", Message::Query { request: 11, known: ballot(7) }),
+        ("state", state(Carried::Full(value()))),
+        ("state-without-value", state(Carried::Omitted)),
+        ("inquire", Message::Inquire { decided: ballot(7), known: true }),
+        ("inquire-nothing-known", Message::Inquire { decided: Ballot::ZERO, known: false }),
+        ("register", Message::Register { nonce: 13, incarnation: 14 }),
+        ("registered", registered),
+    ]
+}
+
+#[test]
+fn register_messages_keep_their_bytes() {
+    let encoded: Vec<_> =
+        register_messages().iter().map(|(name, message)| (*name, message.encode().unwrap())).collect();
+    let committed = check("register-messages", &encoded);
+    for (name, message) in register_messages() {
+        assert_eq!(Message::decode(&committed[name]).unwrap(), message, "{name}");
+    }
+}
+
+fn record() -> Record {
+    Record { incarnation: 4, promised: ballot(9), accepted: ballot(8), value: value(), floors: floors() }
+}
+
+fn founding_record() -> Record {
+    Record {
+        incarnation: 0,
+        promised: Ballot::ZERO,
+        accepted: Ballot::ZERO,
+        value: Value::initial(vec![node(1)], Bytes::new()),
+        floors: Floors::default(),
+    }
+}
+
+#[test]
+fn register_records_keep_their_bytes() {
+    let records = [("record", record()), ("founding-record", founding_record())];
+    let encoded = records.each_ref().map(|(name, record)| (*name, record.encode().unwrap()));
+    let committed = check("register-records", &encoded);
+    for (name, record) in records {
+        assert_eq!(Record::decode(&committed[name]).unwrap(), record, "{name}");
+    }
+}
+
+fn process() -> NodeId {
+    NodeId::new(SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 9), 7_000), 0x1112_1314_1516_1718)
+}
+
+fn lease_messages() -> [(&'static str, LeaseMessage); 5] {
+    let (shard, candidate, round) = (7, process(), 21);
+    let reply = |granted, wait_ms| LeaseReply { shard, candidate, round, granted, wait_ms };
+    let release = |idle_ms| LeaseRelease { shard, candidate, round, idle_ms };
+    let request = LeaseRequest { shard, candidate, round, generation: 3, valid_ms: 4_500 };
+    [
+        ("request", LeaseMessage::Request(request)),
+        ("granted", LeaseMessage::Reply(reply(true, 0))),
+        ("refused", LeaseMessage::Reply(reply(false, 1_234))),
+        ("release", LeaseMessage::Release(release(250))),
+        ("release-never-acted", LeaseMessage::Release(release(LeaseRelease::NEVER_ACTED))),
+    ]
+}
+
+#[test]
+fn lease_messages_keep_their_bytes() {
+    let encoded: Vec<_> =
+        lease_messages().iter().map(|(name, message)| (*name, message.encode().unwrap())).collect();
+    let committed = check("lease-messages", &encoded);
+    for (name, message) in lease_messages() {
+        assert_eq!(LeaseMessage::decode(&committed[name]).unwrap(), message, "{name}");
+    }
+}
+
+#[test]
+fn heartbeats_keep_their_bytes() {
+    let heartbeat = Heartbeat { sender: process(), sequence: 99 };
+    let committed = check("heartbeat", &[("heartbeat", heartbeat.encode().unwrap())]);
+    assert_eq!(Heartbeat::decode(&committed["heartbeat"]).unwrap(), heartbeat);
+}
+
+const RECORD_NAME: &str = "shard-1";
+const SECOND_FILE: &str = "shard-1.0000000000000002";
+
+#[test]
+fn stored_versions_keep_their_names_and_bytes() {
+    let mut directory = SimulatedDirectory::new();
+    let (mut store, _) = VersionedStore::open(&mut directory, RECORD_NAME).unwrap();
+    store.save(&mut directory, b"first").unwrap();
+    store.save(&mut directory, b"second").unwrap();
+    let mut names = directory.list().unwrap();
+    names.sort();
+    assert_eq!(names, ["shard-1.0000000000000001", SECOND_FILE]);
+    check("stored-versions", &[("second-version", directory.read(SECOND_FILE).unwrap())]);
+}
+
+#[test]
+fn a_stored_version_reads_back() {
+    let mut directory = SimulatedDirectory::new();
+    directory.write_new(SECOND_FILE, &committed("stored-versions")["second-version"]).unwrap();
+    let (_, record) = VersionedStore::open(&mut directory, RECORD_NAME).unwrap();
+    assert_eq!(record, Some(b"second".to_vec()));
+}
--- /dev/null
+++ b/crates/coordination/tests/lease_digests.rs
@@ -0,0 +1,73 @@
+//! What candidates and grantors do in simulated time stays as it is, byte for byte.
+
+#[allow(dead_code)]
+mod lease_world;
+mod support;
+
+use lanegate_coordination::lease::Output;
+use lease_world::schedule::random_schedule;
+use lease_world::{Chance, World};
+use support::digest::{Digest, check};
+
+/// Schedules of which the digest is committed.
+const SEEDS: u64 = 300;
+
+/// Most by which a clock may differ from true time.
+const DRIFT_PPM: i64 = 10_000;
+
+/// As many processes as the seed says, each with a clock of its own rate.
+fn clock_rates(seed: u64) -> Vec<i64> {
+    let mut chance = Chance::new(seed ^ 0xc10c);
+    let count = [1, 3, 5][(seed % 3) as usize];
+    (0..count).map(|_| chance.below(2 * DRIFT_PPM as u64 + 1) as i64 - DRIFT_PPM).collect()
+}
+
+fn add_output(digest: &mut Digest, output: &Output) {
+    match output {
+        Output::Send { to, message } => {
+            digest.tag(0);
+            digest.bytes(to.to_string().as_bytes());
+            digest.bytes(&message.encode().expect("an encodable message"));
+        }
+        Output::AcquireEpoch { shard, tenure } => {
+            digest.tag(1);
+            digest.number(u64::from(*shard));
+            digest.number(tenure.0);
+        }
+        Output::Began { shard, tenure, epoch } => {
+            digest.tag(2);
+            digest.number(u64::from(*shard));
+            digest.number(tenure.0);
+            digest.number(*epoch);
+        }
+        Output::Ended { shard, tenure } => {
+            digest.tag(3);
+            digest.number(u64::from(*shard));
+            digest.number(tenure.0);
+        }
+    }
+}
+
+fn digest_of(world: &World) -> u64 {
+    let mut digest = Digest::new();
+    for observation in &world.observations {
+        digest.time(observation.at);
+        digest.number(observation.process as u64);
+        add_output(&mut digest, &observation.output);
+    }
+    for act in &world.acts {
+        digest.time(act.arrival);
+        digest.bytes(act.holder.address().to_string().as_bytes());
+        digest.number(act.holder.incarnation);
+        digest.number(act.epoch);
+    }
+    digest.value()
+}
+
+#[test]
+fn random_schedules_run_as_before() {
+    let digests: Vec<(String, u64)> = (0..SEEDS)
+        .map(|seed| (seed.to_string(), digest_of(&random_schedule(seed, &clock_rates(seed)))))
+        .collect();
+    check("lease-schedules", &digests);
+}
--- a/crates/coordination/tests/lease_world/mod.rs
+++ b/crates/coordination/tests/lease_world/mod.rs
@@ -1,5 +1,7 @@
 //! A simulated group of processes that contend for the lease of one shard and act while they may.
 
+pub mod schedule;
+
 use lanegate_coordination::lease::{GrantorStart, LeaseMessage, LeaseNode, LeaseSettings, Output, Tenure};
 use lanegate_coordination::membership::NodeId;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -84,6 +86,13 @@
     node: LeaseNode,
 }
 
+/// What one process put out, and when in true time.
+pub struct Observation {
+    pub at: Duration,
+    pub process: usize,
+    pub output: Output,
+}
+
 pub struct World {
     pub now: Duration,
     pub network: Network,
@@ -92,6 +101,8 @@
     processes: Vec<Process>,
     side: Vec<bool>,
     in_flight: Vec<InFlight>,
+    /// All that the processes put out.
+    pub observations: Vec<Observation>,
     register: u64,
     chance: Chance,
 }
@@ -116,6 +127,7 @@
             processes: Vec::new(),
             side: vec![false; rates_ppm.len()],
             in_flight: Vec::new(),
+            observations: Vec::new(),
             register: 0,
             chance: Chance::new(seed),
         };
@@ -312,6 +324,7 @@
 
     fn send(&mut self, from: usize, outputs: Vec<Output>) {
         for output in outputs {
+            self.observations.push(Observation { at: self.now, process: from, output });
             match output {
                 Output::Send { to, message } => self.send_message(from, to, message),
                 Output::AcquireEpoch { tenure, .. } => self.acquire_epoch(from, tenure),
