--- /dev/null
+++ b/crates/dispatch/tests/digests.rs
@@ -0,0 +1,114 @@
+//! What dispatchers decide in simulated time, seed by seed, as it was when the digests were committed.
+//!
+//! With `UPDATE_DIGESTS=1` the digests are written anew; that is for changes that mean to decide otherwise.
+
+mod support;
+
+use lanegate_model::mechanism::{Mechanism, SwitchedOff};
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+use std::time::Duration;
+use support::digest::{Digest, assert_digests};
+use support::fleet::{CHAT, DRAFT, Day, PAID, Policy, Trouble, play};
+use support::history::{Budget, ENDPOINTS, Happening, World};
+use support::ms;
+
+const FLEETS: u64 = 200;
+const HISTORIES: u64 = 600;
+/// Events of one history.
+const EVENTS: u32 = 300;
+
+/// A short run of a fleet; seeds differ in their size and in what happens.
+fn fleet(seed: u64) -> Day {
+    let mut rng = SmallRng::seed_from_u64(seed);
+    let engines = rng.random_range(4..10);
+    let models = rng.random_range(5..engines * 3);
+    let mut engine = || rng.random_range(0..engines);
+    let (dark, crashed, loading) = (engine(), engine(), engine());
+    let load = Trouble::Load { at: 5_000, engine: loading, model: 0 };
+    let mut troubles = vec![
+        Trouble::Burst { from: 1_000, to: 3_000, kind: "draft", times: 2.5 + (seed % 4) as f64 * 3.0 },
+        Trouble::Dark { from: 2_000, to: 4_500, engine: dark },
+        Trouble::Crash { at: 2_500, engine: crashed },
+        Trouble::Burst { from: 5_000, to: 6_500, kind: "paid", times: 20.0 },
+    ];
+    troubles.extend([load].into_iter().filter(|_| loading != crashed));
+    troubles.retain(|_| rng.random_range(0..4) > 0);
+    Day {
+        policy: Policy::Dispatched,
+        seed,
+        routers: 1 + (seed % 5) as usize,
+        engines,
+        models,
+        subjects: 1 + seed % 8,
+        seconds: 8,
+        kinds: vec![DRAFT, PAID, CHAT],
+        troubles,
+        rare_model: seed.is_multiple_of(3).then_some(0),
+    }
+}
+
+#[test]
+fn fleets_decide_as_before() {
+    let digests: Vec<Digest> = (0..FLEETS).map(|seed| play(fleet(seed)).digest).collect();
+    assert_digests("fleets", &digests);
+}
+
+fn happening(rng: &mut SmallRng) -> Happening {
+    let request = rng.random_range(0..8);
+    match rng.random_range(0..32) {
+        0..3 => Happening::Register {
+            endpoint: rng.random_range(0..ENDPOINTS),
+            models: rng.random_range(0..4),
+            draining: rng.random_range(0..8) == 0,
+        },
+        3 => Happening::Remove { endpoint: rng.random_range(0..ENDPOINTS) },
+        4..12 => Happening::Submit {
+            kind: rng.random_range(0..5),
+            attempts: rng.random_range(1..4),
+            model: rng.random_range(0..3),
+        },
+        12..14 => Happening::Head { request, waiting: rng.random_range(0..3) },
+        14..18 => Happening::FirstByte { request },
+        18..30 => Happening::End { request, how: rng.random_range(0..9) },
+        30 => Happening::Cancel { request },
+        _ => Happening::Oversleep,
+    }
+}
+
+/// Every other history has one mechanism switched off, each in its turn.
+fn switched_off(seed: u64) -> SwitchedOff {
+    let mechanisms: Vec<Mechanism> = Mechanism::all().collect();
+    let off = mechanisms[(seed / 2) as usize % mechanisms.len()];
+    let is_whole = seed.is_multiple_of(2);
+    if is_whole { SwitchedOff::default() } else { SwitchedOff::from_iter([off]) }
+}
+
+fn history(seed: u64) -> Digest {
+    let mut rng = SmallRng::seed_from_u64(seed);
+    let ratio = [0.0, 0.05, 0.2, 2.0][rng.random_range(0..4)];
+    let slack = [0.0, 4.0, 12.0, 400.0][rng.random_range(0..4)];
+    let longest_pause = [3, 40, 200][rng.random_range(0..3)];
+    let mut world = World::new(Budget { ratio, slack }, switched_off(seed));
+    for event in 0..EVENTS {
+        let to = world.now + ms(rng.random_range(0..longest_pause));
+        world.pass(to);
+        world.happen(&happening(&mut rng));
+        let summary = world.dispatcher.summary(world.now);
+        world.digest.add_summary(&summary);
+        world.digest.add_wake(world.dispatcher.next_wake());
+        if event == EVENTS - 20 && seed.is_multiple_of(5) {
+            world.end_by(world.now + ms(700));
+        }
+    }
+    let demand = world.dispatcher.demand_report(world.now);
+    world.digest.add_demand(&demand);
+    world.pass(world.now + Duration::from_secs(10));
+    world.digest
+}
+
+#[test]
+fn random_histories_are_decided_as_before() {
+    let digests: Vec<Digest> = (0..HISTORIES).map(history).collect();
+    assert_digests("histories", &digests);
+}
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -1,6 +1,7 @@
 //! A fleet in simulated time: several routers that don't talk, engines that they share, clients that come back
 //! once after a refusal.
 
+use super::digest::Digest;
 use super::engine::{EngineSpeed, Job, News, SimulatedEngine};
 use super::{engine, ms};
 use lanegate_dispatch::interface::*;
@@ -157,6 +158,8 @@
     pub repeats: u32,
     pub rejections: u32,
     pub decisions: u64,
+    /// Of all decisions, and of what the routers tell each second.
+    pub digest: Digest,
 }
 
 impl Outcome {
@@ -256,6 +259,19 @@
         self.wake();
         self.work();
         self.leave();
+        self.observe();
+    }
+
+    /// Adds what the routers tell of themselves to the digest, once a second.
+    fn observe(&mut self) {
+        if !self.now.as_millis().is_multiple_of(1_000) {
+            return;
+        }
+        for dispatcher in &mut self.dispatchers {
+            self.outcome.digest.add_summary(&dispatcher.summary(self.now));
+            self.outcome.digest.add_demand(&dispatcher.demand_report(self.now));
+            self.outcome.digest.add_wake(dispatcher.next_wake());
+        }
     }
 
     fn strike(&mut self) {
@@ -445,6 +461,7 @@
     fn carry_out(&mut self, router: usize) {
         for decision in self.dispatchers[router].take_decisions() {
             self.outcome.decisions += 1;
+            self.outcome.digest.add_decision(self.now, router, &decision);
             match decision {
                 Decision::Send { request, attempt, instance, engine_priority, .. } => {
                     if attempt > 1 {
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -2,8 +2,10 @@
 
 #![allow(dead_code)]
 
+pub mod digest;
 pub mod engine;
 pub mod fleet;
+pub mod history;
 pub mod scenario;
 
 use lanegate_dispatch::interface::{Generation, PromptPart, Request, RequestId};
