--- a/crates/controller/src/controller/calls.rs
+++ b/crates/controller/src/controller/calls.rs
@@ -111,7 +111,7 @@
         (!outcome.is_acknowledged()).then(|| change_answer(&outcome.encode()))
     }
 
-    fn status(&self) -> Answer {
+    pub(super) fn status(&self) -> Answer {
         let shards: Vec<serde_json::Value> = self
             .shards
             .iter()
--- a/crates/controller/src/controller/inspect.rs
+++ b/crates/controller/src/controller/inspect.rs
@@ -1,6 +1,7 @@
 //! What a simulation looks up in a controller.
 
 use super::{Controller, shards};
+use bytes::Bytes;
 use lanegate_placement::InvariantViolations;
 use std::net::SocketAddr;
 
@@ -26,6 +27,11 @@
         self.placements.violations()
     }
 
+    /// Body of the answer to a status call, and the text of the metrics.
+    pub(crate) fn exported(&self) -> (Bytes, String) {
+        (self.status().body, self.metrics().render().expect("strings take any text"))
+    }
+
     /// Shards for which this controller acts.
     pub(crate) fn acting_shards(&self) -> usize {
         shards::all().filter(|shard| self.placements.acts_for(*shard)).count()
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -1,6 +1,8 @@
 //! A controller: keeps the configuration and the list of endpoints with its peers, answers operators and
 //! endpoints, and feeds agents.
 
+#[cfg(test)]
+mod answers_test;
 #[cfg(test)]
 mod callers_test;
 mod calls;
--- a/crates/controller/src/simulation/calls.rs
+++ b/crates/controller/src/simulation/calls.rs
@@ -188,6 +188,7 @@
         };
         let (reply, answer) = oneshot::channel();
         let Content { method, path, if_match, body } = calling.content.clone();
+        self.trace.call(self.clock.get(), target, method, &path, if_match, &body);
         let call = Call { method, path, if_match: if_match.map(Ok), body, reply };
         self.calls.replies.insert(number, (process, answer));
         self.tell_controller(target, process, Notice::Controller(Event::Call(call)));
@@ -208,6 +209,7 @@
         }
         for (number, answer) in answered {
             self.calls.replies.remove(&number);
+            self.trace.answer(self.clock.get(), process.place, answer.status, &answer.body);
             let caller = self.caller_of(number);
             if caller.is_some_and(|caller| self.network.is_open(process.place, caller)) {
                 let arrives = self.now() + self.delay();
--- a/crates/controller/src/simulation/connections.rs
+++ b/crates/controller/src/simulation/connections.rs
@@ -185,8 +185,10 @@
 
     /// What an end of a connection makes of a frame.
     fn read_frame(&mut self, number: u64, end: End, frame: &Bytes) -> Option<(Process, Notice)> {
+        let now = self.now();
         let message = Message::decode(&frame[LENGTH_BYTES..]).ok()?;
         let connection = self.connections.get_mut(&number)?;
+        self.trace.frame(now, connection.dial.kind, end, connection.path_to(end), frame);
         let (dial, listener) = (connection.dial, connection.listener);
         let source = dial.address;
         let notice = match (dial.kind, end, message) {
--- a/crates/controller/src/simulation/controller_machine.rs
+++ b/crates/controller/src/simulation/controller_machine.rs
@@ -222,6 +222,7 @@
             }
             Request::Write(write) => self.queue_write(index, write),
             Request::CarryOut { action, epoch, send_by } => {
+                self.trace.service_action(self.clock.get(), index, &action, epoch, send_by);
                 let call = OrderCall { sender: process, action, epoch, send_by };
                 let connected = self.delay() + self.delay();
                 self.schedule(self.now() + connected, Happening::SendOrder(call));
@@ -246,6 +247,8 @@
     }
 
     fn queue_write(&mut self, index: usize, write: Write) {
+        let record = write.record.encode().unwrap_or_default();
+        self.trace.stored(self.clock.get(), index, write.shard, write.token, &record);
         self.controllers[index].disk.queue(write);
     }
 
--- a/crates/controller/src/simulation/mod.rs
+++ b/crates/controller/src/simulation/mod.rs
@@ -28,6 +28,7 @@
 mod settings;
 mod settle;
 mod step;
+mod trace;
 mod trouble;
 mod violation;
 mod world;
--- a/crates/controller/src/simulation/router_machine.rs
+++ b/crates/controller/src/simulation/router_machine.rs
@@ -279,12 +279,15 @@
             match event {
                 FeedEvent::Configuration(configuration) => {
                     self.history.router_has(index, &configuration);
+                    self.trace.router_configuration(now, index, configuration.version);
                     machine.known.configuration = Some(configuration);
                 }
                 FeedEvent::Instance(instance) => {
+                    self.trace.router_instance(now, index, &instance.id, instance.sequence);
                     machine.known.instances.insert(instance.id.clone(), instance);
                 }
                 FeedEvent::Removed { id } => {
+                    self.trace.router_instance_removed(now, index, &id);
                     machine.known.instances.remove(&id);
                 }
                 FeedEvent::Routers { .. }
@@ -325,6 +328,12 @@
         DemandReport { period_ms: REVIEW_PERIOD.as_millis() as u32, models }
     }
 
+    /// Text of the agent's metrics, while it runs.
+    pub(super) fn agent_metrics(&self) -> Option<String> {
+        let metrics = self.running.as_ref()?.agent.metrics();
+        Some(metrics.render().expect("strings take any text"))
+    }
+
     /// Name of the machine.
     pub(super) fn place(&self) -> Place {
         Place::Router(self.index)
--- a/crates/controller/src/simulation/world.rs
+++ b/crates/controller/src/simulation/world.rs
@@ -12,6 +12,7 @@
 use super::router_machine::RouterMachine;
 use super::scenario::Scenario;
 use super::step::Step;
+use super::trace::Trace;
 use super::trouble::Troubles;
 use super::violation::Violation;
 use crate::agent::Downstream;
@@ -134,6 +135,7 @@
     pub(super) within_tolerance: bool,
     /// The controller that endpoints call first; any if absent.
     pub(super) preferred: Option<usize>,
+    pub(super) trace: Trace,
 }
 
 impl World {
@@ -142,15 +144,42 @@
     /// # Errors
     /// The rule that was broken.
     pub fn play(scenario: &Scenario, fault: Option<ControllerFault>) -> Result<(), Violation> {
-        let mut world = Self::new(scenario, fault);
-        world.start_all(scenario.spares_late);
+        Self::new(scenario, fault).play_steps(scenario)
+    }
+
+    /// Plays a scenario and gives a digest of all that was sent, stored and ordered, with its times.
+    ///
+    /// # Errors
+    /// The rule that was broken.
+    pub fn play_for_digest(scenario: &Scenario) -> Result<u64, Violation> {
+        let mut world = Self::new(scenario, None);
+        world.play_steps(scenario)?;
+        world.trace_end();
+        Ok(world.trace.digest())
+    }
+
+    fn play_steps(&mut self, scenario: &Scenario) -> Result<(), Violation> {
+        self.start_all(scenario.spares_late);
         for (index, step) in scenario.steps.iter().enumerate() {
-            world.step(index + 1, step)?;
-            world.check_orders_held_back()?;
+            self.step(index + 1, step)?;
+            self.check_orders_held_back()?;
         }
         Ok(())
     }
 
+    fn trace_end(&mut self) {
+        let now = self.now();
+        for machine in &self.controllers {
+            let Some(controller) = machine.controller() else { continue };
+            let (status, metrics) = controller.exported();
+            self.trace.controller_end(now, machine.index, &status, &metrics);
+        }
+        for (index, machine) in self.routers.iter().enumerate() {
+            let Some(metrics) = machine.agent_metrics() else { continue };
+            self.trace.agent_end(now, index, &metrics);
+        }
+    }
+
     fn new(scenario: &Scenario, fault: Option<ControllerFault>) -> Self {
         let controllers = scenario.founders + scenario.spares;
         let tolerance = (scenario.founders.saturating_sub(1) / 2) as u32;
@@ -178,6 +207,7 @@
             fault,
             within_tolerance: scenario.within_tolerance,
             preferred: None,
+            trace: Trace::new(),
         }
     }
 
--- /dev/null
+++ b/crates/controller/tests/golden_messages.rs
@@ -0,0 +1,134 @@
+//! The bytes of every message, one example of each: `tests/golden/messages.txt` has a name and the frame in
+//! hexadecimal on each line.
+
+use lanegate_controller::message::*;
+use std::collections::BTreeMap;
+use std::path::Path;
+
+/// Set to `1` to write the file anew instead of comparing with it.
+const UPDATE: &str = "UPDATE_DIGESTS";
+
+fn version() -> ConfigurationVersion {
+    ConfigurationVersion { revision: 4, digest: 0x0102_0304_0506_0708 }
+}
+
+fn shard_message() -> ShardMessage {
+    ShardMessage { shard: 3, body: vec![9, 8, 7].into() }
+}
+
+fn forwarded() -> Forwarded {
+    Forwarded { request: 77, body: vec![1, 2, 3, 4].into() }
+}
+
+fn hello(role: Role) -> Message {
+    Message::Hello(Hello {
+        role,
+        name: "edge-1".into(),
+        control_address: "10.0.0.1:8146".into(),
+        life: 9,
+        source: 3,
+        offset: 12,
+    })
+}
+
+fn heard() -> HeardList {
+    vec![Heard { id: "i-1".into(), sequence: 4 }, Heard { id: "i-2".into(), sequence: 5 }].into()
+}
+
+fn difference() -> ConfigurationDifference {
+    let parts =
+        vec![DifferencePart::Kept { offset: 5, length: 6 }, DifferencePart::Inserted(vec![1, 2].into())];
+    ConfigurationDifference { base: 3, version: version(), parts: parts.into() }
+}
+
+fn confirmation() -> Confirmation {
+    let group = |addresses: &str| GroupMembers { addresses: addresses.into() };
+    Confirmation::new(1, 4, vec![group("10.0.0.1:1 10.0.0.2:1"), group("10.0.0.3:1")])
+}
+
+fn holding() -> Holding {
+    Holding { id: "i-1".into(), model: "m".into(), adapter: "a1".into(), present: 1, sequence: 7, order: 2 }
+}
+
+fn demand() -> RouterDemand {
+    RouterDemand { router: "edge-1".into(), report: "{}".into(), age_ms: 250 }
+}
+
+/// One example of each message, by the number that it has on the wire.
+fn examples() -> Vec<(&'static str, Message)> {
+    vec![
+        ("01-controller", hello(Role::Controller)),
+        ("01-agent", hello(Role::Agent)),
+        ("01-router", hello(Role::Router)),
+        ("02", Message::SnapshotBegin),
+        ("03", Message::SnapshotEnd { complete: 1 }),
+        ("04", Message::Decided(Decided { revision: 8, document: "{}".into() })),
+        ("05", Message::Registered(Registered { id: "i-1".into(), sequence: 6, body: "{}".into() })),
+        ("06", Message::Removed(Removed { id: "i-1".into(), sequence: u64::MAX })),
+        ("07", Message::HeardList(heard())),
+        ("08", Message::FeedBeat(FeedBeat { quorum: 1, source: 4, offset: 5, routers: 9 })),
+        ("09", Message::Controllers(Controllers { addresses: "10.0.0.1:1 10.0.0.2:1".into() })),
+        ("10", Message::Register(shard_message())),
+        ("11", Message::Lease(shard_message())),
+        ("12", Message::Change(forwarded())),
+        ("13", Message::ChangeOutcome(forwarded())),
+        ("14", Message::Flush(Token { token: 0x55 })),
+        ("15", Message::Flushed(confirmation())),
+        ("16", Message::Demand(demand())),
+        ("17", Message::Heartbeat { body: vec![7; 5].into() }),
+        ("18", Message::Holding(holding())),
+        ("19", Message::HeartbeatEcho { body: vec![6; 4].into() }),
+        ("20", Message::ConfigurationAnnounced(version())),
+        ("21-some", Message::ConfigurationFetch(version())),
+        ("21-none", Message::ConfigurationFetch(ConfigurationVersion::NONE)),
+        ("22", Message::ConfigurationDifference(difference())),
+        ("23", Message::ConfigurationKnown(version())),
+        ("24", Message::Standing(Standing { life: 8, voting: 31, leaving: 1 })),
+    ]
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes_of(hex: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two hexadecimal digits");
+    (0..hex.len()).step_by(2).map(digits).collect()
+}
+
+fn golden() -> BTreeMap<String, String> {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/messages.txt");
+    if std::env::var(UPDATE).is_ok_and(|value| value == "1") {
+        let lines =
+            examples().into_iter().map(|(name, message)| format!("{name} {}\n", hex(&message.frame())));
+        std::fs::write(&path, lines.collect::<String>()).expect("the file can be written");
+    }
+    let text = std::fs::read_to_string(&path).expect("the golden file");
+    let lines = text.lines().filter_map(|line| line.split_once(' '));
+    lines.map(|(name, hex)| (name.to_owned(), hex.to_owned())).collect()
+}
+
+#[test]
+fn every_message_has_the_bytes_that_it_had() {
+    let golden = golden();
+    let examples = examples();
+    assert_eq!(golden.len(), examples.len());
+    for (name, message) in examples {
+        assert_eq!(hex(&message.frame()), golden[name], "{name}");
+    }
+}
+
+#[test]
+fn every_recorded_frame_reads_as_the_message_that_it_was() {
+    let golden = golden();
+    for (name, message) in examples() {
+        let frame = bytes_of(&golden[name]);
+        assert_eq!(Message::decode(&frame[4..]).expect("a message"), message, "{name}");
+    }
+}
+
+#[test]
+fn the_digest_of_a_document_is_what_it_was() {
+    let version = ConfigurationVersion::of(1, b"{\"Version\":1,\"Backends\":[]}");
+    assert_eq!(version.digest, 7_853_493_403_107_613_560);
+}
