--- /dev/null
+++ b/crates/placement/tests/digests.rs
@@ -0,0 +1,77 @@
+//! The placer's orders and their times under random demand and faults, pinned by a digest for each seed.
+
+mod support;
+
+use lanegate_model::mechanism::{Mechanism, SwitchedOff};
+use std::path::Path;
+use support::digest::compare;
+use support::fleet::Cut;
+use support::random::Random;
+use support::simulation::{Asked, Simulation, runtime};
+
+const SEEDS: u64 = 240;
+const MODELS: u64 = 20;
+const ADAPTERS: u64 = 12;
+
+fn demand(random: &mut Random) -> Vec<Asked> {
+    let items = random.below(25);
+    let mut asked = Vec::new();
+    for _ in 0..items {
+        let model = format!("m{}", 1 + random.below(MODELS));
+        let adapter = (random.below(3) == 0).then(|| format!("a{}", 1 + random.below(ADAPTERS)));
+        let rate = [0.3, 2.0, 14.0][random.below(3) as usize] * (0.2 + random.unit());
+        asked.push(Asked { model, adapter, rate });
+    }
+    asked
+}
+
+fn event(simulation: &mut Simulation, random: &mut Random, endpoints: u64) {
+    let name = format!("e{}", 1 + random.below(endpoints));
+    match random.below(18) {
+        0..=3 => simulation.demand = demand(random),
+        4 | 5 => simulation.crash(&name),
+        6..=8 => simulation.restart(&name),
+        9 => simulation.drain_endpoint(&name, None),
+        10 => simulation.drain_endpoint(&name, Some(1_000.0 + random.below(20_000) as f64)),
+        11 => simulation.take_over(),
+        12 | 13 => simulation.cut(&name, Cut::All, 1_000 + random.below(8_000)),
+        14 | 15 => simulation.cut(&name, Cut::Beats, 1_000 + random.below(8_000)),
+        16 => simulation.loss = if random.below(2) == 0 { 0.0 } else { 0.3 * random.unit() },
+        _ => simulation.lateness_ms = [100, 1_000, 2_500][random.below(3) as usize],
+    }
+}
+
+/// Of every three seeds the last has one mechanism switched off.
+fn switched_off(seed: u64) -> SwitchedOff {
+    let all: Vec<Mechanism> = Mechanism::all().collect();
+    let one = (seed % 3 == 2).then(|| all[(seed / 3) as usize % all.len()]);
+    one.into_iter().collect()
+}
+
+fn play(seed: u64) -> u64 {
+    let mut random = Random::new(seed ^ 0xD16E_5700);
+    let endpoints = 3 + random.below(8);
+    let size_mb = 40_000.0 + random.below(50_000) as f64;
+    let load_s = 0.3 + 2.7 * random.unit();
+    let adapter_mb = [66.0, 500.0, 8_000.0][random.below(3) as usize];
+    let runtime = runtime(MODELS as usize, size_mb, load_s, ADAPTERS as u32, adapter_mb);
+    let zones = 1 + random.below(3) as usize;
+    let mut simulation = Simulation::without(switched_off(seed), runtime, endpoints as usize, zones, seed);
+    simulation.demand = demand(&mut random);
+    if random.below(2) == 0 {
+        simulation.fill();
+    }
+    for _ in 0..2 + random.below(14) {
+        let lasts_ms = if random.below(2) == 0 { random.below(2_000) } else { 3_000 + random.below(6_000) };
+        simulation.run_until(simulation.now_ms + lasts_ms);
+        event(&mut simulation, &mut random, endpoints);
+    }
+    simulation.run_until(simulation.now_ms + 5_000);
+    simulation.decisions.finish()
+}
+
+#[test]
+fn decisions_match_the_recorded_digests() {
+    let digests: Vec<u64> = (0..SEEDS).map(play).collect();
+    compare(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/digests/decisions.txt"), &digests);
+}
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -3,6 +3,7 @@
 #![allow(dead_code)]
 
 pub mod check;
+pub mod digest;
 pub mod fleet;
 pub mod random;
 pub mod simulation;
--- a/crates/placement/tests/support/simulation.rs
+++ b/crates/placement/tests/support/simulation.rs
@@ -1,6 +1,7 @@
 //! Simulated time: messages under way, heartbeats, reports of demand, and a placer among them.
 
 use super::check::{Checks, OVERSHOOT, WINDOW_MS};
+use super::digest::Digest;
 use super::fleet::{Cut, Endpoint, Work, size};
 use super::random::Random;
 use lanegate_model::configuration::{Model, Runtime};
@@ -62,6 +63,8 @@
     pub demand: Vec<Asked>,
     pub checks: Checks,
     pub orders: Vec<(u64, Order)>,
+    /// What was decided and when, in bytes.
+    pub decisions: Digest,
     pub conflicts: u64,
     /// Questions beyond the first to an incarnation by a placer.
     pub questions: u64,
@@ -75,6 +78,7 @@
     pub routers: usize,
     pub random: Random,
     pub generation: u32,
+    switched_off: SwitchedOff,
     messages: BTreeMap<(u64, u64), (u32, Message)>,
     sent: u64,
     histories: BTreeMap<(u64, String), EndpointReport>,
@@ -101,18 +105,29 @@
     }
 }
 
-fn settings(start: Start) -> PlacerSettings {
+fn settings(start: Start, switched_off: SwitchedOff) -> PlacerSettings {
     PlacerSettings {
         ceiling_window: Duration::from_millis(WINDOW_MS),
         ceiling_overshoot: OVERSHOOT,
         start,
-        switched_off: SwitchedOff::default(),
+        switched_off,
     }
 }
 
 impl Simulation {
     pub fn new(runtime: Runtime, endpoints: usize, zones: usize, seed: u64) -> Simulation {
-        let mut placer = Placer::new(Duration::ZERO, BACKEND, seed, &settings(Start::First));
+        Simulation::without(SwitchedOff::default(), runtime, endpoints, zones, seed)
+    }
+
+    /// With some mechanisms switched off.
+    pub fn without(
+        switched_off: SwitchedOff,
+        runtime: Runtime,
+        endpoints: usize,
+        zones: usize,
+        seed: u64,
+    ) -> Simulation {
+        let mut placer = Placer::new(Duration::ZERO, BACKEND, seed, &settings(Start::First, switched_off));
         placer.configure(Duration::ZERO, &runtime);
         let mut random = Random::new(seed);
         let endpoints = (0..endpoints).map(|number| endpoint(number, zones, &mut random)).collect();
@@ -124,6 +139,7 @@
             demand: Vec::new(),
             checks: Checks::default(),
             orders: Vec::new(),
+            decisions: Digest::default(),
             conflicts: 0,
             questions: 0,
             first_questions: BTreeSet::new(),
@@ -134,6 +150,7 @@
             routers: 3,
             random,
             generation: 0,
+            switched_off,
             messages: BTreeMap::new(),
             sent: 0,
             histories: BTreeMap::new(),
@@ -173,6 +190,7 @@
             self.placer.wake(self.now());
         }
         self.drain();
+        self.record_placer();
         self.checks.loading(&self.endpoints);
         self.checks.held_back(now_ms, self.placer.violations());
     }
@@ -188,6 +206,7 @@
 
     fn drain(&mut self) {
         while let Some(action) = self.placer.next_action() {
+            self.record_action(&action);
             match action {
                 Action::Order(order) => self.order_leaves(order),
                 Action::AskReport { instance, address } => {
@@ -200,6 +219,49 @@
         }
     }
 
+    fn record_action(&mut self, action: &Action) {
+        let digest = &mut self.decisions;
+        digest.number(self.now_ms);
+        match action {
+            Action::Order(order) => {
+                digest.byte(1);
+                digest.number(order.id.0);
+                digest.bytes(order.instance.as_bytes());
+                digest.bytes(order.address.to_string().as_bytes());
+                digest.byte(if order.operation == Operation::Load { 1 } else { 2 });
+                record_item(digest, &order.model, order.adapter.as_deref());
+                digest.number(order.if_revision);
+            }
+            Action::AskReport { instance, address } => {
+                digest.byte(2);
+                digest.bytes(instance.as_bytes());
+                digest.bytes(address.to_string().as_bytes());
+            }
+        }
+    }
+
+    /// What the placer tells of itself, and when it wants to be woken.
+    fn record_placer(&mut self) {
+        let digest = &mut self.decisions;
+        digest.byte(3);
+        digest.number(self.placer.next_wake().map_or(u64::MAX, |at| at.as_nanos() as u64));
+        digest.byte(self.placer.fenced().into());
+        digest.number(self.placer.violations().total());
+        for load in self.placer.pending_loads() {
+            digest.byte(4);
+            digest.bytes(load.instance.as_bytes());
+            record_item(digest, &load.item.model, load.item.adapter.as_deref());
+            digest.number(load.expected.as_nanos() as u64);
+        }
+        for endpoint in &self.endpoints {
+            if let Some(item) = self.placer.leaving(&endpoint.id()) {
+                digest.byte(5);
+                digest.bytes(endpoint.name.as_bytes());
+                record_item(digest, &item.model, item.adapter.as_deref());
+            }
+        }
+    }
+
     fn order_leaves(&mut self, order: Order) {
         self.checks.leaving(self.now_ms, &order, &self.endpoints);
         self.orders.push((self.now_ms, order.clone()));
@@ -535,7 +597,7 @@
         self.checks.open.clear();
         let now = self.now();
         let seed = self.random.next();
-        self.placer = Placer::new(now, BACKEND, seed, &settings(Start::Takeover));
+        self.placer = Placer::new(now, BACKEND, seed, &settings(Start::Takeover, self.switched_off));
         self.placer.configure(now, &self.runtime);
         for listed in self.list.values() {
             self.placer.instance(now, &listed.instance);
@@ -543,6 +605,12 @@
     }
 }
 
+fn record_item(digest: &mut Digest, model: &str, adapter: Option<&str>) {
+    digest.bytes(model.as_bytes());
+    digest.byte(adapter.is_some().into());
+    digest.bytes(adapter.unwrap_or_default().as_bytes());
+}
+
 fn endpoint(number: usize, zones: usize, random: &mut Random) -> Endpoint {
     Endpoint {
         name: format!("e{}", number + 1),
