--- /dev/null
+++ b/src/node/golden_test.rs
@@ -0,0 +1,217 @@
+//! The courier's records on disk and its words to its successor, byte for byte.
+
+#[path = "../../tests/common/golden.rs"]
+mod golden;
+
+use super::channel::{Client, Ended, Known, Out, State, Word};
+use super::journal::{Attempt, Letter, Live, Verdict};
+use super::ledger::{self, Kind};
+use super::outcomes::Notice;
+use super::register::{Change, Register, Unset};
+use crate::interface::{EndpointId, Outcome};
+use crate::store::Durability;
+use crate::store::frame::{self, Head, Label, Piece};
+use crate::store::scan::{DROPPED, SYNCED, name, unnamed};
+use bytes::Bytes;
+use std::collections::BTreeSet;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::Duration;
+
+fn golden(file: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file)
+}
+
+fn micros(n: u64) -> Duration {
+    Duration::from_micros(1_790_000_000_000_000 + n)
+}
+
+fn letter(key: Option<&str>) -> Rc<Letter> {
+    Rc::new(Letter {
+        id: "m-1".to_owned(),
+        class: "notice".to_owned(),
+        tenant: "acme".to_owned(),
+        destination: 7,
+        key: key.map(str::to_owned),
+        until: micros(9),
+        body: Bytes::from_static(b"body"),
+    })
+}
+
+fn attempt(host: &str, may_have_run: bool) -> Attempt {
+    Attempt { host: host.to_owned(), zone: "north".to_owned(), sent: micros(5), may_have_run }
+}
+
+fn lives() -> [(&'static str, Live); 3] {
+    let new = Live { letter: letter(Some("key")), taken: micros(1), attempts: Vec::new(), verdict: None };
+    let attempts = vec![attempt("s-1", false), attempt("s-2", true)];
+    let tried = Live { letter: letter(None), taken: micros(2), attempts, verdict: Some(Verdict::Dead) };
+    let bounced = Some(Verdict::Bounced { wait: Some(Duration::from_millis(30)) });
+    let bounced = Live { letter: letter(None), taken: micros(3), attempts: Vec::new(), verdict: bounced };
+    [("live-new", new), ("live-tried-dead", tried), ("live-bounced", bounced)]
+}
+
+#[test]
+fn payloads_of_records_match_the_recorded_bytes() {
+    let mut forms = Vec::new();
+    for (name, live) in lives() {
+        let bytes = ledger::put_live(11, &live);
+        assert_eq!(ledger::live(&bytes), Some(live));
+        assert_eq!(ledger::id(11, &bytes).as_deref(), Some("m-1"));
+        forms.push((name, bytes));
+    }
+    let bytes = ledger::put_attempt(2, &attempt("s-1", true));
+    assert_eq!(ledger::attempt(&bytes), Some((2, attempt("s-1", true))));
+    forms.push(("attempt", bytes));
+    let wait = Some(Duration::from_millis(1_500));
+    for (name, verdict) in [
+        ("verdict-dead", Verdict::Dead),
+        ("verdict-bounced", Verdict::Bounced { wait: None }),
+        ("verdict-bounced-wait", Verdict::Bounced { wait }),
+    ] {
+        let bytes = ledger::put_verdict(verdict);
+        assert_eq!(ledger::verdict(&bytes), Some(verdict));
+        forms.push((name, bytes));
+    }
+    assert_eq!(ledger::never_ran(&[3, 0, 0, 0]), Some(3));
+    golden::compare(&golden("journal_payloads.txt"), &forms);
+}
+
+#[test]
+fn numbers_of_record_kinds_match_the_recorded_bytes() {
+    let kinds = [Kind::Live, Kind::Attempt, Kind::NeverRan, Kind::Verdict, Kind::Ended, Kind::Doubted];
+    assert_eq!(kinds.map(|kind| kind as u8), [1, 2, 3, 4, 5, 6]);
+    assert!(kinds.into_iter().all(|kind| Kind::of(kind as u8) == Some(kind)));
+    assert_eq!((Kind::of(0), Kind::of(7), DROPPED, SYNCED), (None, None, 0xF0, 0xF1));
+    assert_eq!(
+        (name(26), unnamed(26, 5)),
+        ("000000000000001a".into(), "000000000000001a-0000000000000005.new".into())
+    );
+}
+
+#[test]
+fn segments_match_the_recorded_bytes() {
+    let mut forms = Vec::new();
+    for (form, synced) in [("segment", false), ("segment-synced", true)] {
+        let head = Head { number: 3, identity: 0x0102_0304_0506_0708, first: 10, oldest: 2, synced };
+        let mut bytes = head.bytes();
+        let labels = [
+            Label { kind: Kind::Live as u8, sequence: 10, message: 11 },
+            Label { kind: DROPPED, sequence: 11, message: 2 },
+            Label { kind: SYNCED, sequence: 12, message: 0 },
+        ];
+        for label in labels {
+            frame::put(&mut bytes, head.identity, label, b"payload");
+        }
+        let (read, found) = frame::read(&bytes).expect("the head is sound");
+        assert_eq!(read, head);
+        let sound = |(_, piece): &frame::Found| match piece {
+            Piece::Record(record) if record.sound && record.payload == b"payload" => Some(record.label),
+            _ => None,
+        };
+        assert_eq!(found.iter().filter_map(sound).collect::<Vec<_>>(), labels);
+        forms.push((form, bytes));
+    }
+    golden::compare(&golden("journal_segments.txt"), &forms);
+}
+
+fn words() -> Vec<(&'static str, Word)> {
+    let endpoint = EndpointId(4);
+    let age = Duration::new(3, 500);
+    let known = |dial: Option<&str>, ready| Known {
+        id: endpoint,
+        host: "s-1".to_owned(),
+        dial: dial.map(str::to_owned),
+        zone: "north".to_owned(),
+        ready,
+        listed: true,
+    };
+    let state = State {
+        brain: vec![1, 2, 3],
+        clock: Duration::from_secs(5),
+        at: micros(6),
+        endpoints: vec![known(Some("10.0.0.1:80"), true), known(None, false)],
+        numbered: 5,
+        destinations: vec![7, 8],
+        list: Some(9),
+        out: vec![Out { message: 11, endpoint, attempt: 2, age }],
+        last: 12,
+    };
+    let ended =
+        |outcome, report| Ended { message: 11, attempt: 1, endpoint, outcome, over: true, report, age };
+    let client = Client { heard: b"POST /v1".to_vec(), age, served: true };
+    let id = "s-1".to_owned();
+    let wait = Some(Duration::from_millis(20));
+    vec![
+        ("hello", Word::Hello),
+        ("state", Word::State(Box::new(state))),
+        ("ready", Word::Ready { whole: true }),
+        ("go", Word::Go),
+        ("client", Word::Client(client)),
+        ("ended-delivered", Word::Ended(ended(Outcome::Delivered, Some((0.5, 80.0))))),
+        ("ended-error", Word::Ended(ended(Outcome::Error, None))),
+        ("ended-full", Word::Ended(ended(Outcome::Full { wait }, None))),
+        ("ended-timed-out", Word::Ended(ended(Outcome::TimedOut, None))),
+        ("ended-connect-failed", Word::Ended(ended(Outcome::ConnectFailed, None))),
+        ("ended-reset", Word::Ended(ended(Outcome::Reset, None))),
+        ("ended-cancelled", Word::Ended(ended(Outcome::Cancelled, None))),
+        ("ended-moot", Word::Ended(ended(Outcome::Moot, None))),
+        ("cancel", Word::Cancel(11)),
+        ("operate-endpoint", Word::Operate(1, Change::Endpoint { id, out: true })),
+        ("operate-service", Word::Operate(2, Change::Service { out: false })),
+        ("operated", Word::Operated(1, Ok(()))),
+        ("operated-unknown", Word::Operated(1, Err(Unset::Unknown))),
+        ("operated-not-serving", Word::Operated(1, Err(Unset::NotServing))),
+        ("operated-unrecorded", Word::Operated(1, Err(Unset::Unrecorded))),
+    ]
+}
+
+#[test]
+fn words_to_a_successor_match_the_recorded_bytes() {
+    let encode = |word: &Word| {
+        let mut bytes = Vec::new();
+        ciborium::into_writer(&(word, true), &mut bytes).expect("a word can be written");
+        bytes
+    };
+    let mut forms = Vec::new();
+    for (name, word) in words() {
+        let bytes = encode(&word);
+        let (again, with): (Word, bool) = ciborium::from_reader(&bytes[..]).expect("it can be read");
+        assert!(with && encode(&again) == bytes, "{name}");
+        forms.push((name, bytes));
+    }
+    golden::compare(&golden("handover.txt"), &forms);
+}
+
+#[tokio::test]
+async fn the_operators_record_match_the_recorded_bytes() {
+    const RECORD: &str = r#"{"out":["s-1","s-2"],"out_of_service":true,"check":47813353}"#;
+    let folder = std::env::temp_dir().join(format!("golden-{}-operators", std::process::id()));
+    let _ = std::fs::remove_dir_all(&folder);
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let register = Register::new(&folder, Durability::Process);
+    let _changed = register.serve();
+    register.know(BTreeSet::from(["s-1".to_owned(), "s-2".to_owned()]));
+    for id in ["s-2", "s-1"] {
+        let change = Change::Endpoint { id: id.to_owned(), out: true };
+        assert_eq!(register.clone().set(change).await, Ok(()));
+    }
+    assert_eq!(register.clone().set(Change::Service { out: true }).await, Ok(()));
+    assert_eq!(std::fs::read_to_string(folder.join("operators")).expect("a record"), RECORD);
+    std::fs::write(folder.join("operators"), RECORD).expect("written");
+    let register = Register::new(&folder, Durability::Process);
+    register.load().expect("it can be read");
+    assert!(register.is_out("s-1") && register.is_out("s-2") && register.out_of_service());
+    let _ = std::fs::remove_dir_all(folder);
+}
+
+#[test]
+fn notices_match_the_recorded_bytes() {
+    let notice = |verdict| Notice { message: 1, id: "m \"1\"".to_owned(), verdict }.line();
+    assert_eq!(notice(Verdict::Dead), "{\"ref\":\"m \\\"1\\\"\",\"result\":\"dead\"}\n");
+    assert_eq!(notice(Verdict::Bounced { wait: None }), "{\"ref\":\"m \\\"1\\\"\",\"result\":\"bounced\"}\n");
+    assert_eq!(
+        notice(Verdict::Bounced { wait: Some(Duration::from_millis(1_500)) }),
+        "{\"ref\":\"m \\\"1\\\"\",\"result\":\"bounced\",\"wait_ms\":1500}\n"
+    );
+}
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -7,6 +7,8 @@
 mod config;
 mod courier;
 mod discovery;
+#[cfg(test)]
+mod golden_test;
 mod handover;
 mod intake;
 pub mod journal;
--- a/src/node/outcomes.rs
+++ b/src/node/outcomes.rs
@@ -44,7 +44,7 @@
 }
 
 impl Notice {
-    fn line(&self) -> String {
+    pub(super) fn line(&self) -> String {
         let (result, wait) = match self.verdict {
             Verdict::Dead => ("dead", None),
             Verdict::Bounced { wait } => ("bounced", wait),
--- a/tests/state_form.rs
+++ b/tests/state_form.rs
@@ -2,6 +2,8 @@
 //! and decides from there as the one before would have.
 
 mod common;
+#[path = "common/golden.rs"]
+mod golden;
 
 use common::*;
 use std::collections::BTreeMap;
@@ -11,6 +13,7 @@
 use walnutshift::interface::*;
 
 const STATE: &str = "tests/data/state_before_split.cbor";
+const PACKED: &str = "tests/golden/state.txt";
 
 /// Most calls answer well or slowly; some as full, with an error or late.
 fn outcome(message: u64) -> (Outcome, u32) {
@@ -77,3 +80,12 @@
     assert!(sends(&from_now).len() > 20, "{} sends", sends(&from_now).len());
     assert_eq!(from_before, from_now);
 }
+
+#[test]
+fn a_state_is_packed_as_before() {
+    let packed = rush().0.brain.pack().expect("packed");
+    let again = Brain::unpack(&packed, settings(), 3).expect("a state that can be read");
+    let again = again.pack().expect("packed");
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(PACKED);
+    golden::compare(&file, &[("rush", packed), ("taken-on", again)]);
+}
