--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -2,9 +2,9 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
+use lanegate_courier::node::journal::{self, Attempt, Letter};
 use std::path::PathBuf;
 use std::time::Duration;
-use walnutshift::node::journal::{self, Attempt, Letter};
 
 /// A folder of one run, removed with it.
 pub struct Place(pub PathBuf);
--- a/benches/journal.rs
+++ b/benches/journal.rs
@@ -4,12 +4,12 @@
 mod common;
 use common::*;
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
+use lanegate_courier::node::journal::{Journal, Keeping, Letter, Verdict};
+use lanegate_courier::store::{Durability, frame};
 use rand::rngs::SmallRng;
 use rand::{RngCore, SeedableRng};
 use std::hint::black_box;
 use std::rc::Rc;
-use walnutshift::node::journal::{Journal, Keeping, Letter, Verdict};
-use walnutshift::store::{Durability, frame};
 
 fn open_at(place: &Place, room: u64, durability: Durability) -> Journal {
     let keeping = Keeping { room, durability, refuse_damage: false };
--- a/benches/stall.rs
+++ b/benches/stall.rs
@@ -3,11 +3,11 @@
 
 mod common;
 use common::*;
+use lanegate_courier::node::journal::{Journal, Keeping};
+use lanegate_courier::store::Durability;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Instant;
-use walnutshift::node::journal::{Journal, Keeping};
-use walnutshift::store::Durability;
 
 const LIVE: u64 = 100_000_000;
 const BODY: usize = 4000;
--- a/benches/start.rs
+++ b/benches/start.rs
@@ -4,6 +4,9 @@
 
 mod common;
 use common::*;
+use courier_lab::report::plot::{Line, Plot};
+use lanegate_courier::node::journal::{Journal, Keeping};
+use lanegate_courier::store::Durability;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,9 +14,6 @@
 use std::process::{Child, Command, Stdio};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use walnutshift::node::journal::{Journal, Keeping};
-use walnutshift::store::Durability;
-use walnutshift_lab::report::plot::{Line, Plot};
 
 /// Bytes that live, of a body each, and the disk: nothing, the most that the platform's 3 MB hold (the second case
 /// of it in as many messages as a courier holds), and more.
@@ -78,7 +78,7 @@
         "limits": {"cores": 1.0, "memory_mb": 4000, "sockets": 256, "disk_mb": disk_mb}, "settings": settings});
     let file = folder.join("config.json");
     std::fs::write(&file, page.to_string()).expect("written");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_stairshed"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_courier"));
     command.env("LB_NAME", "n1").env("LB_LISTEN", listen.to_string()).env("LB_DISCOVERY", free().to_string());
     command.env("LB_STATE", folder.join("state")).env("LB_CONFIG", file);
     command.stdin(Stdio::null()).stderr(Stdio::null());
--- a/crates/model/src/configuration/document.rs
+++ b/crates/config/src/configuration/document.rs
@@ -12,7 +12,7 @@
 /// Cloning is cheap.
 ///
 /// ```
-/// use lanegate_model::configuration::Document;
+/// use lanegate_config::configuration::Document;
 ///
 /// let first = Document::parse(
 ///     r#"{"Version": 3, "Note": 1.50,
@@ -28,7 +28,7 @@
 ///     next.serialize(),
 ///     r#"{"Version":5,"Note":1.50,"Routes":[],"Backends":[{"Name": "b"}]}"#
 /// );
-/// # Ok::<(), lanegate_model::findings::Findings>(())
+/// # Ok::<(), lanegate_config::findings::Findings>(())
 /// ```
 #[derive(Debug, Clone)]
 pub struct Document {
--- a/crates/model/src/control_state/mod.rs
+++ b/crates/config/src/control_state/mod.rs
@@ -2,7 +2,7 @@
 //! strings: the value in force and a command.
 //!
 //! ```
-//! use lanegate_model::control_state::{Command, ControlState, Method, Outcome};
+//! use lanegate_config::control_state::{Command, ControlState, Method, Outcome};
 //!
 //! let state = ControlState::default();
 //! let command = Command { method: Method::Put, if_match: Some(0), body: br#"{"Version":4}"#.to_vec() };
--- a/crates/model/src/routes.rs
+++ b/crates/config/src/routes.rs
@@ -13,8 +13,8 @@
 /// The routes of one configuration, ready for look-ups.
 ///
 /// ```
-/// use lanegate_model::configuration::Document;
-/// use lanegate_model::routes::RouteTable;
+/// use lanegate_config::configuration::Document;
+/// use lanegate_config::routes::RouteTable;
 ///
 /// let document = Document::parse(
 ///     r#"{"Version": 1, "Backends": [{"Name": "b"}], "Routes": [
@@ -25,7 +25,7 @@
 /// assert_eq!(table.lookup("A.example", "/x/y/z").unwrap().name, "inner");
 /// assert_eq!(table.lookup("a.example", "/x/y").unwrap().name, "outer");
 /// assert!(table.lookup("b.example", "/x/").is_none());
-/// # Ok::<(), lanegate_model::findings::Findings>(())
+/// # Ok::<(), lanegate_config::findings::Findings>(())
 /// ```
 #[derive(Debug)]
 pub struct RouteTable {
--- a/crates/model/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -1,7 +1,7 @@
 //! The configuration document: kept as sent, read, refused, patched.
 
-use lanegate_model::configuration::{Document, RouteType, warnings};
-use lanegate_model::findings::Findings;
+use lanegate_config::configuration::{Document, RouteType, warnings};
+use lanegate_config::findings::Findings;
 
 const WHOLE: &str = r#"{"Version":7,"Note":{"b":1,"a":[2.50]},
 "Routes":[
--- a/crates/model/tests/control_state.rs
+++ b/crates/config/tests/control_state.rs
@@ -1,7 +1,9 @@
 //! Changes of the configuration: taken once, acknowledged again, refused.
 
-use lanegate_model::control_state::{Applied, Command, ControlState, HISTORY_LENGTH, Method, Outcome, apply};
-use lanegate_model::findings::Findings;
+use lanegate_config::control_state::{
+    Applied, Command, ControlState, HISTORY_LENGTH, Method, Outcome, apply,
+};
+use lanegate_config::findings::Findings;
 use proptest::prelude::*;
 
 fn put(if_match: u64, body: &str) -> Command {
--- a/crates/model/tests/control_state_model.rs
+++ b/crates/config/tests/control_state_model.rs
@@ -1,6 +1,6 @@
 //! Rows of changes of two operators, some sent again, against a plain model.
 
-use lanegate_model::control_state::{Command, ControlState, Method, Outcome};
+use lanegate_config::control_state::{Command, ControlState, Method, Outcome};
 use proptest::prelude::*;
 
 /// A call of one of two operators.
--- a/crates/model/tests/instance.rs
+++ b/crates/config/tests/instance.rs
@@ -1,6 +1,6 @@
 //! Registrations as endpoints write them.
 
-use lanegate_model::instance::{Instance, InstanceState};
+use lanegate_config::instance::{Instance, InstanceState};
 
 fn read(text: &str) -> Instance {
     serde_json::from_str(text).unwrap()
--- a/crates/model/tests/mechanism.rs
+++ b/crates/config/tests/mechanism.rs
@@ -1,6 +1,6 @@
 //! Mechanisms by their names, and sets of those that are switched off.
 
-use lanegate_model::mechanism::{Mechanism, SwitchedOff};
+use lanegate_config::mechanism::{Mechanism, SwitchedOff};
 
 #[test]
 fn each_mechanism_is_read_by_the_name_that_it_is_written_with() {
--- a/crates/model/tests/patch_model.rs
+++ b/crates/config/tests/patch_model.rs
@@ -1,6 +1,6 @@
 //! Patches against a plain model of lists of items.
 
-use lanegate_model::configuration::Document;
+use lanegate_config::configuration::Document;
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
--- a/crates/model/tests/routes.rs
+++ b/crates/config/tests/routes.rs
@@ -1,7 +1,7 @@
 //! Look-ups of the route table against a plain search.
 
-use lanegate_model::configuration::{Configuration, Document, Route};
-use lanegate_model::routes::RouteTable;
+use lanegate_config::configuration::{Configuration, Document, Route};
+use lanegate_config::routes::RouteTable;
 use proptest::prelude::*;
 use std::sync::Arc;
 
--- a/crates/model/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings files: what is read, and what is said of those that cannot be.
 
-use lanegate_model::findings::Findings;
-use lanegate_model::settings::{ProcessRole, Settings, SettingsError};
+use lanegate_config::findings::Findings;
+use lanegate_config::settings::{ProcessRole, Settings, SettingsError};
 use std::path::Path;
 
 const WHOLE: &str = r#"
--- a/crates/controller/src/agent/environment.rs
+++ b/crates/controller/src/agent/environment.rs
@@ -1,7 +1,7 @@
 //! What an agent needs from the outside: a clock, links to controllers, its settings file.
 
 use crate::message::Hello;
-use lanegate_model::settings::{Settings, SettingsError};
+use lanegate_config::settings::{Settings, SettingsError};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/controller/src/controller/calls.rs
+++ b/crates/controller/src/controller/calls.rs
@@ -6,9 +6,9 @@
 use super::unavailable::Unavailable;
 use super::{Asked, Controller, ControllerFault, shards};
 use crate::message::{Forwarded, Message, Token};
+use lanegate_config::control_state::{Command, Method as ChangeMethod, Outcome, apply};
+use lanegate_config::findings::Findings;
 use lanegate_coordination::register::Input;
-use lanegate_model::control_state::{Command, Method as ChangeMethod, Outcome, apply};
-use lanegate_model::findings::Findings;
 use std::collections::BTreeMap;
 
 /// Where the configuration is read and changed.
--- a/crates/controller/src/controller/counters.rs
+++ b/crates/controller/src/controller/counters.rs
@@ -1,6 +1,6 @@
 //! Counts of what a controller did, for its metrics.
 
-use lanegate_model::control_state::Outcome;
+use lanegate_config::control_state::Outcome;
 use lanegate_placement::{Operation, OrderAnswer};
 use std::collections::BTreeMap;
 
--- a/crates/controller/src/controller/counters_test.rs
+++ b/crates/controller/src/controller/counters_test.rs
@@ -1,8 +1,8 @@
 //! What is counted for the metrics.
 
 use super::counters::{ChangeOutcome, Counters, OPERATIONS, OrderOutcome};
-use lanegate_model::control_state::Outcome;
-use lanegate_model::findings::Findings;
+use lanegate_config::control_state::Outcome;
+use lanegate_config::findings::Findings;
 use lanegate_placement::{Operation, OrderAnswer};
 use std::collections::BTreeSet;
 
--- a/crates/controller/src/controller/demand.rs
+++ b/crates/controller/src/controller/demand.rs
@@ -2,7 +2,7 @@
 //! on with it at once, and one that has just started gets it from its peers.
 
 use crate::message::{Message, RouterDemand};
-use lanegate_model::demand::DemandReport;
+use lanegate_config::demand::DemandReport;
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/controller/src/controller/endpoints.rs
+++ b/crates/controller/src/controller/endpoints.rs
@@ -7,8 +7,8 @@
 use crate::registration::Registered;
 use crate::view::registered_message;
 use bytes::Bytes;
+use lanegate_config::instance::InstanceState;
 use lanegate_coordination::registry::{FINAL_SEQUENCE, Registry, Taken};
-use lanegate_model::instance::InstanceState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/controller/src/controller/environment.rs
+++ b/crates/controller/src/controller/environment.rs
@@ -4,8 +4,8 @@
 //! world; a simulation gives it one that runs on simulated time.
 
 use super::placement::ServiceAction;
+use lanegate_config::settings::{Settings, SettingsError};
 use lanegate_coordination::register::Record;
-use lanegate_model::settings::{Settings, SettingsError};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/controller/src/controller/holdings.rs
+++ b/crates/controller/src/controller/holdings.rs
@@ -2,7 +2,7 @@
 //! not with the endpoint's next heartbeat, which may be a second away.
 
 use crate::message::Holding;
-use lanegate_model::instance::HeldModel;
+use lanegate_config::instance::HeldModel;
 use lanegate_placement::{Operation, Order};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/controller/src/controller/holdings_test.rs
+++ b/crates/controller/src/controller/holdings_test.rs
@@ -1,7 +1,7 @@
 //! Loads that were accepted show to routers as soon as they can be used, and not before.
 
 use super::holdings::{Holdings, Step, holding};
-use lanegate_model::instance::HeldModel;
+use lanegate_config::instance::HeldModel;
 use lanegate_placement::{Operation, Order, OrderId};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/controller/src/controller/metrics.rs
+++ b/crates/controller/src/controller/metrics.rs
@@ -4,9 +4,9 @@
 use super::disk::DiskCounts;
 use super::unavailable::{Unavailable, UnavailableCounts};
 use super::{Controller, shards};
+use lanegate_config::instance::InstanceState;
 use lanegate_coordination::register::Status;
 use lanegate_metrics::{Exposition, Metric};
-use lanegate_model::instance::InstanceState;
 use std::time::Duration;
 
 const SHARD_ROLE: Metric = Metric::gauge(
--- a/crates/controller/src/controller/placement.rs
+++ b/crates/controller/src/controller/placement.rs
@@ -5,10 +5,10 @@
 use super::event::Event;
 use super::shards::shard_of;
 use crate::registration::Registered;
-use lanegate_model::configuration::Configuration;
-use lanegate_model::demand::DemandReport;
-use lanegate_model::mechanism::Mechanism;
-use lanegate_model::settings::Settings;
+use lanegate_config::configuration::Configuration;
+use lanegate_config::demand::DemandReport;
+use lanegate_config::mechanism::Mechanism;
+use lanegate_config::settings::Settings;
 use lanegate_placement::{
     Action, EndpointReport, InvariantViolations, Item, OrderAnswer, OrderId, Placer, PlacerSettings, Start,
 };
--- a/crates/controller/src/controller/registers.rs
+++ b/crates/controller/src/controller/registers.rs
@@ -8,10 +8,10 @@
 use super::unavailable::Unavailable;
 use super::{Asked, Controller, ControllerFault};
 use crate::message::{Blob, Decided, Forwarded, Message, ShardMessage};
+use lanegate_config::control_state::{ControlState, Outcome as Taken};
 use lanegate_coordination::lease::Tenure;
 use lanegate_coordination::register::{Input, Outcome, Output, Value};
 use lanegate_invariants::Invariant;
-use lanegate_model::control_state::{ControlState, Outcome as Taken};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/crates/controller/src/controller/shards.rs
+++ b/crates/controller/src/controller/shards.rs
@@ -3,10 +3,10 @@
 //! Shard 0 holds the configuration. The others are found by a hash of the service's name; each holds the
 //! epoch of the role that acts for its services.
 
+use lanegate_config::control_state::{self, Outcome};
+use lanegate_config::findings::Findings;
 use lanegate_coordination::membership::stable_hash;
 use lanegate_coordination::register::{Applied, Input, Output, Replica, StateMachine};
-use lanegate_model::control_state::{self, Outcome};
-use lanegate_model::findings::Findings;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/controller/src/registration.rs
+++ b/crates/controller/src/registration.rs
@@ -2,8 +2,8 @@
 
 use crate::message::Holding;
 use bytes::Bytes;
+use lanegate_config::instance::{self, HeldModel, Instance};
 use lanegate_coordination::registry::Registration;
-use lanegate_model::instance::{self, HeldModel, Instance};
 use std::net::SocketAddr;
 
 /// An endpoint's registration: read, and as it was sent.
--- a/crates/controller/src/simulation/agent_environment.rs
+++ b/crates/controller/src/simulation/agent_environment.rs
@@ -2,7 +2,7 @@
 
 use crate::agent::Environment;
 use crate::message::Hello;
-use lanegate_model::settings::{Settings, SettingsError};
+use lanegate_config::settings::{Settings, SettingsError};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/controller/src/simulation/change.rs
+++ b/crates/controller/src/simulation/change.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::Method;
 use bytes::Bytes;
-use lanegate_model::configuration::Configuration;
+use lanegate_config::configuration::Configuration;
 use serde_json::{Value, json};
 
 /// Name of the route whose prefix tells which change made a configuration.
--- a/crates/controller/src/simulation/controller_environment.rs
+++ b/crates/controller/src/simulation/controller_environment.rs
@@ -2,8 +2,8 @@
 
 use super::disk::Write;
 use crate::controller::{Environment, ServiceAction};
+use lanegate_config::settings::{Settings, SettingsError};
 use lanegate_coordination::register::Record;
-use lanegate_model::settings::{Settings, SettingsError};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/controller/src/simulation/controller_machine.rs
+++ b/crates/controller/src/simulation/controller_machine.rs
@@ -9,7 +9,7 @@
 use super::world::{Happening, Notice, World};
 use crate::controller::{Controller, Event, Start};
 use crate::message::{Hello, Role};
-use lanegate_model::settings::Settings;
+use lanegate_config::settings::Settings;
 use rand::Rng;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/controller/src/simulation/expectation.rs
+++ b/crates/controller/src/simulation/expectation.rs
@@ -4,7 +4,7 @@
 use super::place::Place;
 use super::violation::Violation;
 use super::world::World;
-use lanegate_model::instance::InstanceState;
+use lanegate_config::instance::InstanceState;
 use std::fmt;
 use std::str::FromStr;
 
--- a/crates/controller/src/simulation/history.rs
+++ b/crates/controller/src/simulation/history.rs
@@ -3,7 +3,7 @@
 use super::change::{Change, Form, maker};
 use super::place::Place;
 use super::violation::Violation;
-use lanegate_model::configuration::Configuration;
+use lanegate_config::configuration::Configuration;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/controller/src/simulation/settings.rs
+++ b/crates/controller/src/simulation/settings.rs
@@ -1,8 +1,8 @@
 //! Settings files of simulated processes.
 
 use super::place::{LINK_PORT, Place};
-use lanegate_model::mechanism::SwitchedOff;
-use lanegate_model::settings::{Bounds, Settings};
+use lanegate_config::mechanism::SwitchedOff;
+use lanegate_config::settings::{Bounds, Settings};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -19,7 +19,7 @@
         zone: "zone".to_owned(),
         region: String::new(),
         zones: Default::default(),
-        listeners_map: lanegate_model::settings::Listeners { control_plane: control, ..Default::default() },
+        listeners_map: lanegate_config::settings::Listeners { control_plane: control, ..Default::default() },
         port_range: (LINK_PORT, LAST_PORT),
         seeds: seed_addresses(seeds),
         bootstrap,
@@ -27,7 +27,7 @@
         limits: Default::default(),
         data_dir: Some(PathBuf::from("data")),
         heartbeat_ms: super::endpoint::HEARTBEAT.as_secs_f64() * 1e3,
-        fault_tolerance: lanegate_model::settings::FaultTolerance {
+        fault_tolerance: lanegate_config::settings::FaultTolerance {
             machines: tolerance,
             ..Default::default()
         },
--- a/crates/coordination/examples/cost_of_a_change.rs
+++ b/crates/coordination/examples/cost_of_a_change.rs
@@ -10,9 +10,9 @@
 
 use cluster::configuration::{Configuration, document, outcome, patch, put, route};
 use cluster::{Cluster, MachineMaker};
+use lanegate_config::control_state::{Command, Outcome};
 use lanegate_coordination::register::{Record, StateMachine};
 use lanegate_coordination::storage::{Directory, Folder, VersionedStore};
-use lanegate_model::control_state::{Command, Outcome};
 
 const MEMBERS: usize = 3;
 const DEFAULT_ROUTES: usize = 400;
--- a/crates/coordination/tests/cluster/configuration.rs
+++ b/crates/coordination/tests/cluster/configuration.rs
@@ -1,7 +1,7 @@
 //! The configuration as state machine of a cluster, and changes of it.
 
+use lanegate_config::control_state::{self, Command, ControlState, Method, Outcome};
 use lanegate_coordination::register::{Applied, Outcome as RegisterOutcome, StateMachine};
-use lanegate_model::control_state::{self, Command, ControlState, Method, Outcome};
 
 /// As the controllers apply changes.
 pub struct Configuration;
--- a/crates/coordination/tests/register_catch_up.rs
+++ b/crates/coordination/tests/register_catch_up.rs
@@ -7,8 +7,8 @@
 
 use cluster::Cluster;
 use cluster::configuration::{Configuration, document, outcome, patch, put, route, version};
+use lanegate_config::control_state::Outcome;
 use lanegate_coordination::register::{Fault, Outcome as RegisterOutcome, StateMachine};
-use lanegate_model::control_state::Outcome;
 
 /// The member that is away; another one proposes.
 const AWAY: usize = 2;
--- a/crates/coordination/tests/same_number.rs
+++ b/crates/coordination/tests/same_number.rs
@@ -7,8 +7,8 @@
 
 use cluster::configuration::{Configuration, document, outcome, patch, put, version};
 use cluster::{Cluster, MachineMaker};
+use lanegate_config::control_state::{self, Command, HISTORY_LENGTH, Outcome};
 use lanegate_coordination::register::{Applied, StateMachine, Status};
-use lanegate_model::control_state::{self, Command, HISTORY_LENGTH, Outcome};
 
 const MEMBERS: usize = 3;
 
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -4,7 +4,7 @@
 //! than the ratio of its own requests, and its even part of half the slack: the other half covers routers
 //! that were restarted, and those that see each other late.
 
-use lanegate_model::settings::Bounds;
+use lanegate_config::settings::Bounds;
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/dispatch/src/choice.rs
+++ b/crates/dispatch/src/choice.rs
@@ -8,7 +8,7 @@
 use crate::rendezvous::rank;
 use crate::service::{Artifact, Service};
 use crate::tracked::{Belief, Tracked};
-use lanegate_model::mechanism::Mechanism;
+use lanegate_config::mechanism::Mechanism;
 use std::cmp::Ordering;
 use std::time::Duration;
 
--- a/crates/dispatch/src/demand.rs
+++ b/crates/dispatch/src/demand.rs
@@ -1,7 +1,7 @@
 //! Counts of what was asked for, by model and adapter, for the placement.
 
 use crate::interface::Generation;
-use lanegate_model::demand::{DemandReport, ModelDemand};
+use lanegate_config::demand::{DemandReport, ModelDemand};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -20,10 +20,10 @@
 use crate::settings::DispatchSettings;
 use crate::tracked::Tracked;
 use crate::units::nanoseconds;
+use lanegate_config::demand::DemandReport;
+use lanegate_config::feed::FeedEvent;
+use lanegate_config::mechanism::Mechanism;
 use lanegate_invariants::Violations;
-use lanegate_model::demand::DemandReport;
-use lanegate_model::feed::FeedEvent;
-use lanegate_model::mechanism::Mechanism;
 use std::collections::HashMap;
 use std::time::Duration;
 
--- a/crates/dispatch/src/dispatcher/learning.rs
+++ b/crates/dispatch/src/dispatcher/learning.rs
@@ -5,7 +5,7 @@
 use crate::health::Fault;
 use crate::interface::{AttemptEnd, InstanceLoad, RequestId};
 use crate::tracked::{Belief, Flight, Phase, Tracked};
-use lanegate_model::mechanism::Mechanism;
+use lanegate_config::mechanism::Mechanism;
 use std::time::Duration;
 
 /// Prompt tokens that must be in question for a time to tell whether they were kept.
--- a/crates/dispatch/src/dispatcher/placing.rs
+++ b/crates/dispatch/src/dispatcher/placing.rs
@@ -10,8 +10,8 @@
 use crate::units::{nanoseconds, seconds};
 use crate::urgency::{engine_priority, route_priority};
 use fair_edf::Ns;
+use lanegate_config::mechanism::Mechanism;
 use lanegate_invariants::Invariant;
-use lanegate_model::mechanism::Mechanism;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/dispatch/src/dispatcher/timing.rs
+++ b/crates/dispatch/src/dispatcher/timing.rs
@@ -7,7 +7,7 @@
 use crate::interface::{FailReason, RequestId};
 use crate::tracked::{Flight, Phase, Tracked};
 use crate::units::seconds;
-use lanegate_model::mechanism::Mechanism;
+use lanegate_config::mechanism::Mechanism;
 use std::time::Duration;
 
 /// A wake later than this tells that the process stood still: what arrived meanwhile is heard first.
--- a/crates/dispatch/src/endpoints.rs
+++ b/crates/dispatch/src/endpoints.rs
@@ -2,7 +2,7 @@
 
 use crate::rendezvous::stable_hash;
 use crate::units::milliseconds;
-use lanegate_model::instance::{self, HeldModel, Instance, InstanceState};
+use lanegate_config::instance::{self, HeldModel, Instance, InstanceState};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/dispatch/src/interface.rs
+++ b/crates/dispatch/src/interface.rs
@@ -1,7 +1,7 @@
 //! The vocabulary between the dispatcher and the I/O around it. Times are on the process's steady clock,
 //! as the time since its start.
 
-use lanegate_model::configuration::RouteType;
+use lanegate_config::configuration::RouteType;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/dispatch/src/patience.rs
+++ b/crates/dispatch/src/patience.rs
@@ -1,7 +1,7 @@
 //! How long the client of a stream waits for a sign of life.
 
 use crate::tracked::Tracked;
-use lanegate_model::configuration::{Configuration, RouteType};
+use lanegate_config::configuration::{Configuration, RouteType};
 use std::collections::HashMap;
 use std::time::Duration;
 
--- a/crates/dispatch/src/service.rs
+++ b/crates/dispatch/src/service.rs
@@ -4,7 +4,7 @@
 use crate::estimate::{FirstByteLine, Share};
 use crate::units::{milliseconds, seconds};
 use fair_edf::{Smoothed, Smoothing};
-use lanegate_model::configuration::{Backend, Runtime};
+use lanegate_config::configuration::{Backend, Runtime};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/dispatch/src/settings.rs
+++ b/crates/dispatch/src/settings.rs
@@ -1,7 +1,7 @@
 //! What the dispatcher takes from the settings file of its process.
 
-use lanegate_model::mechanism::SwitchedOff;
-use lanegate_model::settings::{Bounds, Settings};
+use lanegate_config::mechanism::SwitchedOff;
+use lanegate_config::settings::{Bounds, Settings};
 use std::collections::BTreeMap;
 
 /// Settings of one dispatcher.
--- a/crates/dispatch/src/tracked.rs
+++ b/crates/dispatch/src/tracked.rs
@@ -6,7 +6,7 @@
 use crate::prefix::PromptChain;
 use crate::service::Artifact;
 use fair_edf::Ns;
-use lanegate_model::configuration::RouteType;
+use lanegate_config::configuration::RouteType;
 use std::time::Duration;
 
 /// A request that has no end yet.
--- a/crates/dispatch/tests/choice.rs
+++ b/crates/dispatch/tests/choice.rs
@@ -2,10 +2,10 @@
 
 mod support;
 
+use lanegate_config::configuration::Configuration;
+use lanegate_config::feed::FeedEvent;
 use lanegate_dispatch::interface::{AttemptEnd, Decision, InstanceLoad, Progress, RequestId};
 use lanegate_dispatch::{DispatchSettings, Dispatcher};
-use lanegate_model::configuration::Configuration;
-use lanegate_model::feed::FeedEvent;
 use std::sync::Arc;
 use support::{engine, generation, ms};
 
--- a/crates/dispatch/tests/demand.rs
+++ b/crates/dispatch/tests/demand.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
+use lanegate_config::feed::FeedEvent;
+use lanegate_config::instance::Instance;
 use lanegate_dispatch::{DispatchSettings, Dispatcher};
-use lanegate_model::feed::FeedEvent;
-use lanegate_model::instance::Instance;
 use support::{engine, generation, ms};
 
 #[test]
--- a/crates/dispatch/tests/digests.rs
+++ b/crates/dispatch/tests/digests.rs
@@ -4,7 +4,7 @@
 
 mod support;
 
-use lanegate_model::mechanism::{Mechanism, SwitchedOff};
+use lanegate_config::mechanism::{Mechanism, SwitchedOff};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
--- a/crates/dispatch/tests/exhausted.rs
+++ b/crates/dispatch/tests/exhausted.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
+use lanegate_config::feed::FeedEvent;
 use lanegate_dispatch::Dispatcher;
 use lanegate_dispatch::interface::{AttemptEnd, Decision, Request, RequestId};
-use lanegate_model::feed::FeedEvent;
 use std::time::Duration;
 use support::{engine, generation, ms, synchronized};
 
--- a/crates/dispatch/tests/news.rs
+++ b/crates/dispatch/tests/news.rs
@@ -2,10 +2,10 @@
 
 mod support;
 
+use lanegate_config::feed::FeedEvent;
+use lanegate_config::instance::Instance;
 use lanegate_dispatch::Dispatcher;
 use lanegate_dispatch::interface::Decision;
-use lanegate_model::feed::FeedEvent;
-use lanegate_model::instance::Instance;
 use support::{engine, generation, ms, synchronized};
 
 /// The endpoints to which requests were sent since the last call.
--- a/crates/dispatch/tests/rules.rs
+++ b/crates/dispatch/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use lanegate_model::mechanism::SwitchedOff;
+use lanegate_config::mechanism::SwitchedOff;
 use proptest::prelude::*;
 use std::time::Duration;
 use support::history::{Budget, ENDPOINTS, Happening, World};
--- a/crates/dispatch/tests/support/digest.rs
+++ b/crates/dispatch/tests/support/digest.rs
@@ -2,9 +2,9 @@
 //!
 //! A digest covers numbers and wire names only, never names of Rust items or `Debug` texts.
 
+use lanegate_config::demand::DemandReport;
 use lanegate_dispatch::DispatchSummary;
 use lanegate_dispatch::interface::{Decision, FailReason};
-use lanegate_model::demand::DemandReport;
 use std::fmt::Write;
 use std::path::Path;
 use std::time::Duration;
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -4,11 +4,11 @@
 use super::digest::Digest;
 use super::engine::{EngineSpeed, Job, News, SimulatedEngine};
 use super::{engine, ms};
+use lanegate_config::configuration::{Configuration, RouteType};
+use lanegate_config::feed::FeedEvent;
 use lanegate_dispatch::interface::*;
 use lanegate_dispatch::prefix::PromptChain;
 use lanegate_dispatch::{DispatchSettings, Dispatcher};
-use lanegate_model::configuration::{Configuration, RouteType};
-use lanegate_model::feed::FeedEvent;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/dispatch/tests/support/history.rs
+++ b/crates/dispatch/tests/support/history.rs
@@ -2,12 +2,12 @@
 
 use super::digest::Digest;
 use super::{engine, generation, instance, ms, request};
+use lanegate_config::configuration::RouteType;
+use lanegate_config::feed::FeedEvent;
+use lanegate_config::instance::InstanceState;
+use lanegate_config::mechanism::SwitchedOff;
 use lanegate_dispatch::interface::{AttemptEnd, Decision, InstanceLoad, Progress, Request, RequestId};
 use lanegate_dispatch::{DispatchSettings, Dispatcher};
-use lanegate_model::configuration::RouteType;
-use lanegate_model::feed::FeedEvent;
-use lanegate_model::instance::InstanceState;
-use lanegate_model::mechanism::SwitchedOff;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -8,11 +8,11 @@
 pub mod history;
 pub mod scenario;
 
+use lanegate_config::configuration::RouteType;
+use lanegate_config::feed::FeedEvent;
+use lanegate_config::instance::{HeldModel, Instance, InstanceState};
 use lanegate_dispatch::interface::{Generation, PromptPart, Request, RequestId};
 use lanegate_dispatch::{DispatchSettings, Dispatcher};
-use lanegate_model::configuration::RouteType;
-use lanegate_model::feed::FeedEvent;
-use lanegate_model::instance::{HeldModel, Instance, InstanceState};
 use std::time::Duration;
 
 /// A moment or a span in ms.
--- a/crates/dispatch/tests/support/scenario.rs
+++ b/crates/dispatch/tests/support/scenario.rs
@@ -6,11 +6,11 @@
 //! rest of a line.
 
 use super::{engine, generation, instance, ms, request};
+use lanegate_config::configuration::{Configuration, RouteType};
+use lanegate_config::feed::FeedEvent;
+use lanegate_config::instance::{Instance, InstanceState};
 use lanegate_dispatch::interface::{AttemptEnd, Decision, InstanceLoad, Progress, Request, RequestId};
 use lanegate_dispatch::{DispatchSettings, Dispatcher};
-use lanegate_model::configuration::{Configuration, RouteType};
-use lanegate_model::feed::FeedEvent;
-use lanegate_model::instance::{Instance, InstanceState};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/dispatch/tests/thin_path.rs
+++ b/crates/dispatch/tests/thin_path.rs
@@ -1,10 +1,10 @@
 //! The plain path: an endpoint registers, a request goes there and is answered.
 
+use lanegate_config::configuration::RouteType;
+use lanegate_config::feed::FeedEvent;
+use lanegate_config::instance::{Instance, InstanceState};
 use lanegate_dispatch::interface::{AttemptEnd, Decision, FailReason, Request, RequestId};
 use lanegate_dispatch::{DispatchSettings, Dispatcher};
-use lanegate_model::configuration::RouteType;
-use lanegate_model::feed::FeedEvent;
-use lanegate_model::instance::{Instance, InstanceState};
 use std::time::Duration;
 
 fn at(ms: u64) -> Duration {
--- a/crates/lanegate/examples/small_system/processes.rs
+++ b/crates/lanegate/examples/small_system/processes.rs
@@ -1,8 +1,8 @@
 //! The three processes, each on a thread of its own.
 
 use crate::Outcome;
+use lanegate_config::settings::Settings;
 use lanegate_controller::{feed_client, run_agent, run_controller};
-use lanegate_model::settings::Settings;
 use std::error::Error;
 use std::fmt::Display;
 use std::io;
--- a/crates/lanegate/src/command_line.rs
+++ b/crates/lanegate/src/command_line.rs
@@ -1,7 +1,7 @@
 //! The command line.
 
 use bpaf::{Args, OptionParser, ParseFailure, Parser, construct, long, positional};
-use lanegate_model::mechanism::Mechanism;
+use lanegate_config::mechanism::Mechanism;
 use log::LevelFilter;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/lanegate/src/commands/agent.rs
+++ b/crates/lanegate/src/commands/agent.rs
@@ -2,7 +2,7 @@
 
 use super::CommandError;
 use super::process;
-use lanegate_model::settings::ProcessRole;
+use lanegate_config::settings::ProcessRole;
 
 /// Serves until SIGTERM.
 pub fn run(metrics_port: Option<u16>) -> Result<(), CommandError> {
--- a/crates/lanegate/src/commands/check.rs
+++ b/crates/lanegate/src/commands/check.rs
@@ -1,9 +1,9 @@
 //! Checks files without starting anything.
 
 use super::CommandError;
-use lanegate_model::configuration::{Document, warnings};
-use lanegate_model::findings::Findings;
-use lanegate_model::settings::{ProcessRole, Settings};
+use lanegate_config::configuration::{Document, warnings};
+use lanegate_config::findings::Findings;
+use lanegate_config::settings::{ProcessRole, Settings};
 use std::path::{Path, PathBuf};
 
 /// What is said of one file.
--- a/crates/lanegate/src/commands/controller.rs
+++ b/crates/lanegate/src/commands/controller.rs
@@ -3,7 +3,7 @@
 use super::CommandError;
 use super::process;
 use crate::command_line::Serving;
-use lanegate_model::settings::ProcessRole;
+use lanegate_config::settings::ProcessRole;
 
 /// Serves until SIGTERM.
 pub fn run(serving: &Serving) -> Result<(), CommandError> {
--- a/crates/lanegate/src/commands/mod.rs
+++ b/crates/lanegate/src/commands/mod.rs
@@ -9,8 +9,8 @@
 
 use crate::command_line::Command;
 use crate::exit;
-use lanegate_model::findings::Findings;
-use lanegate_model::settings::SettingsError;
+use lanegate_config::findings::Findings;
+use lanegate_config::settings::SettingsError;
 use std::error::Error;
 use thiserror::Error;
 
--- a/crates/lanegate/src/commands/process.rs
+++ b/crates/lanegate/src/commands/process.rs
@@ -1,9 +1,9 @@
 //! What all processes that serve have in common: settings, and one thread for everything.
 
 use super::CommandError;
+use lanegate_config::mechanism::Mechanism;
+use lanegate_config::settings::{ProcessRole, Settings};
 use lanegate_metrics::{MetricsAddress, ProcessIdentity};
-use lanegate_model::mechanism::Mechanism;
-use lanegate_model::settings::{ProcessRole, Settings};
 use std::error::Error;
 use std::net::SocketAddr;
 use tokio::runtime::Builder;
--- a/crates/lanegate/src/commands/router.rs
+++ b/crates/lanegate/src/commands/router.rs
@@ -3,8 +3,8 @@
 use super::CommandError;
 use super::process;
 use crate::command_line::Serving;
+use lanegate_config::settings::{ProcessRole, Settings};
 use lanegate_metrics::MetricsAddress;
-use lanegate_model::settings::{ProcessRole, Settings};
 use lanegate_router::RouterError;
 use tokio::sync::mpsc;
 
--- a/crates/placement/src/catalog.rs
+++ b/crates/placement/src/catalog.rs
@@ -1,7 +1,7 @@
 //! What the configuration says of the models of a service and of the room of its endpoints.
 
 use crate::interface::Item;
-use lanegate_model::configuration::Runtime;
+use lanegate_config::configuration::Runtime;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/placement/src/contents.rs
+++ b/crates/placement/src/contents.rs
@@ -2,7 +2,7 @@
 
 use crate::catalog::Catalog;
 use crate::interface::Item;
-use lanegate_model::instance::HeldModel;
+use lanegate_config::instance::HeldModel;
 use std::sync::Arc;
 
 /// A model at an endpoint, with its adapters.
--- a/crates/placement/src/endpoint.rs
+++ b/crates/placement/src/endpoint.rs
@@ -10,7 +10,7 @@
 use crate::contents::Contents;
 use crate::interface::{Item, Operation};
 use crate::underway::{Stage, Underway};
-use lanegate_model::instance::{Instance, InstanceState};
+use lanegate_config::instance::{Instance, InstanceState};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/placement/src/guard_test.rs
+++ b/crates/placement/src/guard_test.rs
@@ -1,8 +1,8 @@
 use crate::catalog::Catalog;
 use crate::guard::{OrderGuard, Violation};
 use crate::interface::{EndpointReport, Operation, Order, OrderAnswer, OrderId};
-use lanegate_model::configuration::{Model, Runtime};
-use lanegate_model::instance::HeldModel;
+use lanegate_config::configuration::{Model, Runtime};
+use lanegate_config::instance::HeldModel;
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/placement/src/interface.rs
+++ b/crates/placement/src/interface.rs
@@ -1,6 +1,6 @@
 //! The vocabulary between the placer and the I/O around it.
 
-use lanegate_model::instance::HeldModel;
+use lanegate_config::instance::HeldModel;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/placement/src/models.rs
+++ b/crates/placement/src/models.rs
@@ -5,7 +5,7 @@
 use crate::endpoint::Endpoint;
 use crate::interface::Item;
 use crate::view::{Endpoints, Room, Standing, View};
-use lanegate_model::mechanism::Mechanism;
+use lanegate_config::mechanism::Mechanism;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/placement/src/need_test.rs
+++ b/crates/placement/src/need_test.rs
@@ -1,6 +1,6 @@
 use crate::need::Fleet;
 use crate::rate::{DemandTable, Rates};
-use lanegate_model::demand::{DemandReport, ModelDemand};
+use lanegate_config::demand::{DemandReport, ModelDemand};
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/placement/src/order_log.rs
+++ b/crates/placement/src/order_log.rs
@@ -5,7 +5,7 @@
 use crate::endpoint::Endpoint;
 use crate::interface::{EndpointReport, Item, Order, OrderAnswer, OrderId};
 use crate::underway::Underway;
-use lanegate_model::instance::{HeldModel, Instance};
+use lanegate_config::instance::{HeldModel, Instance};
 use std::fmt;
 use std::time::Duration;
 
--- a/crates/placement/src/rate.rs
+++ b/crates/placement/src/rate.rs
@@ -1,6 +1,6 @@
 //! Demand as smoothed rates: one that follows quickly and one that remembers.
 
-use lanegate_model::demand::{DemandReport, ModelDemand};
+use lanegate_config::demand::{DemandReport, ModelDemand};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -1,7 +1,7 @@
 //! What a placer is told once, when it is made.
 
-use lanegate_model::mechanism::SwitchedOff;
-use lanegate_model::settings::Settings;
+use lanegate_config::mechanism::SwitchedOff;
+use lanegate_config::settings::Settings;
 use std::time::Duration;
 
 /// Whether somebody may have placed models just before.
--- a/crates/placement/src/view.rs
+++ b/crates/placement/src/view.rs
@@ -5,7 +5,7 @@
 use crate::endpoint::Endpoint;
 use crate::need::{Fleet, Target};
 use crate::rate::DemandTable;
-use lanegate_model::mechanism::SwitchedOff;
+use lanegate_config::mechanism::SwitchedOff;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -1,9 +1,9 @@
 //! Orders whose fate is not known: nothing else is ordered there until a report tells what holds.
 
-use lanegate_model::configuration::{Model, Runtime};
-use lanegate_model::demand::{DemandReport, ModelDemand};
-use lanegate_model::instance::{HeldModel, Instance, InstanceState};
-use lanegate_model::mechanism::SwitchedOff;
+use lanegate_config::configuration::{Model, Runtime};
+use lanegate_config::demand::{DemandReport, ModelDemand};
+use lanegate_config::instance::{HeldModel, Instance, InstanceState};
+use lanegate_config::mechanism::SwitchedOff;
 use lanegate_placement::{
     Action, EndpointReport, Operation, Order, OrderAnswer, Placer, PlacerSettings, Start,
 };
--- a/crates/placement/tests/room.rs
+++ b/crates/placement/tests/room.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
-use lanegate_model::demand::{DemandReport, ModelDemand};
-use lanegate_model::instance::Instance;
-use lanegate_model::mechanism::SwitchedOff;
+use lanegate_config::demand::{DemandReport, ModelDemand};
+use lanegate_config::instance::Instance;
+use lanegate_config::mechanism::SwitchedOff;
 use lanegate_placement::{
     Action, EndpointReport, Operation, Order, OrderAnswer, Placer, PlacerSettings, Start,
 };
--- a/crates/placement/tests/support/check.rs
+++ b/crates/placement/tests/support/check.rs
@@ -1,7 +1,7 @@
 //! The limits that no order may break, checked as orders leave and arrive.
 
 use super::fleet::{Endpoint, size};
-use lanegate_model::configuration::Runtime;
+use lanegate_config::configuration::Runtime;
 use lanegate_placement::{InvariantViolations, Operation, Order};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/placement/tests/support/fleet.rs
+++ b/crates/placement/tests/support/fleet.rs
@@ -1,7 +1,7 @@
 //! Endpoints that hold models and obey orders.
 
-use lanegate_model::configuration::Runtime;
-use lanegate_model::instance::{HeldModel, Instance, InstanceState};
+use lanegate_config::configuration::Runtime;
+use lanegate_config::instance::{HeldModel, Instance, InstanceState};
 use lanegate_placement::{EndpointReport, Operation, Order};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/crates/placement/tests/support/simulation.rs
+++ b/crates/placement/tests/support/simulation.rs
@@ -4,10 +4,10 @@
 use super::digest::Digest;
 use super::fleet::{Cut, Endpoint, Work, size};
 use super::random::Random;
-use lanegate_model::configuration::{Model, Runtime};
-use lanegate_model::demand::{DemandReport, ModelDemand};
-use lanegate_model::instance::{Instance, InstanceState};
-use lanegate_model::mechanism::SwitchedOff;
+use lanegate_config::configuration::{Model, Runtime};
+use lanegate_config::demand::{DemandReport, ModelDemand};
+use lanegate_config::instance::{Instance, InstanceState};
+use lanegate_config::mechanism::SwitchedOff;
 use lanegate_placement::{
     Action, EndpointReport, Operation, Order, OrderAnswer, OrderId, Placer, PlacerSettings, Start,
 };
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -2,9 +2,9 @@
 
 use crate::connection::{EndpointConnection, Peer};
 use crate::fault::RouterFault;
-use lanegate_model::configuration::Configuration;
-use lanegate_model::feed::FeedEvent;
-use lanegate_model::instance::{Instance, InstanceState};
+use lanegate_config::configuration::Configuration;
+use lanegate_config::feed::FeedEvent;
+use lanegate_config::instance::{Instance, InstanceState};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/router/src/routing.rs
+++ b/crates/router/src/routing.rs
@@ -2,8 +2,8 @@
 
 use hyper::header::{HOST, HeaderMap};
 use hyper::{Uri, http::uri::Authority};
-use lanegate_model::configuration::{Configuration, Limits, Route};
-use lanegate_model::routes::RouteTable;
+use lanegate_config::configuration::{Configuration, Limits, Route};
+use lanegate_config::routes::RouteTable;
 use std::sync::Arc;
 
 /// The configuration in force, ready for look-ups.
--- a/crates/router/src/split.rs
+++ b/crates/router/src/split.rs
@@ -7,7 +7,7 @@
 //! their errors cancel out. It does not depend on the weights, so it goes on over a change of the configuration.
 
 use crate::fault::RouterFault;
-use lanegate_model::configuration::Configuration;
+use lanegate_config::configuration::Configuration;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{HashMap, HashSet};
--- a/crates/router/tests/before_configuration.rs
+++ b/crates/router/tests/before_configuration.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{CONFIGURATION, Client, Endpoint, Router, pass_time, play, settle};
-use lanegate_model::feed::FeedEvent;
+use lanegate_config::feed::FeedEvent;
 use lanegate_router::configuration_wait::{ConfigurationWait, WaitEnd};
 use std::time::Duration;
 use tokio::task::spawn_local;
--- a/crates/router/tests/behind.rs
+++ b/crates/router/tests/behind.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{CONFIGURATION, Endpoint, Router, play};
-use lanegate_model::feed::FeedEvent;
+use lanegate_config::feed::FeedEvent;
 
 #[test]
 fn an_unknown_route_is_refused_with_a_time_while_a_newer_configuration_may_have_it() {
--- a/crates/router/tests/clients.rs
+++ b/crates/router/tests/clients.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{CONFIGURATION, Endpoint, Router, pass_time, play, settle};
-use lanegate_model::feed::FeedEvent;
+use lanegate_config::feed::FeedEvent;
 use std::io::ErrorKind;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,12 +1,12 @@
 //! A router on real sockets with an in-process feed, endpoints whose every byte the test writes, and clients.
 #![allow(dead_code, reason = "each file of tests uses a part")]
 
+use lanegate_config::configuration::Configuration;
+use lanegate_config::demand::DemandReport;
+use lanegate_config::feed::FeedEvent;
+use lanegate_config::instance::Instance;
+use lanegate_config::settings::Settings;
 use lanegate_metrics::{MetricsEndpoint, ProcessIdentity};
-use lanegate_model::configuration::Configuration;
-use lanegate_model::demand::DemandReport;
-use lanegate_model::feed::FeedEvent;
-use lanegate_model::instance::Instance;
-use lanegate_model::settings::Settings;
 use lanegate_router::fault::RouterFault;
 use lanegate_router::run::Sockets;
 use lanegate_router::run_with_fault;
--- a/crates/router/tests/connections.rs
+++ b/crates/router/tests/connections.rs
@@ -6,7 +6,7 @@
 use common::{CONFIGURATION, Endpoint, Router, answer_to, pass_time, play};
 use http_body_util::Full;
 use hyper::Request;
-use lanegate_model::feed::FeedEvent;
+use lanegate_config::feed::FeedEvent;
 use lanegate_router::connection::{EndpointConnection, ExchangeError};
 use lanegate_router::fault::RouterFault;
 use lanegate_router::pool::{Pool, Standing, share};
--- a/crates/router/tests/golden.rs
+++ b/crates/router/tests/golden.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use common::{CONFIGURATION, Client, Endpoint, Router, Upstream, pass_time, play, settle};
-use lanegate_model::feed::FeedEvent;
+use lanegate_config::feed::FeedEvent;
 use std::path::Path;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/router/tests/metrics.rs
+++ b/crates/router/tests/metrics.rs
@@ -5,7 +5,7 @@
 mod text_format;
 
 use common::{Endpoint, Router, answer_to, pass_time, play, settle};
-use lanegate_model::feed::FeedEvent;
+use lanegate_config::feed::FeedEvent;
 use std::time::Duration;
 use text_format::Figures;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/router/tests/open_requests.rs
+++ b/crates/router/tests/open_requests.rs
@@ -1,8 +1,8 @@
 //! What the log tells of a request that has no end when the process ends.
 
 use hyper::header::HeaderValue;
+use lanegate_config::configuration::RouteType;
 use lanegate_dispatch::interface::{Decision, Request, RequestId};
-use lanegate_model::configuration::RouteType;
 use lanegate_router::cut_requests::CutRequests;
 use lanegate_router::open_request::OpenRequest;
 use std::time::Duration;
--- a/crates/router/tests/passing.rs
+++ b/crates/router/tests/passing.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{CONFIGURATION, Endpoint, Router, answer_to, either, play, two_endpoints};
-use lanegate_model::feed::FeedEvent;
+use lanegate_config::feed::FeedEvent;
 
 #[test]
 fn a_request_reaches_its_endpoint_unchanged_and_its_answer_the_client() {
--- a/crates/router/tests/shutdown.rs
+++ b/crates/router/tests/shutdown.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Client, Endpoint, Router, pass_time, play};
-use lanegate_model::feed::FeedEvent;
+use lanegate_config::feed::FeedEvent;
 use std::io::Write;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
--- a/crates/router/tests/splits.rs
+++ b/crates/router/tests/splits.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{Endpoint, Router, play, settle};
-use lanegate_model::configuration::Configuration;
-use lanegate_model::feed::FeedEvent;
+use lanegate_config::configuration::Configuration;
+use lanegate_config::feed::FeedEvent;
 use lanegate_router::fault::RouterFault;
 use lanegate_router::routing::Routing;
 use lanegate_router::split::SplitSequences;
--- a/crates/router/tests/streams.rs
+++ b/crates/router/tests/streams.rs
@@ -127,7 +127,7 @@
         upstream.begin_events(&request).await;
         upstream.chunk("id: 1\ndata: a\n\n").await;
         client.read_through("data: a\n\n\r\n").await;
-        router.tell(lanegate_model::feed::FeedEvent::Removed { id: "i-1".into() });
+        router.tell(lanegate_config::feed::FeedEvent::Removed { id: "i-1".into() });
         drop((upstream, endpoint));
         assert_eq!(client.rest().await, "");
     });
--- a/crates/soak/tests/pieces.rs
+++ b/crates/soak/tests/pieces.rs
@@ -1,6 +1,6 @@
 //! Small parts of the stand-ins.
 
-use lanegate_model::configuration::{Configuration, validate};
+use lanegate_config::configuration::{Configuration, validate};
 use lanegate_soak::answer::{EventReader, event};
 use lanegate_soak::catalog::{Service, configuration};
 use lanegate_soak::metrics::violations;
--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,8 +1,8 @@
 //! A courier in miniature: one destination with one endpoint, one message, answered at once.
 
+use lanegate_courier::brain::Brain;
+use lanegate_courier::interface::*;
 use std::time::Duration;
-use walnutshift::brain::Brain;
-use walnutshift::interface::*;
 
 fn main() -> Result<(), String> {
     let settings = Settings {
--- a/fuzz/fuzz_targets/journal.rs
+++ b/fuzz/fuzz_targets/journal.rs
@@ -5,8 +5,8 @@
 
 use libfuzzer_sys::fuzz_target;
 use std::path::PathBuf;
-use walnutshift::node::journal;
-use walnutshift::store::frame::{self, HEADS, Head, Label};
+use lanegate_courier::node::journal;
+use lanegate_courier::store::frame::{self, HEADS, Head, Label};
 
 /// The first byte tells how the rest is to be taken: as it is, or as payloads in records that pass their checks.
 fn segment(data: &[u8]) -> Vec<u8> {
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,13 +1,13 @@
-//! `lanelab`: plays experiments on real couriers and judges them.
+//! `courier-lab`: plays experiments on real couriers and judges them.
 
 use anyhow::Result;
 use clap::{Parser, Subcommand};
+use courier_lab::experiment::Experiment;
+use courier_lab::report::sweep::Axis;
+use courier_lab::report::{compare, found, page, story, sweep};
+use courier_lab::run::{self, Options, Outcome};
 use std::path::PathBuf;
 use std::process::ExitCode;
-use walnutshift_lab::experiment::Experiment;
-use walnutshift_lab::report::sweep::Axis;
-use walnutshift_lab::report::{compare, found, page, story, sweep};
-use walnutshift_lab::run::{self, Options, Outcome};
 
 #[derive(Parser)]
 #[command(
@@ -80,7 +80,7 @@
     },
 }
 
-const COURIER: &str = "target/release/stairshed";
+const COURIER: &str = "target/release/courier";
 
 #[derive(clap::Args)]
 struct What {
@@ -113,7 +113,7 @@
         Ok(Outcome::Fails) => ExitCode::from(1),
         Ok(Outcome::Invalid) => ExitCode::from(3),
         Err(e) => {
-            eprintln!("lanelab: {e:#}");
+            eprintln!("courier-lab: {e:#}");
             ExitCode::from(2)
         }
     }
--- a/src/bin/walnutshift-wirehost.rs
+++ b/src/bin/courier-simulator-adapter.rs
@@ -1,8 +1,8 @@
 //! Hosts the decision module on the bench's line protocol: standard input in, standard output out.
 
+use lanegate_courier::wire::Host;
 use std::io::{self, BufWriter};
 use std::process::ExitCode;
-use walnutshift::wire::Host;
 
 fn main() -> ExitCode {
     // A panic in the module is told on the wire as a fault, so no trace is printed for it.
@@ -10,7 +10,7 @@
     match Host::default().run(io::stdin().lock(), BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("walnutshift-wirehost: {fault}");
+            eprintln!("courier-simulator-adapter: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/src/bin/stairshed.rs
+++ b/src/bin/courier.rs
@@ -2,16 +2,16 @@
 //! do with the journal of one that does not run.
 
 use clap::{Parser, Subcommand};
+use lanegate_courier::node;
+use lanegate_courier::node::offline::{self, Finding};
 use std::fmt::Display;
 use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use walnutshift::node;
-use walnutshift::node::offline::{self, Finding};
 
 /// Without arguments: the courier, as the environment tells it.
 #[derive(Parser)]
-#[command(name = "stairshed", version, about, disable_help_subcommand = true)]
+#[command(name = "courier", version, about, disable_help_subcommand = true)]
 struct Arguments {
     #[command(subcommand)]
     command: Option<Command>,
@@ -53,7 +53,7 @@
 const UNUSABLE: u8 = 3;
 
 fn told(fault: &impl Display) {
-    eprintln!("stairshed: {fault}");
+    eprintln!("courier: {fault}");
 }
 
 fn journal(command: Journal) -> ExitCode {
--- a/src/node/journal_test.rs
+++ b/src/node/journal_test.rs
@@ -15,8 +15,7 @@
 impl Place {
     fn new() -> Self {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
-        let name =
-            format!("stairshed-journal-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
+        let name = format!("courier-journal-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
         let path = std::env::temp_dir().join(name);
         fs::create_dir_all(&path).expect("a folder");
         Place(path)
--- a/src/node/options.rs
+++ b/src/node/options.rs
@@ -30,7 +30,7 @@
     /// Keeps it aside, tells it, and serves.
     #[default]
     Serve,
-    /// Ends, with nothing changed: `stairshed journal check` shows it, `repair` mends it.
+    /// Ends, with nothing changed: `courier journal check` shows it, `repair` mends it.
     Refuse,
 }
 
@@ -73,7 +73,7 @@
     fn read(text: &str) -> Result<Options, String> {
         static NEXT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
         let number = NEXT.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
-        let path = std::env::temp_dir().join(format!("stairshed-options-{}-{number}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("courier-options-{}-{number}", std::process::id()));
         fs::write(&path, text).expect("written");
         let read = Options::read(&path);
         let _ = fs::remove_file(path);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,9 +2,9 @@
 //! what happens, and reads what the module asks for.
 #![allow(dead_code)]
 
+use lanegate_courier::brain::Brain;
+use lanegate_courier::interface::*;
 use std::time::Duration;
-use walnutshift::brain::Brain;
-use walnutshift::interface::*;
 
 pub const MS: Duration = Duration::from_millis(1);
 pub const DEST: DestinationId = DestinationId(7);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -2,9 +2,9 @@
 
 mod common;
 use common::*;
+use lanegate_courier::interface::*;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::time::Duration;
-use walnutshift::interface::*;
 
 const COURIERS: usize = 300;
 
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -8,8 +8,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-fn stairshed(arguments: &[&str], folder: &Folder) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_stairshed"));
+fn run_courier(arguments: &[&str], folder: &Folder) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_courier"));
     command.arg("journal").args(arguments).arg(folder.0.join("state"));
     command.output().expect("it runs")
 }
@@ -54,7 +54,7 @@
     for n in 0..5 {
         courier.take(&format!("m{n}"), ["notice", "status", "payment"][n % 3], 7, 25_000);
     }
-    let busy = stairshed(&["check"], &folder);
+    let busy = run_courier(&["check"], &folder);
     assert_eq!(busy.status.code(), Some(3), "{}", printed(&busy));
     assert!(printed(&busy).contains("a courier runs on it"), "{}", printed(&busy));
     courier.kill();
@@ -84,7 +84,7 @@
 #[test]
 fn a_journal_is_looked_at_without_a_change_and_mended_on_a_copy() {
     let (folder, discovery) = five("");
-    let sound = stairshed(&["check"], &folder);
+    let sound = run_courier(&["check"], &folder);
     assert_eq!(
         (sound.status.code(), printed(&sound).contains("5 messages live")),
         (Some(0), true),
@@ -97,11 +97,11 @@
     bytes[at] ^= 1;
     fs::write(&path, &bytes).expect("written");
     let before = files(&folder.0);
-    let damaged = stairshed(&["check"], &folder);
+    let damaged = run_courier(&["check"], &folder);
     assert_eq!(damaged.status.code(), Some(1));
     let (name, told) = (path.file_name().expect("a name").to_string_lossy().into_owned(), printed(&damaged));
     assert!(told.contains(&format!("damaged: {name} at 128,")) && told.contains("1 end as dead"), "{told}");
-    let shown = stairshed(&["show", "--json"], &folder);
+    let shown = run_courier(&["show", "--json"], &folder);
     let lines: Vec<Value> =
         printed(&shown).lines().map(|line| serde_json::from_str(line).expect("an object")).collect();
     assert_eq!(
@@ -109,13 +109,13 @@
         ["m0", "m1", "m2", "m3", "m4"]
     );
     assert_eq!((&lines[0]["verdict"], &lines[1]["verdict"]), (&Value::from("dead"), &Value::Null));
-    let one = printed(&stairshed(&["show", "--id", "m2"], &folder));
+    let one = printed(&run_courier(&["show", "--id", "m2"], &folder));
     assert!(one.lines().count() == 1 && one.starts_with("m2: payment for 7, waits"), "{one}");
     assert_eq!(files(&folder.0), before, "nothing is changed by looking");
-    let mended = stairshed(&["repair"], &folder);
+    let mended = run_courier(&["repair"], &folder);
     assert_eq!(mended.status.code(), Some(0), "{}", printed(&mended));
     assert_eq!(fs::read(folder.0.join("state/journal.damaged-1").join(name)).expect("kept"), bytes);
-    let (again, sound) = (stairshed(&["check"], &folder), stairshed(&["repair"], &folder));
+    let (again, sound) = (run_courier(&["check"], &folder), run_courier(&["repair"], &folder));
     assert_eq!((again.status.code(), sound.status.code()), (Some(0), Some(0)));
     assert!(printed(&again).contains("5 messages live, 1 of them decided"), "{}", printed(&again));
     assert!(!folder.0.join("state/journal.damaged-2").exists(), "nothing to mend, nothing done");
@@ -135,18 +135,18 @@
     assert_eq!(refused.status.code(), Some(1), "{}", printed(&refused));
     assert!(printed(&refused).contains("nothing was changed"), "{}", printed(&refused));
     assert_eq!(fs::read(&path).expect("read"), bytes);
-    assert_eq!(stairshed(&["repair"], &folder).status.code(), Some(0));
+    assert_eq!(run_courier(&["repair"], &folder).status.code(), Some(0));
     assert!(deliver(&folder, &discovery, REFUSE).len() >= 5);
 }
 
 #[test]
 fn what_cannot_be_done_is_told_and_the_exit_code_says_it() {
     let folder = Folder::new();
-    let none = stairshed(&["check"], &folder);
+    let none = run_courier(&["check"], &folder);
     assert_eq!(none.status.code(), Some(3));
     assert!(printed(&none).contains("holds no journal"), "{}", printed(&none));
     let wrong =
-        Command::new(env!("CARGO_BIN_EXE_stairshed")).args(["journal", "mend"]).output().expect("it runs");
+        Command::new(env!("CARGO_BIN_EXE_courier")).args(["journal", "mend"]).output().expect("it runs");
     assert_eq!(wrong.status.code(), Some(2));
     let discovery = Discovery::new(list(1, true, Vec::new()));
     let slip =
--- a/tests/lab.rs
+++ b/tests/lab.rs
@@ -1,13 +1,13 @@
 //! Experiments of the lab on this program: what has to hold of several processes, with faults between them.
 
+use courier_lab::experiment::Experiment;
+use courier_lab::run::{self, Finished, Options, Outcome};
 use std::fs;
 use std::os::unix::process::ExitStatusExt;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use walnutshift_lab::experiment::Experiment;
-use walnutshift_lab::run::{self, Finished, Options, Outcome};
 
 /// A machine that is busy with something else says nothing of the courier: it is asked again.
 const TRIES: usize = 3;
@@ -20,7 +20,7 @@
 }
 
 fn options(name: &str, seed: u64) -> Options {
-    Options { seed, out: folder(name), courier: env!("CARGO_BIN_EXE_stairshed").into() }
+    Options { seed, out: folder(name), courier: env!("CARGO_BIN_EXE_courier").into() }
 }
 
 fn play(name: &str, seed: u64) -> Finished {
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
+use lanegate_courier::interface::*;
 use std::time::Duration;
-use walnutshift::interface::*;
 
 /// Notices lose all their worth soon after their aim, orders little by little.
 fn notices_and_orders() -> Settings {
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -352,7 +352,7 @@
 impl Folder {
     pub fn new() -> Self {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
-        let name = format!("stairshed-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
+        let name = format!("courier-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
         let path = std::env::temp_dir().join(name);
         fs::create_dir_all(path.join("state")).expect("a folder");
         Folder(path)
@@ -377,7 +377,7 @@
 pub fn command(folder: &Folder, discovery: &Discovery, config: &Value) -> Command {
     let path = folder.0.join("config.json");
     fs::write(&path, config.to_string()).expect("a config");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_stairshed"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_courier"));
     command
         .env("LB_NAME", "n1")
         .env("LB_LISTEN", "127.0.0.1:0")
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -3,11 +3,11 @@
 
 mod common;
 use common::*;
+use lanegate_courier::brain::Brain;
+use lanegate_courier::interface::*;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
-use walnutshift::brain::Brain;
-use walnutshift::interface::*;
 
 struct Open {
     class: usize,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -2,9 +2,9 @@
 
 mod common;
 use common::*;
+use lanegate_courier::brain::Brain;
+use lanegate_courier::interface::*;
 use std::time::Duration;
-use walnutshift::brain::Brain;
-use walnutshift::interface::*;
 
 /// Answers every send with `outcome` after `ms`, for `rounds` messages of a class.
 fn serve(
--- a/tests/state_form.rs
+++ b/tests/state_form.rs
@@ -6,11 +6,11 @@
 mod golden;
 
 use common::*;
+use lanegate_courier::brain::Brain;
+use lanegate_courier::interface::*;
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::time::Duration;
-use walnutshift::brain::Brain;
-use walnutshift::interface::*;
 
 const STATE: &str = "tests/data/state_before_split.cbor";
 const PACKED: &str = "tests/golden/state.txt";
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,7 +1,7 @@
 //! Round trips through the adapter, and its plain refusals of malformed input.
 
+use lanegate_courier::wire::Host;
 use serde_json::{Value, json};
-use walnutshift::wire::Host;
 
 fn conf() -> Value {
     json!({
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
+use lanegate_courier::interface::*;
 use std::time::Duration;
-use walnutshift::interface::*;
 
 /// Of each destination, so many endpoints in each zone. Endpoint `100 z + 10 d + n` is the n-th of destination d
 /// in zone z.
