--- a/crates/config/src/instance.rs
+++ b/crates/config/src/instance.rs
@@ -30,7 +30,7 @@
     #[serde(default)]
     pub phase: Option<String>,
     #[serde(default, deserialize_with = "lenient::null_as_default")]
-    pub models: Vec<HeldModel>,
+    pub models: Vec<ResidentModel>,
     /// Rises with each heartbeat, so that a late one is recognised.
     #[serde(default, deserialize_with = "lenient::whole")]
     pub sequence: u64,
@@ -40,7 +40,7 @@
 }
 
 /// Whether a model and, where one is named, an adapter of it are among the held ones.
-pub fn holds(models: &[HeldModel], model: &str, adapter: Option<&str>) -> bool {
+pub fn holds(models: &[ResidentModel], model: &str, adapter: Option<&str>) -> bool {
     let Some(held) = models.iter().find(|held| held.name == model) else {
         return false;
     };
@@ -59,7 +59,7 @@
 /// A model that an endpoint holds, with its adapters.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct HeldModel {
+pub struct ResidentModel {
     pub name: String,
     #[serde(default, deserialize_with = "lenient::whole")]
     pub version: u64,
--- a/crates/config/src/mechanism.rs
+++ b/crates/config/src/mechanism.rs
@@ -31,13 +31,13 @@
     /// An endpoint that comes back gets few requests at first.
     SlowReturn,
     /// A request that may run twice leaves an endpoint that is silent.
-    SilenceRetry,
+    ResponseTimeoutRetry,
     /// Streams end when their client gives up.
-    ClientPatience,
+    ClientTimeout,
     /// Requests for a model that is held nowhere wait for its load.
     LoadWait,
     /// A try that none of its endpoints will take ends at once.
-    ExhaustedTry,
+    ExhaustedAttempt,
     /// What is being evicted is hidden from routers until it is gone.
     EvictionHiding,
     /// Victims whose runs last long cost more.
@@ -64,10 +64,10 @@
     ("engine-urgency", Mechanism::EngineUrgency),
     ("ejection", Mechanism::Ejection),
     ("slow-return", Mechanism::SlowReturn),
-    ("silence-retry", Mechanism::SilenceRetry),
-    ("client-patience", Mechanism::ClientPatience),
+    ("silence-retry", Mechanism::ResponseTimeoutRetry),
+    ("client-patience", Mechanism::ClientTimeout),
     ("load-wait", Mechanism::LoadWait),
-    ("exhausted-try", Mechanism::ExhaustedTry),
+    ("exhausted-try", Mechanism::ExhaustedAttempt),
     ("eviction-hiding", Mechanism::EvictionHiding),
     ("drain-cost", Mechanism::DrainCost),
     ("demand-recall", Mechanism::DemandRecall),
--- a/crates/controller/src/controller/holdings.rs
+++ b/crates/controller/src/controller/holdings.rs
@@ -2,7 +2,7 @@
 //! not with the endpoint's next heartbeat, which may be a second away.
 
 use crate::message::Holding;
-use lanegate_config::instance::HeldModel;
+use lanegate_config::instance::ResidentModel;
 use lanegate_placement::{Operation, Order};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -80,7 +80,7 @@
     }
 
     /// An endpoint reported what it holds. Tells which awaited models are among that.
-    pub fn reported(&mut self, instance: &str, models: &[HeldModel]) -> Vec<Holding> {
+    pub fn reported(&mut self, instance: &str, models: &[ResidentModel]) -> Vec<Holding> {
         let shown = |awaited: &Awaited| {
             *awaited.instance == *instance
                 && awaited.adapter.is_none()
--- a/crates/controller/src/controller/holdings_test.rs
+++ b/crates/controller/src/controller/holdings_test.rs
@@ -1,7 +1,7 @@
 //! Loads that were accepted show to routers as soon as they can be used, and not before.
 
 use super::holdings::{Holdings, Step, holding};
-use lanegate_config::instance::HeldModel;
+use lanegate_config::instance::ResidentModel;
 use lanegate_placement::{Operation, Order, OrderId};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -34,8 +34,8 @@
     Step::Ask { service: SERVICE.to_owned(), instance: "i-1".into(), address: address() }
 }
 
-fn held(name: &str) -> HeldModel {
-    HeldModel { name: name.to_owned(), version: 1, adapters: Vec::new() }
+fn held(name: &str) -> ResidentModel {
+    ResidentModel { name: name.to_owned(), version: 1, adapters: Vec::new() }
 }
 
 #[test]
--- a/crates/controller/src/controller/placement.rs
+++ b/crates/controller/src/controller/placement.rs
@@ -203,7 +203,7 @@
             );
             Event::OrderAnswered { service, order, answer }
         }
-        Action::AskReport { instance, address } => {
+        Action::RequestReport { instance, address } => {
             let Some(report) = super::orders::ask_report(&instance, address).await else { return };
             Event::Reported { service, instance: instance.to_string(), report }
         }
--- a/crates/controller/src/controller/placing.rs
+++ b/crates/controller/src/controller/placing.rs
@@ -110,7 +110,7 @@
                 Step::Publish(holding) => self.publish(holding),
                 Step::Ask { service, instance, address } => {
                     let shard = shards::shard_of(&service);
-                    let action = Action::AskReport { instance, address };
+                    let action = Action::RequestReport { instance, address };
                     self.start_action(ServiceAction { service, shard, action });
                 }
             }
@@ -151,7 +151,7 @@
         let shard = u32::from(action.shard);
         let epoch = match &action.action {
             Action::Order(_) => self.leases.authorize(now, shard, ORDER_WIRE_TIME),
-            Action::AskReport { .. } => self.leases.may_act(now, shard, ORDER_WIRE_TIME),
+            Action::RequestReport { .. } => self.leases.may_act(now, shard, ORDER_WIRE_TIME),
         };
         let goes_on = self.has_fault(ControllerFault::OrderWithoutLease);
         let epoch = if goes_on { self.placements.epoch(action.shard) } else { epoch };
@@ -168,7 +168,7 @@
                 self.counters.order_withheld(order.operation);
                 self.placements.answered(now, &action.service, id, OrderAnswer::Unavailable);
             }
-            (None, Action::AskReport { .. }) => {}
+            (None, Action::RequestReport { .. }) => {}
         }
     }
 
--- a/crates/controller/src/registration.rs
+++ b/crates/controller/src/registration.rs
@@ -2,7 +2,7 @@
 
 use crate::message::Holding;
 use bytes::Bytes;
-use lanegate_config::instance::{self, HeldModel, Instance};
+use lanegate_config::instance::{self, Instance, ResidentModel};
 use lanegate_coordination::registry::Registration;
 use std::net::SocketAddr;
 
@@ -73,7 +73,7 @@
         instance::holds(&self.current_models(), model, adapter)
     }
 
-    fn current_models(&self) -> Vec<HeldModel> {
+    fn current_models(&self) -> Vec<ResidentModel> {
         let mut models = self.instance.models.clone();
         for holding in &self.holdings {
             apply(&mut models, holding);
@@ -87,11 +87,11 @@
     (holding.sequence, holding.order, holding.present == 0)
 }
 
-fn apply(models: &mut Vec<HeldModel>, holding: &Holding) {
+fn apply(models: &mut Vec<ResidentModel>, holding: &Holding) {
     let (model, adapter) = (holding.model.text(), holding.adapter.text());
     let held = models.iter_mut().find(|held| held.name == model);
     match (held, holding.present == 1, adapter.is_empty()) {
-        (None, true, true) => models.push(HeldModel { name: model, version: 0, adapters: Vec::new() }),
+        (None, true, true) => models.push(ResidentModel { name: model, version: 0, adapters: Vec::new() }),
         (Some(held), true, false) if !held.adapters.contains(&adapter) => held.adapters.push(adapter),
         (Some(_), false, true) => models.retain(|held| held.name != model),
         (Some(held), false, false) => held.adapters.retain(|held| *held != adapter),
--- a/crates/controller/src/simulation/engine.rs
+++ b/crates/controller/src/simulation/engine.rs
@@ -32,7 +32,7 @@
     fn endpoint(&self) -> Option<usize> {
         let address = match &self.action.action {
             Action::Order(order) => order.address,
-            Action::AskReport { address, .. } => *address,
+            Action::RequestReport { address, .. } => *address,
         };
         endpoint_at(address)
     }
@@ -42,7 +42,7 @@
         let service = self.action.service.clone();
         match &self.action.action {
             Action::Order(order) => Some(Event::OrderAnswered { service, order: order.clone(), answer }),
-            Action::AskReport { .. } => None,
+            Action::RequestReport { .. } => None,
         }
     }
 }
@@ -149,7 +149,7 @@
             return self.answer_order(&call, OrderAnswer::Unknown, Duration::ZERO);
         }
         let event = match &call.action.action {
-            Action::AskReport { instance, .. } => {
+            Action::RequestReport { instance, .. } => {
                 let service = call.action.service.clone();
                 let instance = instance.to_string();
                 let report = machine.engine.report(now);
--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -4,7 +4,7 @@
 use crate::endpoints::EndpointKey;
 use crate::interface::RequestId;
 use crate::tracked::Hold;
-use fair_edf::{MissRatios, Ns, VariedChart};
+use fair_edf::{MissRatios, Ns, VariableTimeline};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
 /// What is held, and how each class has fared.
 #[derive(Debug, Default)]
 pub struct Admission {
-    charts: HashMap<EndpointKey, VariedChart<RequestId>>,
+    charts: HashMap<EndpointKey, VariableTimeline<RequestId>>,
     held: BTreeMap<Arc<str>, BTreeSet<(Ns, RequestId)>>,
     classes: HashMap<Arc<str>, MissRatios>,
 }
--- a/crates/dispatch/src/dispatcher/placing.rs
+++ b/crates/dispatch/src/dispatcher/placing.rs
@@ -161,7 +161,7 @@
     fn is_exhausted(&self, id: RequestId) -> bool {
         let tracked = &self.requests[&id];
         let at_most = tracked.request.max_attempts.max(1) as usize;
-        let ends_early = self.fleet.uses(Mechanism::ExhaustedTry);
+        let ends_early = self.fleet.uses(Mechanism::ExhaustedAttempt);
         let takes =
             |endpoint: &Endpoint| endpoint.takes_requests() && (!ends_early || tracked.is_held_by(endpoint));
         let returns = |key: &EndpointKey| {
--- a/crates/dispatch/src/dispatcher/timing.rs
+++ b/crates/dispatch/src/dispatcher/timing.rs
@@ -67,7 +67,7 @@
     /// When a held request is answered at the latest: while there is time for a first byte, and for the whole
     /// answer before the process ends.
     pub(super) fn closing(&self, tracked: &Tracked, found: &[Candidate]) -> Duration {
-        let ends = match self.fleet.uses(Mechanism::ClientPatience) {
+        let ends = match self.fleet.uses(Mechanism::ClientTimeout) {
             true => self.patience.ends(tracked),
             false => tracked.request.deadline,
         };
@@ -154,7 +154,7 @@
     /// Gives a silent attempt up for another endpoint, where the rules, the budget and the load allow it.
     fn try_elsewhere(&mut self, now: Duration, id: RequestId, flight: Flight) -> bool {
         let tracked = &self.requests[&id];
-        let may_leave = self.fleet.uses(Mechanism::SilenceRetry) && tracked.is_repeatable();
+        let may_leave = self.fleet.uses(Mechanism::ResponseTimeoutRetry) && tracked.is_repeatable();
         if !may_leave || !self.affords(now, id) {
             return false;
         }
--- a/crates/dispatch/src/endpoints.rs
+++ b/crates/dispatch/src/endpoints.rs
@@ -2,7 +2,7 @@
 
 use crate::rendezvous::stable_hash;
 use crate::units::milliseconds;
-use lanegate_config::instance::{self, HeldModel, Instance, InstanceState};
+use lanegate_config::instance::{self, Instance, InstanceState, ResidentModel};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
     pub state: InstanceState,
     /// When it stops being slow after its start.
     pub warm_at: Duration,
-    pub models: Vec<HeldModel>,
+    pub models: Vec<ResidentModel>,
     /// Of the newest registration when another incarnation answered in its place, so that this one is gone.
     pub replaced_at: Option<u64>,
     /// Of the newest registration taken.
--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -5,7 +5,7 @@
 use crate::interface::InstanceLoad;
 use crate::prefix::PrefixCache;
 use crate::service::Artifact;
-use fair_edf::cap::RecentCalls;
+use fair_edf::concurrency_limit::RecentCalls;
 use std::time::Duration;
 
 /// Time in which what an answer told of others' requests counts for 1/e, s: about the time that requests run.
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -10,7 +10,7 @@
 
 use lanegate_config::configuration::RouteType;
 use lanegate_config::feed::FeedEvent;
-use lanegate_config::instance::{HeldModel, Instance, InstanceState};
+use lanegate_config::instance::{Instance, InstanceState, ResidentModel};
 use lanegate_dispatch::interface::{Generation, PromptPart, Request, RequestId};
 use lanegate_dispatch::{DispatchSettings, Dispatcher};
 use std::time::Duration;
@@ -55,10 +55,10 @@
 }
 
 /// `model` or `model/adapter/adapter`.
-pub fn held(text: &str) -> HeldModel {
+pub fn held(text: &str) -> ResidentModel {
     let mut names = text.split('/');
     let name = names.next().unwrap_or_default().to_owned();
-    HeldModel { name, version: 1, adapters: names.map(str::to_owned).collect() }
+    ResidentModel { name, version: 1, adapters: names.map(str::to_owned).collect() }
 }
 
 /// A request for `tiles` that may run once, with an objective of 300 ms and 1.5 s in all.
--- a/crates/fair-edf/src/cap.rs
+++ b/crates/fair-edf/src/concurrency_limit.rs
@@ -24,14 +24,14 @@
     }
 
     /// Whether most calls failed or were slow.
-    pub fn is_ailing(&self) -> bool {
+    pub fn is_degraded(&self) -> bool {
         let bad = self.0.iter().filter(|bad| **bad).count();
         self.0.len() >= RECENT_LEAST && bad * 2 > self.0.len()
     }
 
     /// Calls that may be out at once, of so many slots.
     pub fn cap(&self, slots: usize) -> usize {
-        let share = if self.is_ailing() { AILING_SHARE } else { SHARE };
+        let share = if self.is_degraded() { AILING_SHARE } else { SHARE };
         ((slots as f64 * share) as usize).max(1)
     }
 }
--- a/crates/fair-edf/src/lib.rs
+++ b/crates/fair-edf/src/lib.rs
@@ -1,19 +1,19 @@
 //! Fair-EDF occupancy charts, shared by the courier and the router. Pure: time comes with each call.
 //!
-//! [`chart`] tells which held requests can be met, [`misses`] which class gives way where they cannot,
-//! [`smoothed`] what a slot time is derived from, and [`cap`] how many calls may be out at an endpoint.
+//! [`timeline`] tells which held requests can be met, [`misses`] which class gives way where they cannot,
+//! [`smoothed`] what a slot time is derived from, and [`concurrency_limit`] how many calls may be out at an endpoint.
 
-pub mod cap;
-pub mod chart;
+pub mod concurrency_limit;
 pub mod misses;
 mod segments;
 pub mod smoothed;
-pub mod varied;
+pub mod timeline;
+pub mod variable_timeline;
 
-pub use chart::Chart;
 pub use misses::MissRatios;
 pub use smoothed::{Smoothed, Smoothing};
-pub use varied::VariedChart;
+pub use timeline::Timeline;
+pub use variable_timeline::VariableTimeline;
 
 /// Nanoseconds on the caller's monotonic clock.
 pub type Ns = i64;
--- a/crates/fair-edf/src/chart.rs
+++ b/crates/fair-edf/src/timeline.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 #[cfg_attr(feature = "serde", serde(bound(deserialize = "K: Ord + serde::Deserialize<'de>")))]
-pub struct Chart<K> {
+pub struct Timeline<K> {
     held: BTreeSet<(Ns, K)>,
     segments: Segments,
     sigma: Ns,
@@ -16,16 +16,16 @@
     stale: bool,
 }
 
-impl<K> Default for Chart<K> {
+impl<K> Default for Timeline<K> {
     fn default() -> Self {
-        Chart { held: BTreeSet::new(), segments: Segments::default(), sigma: 0, stale: false }
+        Timeline { held: BTreeSet::new(), segments: Segments::default(), sigma: 0, stale: false }
     }
 }
 
-impl<K: Copy + Ord> Chart<K> {
+impl<K: Copy + Ord> Timeline<K> {
     /// An empty chart of requests that take `sigma` each.
     pub fn new(sigma: Ns) -> Self {
-        Chart { sigma, ..Chart::default() }
+        Timeline { sigma, ..Timeline::default() }
     }
 
     /// Holds a request that is due to be answered at `due`.
--- a/crates/fair-edf/src/varied.rs
+++ b/crates/fair-edf/src/variable_timeline.rs
@@ -6,7 +6,7 @@
 
 /// What is held, by deadline, with a slot time for each, and the busy segments that this makes.
 #[derive(Clone, Debug)]
-pub struct VariedChart<K> {
+pub struct VariableTimeline<K> {
     /// Slot times by deadline and key.
     held: BTreeMap<(Ns, K), Ns>,
     segments: Segments,
@@ -14,13 +14,13 @@
     stale: bool,
 }
 
-impl<K> Default for VariedChart<K> {
+impl<K> Default for VariableTimeline<K> {
     fn default() -> Self {
-        VariedChart { held: BTreeMap::new(), segments: Segments::default(), stale: false }
+        VariableTimeline { held: BTreeMap::new(), segments: Segments::default(), stale: false }
     }
 }
 
-impl<K: Copy + Ord> VariedChart<K> {
+impl<K: Copy + Ord> VariableTimeline<K> {
     /// Holds a request that takes `sigma` and is due to be answered at `due`. One that is held already at
     /// that place gets the new slot time.
     pub fn insert(&mut self, due: Ns, key: K, sigma: Ns) {
@@ -72,7 +72,7 @@
         None
     }
 
-    /// Those of [`VariedChart::overdue`] whose refusal leaves the most others to be met.
+    /// Those of [`VariableTimeline::overdue`] whose refusal leaves the most others to be met.
     pub fn longest_overdue(&mut self, now: Ns) -> Option<Vec<K>> {
         let candidates = self.overdue(now)?;
         let longest = candidates.iter().map(|(_, sigma)| *sigma).max()?;
--- a/crates/fair-edf/tests/estimates.rs
+++ b/crates/fair-edf/tests/estimates.rs
@@ -1,6 +1,6 @@
 //! Miss ratios, smoothed times and caps.
 
-use fair_edf::cap::RecentCalls;
+use fair_edf::concurrency_limit::RecentCalls;
 use fair_edf::{MissRatios, Smoothing};
 
 const SECOND: i64 = 1_000_000_000;
@@ -58,11 +58,11 @@
     let mut calls = RecentCalls::default();
     assert_eq!((calls.cap(100), calls.cap(1)), (75, 1));
     (0..3).for_each(|_| calls.record(false, 0.1, 0.1));
-    assert!(!calls.is_ailing(), "three calls tell too little");
+    assert!(!calls.is_degraded(), "three calls tell too little");
     calls.record(true, 0.3, 0.1);
-    assert_eq!((calls.is_ailing(), calls.cap(100)), (true, 50));
+    assert_eq!((calls.is_degraded(), calls.cap(100)), (true, 50));
     (0..6).for_each(|_| calls.record(true, 0.2, 0.1));
-    assert_eq!((calls.is_ailing(), calls.cap(100)), (false, 75));
+    assert_eq!((calls.is_degraded(), calls.cap(100)), (false, 75));
 }
 
 #[test]
@@ -70,5 +70,5 @@
     let mut calls = RecentCalls::default();
     (0..100).for_each(|_| calls.record(false, 0.1, 0.1));
     (0..6).for_each(|_| calls.record(true, 0.1, 0.1));
-    assert!(!calls.is_ailing());
+    assert!(!calls.is_degraded());
 }
--- a/crates/fair-edf/tests/chart.rs
+++ b/crates/fair-edf/tests/timeline.rs
@@ -1,6 +1,6 @@
 //! The occupancy charts against naive models: all orders, all subsets.
 
-use fair_edf::{Chart, VariedChart};
+use fair_edf::{Timeline, VariableTimeline};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -53,14 +53,14 @@
     dues.iter().map(|due| (*due, SIGMA)).collect()
 }
 
-fn chart(dues: &[i64]) -> Chart<usize> {
-    let mut chart = Chart::new(SIGMA);
+fn chart(dues: &[i64]) -> Timeline<usize> {
+    let mut chart = Timeline::new(SIGMA);
     dues.iter().enumerate().for_each(|(key, due)| chart.insert(*due, key));
     chart
 }
 
-fn varied_chart(requests: &[Request]) -> VariedChart<usize> {
-    let mut chart = VariedChart::default();
+fn varied_chart(requests: &[Request]) -> VariableTimeline<usize> {
+    let mut chart = VariableTimeline::default();
     requests.iter().enumerate().for_each(|(key, (due, sigma))| chart.insert(*due, key, *sigma));
     chart
 }
--- a/crates/placement/src/contents.rs
+++ b/crates/placement/src/contents.rs
@@ -2,7 +2,7 @@
 
 use crate::catalog::Catalog;
 use crate::interface::Item;
-use lanegate_config::instance::HeldModel;
+use lanegate_config::instance::ResidentModel;
 use std::sync::Arc;
 
 /// A model at an endpoint, with its adapters.
@@ -13,14 +13,14 @@
 }
 
 impl Held {
-    fn new(model: &HeldModel, catalog: &Catalog) -> Held {
+    fn new(model: &ResidentModel, catalog: &Catalog) -> Held {
         Held {
             model: catalog.intern(&model.name),
             adapters: model.adapters.iter().map(|adapter| Arc::from(adapter.as_str())).collect(),
         }
     }
 
-    fn is_told_by(&self, told: &HeldModel) -> bool {
+    fn is_told_by(&self, told: &ResidentModel) -> bool {
         *self.model == *told.name
             && self.adapters.len() == told.adapters.len()
             && told.adapters.iter().all(|adapter| self.adapters.iter().any(|held| **held == **adapter))
@@ -35,12 +35,12 @@
 
 impl Contents {
     /// Reads what a registration or a report lists.
-    pub fn told(models: &[HeldModel], catalog: &Catalog) -> Contents {
+    pub fn told(models: &[ResidentModel], catalog: &Catalog) -> Contents {
         Contents { held: models.iter().map(|model| Held::new(model, catalog)).collect() }
     }
 
     /// Whether this is what a registration or a report lists, in any order.
-    pub fn is_told_by(&self, models: &[HeldModel]) -> bool {
+    pub fn is_told_by(&self, models: &[ResidentModel]) -> bool {
         self.held.len() == models.len()
             && models.iter().all(|told| self.held.iter().any(|held| held.is_told_by(told)))
     }
--- a/crates/placement/src/guard_test.rs
+++ b/crates/placement/src/guard_test.rs
@@ -2,7 +2,7 @@
 use crate::guard::{OrderGuard, Violation};
 use crate::interface::{EndpointReport, Operation, Order, OrderAnswer, OrderId};
 use lanegate_config::configuration::{Model, Runtime};
-use lanegate_config::instance::HeldModel;
+use lanegate_config::instance::ResidentModel;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 }
 
 fn report(models: &[(&str, &[&str])], busy: bool, sequence: u64) -> EndpointReport {
-    let held = |(name, adapters): &(&str, &[&str])| HeldModel {
+    let held = |(name, adapters): &(&str, &[&str])| ResidentModel {
         name: (*name).into(),
         version: 1,
         adapters: adapters.iter().map(|adapter| (*adapter).into()).collect(),
--- a/crates/placement/src/interface.rs
+++ b/crates/placement/src/interface.rs
@@ -1,6 +1,6 @@
 //! The vocabulary between the placer and the I/O around it.
 
-use lanegate_config::instance::HeldModel;
+use lanegate_config::instance::ResidentModel;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -69,7 +69,7 @@
     /// Send this order and give its answer back through `order_answered`.
     Order(Order),
     /// Ask the endpoint for its report and give it back through `report`.
-    AskReport { instance: Arc<str>, address: SocketAddr },
+    RequestReport { instance: Arc<str>, address: SocketAddr },
 }
 
 /// How an endpoint answered an order.
@@ -116,7 +116,7 @@
     #[serde(default)]
     pub phase: Option<String>,
     #[serde(default)]
-    pub models: Vec<HeldModel>,
+    pub models: Vec<ResidentModel>,
     /// Whether an order is under way.
     #[serde(default)]
     pub busy: bool,
--- a/crates/placement/src/order_log.rs
+++ b/crates/placement/src/order_log.rs
@@ -5,7 +5,7 @@
 use crate::endpoint::Endpoint;
 use crate::interface::{EndpointReport, Item, Order, OrderAnswer, OrderId};
 use crate::underway::Underway;
-use lanegate_config::instance::{HeldModel, Instance};
+use lanegate_config::instance::{Instance, ResidentModel};
 use std::fmt;
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
 }
 
 /// Models as an endpoint tells them.
-struct Told<'a>(&'a [HeldModel]);
+struct Told<'a>(&'a [ResidentModel]);
 
 impl fmt::Display for Told<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -54,7 +54,7 @@
     }
 }
 
-struct ToldLine<'a>(&'a HeldModel);
+struct ToldLine<'a>(&'a ResidentModel);
 
 impl fmt::Display for ToldLine<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -216,7 +216,7 @@
         if order.ask_at.is_some_and(|ask_at| now >= ask_at) {
             order.asking(now);
             let address = endpoint.address;
-            self.actions.push_back(Action::AskReport { instance: id.clone(), address });
+            self.actions.push_back(Action::RequestReport { instance: id.clone(), address });
         }
     }
 
--- a/crates/placement/src/planning.rs
+++ b/crates/placement/src/planning.rs
@@ -205,7 +205,7 @@
             Verification::Wanted { not_before } if now >= not_before => {
                 endpoint.verification = Verification::Asked { at: now };
                 let address = endpoint.address;
-                self.actions.push_back(Action::AskReport { instance: id.clone(), address });
+                self.actions.push_back(Action::RequestReport { instance: id.clone(), address });
                 false
             }
             Verification::Wanted { .. } | Verification::Asked { .. } => false,
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -2,7 +2,7 @@
 
 use lanegate_config::configuration::{Model, Runtime};
 use lanegate_config::demand::{DemandReport, ModelDemand};
-use lanegate_config::instance::{HeldModel, Instance, InstanceState};
+use lanegate_config::instance::{Instance, InstanceState, ResidentModel};
 use lanegate_config::mechanism::SwitchedOff;
 use lanegate_placement::{
     Action, EndpointReport, Operation, Order, OrderAnswer, Placer, PlacerSettings, Start,
@@ -44,7 +44,7 @@
 }
 
 fn report(models: &[&str], busy: bool, sequence: u64) -> EndpointReport {
-    let held = |name: &&str| HeldModel { name: (*name).into(), version: 1, adapters: Vec::new() };
+    let held = |name: &&str| ResidentModel { name: (*name).into(), version: 1, adapters: Vec::new() };
     let models = models.iter().map(held).collect();
     let json = serde_json::json!({ "Busy": busy, "Sequence": sequence });
     EndpointReport { models, ..serde_json::from_value(json).unwrap() }
@@ -106,7 +106,7 @@
             while let Some(action) = self.placer.next_action() {
                 match action {
                     Action::Order(order) => orders.push(order),
-                    Action::AskReport { .. } => self.questions += 1,
+                    Action::RequestReport { .. } => self.questions += 1,
                 }
             }
             if self.now_ms >= until_ms {
--- a/crates/placement/tests/room.rs
+++ b/crates/placement/tests/room.rs
@@ -156,11 +156,11 @@
         while let Some(action) = self.placer.next_action() {
             match action {
                 Action::Order(order) => self.order(&order),
-                Action::AskReport { .. } if self.calls_arrive => {
+                Action::RequestReport { .. } if self.calls_arrive => {
                     let report = self.history.front().cloned().unwrap_or_else(|| self.endpoint.report());
                     self.placer.report(self.now(), &self.endpoint.id(), &report);
                 }
-                Action::AskReport { .. } => {}
+                Action::RequestReport { .. } => {}
             }
         }
     }
--- a/crates/placement/tests/support/fleet.rs
+++ b/crates/placement/tests/support/fleet.rs
@@ -1,7 +1,7 @@
 //! Endpoints that hold models and obey orders.
 
 use lanegate_config::configuration::Runtime;
-use lanegate_config::instance::{HeldModel, Instance, InstanceState};
+use lanegate_config::instance::{Instance, InstanceState, ResidentModel};
 use lanegate_placement::{EndpointReport, Operation, Order};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -67,8 +67,8 @@
         }
     }
 
-    fn held(&self) -> Vec<HeldModel> {
-        let held = |(name, adapters): (&String, &BTreeSet<String>)| HeldModel {
+    fn held(&self) -> Vec<ResidentModel> {
+        let held = |(name, adapters): (&String, &BTreeSet<String>)| ResidentModel {
             name: name.clone(),
             version: 1,
             adapters: adapters.iter().cloned().collect(),
--- a/crates/placement/tests/support/simulation.rs
+++ b/crates/placement/tests/support/simulation.rs
@@ -209,7 +209,7 @@
             self.record_action(&action);
             match action {
                 Action::Order(order) => self.order_leaves(order),
-                Action::AskReport { instance, address } => {
+                Action::RequestReport { instance, address } => {
                     let first = self.first_questions.insert((self.generation, instance.to_string()));
                     self.questions += u64::from(!first);
                     let delay = self.delay();
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -2,16 +2,16 @@
 
 use super::time::*;
 use crate::interface::*;
-use fair_edf::Chart;
 use fair_edf::Smoothed;
-use fair_edf::cap::RecentCalls;
+use fair_edf::Timeline;
+use fair_edf::concurrency_limit::RecentCalls;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Destination {
     pub(crate) endpoints: BTreeSet<EndpointId>,
-    pub(crate) chart: Chart<MessageId>,
+    pub(crate) chart: Timeline<MessageId>,
     /// Messages not yet forgotten; when to look here next, as on the agenda.
     pub(crate) members: BTreeSet<MessageId>,
     pub(crate) next: Ns,
