--- a/crates/config/src/configuration/mod.rs
+++ b/crates/config/src/configuration/mod.rs
@@ -20,7 +20,7 @@
 #[serde(rename_all = "PascalCase")]
 pub struct Configuration {
     /// Rises with every change, in uneven steps; 0 stands for "none yet".
-    #[serde(deserialize_with = "lenient::whole_given")]
+    #[serde(deserialize_with = "lenient::required_integer")]
     pub version: u64,
     #[serde(default, deserialize_with = "lenient::objects")]
     pub routes: Vec<Route>,
@@ -46,7 +46,7 @@
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub target_ms: f64,
     /// Rank, 0 is the highest.
-    #[serde(default, deserialize_with = "lenient::whole")]
+    #[serde(default, deserialize_with = "lenient::integer")]
     pub priority: u8,
     /// The one service of the route, unless `traffic_split` names several.
     #[serde(default)]
@@ -54,7 +54,7 @@
     #[serde(default, deserialize_with = "lenient::objects")]
     pub traffic_split: Vec<WeightedBackend>,
     /// Most endpoints to which one try of a client may be sent.
-    #[serde(default = "one", deserialize_with = "lenient::whole_or_one")]
+    #[serde(default = "one", deserialize_with = "lenient::integer_or_one")]
     pub max_attempts: u32,
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub sticky: bool,
@@ -63,7 +63,7 @@
     pub resumable: bool,
     /// Longest pause between two events of a stream that is in time, ms.
     #[serde(default, rename = "gap_aim_ms")]
-    pub gap_aim_ms: Option<f64>,
+    pub token_gap_target_ms: Option<f64>,
 }
 
 fn one() -> u32 {
@@ -106,7 +106,7 @@
     #[serde(default)]
     pub health_path: Option<String>,
     /// Connections that one endpoint takes from all callers together.
-    #[serde(default, deserialize_with = "lenient::whole_or_none")]
+    #[serde(default, deserialize_with = "lenient::optional_integer")]
     pub max_conns: Option<u32>,
     /// Present where the endpoints are model engines.
     #[serde(default, deserialize_with = "lenient::object_or_none")]
@@ -118,7 +118,7 @@
 #[serde(rename_all = "PascalCase")]
 pub struct Runtime {
     /// Requests that an endpoint runs in one batch.
-    #[serde(deserialize_with = "lenient::whole")]
+    #[serde(deserialize_with = "lenient::integer")]
     pub capacity: u32,
     /// Memory shared by running requests and cached prompt parts, tokens.
     pub kv_cache_tokens: f64,
@@ -131,7 +131,7 @@
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub weights_mb: f64,
     /// Adapters that an endpoint holds at most.
-    #[serde(default, deserialize_with = "lenient::whole")]
+    #[serde(default, deserialize_with = "lenient::integer")]
     pub max_adapters: u32,
     /// Loads a second that the weight store allows over all endpoints.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
@@ -146,7 +146,7 @@
     pub weights_mb: f64,
     /// Time of a load from the weight store, s.
     pub load_time_s: f64,
-    #[serde(default, deserialize_with = "lenient::whole")]
+    #[serde(default, deserialize_with = "lenient::integer")]
     pub adapters: u32,
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub adapter_size_mb: f64,
@@ -156,9 +156,9 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Limits {
-    #[serde(deserialize_with = "lenient::whole")]
+    #[serde(deserialize_with = "lenient::integer")]
     pub max_header_bytes: usize,
-    #[serde(deserialize_with = "lenient::whole")]
+    #[serde(deserialize_with = "lenient::integer")]
     pub max_body_bytes: usize,
     pub header_timeout_ms: f64,
     pub idle_timeout_ms: f64,
--- a/crates/config/src/configuration/reading.rs
+++ b/crates/config/src/configuration/reading.rs
@@ -65,7 +65,7 @@
 /// The member `Version`, which every change has to hold.
 pub fn read_version(members: &Members, findings: &mut Findings) -> Option<u64> {
     #[derive(Deserialize)]
-    struct Version(#[serde(deserialize_with = "crate::lenient::whole")] u64);
+    struct Version(#[serde(deserialize_with = "crate::lenient::integer")] u64);
 
     if members.get("Version").is_none() {
         findings.add("Version", "is missing");
--- a/crates/config/src/control_state/mod.rs
+++ b/crates/config/src/control_state/mod.rs
@@ -182,7 +182,7 @@
             Method::Patch => self.base()?.patch(&command.body)?,
         };
         let checked = document.check_follows(self.version);
-        checked.map_err(|finding| Findings::one(finding.place, finding.message))?;
+        checked.map_err(|finding| Findings::one(finding.location, finding.message))?;
         Ok(document)
     }
 
--- a/crates/config/src/control_state/outcome.rs
+++ b/crates/config/src/control_state/outcome.rs
@@ -118,7 +118,7 @@
 
 impl From<&Finding> for EncodedFinding {
     fn from(finding: &Finding) -> Self {
-        EncodedFinding { place: (&*finding.place).into(), message: (&*finding.message).into() }
+        EncodedFinding { place: (&*finding.location).into(), message: (&*finding.message).into() }
     }
 }
 
--- a/crates/config/src/findings.rs
+++ b/crates/config/src/findings.rs
@@ -1,28 +1,28 @@
-//! What is wrong with a document: every mistake with its place, all at once.
+//! What is wrong with a document: every mistake with its location, all at once.
 
 use std::fmt;
 
-/// One mistake and the place where it is.
+/// One mistake and its location in the document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
     /// Path of the field, as in `Routes[3].Backend`; empty for the document as a whole.
-    pub place: String,
+    pub location: String,
     pub message: String,
 }
 
 impl Finding {
-    /// A finding at `place`.
-    pub fn new(place: impl Into<String>, message: impl Into<String>) -> Self {
-        Finding { place: place.into(), message: message.into() }
+    /// A finding at `location`.
+    pub fn new(location: impl Into<String>, message: impl Into<String>) -> Self {
+        Finding { location: location.into(), message: message.into() }
     }
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if self.place.is_empty() {
+        if self.location.is_empty() {
             return formatter.write_str(&self.message);
         }
-        write!(formatter, "{}: {}", self.place, self.message)
+        write!(formatter, "{}: {}", self.location, self.message)
     }
 }
 
@@ -32,13 +32,13 @@
 
 impl Findings {
     /// Findings that hold only one.
-    pub fn one(place: impl Into<String>, message: impl Into<String>) -> Self {
-        Findings(vec![Finding::new(place, message)])
+    pub fn one(location: impl Into<String>, message: impl Into<String>) -> Self {
+        Findings(vec![Finding::new(location, message)])
     }
 
-    /// Adds a finding at `place`.
-    pub fn add(&mut self, place: impl Into<String>, message: impl Into<String>) {
-        self.0.push(Finding::new(place, message));
+    /// Adds a finding at `location`.
+    pub fn add(&mut self, location: impl Into<String>, message: impl Into<String>) {
+        self.0.push(Finding::new(location, message));
     }
 
     /// Adds all of `others`.
--- a/crates/config/src/instance.rs
+++ b/crates/config/src/instance.rs
@@ -19,20 +19,20 @@
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub version: String,
     /// Requests that the endpoint works on at the same time.
-    #[serde(default, deserialize_with = "lenient::whole")]
+    #[serde(default, deserialize_with = "lenient::integer")]
     pub capacity: u32,
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub state: InstanceState,
     /// Time during which the endpoint is still slow after its start, ms.
-    #[serde(default, deserialize_with = "lenient::null_as_default")]
-    pub cold_left_ms: f64,
+    #[serde(rename = "ColdLeftMs", default, deserialize_with = "lenient::null_as_default")]
+    pub warmup_remaining_ms: f64,
     /// What the engine is doing; absent for endpoints without engines.
     #[serde(default)]
     pub phase: Option<String>,
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub models: Vec<ResidentModel>,
     /// Rises with each heartbeat, so that a late one is recognised.
-    #[serde(default, deserialize_with = "lenient::whole")]
+    #[serde(default, deserialize_with = "lenient::integer")]
     pub sequence: u64,
     /// Time until the endpoint is gone whatever it runs, ms; only in a short notice.
     #[serde(default)]
@@ -40,7 +40,7 @@
 }
 
 /// Whether a model and, where one is named, an adapter of it are among the held ones.
-pub fn holds(models: &[ResidentModel], model: &str, adapter: Option<&str>) -> bool {
+pub fn is_resident(models: &[ResidentModel], model: &str, adapter: Option<&str>) -> bool {
     let Some(held) = models.iter().find(|held| held.name == model) else {
         return false;
     };
@@ -61,7 +61,7 @@
 #[serde(rename_all = "PascalCase")]
 pub struct ResidentModel {
     pub name: String,
-    #[serde(default, deserialize_with = "lenient::whole")]
+    #[serde(default, deserialize_with = "lenient::integer")]
     pub version: u64,
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub adapters: Vec<String>,
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -99,10 +99,10 @@
 #[serde(rename_all = "PascalCase", default)]
 pub struct ProcessLimits {
     pub cpu_quota: f64,
-    #[serde(deserialize_with = "lenient::whole")]
+    #[serde(deserialize_with = "lenient::integer")]
     pub cores: u32,
     pub memory_mb: f64,
-    #[serde(deserialize_with = "lenient::whole")]
+    #[serde(deserialize_with = "lenient::integer")]
     pub max_fds: u32,
     pub link_mbps: f64,
     pub disk_mb: f64,
@@ -112,11 +112,11 @@
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct FaultTolerance {
-    #[serde(deserialize_with = "lenient::whole")]
+    #[serde(deserialize_with = "lenient::integer")]
     pub machines: u32,
-    #[serde(deserialize_with = "lenient::whole")]
+    #[serde(deserialize_with = "lenient::integer")]
     pub zones: u32,
-    #[serde(deserialize_with = "lenient::whole")]
+    #[serde(deserialize_with = "lenient::integer")]
     pub regions: u32,
 }
 
@@ -144,8 +144,10 @@
     pub fencing: bool,
     pub lease_ms: f64,
     pub thaw_ms: f64,
-    pub ceiling_window_s: f64,
-    pub ceiling_overshoot: f64,
+    #[serde(rename = "CeilingWindowS")]
+    pub rate_limit_window_s: f64,
+    #[serde(rename = "CeilingOvershoot")]
+    pub rate_limit_overshoot: f64,
 }
 
 impl Default for Bounds {
@@ -170,8 +172,8 @@
             fencing: false,
             lease_ms: 3_000.0,
             thaw_ms: 300.0,
-            ceiling_window_s: 5.0,
-            ceiling_overshoot: 1.0,
+            rate_limit_window_s: 5.0,
+            rate_limit_overshoot: 1.0,
         }
     }
 }
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -20,7 +20,7 @@
 
 fn places(text: &str) -> Vec<String> {
     let findings = Document::parse(text.to_owned()).unwrap_err();
-    findings.iter().map(|finding| finding.place.clone()).collect()
+    findings.iter().map(|finding| finding.location.clone()).collect()
 }
 
 fn parse(text: &str) -> Result<Document, Findings> {
@@ -43,7 +43,7 @@
     let configuration = document.configuration();
     assert_eq!(document.version(), 7);
     let route = &configuration.routes[0];
-    assert_eq!((route.route_type, route.gap_aim_ms), (RouteType::Streaming, Some(400.0)));
+    assert_eq!((route.route_type, route.token_gap_target_ms), (RouteType::Streaming, Some(400.0)));
     assert_eq!((route.max_attempts, route.sticky, route.resumable), (2, true, true));
     let split = &configuration.routes[1];
     assert_eq!((split.timeout_ms, split.max_attempts, split.traffic_split.len()), (5000.5, 1, 2));
@@ -142,7 +142,7 @@
     );
     let document = parse(&text).unwrap();
     let warnings = warnings(document.configuration());
-    let places: Vec<_> = warnings.iter().map(|finding| finding.place.as_str()).collect();
+    let places: Vec<_> = warnings.iter().map(|finding| finding.location.as_str()).collect();
     let expected = ["Routes[1].Name", "Routes[0].PathPrefix", "Routes[1].Hostname", "Routes[1].Backend"];
     assert_eq!(places, expected);
 }
@@ -194,14 +194,14 @@
 fn a_patch_that_makes_the_configuration_invalid_is_refused() {
     let base = parse(WHOLE).unwrap();
     let findings = base.patch(br#"{"Version":9,"Delete":{"Backends":["b2"]}}"#).unwrap_err();
-    assert_eq!(findings.iter().next().unwrap().place, "Routes[1].TrafficSplit[1].Backend");
+    assert_eq!(findings.iter().next().unwrap().location, "Routes[1].TrafficSplit[1].Backend");
 }
 
 #[test]
 fn mistakes_in_the_form_of_a_patch_are_all_named() {
     let patch = br#"{"Upsert":{"Routes":[{"x":1}],"Backends":{}},"Delete":{"Routes":[1]}}"#;
     let findings = parse(WHOLE).unwrap().patch(patch).unwrap_err();
-    let places: Vec<_> = findings.iter().map(|finding| finding.place.as_str()).collect();
+    let places: Vec<_> = findings.iter().map(|finding| finding.location.as_str()).collect();
     assert_eq!(places, ["Version", "Upsert.Routes[0].Name", "Upsert.Backends", "Delete.Routes[0]"]);
 }
 
@@ -209,6 +209,6 @@
 fn versions_have_to_rise() {
     let document = parse(WHOLE).unwrap();
     assert!(document.check_follows(6).is_ok());
-    assert_eq!(document.check_follows(7).unwrap_err().place, "Version");
+    assert_eq!(document.check_follows(7).unwrap_err().location, "Version");
     assert!(document.check_follows(8).is_err());
 }
--- a/crates/config/tests/control_state.rs
+++ b/crates/config/tests/control_state.rs
@@ -35,7 +35,7 @@
 
 fn place(outcome: Outcome) -> String {
     let Outcome::Invalid(findings) = outcome else { panic!("{outcome:?}") };
-    findings.iter().next().unwrap().place.clone()
+    findings.iter().next().unwrap().location.clone()
 }
 
 #[test]
--- a/crates/config/tests/instance.rs
+++ b/crates/config/tests/instance.rs
@@ -16,7 +16,7 @@
     assert_eq!(instance.backend, "b");
     assert_eq!(instance.address, "10.128.0.9:8080".parse().unwrap());
     assert_eq!((instance.capacity, instance.sequence, instance.state), (64, 4, InstanceState::Draining));
-    assert_eq!((instance.cold_left_ms, instance.remaining_ms), (12.5, Some(900.0)));
+    assert_eq!((instance.warmup_remaining_ms, instance.remaining_ms), (12.5, Some(900.0)));
     assert_eq!(
         (instance.models[0].version, instance.models[0].adapters.as_slice()),
         (1, &["a1".to_owned()][..])
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -47,12 +47,12 @@
 const SMALLEST: &str = "NodeName: a\nIp: 10.0.0.1\nZone: z\nPortRange: [10, 20]\n";
 
 fn places(findings: &Findings) -> Vec<&str> {
-    findings.iter().map(|finding| finding.place.as_str()).collect()
+    findings.iter().map(|finding| finding.location.as_str()).collect()
 }
 
 fn places_in(text: &str) -> Vec<String> {
     let findings = Settings::from_yaml(text).unwrap_err();
-    findings.iter().map(|finding| finding.place.clone()).collect()
+    findings.iter().map(|finding| finding.location.clone()).collect()
 }
 
 #[test]
--- a/crates/controller/src/controller/endpoints.rs
+++ b/crates/controller/src/controller/endpoints.rs
@@ -8,7 +8,7 @@
 use crate::view::registered_message;
 use bytes::Bytes;
 use lanegate_config::instance::InstanceState;
-use lanegate_coordination::registry::{FINAL_SEQUENCE, Registry, Taken};
+use lanegate_coordination::registry::{FINAL_SEQUENCE, Registry, RegistryUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -156,12 +156,12 @@
         let sequence = registration.instance.sequence;
         let leaving = registration.instance.state == InstanceState::Draining;
         let mut changes = Changes::default();
-        match self.registry.take(now, id, sequence, registration) {
-            Taken::Stale => {}
-            Taken::Refreshed => {
+        match self.registry.merge(now, id, sequence, registration) {
+            RegistryUpdate::Stale => {}
+            RegistryUpdate::Refreshed => {
                 self.heard.insert(id.to_owned(), sequence);
             }
-            Taken::Changed { replaced } => changes.messages = self.changed(id, replaced),
+            RegistryUpdate::Changed { replaced } => changes.messages = self.changed(id, replaced),
         }
         if !leaving {
             self.confirmed.remove(id);
@@ -199,9 +199,11 @@
         };
         let leaving = registration.instance.state == InstanceState::Draining;
         let registration = registration.following(self.registration(&id));
-        match self.registry.take(now, &id, message.sequence, registration) {
-            Taken::Changed { replaced } => Merge { news: self.changed(&id, replaced), relay: leaving },
-            Taken::Refreshed | Taken::Stale => Merge::default(),
+        match self.registry.merge(now, &id, message.sequence, registration) {
+            RegistryUpdate::Changed { replaced } => {
+                Merge { news: self.changed(&id, replaced), relay: leaving }
+            }
+            RegistryUpdate::Refreshed | RegistryUpdate::Stale => Merge::default(),
         }
     }
 
@@ -247,7 +249,7 @@
     /// Another controller heard these.
     pub fn merge_heard(&mut self, now: Duration, list: &HeardList) {
         for heard in &list.heard {
-            self.registry.touch(now, &heard.id.text(), heard.sequence);
+            self.registry.refresh(now, &heard.id.text(), heard.sequence);
         }
     }
 
@@ -264,7 +266,7 @@
 
     /// Removes what nobody has heard, in the services that this controller owns.
     pub fn expire(&mut self, now: Duration, owns: impl Fn(&str) -> bool) -> Vec<Message> {
-        self.registry.forget(now, REMOVAL_MEMORY);
+        self.registry.purge_removed(now, REMOVAL_MEMORY);
         let registry = &self.registry;
         self.confirmed.retain(|id| registry.get(id).is_some_and(|entry| entry.registration.is_some()));
         let silent = self.registry.expire(now, self.silence, owns);
@@ -273,7 +275,7 @@
 
     /// This process could not listen for a while.
     pub fn excuse(&mut self, now: Duration) {
-        self.registry.excuse(now);
+        self.registry.restart_timeouts(now);
     }
 
     /// A peer that knows of the groups `told` has everything up to the flush `token`.
--- a/crates/controller/src/registration.rs
+++ b/crates/controller/src/registration.rs
@@ -70,7 +70,7 @@
 
     /// Whether it holds a model, or an adapter of it, by what is known now.
     pub fn shows(&self, model: &str, adapter: Option<&str>) -> bool {
-        instance::holds(&self.current_models(), model, adapter)
+        instance::is_resident(&self.current_models(), model, adapter)
     }
 
     fn current_models(&self) -> Vec<ResidentModel> {
--- a/crates/controller/src/view.rs
+++ b/crates/controller/src/view.rs
@@ -11,7 +11,7 @@
 };
 use crate::registration::Registered;
 use lanegate_coordination::feed::Position;
-use lanegate_coordination::registry::{Registry, Taken};
+use lanegate_coordination::registry::{Registry, RegistryUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -147,7 +147,7 @@
         entry.position = Position { source: beat.source, offset: beat.offset };
         entry.quorum = beat.quorum == 1;
         self.count_routers(source, beat);
-        self.registry.forget(now, REMOVAL_MEMORY);
+        self.registry.purge_removed(now, REMOVAL_MEMORY);
         self.lost.retain(|_, lost| now.saturating_sub(lost.since) <= LOST_SOURCE_MEMORY);
         self.settle_lost(now, news);
         self.refresh_controllers(now);
@@ -283,7 +283,9 @@
         let body = message.body.bytes.clone().into();
         let Ok(registration) = Registered::parse(&id, body) else { return };
         let registration = registration.following(self.registration(&id));
-        let Taken::Changed { replaced } = self.registry.take(now, &id, message.sequence, registration) else {
+        let RegistryUpdate::Changed { replaced } =
+            self.registry.merge(now, &id, message.sequence, registration)
+        else {
             return;
         };
         news.push(Message::Registered(message));
--- a/crates/coordination/src/registry.rs
+++ b/crates/coordination/src/registry.rs
@@ -33,12 +33,12 @@
     /// registration's: word of an unchanged heartbeat may overtake the change before it.
     pub latest: u64,
     /// When any replica is known to have heard it last.
-    pub heard: Duration,
+    pub last_heartbeat: Duration,
 }
 
 /// What taking a registration changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Taken {
+pub enum RegistryUpdate {
     /// Nothing: an older one, or one of an incarnation that has ended.
     Stale,
     /// The incarnation is still there, and nothing that routers need to hear has changed.
@@ -61,22 +61,22 @@
 
 impl<R: Registration> Registry<R> {
     /// Takes a registration that was heard directly or from another replica.
-    pub fn take(&mut self, now: Duration, id: &str, sequence: u64, registration: R) -> Taken {
+    pub fn merge(&mut self, now: Duration, id: &str, sequence: u64, registration: R) -> RegistryUpdate {
         let Some(known) = self.entries.get_mut(id) else {
             return self.insert(now, id, sequence, registration);
         };
         if sequence <= known.sequence {
-            return Taken::Stale;
+            return RegistryUpdate::Stale;
         }
         let changed = known.registration.as_ref().is_none_or(|old| old.differs(&registration));
         known.registration = Some(registration);
         known.sequence = sequence;
         known.latest = known.latest.max(sequence);
-        known.heard = now;
-        if changed { Taken::Changed { replaced: Vec::new() } } else { Taken::Refreshed }
+        known.last_heartbeat = now;
+        if changed { RegistryUpdate::Changed { replaced: Vec::new() } } else { RegistryUpdate::Refreshed }
     }
 
-    fn insert(&mut self, now: Duration, id: &str, sequence: u64, registration: R) -> Taken {
+    fn insert(&mut self, now: Duration, id: &str, sequence: u64, registration: R) -> RegistryUpdate {
         let address = registration.address();
         let same_address =
             |entry: &Entry<R>| entry.registration.as_ref().is_some_and(|old| old.address() == address);
@@ -85,23 +85,24 @@
         for id in &replaced {
             self.remove(now, id, FINAL_SEQUENCE);
         }
-        let entry = Entry { registration: Some(registration), sequence, latest: sequence, heard: now };
+        let entry =
+            Entry { registration: Some(registration), sequence, latest: sequence, last_heartbeat: now };
         self.entries.insert(id.to_owned(), entry);
-        Taken::Changed { replaced }
+        RegistryUpdate::Changed { replaced }
     }
 
     /// Notes that some replica heard heartbeat `sequence` and that nothing else had changed.
-    pub fn touch(&mut self, now: Duration, id: &str, sequence: u64) {
+    pub fn refresh(&mut self, now: Duration, id: &str, sequence: u64) {
         let Some(known) = self.entries.get_mut(id) else { return };
         if known.registration.is_some() && sequence >= known.latest {
             known.latest = sequence;
-            known.heard = now;
+            known.last_heartbeat = now;
         }
     }
 
     /// Removes an incarnation as of `sequence`. Tells whether that was news.
     pub fn remove(&mut self, now: Duration, id: &str, sequence: u64) -> bool {
-        let gone = || Entry { registration: None, sequence, latest: sequence, heard: now };
+        let gone = || Entry { registration: None, sequence, latest: sequence, last_heartbeat: now };
         let Some(known) = self.entries.get_mut(id) else {
             self.entries.insert(id.to_owned(), gone());
             return false;
@@ -124,7 +125,8 @@
     ) -> Vec<(String, u64)> {
         let lost = |entry: &Entry<R>| {
             let registration = entry.registration.as_ref();
-            registration.is_some_and(|r| now.saturating_sub(entry.heard) > silence && owns(r.service()))
+            registration
+                .is_some_and(|r| now.saturating_sub(entry.last_heartbeat) > silence && owns(r.service()))
         };
         let silent = self.entries.iter().filter(|(_, entry)| lost(entry));
         let silent: Vec<(String, u64)> = silent.map(|(id, entry)| (id.clone(), entry.latest)).collect();
@@ -135,9 +137,10 @@
     }
 
     /// Forgets incarnations that have been gone for `span`, after which no late message can name them.
-    pub fn forget(&mut self, now: Duration, span: Duration) {
-        self.entries
-            .retain(|_, entry| entry.registration.is_some() || now.saturating_sub(entry.heard) <= span);
+    pub fn purge_removed(&mut self, now: Duration, span: Duration) {
+        self.entries.retain(|_, entry| {
+            entry.registration.is_some() || now.saturating_sub(entry.last_heartbeat) <= span
+        });
     }
 
     /// Forgets an incarnation at once; a message of any sequence makes it known again.
@@ -146,9 +149,9 @@
     }
 
     /// Gives every incarnation a fresh start, after a time in which this process could not listen.
-    pub fn excuse(&mut self, now: Duration) {
+    pub fn restart_timeouts(&mut self, now: Duration) {
         for entry in self.entries.values_mut().filter(|entry| entry.registration.is_some()) {
-            entry.heard = now;
+            entry.last_heartbeat = now;
         }
     }
 
--- a/crates/coordination/tests/membership_digests.rs
+++ b/crates/coordination/tests/membership_digests.rs
@@ -8,7 +8,7 @@
 use lanegate_coordination::membership::{
     Heartbeat, Membership, MembershipSettings, NodeId, Output, PeerState, monitors_of, rendezvous_order,
 };
-use lanegate_coordination::registry::{FINAL_SEQUENCE, Registration, Registry, Taken};
+use lanegate_coordination::registry::{FINAL_SEQUENCE, Registration, Registry, RegistryUpdate};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use support::digest::{Digest, check};
@@ -120,11 +120,11 @@
     }
 }
 
-fn add_taken(digest: &mut Digest, taken: &Taken) {
+fn add_taken(digest: &mut Digest, taken: &RegistryUpdate) {
     match taken {
-        Taken::Stale => digest.tag(0),
-        Taken::Refreshed => digest.tag(1),
-        Taken::Changed { replaced } => {
+        RegistryUpdate::Stale => digest.tag(0),
+        RegistryUpdate::Refreshed => digest.tag(1),
+        RegistryUpdate::Changed { replaced } => {
             digest.tag(2);
             replaced.iter().for_each(|id| digest.bytes(id.as_bytes()));
         }
@@ -137,7 +137,7 @@
         digest.number(entry.registration.as_ref().map_or(0, |endpoint| endpoint.revision));
         digest.number(entry.sequence);
         digest.number(entry.latest);
-        digest.time(entry.heard);
+        digest.time(entry.last_heartbeat);
     }
 }
 
@@ -158,9 +158,9 @@
                     address: address(random.random_range(0..6)).into(),
                     revision: random.random_range(1..4),
                 };
-                add_taken(&mut digest, &registry.take(now, &id, sequence, endpoint));
+                add_taken(&mut digest, &registry.merge(now, &id, sequence, endpoint));
             }
-            5..8 => registry.touch(now, &id, sequence),
+            5..8 => registry.refresh(now, &id, sequence),
             8 => {
                 let last = if random.random_bool(0.3) { FINAL_SEQUENCE } else { sequence };
                 digest.tag(u8::from(registry.remove(now, &id, last)));
@@ -172,9 +172,9 @@
                     digest.number(sequence);
                 }
             }
-            10 => registry.forget(now, Duration::from_secs(6)),
+            10 => registry.purge_removed(now, Duration::from_secs(6)),
             _ if random.random_bool(0.5) => registry.drop_entry(&id),
-            _ => registry.excuse(now),
+            _ => registry.restart_timeouts(now),
         }
         add_entries(&mut digest, &registry);
     }
--- a/crates/coordination/tests/registry.rs
+++ b/crates/coordination/tests/registry.rs
@@ -1,6 +1,6 @@
 //! The registry merges registrations by sequence, and loses none for a late message.
 
-use lanegate_coordination::registry::{FINAL_SEQUENCE, Registration, Registry, Taken};
+use lanegate_coordination::registry::{FINAL_SEQUENCE, Registration, Registry, RegistryUpdate};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -35,17 +35,20 @@
 fn a_late_heartbeat_does_not_undo_a_draining_notice() {
     let mut registry = Registry::default();
     let draining = Endpoint { draining: true, ..at(80) };
-    registry.take(ms(0), "i-1", 4, at(80));
-    assert_eq!(registry.take(ms(1), "i-1", 6, draining.clone()), Taken::Changed { replaced: vec![] });
-    assert_eq!(registry.take(ms(2), "i-1", 5, at(80)), Taken::Stale);
+    registry.merge(ms(0), "i-1", 4, at(80));
+    assert_eq!(
+        registry.merge(ms(1), "i-1", 6, draining.clone()),
+        RegistryUpdate::Changed { replaced: vec![] }
+    );
+    assert_eq!(registry.merge(ms(2), "i-1", 5, at(80)), RegistryUpdate::Stale);
     assert_eq!(registry.get("i-1").unwrap().registration, Some(draining));
 }
 
 #[test]
 fn an_unchanged_heartbeat_is_no_news_but_keeps_the_endpoint() {
     let mut registry = Registry::default();
-    registry.take(ms(0), "i-1", 1, at(80));
-    assert_eq!(registry.take(ms(900), "i-1", 2, at(80)), Taken::Refreshed);
+    registry.merge(ms(0), "i-1", 1, at(80));
+    assert_eq!(registry.merge(ms(900), "i-1", 2, at(80)), RegistryUpdate::Refreshed);
     assert_eq!(registry.expire(ms(1_500), ms(1_000), |_| true), vec![]);
     assert_eq!(registry.expire(ms(2_000), ms(1_000), |_| true), vec![("i-1".to_owned(), 2)]);
 }
@@ -53,34 +56,37 @@
 #[test]
 fn an_expired_endpoint_comes_back_with_its_next_heartbeat_and_an_ended_one_does_not() {
     let mut registry = Registry::default();
-    registry.take(ms(0), "i-1", 1, at(80));
+    registry.merge(ms(0), "i-1", 1, at(80));
     registry.expire(ms(5_000), ms(1_000), |_| true);
-    assert_eq!(registry.take(ms(5_001), "i-1", 2, at(80)), Taken::Changed { replaced: vec![] });
+    assert_eq!(registry.merge(ms(5_001), "i-1", 2, at(80)), RegistryUpdate::Changed { replaced: vec![] });
     assert!(registry.remove(ms(5_002), "i-1", FINAL_SEQUENCE));
-    assert_eq!(registry.take(ms(5_003), "i-1", 3, at(80)), Taken::Stale);
+    assert_eq!(registry.merge(ms(5_003), "i-1", 3, at(80)), RegistryUpdate::Stale);
 }
 
 #[test]
 fn only_the_owner_of_a_shard_expires_its_endpoints() {
     let mut registry = Registry::default();
-    registry.take(ms(0), "i-1", 1, at(80));
+    registry.merge(ms(0), "i-1", 1, at(80));
     assert_eq!(registry.expire(ms(9_000), ms(1_000), |service| service != "tiles"), vec![]);
 }
 
 #[test]
 fn a_new_incarnation_displaces_the_one_at_its_address_for_good() {
     let mut registry = Registry::default();
-    registry.take(ms(0), "i-1", 7, at(80));
-    assert_eq!(registry.take(ms(1), "i-2", 1, at(80)), Taken::Changed { replaced: vec!["i-1".to_owned()] });
-    assert_eq!(registry.take(ms(2), "i-1", 8, at(80)), Taken::Stale);
+    registry.merge(ms(0), "i-1", 7, at(80));
+    assert_eq!(
+        registry.merge(ms(1), "i-2", 1, at(80)),
+        RegistryUpdate::Changed { replaced: vec!["i-1".to_owned()] }
+    );
+    assert_eq!(registry.merge(ms(2), "i-1", 8, at(80)), RegistryUpdate::Stale);
 }
 
 #[test]
 fn a_removal_that_comes_before_any_registration_is_kept() {
     let mut registry = Registry::default();
     assert!(!registry.remove(ms(0), "i-1", FINAL_SEQUENCE));
-    assert_eq!(registry.take(ms(1), "i-1", 1, at(80)), Taken::Stale);
-    registry.forget(ms(60_002), ms(60_000));
+    assert_eq!(registry.merge(ms(1), "i-1", 1, at(80)), RegistryUpdate::Stale);
+    registry.purge_removed(ms(60_002), ms(60_000));
     assert!(registry.get("i-1").is_none());
 }
 
@@ -94,7 +100,7 @@
         heard.sort_by_key(|(sequence, _)| *sequence);
         heard.dedup_by_key(|(sequence, _)| *sequence);
         let take = |registry: &mut Registry<Endpoint>, (sequence, draining): (u64, bool)| {
-            registry.take(ms(0), "i-1", sequence, Endpoint { draining, ..at(80) });
+            registry.merge(ms(0), "i-1", sequence, Endpoint { draining, ..at(80) });
         };
         let mut forward = Registry::default();
         heard.iter().for_each(|one| take(&mut forward, *one));
@@ -111,11 +117,14 @@
 fn a_change_that_word_of_a_later_heartbeat_overtook_is_taken() {
     let mut registry = Registry::default();
     let draining = Endpoint { draining: true, ..at(80) };
-    registry.take(ms(0), "i-1", 5, at(80));
-    registry.touch(ms(1), "i-1", 7);
-    assert_eq!(registry.take(ms(2), "i-1", 6, draining.clone()), Taken::Changed { replaced: vec![] });
+    registry.merge(ms(0), "i-1", 5, at(80));
+    registry.refresh(ms(1), "i-1", 7);
+    assert_eq!(
+        registry.merge(ms(2), "i-1", 6, draining.clone()),
+        RegistryUpdate::Changed { replaced: vec![] }
+    );
     assert_eq!(registry.get("i-1").unwrap().registration, Some(draining));
     assert!(!registry.remove(ms(3), "i-1", 6), "a later heartbeat was heard");
     assert!(registry.remove(ms(3), "i-1", 7));
-    assert_eq!(registry.take(ms(4), "i-1", 7, at(80)), Taken::Stale);
+    assert_eq!(registry.merge(ms(4), "i-1", 7, at(80)), RegistryUpdate::Stale);
 }
--- a/crates/dispatch/src/endpoints.rs
+++ b/crates/dispatch/src/endpoints.rs
@@ -45,7 +45,7 @@
 
     /// Whether it holds the model and, where one is asked for, the adapter.
     pub fn holds(&self, model: &str, adapter: Option<&str>) -> bool {
-        instance::holds(&self.models, model, adapter)
+        instance::is_resident(&self.models, model, adapter)
     }
 
     /// Takes a newer registration of the same incarnation in; an endpoint that drains never comes back.
@@ -59,7 +59,7 @@
         self.state = state;
         self.address = instance.address;
         self.capacity = instance.capacity.max(1);
-        self.warm_at = now + milliseconds(instance.cold_left_ms);
+        self.warm_at = now + milliseconds(instance.warmup_remaining_ms);
         if same {
             return TableChange::Unchanged;
         }
@@ -174,7 +174,7 @@
         zone: instance.zone.as_str().into(),
         capacity: instance.capacity.max(1),
         state: instance.state,
-        warm_at: now + milliseconds(instance.cold_left_ms),
+        warm_at: now + milliseconds(instance.warmup_remaining_ms),
         models: instance.models.clone(),
         replaced_at: None,
         sequence: instance.sequence,
--- a/crates/dispatch/src/patience.rs
+++ b/crates/dispatch/src/patience.rs
@@ -25,7 +25,7 @@
     /// Takes a configuration in.
     pub fn configure(&mut self, configuration: &Configuration) {
         let pauses = configuration.routes.iter().filter_map(|route| {
-            let pause = crate::units::milliseconds(route.gap_aim_ms?);
+            let pause = crate::units::milliseconds(route.token_gap_target_ms?);
             Some((route.name.clone(), pause))
         });
         self.pauses = pauses.collect();
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -30,7 +30,7 @@
         version: String::new(),
         capacity: 6,
         state: InstanceState::Ready,
-        cold_left_ms: 0.0,
+        warmup_remaining_ms: 0.0,
         phase: None,
         models: Vec::new(),
         sequence: 1,
--- a/crates/dispatch/tests/thin_path.rs
+++ b/crates/dispatch/tests/thin_path.rs
@@ -20,7 +20,7 @@
         version: String::new(),
         capacity: 4,
         state: InstanceState::Ready,
-        cold_left_ms: 0.0,
+        warmup_remaining_ms: 0.0,
         phase: None,
         models: Vec::new(),
         sequence: 1,
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -30,8 +30,8 @@
     pub fn new(settings: &Settings, start: Start) -> PlacerSettings {
         let bounds = &settings.bounds;
         PlacerSettings {
-            ceiling_window: Duration::from_secs_f64(bounds.ceiling_window_s.max(0.0)),
-            ceiling_overshoot: bounds.ceiling_overshoot,
+            ceiling_window: Duration::from_secs_f64(bounds.rate_limit_window_s.max(0.0)),
+            ceiling_overshoot: bounds.rate_limit_overshoot,
             start,
             switched_off: settings.switched_off,
         }
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -77,7 +77,7 @@
             version: "v1".into(),
             capacity: 64,
             state: InstanceState::Ready,
-            cold_left_ms: 0.0,
+            warmup_remaining_ms: 0.0,
             phase: None,
             models: report(models, false, 0).models,
             sequence: self.beats,
--- a/crates/placement/tests/support/fleet.rs
+++ b/crates/placement/tests/support/fleet.rs
@@ -85,7 +85,7 @@
             version: "v1".into(),
             capacity: 64,
             state: if self.ready { InstanceState::Ready } else { InstanceState::Draining },
-            cold_left_ms: 0.0,
+            warmup_remaining_ms: 0.0,
             phase: None,
             models: self.held(),
             sequence: self.beats,
