--- a/crates/controller/src/controller/answers_test.rs
+++ b/crates/controller/src/controller/answers_test.rs
@@ -3,8 +3,8 @@
 use super::calls::change_answer;
 use super::event::Answer;
 use super::unavailable::Unavailable;
-use lanegate_model::control_state::Outcome;
-use lanegate_model::findings::Findings;
+use lanegate_config::control_state::Outcome;
+use lanegate_config::findings::Findings;
 
 fn text(answer: &Answer) -> String {
     String::from_utf8(answer.body.to_vec()).expect("answers are text")
--- a/crates/controller/src/simulation/trace.rs
+++ b/crates/controller/src/simulation/trace.rs
@@ -127,7 +127,7 @@
                 self.bytes(order.adapter.as_deref().unwrap_or_default().as_bytes());
                 self.number(order.if_revision);
             }
-            Action::AskReport { instance, address } => {
+            Action::RequestReport { instance, address } => {
                 self.raw(&[2]);
                 self.bytes(instance.as_bytes());
                 self.bytes(address.to_string().as_bytes());
