--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -3,14 +3,14 @@
 #[path = "../../../tests/common/golden.rs"]
 mod golden;
 
-use lanegate_model::configuration::{
+use lanegate_config::configuration::{
     Backend, Configuration, Document, Limits, Model, Route, RouteType, Runtime, WeightedBackend,
 };
-use lanegate_model::control_state::{Command, ControlState, Method, Outcome};
-use lanegate_model::demand::{DemandReport, ModelDemand};
-use lanegate_model::findings::Findings;
-use lanegate_model::instance::{HeldModel, Instance, InstanceState};
-use lanegate_model::settings::Settings;
+use lanegate_config::control_state::{Command, ControlState, Method, Outcome};
+use lanegate_config::demand::{DemandReport, ModelDemand};
+use lanegate_config::findings::Findings;
+use lanegate_config::instance::{Instance, InstanceState, ResidentModel};
+use lanegate_config::settings::Settings;
 use std::path::{Path, PathBuf};
 
 fn file(name: &str) -> PathBuf {
@@ -56,8 +56,8 @@
         bounds.pass_ms,
         bounds.lease_ms,
         bounds.thaw_ms,
-        bounds.ceiling_window_s,
-        bounds.ceiling_overshoot,
+        bounds.rate_limit_window_s,
+        bounds.rate_limit_overshoot,
     ];
     assert_eq!(figures.to_vec(), (1..=20).map(f64::from).collect::<Vec<_>>());
     assert!(bounds.fencing);
@@ -77,7 +77,7 @@
         max_attempts: 1,
         sticky: false,
         resumable: false,
-        gap_aim_ms: None,
+        token_gap_target_ms: None,
     }
 }
 
@@ -90,7 +90,7 @@
         max_attempts: 3,
         sticky: true,
         resumable: true,
-        gap_aim_ms: Some(400.0),
+        token_gap_target_ms: Some(400.0),
         ..route("r1", "/x/", RouteType::Streaming)
     };
     let model = Model {
@@ -154,9 +154,9 @@
         version: "v1".into(),
         capacity: 64,
         state: InstanceState::Draining,
-        cold_left_ms: 12.5,
+        warmup_remaining_ms: 12.5,
         phase: Some("prefill".into()),
-        models: vec![HeldModel { name: "m".into(), version: 2, adapters: vec!["a1".into()] }],
+        models: vec![ResidentModel { name: "m".into(), version: 2, adapters: vec!["a1".into()] }],
         sequence: 4,
         remaining_ms: Some(900.0),
     };
--- a/crates/placement/tests/digests.rs
+++ b/crates/placement/tests/digests.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use lanegate_model::mechanism::{Mechanism, SwitchedOff};
+use lanegate_config::mechanism::{Mechanism, SwitchedOff};
 use std::path::Path;
 use support::digest::compare;
 use support::fleet::Cut;
--- a/crates/placement/tests/endpoint_report.rs
+++ b/crates/placement/tests/endpoint_report.rs
@@ -1,6 +1,6 @@
 //! What endpoints answer when asked for their report, field by field.
 
-use lanegate_model::instance::HeldModel;
+use lanegate_config::instance::ResidentModel;
 use lanegate_placement::{EndpointReport, Operation, OrderAnswer};
 
 const TEXT: &str = concat!(
@@ -12,7 +12,7 @@
 fn reports_match_the_recorded_bytes() {
     let report = EndpointReport {
         phase: Some("decode".into()),
-        models: vec![HeldModel { name: "m".into(), version: 2, adapters: vec!["a1".into()] }],
+        models: vec![ResidentModel { name: "m".into(), version: 2, adapters: vec!["a1".into()] }],
         busy: true,
         sequence: 9,
         queued: 3,
--- a/crates/placement/tests/support/simulation.rs
+++ b/crates/placement/tests/support/simulation.rs
@@ -232,7 +232,7 @@
                 record_item(digest, &order.model, order.adapter.as_deref());
                 digest.number(order.if_revision);
             }
-            Action::AskReport { instance, address } => {
+            Action::RequestReport { instance, address } => {
                 digest.byte(2);
                 digest.bytes(instance.as_bytes());
                 digest.bytes(address.to_string().as_bytes());
--- a/tests/wire_digests.rs
+++ b/tests/wire_digests.rs
@@ -6,11 +6,11 @@
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use digest::{Digest, compare};
+use lanegate_courier::wire::Host;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
-use walnutshift::wire::Host;
 
 const SEEDS: u64 = 240;
 const COURIER: u64 = 3;
