--- a/crates/controller/src/controller/calls.rs
+++ b/crates/controller/src/controller/calls.rs
@@ -105,7 +105,7 @@
 
     /// What [`ControllerFault::RefuseLocally`] answers.
     fn local_refusal(&self, command: &[u8]) -> Option<Answer> {
-        let known = self.shards.get(shards::CONFIGURATION).decided()?;
+        let known = self.shards.get(shards::CONFIGURATION).committed()?;
         let wrong = self.has_fault(ControllerFault::RefuseLocally);
         let (outcome, _) = wrong.then(|| apply(&known.state, command).ok())??;
         (!outcome.is_acknowledged()).then(|| change_answer(&outcome.encode()))
@@ -121,7 +121,7 @@
                 serde_json::json!({
                     "Shard": shard,
                     "Replica": format!("{:?}", replica.status()),
-                    "Revision": replica.decided().map(|value| value.revision),
+                    "Revision": replica.committed().map(|value| value.revision),
                     "Members": members,
                     "MemberStates": states,
                     "Margin": self.margin(shard),
--- a/crates/controller/src/controller/fault.rs
+++ b/crates/controller/src/controller/fault.rs
@@ -68,7 +68,7 @@
             Fault::NewGroupOnly,
             Fault::IgnoreAccepted,
             Fault::ReadLocally,
-            Fault::ReadUndecided,
+            Fault::ReadUncommitted,
             Fault::AcceptBelowPromise,
             Fault::SmallMajority,
             Fault::ProposeTwice,
--- a/crates/controller/src/controller/inspect.rs
+++ b/crates/controller/src/controller/inspect.rs
@@ -9,7 +9,7 @@
     /// Revision and group of each shard, as far as this controller has learned them.
     pub(crate) fn learned_groups(&self) -> Vec<(u64, Vec<SocketAddr>)> {
         let known = |shard| {
-            let decided = self.shards.get(shard).decided();
+            let decided = self.shards.get(shard).committed();
             (decided.map_or(0, |value| value.revision), self.group(shard))
         };
         shards::all().map(known).collect()
--- a/crates/controller/src/controller/membership.rs
+++ b/crates/controller/src/controller/membership.rs
@@ -83,7 +83,7 @@
             SocketAddr::V4(address) => Some(Node::from(address)),
             SocketAddr::V6(_) => None,
         };
-        let input = Input::ProposeMembers {
+        let input = Input::ChangeMembers {
             request,
             remove: change.remove.and_then(node).into_iter().collect(),
             add: node(change.add).into_iter().collect(),
--- a/crates/controller/src/controller/metrics.rs
+++ b/crates/controller/src/controller/metrics.rs
@@ -139,7 +139,7 @@
         for known in ROLES {
             exposition.set_labelled(&SHARD_ROLE, &[labels[0], ("role", known)], role == known);
         }
-        let revision = replica.decided().map_or(0, |value| value.revision);
+        let revision = replica.committed().map_or(0, |value| value.revision);
         exposition.set_labelled(&SHARD_REVISION, &labels, revision);
         exposition.set_labelled(&SHARD_MEMBERS, &labels, self.group(shard).len());
         exposition.declare(&SHARD_MARGIN);
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -200,7 +200,7 @@
 
     /// Members of the group of a shard, as far as this controller knows them.
     fn group(&self, shard: u8) -> Vec<SocketAddr> {
-        let decided = self.shards.get(shard).decided();
+        let decided = self.shards.get(shard).committed();
         let members = decided.map(|value| value.newest_group().to_vec()).unwrap_or_default();
         members.into_iter().map(|node| SocketAddr::V4(node.into())).collect()
     }
--- a/crates/controller/src/controller/peer_links.rs
+++ b/crates/controller/src/controller/peer_links.rs
@@ -37,7 +37,7 @@
         let now = self.now();
         let SocketAddr::V4(address) = peer else { return };
         for shard in shards::all() {
-            let outputs = self.shards.handle(now, shard, Input::Contact { node: address.into() });
+            let outputs = self.shards.handle(now, shard, Input::PeerReachable { node: address.into() });
             self.follow(shard, outputs);
         }
     }
--- a/crates/controller/src/controller/registers.rs
+++ b/crates/controller/src/controller/registers.rs
@@ -29,7 +29,7 @@
                 },
                 Output::Persist { token, record } => self.environment.persist(shard, token, record),
                 Output::Done { request, outcome } => self.done(request, outcome),
-                Output::Learned { value } => self.learned(shard, &value),
+                Output::Committed { value } => self.learned(shard, &value),
             }
         }
     }
--- a/crates/controller/src/controller/trust.rs
+++ b/crates/controller/src/controller/trust.rs
@@ -85,7 +85,7 @@
 impl Controller {
     /// The groups of a shard whose majorities count: two while the members change, none while not known.
     fn groups(&self, shard: u8) -> Vec<Vec<SocketAddr>> {
-        let Some(value) = self.shards.get(shard).decided() else { return Vec::new() };
+        let Some(value) = self.shards.get(shard).committed() else { return Vec::new() };
         let addresses = |node: &lanegate_coordination::register::Node| SocketAddr::V4((*node).into());
         value.groups.iter().map(|group| group.members().iter().map(addresses).collect()).collect()
     }
--- a/crates/controller/src/controller/turn.rs
+++ b/crates/controller/src/controller/turn.rs
@@ -20,7 +20,7 @@
         let decided: Vec<(u8, Value)> = self
             .shards
             .iter()
-            .filter_map(|(shard, replica)| Some((shard, replica.decided()?.clone())))
+            .filter_map(|(shard, replica)| Some((shard, replica.committed()?.clone())))
             .collect();
         for (shard, value) in decided {
             self.learned(shard, &value);
--- a/crates/coordination/src/register/acceptor.rs
+++ b/crates/coordination/src/register/acceptor.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use super::ballot::Ballot;
-use super::core::Core;
+use super::context::Context;
 use super::event::Output;
 use super::message::Message;
 use super::node::Node;
 use super::record::Record;
 use super::settings::Fault;
-use super::value::{Carried, Value};
+use super::value::{Value, ValueTransfer};
 
 /// An answer that waits for a version of the record to be durable.
 #[derive(Clone, Hash)]
@@ -67,17 +67,17 @@
     }
 
     /// Starts a write if one is due and none is under way.
-    pub(super) fn persist(&mut self, core: &mut Core) {
-        let wait = self.retry_at.is_some_and(|at| at > core.now);
+    pub(super) fn persist(&mut self, context: &mut Context) {
+        let wait = self.retry_at.is_some_and(|at| at > context.now);
         if self.version == self.durable_version || self.write.is_some() || wait {
             return;
         }
         self.retry_at = None;
         self.write = Some(Write { version: self.version, record: self.current.clone() });
-        core.outputs.push_back(Output::Persist { token: self.version, record: self.current.clone() });
+        context.outputs.push_back(Output::Persist { token: self.version, record: self.current.clone() });
     }
 
-    pub(super) fn on_persisted(&mut self, core: &mut Core, token: u64) {
+    pub(super) fn on_persisted(&mut self, context: &mut Context, token: u64) {
         let Some(write) = self.write.take_if(|write| write.version == token) else {
             return;
         };
@@ -87,13 +87,13 @@
         self.replies = waiting;
         let due: Vec<Reply> = due;
         for reply in due {
-            core.send(reply.to, reply.message);
+            context.send(reply.to, reply.message);
         }
     }
 
-    pub(super) fn on_persist_failed(&mut self, core: &Core, token: u64) {
+    pub(super) fn on_persist_failed(&mut self, context: &Context, token: u64) {
         if self.write.take_if(|write| write.version == token).is_some() {
-            self.retry_at = Some(core.now + core.settings.persist_retry);
+            self.retry_at = Some(context.now + context.settings.persist_retry);
         }
     }
 
@@ -101,10 +101,10 @@
         self.retry_at
     }
 
-    pub(super) fn on_prepare(&mut self, core: &mut Core, from: Node, ballot: Ballot, known: Ballot) {
+    pub(super) fn on_prepare(&mut self, context: &mut Context, from: Node, ballot: Ballot, known: Ballot) {
         if ballot < self.current.promised {
             let promised = self.current.promised;
-            return core.send(from, Message::Refused { ballot, promised });
+            return context.send(from, Message::Rejected { ballot, promised });
         }
         if ballot > self.current.promised {
             self.current.promised = ballot;
@@ -113,31 +113,31 @@
         let message = Message::Promise {
             ballot,
             incarnation: self.current.incarnation,
-            floors: self.current.floors.clone(),
+            minimum_incarnations: self.current.minimum_incarnations.clone(),
             accepted: self.current.accepted,
             value: carry(&self.current, known),
         };
-        self.reply(core, from, message);
+        self.reply(context, from, message);
     }
 
-    pub(super) fn on_accept(&mut self, core: &mut Core, from: Node, ballot: Ballot, value: Value) {
-        if ballot < self.current.promised && !core.settings.has(Fault::AcceptBelowPromise) {
+    pub(super) fn on_accept(&mut self, context: &mut Context, from: Node, ballot: Ballot, value: Value) {
+        if ballot < self.current.promised && !context.settings.has(Fault::AcceptBelowPromise) {
             let promised = self.current.promised;
-            return core.send(from, Message::Refused { ballot, promised });
+            return context.send(from, Message::Rejected { ballot, promised });
         }
-        if ballot != self.current.accepted || core.settings.has(Fault::ReuseBallot) {
+        if ballot != self.current.accepted || context.settings.has(Fault::ReuseBallot) {
             self.accept(ballot, value);
         }
         let message = Message::Accepted {
             ballot,
             incarnation: self.current.incarnation,
-            floors: self.current.floors.clone(),
+            minimum_incarnations: self.current.minimum_incarnations.clone(),
         };
-        self.reply(core, from, message);
+        self.reply(context, from, message);
     }
 
-    /// Catches up with a decided value, as if its proposer had just asked to accept it.
-    pub(super) fn on_decided(&mut self, ballot: Ballot, value: &Value) {
+    /// Catches up with a committed value, as if its proposer had just asked to accept it.
+    pub(super) fn on_committed(&mut self, ballot: Ballot, value: &Value) {
         if ballot >= self.current.promised && ballot > self.current.accepted {
             self.accept(ballot, value.clone());
         }
@@ -151,44 +151,44 @@
     }
 
     /// Answers a quorum read with what the disk holds, so that a stalled disk does not hold up reads.
-    pub(super) fn on_query(&mut self, core: &mut Core, from: Node, request: u64, known: Ballot) {
+    pub(super) fn on_query(&mut self, context: &mut Context, from: Node, request: u64, known: Ballot) {
         let record = self.durable.as_ref().unwrap_or(&self.current);
-        let message = Message::State {
+        let message = Message::ReadReply {
             request,
             incarnation: record.incarnation,
-            floors: record.floors.clone(),
+            minimum_incarnations: record.minimum_incarnations.clone(),
             promised: record.promised,
             accepted: record.accepted,
             value: carry(record, known),
         };
         if self.durable.is_some() {
-            core.send(from, message);
+            context.send(from, message);
         } else {
-            self.reply(core, from, message);
+            self.reply(context, from, message);
         }
     }
 
     /// Registers an incarnation of a recovering replica and tells it what is known here.
-    pub(super) fn on_register(&mut self, core: &mut Core, from: Node, nonce: u64, incarnation: u64) {
-        if self.current.floors.raise(from, incarnation) {
+    pub(super) fn on_register(&mut self, context: &mut Context, from: Node, nonce: u64, incarnation: u64) {
+        if self.current.minimum_incarnations.raise(from, incarnation) {
             self.version += 1;
         }
-        let message = Message::Registered {
+        let message = Message::IncarnationRegistered {
             nonce,
-            asked: incarnation,
+            requested: incarnation,
             incarnation: self.current.incarnation,
-            floors: self.current.floors.clone(),
+            minimum_incarnations: self.current.minimum_incarnations.clone(),
             promised: self.current.promised,
             accepted: self.current.accepted,
             value: self.current.value.clone(),
         };
-        self.reply(core, from, message);
+        self.reply(context, from, message);
     }
 
     /// Sends an answer, at once or when the record as it is now is durable.
-    fn reply(&mut self, core: &mut Core, to: Node, message: Message) {
-        if self.durable_version == self.version || core.settings.has(Fault::ReplyBeforePersist) {
-            return core.send(to, message);
+    fn reply(&mut self, context: &mut Context, to: Node, message: Message) {
+        if self.durable_version == self.version || context.settings.has(Fault::ReplyBeforePersist) {
+            return context.send(to, message);
         }
         let kind = discriminant(&message);
         self.replies.retain(|reply| reply.to != to || discriminant(&reply.message) != kind);
@@ -196,6 +196,6 @@
     }
 }
 
-fn carry(record: &Record, known: Ballot) -> Carried {
-    if record.accepted > known { Carried::Full(record.value.clone()) } else { Carried::Omitted }
+fn carry(record: &Record, known: Ballot) -> ValueTransfer {
+    if record.accepted > known { ValueTransfer::Full(record.value.clone()) } else { ValueTransfer::Omitted }
 }
--- a/crates/coordination/src/register/ballot.rs
+++ b/crates/coordination/src/register/ballot.rs
@@ -39,7 +39,7 @@
 
     /// Whether both belong to the same prepare phase.
     #[must_use]
-    pub fn same_owner(self, other: Self) -> bool {
+    pub fn is_same_prepare_phase(self, other: Self) -> bool {
         (self.counter, self.node, self.nonce) == (other.counter, other.node, other.nonce)
     }
 }
--- a/crates/coordination/src/register/catch_up.rs
+++ b/crates/coordination/src/register/catch_up.rs
@@ -1,4 +1,4 @@
-//! Catching up: a replica that hears of a decided value it does not have asks for it, one at a time.
+//! Catching up: a replica that hears of a committed value it does not have asks for it, one at a time.
 //!
 //! However many decisions it hears of meanwhile, one question is under way; the answer holds the newest value
 //! of whoever gives it. So what a replica takes in to catch up does not grow with what it missed.
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use super::ballot::Ballot;
-use super::core::Core;
+use super::context::Context;
 use super::node::Node;
 use super::settings::Fault;
 
@@ -26,23 +26,23 @@
 }
 
 impl CatchUp {
-    /// A value is decided that is newer than the decided one known here.
-    pub(super) fn heard(&mut self, core: &mut Core, from: Node, ballot: Ballot) {
-        if core.settings.has(Fault::AskForEach) {
-            return core.send(from, core.inquiry());
+    /// A value is committed that is newer than the committed one known here.
+    pub(super) fn on_commit_announced(&mut self, context: &mut Context, from: Node, ballot: Ballot) {
+        if context.settings.has(Fault::AskForEach) {
+            return context.send(from, context.poll_message());
         }
         match &mut self.missing {
             Some(missing) if missing.ballot < ballot => (missing.ballot, missing.from) = (ballot, from),
             Some(_) => {}
-            None => self.ask(core, from, ballot, core.settings.retry_interval),
+            None => self.ask(context, from, ballot, context.settings.retry_interval),
         }
     }
 
-    /// The decided value of `ballot` is known here; `answered` if it may be the answer to a question.
-    pub(super) fn learned(&mut self, core: &mut Core, ballot: Ballot, answered: bool) {
+    /// The committed value of `ballot` is known here; `answered` if it may be the answer to a question.
+    pub(super) fn on_committed(&mut self, context: &mut Context, ballot: Ballot, answered: bool) {
         self.missing.take_if(|missing| missing.ballot <= ballot);
         if let Some(missing) = self.missing.take_if(|_| answered) {
-            self.ask(core, missing.from, missing.ballot, core.settings.retry_interval);
+            self.ask(context, missing.from, missing.ballot, context.settings.retry_interval);
         }
     }
 
@@ -51,16 +51,16 @@
     }
 
     /// Asks again if there was no answer.
-    pub(super) fn on_tick(&mut self, core: &mut Core) {
-        let due = |missing: &mut Missing| missing.ask_again_at <= core.now;
+    pub(super) fn on_tick(&mut self, context: &mut Context) {
+        let due = |missing: &mut Missing| missing.ask_again_at <= context.now;
         if let Some(missing) = self.missing.take_if(due) {
-            let interval = core.longer(missing.interval);
-            self.ask(core, missing.from, missing.ballot, interval);
+            let interval = context.next_retry_interval(missing.interval);
+            self.ask(context, missing.from, missing.ballot, interval);
         }
     }
 
-    fn ask(&mut self, core: &mut Core, from: Node, ballot: Ballot, interval: Duration) {
-        self.missing = Some(Missing { ballot, from, ask_again_at: core.now + interval, interval });
-        core.send(from, core.inquiry());
+    fn ask(&mut self, context: &mut Context, from: Node, ballot: Ballot, interval: Duration) {
+        self.missing = Some(Missing { ballot, from, ask_again_at: context.now + interval, interval });
+        context.send(from, context.poll_message());
     }
 }
--- a/crates/coordination/src/register/event.rs
+++ b/crates/coordination/src/register/event.rs
@@ -76,7 +76,7 @@
         deadline: Duration,
     },
     /// Changes the members.
-    ProposeMembers {
+    ChangeMembers {
         /// Named in [`Output::Done`].
         request: u64,
         /// Members that leave.
@@ -88,7 +88,7 @@
     },
     /// A node that may know the group can be reached, for the first time or again (a connection to it came
     /// up): what it has not answered is sent to it at once.
-    Contact {
+    PeerReachable {
         /// The node.
         node: Node,
     },
@@ -118,8 +118,8 @@
         /// Its answer.
         outcome: Outcome,
     },
-    /// A newer decided value became known. Revisions never fall.
-    Learned {
+    /// A newer committed value became known. Revisions never fall.
+    Committed {
         /// The value.
         value: Value,
     },
@@ -128,7 +128,7 @@
 /// The answer to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The change is decided and durable.
+    /// The change is committed and durable.
     Changed {
         /// The revision the change led to.
         revision: u64,
--- a/crates/coordination/src/register/message.rs
+++ b/crates/coordination/src/register/message.rs
@@ -4,8 +4,8 @@
 
 use super::ballot::Ballot;
 use super::codec::{self, CodecError};
-use super::node::Floors;
-use super::value::{Carried, Value};
+use super::node::MinimumIncarnations;
+use super::value::{Value, ValueTransfer};
 
 /// A message between replicas of one register. The transport tells who sent it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, DekuRead, DekuWrite)]
@@ -27,11 +27,11 @@
         /// The voter's own incarnation.
         incarnation: u64,
         /// Floors the voter knows.
-        floors: Floors,
+        minimum_incarnations: MinimumIncarnations,
         /// The ballot of the voter's accepted value.
         accepted: Ballot,
         /// That value, if newer than what the proposer said it knows.
-        value: Carried,
+        value: ValueTransfer,
     },
     /// Phase two: asks to accept a value.
     #[deku(id = 3)]
@@ -49,27 +49,27 @@
         /// The voter's own incarnation.
         incarnation: u64,
         /// Floors the voter knows.
-        floors: Floors,
+        minimum_incarnations: MinimumIncarnations,
     },
     /// Either phase: a higher ballot was promised before.
     #[deku(id = 5)]
-    Refused {
+    Rejected {
         /// The ballot that was asked for.
         ballot: Ballot,
         /// The ballot that was promised.
         promised: Ballot,
     },
-    /// The value of `ballot` is decided.
+    /// The value of `ballot` is committed.
     #[deku(id = 6)]
-    Decided {
+    Committed {
         /// The ballot of the decision.
         ballot: Ballot,
         /// Its value, if the receiver may not have accepted it.
-        value: Carried,
+        value: ValueTransfer,
     },
     /// Quorum read: asks for the state of a replica.
     #[deku(id = 7)]
-    Query {
+    ReadQuery {
         /// Number of the read, unique over restarts of the reader.
         request: u64,
         /// Values up to here need not be sent.
@@ -77,31 +77,31 @@
     },
     /// Quorum read: the state of a replica as its disk holds it.
     #[deku(id = 8)]
-    State {
+    ReadReply {
         /// Number of the read.
         request: u64,
         /// The voter's own incarnation.
         incarnation: u64,
         /// Floors the voter knows.
-        floors: Floors,
+        minimum_incarnations: MinimumIncarnations,
         /// The highest promise.
         promised: Ballot,
         /// The ballot of the accepted value.
         accepted: Ballot,
         /// That value, if newer than what the reader said it knows.
-        value: Carried,
+        value: ValueTransfer,
     },
-    /// Asks for a decided value newer than this one.
+    /// Asks for a committed value newer than this one.
     #[deku(id = 9)]
-    Inquire {
-        /// The ballot of the newest decided value the sender knows.
-        decided: Ballot,
+    PollCommitted {
+        /// The ballot of the newest committed value the sender knows.
+        committed: Ballot,
         /// Whether the sender knows any.
         known: bool,
     },
     /// Recovery: a replica with an empty disk registers an incarnation; zero only asks.
     #[deku(id = 10)]
-    Register {
+    RegisterIncarnation {
         /// Chance drawn at the start of the recovering process.
         nonce: u64,
         /// The incarnation to register, or zero.
@@ -109,15 +109,15 @@
     },
     /// Recovery: what the replica knows, after the registration was made durable.
     #[deku(id = 11)]
-    Registered {
+    IncarnationRegistered {
         /// As in the request.
         nonce: u64,
         /// As in the request.
-        asked: u64,
+        requested: u64,
         /// The answering replica's own incarnation.
         incarnation: u64,
         /// Floors it knows, the recovering replica's among them.
-        floors: Floors,
+        minimum_incarnations: MinimumIncarnations,
         /// Its highest promise.
         promised: Ballot,
         /// The ballot of its accepted value.
@@ -130,7 +130,7 @@
 impl Message {
     /// Whether the sender has come to what was sent to it last, or asks for what it did not get.
     pub(super) const fn is_answer(&self) -> bool {
-        matches!(self, Self::Accepted { .. } | Self::Refused { .. } | Self::Inquire { .. })
+        matches!(self, Self::Accepted { .. } | Self::Rejected { .. } | Self::PollCommitted { .. })
     }
 
     /// The binary form.
--- a/crates/coordination/src/register/mod.rs
+++ b/crates/coordination/src/register/mod.rs
@@ -28,7 +28,7 @@
 //!         // Hand `message.encode()` to the transport.
 //!         Output::Send { .. } => {}
 //!         Output::Done { request: 1, outcome: Outcome::Changed { revision, .. } } => changed = revision == 1,
-//!         Output::Done { .. } | Output::Learned { .. } => {}
+//!         Output::Done { .. } | Output::Committed { .. } => {}
 //!     }
 //! }
 //! assert!(changed);
@@ -40,15 +40,15 @@
 //! A [`Ballot`] is unique by its counter, its node and chance drawn at each start of the process, so a restart
 //! cannot repeat one. A proposer that got promises for a ballot counts its `step` up for every further value
 //! and needs no promises again: no other ballot lies between two steps. It proposes the next step only when
-//! the value of the last one is decided.
+//! the value of the last one is committed.
 //!
 //! # Groups
 //!
-//! The value names the groups in force. A change of members first has a joint value decided, with the old and
+//! The value names the groups in force. A change of members first has a joint value committed, with the old and
 //! the new group, then one with the new group alone. A value is accepted by a majority of every group in force
 //! before and after it; promises are collected from the groups the proposer knows and from those of the newest
 //! value the promises reveal, until nothing new turns up. A change of groups is only proposed on a value that
-//! its proposer knows to be decided. So each group's majority has seen the change that replaced it, and whoever
+//! its proposer knows to be committed. So each group's majority has seen the change that replaced it, and whoever
 //! starts from an old group is led to the newest.
 //!
 //! # Lost disks
@@ -71,7 +71,7 @@
 //! - Two registrations of one node overlap in a replica, so a later life gets a higher incarnation than any
 //!   life that voted. What a replica knew of incarnations outlasts its own lost disk in the same way.
 //! - A recovered replica may hold a value below its promise for which it never voted. A quorum read therefore
-//!   takes a value for decided only from replicas that promised nothing higher; otherwise it has the value
+//!   takes a value for committed only from replicas that promised nothing higher; otherwise it has the value
 //!   accepted again.
 //!
 //! A new node is empty too and goes the same way before it is made a member.
@@ -84,15 +84,15 @@
 //! a quorum read alone.
 
 mod acceptor;
+mod anti_entropy;
 mod ballot;
 mod batch;
 mod catch_up;
 mod codec;
-mod core;
+mod context;
 mod event;
-mod members;
+mod membership_change;
 mod message;
-mod news;
 mod node;
 mod proposer;
 mod quorum;
@@ -108,8 +108,8 @@
 pub use codec::{CodecError, MAX_STATE_BYTES};
 pub use event::{Applied, Input, Outcome, Output, StateMachine, Status};
 pub use message::Message;
-pub use node::{Floor, Floors, Node};
+pub use node::{MinimumIncarnation, MinimumIncarnations, Node};
 pub use record::Record;
 pub use replica::Replica;
 pub use settings::{Fault, Settings};
-pub use value::{Carried, Change, ChangeId, Group, Value};
+pub use value::{Change, ChangeId, Group, Value, ValueTransfer};
--- a/crates/coordination/src/register/node.rs
+++ b/crates/coordination/src/register/node.rs
@@ -8,7 +8,7 @@
 
 /// A replica, named by its control address.
 ///
-/// The address alone does not tell one life of a replica from the next: see [`Floor`].
+/// The address alone does not tell one life of a replica from the next: see [`MinimumIncarnation`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Node {
@@ -49,7 +49,7 @@
 /// A node whose disk was lost registers a higher incarnation before it votes again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct Floor {
+pub struct MinimumIncarnation {
     /// The node.
     pub node: Node,
     /// Votes of lower incarnations are discarded.
@@ -60,18 +60,18 @@
 #[deku_derive(DekuRead, DekuWrite)]
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct Floors {
+pub struct MinimumIncarnations {
     #[deku(temp, temp_value = "entries.len() as u16")]
     count: u16,
     #[deku(count = "count")]
-    entries: Vec<Floor>,
+    entries: Vec<MinimumIncarnation>,
 }
 
-impl Floors {
+impl MinimumIncarnations {
     /// The floor of a node.
     #[must_use]
     pub fn of(&self, node: Node) -> u64 {
-        self.entries.iter().find(|floor| floor.node == node).map_or(0, |floor| floor.incarnation)
+        self.entries.iter().find(|minimum| minimum.node == node).map_or(0, |minimum| minimum.incarnation)
     }
 
     /// Raises the floor of a node; tells whether anything changed.
@@ -79,17 +79,17 @@
         if self.of(node) >= incarnation {
             return false;
         }
-        match self.entries.iter_mut().find(|floor| floor.node == node) {
-            Some(floor) => floor.incarnation = incarnation,
-            None => self.entries.push(Floor { node, incarnation }),
+        match self.entries.iter_mut().find(|minimum| minimum.node == node) {
+            Some(minimum) => minimum.incarnation = incarnation,
+            None => self.entries.push(MinimumIncarnation { node, incarnation }),
         }
         true
     }
 
     /// Takes over all higher floors of another list.
     pub fn merge(&mut self, other: &Self) {
-        for floor in &other.entries {
-            self.raise(floor.node, floor.incarnation);
+        for minimum in &other.entries {
+            self.raise(minimum.node, minimum.incarnation);
         }
     }
 }
--- a/crates/coordination/src/register/proposer.rs
+++ b/crates/coordination/src/register/proposer.rs
@@ -4,40 +4,41 @@
 use std::time::Duration;
 
 use super::ballot::Ballot;
-use super::batch::{Batch, Item, Try, Work, expired};
-use super::core::{Core, Proposal, earlier};
+use super::batch::{Attempt, Batch, Operation, Task, timeout_outcome};
+use super::context::{Context, Proposal, earlier};
 use super::event::Outcome;
-use super::node::{Floors, Node};
+use super::node::{MinimumIncarnations, Node};
 use super::quorum::{Votes, members};
-use super::round::{Phase, Round, Then, announce};
+use super::round::{AfterCommit, Phase, Round, announce_commit};
 use super::settings::Fault;
-use super::value::{Carried, ChangeId, Value};
+use super::value::{ChangeId, Value, ValueTransfer};
 
 #[derive(Clone, Default, Hash)]
 pub(super) struct Proposer {
-    queue: VecDeque<Item>,
+    queue: VecDeque<Task>,
     pub(super) batch: Option<Batch>,
     pub(super) round: Option<Round>,
     /// The last decision was made under this ballot, and no higher one was seen.
-    owned: Option<Ballot>,
+    reusable_ballot: Option<Ballot>,
     /// The highest ballot counter seen.
     counter: u64,
     /// Rounds lost to others since the last decision.
-    failures: u32,
+    preemptions: u32,
     resume_at: Option<Duration>,
     sequence: u64,
 }
 
 impl Proposer {
-    pub(super) fn push(&mut self, item: Item) {
-        self.queue.push_back(item);
+    pub(super) fn push(&mut self, task: Task) {
+        self.queue.push_back(task);
     }
 
     /// Takes up the end of a change of members, unless that is waiting already.
     pub(super) fn complete(&mut self) {
-        let waiting = self.queue.iter().any(|item| matches!(item.work, Work::Complete));
+        let waiting =
+            self.queue.iter().any(|task| matches!(task.operation, Operation::CompleteMembershipChange));
         if !waiting {
-            self.queue.push_front(Item::own(Work::Complete));
+            self.queue.push_front(Task::internal(Operation::CompleteMembershipChange));
         }
     }
 
@@ -48,8 +49,10 @@
     /// A ballot was seen somewhere.
     pub(super) fn observe(&mut self, ballot: Ballot) {
         self.counter = self.counter.max(ballot.counter);
-        if self.owned.is_some_and(|owned| ballot > owned && !ballot.same_owner(owned)) {
-            self.owned = None;
+        if self.reusable_ballot.is_some_and(|reusable_ballot| {
+            ballot > reusable_ballot && !ballot.is_same_prepare_phase(reusable_ballot)
+        }) {
+            self.reusable_ballot = None;
         }
     }
 
@@ -59,69 +62,70 @@
     }
 
     pub(super) fn next_wake(&self) -> Option<Duration> {
-        let queued = self.queue.iter().map(|item| item.deadline).min();
-        let started = self.batch.iter().flat_map(|batch| batch.items.iter()).filter(|i| i.request.is_some());
-        let deadline = earlier(queued, started.map(|item| item.deadline).min());
+        let queued = self.queue.iter().map(|task| task.deadline).min();
+        let started = self.batch.iter().flat_map(|batch| batch.tasks.iter()).filter(|i| i.request.is_some());
+        let deadline = earlier(queued, started.map(|task| task.deadline).min());
         let resend = self.round.as_ref().map(|round| round.resend_at);
         let resume = self.resume_at.filter(|_| !self.is_idle());
         earlier(earlier(deadline, resend), resume).filter(|at| *at != Duration::MAX)
     }
 
     /// A replica can be reached again: what it has not answered is sent again.
-    pub(super) fn reach(&mut self, core: &mut Core, node: Node) {
-        core.unanswered.remove(&node);
-        if let Some(round) = self.round.as_mut().filter(|round| round.awaits(node)) {
-            round.send_again(core, node);
+    pub(super) fn on_reachable(&mut self, context: &mut Context, node: Node) {
+        context.unanswered.remove(&node);
+        if let Some(round) = self.round.as_mut().filter(|round| round.is_awaiting(node)) {
+            round.resend(context, node);
         }
     }
 
     /// A replica has answered whatever was sent to it last.
-    pub(super) fn answered(&mut self, core: &mut Core, node: Node) {
-        core.unanswered.remove(&node);
+    pub(super) fn on_answer(&mut self, context: &mut Context, node: Node) {
+        context.unanswered.remove(&node);
         if let Some(round) = &mut self.round {
-            round.release(core, node);
+            round.send_deferred(context, node);
         }
     }
 
     /// Gives up what is late, sends again what was not answered.
-    pub(super) fn on_tick(&mut self, core: &mut Core) {
-        self.expire(core);
+    pub(super) fn on_tick(&mut self, context: &mut Context) {
+        self.expire(context);
         let Some(round) = &mut self.round else {
             return;
         };
-        if round.resend_at > core.now {
+        if round.resend_at > context.now {
             return;
         }
-        round.interval = core.longer(round.interval);
-        round.resend_at = core.now + round.interval;
-        let silent: Vec<Node> = round.asked.iter().copied().filter(|node| round.awaits(*node)).collect();
+        round.interval = context.next_retry_interval(round.interval);
+        round.resend_at = context.now + round.interval;
+        let silent: Vec<Node> =
+            round.sent_to.iter().copied().filter(|node| round.is_awaiting(*node)).collect();
         for node in silent {
-            round.send_again(core, node);
+            round.resend(context, node);
         }
     }
 
-    fn expire(&mut self, core: &mut Core) {
-        let now = core.now;
-        if self.queue.iter().any(|item| item.deadline <= now) {
+    fn expire(&mut self, context: &mut Context) {
+        let now = context.now;
+        if self.queue.iter().any(|task| task.deadline <= now) {
             let (late, waiting) =
                 std::mem::take(&mut self.queue).into_iter().partition(|i| i.deadline <= now);
             self.queue = waiting;
-            let late: VecDeque<Item> = late;
-            for item in late {
-                core.done(item.request, expired(&item.work, false));
+            let late: VecDeque<Task> = late;
+            for task in late {
+                context.complete(task.request, timeout_outcome(&task.operation, false));
             }
         }
         let accepting = matches!(&self.round, Some(Round { phase: Phase::Accept { .. }, .. }));
-        if self.batch.as_mut().is_some_and(|batch| !batch.expire(core, accepting)) {
+        if self.batch.as_mut().is_some_and(|batch| !batch.expire(context, accepting)) {
             self.batch = None;
             self.round = None;
-            self.owned = None;
+            self.reusable_ballot = None;
         }
     }
 
     /// Starts a round if there is work and none is under way.
-    pub(super) fn start(&mut self, core: &mut Core, known: Option<Proposal>) {
-        if !self.is_ready(core.now) {
+    pub(super) fn start(&mut self, context: &mut Context, known: Option<Proposal>) {
+        if !self.is_ready(context.now) {
             return;
         }
         self.resume_at = None;
@@ -129,74 +133,76 @@
             return;
         };
         if self.batch.is_none() {
-            self.batch = self.next_batch(core.settings.batch_limit);
+            self.batch = self.next_batch(context.settings.batch_limit);
         }
         if self.batch.is_none() {
             return;
         }
-        match self.owned.filter(|owned| *owned == known.ballot) {
-            Some(owned) => self.resume(core, owned, known),
-            None => self.prepare(core, known),
+        match self.reusable_ballot.filter(|reusable_ballot| *reusable_ballot == known.ballot) {
+            Some(reusable_ballot) => self.resume(context, reusable_ballot, known),
+            None => self.prepare(context, known),
         }
     }
 
     fn next_batch(&mut self, limit: usize) -> Option<Batch> {
-        let alone = |item: &Item| matches!(item.work, Work::Members { .. } | Work::Complete);
+        let alone = |task: &Task| {
+            matches!(task.operation, Operation::ChangeMembers { .. } | Operation::CompleteMembershipChange)
+        };
         let first = self.queue.pop_front()?;
         if alone(&first) {
             return Some(Batch::new(vec![first]));
         }
-        let mut items = vec![first];
-        while items.len() < limit && self.queue.front().is_some_and(|item| !alone(item)) {
-            items.extend(self.queue.pop_front());
+        let mut tasks = vec![first];
+        while tasks.len() < limit && self.queue.front().is_some_and(|task| !alone(task)) {
+            tasks.extend(self.queue.pop_front());
         }
-        Some(Batch::new(items))
+        Some(Batch::new(tasks))
     }
 
     /// Goes on under a ballot that is still the highest: no prepare phase is needed.
-    fn resume(&mut self, core: &mut Core, ballot: Ballot, base: Proposal) {
+    fn resume(&mut self, context: &mut Context, ballot: Ballot, base: Proposal) {
         self.round = Some(Round {
             ballot,
             phase: Phase::Prepare { known: base.clone() },
-            votes: Votes::new(&core.settings),
+            votes: Votes::new(&context.settings),
             base,
-            base_decided: true,
-            confirmed: false,
-            asked: Vec::new(),
-            held: Vec::new(),
-            resend_at: core.now,
-            interval: core.settings.retry_interval,
+            base_committed: true,
+            base_confirmed: false,
+            sent_to: Vec::new(),
+            deferred: Vec::new(),
+            resend_at: context.now,
+            interval: context.settings.retry_interval,
         });
-        self.propose(core);
+        self.propose(context);
     }
 
-    fn prepare(&mut self, core: &mut Core, known: Proposal) {
+    fn prepare(&mut self, context: &mut Context, known: Proposal) {
         self.counter = self.counter.max(known.ballot.counter) + 1;
-        let ballot = Ballot::first(self.counter, core.node(), core.ballot_nonce());
+        let ballot = Ballot::first(self.counter, context.node(), context.ballot_nonce());
         let mut round = Round {
             ballot,
             phase: Phase::Prepare { known: known.clone() },
-            votes: Votes::new(&core.settings),
+            votes: Votes::new(&context.settings),
             base: known,
-            base_decided: false,
-            confirmed: false,
-            asked: Vec::new(),
-            held: Vec::new(),
-            resend_at: core.now + core.settings.retry_interval,
-            interval: core.settings.retry_interval,
+            base_committed: false,
+            base_confirmed: false,
+            sent_to: Vec::new(),
+            deferred: Vec::new(),
+            resend_at: context.now + context.settings.retry_interval,
+            interval: context.settings.retry_interval,
         };
-        round.ask(core, &round.base.value.members());
+        round.ask(context, &round.base.value.members());
         self.round = Some(round);
     }
 
     pub(super) fn on_promise(
         &mut self,
-        core: &mut Core,
+        context: &mut Context,
         from: Node,
         ballot: Ballot,
-        voter: (u64, Floors),
+        voter: (u64, MinimumIncarnations),
         accepted: Ballot,
-        value: Carried,
+        value: ValueTransfer,
     ) {
         let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else {
             return;
@@ -206,19 +212,25 @@
         };
         let start = known.value.groups.clone();
         if let Some(value) = value.into_value().filter(|_| accepted > round.base.ballot)
-            && !core.settings.has(Fault::IgnoreAccepted)
+            && !context.settings.has(Fault::IgnoreAccepted)
         {
             round.base = Proposal { ballot: accepted, value };
         }
         round.votes.insert(from, voter.0, voter.1, ());
-        let groups = round.required(core, &start);
-        round.ask(core, &members(&groups));
-        if round.votes.satisfy(&groups, |()| true) {
-            self.propose(core);
+        let groups = round.required(context, &start);
+        round.ask(context, &members(&groups));
+        if round.votes.have_majorities(&groups, |()| true) {
+            self.propose(context);
         }
     }
 
-    pub(super) fn on_accepted(&mut self, core: &mut Core, from: Node, ballot: Ballot, voter: (u64, Floors)) {
+    pub(super) fn on_accepted(
+        &mut self,
+        context: &mut Context,
+        from: Node,
+        ballot: Ballot,
+        voter: (u64, MinimumIncarnations),
+    ) {
         let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else {
             return;
         };
@@ -226,157 +238,174 @@
             return;
         };
         round.votes.insert(from, voter.0, voter.1, ());
-        if round.votes.satisfy(groups, |()| true) {
-            self.decide(core);
+        if round.votes.have_majorities(groups, |()| true) {
+            self.commit(context);
         }
     }
 
-    pub(super) fn on_refused(&mut self, core: &mut Core, ballot: Ballot, promised: Ballot) {
+    pub(super) fn on_refused(&mut self, context: &mut Context, ballot: Ballot, promised: Ballot) {
         self.observe(promised);
         let own = self.round.as_ref().is_some_and(|round| round.ballot == ballot);
-        if own && !promised.same_owner(ballot) {
-            self.retreat(core);
+        if own && !promised.is_same_prepare_phase(ballot) {
+            self.back_off(context);
         }
     }
 
-    /// A decided value was learned from elsewhere: a round that was built on older members starts again.
-    pub(super) fn on_learned(&mut self, core: &mut Core, ballot: Ballot, value: &Value) {
+    /// A committed value was learned from elsewhere: a round that was built on older members starts again.
+    pub(super) fn on_committed(&mut self, context: &mut Context, ballot: Ballot, value: &Value) {
         self.observe(ballot);
         let stale = self.round.as_ref().is_some_and(|round| {
-            let overtaken = ballot > round.ballot && !ballot.same_owner(round.ballot);
+            let overtaken = ballot > round.ballot && !ballot.is_same_prepare_phase(round.ballot);
             overtaken || (ballot > round.base.ballot && value.groups != round.base.value.groups)
         });
         if stale {
-            self.retreat(core);
+            self.back_off(context);
         }
     }
 
     /// Drops the round; the batch is tried again under a higher ballot after a while.
-    fn retreat(&mut self, core: &mut Core) {
+    fn back_off(&mut self, context: &mut Context) {
         self.round = None;
-        self.owned = None;
-        self.failures += 1;
-        self.resume_at = Some(core.now + core.backoff(self.failures));
+        self.reusable_ballot = None;
+        self.preemptions += 1;
+        self.resume_at = Some(context.now + context.backoff(self.preemptions));
     }
 
     /// Proposes what the batch makes of the base.
-    fn propose(&mut self, core: &mut Core) {
+    fn propose(&mut self, context: &mut Context) {
         let Some((mut round, batch)) = self.round.take().zip(self.batch.take()) else {
             return;
         };
-        if let Some(index) = batch.tries.iter().position(|t| round.base.value.remembers(t.id)) {
-            return self.conclude(core, round, batch, index);
+        if let Some(index) = batch.attempts.iter().position(|attempt| round.base.value.has_change(attempt.id))
+        {
+            return self.complete_earlier_attempt(context, round, batch, index);
         }
-        if batch.tries.iter().any(|t| !round.base.value.remembers_since(t.base_revision)) {
-            batch.give_up(core);
-            return self.finish(core, &round);
+        if batch.attempts.iter().any(|attempt| !round.base.value.has_all_changes_since(attempt.base_revision))
+        {
+            batch.complete_unclear(context);
+            return self.finish(context, &round);
         }
-        let solitary = batch.items.first().map(|item| item.work.clone());
+        let solitary = batch.tasks.first().map(|task| task.operation.clone());
         match solitary {
-            Some(Work::Members { remove, add, joined }) => {
-                self.propose_members(core, round, batch, &remove, &add, joined);
+            Some(Operation::ChangeMembers { remove, add, joint_committed }) => {
+                self.propose_membership_change(context, round, batch, &remove, &add, joint_committed);
             }
-            Some(Work::Complete) => self.propose_completion(core, round, batch),
+            Some(Operation::CompleteMembershipChange) => self.propose_final_value(context, round, batch),
             _ => {
-                let folded = batch.fold(core, &round.base.value);
-                if folded.revisions > 0 {
-                    self.propose_commands(core, &mut round, batch, folded);
+                let applied = batch.apply_commands(context, &round.base.value);
+                if applied.revisions > 0 {
+                    self.propose_commands(context, &mut round, batch, applied);
                     self.round = Some(round);
                 } else {
-                    self.answer_unchanged(core, round, batch, folded.outcomes);
+                    self.answer_unchanged(context, round, batch, applied.outcomes);
                 }
             }
         }
     }
 
-    /// An earlier try has taken effect; it is answered as soon as that is decided.
-    fn conclude(&mut self, core: &mut Core, round: Round, mut batch: Batch, index: usize) {
-        if !round.base_decided {
-            return self.settle(core, round, batch);
+    /// An earlier try has taken effect; it is answered as soon as that is committed.
+    fn complete_earlier_attempt(
+        &mut self,
+        context: &mut Context,
+        round: Round,
+        mut batch: Batch,
+        index: usize,
+    ) {
+        if !round.base_committed {
+            return self.commit_base(context, round, batch);
         }
-        let outcomes = batch.tries.swap_remove(index).outcomes;
-        batch.answer(core, outcomes);
-        self.finish(core, &round);
+        let outcomes = batch.attempts.swap_remove(index).outcomes;
+        batch.complete(context, outcomes);
+        self.finish(context, &round);
     }
 
     fn propose_commands(
         &mut self,
-        core: &mut Core,
+        context: &mut Context,
         round: &mut Round,
         mut batch: Batch,
-        folded: super::batch::Folded,
+        applied: super::batch::AppliedBatch,
     ) {
-        let id = self.next_id(core);
+        let id = self.next_id(context);
         let base = &round.base.value;
-        let value = base.changed(id, folded.revisions, base.groups.clone(), folded.state.into());
-        if !core.settings.has(Fault::ProposeTwice) {
-            let outcomes = folded.outcomes.clone();
-            batch.tries.push(Try { id, base_revision: base.revision, outcomes });
+        let value = base.changed(id, applied.revisions, base.groups.clone(), applied.state.into());
+        if !context.settings.has(Fault::ProposeTwice) {
+            let outcomes = applied.outcomes.clone();
+            batch.attempts.push(Attempt { id, base_revision: base.revision, outcomes });
         }
         self.batch = Some(batch);
-        round.accept(core, value, Then::Answer(folded.outcomes));
+        round.accept(context, value, AfterCommit::Complete(applied.outcomes));
     }
 
     /// Nothing changes: answered once a majority has confirmed the base in this round.
-    fn answer_unchanged(&mut self, core: &mut Core, round: Round, batch: Batch, outcomes: Vec<Outcome>) {
-        if !round.confirmed {
-            return self.settle(core, round, batch);
+    fn answer_unchanged(
+        &mut self,
+        context: &mut Context,
+        round: Round,
+        batch: Batch,
+        outcomes: Vec<Outcome>,
+    ) {
+        if !round.base_confirmed {
+            return self.commit_base(context, round, batch);
         }
-        batch.answer(core, outcomes);
-        self.finish(core, &round);
+        batch.complete(context, outcomes);
+        self.finish(context, &round);
     }
 
-    /// Gets the base itself decided under the own ballot.
-    pub(super) fn settle(&mut self, core: &mut Core, mut round: Round, batch: Batch) {
+    /// Gets the base itself committed under the own ballot.
+    pub(super) fn commit_base(&mut self, context: &mut Context, mut round: Round, batch: Batch) {
         self.batch = Some(batch);
         let value = round.base.value.clone();
-        round.accept(core, value, Then::Again);
+        round.accept(context, value, AfterCommit::Continue);
         self.round = Some(round);
     }
 
     /// The proposed value has its majorities.
-    fn decide(&mut self, core: &mut Core) {
+    fn commit(&mut self, context: &mut Context) {
         let Some(mut round) = self.round.take() else {
             return;
         };
-        let Phase::Accept { value, groups, then } = round.phase else {
+        let Phase::Accept { value, groups, after_commit } = round.phase else {
             return;
         };
         let ballot = round.ballot;
-        core.learn(ballot, &value);
-        announce(core, ballot, &members(&groups));
-        self.failures = 0;
+        context.record_committed(ballot, &value);
+        announce_commit(context, ballot, &members(&groups));
+        self.preemptions = 0;
         round.base = Proposal { ballot, value };
-        round.base_decided = true;
-        round.confirmed = true;
+        round.base_committed = true;
+        round.base_confirmed = true;
         round.phase = Phase::Prepare { known: round.base.clone() };
-        match then {
-            Then::Answer(outcomes) => {
+        match after_commit {
+            AfterCommit::Complete(outcomes) => {
                 if let Some(batch) = self.batch.take() {
-                    batch.answer(core, outcomes);
+                    batch.complete(context, outcomes);
                 }
-                return self.finish(core, &round);
+                return self.finish(context, &round);
             }
-            Then::Joined => self.mark_joined(),
-            Then::Again => {}
+            AfterCommit::JointCommitted => self.mark_joint_committed(),
+            AfterCommit::Continue => {}
         }
         self.round = Some(round);
-        self.propose(core);
+        self.propose(context);
     }
 
-    /// The batch is answered. The ballot stays in use if the last value under it was decided.
-    pub(super) fn finish(&mut self, core: &mut Core, round: &Round) {
+    /// The batch is answered. The ballot stays in use if the last value under it was committed.
+    pub(super) fn finish(&mut self, context: &mut Context, round: &Round) {
         self.round = None;
-        self.owned = round.base_decided.then_some(round.base.ballot).filter(|b| b.same_owner(round.ballot));
-        if round.base.value.is_joint() && round.base_decided {
+        self.reusable_ballot = round
+            .base_committed
+            .then_some(round.base.ballot)
+            .filter(|b| b.is_same_prepare_phase(round.ballot));
+        if round.base.value.is_joint() && round.base_committed {
             self.complete();
         }
-        let base = round.base_decided.then(|| round.base.clone());
-        self.start(core, base);
+        let base = round.base_committed.then(|| round.base.clone());
+        self.start(context, base);
     }
 
-    pub(super) fn next_id(&mut self, core: &Core) -> ChangeId {
+    pub(super) fn next_id(&mut self, context: &Context) -> ChangeId {
         self.sequence += 1;
-        ChangeId { nonce: core.nonce, sequence: self.sequence }
+        ChangeId { nonce: context.nonce, sequence: self.sequence }
     }
 }
--- a/crates/coordination/src/register/quorum.rs
+++ b/crates/coordination/src/register/quorum.rs
@@ -2,24 +2,24 @@
 
 use std::collections::BTreeMap;
 
-use super::node::{Floors, Node};
+use super::node::{MinimumIncarnations, Node};
 use super::settings::{Fault, Settings};
 use super::value::Group;
 
 /// The vote of one replica.
 #[derive(Debug, Clone, Hash)]
-struct Ballot<T> {
+struct Vote<T> {
     incarnation: u64,
-    floors: Floors,
+    minimum_incarnations: MinimumIncarnations,
     vote: T,
 }
 
 /// The votes of one round.
 #[derive(Debug, Clone, Hash)]
 pub(super) struct Votes<T> {
-    entries: BTreeMap<Node, Ballot<T>>,
+    entries: BTreeMap<Node, Vote<T>>,
     ignore_incarnations: bool,
-    slack: usize,
+    majority_reduction: usize,
 }
 
 impl<T> Votes<T> {
@@ -27,15 +27,21 @@
         Self {
             entries: BTreeMap::new(),
             ignore_incarnations: settings.has(Fault::IgnoreIncarnations),
-            slack: usize::from(settings.has(Fault::SmallMajority)),
+            majority_reduction: usize::from(settings.has(Fault::SmallMajority)),
         }
     }
 
     /// Takes a vote, unless a later incarnation of the same node has voted already.
-    pub(super) fn insert(&mut self, node: Node, incarnation: u64, floors: Floors, vote: T) {
+    pub(super) fn insert(
+        &mut self,
+        node: Node,
+        incarnation: u64,
+        minimum_incarnations: MinimumIncarnations,
+        vote: T,
+    ) {
         let outdated = self.entries.get(&node).is_some_and(|entry| entry.incarnation > incarnation);
         if !outdated {
-            self.entries.insert(node, Ballot { incarnation, floors, vote });
+            self.entries.insert(node, Vote { incarnation, minimum_incarnations, vote });
         }
     }
 
@@ -45,14 +51,14 @@
             return false;
         };
         self.ignore_incarnations
-            || self.entries.values().all(|other| other.floors.of(node) <= entry.incarnation)
+            || self.entries.values().all(|other| other.minimum_incarnations.of(node) <= entry.incarnation)
     }
 
     /// Whether a majority of every group has cast a vote that counts and that `accepts` approves.
-    pub(super) fn satisfy(&self, groups: &[Group], accepts: impl Fn(&T) -> bool) -> bool {
+    pub(super) fn have_majorities(&self, groups: &[Group], accepts: impl Fn(&T) -> bool) -> bool {
         groups.iter().all(|group| {
             let votes = group.members().iter().filter(|node| self.approves(**node, &accepts)).count();
-            votes + self.slack >= group.majority()
+            votes + self.majority_reduction >= group.majority()
         })
     }
 
--- a/crates/coordination/src/register/reader.rs
+++ b/crates/coordination/src/register/reader.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use super::ballot::Ballot;
-use super::batch::{Item, Work, expired};
-use super::core::{Core, Proposal, earlier};
+use super::batch::{Operation, Task, timeout_outcome};
+use super::context::{Context, Proposal, earlier};
 use super::event::{Applied, Outcome};
 use super::message::Message;
-use super::node::{Floors, Node};
+use super::node::{MinimumIncarnations, Node};
 use super::proposer::Proposer;
 use super::quorum::{Votes, members, union};
 use super::settings::Fault;
-use super::value::{Carried, Group};
+use super::value::{Group, ValueTransfer};
 
 /// Spreads the nonces of successive processes, so that the numbers of their queries lie far apart: an answer to
 /// a query of an earlier process must not count, as it may be older than what was acknowledged since.
@@ -19,7 +19,7 @@
 
 /// What a replica told of itself.
 #[derive(Clone, Hash)]
-struct Told {
+struct AcceptorState {
     promised: Ballot,
     accepted: Ballot,
 }
@@ -27,18 +27,18 @@
 #[derive(Clone, Hash)]
 struct Query {
     request: u64,
-    items: Vec<Item>,
+    tasks: Vec<Task>,
     start: Proposal,
     newest: Proposal,
-    votes: Votes<Told>,
-    asked: Vec<Node>,
+    votes: Votes<AcceptorState>,
+    sent_to: Vec<Node>,
     resend_at: Duration,
     interval: Duration,
 }
 
 #[derive(Clone, Default, Hash)]
 pub(super) struct Reader {
-    waiting: Vec<Item>,
+    waiting: Vec<Task>,
     query: Option<Query>,
     /// Queries of this process so far.
     started: u64,
@@ -46,8 +46,8 @@
 
 impl Reader {
     /// Takes a read, or a command that seems to change nothing.
-    pub(super) fn push(&mut self, item: Item) {
-        self.waiting.push(item);
+    pub(super) fn push(&mut self, task: Task) {
+        self.waiting.push(task);
     }
 
     /// Whether a query could start, if the group is known.
@@ -56,14 +56,14 @@
     }
 
     pub(super) fn next_wake(&self) -> Option<Duration> {
-        let started = self.query.iter().flat_map(|query| query.items.iter());
-        let deadline = self.waiting.iter().chain(started).map(|item| item.deadline).min();
+        let started = self.query.iter().flat_map(|query| query.tasks.iter());
+        let deadline = self.waiting.iter().chain(started).map(|task| task.deadline).min();
         let resend = self.query.as_ref().map(|query| query.resend_at);
         earlier(deadline, resend).filter(|at| *at != Duration::MAX)
     }
 
     /// Starts a query for all that wait, if none is under way.
-    pub(super) fn start(&mut self, core: &mut Core, known: Option<Proposal>) {
+    pub(super) fn start(&mut self, context: &mut Context, known: Option<Proposal>) {
         if !self.is_ready() {
             return;
         }
@@ -72,27 +72,27 @@
         };
         self.started += 1;
         let mut query = Query {
-            request: core.nonce.wrapping_mul(NONCE_SPREAD).wrapping_add(self.started),
-            items: std::mem::take(&mut self.waiting),
+            request: context.nonce.wrapping_mul(NONCE_SPREAD).wrapping_add(self.started),
+            tasks: std::mem::take(&mut self.waiting),
             start: known.clone(),
             newest: known,
-            votes: Votes::new(&core.settings),
-            asked: Vec::new(),
-            resend_at: core.now + core.settings.retry_interval,
-            interval: core.settings.retry_interval,
+            votes: Votes::new(&context.settings),
+            sent_to: Vec::new(),
+            resend_at: context.now + context.settings.retry_interval,
+            interval: context.settings.retry_interval,
         };
-        query.ask(core, &query.start.value.members());
+        query.ask(context, &query.start.value.members());
         self.query = Some(query);
     }
 
     pub(super) fn on_state(
         &mut self,
-        core: &mut Core,
+        context: &mut Context,
         proposer: &mut Proposer,
         from: Node,
         request: u64,
-        voter: (u64, Floors),
-        state: (Ballot, Ballot, Carried),
+        voter: (u64, MinimumIncarnations),
+        state: (Ballot, Ballot, ValueTransfer),
     ) {
         let Some(query) = self.query.as_mut().filter(|query| query.request == request) else {
             return;
@@ -105,139 +105,141 @@
             None if accepted > query.newest.ballot => return,
             _ => {}
         }
-        query.votes.insert(from, voter.0, voter.1, Told { promised, accepted });
+        query.votes.insert(from, voter.0, voter.1, AcceptorState { promised, accepted });
         let groups = query.groups();
-        query.ask(core, &members(&groups));
-        if !query.votes.satisfy(&groups, |_| true) {
+        query.ask(context, &members(&groups));
+        if !query.votes.have_majorities(&groups, |_| true) {
             return;
         }
-        if query.is_decided(core) {
-            self.finish(core, proposer);
+        if query.is_committed(context) {
+            self.finish(context, proposer);
         } else if members(&groups).iter().all(|node| query.votes.counts(*node)) {
             self.repair(proposer);
         }
     }
 
     /// A replica can be reached again: it is asked again unless it has answered.
-    pub(super) fn reach(&self, core: &mut Core, node: Node) {
-        if let Some(query) = self.query.as_ref().filter(|query| query.awaits(node)) {
-            core.send(node, query.message());
+    pub(super) fn on_reachable(&self, context: &mut Context, node: Node) {
+        if let Some(query) = self.query.as_ref().filter(|query| query.is_awaiting(node)) {
+            context.send(node, query.message());
         }
     }
 
-    /// Gives up what is late, asks the silent again, repairs what stays undecided.
-    pub(super) fn on_tick(&mut self, core: &mut Core, proposer: &mut Proposer) {
-        self.expire(core);
+    /// Gives up what is late, asks the silent again, repairs what stays uncommitted.
+    pub(super) fn on_tick(&mut self, context: &mut Context, proposer: &mut Proposer) {
+        self.expire(context);
         let Some(query) = &mut self.query else {
             return;
         };
-        if query.resend_at > core.now {
+        if query.resend_at > context.now {
             return;
         }
-        if query.votes.satisfy(&query.groups(), |_| true) {
+        if query.votes.have_majorities(&query.groups(), |_| true) {
             return self.repair(proposer);
         }
-        query.interval = core.longer(query.interval);
-        query.resend_at = core.now + query.interval;
-        let silent: Vec<Node> = query.asked.iter().copied().filter(|node| query.awaits(*node)).collect();
+        query.interval = context.next_retry_interval(query.interval);
+        query.resend_at = context.now + query.interval;
+        let silent: Vec<Node> =
+            query.sent_to.iter().copied().filter(|node| query.is_awaiting(*node)).collect();
         for node in silent {
-            core.send(node, query.message());
+            context.send(node, query.message());
         }
     }
 
-    fn expire(&mut self, core: &mut Core) {
-        let now = core.now;
-        let started = self.query.as_mut().map(|query| &mut query.items);
-        for items in started.into_iter().chain([&mut self.waiting]) {
-            for item in items.iter_mut().filter(|item| item.deadline <= now) {
-                core.done(item.request.take(), expired(&item.work, false));
+    fn expire(&mut self, context: &mut Context) {
+        let now = context.now;
+        let started = self.query.as_mut().map(|query| &mut query.tasks);
+        for tasks in started.into_iter().chain([&mut self.waiting]) {
+            for task in tasks.iter_mut().filter(|task| task.deadline <= now) {
+                context.complete(task.request.take(), timeout_outcome(&task.operation, false));
             }
-            items.retain(|item| item.deadline > now);
+            tasks.retain(|task| task.deadline > now);
         }
-        self.query.take_if(|query| query.items.is_empty());
+        self.query.take_if(|query| query.tasks.is_empty());
     }
 
-    /// A decided value learned from elsewhere may settle the query, or show it newer groups.
-    pub(super) fn on_learned(&mut self, core: &mut Core, proposer: &mut Proposer) {
-        let Some((query, decided)) = self.query.as_mut().zip(core.decided.clone()) else {
+    /// A committed value learned from elsewhere may settle the query, or show it newer groups.
+    pub(super) fn on_committed(&mut self, context: &mut Context, proposer: &mut Proposer) {
+        let Some((query, committed)) = self.query.as_mut().zip(context.committed.clone()) else {
             return;
         };
-        if decided.ballot < query.newest.ballot {
+        if committed.ballot < query.newest.ballot {
             return;
         }
-        query.start = decided.clone();
-        query.newest = decided;
+        query.start = committed.clone();
+        query.newest = committed;
         let groups = query.groups();
-        query.ask(core, &members(&groups));
-        if query.votes.satisfy(&groups, |_| true) {
-            self.finish(core, proposer);
+        query.ask(context, &members(&groups));
+        if query.votes.have_majorities(&groups, |_| true) {
+            self.finish(context, proposer);
         }
     }
 
     /// Answers with the newest value.
-    fn finish(&mut self, core: &mut Core, proposer: &mut Proposer) {
+    fn finish(&mut self, context: &mut Context, proposer: &mut Proposer) {
         let Some(query) = self.query.take() else {
             return;
         };
         let Proposal { ballot, value } = query.newest;
-        core.learn(ballot, &value);
-        for item in query.items {
-            match &item.work {
-                Work::Command(command) => match core.machine.apply(&value.state, command) {
-                    Applied::Changed { .. } => proposer.push(item),
+        context.record_committed(ballot, &value);
+        for task in query.tasks {
+            match &task.operation {
+                Operation::Command(command) => match context.state_machine.apply(&value.state, command) {
+                    Applied::Changed { .. } => proposer.push(task),
                     Applied::Unchanged { answer } => {
-                        core.done(item.request, Outcome::Unchanged { revision: value.revision, answer });
+                        context
+                            .complete(task.request, Outcome::Unchanged { revision: value.revision, answer });
                     }
                     Applied::Refused { answer } => {
-                        core.done(item.request, Outcome::Refused { revision: value.revision, answer });
+                        context.complete(task.request, Outcome::Refused { revision: value.revision, answer });
                     }
                 },
                 _ => {
                     let (revision, state) = (value.revision, value.state.clone());
-                    core.done(item.request, Outcome::Value { revision, state });
+                    context.complete(task.request, Outcome::Value { revision, state });
                 }
             }
         }
     }
 
-    /// Leaves the items to the proposer, which gets the newest value decided.
+    /// Leaves the items to the proposer, which gets the newest value committed.
     fn repair(&mut self, proposer: &mut Proposer) {
-        for item in self.query.take().into_iter().flat_map(|query| query.items) {
-            proposer.push(item);
+        for task in self.query.take().into_iter().flat_map(|query| query.tasks) {
+            proposer.push(task);
         }
     }
 }
 
 impl Query {
     fn message(&self) -> Message {
-        Message::Query { request: self.request, known: self.start.ballot }
+        Message::ReadQuery { request: self.request, known: self.start.ballot }
     }
 
-    fn awaits(&self, node: Node) -> bool {
-        self.asked.contains(&node) && !self.votes.counts(node)
+    fn is_awaiting(&self, node: Node) -> bool {
+        self.sent_to.contains(&node) && !self.votes.counts(node)
     }
 
     fn groups(&self) -> Vec<Group> {
         union(&self.start.value.groups, &self.newest.value.groups)
     }
 
-    fn ask(&mut self, core: &mut Core, nodes: &[Node]) {
+    fn ask(&mut self, context: &mut Context, nodes: &[Node]) {
         for node in nodes {
-            if !self.asked.contains(node) {
-                self.asked.push(*node);
-                core.send(*node, self.message());
+            if !self.sent_to.contains(node) {
+                self.sent_to.push(*node);
+                context.send(*node, self.message());
             }
         }
     }
 
-    /// Whether the newest value is decided. A recovered replica may hold a value below its promise that it
+    /// Whether the newest value is committed. A recovered replica may hold a value below its promise that it
     /// never voted for, so only those count whose promise is that same ballot.
-    fn is_decided(&self, core: &Core) -> bool {
+    fn is_committed(&self, context: &Context) -> bool {
         let newest = self.newest.ballot;
-        let known = core.decided.as_ref().is_some_and(|decided| decided.ballot == newest);
-        let accepted = |told: &Told| told.accepted == newest && told.promised == newest;
+        let known = context.committed.as_ref().is_some_and(|committed| committed.ballot == newest);
+        let accepted = |state: &AcceptorState| state.accepted == newest && state.promised == newest;
         known
-            || core.settings.has(Fault::ReadUndecided)
-            || self.votes.satisfy(&self.newest.value.groups, accepted)
+            || context.settings.has(Fault::ReadUncommitted)
+            || self.votes.have_majorities(&self.newest.value.groups, accepted)
     }
 }
--- a/crates/coordination/src/register/record.rs
+++ b/crates/coordination/src/register/record.rs
@@ -4,7 +4,7 @@
 
 use super::ballot::Ballot;
 use super::codec::{self, CodecError};
-use super::node::Floors;
+use super::node::MinimumIncarnations;
 use super::value::Value;
 
 /// The durable state of a replica. One that is still recovering has none.
@@ -20,7 +20,7 @@
     /// The accepted value.
     pub value: Value,
     /// Floors of other nodes.
-    pub floors: Floors,
+    pub minimum_incarnations: MinimumIncarnations,
 }
 
 impl Record {
--- a/crates/coordination/src/register/recovery.rs
+++ b/crates/coordination/src/register/recovery.rs
@@ -4,18 +4,18 @@
 use std::time::Duration;
 
 use super::ballot::Ballot;
-use super::core::{Core, Proposal};
+use super::context::{Context, Proposal};
 use super::message::Message;
-use super::node::{Floors, Node};
+use super::node::{MinimumIncarnations, Node};
 use super::record::Record;
 use super::settings::Fault;
 use super::value::{Group, Value};
 
 /// What a replica answered.
 #[derive(Clone, Hash)]
-pub(super) struct Testimony {
+pub(super) struct RecoveryResponse {
     pub(super) incarnation: u64,
-    pub(super) floors: Floors,
+    pub(super) minimum_incarnations: MinimumIncarnations,
     pub(super) promised: Ballot,
     pub(super) accepted: Ballot,
     pub(super) value: Value,
@@ -26,102 +26,104 @@
     /// The incarnation being registered; zero while it is still being asked for.
     incarnation: u64,
     contacts: Vec<Node>,
-    answers: BTreeMap<Node, Testimony>,
+    answers: BTreeMap<Node, RecoveryResponse>,
     resend_at: Duration,
     interval: Duration,
 }
 
 impl Recovery {
-    pub(super) fn start(core: &mut Core) -> Self {
+    pub(super) fn start(context: &mut Context) -> Self {
         let mut recovery = Self {
             incarnation: 0,
             contacts: Vec::new(),
             answers: BTreeMap::new(),
-            resend_at: core.now + core.settings.retry_interval,
-            interval: core.settings.retry_interval,
+            resend_at: context.now + context.settings.retry_interval,
+            interval: context.settings.retry_interval,
         };
-        for seed in core.settings.seeds.clone() {
-            recovery.contact(core, seed);
+        for seed in context.settings.seeds.clone() {
+            recovery.contact(context, seed);
         }
         recovery
     }
 
     /// A replica can be reached: it is asked unless it has answered.
-    pub(super) fn reach(&mut self, core: &mut Core, node: Node) {
+    pub(super) fn on_reachable(&mut self, context: &mut Context, node: Node) {
         if !self.contacts.contains(&node) {
             self.contacts.push(node);
         }
         if !self.answers.contains_key(&node) {
-            self.ask(core, node);
+            self.ask(context, node);
         }
     }
 
     /// Asks a replica that was not asked before.
-    fn contact(&mut self, core: &mut Core, node: Node) {
-        if node != core.node() && !self.contacts.contains(&node) {
+    fn contact(&mut self, context: &mut Context, node: Node) {
+        if node != context.node() && !self.contacts.contains(&node) {
             self.contacts.push(node);
-            self.ask(core, node);
+            self.ask(context, node);
         }
     }
 
-    fn ask(&self, core: &mut Core, node: Node) {
-        core.send(node, Message::Register { nonce: core.nonce, incarnation: self.incarnation });
+    fn ask(&self, context: &mut Context, node: Node) {
+        context
+            .send(node, Message::RegisterIncarnation { nonce: context.nonce, incarnation: self.incarnation });
     }
 
     pub(super) fn next_wake(&self) -> Duration {
         self.resend_at
     }
 
-    pub(super) fn on_tick(&mut self, core: &mut Core) {
-        if self.resend_at > core.now {
+    pub(super) fn on_tick(&mut self, context: &mut Context) {
+        if self.resend_at > context.now {
             return;
         }
-        self.interval = core.longer(self.interval);
-        self.resend_at = core.now + self.interval;
+        self.interval = context.next_retry_interval(self.interval);
+        self.resend_at = context.now + self.interval;
         for node in self.contacts.iter().filter(|node| !self.answers.contains_key(*node)) {
-            self.ask(core, *node);
+            self.ask(context, *node);
         }
     }
 
     /// Takes an answer; gives the record once enough have answered.
     pub(super) fn on_registered(
         &mut self,
-        core: &mut Core,
+        context: &mut Context,
         from: Node,
-        asked: u64,
-        answer: Testimony,
+        requested: u64,
+        answer: RecoveryResponse,
     ) -> Option<Record> {
-        if asked != self.incarnation {
+        if requested != self.incarnation {
             return None;
         }
-        let floor = answer.floors.of(core.node());
+        let minimum = answer.minimum_incarnations.of(context.node());
         self.answers.insert(from, answer);
         for node in self.newest()?.value.members() {
-            self.contact(core, node);
+            self.contact(context, node);
         }
-        if asked != 0 && floor > asked {
-            self.ask_all(core, 0);
+        if requested != 0 && minimum > requested {
+            self.ask_all(context, 0);
             return None;
         }
-        if self.missing(core).is_some() {
+        if self.missing(context).is_some() {
             return None;
         }
         if self.incarnation == 0 {
-            let highest = self.answers.values().map(|answer| answer.floors.of(core.node())).max();
-            self.ask_all(core, highest.unwrap_or_default() + 1);
+            let highest =
+                self.answers.values().map(|answer| answer.minimum_incarnations.of(context.node())).max();
+            self.ask_all(context, highest.unwrap_or_default() + 1);
             return None;
         }
-        self.record(core)
+        self.record(context)
     }
 
     /// Starts the next stage.
-    fn ask_all(&mut self, core: &mut Core, incarnation: u64) {
+    fn ask_all(&mut self, context: &mut Context, incarnation: u64) {
         self.incarnation = incarnation;
         self.answers.clear();
-        self.interval = core.settings.retry_interval;
-        self.resend_at = core.now + self.interval;
+        self.interval = context.settings.retry_interval;
+        self.resend_at = context.now + self.interval;
         for node in self.contacts.clone() {
-            self.ask(core, node);
+            self.ask(context, node);
         }
     }
 
@@ -131,30 +133,30 @@
     }
 
     /// Answered and needed in the first group that lacks answers.
-    pub(super) fn missing(&self, core: &Core) -> Option<(usize, usize)> {
+    pub(super) fn missing(&self, context: &Context) -> Option<(usize, usize)> {
         let Some(newest) = self.newest() else {
             return Some((0, 0));
         };
-        newest.value.groups.iter().map(|group| self.count(core, group)).find(|(has, needs)| has < needs)
+        newest.value.groups.iter().map(|group| self.count(context, group)).find(|(has, needs)| has < needs)
     }
 
-    fn count(&self, core: &Core, group: &Group) -> (usize, usize) {
+    fn count(&self, context: &Context, group: &Group) -> (usize, usize) {
         let answered = group.members().iter().filter(|node| self.answers.contains_key(node)).count();
-        let needed = if core.settings.has(Fault::RecoverFromOne) { 1 } else { group.recovery_quorum() };
+        let needed = if context.settings.has(Fault::RecoverFromOne) { 1 } else { group.recovery_quorum() };
         (answered, needed)
     }
 
     /// The highest promise, the newest accepted value and all floors.
-    fn record(&self, core: &Core) -> Option<Record> {
+    fn record(&self, context: &Context) -> Option<Record> {
         let newest = self.newest()?;
-        let mut floors = Floors::default();
+        let mut minimum_incarnations = MinimumIncarnations::default();
         for (node, answer) in &self.answers {
-            floors.merge(&answer.floors);
-            floors.raise(*node, answer.incarnation);
+            minimum_incarnations.merge(&answer.minimum_incarnations);
+            minimum_incarnations.raise(*node, answer.incarnation);
         }
         let promised = self.answers.values().map(|answer| answer.promised).max()?;
         let promised = promised.max(newest.ballot);
-        let (accepted, value) = (newest.ballot, core.taken_over(newest.value));
-        Some(Record { incarnation: self.incarnation, promised, accepted, value, floors })
+        let (accepted, value) = (newest.ballot, context.adopt(newest.value));
+        Some(Record { incarnation: self.incarnation, promised, accepted, value, minimum_incarnations })
     }
 }
--- a/crates/coordination/src/register/settings.rs
+++ b/crates/coordination/src/register/settings.rs
@@ -23,7 +23,7 @@
     pub backoff: Duration,
     /// Wait before a write that the disk refused is tried again.
     pub persist_retry: Duration,
-    /// Every so often one other member is asked for a newer decided value.
+    /// Every so often one other member is asked for a newer committed value.
     pub announce_interval: Duration,
     /// Most commands proposed together.
     pub batch_limit: usize,
@@ -77,16 +77,16 @@
     NewGroupOnly,
     /// The highest accepted value found in phase one is not taken over.
     IgnoreAccepted,
-    /// A read answers from the local decided value.
+    /// A read answers from the local committed value.
     ReadLocally,
-    /// A read answers with the newest accepted value, decided or not.
-    ReadUndecided,
+    /// A read answers with the newest accepted value, committed or not.
+    ReadUncommitted,
     /// An acceptor forgets its promise once asked to accept.
     AcceptBelowPromise,
     /// A majority is one less.
     SmallMajority,
-    /// The end of a change of members that was accepted, and not decided, is left as it is.
-    EndUndecided,
+    /// The end of a change of members that was accepted, and not committed, is left as it is.
+    LeaveChangeUncommitted,
     /// A preempted command is proposed again without looking whether it took effect.
     ProposeTwice,
     /// The recent changes of a value that is taken over from others (recovery, catching up) are left out.
--- a/crates/coordination/src/register/value.rs
+++ b/crates/coordination/src/register/value.rs
@@ -138,13 +138,13 @@
 
     /// Whether the change is among the remembered ones.
     #[must_use]
-    pub fn remembers(&self, id: ChangeId) -> bool {
+    pub fn has_change(&self, id: ChangeId) -> bool {
         self.history.iter().any(|change| change.id == id)
     }
 
     /// Whether every change made after `revision` is still remembered.
     #[must_use]
-    pub fn remembers_since(&self, revision: u64) -> bool {
+    pub fn has_all_changes_since(&self, revision: u64) -> bool {
         self.history.len() < HISTORY_LENGTH || self.history[0].revision <= revision
     }
 }
@@ -152,7 +152,7 @@
 /// A value on its way, or the word that the receiver has it already.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub enum Carried {
+pub enum ValueTransfer {
     /// The receiver has the value of the ballot named beside this field.
     #[deku(id = 0)]
     Omitted,
@@ -161,7 +161,7 @@
     Full(Value),
 }
 
-impl Carried {
+impl ValueTransfer {
     /// The value, if it was sent.
     #[must_use]
     pub fn into_value(self) -> Option<Value> {
--- a/crates/coordination/src/simulation/world.rs
+++ b/crates/coordination/src/simulation/world.rs
@@ -203,9 +203,9 @@
         let nonce = self.random.random();
         self.machines[at].start(settings, self.now, nonce)?;
         for other in 0..self.machines.len() {
-            self.input(at, Input::Contact { node: node_of(other) })?;
+            self.input(at, Input::PeerReachable { node: node_of(other) })?;
             if !self.machines[other].frozen {
-                self.input(other, Input::Contact { node: node_of(at) })?;
+                self.input(other, Input::PeerReachable { node: node_of(at) })?;
             }
         }
         self.flush(at)
@@ -249,7 +249,7 @@
             self.changes.pop();
             return Ok(());
         }
-        self.ask(via, None, |request, deadline| Input::ProposeMembers {
+        self.ask(via, None, |request, deadline| Input::ChangeMembers {
             request,
             remove,
             add: add.into_iter().collect(),
@@ -327,7 +327,7 @@
                 }
                 Output::Persist { token, record } => self.write(at, token, &record)?,
                 Output::Done { request, outcome } => self.history.answer(request, outcome)?,
-                Output::Learned { value } => {
+                Output::Committed { value } => {
                     self.machines[at].learn(value.revision)?;
                     self.history.decided(&value)?;
                 }
--- a/crates/coordination/tests/cluster/mod.rs
+++ b/crates/coordination/tests/cluster/mod.rs
@@ -108,8 +108,8 @@
     fn connect(&mut self, at: usize) {
         for other in (0..self.members.len()).filter(|other| *other != at) {
             if self.reach(at, other) {
-                self.input(at, Input::Contact { node: node(other) });
-                self.input(other, Input::Contact { node: node(at) });
+                self.input(at, Input::PeerReachable { node: node(other) });
+                self.input(other, Input::PeerReachable { node: node(at) });
             }
         }
     }
@@ -185,7 +185,7 @@
         let deadline = self.now + ANSWER_TIMEOUT;
         let nodes = |set: &[usize]| set.iter().copied().map(node).collect();
         let (remove, add) = (nodes(remove), nodes(add));
-        self.ask(at, |request| Input::ProposeMembers { request, remove, add, deadline })
+        self.ask(at, |request| Input::ChangeMembers { request, remove, add, deadline })
     }
 
     fn ask(&mut self, at: usize, input: impl FnOnce(u64) -> Input) -> u64 {
@@ -320,7 +320,7 @@
                 Output::Done { request, outcome } => {
                     self.answers.insert(request, outcome);
                 }
-                Output::Learned { value } => self.learn(at, value.revision, value.state),
+                Output::Committed { value } => self.learn(at, value.revision, value.state),
             }
         }
     }
--- a/crates/coordination/tests/golden_bytes.rs
+++ b/crates/coordination/tests/golden_bytes.rs
@@ -8,7 +8,7 @@
 use lanegate_coordination::lease::{LeaseMessage, LeaseRelease, LeaseReply, LeaseRequest};
 use lanegate_coordination::membership::{Heartbeat, NodeId};
 use lanegate_coordination::register::{
-    Ballot, Carried, Change, ChangeId, Floors, Group, Message, Node, Record, Value,
+    Ballot, Change, ChangeId, Group, Message, MinimumIncarnations, Node, Record, Value, ValueTransfer,
 };
 use lanegate_coordination::storage::{Directory, SimulatedDirectory, VersionedStore};
 use support::golden::{check, committed};
@@ -21,11 +21,11 @@
     Ballot { counter, node: node(2), nonce: 0x0102_0304_0506_0708, step: 3 }
 }
 
-fn floors() -> Floors {
-    let mut floors = Floors::default();
-    floors.raise(node(3), 5);
-    floors.raise(node(1), 6);
-    floors
+fn minimum_incarnations() -> MinimumIncarnations {
+    let mut minimum_incarnations = MinimumIncarnations::default();
+    minimum_incarnations.raise(node(3), 5);
+    minimum_incarnations.raise(node(1), 6);
+    minimum_incarnations
 }
 
 fn value() -> Value {
@@ -42,42 +42,49 @@
     let promise = |value| Message::Promise {
         ballot: ballot(9),
         incarnation: 4,
-        floors: floors(),
+        minimum_incarnations: minimum_incarnations(),
         accepted: ballot(8),
         value,
     };
-    let state = |value| Message::State {
+    let state = |value| Message::ReadReply {
         request: 11,
         incarnation: 4,
-        floors: floors(),
+        minimum_incarnations: minimum_incarnations(),
         promised: ballot(9),
         accepted: ballot(8),
         value,
     };
-    let registered = Message::Registered {
+    let registered = Message::IncarnationRegistered {
         nonce: 13,
-        asked: 14,
+        requested: 14,
         incarnation: 4,
-        floors: floors(),
+        minimum_incarnations: minimum_incarnations(),
         promised: ballot(9),
         accepted: ballot(8),
         value: value(),
     };
     vec![
         ("prepare", Message::Prepare { ballot: ballot(9), known: ballot(7) }),
-        ("promise", promise(Carried::Full(value()))),
-        ("promise-without-value", promise(Carried::Omitted)),
+        ("promise", promise(ValueTransfer::Full(value()))),
+        ("promise-without-value", promise(ValueTransfer::Omitted)),
         ("accept", Message::Accept { ballot: ballot(9), value: value() }),
-        ("accepted", Message::Accepted { ballot: ballot(9), incarnation: 4, floors: floors() }),
-        ("refused", Message::Refused { ballot: ballot(9), promised: ballot(10) }),
-        ("decided", Message::Decided { ballot: ballot(9), value: Carried::Full(value()) }),
-        ("decided-without-value", Message::Decided { ballot: ballot(9), value: Carried::Omitted }),
-        ("query", Message::Query { request: 11, known: ballot(7) }),
-        ("state", state(Carried::Full(value()))),
-        ("state-without-value", state(Carried::Omitted)),
-        ("inquire", Message::Inquire { decided: ballot(7), known: true }),
-        ("inquire-nothing-known", Message::Inquire { decided: Ballot::ZERO, known: false }),
-        ("register", Message::Register { nonce: 13, incarnation: 14 }),
+        (
+            "accepted",
+            Message::Accepted {
+                ballot: ballot(9),
+                incarnation: 4,
+                minimum_incarnations: minimum_incarnations(),
+            },
+        ),
+        ("refused", Message::Rejected { ballot: ballot(9), promised: ballot(10) }),
+        ("decided", Message::Committed { ballot: ballot(9), value: ValueTransfer::Full(value()) }),
+        ("decided-without-value", Message::Committed { ballot: ballot(9), value: ValueTransfer::Omitted }),
+        ("query", Message::ReadQuery { request: 11, known: ballot(7) }),
+        ("state", state(ValueTransfer::Full(value()))),
+        ("state-without-value", state(ValueTransfer::Omitted)),
+        ("inquire", Message::PollCommitted { committed: ballot(7), known: true }),
+        ("inquire-nothing-known", Message::PollCommitted { committed: Ballot::ZERO, known: false }),
+        ("register", Message::RegisterIncarnation { nonce: 13, incarnation: 14 }),
         ("registered", registered),
     ]
 }
@@ -93,7 +100,13 @@
 }
 
 fn record() -> Record {
-    Record { incarnation: 4, promised: ballot(9), accepted: ballot(8), value: value(), floors: floors() }
+    Record {
+        incarnation: 4,
+        promised: ballot(9),
+        accepted: ballot(8),
+        value: value(),
+        minimum_incarnations: minimum_incarnations(),
+    }
 }
 
 fn founding_record() -> Record {
@@ -102,7 +115,7 @@
         promised: Ballot::ZERO,
         accepted: Ballot::ZERO,
         value: Value::initial(vec![node(1)], Bytes::new()),
-        floors: Floors::default(),
+        minimum_incarnations: MinimumIncarnations::default(),
     }
 }
 
--- a/crates/coordination/tests/modelled_register/mod.rs
+++ b/crates/coordination/tests/modelled_register/mod.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use lanegate_coordination::register::{
-    Applied, Ballot, Carried, Fault, Input, Message, Node, Outcome, Output, Record, Replica, Settings,
-    StateMachine, Value,
+    Applied, Ballot, Fault, Input, Message, Node, Outcome, Output, Record, Replica, Settings, StateMachine,
+    Value, ValueTransfer,
 };
 use stateright::{Model, Property};
 
@@ -71,7 +71,7 @@
 impl Change {
     fn input(self, proposer: usize) -> Input {
         let (request, deadline) = (proposer as u64, Duration::MAX);
-        let members = |add| Input::ProposeMembers { request, remove: vec![node(A)], add, deadline };
+        let members = |add| Input::ChangeMembers { request, remove: vec![node(A)], add, deadline };
         match self {
             Change::Command => Input::Propose { request, command: vec![letter(proposer)], deadline },
             Change::Leave => members(Vec::new()),
@@ -163,16 +163,16 @@
                     self.acknowledged.insert(request as usize, revision);
                 }
                 Output::Done { .. } => {}
-                Output::Learned { value } => self.learn(value),
+                Output::Committed { value } => self.learn(value),
             }
         }
     }
 
     /// Reads, refusals and news of decisions are left out: they change no vote.
     fn send(&mut self, from: usize, to: usize, message: &Message) {
-        let reads = matches!(message, Message::Query { .. } | Message::State { .. });
-        let news = matches!(message, Message::Inquire { .. } | Message::Decided { .. });
-        let left_out = reads || news || matches!(message, Message::Refused { .. });
+        let reads = matches!(message, Message::ReadQuery { .. } | Message::ReadReply { .. });
+        let news = matches!(message, Message::PollCommitted { .. } | Message::Committed { .. });
+        let left_out = reads || news || matches!(message, Message::Rejected { .. });
         if !left_out {
             self.network.insert(Envelope { from, to, bytes: message.encode().unwrap() });
         }
@@ -228,8 +228,8 @@
             broken: false,
         };
         (0..REPLICAS).for_each(|index| state.flush(index));
-        let value = Carried::Full(Value::initial(founders(), bytes::Bytes::new()));
-        let message = Message::Decided { ballot: Ballot::ZERO, value };
+        let value = ValueTransfer::Full(Value::initial(founders(), bytes::Bytes::new()));
+        let message = Message::Committed { ballot: Ballot::ZERO, value };
         state.input(FOUNDERS, Input::Message { from: node(1), message });
         state.deliver_all();
         vec![state]
--- a/crates/coordination/tests/register_codec.rs
+++ b/crates/coordination/tests/register_codec.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use lanegate_coordination::register::{
-    Ballot, Carried, Change, ChangeId, Floors, Group, Message, Node, Record, Value,
+    Ballot, Change, ChangeId, Group, Message, MinimumIncarnations, Node, Record, Value, ValueTransfer,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -16,13 +16,13 @@
     parts.prop_map(|(counter, node, nonce, step)| Ballot { counter, node, nonce, step })
 }
 
-fn floors() -> impl Strategy<Value = Floors> {
+fn minimum_incarnations() -> impl Strategy<Value = MinimumIncarnations> {
     vec((node(), 1..u64::MAX), 0..4).prop_map(|entries| {
-        let mut floors = Floors::default();
+        let mut minimum_incarnations = MinimumIncarnations::default();
         for (node, incarnation) in entries {
-            floors.raise(node, incarnation);
+            minimum_incarnations.raise(node, incarnation);
         }
-        floors
+        minimum_incarnations
     })
 }
 
@@ -42,58 +42,68 @@
     })
 }
 
-fn carried() -> impl Strategy<Value = Carried> {
-    prop_oneof![Just(Carried::Omitted), value().prop_map(Carried::Full)]
+fn carried() -> impl Strategy<Value = ValueTransfer> {
+    prop_oneof![Just(ValueTransfer::Omitted), value().prop_map(ValueTransfer::Full)]
 }
 
 fn phase_one() -> impl Strategy<Value = Message> {
-    let promise = (ballot(), any::<u64>(), floors(), ballot(), carried());
+    let promise = (ballot(), any::<u64>(), minimum_incarnations(), ballot(), carried());
     prop_oneof![
         (ballot(), ballot()).prop_map(|(ballot, known)| Message::Prepare { ballot, known }),
-        promise.prop_map(|(ballot, incarnation, floors, accepted, value)| Message::Promise {
+        promise.prop_map(|(ballot, incarnation, minimum_incarnations, accepted, value)| Message::Promise {
             ballot,
             incarnation,
-            floors,
+            minimum_incarnations,
             accepted,
             value
         }),
-        (ballot(), ballot()).prop_map(|(ballot, promised)| Message::Refused { ballot, promised }),
+        (ballot(), ballot()).prop_map(|(ballot, promised)| Message::Rejected { ballot, promised }),
     ]
 }
 
 fn phase_two() -> impl Strategy<Value = Message> {
-    let accepted = (ballot(), any::<u64>(), floors());
+    let accepted = (ballot(), any::<u64>(), minimum_incarnations());
     prop_oneof![
         (ballot(), value()).prop_map(|(ballot, value)| Message::Accept { ballot, value }),
-        accepted.prop_map(|(ballot, incarnation, floors)| Message::Accepted { ballot, incarnation, floors }),
-        (ballot(), carried()).prop_map(|(ballot, value)| Message::Decided { ballot, value }),
+        accepted.prop_map(|(ballot, incarnation, minimum_incarnations)| Message::Accepted {
+            ballot,
+            incarnation,
+            minimum_incarnations
+        }),
+        (ballot(), carried()).prop_map(|(ballot, value)| Message::Committed { ballot, value }),
     ]
 }
 
 fn reading() -> impl Strategy<Value = Message> {
-    let state = (any::<u64>(), any::<u64>(), floors(), ballot(), ballot(), carried());
+    let state = (any::<u64>(), any::<u64>(), minimum_incarnations(), ballot(), ballot(), carried());
     prop_oneof![
-        (any::<u64>(), ballot()).prop_map(|(request, known)| Message::Query { request, known }),
-        state.prop_map(|(request, incarnation, floors, promised, accepted, value)| Message::State {
-            request,
-            incarnation,
-            floors,
-            promised,
-            accepted,
-            value
+        (any::<u64>(), ballot()).prop_map(|(request, known)| Message::ReadQuery { request, known }),
+        state.prop_map(|(request, incarnation, minimum_incarnations, promised, accepted, value)| {
+            Message::ReadReply { request, incarnation, minimum_incarnations, promised, accepted, value }
         }),
-        (ballot(), any::<bool>()).prop_map(|(decided, known)| Message::Inquire { decided, known }),
+        (ballot(), any::<bool>()).prop_map(|(committed, known)| Message::PollCommitted { committed, known }),
     ]
 }
 
 fn recovering() -> impl Strategy<Value = Message> {
-    let registered = (any::<u64>(), any::<u64>(), any::<u64>(), floors(), ballot(), ballot(), value());
+    let registered =
+        (any::<u64>(), any::<u64>(), any::<u64>(), minimum_incarnations(), ballot(), ballot(), value());
     prop_oneof![
         (any::<u64>(), any::<u64>())
-            .prop_map(|(nonce, incarnation)| Message::Register { nonce, incarnation }),
-        registered.prop_map(|(nonce, asked, incarnation, floors, promised, accepted, value)| {
-            Message::Registered { nonce, asked, incarnation, floors, promised, accepted, value }
-        }),
+            .prop_map(|(nonce, incarnation)| Message::RegisterIncarnation { nonce, incarnation }),
+        registered.prop_map(
+            |(nonce, requested, incarnation, minimum_incarnations, promised, accepted, value)| {
+                Message::IncarnationRegistered {
+                    nonce,
+                    requested,
+                    incarnation,
+                    minimum_incarnations,
+                    promised,
+                    accepted,
+                    value,
+                }
+            }
+        ),
     ]
 }
 
@@ -102,13 +112,13 @@
 }
 
 fn record() -> impl Strategy<Value = Record> {
-    let parts = (any::<u64>(), ballot(), ballot(), value(), floors());
-    parts.prop_map(|(incarnation, promised, accepted, value, floors)| Record {
+    let parts = (any::<u64>(), ballot(), ballot(), value(), minimum_incarnations());
+    parts.prop_map(|(incarnation, promised, accepted, value, minimum_incarnations)| Record {
         incarnation,
         promised,
         accepted,
         value,
-        floors,
+        minimum_incarnations,
     })
 }
 
--- a/crates/coordination/tests/register_digests.rs
+++ b/crates/coordination/tests/register_digests.rs
@@ -43,7 +43,7 @@
             digest.number(*request);
             add_outcome(digest, outcome);
         }
-        Output::Learned { value } => {
+        Output::Committed { value } => {
             digest.tag(3);
             digest.number(value.revision);
             digest.bytes(&value.state);
--- a/crates/coordination/tests/register_faults.rs
+++ b/crates/coordination/tests/register_faults.rs
@@ -35,7 +35,7 @@
     a_majority_of_the_new_group_only: NewGroupOnly;
     an_accepted_value_not_taken_over: IgnoreAccepted;
     a_read_from_local_state: ReadLocally;
-    a_read_of_an_undecided_value: ReadUndecided;
+    a_read_of_an_undecided_value: ReadUncommitted;
     an_accept_below_a_promise: AcceptBelowPromise;
     a_majority_that_is_too_small: SmallMajority;
     a_command_proposed_twice: ProposeTwice;
--- a/crates/coordination/tests/register_scenarios.rs
+++ b/crates/coordination/tests/register_scenarios.rs
@@ -42,7 +42,7 @@
 #[test]
 fn the_scenario_on_an_accepted_end_needs_it_decided() {
     let scenario = named("proposer-lost-with-the-final-value.txt");
-    assert!(World::play(&scenario, Some(Fault::EndUndecided)).is_err());
+    assert!(World::play(&scenario, Some(Fault::LeaveChangeUncommitted)).is_err());
 }
 
 #[test]
