--- a/crates/controller/src/controller/disk.rs
+++ b/crates/controller/src/controller/disk.rs
@@ -2,7 +2,7 @@
 
 use super::event::Event;
 use lanegate_coordination::register::{CodecError, Record};
-use lanegate_coordination::storage::{Folder, StoreError, VersionedStore};
+use lanegate_coordination::storage::{FileDirectory, StoreError, VersionedStore};
 use parking_lot::Mutex;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -65,7 +65,7 @@
 impl Disk {
     /// Starts the thread; the end of each write comes as [`Event::Written`].
     pub fn start(
-        mut folder: Folder,
+        mut folder: FileDirectory,
         mut stores: BTreeMap<u8, VersionedStore>,
         events: mpsc::UnboundedSender<Event>,
         counts: Arc<DiskCounts>,
@@ -94,7 +94,7 @@
 }
 
 fn write(
-    folder: &mut Folder,
+    folder: &mut FileDirectory,
     stores: &mut BTreeMap<u8, VersionedStore>,
     shard: u8,
     record: &Record,
--- a/crates/controller/src/controller/metrics.rs
+++ b/crates/controller/src/controller/metrics.rs
@@ -148,7 +148,7 @@
         }
         exposition.set_labelled(&SHARD_OWNER, &labels, self.owns(shard));
         exposition.set_labelled(&SHARD_CONTACT, &labels, self.has_contact(shard));
-        let may_act = self.leases.may_act(self.now(), u32::from(shard), Duration::ZERO);
+        let may_act = self.leases.current_epoch(self.now(), u32::from(shard), Duration::ZERO);
         exposition.set_labelled(&SHARD_LEASE, &labels, may_act.is_some());
         exposition.set_labelled(&SHARD_EPOCH, &labels, self.placements.epoch(shard).unwrap_or_default());
     }
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -100,7 +100,7 @@
 use lanegate_config::configuration::Configuration;
 use lanegate_config::settings::Settings;
 use lanegate_coordination::lease::LeaseNode;
-use lanegate_coordination::membership::Membership;
+use lanegate_coordination::membership::FailureDetector;
 use lanegate_invariants::Violations;
 use margin::Margins;
 use members::Members;
@@ -131,7 +131,7 @@
     endpoints: Endpoints,
     shards: Shards,
     operator: Operator,
-    membership: Membership,
+    membership: FailureDetector,
     contact: Contact,
     trust: Trust,
     members: Members,
--- a/crates/controller/src/controller/placing.rs
+++ b/crates/controller/src/controller/placing.rs
@@ -151,7 +151,7 @@
         let shard = u32::from(action.shard);
         let epoch = match &action.action {
             Action::Order(_) => self.leases.authorize(now, shard, ORDER_WIRE_TIME),
-            Action::RequestReport { .. } => self.leases.may_act(now, shard, ORDER_WIRE_TIME),
+            Action::RequestReport { .. } => self.leases.current_epoch(now, shard, ORDER_WIRE_TIME),
         };
         let goes_on = self.has_fault(ControllerFault::OrderWithoutLease);
         let epoch = if goes_on { self.placements.epoch(action.shard) } else { epoch };
--- a/crates/controller/src/controller/registers.rs
+++ b/crates/controller/src/controller/registers.rs
@@ -110,7 +110,7 @@
                 self.leases.epoch_acquired(now, shard, tenure, read_epoch(answer))
             }
             _ if self.has_fault(ControllerFault::GiveUpEpoch) => Vec::new(),
-            _ => self.leases.epoch_missed(now, shard, tenure),
+            _ => self.leases.epoch_unavailable(now, shard, tenure),
         };
         self.lease_outputs(outputs);
     }
--- a/crates/controller/src/controller/setup.rs
+++ b/crates/controller/src/controller/setup.rs
@@ -27,9 +27,9 @@
 use crate::message::{Hello, Role};
 use lanegate_config::settings::Settings;
 use lanegate_coordination::lease::{GrantorStart, LeaseNode, LeaseSettings};
-use lanegate_coordination::membership::{Membership, MembershipSettings, NodeId};
+use lanegate_coordination::membership::{FailureDetector, MembershipSettings, NodeId};
 use lanegate_coordination::register::{self, Node, Record, Replica, StateMachine};
-use lanegate_coordination::storage::{Directory, Folder, StoreError, VersionedStore};
+use lanegate_coordination::storage::{Directory, FileDirectory, StoreError, VersionedStore};
 use lanegate_invariants::Violations;
 use lanegate_metrics::{MetricsAddress, Scrapes};
 use std::collections::BTreeMap;
@@ -133,8 +133,8 @@
 ) -> Result<Controller, ControllerError> {
     let life = draw_life();
     let folder = settings.data_dir.clone().ok_or(ControllerError::Missing("DataDir"))?;
-    let mut directory =
-        Folder::open(&folder).map_err(|error| ControllerError::Folder { folder: folder.clone(), error })?;
+    let mut directory = FileDirectory::open(&folder)
+        .map_err(|error| ControllerError::Folder { folder: folder.clone(), error })?;
     let (stores, records) = open_stores(&folder, &mut directory)?;
     let disk = Disk::start(directory, stores, events.clone(), counts)?;
     let hello = hello(&settings, control, life);
@@ -180,7 +180,11 @@
                 .with_fault(fault.and_then(ControllerFault::of_endpoints)),
             shards: Shards::new(replicas),
             operator: Operator::new(life),
-            membership: Membership::new(MembershipSettings::new(HEARTBEAT_INTERVAL, MONITORS), node, now),
+            membership: FailureDetector::new(
+                MembershipSettings::new(HEARTBEAT_INTERVAL, MONITORS),
+                node,
+                now,
+            ),
             contact: Contact::with_fault(control, life, fault.and_then(ControllerFault::of_contact)),
             trust: Trust::default(),
             members: Members::new(fault.and_then(ControllerFault::of_members)),
--- a/crates/controller/src/controller/turn.rs
+++ b/crates/controller/src/controller/turn.rs
@@ -60,11 +60,11 @@
         }
         self.last_turn = now;
         if self.membership.next_wake() <= now {
-            let outputs = self.membership.on_time(now);
+            let outputs = self.membership.on_tick(now);
             self.membership_outputs(outputs);
         }
         if self.leases.next_wake().is_some_and(|at| at <= now) {
-            let outputs = self.leases.on_time(now);
+            let outputs = self.leases.on_tick(now);
             self.lease_outputs(outputs);
         }
         if self.members.next_wake().is_some_and(|at| at <= now) {
--- a/crates/controller/src/simulation/disk.rs
+++ b/crates/controller/src/simulation/disk.rs
@@ -64,7 +64,7 @@
     pub(super) fn peek(&self) -> Records {
         let mut copy = Disk::new();
         copy.directory = self.directory.clone();
-        copy.directory.refusing = false;
+        copy.directory.rejects_writes = false;
         copy.open().unwrap_or_default()
     }
 
@@ -96,11 +96,11 @@
 
     /// The process dies, perhaps within a write.
     pub(super) fn interrupt(&mut self, random: &mut SmallRng) {
-        self.directory.steps_left = Some(random.random_range(0..=SAVE_STEPS));
+        self.directory.operations_until_crash = Some(random.random_range(0..=SAVE_STEPS));
         if let Some(write) = self.queue.pop_front() {
             self.save(write.shard, &write.record);
         }
-        self.directory.steps_left = None;
+        self.directory.operations_until_crash = None;
         self.queue.clear();
         self.stores = Stores::new();
         self.busy = false;
@@ -119,14 +119,14 @@
     }
 
     pub(super) fn fill(&mut self) {
-        self.directory.refusing = true;
+        self.directory.rejects_writes = true;
     }
 
     /// The disk is as good as new, apart from what is on it.
     pub(super) fn mend(&mut self) {
         self.longest_write = USUAL_WRITE;
         self.stalled = false;
-        self.directory.refusing = false;
+        self.directory.rejects_writes = false;
     }
 
     /// Whether writes take longer than usual, or for ever.
@@ -135,6 +135,6 @@
     }
 
     pub(super) fn is_healthy(&self) -> bool {
-        !self.is_slow() && !self.directory.refusing
+        !self.is_slow() && !self.directory.rejects_writes
     }
 }
--- a/crates/coordination/examples/cost_of_a_change.rs
+++ b/crates/coordination/examples/cost_of_a_change.rs
@@ -12,7 +12,7 @@
 use cluster::{Cluster, MachineMaker};
 use lanegate_config::control_state::{Command, Outcome};
 use lanegate_coordination::register::{Record, StateMachine};
-use lanegate_coordination::storage::{Directory, Folder, VersionedStore};
+use lanegate_coordination::storage::{Directory, FileDirectory, VersionedStore};
 
 const MEMBERS: usize = 3;
 const DEFAULT_ROUTES: usize = 400;
@@ -60,7 +60,7 @@
 /// Median of the time of a durable write of a record.
 fn write_time(record: &[u8]) -> std::io::Result<Duration> {
     let path = std::env::temp_dir().join(format!("lanegate-{RECORD_NAME}-{}", std::process::id()));
-    let mut folder = Folder::open(&path)?;
+    let mut folder = FileDirectory::open(&path)?;
     let (mut store, _) = VersionedStore::open(&mut folder, RECORD_NAME).expect("an empty folder");
     let written = time(|| store.save(&mut folder, record).expect("a folder with room"));
     for name in folder.list()? {
--- a/crates/coordination/src/lease/grantor.rs
+++ b/crates/coordination/src/lease/grantor.rs
@@ -22,7 +22,7 @@
     /// Rounds of the candidate up to this one count for nothing any more.
     round: u64,
     /// When another candidate may have a grant.
-    free_at: Duration,
+    expires_at: Duration,
 }
 
 /// Grants leases, for each shard to one life at a time.
@@ -32,18 +32,18 @@
     /// Newest known generation of each shard's group.
     generations: BTreeMap<u32, u64>,
     /// Before this time nothing is granted.
-    silent_until: Duration,
+    no_grants_before: Duration,
     grants: BTreeMap<u32, Grant>,
 }
 
 impl LeaseGrantor {
     /// A grantor that starts `now`.
     pub fn new(settings: LeaseSettings, start: GrantorStart, now: Duration) -> Self {
-        let silent_until = match start {
+        let no_grants_before = match start {
             GrantorStart::First => now,
-            GrantorStart::Restarted => now + settings.hold_off(settings.validity),
+            GrantorStart::Restarted => now + settings.lockout_period(settings.validity),
         };
-        LeaseGrantor { settings, generations: BTreeMap::new(), silent_until, grants: BTreeMap::new() }
+        LeaseGrantor { settings, generations: BTreeMap::new(), no_grants_before, grants: BTreeMap::new() }
     }
 
     /// Learns the generation of a shard's group; requests that know only an older one are refused from now on.
@@ -59,7 +59,7 @@
         if known.is_some_and(|grant| request.round <= grant.round) {
             return None;
         }
-        let wait = self.wait(now, request);
+        let wait = self.remaining_wait(now, request);
         let generation = self.generations.get(&request.shard).copied().unwrap_or_default();
         let granted = wait.is_zero() && request.generation >= generation;
         if granted {
@@ -70,7 +70,7 @@
             candidate: request.candidate,
             round: request.round,
             granted,
-            wait_ms: whole_ms(wait),
+            wait_ms: millis_rounded_up(wait),
         })
     }
 
@@ -80,32 +80,32 @@
         if grant.candidate != release.candidate || release.round < grant.round {
             return;
         }
-        let quiet = self.settings.stretched(self.settings.quiet_period);
+        let quiet = self.settings.with_clock_drift(self.settings.quiet_period);
         let idle = Duration::from_millis(release.idle_ms.into());
-        let free_at = now + quiet.saturating_sub(idle);
+        let expires_at = now + quiet.saturating_sub(idle);
         grant.round = release.round;
-        grant.free_at = grant.free_at.min(free_at);
+        grant.expires_at = grant.expires_at.min(expires_at);
     }
 
     /// How long this candidate has to wait for a grant; zero if it may have one.
-    fn wait(&self, now: Duration, request: &LeaseRequest) -> Duration {
+    fn remaining_wait(&self, now: Duration, request: &LeaseRequest) -> Duration {
         let grant = self.grants.get(&request.shard);
         let others = grant.filter(|grant| grant.candidate != request.candidate);
-        let free_at = others.map_or(Duration::ZERO, |grant| grant.free_at);
-        free_at.max(self.silent_until).saturating_sub(now)
+        let expires_at = others.map_or(Duration::ZERO, |grant| grant.expires_at);
+        expires_at.max(self.no_grants_before).saturating_sub(now)
     }
 
     fn grant(&mut self, now: Duration, request: &LeaseRequest) {
         let validity = Duration::from_millis(request.valid_ms.into());
         let known = self.grants.get(&request.shard);
-        let earlier = known.map_or(Duration::ZERO, |grant| grant.free_at);
-        let free_at = earlier.max(now + self.settings.hold_off(validity));
-        let grant = Grant { candidate: request.candidate, round: request.round, free_at };
+        let earlier = known.map_or(Duration::ZERO, |grant| grant.expires_at);
+        let expires_at = earlier.max(now + self.settings.lockout_period(validity));
+        let grant = Grant { candidate: request.candidate, round: request.round, expires_at };
         self.grants.insert(request.shard, grant);
     }
 }
 
 /// A wait in the unit of the messages, rounded up.
-fn whole_ms(wait: Duration) -> u32 {
+fn millis_rounded_up(wait: Duration) -> u32 {
     u32::try_from(wait.as_micros().div_ceil(1_000)).unwrap_or(u32::MAX)
 }
--- a/crates/coordination/src/lease/node.rs
+++ b/crates/coordination/src/lease/node.rs
@@ -45,23 +45,23 @@
     }
 
     /// Says whether this process is to hold the lease of the shard.
-    pub fn set_candidate(&mut self, now: Duration, shard: u32, wanted: bool) -> Vec<Output> {
-        let outputs = self.holder(shard).set_candidate(now, wanted);
+    pub fn set_candidate(&mut self, now: Duration, shard: u32, is_candidate: bool) -> Vec<Output> {
+        let outputs = self.holder(shard).set_candidate(now, is_candidate);
         self.deliver(now, shard, outputs)
     }
 
     /// Does what is due; to be called at [`LeaseNode::next_wake`].
-    pub fn on_time(&mut self, now: Duration) -> Vec<Output> {
+    pub fn on_tick(&mut self, now: Duration) -> Vec<Output> {
         let shards: Vec<_> = self.holders.keys().copied().collect();
         let mut all = Vec::new();
         for shard in shards {
-            let outputs = self.holder(shard).on_time(now);
+            let outputs = self.holder(shard).on_tick(now);
             all.extend(self.deliver(now, shard, outputs));
         }
         all
     }
 
-    /// When [`LeaseNode::on_time`] is to be called next; never while this process is no candidate.
+    /// When [`LeaseNode::on_tick`] is to be called next; never while this process is no candidate.
     pub fn next_wake(&self) -> Option<Duration> {
         self.holders.values().filter_map(LeaseHolder::next_wake).min()
     }
@@ -93,20 +93,20 @@
     }
 
     /// The register gave no epoch for a tenure in time.
-    pub fn epoch_missed(&mut self, now: Duration, shard: u32, tenure: Tenure) -> Vec<Output> {
+    pub fn epoch_unavailable(&mut self, now: Duration, shard: u32, tenure: Tenure) -> Vec<Output> {
         let Some(holder) = self.holders.get_mut(&shard) else { return Vec::new() };
-        let outputs = holder.epoch_missed(now, tenure);
+        let outputs = holder.epoch_unavailable(now, tenure);
         self.deliver(now, shard, outputs)
     }
 
     /// See [`LeaseHolder::authorize`].
-    pub fn authorize(&mut self, now: Duration, shard: u32, wire: Duration) -> Option<u64> {
-        self.holders.get_mut(&shard)?.authorize(now, wire)
+    pub fn authorize(&mut self, now: Duration, shard: u32, delivery_time: Duration) -> Option<u64> {
+        self.holders.get_mut(&shard)?.authorize(now, delivery_time)
     }
 
     /// See [`LeaseHolder::may_act`].
-    pub fn may_act(&self, now: Duration, shard: u32, wire: Duration) -> Option<u64> {
-        self.holders.get(&shard)?.may_act(now, wire)
+    pub fn current_epoch(&self, now: Duration, shard: u32, delivery_time: Duration) -> Option<u64> {
+        self.holders.get(&shard)?.current_epoch(now, delivery_time)
     }
 
     fn holder(&mut self, shard: u32) -> &mut LeaseHolder {
--- a/crates/coordination/src/lease/round.rs
+++ b/crates/coordination/src/lease/round.rs
@@ -1,11 +1,11 @@
 //! Rounds of requests that may still be answered in time.
 
-use super::group::Group;
+use super::group::GrantorGroup;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Rounds that are open at once at most: answers to older ones come too late to be of use.
-const MOST_OPEN: usize = 4;
+const MAX_OPEN_ROUNDS: usize = 4;
 
 /// One round of requests to all grantors.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -20,13 +20,13 @@
 
 impl Round {
     /// Whether a majority granted.
-    pub fn is_won(&self, group: &Group) -> bool {
+    pub fn has_majority(&self, group: &GrantorGroup) -> bool {
         group.is_majority(&self.granted)
     }
 
     /// Whether so many refused that no majority can come together.
-    pub fn is_lost(&self, group: &Group) -> bool {
-        group.is_lost(&self.refused)
+    pub fn is_refused(&self, group: &GrantorGroup) -> bool {
+        group.is_majority_refused(&self.refused)
     }
 
     /// Shortest wait that a refusing grantor named.
@@ -34,7 +34,7 @@
         self.waits.iter().min().copied().unwrap_or_default()
     }
 
-    fn note(&mut self, from: SocketAddr, granted: bool, wait: Duration) {
+    fn record_reply(&mut self, from: SocketAddr, granted: bool, wait: Duration) {
         if self.granted.contains(&from) || self.refused.contains(&from) {
             return;
         }
@@ -63,7 +63,7 @@
     /// Opens a round that is sent `now`.
     pub fn begin(&mut self, now: Duration) -> u64 {
         self.newest += 1;
-        if self.open.len() == MOST_OPEN {
+        if self.open.len() == MAX_OPEN_ROUNDS {
             self.open.remove(0);
         }
         let round = Round {
@@ -78,14 +78,20 @@
     }
 
     /// Notes an answer and hands back its round, if that is still open.
-    pub fn note(&mut self, number: u64, from: SocketAddr, granted: bool, wait: Duration) -> Option<&Round> {
+    pub fn record_reply(
+        &mut self,
+        number: u64,
+        from: SocketAddr,
+        granted: bool,
+        wait: Duration,
+    ) -> Option<&Round> {
         let round = self.open.iter_mut().find(|round| round.number == number)?;
-        round.note(from, granted, wait);
+        round.record_reply(from, granted, wait);
         Some(round)
     }
 
     /// Closes all rounds.
-    pub fn close(&mut self) {
+    pub fn close_all(&mut self) {
         self.open.clear();
     }
 }
--- a/crates/coordination/src/lease/settings.rs
+++ b/crates/coordination/src/lease/settings.rs
@@ -32,7 +32,7 @@
 /// One percent: far above what quartz clocks show, and what a virtual machine may add.
 const CLOCK_DRIFT_PPM: u32 = 10_000;
 /// Parts per million in a whole.
-const MILLION: u128 = 1_000_000;
+const PARTS_PER_MILLION: u128 = 1_000_000;
 
 impl LeaseSettings {
     /// Figures in proportion to the quiet period that the caller has to keep between two holders.
@@ -55,20 +55,20 @@
         if self.quiet_period.is_zero() {
             return Err(LeaseSettingsError::NoQuietPeriod);
         }
-        let longest = self.hold_off(self.validity).max(self.quiet_period);
+        let longest = self.lockout_period(self.validity).max(self.quiet_period);
         u32::try_from(longest.as_millis()).map_err(|_| LeaseSettingsError::TooLong)?;
         Ok(())
     }
 
     /// How long a grantor of `validity` refuses other candidates, on its own clock.
-    pub(super) fn hold_off(&self, validity: Duration) -> Duration {
-        self.stretched(validity + self.quiet_period)
+    pub(super) fn lockout_period(&self, validity: Duration) -> Duration {
+        self.with_clock_drift(validity + self.quiet_period)
     }
 
     /// `span` lengthened so that it is long enough where this clock is fast and that of the holder is slow.
-    pub(super) fn stretched(&self, span: Duration) -> Duration {
-        let parts = MILLION + 2 * u128::from(self.clock_drift_ppm) + DRIFT_SQUARED_PPM;
-        let nanoseconds = (span.as_nanos() * parts).div_ceil(MILLION);
+    pub(super) fn with_clock_drift(&self, span: Duration) -> Duration {
+        let parts = PARTS_PER_MILLION + 2 * u128::from(self.clock_drift_ppm) + DRIFT_SQUARED_PPM;
+        let nanoseconds = (span.as_nanos() * parts).div_ceil(PARTS_PER_MILLION);
         Duration::from_nanos(u64::try_from(nanoseconds).unwrap_or(u64::MAX))
     }
 }
--- a/crates/coordination/src/membership/detector.rs
+++ b/crates/coordination/src/membership/detector.rs
@@ -33,7 +33,7 @@
 
 /// The failure detector of one process: whom it monitors, who monitors it, and who is live.
 #[derive(Debug)]
-pub struct Membership {
+pub struct FailureDetector {
     settings: MembershipSettings,
     this: NodeId,
     nodes: Vec<SocketAddr>,
@@ -45,10 +45,10 @@
     last_call: Duration,
 }
 
-impl Membership {
+impl FailureDetector {
     /// A process that knows only itself.
     pub fn new(settings: MembershipSettings, this: NodeId, now: Duration) -> Self {
-        Membership {
+        FailureDetector {
             settings,
             this,
             nodes: vec![this.address()],
@@ -62,7 +62,7 @@
 
     /// Replaces the nodes that are known (with or without this one); what is known of those that stay is kept.
     pub fn set_nodes(&mut self, now: Duration, nodes: &[SocketAddr]) {
-        self.notice_pause(now);
+        self.detect_local_pause(now);
         let this = self.this.address();
         self.nodes = nodes.to_vec();
         self.nodes.push(this);
@@ -78,7 +78,7 @@
 
     /// Takes in a heartbeat; one from a node that is not monitored changes nothing.
     pub fn on_heartbeat(&mut self, now: Duration, heartbeat: &Heartbeat) -> Vec<Output> {
-        self.notice_pause(now);
+        self.detect_local_pause(now);
         let address = heartbeat.sender.address();
         let Some(peer) = self.peers.get_mut(&address) else { return Vec::new() };
         let Some(effect) = peer.on_heartbeat(now, heartbeat) else { return Vec::new() };
@@ -92,19 +92,19 @@
         outputs
     }
 
-    /// Sends what is due and judges the silence of each peer; to be called at [`Membership::next_wake`].
-    pub fn on_time(&mut self, now: Duration) -> Vec<Output> {
-        self.notice_pause(now);
+    /// Sends what is due and judges the silence of each peer; to be called at [`FailureDetector::next_wake`].
+    pub fn on_tick(&mut self, now: Duration) -> Vec<Output> {
+        self.detect_local_pause(now);
         let mut outputs = self.due_heartbeats(now);
         for (address, peer) in &mut self.peers {
-            if let Some(state) = peer.on_time(now, &self.settings) {
+            if let Some(state) = peer.on_tick(now, &self.settings) {
                 outputs.push(Output::StateChanged { peer: *address, state });
             }
         }
         outputs
     }
 
-    /// When [`Membership::on_time`] is to be called next.
+    /// When [`FailureDetector::on_tick`] is to be called next.
     pub fn next_wake(&self) -> Duration {
         let changes = self.peers.values().filter_map(|peer| peer.next_change(&self.settings));
         changes.min().map_or(self.next_heartbeat, |change| change.min(self.next_heartbeat))
@@ -138,14 +138,14 @@
     }
 
     /// After a pause of this process itself, silence says nothing of the peers: all get a fresh timeout.
-    fn notice_pause(&mut self, now: Duration) {
-        let paused = now.saturating_sub(self.last_call) > self.settings.pause_threshold;
+    fn detect_local_pause(&mut self, now: Duration) {
+        let paused = now.saturating_sub(self.last_call) > self.settings.local_pause_threshold;
         self.last_call = self.last_call.max(now);
         if !paused {
             return;
         }
         for peer in self.peers.values_mut() {
-            peer.grant_grace(now);
+            peer.restart_timeout(now);
         }
     }
 
--- a/crates/coordination/src/membership/peer.rs
+++ b/crates/coordination/src/membership/peer.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 /// Share of the newest gap in the smoothed mean: one eighth, as in the retransmission timer of TCP.
-const MEAN_SHARE: u32 = 8;
+const MEAN_GAIN_DIVISOR: u32 = 8;
 /// Share of the newest difference in the smoothed deviation: one quarter.
-const DEVIATION_SHARE: u32 = 4;
+const DEVIATION_GAIN_DIVISOR: u32 = 4;
 
 /// What a heartbeat changed.
 pub(super) struct HeartbeatEffect {
@@ -22,10 +22,10 @@
     pub state: PeerState,
     pub incarnation: Option<u64>,
     /// The life before the present one; its late heartbeats count for nothing.
-    replaced: Option<u64>,
+    previous_incarnation: Option<u64>,
     sequence: u64,
     /// Start of the silence: the last heartbeat, or a later moment from which grace was given.
-    silent_since: Duration,
+    idle_since: Duration,
     /// Arrival of the last heartbeat, unless the gap that follows it says nothing of the peer.
     gap_start: Option<Duration>,
     mean_gap: Duration,
@@ -38,9 +38,9 @@
         Peer {
             state: PeerState::Live,
             incarnation: None,
-            replaced: None,
+            previous_incarnation: None,
             sequence: 0,
-            silent_since: now,
+            idle_since: now,
             gap_start: None,
             mean_gap: settings.heartbeat_interval,
             gap_deviation: settings.heartbeat_interval / 4,
@@ -50,7 +50,7 @@
     /// Takes in a heartbeat; a late, doubled or outlived one changes nothing.
     pub fn on_heartbeat(&mut self, now: Duration, heartbeat: &Heartbeat) -> Option<HeartbeatEffect> {
         let incarnation = heartbeat.sender.incarnation;
-        if self.replaced == Some(incarnation) {
+        if self.previous_incarnation == Some(incarnation) {
             return None;
         }
         let restarted = self.incarnation.is_some_and(|known| known != incarnation);
@@ -58,39 +58,40 @@
             return None;
         }
         if restarted {
-            self.replaced = self.incarnation;
+            self.previous_incarnation = self.incarnation;
             self.gap_start = None;
         }
-        self.learn_gap(now);
+        self.update_gap_estimate(now);
         self.incarnation = Some(incarnation);
         self.sequence = heartbeat.sequence;
-        self.silent_since = now;
+        self.idle_since = now;
         let state_changed = self.state != PeerState::Live;
         self.state = PeerState::Live;
         Some(HeartbeatEffect { state_changed, restarted })
     }
 
     /// Smooths the newest gap into mean and deviation; gaps that ended a suspicion are outages, not samples.
-    fn learn_gap(&mut self, now: Duration) {
+    fn update_gap_estimate(&mut self, now: Duration) {
         let start = self.gap_start.replace(now);
         let Some(start) = start.filter(|_| self.state == PeerState::Live) else { return };
         let gap = now.saturating_sub(start);
         let difference = gap.abs_diff(self.mean_gap);
-        self.mean_gap = (self.mean_gap * (MEAN_SHARE - 1) + gap) / MEAN_SHARE;
-        self.gap_deviation = (self.gap_deviation * (DEVIATION_SHARE - 1) + difference) / DEVIATION_SHARE;
+        self.mean_gap = (self.mean_gap * (MEAN_GAIN_DIVISOR - 1) + gap) / MEAN_GAIN_DIVISOR;
+        self.gap_deviation =
+            (self.gap_deviation * (DEVIATION_GAIN_DIVISOR - 1) + difference) / DEVIATION_GAIN_DIVISOR;
     }
 
     /// Gives a peer that is not dead a whole timeout from now, because this process itself was frozen.
-    pub fn grant_grace(&mut self, now: Duration) {
+    pub fn restart_timeout(&mut self, now: Duration) {
         if self.state == PeerState::Dead {
             return;
         }
-        self.silent_since = now;
+        self.idle_since = now;
         self.gap_start = None;
     }
 
     /// The state that the silence up to `now` calls for, if it differs from the present one.
-    pub fn on_time(&mut self, now: Duration, settings: &MembershipSettings) -> Option<PeerState> {
+    pub fn on_tick(&mut self, now: Duration, settings: &MembershipSettings) -> Option<PeerState> {
         let state = self.state_at(now, settings);
         if state == self.state {
             return None;
@@ -101,7 +102,7 @@
 
     fn state_at(&self, now: Duration, settings: &MembershipSettings) -> PeerState {
         let timeout = self.timeout(settings);
-        let silence = now.saturating_sub(self.silent_since);
+        let silence = now.saturating_sub(self.idle_since);
         if self.state == PeerState::Dead || silence >= timeout * (1 + settings.dead_after_timeouts) {
             PeerState::Dead
         } else if self.state == PeerState::Suspect || silence >= timeout {
@@ -115,15 +116,15 @@
     pub fn next_change(&self, settings: &MembershipSettings) -> Option<Duration> {
         let timeout = self.timeout(settings);
         match self.state {
-            PeerState::Live => Some(self.silent_since + timeout),
-            PeerState::Suspect => Some(self.silent_since + timeout * (1 + settings.dead_after_timeouts)),
+            PeerState::Live => Some(self.idle_since + timeout),
+            PeerState::Suspect => Some(self.idle_since + timeout * (1 + settings.dead_after_timeouts)),
             PeerState::Dead => None,
         }
     }
 
     /// Silence after which the peer is suspected.
     fn timeout(&self, settings: &MembershipSettings) -> Duration {
-        let adaptive = self.mean_gap + self.gap_deviation * settings.deviations;
-        adaptive.clamp(settings.timeout_floor, settings.timeout_ceiling)
+        let adaptive = self.mean_gap + self.gap_deviation * settings.deviation_factor;
+        adaptive.clamp(settings.min_timeout, settings.max_timeout)
     }
 }
--- a/crates/coordination/src/simulation/disk.rs
+++ b/crates/coordination/src/simulation/disk.rs
@@ -59,16 +59,16 @@
 
     /// The process dies, perhaps within a write.
     pub(super) fn interrupt(&mut self, random: &mut SmallRng) {
-        self.directory.steps_left = Some(random.random_range(0..=SAVE_STEPS));
+        self.directory.operations_until_crash = Some(random.random_range(0..=SAVE_STEPS));
         let _ = self.finish_write();
-        self.directory.steps_left = None;
+        self.directory.operations_until_crash = None;
         self.store = None;
     }
 
     /// The disk is as good as new, apart from what is on it.
-    pub(super) fn mend(&mut self) {
+    pub(super) fn repair(&mut self) {
         self.longest_write = USUAL_WRITE;
         self.stalled = false;
-        self.directory.refusing = false;
+        self.directory.rejects_writes = false;
     }
 }
--- a/crates/coordination/src/simulation/verdict.rs
+++ b/crates/coordination/src/simulation/expectations.rs
@@ -4,26 +4,26 @@
 
 use super::append::Command;
 use super::history::Violation;
-use super::step::{Expectation, Machine as Index};
+use super::step::{Expectation, MachineIndex};
 use super::world::World;
 use crate::register::{Input, Outcome, Status};
 
 /// Time for everything to come right once it is mended: several of the longest retry intervals.
-const SETTLE_TIME: Duration = Duration::from_secs(12);
+const QUIESCE_TIME: Duration = Duration::from_secs(12);
 
 /// Time given to each of the last requests.
 const FINAL_DEADLINE: Duration = Duration::from_secs(12);
 
 impl World {
     /// Mends and starts everything; then every machine that is left must serve.
-    pub(super) fn settle(&mut self) -> Result<(), Violation> {
-        self.network.mend();
+    pub(super) fn quiesce(&mut self) -> Result<(), Violation> {
+        self.network.repair();
         for at in 0..self.machines.len() {
-            self.mend_disk(at)?;
+            self.repair_disk(at)?;
             self.thaw(at)?;
             self.start(at, false)?;
         }
-        self.run(SETTLE_TIME)?;
+        self.run(QUIESCE_TIME)?;
         for at in (0..self.machines.len()).filter(|at| !self.machines[*at].retired).collect::<Vec<_>>() {
             self.serve(at)?;
         }
@@ -31,38 +31,43 @@
     }
 
     /// A read and a change through one machine must both succeed.
-    pub(super) fn serve(&mut self, at: Index) -> Result<(), Violation> {
+    pub(super) fn serve(&mut self, at: MachineIndex) -> Result<(), Violation> {
         let deadline = self.now + FINAL_DEADLINE;
-        self.ask_until(at, None, deadline, |request, deadline| Input::Read { request, deadline })?;
+        self.request_until(at, None, deadline, |request, deadline| Input::Read { request, deadline })?;
         let read = self.machines[at].last_request;
         self.next_entry += 1;
         let command = Command::Append(self.next_entry);
         let propose = |request, deadline| Input::Propose { request, command: command.encode(), deadline };
-        self.ask_until(at, Some(command), deadline, propose)?;
+        self.request_until(at, Some(command), deadline, propose)?;
         let changed = self.machines[at].last_request;
         self.run(FINAL_DEADLINE)?;
         let read = read.and_then(|request| self.history.outcome(request));
         let changed = changed.and_then(|request| self.history.outcome(request));
         match (read, changed) {
             (Some(Outcome::Value { .. }), Some(Outcome::Changed { .. })) => Ok(()),
-            _ => Err(Violation::Stuck(at)),
+            _ => Err(Violation::Unavailable(at)),
         }
     }
 
-    pub(super) fn expect(&self, step: usize, at: Index, expected: Expectation) -> Result<(), Violation> {
+    pub(super) fn expect(
+        &self,
+        step: usize,
+        at: MachineIndex,
+        expected: Expectation,
+    ) -> Result<(), Violation> {
         let found = match expected {
-            Expectation::Member | Expectation::Spare | Expectation::Recovering => self.standing(at),
-            Expectation::Revision(_) => self.machines[at].learned().map(Expectation::Revision),
+            Expectation::Member | Expectation::Spare | Expectation::Recovering => self.member_status(at),
+            Expectation::Revision(_) => self.machines[at].newest_committed().map(Expectation::Revision),
             _ => self.answer(at),
         };
         if found == Some(expected) {
             return Ok(());
         }
         let found = found.map_or_else(|| "nothing".to_owned(), |found| found.to_string());
-        Err(Violation::Unmet { step, expected: expected.to_string(), found })
+        Err(Violation::UnmetExpectation { step, expected: expected.to_string(), found })
     }
 
-    pub(super) fn standing(&self, at: Index) -> Option<Expectation> {
+    pub(super) fn member_status(&self, at: MachineIndex) -> Option<Expectation> {
         self.machines[at].status().map(|status| match status {
             Status::Member => Expectation::Member,
             Status::Spare => Expectation::Spare,
@@ -70,7 +75,7 @@
         })
     }
 
-    pub(super) fn answer(&self, at: Index) -> Option<Expectation> {
+    pub(super) fn answer(&self, at: MachineIndex) -> Option<Expectation> {
         let request = self.machines[at].last_request?;
         let Some(outcome) = self.history.outcome(request) else {
             return Some(Expectation::Unanswered);
--- a/crates/coordination/src/simulation/tolerance.rs
+++ b/crates/coordination/src/simulation/fault_tolerance.rs
@@ -2,18 +2,18 @@
 
 use super::disk::Disk;
 use super::machine::index_of;
-use super::step::Machine as Index;
+use super::step::MachineIndex;
 use super::world::World;
 use crate::register::{Group, Node, Outcome, Record};
 
 /// A change of members that was asked for.
-pub(super) struct MemberChange {
+pub(super) struct RequestedMembershipChange {
     pub(super) request: u64,
     pub(super) remove: Vec<Node>,
     pub(super) add: Option<Node>,
 }
 
-impl MemberChange {
+impl RequestedMembershipChange {
     fn apply(&self, group: &Group) -> Group {
         let kept = group.members().iter().copied().filter(|node| !self.remove.contains(node));
         Group::new(kept.chain(self.add).collect())
@@ -22,13 +22,13 @@
 
 impl World {
     /// Whether the others can recover once a machine's disk is lost.
-    pub(super) fn may_lose(&mut self, lost: Index) -> bool {
+    pub(super) fn can_lose_disk(&mut self, lost: MachineIndex) -> bool {
         let groups = self.possible_groups();
-        self.keep_majorities(&groups, Some(lost))
+        self.keeps_majorities(&groups, Some(lost))
     }
 
     /// Whether a majority of every group keeps its record.
-    pub(super) fn keep_majorities(&mut self, groups: &[Group], lost: Option<Index>) -> bool {
+    pub(super) fn keeps_majorities(&mut self, groups: &[Group], lost: Option<MachineIndex>) -> bool {
         let stored: Vec<bool> = (0..self.machines.len())
             .map(|at| Some(at) != lost && !self.groups_on_disk(at).is_empty())
             .collect();
@@ -45,7 +45,7 @@
         let void = |outcome: &Outcome| matches!(outcome, Outcome::Refused { .. } | Outcome::Expired);
         let changes =
             self.changes.iter().filter(|change| !self.history.outcome(change.request).is_some_and(void));
-        let changes: Vec<&MemberChange> = changes.collect();
+        let changes: Vec<&RequestedMembershipChange> = changes.collect();
         let mut next = 0;
         while let Some(group) = groups.get(next).cloned() {
             for changed in changes.iter().map(|change| change.apply(&group)) {
@@ -60,7 +60,7 @@
     }
 
     /// The groups of the record on a machine's disk; none if there is no record.
-    pub(super) fn groups_on_disk(&mut self, at: Index) -> Vec<Group> {
+    pub(super) fn groups_on_disk(&mut self, at: MachineIndex) -> Vec<Group> {
         let directory = self.machines[at].disk.directory.clone();
         let mut copy = Disk::new();
         copy.directory = directory;
--- a/crates/coordination/src/simulation/history.rs
+++ b/crates/coordination/src/simulation/history.rs
@@ -5,7 +5,7 @@
 use thiserror::Error;
 
 use super::append::{Command, entries};
-use super::step::Machine;
+use super::step::MachineIndex;
 use crate::register::{Outcome, Value};
 
 /// A rule was broken.
@@ -24,7 +24,7 @@
     },
     /// A number is in the list twice.
     #[error("number {0} took effect twice")]
-    Twice(u32),
+    AppliedTwice(u32),
     /// A number that was given up before it was proposed is in the list.
     #[error("number {0} took effect after it had expired")]
     Expired(u32),
@@ -43,9 +43,9 @@
     },
     /// A replica learned an older value.
     #[error("machine {machine} learned revision {to} after {from}")]
-    Regress {
+    Regression {
         /// The machine.
-        machine: Machine,
+        machine: MachineIndex,
         /// Learned before.
         from: u64,
         /// Learned after.
@@ -53,19 +53,19 @@
     },
     /// A request was answered twice, or one that was never made.
     #[error("request {0} was answered once too often")]
-    Answer(u64),
+    UnexpectedAnswer(u64),
     /// The record on disk cannot be read.
     #[error("machine {0} has an unreadable record")]
-    Record(Machine),
+    Record(MachineIndex),
     /// A message cannot be encoded or decoded.
     #[error("machine {0} sent an unreadable message")]
-    Message(Machine),
+    Message(MachineIndex),
     /// After everything was mended a machine does not serve.
     #[error("machine {0} does not serve although everything is mended")]
-    Stuck(Machine),
+    Unavailable(MachineIndex),
     /// An expectation of the scenario is not met.
     #[error("step {step}: expected '{expected}', found '{found}'")]
-    Unmet {
+    UnmetExpectation {
         /// Number of the step, from one.
         step: usize,
         /// The expectation.
@@ -79,7 +79,7 @@
 struct Request {
     command: Option<Command>,
     /// The newest revision acknowledged before the request.
-    floor: u64,
+    newest_answered: u64,
     outcome: Option<Outcome>,
 }
 
@@ -88,15 +88,15 @@
     requests: Vec<Request>,
     values: BTreeMap<u64, Value>,
     /// The newest revision any answer was given from.
-    floor: u64,
+    newest_answered: u64,
     acknowledged: BTreeMap<u32, u64>,
     expired: BTreeSet<u32>,
 }
 
 impl History {
     /// Notes a request and numbers it.
-    pub(super) fn ask(&mut self, command: Option<Command>) -> u64 {
-        self.requests.push(Request { command, floor: self.floor, outcome: None });
+    pub(super) fn record_request(&mut self, command: Option<Command>) -> u64 {
+        self.requests.push(Request { command, newest_answered: self.newest_answered, outcome: None });
         self.requests.len() as u64 - 1
     }
 
@@ -114,24 +114,24 @@
         self.values.last_key_value().map(|(_, value)| value)
     }
 
-    pub(super) fn answer(&mut self, request: u64, outcome: Outcome) -> Result<(), Violation> {
-        let index = usize::try_from(request).map_err(|_| Violation::Answer(request))?;
+    pub(super) fn record_answer(&mut self, request: u64, outcome: Outcome) -> Result<(), Violation> {
+        let index = usize::try_from(request).map_err(|_| Violation::UnexpectedAnswer(request))?;
         let asked = self.requests.get_mut(index).filter(|asked| asked.outcome.is_none());
-        let asked = asked.ok_or(Violation::Answer(request))?;
+        let asked = asked.ok_or(Violation::UnexpectedAnswer(request))?;
         asked.outcome = Some(outcome.clone());
-        let (command, floor) = (asked.command, asked.floor);
+        let (command, newest_answered) = (asked.command, asked.newest_answered);
         match outcome {
             Outcome::Changed { revision, .. } | Outcome::Unchanged { revision, .. } => {
                 if let Some(command) = command {
                     self.acknowledged.entry(command.entry()).or_insert(revision);
                 }
-                self.fresh(request, floor, revision)?;
+                self.check_freshness(request, newest_answered, revision)?;
                 self.check_acknowledged()
             }
-            Outcome::Refused { revision, .. } => self.fresh(request, floor, revision),
+            Outcome::Refused { revision, .. } => self.check_freshness(request, newest_answered, revision),
             Outcome::Value { revision, state } => {
                 self.check_read(revision, &state)?;
-                self.fresh(request, floor, revision)
+                self.check_freshness(request, newest_answered, revision)
             }
             Outcome::Expired => {
                 // An ensured number may be there for another request's sake.
@@ -144,11 +144,16 @@
     }
 
     /// An answer must not be older than any that was given before the request.
-    fn fresh(&mut self, request: u64, floor: u64, revision: u64) -> Result<(), Violation> {
-        if revision < floor {
-            return Err(Violation::Stale { request, answered: revision, acknowledged: floor });
+    fn check_freshness(
+        &mut self,
+        request: u64,
+        newest_answered: u64,
+        revision: u64,
+    ) -> Result<(), Violation> {
+        if revision < newest_answered {
+            return Err(Violation::Stale { request, answered: revision, acknowledged: newest_answered });
         }
-        self.floor = self.floor.max(revision);
+        self.newest_answered = self.newest_answered.max(revision);
         Ok(())
     }
 
@@ -160,7 +165,7 @@
     }
 
     /// Notes a decided value.
-    pub(super) fn decided(&mut self, value: &Value) -> Result<(), Violation> {
+    pub(super) fn record_committed(&mut self, value: &Value) -> Result<(), Violation> {
         let revision = value.revision;
         if let Some(known) = self.values.get(&revision) {
             return if known == value { Ok(()) } else { Err(Violation::TwoValues(revision)) };
@@ -175,7 +180,7 @@
         {
             return Err(Violation::NotBuiltOn { earlier: revision, later: *later });
         }
-        check_twice(&value.state)?;
+        check_applied_once(&value.state)?;
         self.values.insert(revision, value.clone());
         self.check_expired()?;
         self.check_acknowledged()
@@ -201,8 +206,8 @@
     }
 }
 
-fn check_twice(state: &[u8]) -> Result<(), Violation> {
+fn check_applied_once(state: &[u8]) -> Result<(), Violation> {
     let mut seen = BTreeSet::new();
     let doubled = entries(state).into_iter().find(|entry| !seen.insert(*entry));
-    doubled.map_or(Ok(()), |entry| Err(Violation::Twice(entry)))
+    doubled.map_or(Ok(()), |entry| Err(Violation::AppliedTwice(entry)))
 }
--- a/crates/coordination/src/simulation/machine.rs
+++ b/crates/coordination/src/simulation/machine.rs
@@ -8,7 +8,7 @@
 use super::append::Append;
 use super::disk::Disk;
 use super::history::Violation;
-use super::step::Machine as Index;
+use super::step::MachineIndex;
 use crate::register::{Input, Node, Output, Record, Replica, Settings, Status};
 
 /// Control port of all machines.
@@ -18,32 +18,32 @@
 const FIRST_ADDRESS: u32 = 0x0a00_0001;
 
 /// The node of a machine.
-pub(super) fn node_of(index: Index) -> Node {
+pub(super) fn node_of(index: MachineIndex) -> Node {
     Node { ip: FIRST_ADDRESS + u32::try_from(index).unwrap_or_default(), port: PORT }
 }
 
 /// The machine of a node.
-pub(super) fn index_of(node: Node) -> Index {
-    node.ip.saturating_sub(FIRST_ADDRESS) as Index
+pub(super) fn index_of(node: Node) -> MachineIndex {
+    node.ip.saturating_sub(FIRST_ADDRESS) as MachineIndex
 }
 
 /// Something that happens to a machine.
 #[derive(Debug, Clone)]
 pub(super) enum Event {
     /// A message arrives.
-    Message { from: Index, bytes: Vec<u8> },
+    Message { from: MachineIndex, bytes: Vec<u8> },
     /// The write under way ends.
-    Written { life: u64, token: u64 },
+    Written { incarnation: u64, token: u64 },
     /// A timer of the process fires.
-    Wake { life: u64, at: Duration },
+    Wake { incarnation: u64, at: Duration },
 }
 
 pub(super) struct Machine {
-    pub(super) index: Index,
+    pub(super) index: MachineIndex,
     pub(super) disk: Disk,
     pub(super) replica: Option<Replica>,
     /// Counts starts of the process.
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) frozen: bool,
     pub(super) retired: bool,
     /// Came in while frozen.
@@ -51,23 +51,23 @@
     /// The timer that is set.
     pub(super) wake_at: Option<Duration>,
     /// The newest revision learned in this life.
-    learned: Option<u64>,
+    newest_committed: Option<u64>,
     /// The last request made here.
     pub(super) last_request: Option<u64>,
 }
 
 impl Machine {
-    pub(super) fn new(index: Index) -> Self {
+    pub(super) fn new(index: MachineIndex) -> Self {
         Self {
             index,
             disk: Disk::new(),
             replica: None,
-            life: 0,
+            incarnation: 0,
             frozen: false,
             retired: false,
             backlog: VecDeque::new(),
             wake_at: None,
-            learned: None,
+            newest_committed: None,
             last_request: None,
         }
     }
@@ -81,9 +81,9 @@
         let bytes = self.disk.open().map_err(unreadable)?;
         let decode = |bytes: Vec<u8>| Record::decode(&bytes).map_err(|_| Violation::Record(self.index));
         let stored = bytes.map(decode).transpose()?;
-        self.life += 1;
+        self.incarnation += 1;
         self.wake_at = None;
-        self.learned = None;
+        self.newest_committed = None;
         self.replica = Some(Replica::new(settings, Box::new(Append), stored, now, nonce));
         Ok(())
     }
@@ -108,7 +108,7 @@
     }
 
     /// Hands an event to the process; a frozen one gets it later.
-    pub(super) fn take(&mut self, now: Duration, event: Event) -> Result<(), Violation> {
+    pub(super) fn receive(&mut self, now: Duration, event: Event) -> Result<(), Violation> {
         if self.frozen {
             self.backlog.push_back(event);
             return Ok(());
@@ -130,18 +130,18 @@
                 let message = message.map_err(|_| Violation::Message(from))?;
                 Ok(Some(Input::Message { from: node_of(from), message }))
             }
-            Event::Written { life, token } => Ok(self.written(life, token)),
-            Event::Wake { life, at } => {
-                let due = life == self.life && self.wake_at == Some(at);
+            Event::Written { incarnation, token } => Ok(self.written(incarnation, token)),
+            Event::Wake { incarnation, at } => {
+                let due = incarnation == self.incarnation && self.wake_at == Some(at);
                 self.wake_at.take_if(|_| due);
                 Ok(due.then_some(Input::Tick))
             }
         }
     }
 
-    fn written(&mut self, life: u64, token: u64) -> Option<Input> {
+    fn written(&mut self, incarnation: u64, token: u64) -> Option<Input> {
         let current = self.disk.write.as_ref().is_some_and(|write| write.token == token);
-        if life != self.life || !current || self.disk.stalled {
+        if incarnation != self.incarnation || !current || self.disk.stalled {
             return None;
         }
         let (token, saved) = self.disk.finish_write()?;
@@ -153,17 +153,17 @@
     }
 
     /// Checks that the process never learns backwards.
-    pub(super) fn learn(&mut self, revision: u64) -> Result<(), Violation> {
-        match self.learned.replace(revision) {
+    pub(super) fn record_committed(&mut self, revision: u64) -> Result<(), Violation> {
+        match self.newest_committed.replace(revision) {
             Some(from) if from >= revision => {
-                Err(Violation::Regress { machine: self.index, from, to: revision })
+                Err(Violation::Regression { machine: self.index, from, to: revision })
             }
             _ => Ok(()),
         }
     }
 
-    pub(super) fn learned(&self) -> Option<u64> {
-        self.learned
+    pub(super) fn newest_committed(&self) -> Option<u64> {
+        self.newest_committed
     }
 
     pub(super) fn status(&self) -> Option<Status> {
--- a/crates/coordination/src/simulation/mod.rs
+++ b/crates/coordination/src/simulation/mod.rs
@@ -6,19 +6,19 @@
 
 mod append;
 mod disk;
+mod expectations;
+mod fault_tolerance;
 mod history;
 mod machine;
 mod network;
 mod scenario;
 mod schedule;
 mod step;
-mod tolerance;
-mod verdict;
 mod world;
 
 pub use append::{Append, Command};
 pub use history::Violation;
 pub use scenario::{ParseError, Scenario};
 pub use schedule::{random_scenario, shrink};
-pub use step::{Expectation, Machine, Machines, NoStep, Step};
+pub use step::{Expectation, MachineIndex, Machines, Step, UnknownStep};
 pub use world::{Observation, World};
--- a/crates/coordination/src/simulation/network.rs
+++ b/crates/coordination/src/simulation/network.rs
@@ -6,42 +6,52 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-use super::step::Machine;
+use super::step::MachineIndex;
 
 /// Delay on a healthy network.
 const USUAL_DELAY: Duration = Duration::from_millis(3);
 
 pub(super) struct Network {
     pub(super) loss_percent: u8,
-    pub(super) double_percent: u8,
+    pub(super) duplicate_percent: u8,
     pub(super) longest_delay: Duration,
-    cuts: BTreeSet<(Machine, Machine)>,
+    blocked_links: BTreeSet<(MachineIndex, MachineIndex)>,
 }
 
 impl Network {
     pub(super) fn new() -> Self {
-        Self { loss_percent: 0, double_percent: 0, longest_delay: USUAL_DELAY, cuts: BTreeSet::new() }
+        Self {
+            loss_percent: 0,
+            duplicate_percent: 0,
+            longest_delay: USUAL_DELAY,
+            blocked_links: BTreeSet::new(),
+        }
     }
 
     /// From now on messages from one machine to another are lost.
-    pub(super) fn cut(&mut self, from: Machine, to: Machine) {
-        self.cuts.insert((from, to));
+    pub(super) fn block_link(&mut self, from: MachineIndex, to: MachineIndex) {
+        self.blocked_links.insert((from, to));
     }
 
     pub(super) fn heal(&mut self) {
-        self.cuts.clear();
+        self.blocked_links.clear();
     }
 
-    pub(super) fn mend(&mut self) {
+    pub(super) fn repair(&mut self) {
         *self = Self::new();
     }
 
     /// After which times a message arrives: never, once or more often.
-    pub(super) fn carry(&self, from: Machine, to: Machine, random: &mut SmallRng) -> Vec<Duration> {
-        if self.cuts.contains(&(from, to)) || random.random_range(0..100) < self.loss_percent {
+    pub(super) fn delivery_delays(
+        &self,
+        from: MachineIndex,
+        to: MachineIndex,
+        random: &mut SmallRng,
+    ) -> Vec<Duration> {
+        if self.blocked_links.contains(&(from, to)) || random.random_range(0..100) < self.loss_percent {
             return Vec::new();
         }
-        let copies = if random.random_range(0..100) < self.double_percent { 2 } else { 1 };
+        let copies = if random.random_range(0..100) < self.duplicate_percent { 2 } else { 1 };
         (0..copies).map(|_| self.longest_delay.mul_f64(random.random::<f64>())).collect()
     }
 }
--- a/crates/coordination/src/simulation/schedule.rs
+++ b/crates/coordination/src/simulation/schedule.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng};
 
 use super::scenario::Scenario;
-use super::step::{Machine, Machines, Step};
+use super::step::{MachineIndex, Machines, Step};
 use super::world::World;
 use crate::register::Fault;
 
@@ -12,10 +12,10 @@
 const STEPS: usize = 60;
 
 /// First pause, in milliseconds, so that the founders have written their first record.
-const FIRST_WAIT: u64 = 50;
+const FIRST_DELAY: u64 = 50;
 
 /// Longest pause between steps that are close together, in milliseconds: some messages and writes.
-const LONGEST_HOP: u64 = 12;
+const MAX_SHORT_DELAY: u64 = 12;
 
 /// A pause for a few round trips, in milliseconds.
 const ROUND_TRIPS: u64 = 40;
@@ -24,14 +24,14 @@
 const RETRY: u64 = 300;
 
 /// Share of the changes in a round that one machine takes.
-const FAVOURED: f64 = 0.7;
+const FAVOURITE_PROBABILITY: f64 = 0.7;
 
 /// Share of the steps of a round that are played.
-const KEPT: f64 = 0.9;
+const KEEP_PROBABILITY: f64 = 0.9;
 
 /// What a random scenario has most of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Mix {
+enum FaultMix {
     /// Everything.
     Any,
     /// Lost disks while messages are under way.
@@ -44,7 +44,7 @@
     SecondLoss,
 }
 
-impl Mix {
+impl FaultMix {
     const fn of(seed: u64) -> Self {
         match seed % 6 {
             2 => Self::Wipes,
@@ -57,31 +57,31 @@
 }
 
 /// The cast of a random scenario.
-struct Cast {
-    mix: Mix,
+struct Participants {
+    mix: FaultMix,
     count: usize,
     /// Takes most requests where few kinds of steps come close together.
-    favourite: Machine,
+    favourite: MachineIndex,
 }
 
 /// A scenario drawn from a seed: requests and troubles in any order, then everything is mended.
 #[must_use]
 pub fn random_scenario(seed: u64) -> Scenario {
     let mut random = SmallRng::seed_from_u64(seed);
-    let mix = Mix::of(seed);
-    let founders = if mix != Mix::Any || random.random_bool(0.6) { 3 } else { 5 };
-    let fewest_spares = usize::from(matches!(mix, Mix::Members | Mix::SecondLoss));
+    let mix = FaultMix::of(seed);
+    let founders = if mix != FaultMix::Any || random.random_bool(0.6) { 3 } else { 5 };
+    let fewest_spares = usize::from(matches!(mix, FaultMix::Members | FaultMix::SecondLoss));
     let spares = random.random_range(fewest_spares..=2);
     let count = founders + spares;
-    let cast = Cast { mix, count, favourite: random.random_range(0..count) };
-    let mut steps = vec![Step::Wait(FIRST_WAIT)];
+    let participants = Participants { mix, count, favourite: random.random_range(0..count) };
+    let mut steps = vec![Step::Wait(FIRST_DELAY)];
     while steps.len() < STEPS {
         match mix {
-            Mix::Any => add_steps(&mut steps, &mut random, founders, count),
-            _ => add_round(&mut steps, &mut random, &cast),
+            FaultMix::Any => add_steps(&mut steps, &mut random, founders, count),
+            _ => add_round(&mut steps, &mut random, &participants),
         }
     }
-    steps.push(Step::Settle);
+    steps.push(Step::Quiesce);
     Scenario { founders, spares, seed, steps }
 }
 
@@ -89,67 +89,86 @@
     let at = random.random_range(0..count);
     match random.random_range(0..100) {
         0..45 => add_request(steps, random, at),
-        45..70 => steps.push(Step::Wait(pause(random))),
-        70..86 => add_process_trouble(steps, random, at),
-        86..94 => add_network_trouble(steps, random, at, count),
-        94..98 => add_disk_trouble(steps, random, at),
-        _ => add_change_of_members(steps, random, founders, count),
+        45..70 => steps.push(Step::Wait(random_delay(random))),
+        70..86 => add_process_fault(steps, random, at),
+        86..94 => add_network_fault(steps, random, at, count),
+        94..98 => add_disk_fault(steps, random, at),
+        _ => add_membership_change(steps, random, founders, count),
     }
 }
 
 /// A round of few kinds of steps close together, so that their orders are tried more thoroughly: what one side
 /// of a parted network does, something that is easily lost on the way, and what the other side then sees.
-fn add_round(steps: &mut Vec<Step>, random: &mut SmallRng, cast: &Cast) {
-    let asked =
-        if random.random_bool(FAVOURED) { cast.favourite } else { random.random_range(0..cast.count) };
-    let any = |random: &mut SmallRng| random.random_range(0..cast.count);
-    let mut round = vec![part(random, cast.count), Step::Append(asked), Step::Wait(hop(random))];
-    add_focus(&mut round, random, cast);
-    round.extend([Step::Wait(hop(random)), part(random, cast.count), Step::Wait(ROUND_TRIPS)]);
-    round.extend([Step::Append(any(random)), part(random, cast.count), Step::Wait(RETRY)]);
+fn add_round(steps: &mut Vec<Step>, random: &mut SmallRng, participants: &Participants) {
+    let asked = if random.random_bool(FAVOURITE_PROBABILITY) {
+        participants.favourite
+    } else {
+        random.random_range(0..participants.count)
+    };
+    let any = |random: &mut SmallRng| random.random_range(0..participants.count);
+    let mut round =
+        vec![partition(random, participants.count), Step::Append(asked), Step::Wait(short_delay(random))];
+    add_focus(&mut round, random, participants);
+    round.extend([
+        Step::Wait(short_delay(random)),
+        partition(random, participants.count),
+        Step::Wait(ROUND_TRIPS),
+    ]);
+    round.extend([Step::Append(any(random)), partition(random, participants.count), Step::Wait(RETRY)]);
     round.push(Step::Read(any(random)));
-    steps.extend(round.into_iter().filter(|_| random.random_bool(KEPT)));
+    steps.extend(round.into_iter().filter(|_| random.random_bool(KEEP_PROBABILITY)));
 }
 
-fn add_focus(steps: &mut Vec<Step>, random: &mut SmallRng, cast: &Cast) {
-    let at = random.random_range(0..cast.count);
-    match cast.mix {
-        Mix::Any => {}
-        Mix::Wipes => steps.extend([Step::Wipe(at), part(random, cast.count), Step::Start(at)]),
-        Mix::Restarts => {
+fn add_focus(steps: &mut Vec<Step>, random: &mut SmallRng, participants: &Participants) {
+    let at = random.random_range(0..participants.count);
+    match participants.mix {
+        FaultMix::Any => {}
+        FaultMix::Wipes => {
+            steps.extend([Step::Wipe(at), partition(random, participants.count), Step::Start(at)])
+        }
+        FaultMix::Restarts => {
             // A proposer that starts again proposes again, while what it sent before may still be on its way.
-            let at = if random.random_bool(FAVOURED) { cast.favourite } else { at };
-            steps.extend([Step::Kill(at), part(random, cast.count), Step::Start(at), Step::Append(at)]);
+            let at = if random.random_bool(FAVOURITE_PROBABILITY) { participants.favourite } else { at };
+            steps.extend([
+                Step::Kill(at),
+                partition(random, participants.count),
+                Step::Start(at),
+                Step::Append(at),
+            ]);
         }
-        Mix::Members => {
-            let (old, new) = (at, random.random_range(0..cast.count));
-            steps.push(Step::Replace { old, new, via: cast.favourite });
+        FaultMix::Members => {
+            let (old, new) = (at, random.random_range(0..participants.count));
+            steps.push(Step::Replace { old, new, via: participants.favourite });
         }
-        Mix::SecondLoss => {
-            let (old, new) = (at, random.random_range(0..cast.count));
-            let lost = random.random_range(0..cast.count);
+        FaultMix::SecondLoss => {
+            let (old, new) = (at, random.random_range(0..participants.count));
+            let lost = random.random_range(0..participants.count);
             steps.push(match random.random_range(0..3) {
-                0 => Step::Leave { old, via: cast.favourite },
-                _ => Step::Replace { old, new, via: cast.favourite },
+                0 => Step::Leave { old, via: participants.favourite },
+                _ => Step::Replace { old, new, via: participants.favourite },
             });
-            steps.extend([Step::Wait(hop(random)), Step::Wipe(lost), Step::Wait(hop(random))]);
+            steps.extend([
+                Step::Wait(short_delay(random)),
+                Step::Wipe(lost),
+                Step::Wait(short_delay(random)),
+            ]);
             steps.push(if random.random_bool(0.5) { Step::Start(lost) } else { Step::Retire(lost) });
         }
     }
 }
 
 /// A pause about as long as a message or a write takes.
-fn hop(random: &mut SmallRng) -> u64 {
-    random.random_range(1..=LONGEST_HOP)
+fn short_delay(random: &mut SmallRng) -> u64 {
+    random.random_range(1..=MAX_SHORT_DELAY)
 }
 
 /// Any machines are parted from the others.
-fn part(random: &mut SmallRng, count: usize) -> Step {
+fn partition(random: &mut SmallRng, count: usize) -> Step {
     let set = (0..count).filter(|_| random.random_bool(0.5));
-    Step::Part(set.fold(Machines::default(), Machines::with))
+    Step::Partition(set.fold(Machines::default(), Machines::with))
 }
 
-fn add_request(steps: &mut Vec<Step>, random: &mut SmallRng, at: Machine) {
+fn add_request(steps: &mut Vec<Step>, random: &mut SmallRng, at: MachineIndex) {
     steps.push(match random.random_range(0..10) {
         0..5 => Step::Append(at),
         5 => Step::Ensure(at),
@@ -159,49 +178,49 @@
 }
 
 /// Short pauses are as likely as long ones.
-fn pause(random: &mut SmallRng) -> u64 {
+fn random_delay(random: &mut SmallRng) -> u64 {
     let longest = [1, 4, 15, 60, 250, 1_000][random.random_range(0..6)];
     random.random_range(1..=longest)
 }
 
-fn add_process_trouble(steps: &mut Vec<Step>, random: &mut SmallRng, at: Machine) {
+fn add_process_fault(steps: &mut Vec<Step>, random: &mut SmallRng, at: MachineIndex) {
     match random.random_range(0..12) {
         0..2 => steps.push(Step::Freeze(at)),
         2..4 => steps.push(Step::Thaw(at)),
         4..6 => steps.push(Step::Start(at)),
-        6 => steps.extend([Step::Kill(at), Step::Wait(pause(random)), Step::Start(at)]),
-        7 => steps.extend([Step::Power(at), Step::Wait(pause(random)), Step::Start(at)]),
+        6 => steps.extend([Step::Kill(at), Step::Wait(random_delay(random)), Step::Start(at)]),
+        7 => steps.extend([Step::Power(at), Step::Wait(random_delay(random)), Step::Start(at)]),
         8 => steps.push(Step::Kill(at)),
         9 => steps.push(Step::Power(at)),
         10 => steps.extend([Step::Wipe(at), Step::Start(at)]),
-        _ => steps.extend([Step::Wipe(at), Step::Wait(pause(random)), Step::Start(at)]),
+        _ => steps.extend([Step::Wipe(at), Step::Wait(random_delay(random)), Step::Start(at)]),
     }
 }
 
-fn add_network_trouble(steps: &mut Vec<Step>, random: &mut SmallRng, at: Machine, count: usize) {
+fn add_network_fault(steps: &mut Vec<Step>, random: &mut SmallRng, at: MachineIndex, count: usize) {
     let other = random.random_range(0..count);
     match random.random_range(0..10) {
         0..3 => steps.push(Step::Heal),
         3 => steps.push(Step::Cut(at, other)),
         4 => steps.extend([Step::Cut(at, other), Step::Cut(other, at)]),
         5 => steps.push(Step::Isolate(at)),
-        6 => steps.push(part(random, count)),
+        6 => steps.push(partition(random, count)),
         7 => steps.push(Step::Loss(random.random_range(0..30))),
-        8 => steps.push(Step::Double(random.random_range(0..30))),
-        _ => steps.push(Step::Delay(pause(random))),
+        8 => steps.push(Step::Duplicate(random.random_range(0..30))),
+        _ => steps.push(Step::Delay(random_delay(random))),
     }
 }
 
-fn add_disk_trouble(steps: &mut Vec<Step>, random: &mut SmallRng, at: Machine) {
+fn add_disk_fault(steps: &mut Vec<Step>, random: &mut SmallRng, at: MachineIndex) {
     steps.push(match random.random_range(0..6) {
         0 => Step::Stall(at),
         1 => Step::Full(at),
-        2 => Step::Slow(at, pause(random)),
+        2 => Step::Slow(at, random_delay(random)),
         _ => Step::Work(at),
     });
 }
 
-fn add_change_of_members(steps: &mut Vec<Step>, random: &mut SmallRng, founders: usize, count: usize) {
+fn add_membership_change(steps: &mut Vec<Step>, random: &mut SmallRng, founders: usize, count: usize) {
     let (old, via) = (random.random_range(0..count), random.random_range(0..count));
     if founders == count || random.random_range(0..5) == 0 {
         return steps.push(Step::Leave { old, via });
--- a/crates/coordination/src/simulation/step.rs
+++ b/crates/coordination/src/simulation/step.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 /// Index of a machine; machines are named `a`, `b`, `c` and so on.
-pub type Machine = usize;
+pub type MachineIndex = usize;
 
 /// A set of machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -15,18 +15,18 @@
 impl Machines {
     /// This set and one machine more.
     #[must_use]
-    pub fn with(self, machine: Machine) -> Self {
+    pub fn with(self, machine: MachineIndex) -> Self {
         Self(self.0 | 1_u32.checked_shl(u32::try_from(machine).unwrap_or(u32::MAX)).unwrap_or_default())
     }
 
     /// Whether a machine is in the set.
     #[must_use]
-    pub fn contains(self, machine: Machine) -> bool {
+    pub fn contains(self, machine: MachineIndex) -> bool {
         self == self.with(machine)
     }
 
-    fn iter(self) -> impl Iterator<Item = Machine> {
-        (0..u32::BITS as Machine).filter(move |machine| self.contains(*machine))
+    fn iter(self) -> impl Iterator<Item = MachineIndex> {
+        (0..u32::BITS as MachineIndex).filter(move |machine| self.contains(*machine))
     }
 }
 
@@ -61,91 +61,91 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// A new number is appended through a machine.
-    Append(Machine),
+    Append(MachineIndex),
     /// So many new numbers are appended through a machine, one every so many milliseconds.
     Appends {
         /// Takes the requests.
-        at: Machine,
+        at: MachineIndex,
         /// How many.
         count: u32,
         /// Time after each, in milliseconds.
         every: u64,
     },
     /// A number is ensured through a machine: an old one if there is one.
-    Ensure(Machine),
+    Ensure(MachineIndex),
     /// A new number is appended if the list is even.
-    AppendIfEven(Machine),
+    AppendIfEven(MachineIndex),
     /// The value is read through a machine.
-    Read(Machine),
+    Read(MachineIndex),
     /// A member is replaced by a spare, asked for at a machine.
     Replace {
         /// Leaves.
-        old: Machine,
+        old: MachineIndex,
         /// Joins.
-        new: Machine,
+        new: MachineIndex,
         /// Takes the request.
-        via: Machine,
+        via: MachineIndex,
     },
     /// A spare joins, asked for at a machine.
     Grow {
         /// Joins.
-        new: Machine,
+        new: MachineIndex,
         /// Takes the request.
-        via: Machine,
+        via: MachineIndex,
     },
     /// A member leaves without a replacement, asked for at a machine.
     Leave {
         /// Leaves.
-        old: Machine,
+        old: MachineIndex,
         /// Takes the request.
-        via: Machine,
+        via: MachineIndex,
     },
     /// Time passes, in milliseconds.
     Wait(u64),
     /// The process is killed.
-    Kill(Machine),
+    Kill(MachineIndex),
     /// The machine loses power.
-    Power(Machine),
+    Power(MachineIndex),
     /// The machine loses its disk.
-    Wipe(Machine),
+    Wipe(MachineIndex),
     /// The machine is gone for good.
-    Retire(Machine),
+    Retire(MachineIndex),
     /// The process starts.
-    Start(Machine),
+    Start(MachineIndex),
     /// The machine freezes.
-    Freeze(Machine),
+    Freeze(MachineIndex),
     /// The machine wakes.
-    Thaw(Machine),
+    Thaw(MachineIndex),
     /// Messages from one machine to another are lost.
-    Cut(Machine, Machine),
+    Cut(MachineIndex, MachineIndex),
     /// All messages from and to a machine are lost.
-    Isolate(Machine),
+    Isolate(MachineIndex),
     /// The machines of a set and the others no longer reach each other.
-    Part(Machines),
+    Partition(Machines),
     /// All cuts end.
     Heal,
     /// So many of a hundred messages are lost.
     Loss(u8),
     /// So many of a hundred messages arrive twice.
-    Double(u8),
+    Duplicate(u8),
     /// Messages take from nothing up to so many milliseconds.
     Delay(u64),
     /// A write takes up to so many milliseconds.
-    Slow(Machine, u64),
+    Slow(MachineIndex, u64),
     /// The disk answers nothing.
-    Stall(Machine),
+    Stall(MachineIndex),
     /// The disk refuses writes.
-    Full(Machine),
+    Full(MachineIndex),
     /// The disk works.
-    Work(Machine),
+    Work(MachineIndex),
     /// Everything is mended and started; all machines that are left must then serve.
-    Settle,
+    Quiesce,
     /// Something is expected of a machine.
-    Expect(Machine, Expectation),
+    Expect(MachineIndex, Expectation),
 }
 
 /// The name of a machine.
-struct Name(Machine);
+struct Name(MachineIndex);
 
 impl fmt::Display for Name {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -198,19 +198,19 @@
             Self::Thaw(at) => write!(formatter, "thaw {}", Name(at)),
             Self::Cut(from, to) => write!(formatter, "cut {} {}", Name(from), Name(to)),
             Self::Isolate(at) => write!(formatter, "isolate {}", Name(at)),
-            Self::Part(machines) => {
+            Self::Partition(machines) => {
                 formatter.write_str("part")?;
                 machines.iter().try_for_each(|at| write!(formatter, " {}", Name(at)))
             }
             Self::Heal => formatter.write_str("heal"),
             Self::Loss(percent) => write!(formatter, "loss {percent}"),
-            Self::Double(percent) => write!(formatter, "double {percent}"),
+            Self::Duplicate(percent) => write!(formatter, "double {percent}"),
             Self::Delay(time) => write!(formatter, "delay {time}"),
             Self::Slow(at, time) => write!(formatter, "slow {} {time}", Name(at)),
             Self::Stall(at) => write!(formatter, "stall {}", Name(at)),
             Self::Full(at) => write!(formatter, "full {}", Name(at)),
             Self::Work(at) => write!(formatter, "work {}", Name(at)),
-            Self::Settle => formatter.write_str("settle"),
+            Self::Quiesce => formatter.write_str("settle"),
             Self::Expect(at, expectation) => write!(formatter, "expect {} {expectation}", Name(at)),
         }
     }
@@ -219,20 +219,20 @@
 /// A line is no step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("no such step")]
-pub struct NoStep;
+pub struct UnknownStep;
 
-fn machine(word: &str) -> Result<Machine, NoStep> {
+fn machine(word: &str) -> Result<MachineIndex, UnknownStep> {
     match word.as_bytes() {
         [letter @ b'a'..=b'z'] => Ok(usize::from(letter - b'a')),
-        _ => Err(NoStep),
+        _ => Err(UnknownStep),
     }
 }
 
-fn number<T: FromStr>(word: &str) -> Result<T, NoStep> {
-    word.parse().map_err(|_| NoStep)
+fn number<T: FromStr>(word: &str) -> Result<T, UnknownStep> {
+    word.parse().map_err(|_| UnknownStep)
 }
 
-fn expectation(words: &[&str]) -> Result<Expectation, NoStep> {
+fn expectation(words: &[&str]) -> Result<Expectation, UnknownStep> {
     Ok(match words {
         ["changed"] => Expectation::Changed,
         ["unchanged"] => Expectation::Unchanged,
@@ -245,14 +245,14 @@
         ["spare"] => Expectation::Spare,
         ["recovering"] => Expectation::Recovering,
         ["revision", revision] => Expectation::Revision(number(revision)?),
-        _ => return Err(NoStep),
+        _ => return Err(UnknownStep),
     })
 }
 
 impl FromStr for Step {
-    type Err = NoStep;
+    type Err = UnknownStep;
 
-    fn from_str(line: &str) -> Result<Self, NoStep> {
+    fn from_str(line: &str) -> Result<Self, UnknownStep> {
         let words: Vec<&str> = line.split_whitespace().collect();
         Ok(match *words.as_slice() {
             ["append", at] => Self::Append(machine(at)?),
@@ -279,19 +279,19 @@
             ["isolate", at] => Self::Isolate(machine(at)?),
             ["part", ref rest @ ..] => {
                 let join = |set: Machines, word: &&str| Ok(set.with(machine(word)?));
-                Self::Part(rest.iter().try_fold(Machines::default(), join)?)
+                Self::Partition(rest.iter().try_fold(Machines::default(), join)?)
             }
             ["heal"] => Self::Heal,
             ["loss", percent] => Self::Loss(number(percent)?),
-            ["double", percent] => Self::Double(number(percent)?),
+            ["double", percent] => Self::Duplicate(number(percent)?),
             ["delay", time] => Self::Delay(number(time)?),
             ["slow", at, time] => Self::Slow(machine(at)?, number(time)?),
             ["stall", at] => Self::Stall(machine(at)?),
             ["full", at] => Self::Full(machine(at)?),
             ["work", at] => Self::Work(machine(at)?),
-            ["settle"] => Self::Settle,
+            ["settle"] => Self::Quiesce,
             ["expect", at, ref rest @ ..] => Self::Expect(machine(at)?, expectation(rest)?),
-            _ => return Err(NoStep),
+            _ => return Err(UnknownStep),
         })
     }
 }
--- a/crates/coordination/src/simulation/world.rs
+++ b/crates/coordination/src/simulation/world.rs
@@ -8,12 +8,12 @@
 use rand::{Rng, SeedableRng};
 
 use super::append::Command;
+use super::fault_tolerance::RequestedMembershipChange;
 use super::history::{History, Violation};
 use super::machine::{Event, Machine, index_of, node_of};
 use super::network::Network;
 use super::scenario::Scenario;
-use super::step::{Machine as Index, Machines, Step};
-use super::tolerance::MemberChange;
+use super::step::{MachineIndex, Machines, Step};
 use crate::register::{Fault, Input, Node, Output, Record, Settings};
 
 /// A request is given up after this long.
@@ -29,7 +29,7 @@
 struct Scheduled {
     at: Duration,
     order: u64,
-    machine: Index,
+    machine: MachineIndex,
     event: Event,
 }
 
@@ -59,7 +59,7 @@
     /// Simulated time.
     pub at: Duration,
     /// The machine of the replica.
-    pub machine: Index,
+    pub machine: MachineIndex,
     /// What was asked.
     pub output: Output,
 }
@@ -74,7 +74,7 @@
     founders: usize,
     pub(super) network: Network,
     pub(super) history: History,
-    pub(super) changes: Vec<MemberChange>,
+    pub(super) changes: Vec<RequestedMembershipChange>,
     fault: Option<Fault>,
     pub(super) next_entry: u32,
     /// All outputs of the replicas, if someone wants them.
@@ -138,7 +138,7 @@
                 let entry = FIRST_ENSURED + self.random.random_range(0..ENSURED);
                 self.propose(at, Command::Ensure(entry))
             }
-            Step::Read(at) => self.ask(at, None, |request, deadline| Input::Read { request, deadline }),
+            Step::Read(at) => self.request(at, None, |request, deadline| Input::Read { request, deadline }),
             Step::Replace { old, new, via } => {
                 self.change_members(via, vec![node_of(old)], Some(node_of(new)))
             }
@@ -147,57 +147,57 @@
             Step::Wait(time) => self.run(Duration::from_millis(time)),
             Step::Start(at) => self.start(at, false),
             Step::Thaw(at) => self.thaw(at),
-            Step::Work(at) => self.mend_disk(at),
-            Step::Settle => self.settle(),
+            Step::Work(at) => self.repair_disk(at),
+            Step::Quiesce => self.quiesce(),
             Step::Expect(at, expected) => self.expect(number, at, expected),
             _ => {
-                self.trouble(step);
+                self.apply_fault(step);
                 Ok(())
             }
         }
     }
 
     /// Steps that only do harm.
-    fn trouble(&mut self, step: Step) {
+    fn apply_fault(&mut self, step: Step) {
         match step {
             Step::Kill(at) => self.machines[at].kill(&mut self.random),
             Step::Power(at) => self.machines[at].lose_power(&mut self.random),
-            Step::Wipe(at) if self.may_lose(at) => self.machines[at].lose_disk(&mut self.random),
-            Step::Retire(at) if self.may_lose(at) => {
+            Step::Wipe(at) if self.can_lose_disk(at) => self.machines[at].lose_disk(&mut self.random),
+            Step::Retire(at) if self.can_lose_disk(at) => {
                 self.machines[at].lose_disk(&mut self.random);
                 self.machines[at].retired = true;
             }
             Step::Freeze(at) => self.machines[at].frozen = self.machines[at].replica.is_some(),
-            Step::Cut(from, to) => self.network.cut(from, to),
+            Step::Cut(from, to) => self.network.block_link(from, to),
             Step::Isolate(at) => {
                 for other in 0..self.machines.len() {
-                    self.network.cut(at, other);
-                    self.network.cut(other, at);
+                    self.network.block_link(at, other);
+                    self.network.block_link(other, at);
                 }
             }
-            Step::Part(set) => self.part(set),
+            Step::Partition(set) => self.partition(set),
             Step::Heal => self.network.heal(),
             Step::Loss(percent) => self.network.loss_percent = percent,
-            Step::Double(percent) => self.network.double_percent = percent,
+            Step::Duplicate(percent) => self.network.duplicate_percent = percent,
             Step::Delay(time) => self.network.longest_delay = Duration::from_millis(time),
             Step::Slow(at, time) => self.machines[at].disk.longest_write = Duration::from_millis(time),
             Step::Stall(at) => self.machines[at].disk.stalled = true,
-            Step::Full(at) => self.machines[at].disk.directory.refusing = true,
+            Step::Full(at) => self.machines[at].disk.directory.rejects_writes = true,
             _ => {}
         }
     }
 
     /// Cuts all links between the machines of a set and the others, and no further ones.
-    fn part(&mut self, set: Machines) {
+    fn partition(&mut self, set: Machines) {
         self.network.heal();
         for from in 0..self.machines.len() {
             for to in (0..self.machines.len()).filter(|to| set.contains(from) != set.contains(*to)) {
-                self.network.cut(from, to);
+                self.network.block_link(from, to);
             }
         }
     }
 
-    pub(super) fn start(&mut self, at: Index, bootstrap: bool) -> Result<(), Violation> {
+    pub(super) fn start(&mut self, at: MachineIndex, bootstrap: bool) -> Result<(), Violation> {
         let seeds = (0..self.founders).map(node_of).collect();
         let settings = Settings { bootstrap, fault: self.fault, ..Settings::new(node_of(at), seeds) };
         let nonce = self.random.random();
@@ -211,45 +211,50 @@
         self.flush(at)
     }
 
-    pub(super) fn thaw(&mut self, at: Index) -> Result<(), Violation> {
+    pub(super) fn thaw(&mut self, at: MachineIndex) -> Result<(), Violation> {
         self.machines[at].frozen = false;
         let backlog = std::mem::take(&mut self.machines[at].backlog);
         for event in backlog {
-            self.happen(at, event)?;
+            self.deliver(at, event)?;
         }
         Ok(())
     }
 
-    pub(super) fn mend_disk(&mut self, at: Index) -> Result<(), Violation> {
+    pub(super) fn repair_disk(&mut self, at: MachineIndex) -> Result<(), Violation> {
         let stalled = self.machines[at].disk.stalled;
-        self.machines[at].disk.mend();
-        let (life, write) = (self.machines[at].life, self.machines[at].disk.write.as_ref());
+        self.machines[at].disk.repair();
+        let (incarnation, write) = (self.machines[at].incarnation, self.machines[at].disk.write.as_ref());
         match write.map(|write| write.token).filter(|_| stalled) {
-            Some(token) => self.happen(at, Event::Written { life, token }),
+            Some(token) => self.deliver(at, Event::Written { incarnation, token }),
             None => Ok(()),
         }
     }
 
-    fn append(&mut self, at: Index, command: impl Fn(u32) -> Command) -> Result<(), Violation> {
+    fn append(&mut self, at: MachineIndex, command: impl Fn(u32) -> Command) -> Result<(), Violation> {
         self.next_entry += 1;
         self.propose(at, command(self.next_entry))
     }
 
-    fn propose(&mut self, at: Index, command: Command) -> Result<(), Violation> {
+    fn propose(&mut self, at: MachineIndex, command: Command) -> Result<(), Violation> {
         let input = |request, deadline| Input::Propose { request, command: command.encode(), deadline };
-        self.ask(at, Some(command), input)
+        self.request(at, Some(command), input)
     }
 
     /// Asks for a change of members, unless too many of the new ones could be without a disk.
-    fn change_members(&mut self, via: Index, remove: Vec<Node>, add: Option<Node>) -> Result<(), Violation> {
+    fn change_members(
+        &mut self,
+        via: MachineIndex,
+        remove: Vec<Node>,
+        add: Option<Node>,
+    ) -> Result<(), Violation> {
         let request = self.history.next_request();
-        self.changes.push(MemberChange { request, remove: remove.clone(), add });
+        self.changes.push(RequestedMembershipChange { request, remove: remove.clone(), add });
         let groups = self.possible_groups();
-        if !self.keep_majorities(&groups, None) {
+        if !self.keeps_majorities(&groups, None) {
             self.changes.pop();
             return Ok(());
         }
-        self.ask(via, None, |request, deadline| Input::ChangeMembers {
+        self.request(via, None, |request, deadline| Input::ChangeMembers {
             request,
             remove,
             add: add.into_iter().collect(),
@@ -258,18 +263,18 @@
     }
 
     /// Makes a request at a machine, if its process runs.
-    fn ask(
+    fn request(
         &mut self,
-        at: Index,
+        at: MachineIndex,
         command: Option<Command>,
         input: impl FnOnce(u64, Duration) -> Input,
     ) -> Result<(), Violation> {
-        self.ask_until(at, command, self.now + DEADLINE, input)
+        self.request_until(at, command, self.now + DEADLINE, input)
     }
 
-    pub(super) fn ask_until(
+    pub(super) fn request_until(
         &mut self,
-        at: Index,
+        at: MachineIndex,
         command: Option<Command>,
         deadline: Duration,
         input: impl FnOnce(u64, Duration) -> Input,
@@ -277,12 +282,12 @@
         if self.machines[at].replica.is_none() || self.machines[at].frozen {
             return Ok(());
         }
-        let request = self.history.ask(command);
+        let request = self.history.record_request(command);
         self.machines[at].last_request = Some(request);
         self.input(at, input(request, deadline))
     }
 
-    fn input(&mut self, at: Index, input: Input) -> Result<(), Violation> {
+    fn input(&mut self, at: MachineIndex, input: Input) -> Result<(), Violation> {
         let now = self.now;
         if let Some(replica) = &mut self.machines[at].replica {
             replica.handle(now, input);
@@ -290,8 +295,8 @@
         self.flush(at)
     }
 
-    fn happen(&mut self, at: Index, event: Event) -> Result<(), Violation> {
-        self.machines[at].take(self.now, event)?;
+    fn deliver(&mut self, at: MachineIndex, event: Event) -> Result<(), Violation> {
+        self.machines[at].receive(self.now, event)?;
         self.flush(at)
     }
 
@@ -303,19 +308,19 @@
                 break;
             };
             self.now = self.now.max(next.at);
-            self.happen(next.machine, next.event)?;
+            self.deliver(next.machine, next.event)?;
         }
         self.now = end;
         Ok(())
     }
 
-    fn schedule(&mut self, at: Duration, machine: Index, event: Event) {
+    fn schedule(&mut self, at: Duration, machine: MachineIndex, event: Event) {
         self.order += 1;
         self.events.push(Reverse(Scheduled { at, order: self.order, machine, event }));
     }
 
     /// Carries out what a process ordered.
-    fn flush(&mut self, at: Index) -> Result<(), Violation> {
+    fn flush(&mut self, at: MachineIndex) -> Result<(), Violation> {
         while let Some(output) = self.machines[at].poll_output() {
             if let Some(observations) = &mut self.observations {
                 observations.push(Observation { at: self.now, machine: at, output: output.clone() });
@@ -326,10 +331,10 @@
                     self.send(at, index_of(to), &bytes);
                 }
                 Output::Persist { token, record } => self.write(at, token, &record)?,
-                Output::Done { request, outcome } => self.history.answer(request, outcome)?,
+                Output::Done { request, outcome } => self.history.record_answer(request, outcome)?,
                 Output::Committed { value } => {
-                    self.machines[at].learn(value.revision)?;
-                    self.history.decided(&value)?;
+                    self.machines[at].record_committed(value.revision)?;
+                    self.history.record_committed(&value)?;
                 }
             }
         }
@@ -337,31 +342,31 @@
         Ok(())
     }
 
-    fn send(&mut self, from: Index, to: Index, bytes: &[u8]) {
-        for delay in self.network.carry(from, to, &mut self.random) {
+    fn send(&mut self, from: MachineIndex, to: MachineIndex, bytes: &[u8]) {
+        for delay in self.network.delivery_delays(from, to, &mut self.random) {
             let event = Event::Message { from, bytes: bytes.to_vec() };
             self.schedule(self.now + delay, to, event);
         }
     }
 
-    fn write(&mut self, at: Index, token: u64, record: &Record) -> Result<(), Violation> {
+    fn write(&mut self, at: MachineIndex, token: u64, record: &Record) -> Result<(), Violation> {
         let bytes = record.encode().map_err(|_| Violation::Record(at))?;
         let machine = &mut self.machines[at];
         machine.disk.write = Some(super::disk::Write { token, bytes });
         let time = machine.disk.longest_write.mul_f64(self.random.random::<f64>());
-        let life = machine.life;
-        self.schedule(self.now + time, at, Event::Written { life, token });
+        let incarnation = machine.incarnation;
+        self.schedule(self.now + time, at, Event::Written { incarnation, token });
         Ok(())
     }
 
-    fn set_timer(&mut self, at: Index) {
+    fn set_timer(&mut self, at: MachineIndex) {
         let machine = &mut self.machines[at];
         let wake = machine.replica.as_ref().and_then(crate::register::Replica::next_wake);
         let Some(wake) = wake.filter(|wake| machine.wake_at != Some(*wake)) else {
             return;
         };
         machine.wake_at = Some(wake);
-        let event = Event::Wake { life: machine.life, at: wake };
+        let event = Event::Wake { incarnation: machine.incarnation, at: wake };
         self.schedule(wake.max(self.now), at, event);
     }
 }
--- a/crates/coordination/src/storage/directory.rs
+++ b/crates/coordination/src/storage/directory.rs
@@ -24,13 +24,13 @@
     /// If the disk refuses; part of the file may then be there.
     fn write_new(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Renames a file. Durable after [`Self::sync_folder`].
+    /// Renames a file. Durable after [`Self::sync`].
     ///
     /// # Errors
     /// If the disk refuses.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Removes a file. Durable after [`Self::sync_folder`].
+    /// Removes a file. Durable after [`Self::sync`].
     ///
     /// # Errors
     /// If the disk refuses.
@@ -40,17 +40,17 @@
     ///
     /// # Errors
     /// If the disk refuses.
-    fn sync_folder(&mut self) -> io::Result<()>;
+    fn sync(&mut self) -> io::Result<()>;
 }
 
 /// A folder of the operating system.
 #[derive(Debug)]
-pub struct Folder {
+pub struct FileDirectory {
     path: PathBuf,
     handle: File,
 }
 
-impl Folder {
+impl FileDirectory {
     /// Opens a folder, made if it is missing.
     ///
     /// # Errors
@@ -63,7 +63,7 @@
     }
 }
 
-impl Directory for Folder {
+impl Directory for FileDirectory {
     fn list(&mut self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
@@ -91,7 +91,7 @@
         fs::remove_file(self.path.join(name))
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync(&mut self) -> io::Result<()> {
         self.handle.sync_all()
     }
 }
--- a/crates/coordination/src/storage/simulated.rs
+++ b/crates/coordination/src/storage/simulated.rs
@@ -46,9 +46,9 @@
     /// Bytes that fit, if limited.
     pub capacity: Option<usize>,
     /// Whether every write is refused.
-    pub refusing: bool,
+    pub rejects_writes: bool,
     /// Steps until the machine stops, if it is about to.
-    pub steps_left: Option<u32>,
+    pub operations_until_crash: Option<u32>,
 }
 
 impl SimulatedDirectory {
@@ -74,7 +74,7 @@
         }
         let whole = |written: &Vec<u8>| Content { written: written.clone(), synced: true };
         self.files = self.durable.iter().map(|(name, written)| (name.clone(), whole(written))).collect();
-        self.steps_left = None;
+        self.operations_until_crash = None;
     }
 
     /// The disk is replaced by an empty one.
@@ -99,8 +99,8 @@
     }
 
     /// Counts a step; fails once the machine has stopped.
-    fn step(&mut self) -> io::Result<()> {
-        match &mut self.steps_left {
+    fn count_operation(&mut self) -> io::Result<()> {
+        match &mut self.operations_until_crash {
             Some(0) => Err(io::Error::other("the machine has stopped")),
             Some(left) => {
                 *left -= 1;
@@ -116,11 +116,11 @@
 
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.files.remove(name);
-        let room = self.capacity.map_or(usize::MAX, |capacity| capacity.saturating_sub(self.used()));
-        let fits = if self.refusing { 0 } else { bytes.len().min(room) };
+        let free_space = self.capacity.map_or(usize::MAX, |capacity| capacity.saturating_sub(self.used()));
+        let fits = if self.rejects_writes { 0 } else { bytes.len().min(free_space) };
         let content = Content { written: bytes[..fits].to_vec(), synced: false };
         self.files.insert(name.to_owned(), content);
-        if fits < bytes.len() || self.refusing {
+        if fits < bytes.len() || self.rejects_writes {
             return Err(io::ErrorKind::StorageFull.into());
         }
         Ok(())
@@ -138,9 +138,9 @@
     }
 
     fn write_new(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         self.write(name, bytes)?;
-        self.step()?;
+        self.count_operation()?;
         if let Some(content) = self.files.get_mut(name) {
             content.synced = true;
         }
@@ -151,7 +151,7 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         let content = self.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
         self.files.insert(to.to_owned(), content);
         let content = self.durable.get(from).cloned().unwrap_or_default();
@@ -160,14 +160,14 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         self.files.remove(name).ok_or(io::ErrorKind::NotFound)?;
         self.unsynced.push(NameChange::Removed { name: name.to_owned() });
         Ok(())
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
-        self.step()?;
+    fn sync(&mut self) -> io::Result<()> {
+        self.count_operation()?;
         for change in std::mem::take(&mut self.unsynced) {
             self.make_durable(change);
         }
--- a/crates/coordination/src/storage/store.rs
+++ b/crates/coordination/src/storage/store.rs
@@ -8,7 +8,7 @@
 use super::directory::Directory;
 
 /// Ends the name of a file that is not complete yet.
-const ASIDE_SUFFIX: &str = ".tmp";
+const TEMPORARY_SUFFIX: &str = ".tmp";
 
 /// First bytes of every version: names the format.
 const MAGIC: u32 = 0x4c47_5631;
@@ -17,7 +17,7 @@
 const HEADER_BYTES: usize = 20;
 
 /// Versions that stay: the newest, and the one before as long as there is room.
-const KEPT_VERSIONS: usize = 2;
+const RETAINED_VERSIONS: usize = 2;
 
 /// Why a version could not be saved or the store not be opened.
 #[derive(Debug, Error)]
@@ -51,9 +51,9 @@
 pub struct VersionedStore {
     prefix: String,
     /// The highest version number that any file has or had.
-    last: u64,
+    last_version: u64,
     /// Complete versions in the folder, oldest first.
-    complete: Vec<u64>,
+    versions: Vec<u64>,
 }
 
 impl VersionedStore {
@@ -65,39 +65,39 @@
     /// # Errors
     /// If the folder or a file cannot be read, or the folder not be synced.
     pub fn open(directory: &mut dyn Directory, prefix: &str) -> Result<(Self, Option<Vec<u8>>), StoreError> {
-        let mut store = Self { prefix: prefix.to_owned(), last: 0, complete: Vec::new() };
-        for name in directory.list().map_err(disk("list the folder"))? {
-            store.take_stock(directory, &name)?;
+        let mut store = Self { prefix: prefix.to_owned(), last_version: 0, versions: Vec::new() };
+        for name in directory.list().map_err(disk_error("list the folder"))? {
+            store.index_file(directory, &name)?;
         }
-        store.complete.sort_unstable();
-        if !store.complete.is_empty() {
-            directory.sync_folder().map_err(disk("sync the folder"))?;
+        store.versions.sort_unstable();
+        if !store.versions.is_empty() {
+            directory.sync().map_err(disk_error("sync the folder"))?;
         }
         let newest = store.newest(directory)?;
         Ok((store, newest))
     }
 
-    fn take_stock(&mut self, directory: &mut dyn Directory, name: &str) -> Result<(), StoreError> {
-        let (base, aside) = match name.strip_suffix(ASIDE_SUFFIX) {
+    fn index_file(&mut self, directory: &mut dyn Directory, name: &str) -> Result<(), StoreError> {
+        let (base, temporary) = match name.strip_suffix(TEMPORARY_SUFFIX) {
             Some(base) => (base, true),
             None => (name, false),
         };
         let Some(version) = self.version_of(base) else {
             return Ok(());
         };
-        self.last = self.last.max(version);
-        if aside {
-            return directory.remove(name).map_err(disk("remove a file left aside"));
+        self.last_version = self.last_version.max(version);
+        if temporary {
+            return directory.remove(name).map_err(disk_error("remove a file left temporary"));
         }
-        self.complete.push(version);
+        self.versions.push(version);
         Ok(())
     }
 
     /// The newest version that is intact; damaged ones are forgotten, and removed with the next save.
     fn newest(&self, directory: &mut dyn Directory) -> Result<Option<Vec<u8>>, StoreError> {
-        for version in self.complete.iter().rev() {
-            let bytes = directory.read(&self.name(*version)).map_err(disk("read a version"))?;
-            if let Some(record) = unpack(bytes, *version) {
+        for version in self.versions.iter().rev() {
+            let bytes = directory.read(&self.name(*version)).map_err(disk_error("read a version"))?;
+            if let Some(record) = decode_file(bytes, *version) {
                 return Ok(Some(record));
             }
         }
@@ -109,47 +109,48 @@
     /// # Errors
     /// If the disk refuses. The versions before are then still there, and a later save may work.
     pub fn save(&mut self, directory: &mut dyn Directory, record: &[u8]) -> Result<(), StoreError> {
-        self.last += 1;
-        let version = self.last;
-        let bytes = pack(record, version)?;
-        let aside = format!("{}{ASIDE_SUFFIX}", self.name(version));
+        self.last_version += 1;
+        let version = self.last_version;
+        let bytes = encode_file(record, version)?;
+        let temporary = format!("{}{TEMPORARY_SUFFIX}", self.name(version));
         let name = self.name(version);
-        let written = self.write_aside(directory, &aside, &bytes);
-        let named = written.and_then(|()| directory.rename(&aside, &name).map_err(disk("rename a version")));
+        let written = self.write_temporary(directory, &temporary, &bytes);
+        let named = written
+            .and_then(|()| directory.rename(&temporary, &name).map_err(disk_error("rename a version")));
         if let Err(error) = named {
             // Whatever is left of it is removed now, or when the store is opened again.
-            let _ = directory.remove(&aside);
+            let _ = directory.remove(&temporary);
             return Err(error);
         }
-        self.complete.push(version);
-        directory.sync_folder().map_err(disk("sync the folder"))?;
-        self.remove_old(directory, KEPT_VERSIONS);
+        self.versions.push(version);
+        directory.sync().map_err(disk_error("sync the folder"))?;
+        self.prune_versions(directory, RETAINED_VERSIONS);
         Ok(())
     }
 
     /// Writes the file aside; if the disk is full, once more after making room.
-    fn write_aside(
+    fn write_temporary(
         &mut self,
         directory: &mut dyn Directory,
-        aside: &str,
+        temporary: &str,
         bytes: &[u8],
     ) -> Result<(), StoreError> {
-        let write = directory.write_new(aside, bytes);
+        let write = directory.write_new(temporary, bytes);
         let full = write.as_ref().is_err_and(|error| error.kind() == io::ErrorKind::StorageFull);
-        if !full || self.complete.len() < KEPT_VERSIONS {
-            return write.map_err(disk("write a version"));
+        if !full || self.versions.len() < RETAINED_VERSIONS {
+            return write.map_err(disk_error("write a version"));
         }
-        self.remove_old(directory, 1);
-        directory.write_new(aside, bytes).map_err(disk("write a version"))
+        self.prune_versions(directory, 1);
+        directory.write_new(temporary, bytes).map_err(disk_error("write a version"))
     }
 
     /// Removes all but the newest versions. One that cannot be removed stays for the next time.
-    fn remove_old(&mut self, directory: &mut dyn Directory, kept: usize) {
-        let old = self.complete.len().saturating_sub(kept);
-        let (old, newest) = self.complete.split_at(old);
-        let stuck: Vec<u64> =
+    fn prune_versions(&mut self, directory: &mut dyn Directory, kept: usize) {
+        let old = self.versions.len().saturating_sub(kept);
+        let (old, newest) = self.versions.split_at(old);
+        let undeleted: Vec<u64> =
             old.iter().copied().filter(|version| directory.remove(&self.name(*version)).is_err()).collect();
-        self.complete = stuck.into_iter().chain(newest.iter().copied()).collect();
+        self.versions = undeleted.into_iter().chain(newest.iter().copied()).collect();
     }
 
     fn name(&self, version: u64) -> String {
@@ -162,11 +163,11 @@
     }
 }
 
-fn disk(action: &'static str) -> impl Fn(io::Error) -> StoreError {
+fn disk_error(action: &'static str) -> impl Fn(io::Error) -> StoreError {
     move |source| StoreError::Disk { action, source }
 }
 
-fn pack(record: &[u8], version: u64) -> Result<Vec<u8>, StoreError> {
+fn encode_file(record: &[u8], version: u64) -> Result<Vec<u8>, StoreError> {
     let too_long = |_| StoreError::TooLong(record.len());
     let length = u32::try_from(record.len()).map_err(too_long)?;
     let header = Header { magic: MAGIC, version, length, checksum: checksum(record, version) };
@@ -176,7 +177,7 @@
 }
 
 /// The record in a file, if the file is whole.
-fn unpack(mut bytes: Vec<u8>, version: u64) -> Option<Vec<u8>> {
+fn decode_file(mut bytes: Vec<u8>, version: u64) -> Option<Vec<u8>> {
     let (_, header) = Header::from_bytes((&bytes, 0)).ok()?;
     let record = bytes.split_off(HEADER_BYTES.min(bytes.len()));
     let intact = header.magic == MAGIC
--- a/crates/coordination/tests/lease_model.rs
+++ b/crates/coordination/tests/lease_model.rs
@@ -103,8 +103,8 @@
         due && self.rounds[place] < MOST_ROUNDS[place]
     }
 
-    fn may_act(&self, index: u8) -> bool {
-        self.nodes[usize::from(index)].may_act(self.now(), SHARD, Duration::ZERO).is_some()
+    fn current_epoch(&self, index: u8) -> bool {
+        self.nodes[usize::from(index)].current_epoch(self.now(), SHARD, Duration::ZERO).is_some()
     }
 
     fn send(&mut self, from: u8, outputs: Vec<Output>) {
@@ -222,7 +222,7 @@
         actions.push(Action::Tick);
         for index in 0..MEMBERS {
             actions.extend(state.may_wake(index).then_some(Action::Wake(index)));
-            actions.extend(state.may_act(index).then_some(Action::Act(index)));
+            actions.extend(state.current_epoch(index).then_some(Action::Act(index)));
         }
         actions.extend(state.network.iter().cloned().map(Action::Deliver));
         if !state.changed {
@@ -237,7 +237,7 @@
             Action::Tick => state.tick += 1,
             Action::Wake(index) => {
                 state.rounds[usize::from(index)] += 1;
-                let outputs = state.node(index).on_time(now);
+                let outputs = state.node(index).on_tick(now);
                 state.send(index, outputs);
             }
             Action::Act(index) => state.act(index),
--- a/crates/coordination/tests/lease_parts.rs
+++ b/crates/coordination/tests/lease_parts.rs
@@ -49,7 +49,7 @@
     let mut holder = LeaseHolder::new(settings(), SHARD, node(1));
     holder.set_group(at(1_000), 1, &members(&[1, 2, 3]));
     holder.set_candidate(at(1_000), true);
-    assert_eq!(holder.on_time(at(1_000)).len(), 3);
+    assert_eq!(holder.on_tick(at(1_000)).len(), 3);
     holder
 }
 
@@ -157,11 +157,11 @@
 #[test]
 fn a_late_answer_prolongs_from_the_time_of_the_request() {
     let mut holder = acting();
-    assert_eq!(holder.on_time(at(1_334)).len(), 3);
+    assert_eq!(holder.on_tick(at(1_334)).len(), 3);
     answer(&mut holder, 1_850, 1, 2, true);
     answer(&mut holder, 1_850, 2, 2, true);
-    assert_eq!(holder.may_act(at(2_213), WIRE), Some(10));
-    assert_eq!(holder.may_act(at(2_214), WIRE), None);
+    assert_eq!(holder.current_epoch(at(2_213), WIRE), Some(10));
+    assert_eq!(holder.current_epoch(at(2_214), WIRE), None);
 }
 
 #[test]
@@ -191,24 +191,24 @@
     let mut holder = candidate();
     answer(&mut holder, 1_010, 1, 1, true);
     answer(&mut holder, 1_010, 2, 1, true);
-    assert_eq!(holder.on_time(at(2_000))[0], HolderOutput::Ended { tenure: Tenure(1) });
+    assert_eq!(holder.on_tick(at(2_000))[0], HolderOutput::Ended { tenure: Tenure(1) });
     answer(&mut holder, 2_010, 1, 2, true);
     let tenure = Tenure(2);
     assert_eq!(answer(&mut holder, 2_010, 2, 2, true), vec![HolderOutput::AcquireEpoch { tenure }]);
     assert_eq!(holder.epoch_acquired(at(2_020), Tenure(1), 10), vec![]);
-    assert_eq!(holder.may_act(at(2_030), WIRE), None);
+    assert_eq!(holder.current_epoch(at(2_030), WIRE), None);
 }
 
 #[test]
 fn an_epoch_that_does_not_rise_is_asked_for_again() {
     let mut holder = acting();
-    holder.on_time(at(2_000));
+    holder.on_tick(at(2_000));
     answer(&mut holder, 2_010, 1, 2, true);
     answer(&mut holder, 2_010, 2, 2, true);
     let tenure = Tenure(2);
     let again = HolderOutput::AcquireEpoch { tenure };
     assert_eq!(holder.epoch_acquired(at(2_020), tenure, 10), vec![again]);
-    assert_eq!(holder.may_act(at(2_030), WIRE), None);
+    assert_eq!(holder.current_epoch(at(2_030), WIRE), None);
 }
 
 #[test]
@@ -218,10 +218,10 @@
     let tenure = Tenure(1);
     let again = HolderOutput::AcquireEpoch { tenure };
     assert_eq!(answer(&mut holder, 1_010, 2, 1, true), vec![again]);
-    assert_eq!(holder.epoch_missed(at(1_500), tenure), vec![again]);
+    assert_eq!(holder.epoch_unavailable(at(1_500), tenure), vec![again]);
     assert_eq!(holder.epoch_acquired(at(1_600), tenure, 10), vec![HolderOutput::Began { tenure, epoch: 10 }]);
-    assert_eq!(holder.epoch_missed(at(1_700), tenure), vec![]);
-    assert_eq!(holder.epoch_missed(at(2_000), tenure), vec![HolderOutput::Ended { tenure }]);
+    assert_eq!(holder.epoch_unavailable(at(1_700), tenure), vec![]);
+    assert_eq!(holder.epoch_unavailable(at(2_000), tenure), vec![HolderOutput::Ended { tenure }]);
 }
 
 #[test]
@@ -242,7 +242,7 @@
     holder.authorize(at(1_100), WIRE);
     assert_eq!(holder.set_candidate(at(1_110), false), vec![HolderOutput::Ended { tenure: Tenure(1) }]);
     assert_eq!(holder.next_wake(), Some(at(1_120)));
-    let outputs = holder.on_time(at(1_150));
+    let outputs = holder.on_tick(at(1_150));
     let expected = HolderOutput::Release { to: node(1).address(), release: release(1, 1, 30) };
     assert_eq!(outputs.first(), Some(&expected));
     assert_eq!(holder.next_wake(), None);
@@ -263,11 +263,11 @@
     holder.set_group(at(1_000), 2, &members(&[2, 4, 5]));
     holder.set_candidate(at(1_000), true);
     let grant = |round| LeaseReply { shard: SHARD, candidate: node(2), round, granted: true, wait_ms: 0 };
-    assert_eq!(holder.on_time(at(1_000)).len(), 5);
+    assert_eq!(holder.on_tick(at(1_000)).len(), 5);
     assert_eq!(holder.on_reply(at(1_010), node(2).address(), &grant(1)), vec![]);
     assert_eq!(holder.on_reply(at(1_010), node(4).address(), &grant(1)), vec![]);
     assert_eq!(holder.on_reply(at(1_010), node(3).address(), &grant(1)).len(), 1);
-    assert_eq!(holder.on_time(at(5_100)).len(), 4, "the end of the tenure and a round to the new group");
+    assert_eq!(holder.on_tick(at(5_100)).len(), 4, "the end of the tenure and a round to the new group");
     assert_eq!(holder.on_reply(at(5_110), node(2).address(), &grant(2)), vec![]);
     assert_eq!(holder.on_reply(at(5_110), node(4).address(), &grant(2)).len(), 1);
 }
--- a/crates/coordination/tests/lease_with_membership.rs
+++ b/crates/coordination/tests/lease_with_membership.rs
@@ -3,7 +3,7 @@
 #[allow(dead_code)]
 mod lease_world;
 
-use lanegate_coordination::membership::{Membership, MembershipSettings, Output};
+use lanegate_coordination::membership::{FailureDetector, MembershipSettings, Output};
 use lease_world::{QUIET, World};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 /// Processes that detect failures among themselves; the first live one in the order of the shard is candidate.
 struct Cluster {
     world: World,
-    detectors: Vec<Membership>,
+    detectors: Vec<FailureDetector>,
     candidates: Vec<bool>,
 }
 
@@ -46,7 +46,7 @@
         if !self.runs(index) || self.detectors[index].next_wake() > now {
             return;
         }
-        let outputs = self.detectors[index].on_time(now);
+        let outputs = self.detectors[index].on_tick(now);
         let members = self.world.members();
         for output in outputs {
             let Output::Send { to, heartbeat } = output else { continue };
@@ -87,8 +87,9 @@
     }
 }
 
-fn detector(world: &World, index: usize) -> Membership {
-    let mut detector = Membership::new(MembershipSettings::new(HEARTBEAT, 6), world.id(index), world.now);
+fn detector(world: &World, index: usize) -> FailureDetector {
+    let mut detector =
+        FailureDetector::new(MembershipSettings::new(HEARTBEAT, 6), world.id(index), world.now);
     detector.set_nodes(world.now, &world.members());
     detector
 }
--- a/crates/coordination/tests/lease_world/mod.rs
+++ b/crates/coordination/tests/lease_world/mod.rs
@@ -278,7 +278,7 @@
         let now = self.local(index);
         let due = self.processes[index].node.next_wake().is_some_and(|wake| wake <= now);
         if due && self.runs(index) {
-            let outputs = self.processes[index].node.on_time(now);
+            let outputs = self.processes[index].node.on_tick(now);
             self.send(index, outputs);
         }
     }
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Membership: rendezvous orders and the failure detector, on simulated time.
 
 use lanegate_coordination::membership::{
-    Heartbeat, Membership, MembershipSettings, NodeId, Output, PeerState, monitored_peers, monitors_of,
+    FailureDetector, Heartbeat, MembershipSettings, NodeId, Output, PeerState, monitored_peers, monitors_of,
     rendezvous_order, stable_hash,
 };
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -21,9 +21,9 @@
     Duration::from_millis(ms)
 }
 
-fn member(count: u16) -> Membership {
+fn member(count: u16) -> FailureDetector {
     let settings = MembershipSettings::new(INTERVAL, usize::from(count));
-    let mut membership = Membership::new(settings, NodeId::new(address(0), 1), at(0));
+    let mut membership = FailureDetector::new(settings, NodeId::new(address(0), 1), at(0));
     membership.set_nodes(at(0), &nodes(count));
     membership
 }
@@ -33,10 +33,15 @@
 }
 
 /// Wakes the membership every 100 ms and lets the peers `heard` send every 300 ms, up to `end`.
-fn run(membership: &mut Membership, from: u64, end: u64, heard: &[u16]) -> Vec<(u64, SocketAddr, PeerState)> {
+fn run(
+    membership: &mut FailureDetector,
+    from: u64,
+    end: u64,
+    heard: &[u16],
+) -> Vec<(u64, SocketAddr, PeerState)> {
     let mut changes = Vec::new();
     for now in (from..end).step_by(100) {
-        let mut outputs = membership.on_time(at(now));
+        let mut outputs = membership.on_tick(at(now));
         if now % 300 == 0 {
             let beats = heard.iter().map(|index| heartbeat(*index, 1, now / 300 + 1));
             outputs
@@ -141,7 +146,7 @@
             now += 100;
             assert!(
                 !membership
-                    .on_time(at(now))
+                    .on_tick(at(now))
                     .iter()
                     .any(|output| matches!(output, Output::StateChanged { .. }))
             );
@@ -191,7 +196,7 @@
     let mut changes = Vec::new();
     for now in (200..2_000).step_by(100) {
         membership.on_heartbeat(at(now), &heartbeat(1, 5, 8 + now % 2));
-        changes.extend(membership.on_time(at(now)));
+        changes.extend(membership.on_tick(at(now)));
     }
     let suspected = Output::StateChanged { peer: address(1).into(), state: PeerState::Suspect };
     assert!(changes.contains(&suspected));
@@ -200,7 +205,7 @@
 #[test]
 fn heartbeats_go_to_the_monitors_and_the_next_wake_is_theirs() {
     let mut membership = member(3);
-    let outputs = membership.on_time(at(0));
+    let outputs = membership.on_tick(at(0));
     let targets: Vec<_> = outputs
         .iter()
         .filter_map(|output| match output {
--- a/crates/coordination/tests/membership_digests.rs
+++ b/crates/coordination/tests/membership_digests.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use lanegate_coordination::membership::{
-    Heartbeat, Membership, MembershipSettings, NodeId, Output, PeerState, monitors_of, rendezvous_order,
+    Heartbeat, FailureDetector, MembershipSettings, NodeId, Output, PeerState, monitors_of, rendezvous_order,
 };
 use lanegate_coordination::registry::{FINAL_SEQUENCE, Registration, Registry, RegistryUpdate};
 use rand::rngs::SmallRng;
@@ -56,14 +56,14 @@
     let mut digest = Digest::new();
     let mut now = Duration::ZERO;
     let settings = MembershipSettings::new(INTERVAL, random.random_range(1..=4));
-    let mut membership = Membership::new(settings, NodeId::new(address(0), 1), now);
+    let mut membership = FailureDetector::new(settings, NodeId::new(address(0), 1), now);
     let mut count = NODES;
     let mut sequence = 0;
     for _ in 0..EVENTS {
         let longest_wait = if random.random_bool(0.02) { 3_000 } else { 60 };
         now += Duration::from_millis(random.random_range(0..=longest_wait));
         let outputs = match random.random_range(0..100) {
-            0..40 => membership.on_time(now),
+            0..40 => membership.on_tick(now),
             40..98 => {
                 sequence += random.random_range(0..2);
                 let incarnation = 1 + u64::from(random.random_bool(0.05));
--- a/crates/coordination/tests/storage.rs
+++ b/crates/coordination/tests/storage.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use lanegate_coordination::storage::{Directory, Folder, SimulatedDirectory, VersionedStore};
+use lanegate_coordination::storage::{Directory, FileDirectory, SimulatedDirectory, VersionedStore};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -73,10 +73,10 @@
     let mut directory = SimulatedDirectory::new();
     let (mut store, _) = open(&mut directory);
     store.save(&mut directory, b"before").unwrap();
-    directory.refusing = true;
+    directory.rejects_writes = true;
     assert!(store.save(&mut directory, b"refused").is_err());
     assert_eq!(open(&mut directory.clone()).1, Some(b"before".to_vec()));
-    directory.refusing = false;
+    directory.rejects_writes = false;
     store.save(&mut directory, b"after").unwrap();
     assert_eq!(open(&mut directory).1, Some(b"after".to_vec()));
 }
@@ -95,12 +95,12 @@
 #[test]
 fn a_real_folder_keeps_the_newest_version() -> io::Result<()> {
     let path = std::env::temp_dir().join(format!("lanegate-storage-test-{}", std::process::id()));
-    let mut folder = Folder::open(&path)?;
+    let mut folder = FileDirectory::open(&path)?;
     let (mut store, before) = open(&mut folder);
     for version in 1..=4_u8 {
         store.save(&mut folder, &[version]).unwrap();
     }
-    let mut again = Folder::open(&path)?;
+    let mut again = FileDirectory::open(&path)?;
     let record = open(&mut again).1;
     let files = again.list()?.len();
     std::fs::remove_dir_all(&path)?;
@@ -152,11 +152,11 @@
                     }
                 }
                 Event::SaveInterrupted { length, steps, power } => {
-                    directory.steps_left = Some(steps);
+                    directory.operations_until_crash = Some(steps);
                     if store.save(&mut directory, &record(last, length)).is_ok() {
                         saved = last;
                     }
-                    directory.steps_left = None;
+                    directory.operations_until_crash = None;
                     if power {
                         directory.lose_power(&mut random);
                     }
@@ -166,7 +166,7 @@
                     prop_assert!((saved..=last).contains(&found), "found {found}, saved {saved}, tried {last}");
                     saved = found;
                 }
-                Event::Refuse(refusing) => directory.refusing = refusing,
+                Event::Refuse(refusing) => directory.rejects_writes = refusing,
                 Event::Capacity(capacity) => directory.capacity = capacity,
             }
         }
