--- a/crates/coordination/src/register/acceptor.rs
+++ b/crates/coordination/src/register/acceptor.rs
@@ -14,7 +14,7 @@
 
 /// An answer that waits for a version of the record to be durable.
 #[derive(Clone, Hash)]
-struct Reply {
+struct DeferredReply {
     version: u64,
     to: Node,
     message: Message,
@@ -35,17 +35,17 @@
     durable_version: u64,
     write: Option<Write>,
     retry_at: Option<Duration>,
-    replies: Vec<Reply>,
+    deferred_replies: Vec<DeferredReply>,
 }
 
 impl Acceptor {
     /// An acceptor whose record is on disk.
     pub(super) fn stored(record: Record) -> Self {
-        Self { durable_version: 1, durable: Some(record.clone()), ..Self::fresh(record) }
+        Self { durable_version: 1, durable: Some(record.clone()), ..Self::unwritten(record) }
     }
 
     /// An acceptor whose record is yet to be written.
-    pub(super) fn fresh(record: Record) -> Self {
+    pub(super) fn unwritten(record: Record) -> Self {
         Self {
             current: record,
             version: 1,
@@ -53,7 +53,7 @@
             durable_version: 0,
             write: None,
             retry_at: None,
-            replies: Vec::new(),
+            deferred_replies: Vec::new(),
         }
     }
 
@@ -83,9 +83,10 @@
         };
         self.durable = Some(write.record);
         self.durable_version = write.version;
-        let (due, waiting) = std::mem::take(&mut self.replies).into_iter().partition(|r| r.version <= token);
-        self.replies = waiting;
-        let due: Vec<Reply> = due;
+        let (due, waiting) =
+            std::mem::take(&mut self.deferred_replies).into_iter().partition(|r| r.version <= token);
+        self.deferred_replies = waiting;
+        let due: Vec<DeferredReply> = due;
         for reply in due {
             context.send(reply.to, reply.message);
         }
@@ -93,7 +94,7 @@
 
     pub(super) fn on_persist_failed(&mut self, context: &Context, token: u64) {
         if self.write.take_if(|write| write.version == token).is_some() {
-            self.retry_at = Some(context.now + context.settings.persist_retry);
+            self.retry_at = Some(context.now + context.settings.persist_retry_interval);
         }
     }
 
@@ -115,7 +116,7 @@
             incarnation: self.current.incarnation,
             minimum_incarnations: self.current.minimum_incarnations.clone(),
             accepted: self.current.accepted,
-            value: carry(&self.current, known),
+            value: value_newer_than(&self.current, known),
         };
         self.reply(context, from, message);
     }
@@ -151,7 +152,7 @@
     }
 
     /// Answers a quorum read with what the disk holds, so that a stalled disk does not hold up reads.
-    pub(super) fn on_query(&mut self, context: &mut Context, from: Node, request: u64, known: Ballot) {
+    pub(super) fn on_read_query(&mut self, context: &mut Context, from: Node, request: u64, known: Ballot) {
         let record = self.durable.as_ref().unwrap_or(&self.current);
         let message = Message::ReadReply {
             request,
@@ -159,7 +160,7 @@
             minimum_incarnations: record.minimum_incarnations.clone(),
             promised: record.promised,
             accepted: record.accepted,
-            value: carry(record, known),
+            value: value_newer_than(record, known),
         };
         if self.durable.is_some() {
             context.send(from, message);
@@ -169,7 +170,13 @@
     }
 
     /// Registers an incarnation of a recovering replica and tells it what is known here.
-    pub(super) fn on_register(&mut self, context: &mut Context, from: Node, nonce: u64, incarnation: u64) {
+    pub(super) fn on_register_incarnation(
+        &mut self,
+        context: &mut Context,
+        from: Node,
+        nonce: u64,
+        incarnation: u64,
+    ) {
         if self.current.minimum_incarnations.raise(from, incarnation) {
             self.version += 1;
         }
@@ -191,11 +198,11 @@
             return context.send(to, message);
         }
         let kind = discriminant(&message);
-        self.replies.retain(|reply| reply.to != to || discriminant(&reply.message) != kind);
-        self.replies.push(Reply { version: self.version, to, message });
+        self.deferred_replies.retain(|reply| reply.to != to || discriminant(&reply.message) != kind);
+        self.deferred_replies.push(DeferredReply { version: self.version, to, message });
     }
 }
 
-fn carry(record: &Record, known: Ballot) -> ValueTransfer {
+fn value_newer_than(record: &Record, known: Ballot) -> ValueTransfer {
     if record.accepted > known { ValueTransfer::Full(record.value.clone()) } else { ValueTransfer::Omitted }
 }
--- a/crates/coordination/src/register/anti_entropy.rs
+++ b/crates/coordination/src/register/anti_entropy.rs
@@ -10,7 +10,7 @@
 
 #[derive(Clone, Hash)]
 pub(super) struct AntiEntropy {
-    due: Duration,
+    next_poll_at: Duration,
     /// Whom it asked last.
     last_polled: Node,
 }
@@ -18,18 +18,18 @@
 impl AntiEntropy {
     /// Asks nobody yet; [`Self::schedule`] is to be called.
     pub(super) fn new(context: &Context) -> Self {
-        Self { due: context.now, last_polled: context.node() }
+        Self { next_poll_at: context.now, last_polled: context.node() }
     }
 
     pub(super) fn next_wake(&self) -> Duration {
-        self.due
+        self.next_poll_at
     }
 
     /// Sets the time of the next question; those of different replicas are spread by chance.
     pub(super) fn schedule(&mut self, context: &mut Context, is_spare: bool) {
         let poll_factor = if is_spare { SPARE_POLL_FACTOR } else { 1 };
-        let interval = context.settings.announce_interval / poll_factor;
-        self.due = context.now + interval / 2 + context.random_up_to(interval);
+        let interval = context.settings.anti_entropy_interval / poll_factor;
+        self.next_poll_at = context.now + interval / 2 + context.random_up_to(interval);
     }
 
     /// Asks the next of the others; all take turns.
--- a/crates/coordination/src/register/batch.rs
+++ b/crates/coordination/src/register/batch.rs
@@ -92,7 +92,7 @@
 
     /// Answers those whose time is over; tells whether anyone still waits. What has been proposed stays, as its
     /// place in the batch tells the answers of the others.
-    pub(super) fn expire(&mut self, context: &mut Context, accepting: bool) -> bool {
+    pub(super) fn expire_tasks(&mut self, context: &mut Context, accepting: bool) -> bool {
         let now = context.now;
         let attempted = !self.attempts.is_empty();
         for task in self.tasks.iter_mut().filter(|task| task.deadline <= now) {
--- a/crates/coordination/src/register/catch_up.rs
+++ b/crates/coordination/src/register/catch_up.rs
@@ -12,17 +12,17 @@
 
 /// The newest decision that was heard of and whose value is not known here.
 #[derive(Clone, Hash)]
-struct Missing {
+struct MissingCommit {
     ballot: Ballot,
     /// Who told of it.
     from: Node,
-    ask_again_at: Duration,
+    retry_at: Duration,
     interval: Duration,
 }
 
 #[derive(Clone, Default, Hash)]
 pub(super) struct CatchUp {
-    missing: Option<Missing>,
+    missing: Option<MissingCommit>,
 }
 
 impl CatchUp {
@@ -34,7 +34,7 @@
         match &mut self.missing {
             Some(missing) if missing.ballot < ballot => (missing.ballot, missing.from) = (ballot, from),
             Some(_) => {}
-            None => self.ask(context, from, ballot, context.settings.retry_interval),
+            None => self.request_value(context, from, ballot, context.settings.retry_interval),
         }
     }
 
@@ -42,25 +42,25 @@
     pub(super) fn on_committed(&mut self, context: &mut Context, ballot: Ballot, answered: bool) {
         self.missing.take_if(|missing| missing.ballot <= ballot);
         if let Some(missing) = self.missing.take_if(|_| answered) {
-            self.ask(context, missing.from, missing.ballot, context.settings.retry_interval);
+            self.request_value(context, missing.from, missing.ballot, context.settings.retry_interval);
         }
     }
 
     pub(super) fn next_wake(&self) -> Option<Duration> {
-        self.missing.as_ref().map(|missing| missing.ask_again_at)
+        self.missing.as_ref().map(|missing| missing.retry_at)
     }
 
     /// Asks again if there was no answer.
     pub(super) fn on_tick(&mut self, context: &mut Context) {
-        let due = |missing: &mut Missing| missing.ask_again_at <= context.now;
+        let due = |missing: &mut MissingCommit| missing.retry_at <= context.now;
         if let Some(missing) = self.missing.take_if(due) {
             let interval = context.next_retry_interval(missing.interval);
-            self.ask(context, missing.from, missing.ballot, interval);
+            self.request_value(context, missing.from, missing.ballot, interval);
         }
     }
 
-    fn ask(&mut self, context: &mut Context, from: Node, ballot: Ballot, interval: Duration) {
-        self.missing = Some(Missing { ballot, from, ask_again_at: context.now + interval, interval });
+    fn request_value(&mut self, context: &mut Context, from: Node, ballot: Ballot, interval: Duration) {
+        self.missing = Some(MissingCommit { ballot, from, retry_at: context.now + interval, interval });
         context.send(from, context.poll_message());
     }
 }
--- a/crates/coordination/src/register/membership_change.rs
+++ b/crates/coordination/src/register/membership_change.rs
@@ -28,19 +28,19 @@
         let revision = round.base.value.revision;
         if joint_committed {
             batch.complete(context, vec![Outcome::Changed { revision, answer: Vec::new() }]);
-            return self.finish(context, &round);
+            return self.finish_round(context, &round);
         }
         match plan_membership_change(&round.base.value, remove, add) {
             MembershipStep::Done(outcome) => {
                 batch.complete(context, vec![outcome]);
-                self.finish(context, &round);
+                self.finish_round(context, &round);
             }
             MembershipStep::EnterJoint(groups) => {
                 self.batch = Some(batch);
                 let id = self.next_id(context);
                 let base = &round.base.value;
                 let value = base.changed(id, 1, groups, base.state.clone());
-                round.accept(context, value, AfterCommit::JointCommitted);
+                round.start_accept(context, value, AfterCommit::JointCommitted);
                 self.round = Some(round);
             }
         }
@@ -48,16 +48,16 @@
 
     /// Ends a change of members that someone has begun. Its end may have been accepted, and yet be committed for
     /// nobody: then it is committed here, as otherwise all who wait for it would wait for ever.
-    pub(super) fn propose_final_value(&mut self, context: &mut Context, round: Round, batch: Batch) {
+    pub(super) fn propose_completion(&mut self, context: &mut Context, round: Round, batch: Batch) {
         let joint = round.base.value.is_joint();
         if !joint && context.settings.has(Fault::LeaveChangeUncommitted) {
-            return self.finish(context, &round);
+            return self.finish_round(context, &round);
         }
         if !round.base_committed {
             return self.commit_base(context, round, batch);
         }
         if !joint {
-            return self.finish(context, &round);
+            return self.finish_round(context, &round);
         }
         self.batch = Some(batch);
         self.propose_final_group(context, round);
@@ -69,11 +69,11 @@
         let base = &round.base.value;
         let newest = base.groups.last().cloned().into_iter().collect();
         let value = base.changed(id, 1, newest, base.state.clone());
-        round.accept(context, value, AfterCommit::Continue);
+        round.start_accept(context, value, AfterCommit::Continue);
         self.round = Some(round);
     }
 
-    pub(super) fn mark_joint_committed(&mut self) {
+    pub(super) fn record_joint_committed(&mut self) {
         for task in self.batch.iter_mut().flat_map(|batch| batch.tasks.iter_mut()) {
             if let Operation::ChangeMembers { joint_committed, .. } = &mut task.operation {
                 *joint_committed = true;
--- a/crates/coordination/src/register/proposer.rs
+++ b/crates/coordination/src/register/proposer.rs
@@ -29,12 +29,12 @@
 }
 
 impl Proposer {
-    pub(super) fn push(&mut self, task: Task) {
+    pub(super) fn enqueue(&mut self, task: Task) {
         self.queue.push_back(task);
     }
 
     /// Takes up the end of a change of members, unless that is waiting already.
-    pub(super) fn complete(&mut self) {
+    pub(super) fn request_completion(&mut self) {
         let waiting =
             self.queue.iter().any(|task| matches!(task.operation, Operation::CompleteMembershipChange));
         if !waiting {
@@ -47,7 +47,7 @@
     }
 
     /// A ballot was seen somewhere.
-    pub(super) fn observe(&mut self, ballot: Ballot) {
+    pub(super) fn observe_ballot(&mut self, ballot: Ballot) {
         self.counter = self.counter.max(ballot.counter);
         if self.reusable_ballot.is_some_and(|reusable_ballot| {
             ballot > reusable_ballot && !ballot.is_same_prepare_phase(reusable_ballot)
@@ -88,7 +88,7 @@
 
     /// Gives up what is late, sends again what was not answered.
     pub(super) fn on_tick(&mut self, context: &mut Context) {
-        self.expire(context);
+        self.expire_tasks(context);
         let Some(round) = &mut self.round else {
             return;
         };
@@ -104,7 +104,7 @@
         }
     }
 
-    fn expire(&mut self, context: &mut Context) {
+    fn expire_tasks(&mut self, context: &mut Context) {
         let now = context.now;
         if self.queue.iter().any(|task| task.deadline <= now) {
             let (late, waiting) =
@@ -116,7 +116,7 @@
             }
         }
         let accepting = matches!(&self.round, Some(Round { phase: Phase::Accept { .. }, .. }));
-        if self.batch.as_mut().is_some_and(|batch| !batch.expire(context, accepting)) {
+        if self.batch.as_mut().is_some_and(|batch| !batch.expire_tasks(context, accepting)) {
             self.batch = None;
             self.round = None;
             self.reusable_ballot = None;
@@ -124,7 +124,7 @@
     }
 
     /// Starts a round if there is work and none is under way.
-    pub(super) fn start(&mut self, context: &mut Context, known: Option<Proposal>) {
+    pub(super) fn start_round(&mut self, context: &mut Context, known: Option<Proposal>) {
         if !self.is_ready(context.now) {
             return;
         }
@@ -133,14 +133,14 @@
             return;
         };
         if self.batch.is_none() {
-            self.batch = self.next_batch(context.settings.batch_limit);
+            self.batch = self.next_batch(context.settings.max_batch_size);
         }
         if self.batch.is_none() {
             return;
         }
         match self.reusable_ballot.filter(|reusable_ballot| *reusable_ballot == known.ballot) {
-            Some(reusable_ballot) => self.resume(context, reusable_ballot, known),
-            None => self.prepare(context, known),
+            Some(reusable_ballot) => self.reuse_ballot(context, reusable_ballot, known),
+            None => self.start_prepare(context, known),
         }
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// Goes on under a ballot that is still the highest: no prepare phase is needed.
-    fn resume(&mut self, context: &mut Context, ballot: Ballot, base: Proposal) {
+    fn reuse_ballot(&mut self, context: &mut Context, ballot: Ballot, base: Proposal) {
         self.round = Some(Round {
             ballot,
             phase: Phase::Prepare { known: base.clone() },
@@ -176,7 +176,7 @@
         self.propose(context);
     }
 
-    fn prepare(&mut self, context: &mut Context, known: Proposal) {
+    fn start_prepare(&mut self, context: &mut Context, known: Proposal) {
         self.counter = self.counter.max(known.ballot.counter) + 1;
         let ballot = Ballot::first(self.counter, context.node(), context.ballot_nonce());
         let mut round = Round {
@@ -191,7 +191,7 @@
             resend_at: context.now + context.settings.retry_interval,
             interval: context.settings.retry_interval,
         };
-        round.ask(context, &round.base.value.members());
+        round.send_to_new(context, &round.base.value.members());
         self.round = Some(round);
     }
 
@@ -217,8 +217,8 @@
             round.base = Proposal { ballot: accepted, value };
         }
         round.votes.insert(from, voter.0, voter.1, ());
-        let groups = round.required(context, &start);
-        round.ask(context, &members(&groups));
+        let groups = round.required_groups(context, &start);
+        round.send_to_new(context, &members(&groups));
         if round.votes.have_majorities(&groups, |()| true) {
             self.propose(context);
         }
@@ -243,8 +243,8 @@
         }
     }
 
-    pub(super) fn on_refused(&mut self, context: &mut Context, ballot: Ballot, promised: Ballot) {
-        self.observe(promised);
+    pub(super) fn on_rejected(&mut self, context: &mut Context, ballot: Ballot, promised: Ballot) {
+        self.observe_ballot(promised);
         let own = self.round.as_ref().is_some_and(|round| round.ballot == ballot);
         if own && !promised.is_same_prepare_phase(ballot) {
             self.back_off(context);
@@ -253,7 +253,7 @@
 
     /// A committed value was learned from elsewhere: a round that was built on older members starts again.
     pub(super) fn on_committed(&mut self, context: &mut Context, ballot: Ballot, value: &Value) {
-        self.observe(ballot);
+        self.observe_ballot(ballot);
         let stale = self.round.as_ref().is_some_and(|round| {
             let overtaken = ballot > round.ballot && !ballot.is_same_prepare_phase(round.ballot);
             overtaken || (ballot > round.base.ballot && value.groups != round.base.value.groups)
@@ -283,14 +283,14 @@
         if batch.attempts.iter().any(|attempt| !round.base.value.has_all_changes_since(attempt.base_revision))
         {
             batch.complete_unclear(context);
-            return self.finish(context, &round);
+            return self.finish_round(context, &round);
         }
         let solitary = batch.tasks.first().map(|task| task.operation.clone());
         match solitary {
             Some(Operation::ChangeMembers { remove, add, joint_committed }) => {
                 self.propose_membership_change(context, round, batch, &remove, &add, joint_committed);
             }
-            Some(Operation::CompleteMembershipChange) => self.propose_final_value(context, round, batch),
+            Some(Operation::CompleteMembershipChange) => self.propose_completion(context, round, batch),
             _ => {
                 let applied = batch.apply_commands(context, &round.base.value);
                 if applied.revisions > 0 {
@@ -316,7 +316,7 @@
         }
         let outcomes = batch.attempts.swap_remove(index).outcomes;
         batch.complete(context, outcomes);
-        self.finish(context, &round);
+        self.finish_round(context, &round);
     }
 
     fn propose_commands(
@@ -334,7 +334,7 @@
             batch.attempts.push(Attempt { id, base_revision: base.revision, outcomes });
         }
         self.batch = Some(batch);
-        round.accept(context, value, AfterCommit::Complete(applied.outcomes));
+        round.start_accept(context, value, AfterCommit::Complete(applied.outcomes));
     }
 
     /// Nothing changes: answered once a majority has confirmed the base in this round.
@@ -349,14 +349,14 @@
             return self.commit_base(context, round, batch);
         }
         batch.complete(context, outcomes);
-        self.finish(context, &round);
+        self.finish_round(context, &round);
     }
 
     /// Gets the base itself committed under the own ballot.
     pub(super) fn commit_base(&mut self, context: &mut Context, mut round: Round, batch: Batch) {
         self.batch = Some(batch);
         let value = round.base.value.clone();
-        round.accept(context, value, AfterCommit::Continue);
+        round.start_accept(context, value, AfterCommit::Continue);
         self.round = Some(round);
     }
 
@@ -381,9 +381,9 @@
                 if let Some(batch) = self.batch.take() {
                     batch.complete(context, outcomes);
                 }
-                return self.finish(context, &round);
+                return self.finish_round(context, &round);
             }
-            AfterCommit::JointCommitted => self.mark_joint_committed(),
+            AfterCommit::JointCommitted => self.record_joint_committed(),
             AfterCommit::Continue => {}
         }
         self.round = Some(round);
@@ -391,17 +391,17 @@
     }
 
     /// The batch is answered. The ballot stays in use if the last value under it was committed.
-    pub(super) fn finish(&mut self, context: &mut Context, round: &Round) {
+    pub(super) fn finish_round(&mut self, context: &mut Context, round: &Round) {
         self.round = None;
         self.reusable_ballot = round
             .base_committed
             .then_some(round.base.ballot)
             .filter(|b| b.is_same_prepare_phase(round.ballot));
         if round.base.value.is_joint() && round.base_committed {
-            self.complete();
+            self.request_completion();
         }
         let base = round.base_committed.then(|| round.base.clone());
-        self.start(context, base);
+        self.start_round(context, base);
     }
 
     pub(super) fn next_id(&mut self, context: &Context) -> ChangeId {
--- a/crates/coordination/src/register/reader.rs
+++ b/crates/coordination/src/register/reader.rs
@@ -28,7 +28,7 @@
 struct Query {
     request: u64,
     tasks: Vec<Task>,
-    start: Proposal,
+    known: Proposal,
     newest: Proposal,
     votes: Votes<AcceptorState>,
     sent_to: Vec<Node>,
@@ -46,7 +46,7 @@
 
 impl Reader {
     /// Takes a read, or a command that seems to change nothing.
-    pub(super) fn push(&mut self, task: Task) {
+    pub(super) fn enqueue(&mut self, task: Task) {
         self.waiting.push(task);
     }
 
@@ -63,7 +63,7 @@
     }
 
     /// Starts a query for all that wait, if none is under way.
-    pub(super) fn start(&mut self, context: &mut Context, known: Option<Proposal>) {
+    pub(super) fn start_query(&mut self, context: &mut Context, known: Option<Proposal>) {
         if !self.is_ready() {
             return;
         }
@@ -74,18 +74,18 @@
         let mut query = Query {
             request: context.nonce.wrapping_mul(NONCE_SPREAD).wrapping_add(self.started),
             tasks: std::mem::take(&mut self.waiting),
-            start: known.clone(),
+            known: known.clone(),
             newest: known,
             votes: Votes::new(&context.settings),
             sent_to: Vec::new(),
             resend_at: context.now + context.settings.retry_interval,
             interval: context.settings.retry_interval,
         };
-        query.ask(context, &query.start.value.members());
+        query.send_to_new(context, &query.known.value.members());
         self.query = Some(query);
     }
 
-    pub(super) fn on_state(
+    pub(super) fn on_read_reply(
         &mut self,
         context: &mut Context,
         proposer: &mut Proposer,
@@ -107,14 +107,14 @@
         }
         query.votes.insert(from, voter.0, voter.1, AcceptorState { promised, accepted });
         let groups = query.groups();
-        query.ask(context, &members(&groups));
+        query.send_to_new(context, &members(&groups));
         if !query.votes.have_majorities(&groups, |_| true) {
             return;
         }
         if query.is_committed(context) {
-            self.finish(context, proposer);
+            self.answer_tasks(context, proposer);
         } else if members(&groups).iter().all(|node| query.votes.counts(*node)) {
-            self.repair(proposer);
+            self.hand_to_proposer(proposer);
         }
     }
 
@@ -135,7 +135,7 @@
             return;
         }
         if query.votes.have_majorities(&query.groups(), |_| true) {
-            return self.repair(proposer);
+            return self.hand_to_proposer(proposer);
         }
         query.interval = context.next_retry_interval(query.interval);
         query.resend_at = context.now + query.interval;
@@ -166,17 +166,17 @@
         if committed.ballot < query.newest.ballot {
             return;
         }
-        query.start = committed.clone();
+        query.known = committed.clone();
         query.newest = committed;
         let groups = query.groups();
-        query.ask(context, &members(&groups));
+        query.send_to_new(context, &members(&groups));
         if query.votes.have_majorities(&groups, |_| true) {
-            self.finish(context, proposer);
+            self.answer_tasks(context, proposer);
         }
     }
 
     /// Answers with the newest value.
-    fn finish(&mut self, context: &mut Context, proposer: &mut Proposer) {
+    fn answer_tasks(&mut self, context: &mut Context, proposer: &mut Proposer) {
         let Some(query) = self.query.take() else {
             return;
         };
@@ -185,7 +185,7 @@
         for task in query.tasks {
             match &task.operation {
                 Operation::Command(command) => match context.state_machine.apply(&value.state, command) {
-                    Applied::Changed { .. } => proposer.push(task),
+                    Applied::Changed { .. } => proposer.enqueue(task),
                     Applied::Unchanged { answer } => {
                         context
                             .complete(task.request, Outcome::Unchanged { revision: value.revision, answer });
@@ -203,16 +203,16 @@
     }
 
     /// Leaves the items to the proposer, which gets the newest value committed.
-    fn repair(&mut self, proposer: &mut Proposer) {
+    fn hand_to_proposer(&mut self, proposer: &mut Proposer) {
         for task in self.query.take().into_iter().flat_map(|query| query.tasks) {
-            proposer.push(task);
+            proposer.enqueue(task);
         }
     }
 }
 
 impl Query {
     fn message(&self) -> Message {
-        Message::ReadQuery { request: self.request, known: self.start.ballot }
+        Message::ReadQuery { request: self.request, known: self.known.ballot }
     }
 
     fn is_awaiting(&self, node: Node) -> bool {
@@ -220,10 +220,10 @@
     }
 
     fn groups(&self) -> Vec<Group> {
-        union(&self.start.value.groups, &self.newest.value.groups)
+        union(&self.known.value.groups, &self.newest.value.groups)
     }
 
-    fn ask(&mut self, context: &mut Context, nodes: &[Node]) {
+    fn send_to_new(&mut self, context: &mut Context, nodes: &[Node]) {
         for node in nodes {
             if !self.sent_to.contains(node) {
                 self.sent_to.push(*node);
--- a/crates/coordination/src/register/recovery.rs
+++ b/crates/coordination/src/register/recovery.rs
@@ -25,8 +25,8 @@
 pub(super) struct Recovery {
     /// The incarnation being registered; zero while it is still being asked for.
     incarnation: u64,
-    contacts: Vec<Node>,
-    answers: BTreeMap<Node, RecoveryResponse>,
+    known_peers: Vec<Node>,
+    responses: BTreeMap<Node, RecoveryResponse>,
     resend_at: Duration,
     interval: Duration,
 }
@@ -35,36 +35,36 @@
     pub(super) fn start(context: &mut Context) -> Self {
         let mut recovery = Self {
             incarnation: 0,
-            contacts: Vec::new(),
-            answers: BTreeMap::new(),
+            known_peers: Vec::new(),
+            responses: BTreeMap::new(),
             resend_at: context.now + context.settings.retry_interval,
             interval: context.settings.retry_interval,
         };
         for seed in context.settings.seeds.clone() {
-            recovery.contact(context, seed);
+            recovery.add_peer(context, seed);
         }
         recovery
     }
 
     /// A replica can be reached: it is asked unless it has answered.
     pub(super) fn on_reachable(&mut self, context: &mut Context, node: Node) {
-        if !self.contacts.contains(&node) {
-            self.contacts.push(node);
+        if !self.known_peers.contains(&node) {
+            self.known_peers.push(node);
         }
-        if !self.answers.contains_key(&node) {
-            self.ask(context, node);
+        if !self.responses.contains_key(&node) {
+            self.send_registration(context, node);
         }
     }
 
     /// Asks a replica that was not asked before.
-    fn contact(&mut self, context: &mut Context, node: Node) {
-        if node != context.node() && !self.contacts.contains(&node) {
-            self.contacts.push(node);
-            self.ask(context, node);
+    fn add_peer(&mut self, context: &mut Context, node: Node) {
+        if node != context.node() && !self.known_peers.contains(&node) {
+            self.known_peers.push(node);
+            self.send_registration(context, node);
         }
     }
 
-    fn ask(&self, context: &mut Context, node: Node) {
+    fn send_registration(&self, context: &mut Context, node: Node) {
         context
             .send(node, Message::RegisterIncarnation { nonce: context.nonce, incarnation: self.incarnation });
     }
@@ -79,82 +79,90 @@
         }
         self.interval = context.next_retry_interval(self.interval);
         self.resend_at = context.now + self.interval;
-        for node in self.contacts.iter().filter(|node| !self.answers.contains_key(*node)) {
-            self.ask(context, *node);
+        for node in self.known_peers.iter().filter(|node| !self.responses.contains_key(*node)) {
+            self.send_registration(context, *node);
         }
     }
 
     /// Takes an answer; gives the record once enough have answered.
-    pub(super) fn on_registered(
+    pub(super) fn on_incarnation_registered(
         &mut self,
         context: &mut Context,
         from: Node,
         requested: u64,
-        answer: RecoveryResponse,
+        response: RecoveryResponse,
     ) -> Option<Record> {
         if requested != self.incarnation {
             return None;
         }
-        let minimum = answer.minimum_incarnations.of(context.node());
-        self.answers.insert(from, answer);
-        for node in self.newest()?.value.members() {
-            self.contact(context, node);
+        let minimum = response.minimum_incarnations.of(context.node());
+        self.responses.insert(from, response);
+        for node in self.newest_accepted()?.value.members() {
+            self.add_peer(context, node);
         }
         if requested != 0 && minimum > requested {
-            self.ask_all(context, 0);
+            self.start_stage(context, 0);
             return None;
         }
-        if self.missing(context).is_some() {
+        if self.missing_responses(context).is_some() {
             return None;
         }
         if self.incarnation == 0 {
-            let highest =
-                self.answers.values().map(|answer| answer.minimum_incarnations.of(context.node())).max();
-            self.ask_all(context, highest.unwrap_or_default() + 1);
+            let highest = self
+                .responses
+                .values()
+                .map(|response| response.minimum_incarnations.of(context.node()))
+                .max();
+            self.start_stage(context, highest.unwrap_or_default() + 1);
             return None;
         }
-        self.record(context)
+        self.recovered_record(context)
     }
 
     /// Starts the next stage.
-    fn ask_all(&mut self, context: &mut Context, incarnation: u64) {
+    fn start_stage(&mut self, context: &mut Context, incarnation: u64) {
         self.incarnation = incarnation;
-        self.answers.clear();
+        self.responses.clear();
         self.interval = context.settings.retry_interval;
         self.resend_at = context.now + self.interval;
-        for node in self.contacts.clone() {
-            self.ask(context, node);
+        for node in self.known_peers.clone() {
+            self.send_registration(context, node);
         }
     }
 
-    fn newest(&self) -> Option<Proposal> {
-        let newest = self.answers.values().max_by_key(|answer| answer.accepted)?;
+    fn newest_accepted(&self) -> Option<Proposal> {
+        let newest = self.responses.values().max_by_key(|response| response.accepted)?;
         Some(Proposal { ballot: newest.accepted, value: newest.value.clone() })
     }
 
     /// Answered and needed in the first group that lacks answers.
-    pub(super) fn missing(&self, context: &Context) -> Option<(usize, usize)> {
-        let Some(newest) = self.newest() else {
+    pub(super) fn missing_responses(&self, context: &Context) -> Option<(usize, usize)> {
+        let Some(newest) = self.newest_accepted() else {
             return Some((0, 0));
         };
-        newest.value.groups.iter().map(|group| self.count(context, group)).find(|(has, needs)| has < needs)
+        newest
+            .value
+            .groups
+            .iter()
+            .map(|group| self.count_responses(context, group))
+            .find(|(has, needs)| has < needs)
     }
 
-    fn count(&self, context: &Context, group: &Group) -> (usize, usize) {
-        let answered = group.members().iter().filter(|node| self.answers.contains_key(node)).count();
+    fn count_responses(&self, context: &Context, group: &Group) -> (usize, usize) {
+        let answered = group.members().iter().filter(|node| self.responses.contains_key(node)).count();
         let needed = if context.settings.has(Fault::RecoverFromOne) { 1 } else { group.recovery_quorum() };
         (answered, needed)
     }
 
     /// The highest promise, the newest accepted value and all floors.
-    fn record(&self, context: &Context) -> Option<Record> {
-        let newest = self.newest()?;
+    fn recovered_record(&self, context: &Context) -> Option<Record> {
+        let newest = self.newest_accepted()?;
         let mut minimum_incarnations = MinimumIncarnations::default();
-        for (node, answer) in &self.answers {
-            minimum_incarnations.merge(&answer.minimum_incarnations);
-            minimum_incarnations.raise(*node, answer.incarnation);
+        for (node, response) in &self.responses {
+            minimum_incarnations.merge(&response.minimum_incarnations);
+            minimum_incarnations.raise(*node, response.incarnation);
         }
-        let promised = self.answers.values().map(|answer| answer.promised).max()?;
+        let promised = self.responses.values().map(|response| response.promised).max()?;
         let promised = promised.max(newest.ballot);
         let (accepted, value) = (newest.ballot, context.adopt(newest.value));
         Some(Record { incarnation: self.incarnation, promised, accepted, value, minimum_incarnations })
--- a/crates/coordination/src/register/replica.rs
+++ b/crates/coordination/src/register/replica.rs
@@ -19,7 +19,7 @@
 use super::value::{Value, ValueTransfer};
 
 /// A change of members that its proposer leaves unfinished is ended by others after so many retry intervals.
-const COMPLETION_RETRIES: u32 = 5;
+const COMPLETION_DELAY_RETRIES: u32 = 5;
 
 /// A replica of one register. Equal hashes of clones tell equal states, as model checkers need.
 #[derive(Clone, Hash)]
@@ -30,9 +30,9 @@
     proposer: Proposer,
     reader: Reader,
     catch_up: CatchUp,
-    contacts: Vec<Node>,
+    known_peers: Vec<Node>,
     anti_entropy: AntiEntropy,
-    complete_at: Option<Duration>,
+    completion_due_at: Option<Duration>,
 }
 
 impl Replica {
@@ -48,7 +48,7 @@
         now: Duration,
         nonce: u64,
     ) -> Self {
-        let contacts = settings.seeds.clone();
+        let known_peers = settings.seeds.clone();
         let context = Context::new(settings, state_machine.into(), nonce, now);
         let mut replica = Self {
             anti_entropy: AntiEntropy::new(&context),
@@ -58,30 +58,30 @@
             proposer: Proposer::default(),
             reader: Reader::default(),
             catch_up: CatchUp::default(),
-            contacts,
-            complete_at: None,
+            known_peers,
+            completion_due_at: None,
         };
-        replica.begin(stored);
+        replica.restore_or_recover(stored);
         replica.schedule_poll();
         replica.run_pending();
         replica
     }
 
-    fn begin(&mut self, stored: Option<Record>) {
+    fn restore_or_recover(&mut self, stored: Option<Record>) {
         let settings = &self.context.settings;
-        let founder = settings.bootstrap && settings.seeds.contains(&settings.node);
+        let is_bootstrap_member = settings.bootstrap && settings.seeds.contains(&settings.node);
         match stored {
             Some(record) => {
                 self.acceptor = Some(Acceptor::stored(record));
-                self.reader.push(Task::internal(Operation::Read));
+                self.reader.enqueue(Task::internal(Operation::Read));
             }
-            None if founder || settings.has(Fault::VoteAfterWipe) => self.found(),
+            None if is_bootstrap_member || settings.has(Fault::VoteAfterWipe) => self.bootstrap(),
             None => self.recovery = Some(Recovery::start(&mut self.context)),
         }
     }
 
     /// Starts from the value that all founders know without asking.
-    fn found(&mut self) {
+    fn bootstrap(&mut self) {
         let settings = &self.context.settings;
         let value = Value::initial(settings.seeds.clone(), settings.initial_state.clone());
         let record = Record {
@@ -92,7 +92,7 @@
             minimum_incarnations: super::node::MinimumIncarnations::default(),
         };
         self.context.record_committed(Ballot::ZERO, &value);
-        self.acceptor = Some(Acceptor::fresh(record));
+        self.acceptor = Some(Acceptor::unwritten(record));
     }
 
     /// Takes an event. Orders are then waiting in [`Self::poll_output`].
@@ -112,16 +112,20 @@
             }
             Input::Tick => self.on_tick(),
             Input::Propose { request, command, deadline } => {
-                self.take(Task { request: Some(request), operation: Operation::Command(command), deadline });
+                self.route_command(Task {
+                    request: Some(request),
+                    operation: Operation::Command(command),
+                    deadline,
+                });
             }
             Input::Read { request, deadline } => {
                 self.read(Task { request: Some(request), operation: Operation::Read, deadline });
             }
             Input::ChangeMembers { request, remove, add, deadline } => {
                 let operation = Operation::ChangeMembers { remove, add, joint_committed: false };
-                self.proposer.push(Task { request: Some(request), operation, deadline });
+                self.proposer.enqueue(Task { request: Some(request), operation, deadline });
             }
-            Input::PeerReachable { node } => self.contact(node),
+            Input::PeerReachable { node } => self.on_peer_reachable(node),
         }
         self.run_pending();
     }
@@ -138,7 +142,7 @@
         let acceptor = self.acceptor.as_ref().and_then(Acceptor::next_wake);
         let operation = earlier(self.proposer.next_wake(), self.reader.next_wake());
         let timers = earlier(
-            earlier(Some(self.anti_entropy.next_wake()), self.complete_at),
+            earlier(Some(self.anti_entropy.next_wake()), self.completion_due_at),
             self.catch_up.next_wake(),
         );
         earlier(earlier(recovery, acceptor), earlier(operation, timers))
@@ -148,7 +152,7 @@
     #[must_use]
     pub fn status(&self) -> Status {
         if let Some(recovery) = &self.recovery {
-            let (answered, needed) = recovery.missing(&self.context).unwrap_or_default();
+            let (answered, needed) = recovery.missing_responses(&self.context).unwrap_or_default();
             return Status::Recovering { answered, needed };
         }
         let node = self.context.node();
@@ -191,7 +195,7 @@
     }
 
     /// A command that would change what is known here is proposed; others are first checked by a read.
-    fn take(&mut self, task: Task) {
+    fn route_command(&mut self, task: Task) {
         let changes = match (&task.operation, &self.context.committed) {
             (Operation::Command(command), Some(committed)) => {
                 matches!(
@@ -202,9 +206,9 @@
             _ => true,
         };
         if changes || !self.proposer.is_idle() {
-            self.proposer.push(task);
+            self.proposer.enqueue(task);
         } else {
-            self.reader.push(task);
+            self.reader.enqueue(task);
         }
     }
 
@@ -215,15 +219,15 @@
             let (revision, state) = (committed.value.revision, committed.value.state.clone());
             return self.context.complete(task.request, super::event::Outcome::Value { revision, state });
         }
-        self.reader.push(task);
+        self.reader.enqueue(task);
     }
 
-    fn contact(&mut self, node: Node) {
+    fn on_peer_reachable(&mut self, node: Node) {
         if node == self.context.node() {
             return;
         }
-        if !self.contacts.contains(&node) {
-            self.contacts.push(node);
+        if !self.known_peers.contains(&node) {
+            self.known_peers.push(node);
         }
         match &mut self.recovery {
             Some(recovery) => recovery.on_reachable(&mut self.context, node),
@@ -241,18 +245,18 @@
             }
             if self.reader.is_ready() {
                 let known = self.known();
-                self.reader.start(&mut self.context, known);
+                self.reader.start_query(&mut self.context, known);
             }
             if self.proposer.is_ready(self.context.now) {
                 let known = self.known();
-                self.proposer.start(&mut self.context, known);
+                self.proposer.start_round(&mut self.context, known);
             }
             let Some(message) = self.context.local_messages.pop_front() else {
                 break;
             };
             self.on_message(self.context.node(), message);
         }
-        self.watch_change_of_members();
+        self.schedule_membership_completion();
     }
 
     fn on_message(&mut self, from: Node, message: Message) {
@@ -261,13 +265,13 @@
         }
         match message {
             Message::Prepare { ballot, known } => {
-                self.proposer.observe(ballot);
+                self.proposer.observe_ballot(ballot);
                 if let Some(acceptor) = &mut self.acceptor {
                     acceptor.on_prepare(&mut self.context, from, ballot, known);
                 }
             }
             Message::Accept { ballot, value } => {
-                self.proposer.observe(ballot);
+                self.proposer.observe_ballot(ballot);
                 if let Some(acceptor) = &mut self.acceptor {
                     acceptor.on_accept(&mut self.context, from, ballot, value);
                 }
@@ -291,23 +295,23 @@
                 );
             }
             Message::Rejected { ballot, promised } => {
-                self.proposer.on_refused(&mut self.context, ballot, promised);
+                self.proposer.on_rejected(&mut self.context, ballot, promised);
             }
             Message::Committed { ballot, value } => self.on_committed(from, ballot, value),
             Message::ReadQuery { request, known } => {
                 if let Some(acceptor) = &mut self.acceptor {
-                    acceptor.on_query(&mut self.context, from, request, known);
+                    acceptor.on_read_query(&mut self.context, from, request, known);
                 }
             }
             Message::ReadReply { request, incarnation, minimum_incarnations, promised, accepted, value } => {
                 let voter = (incarnation, minimum_incarnations);
                 let state = (promised, accepted, value);
-                self.reader.on_state(&mut self.context, &mut self.proposer, from, request, voter, state);
+                self.reader.on_read_reply(&mut self.context, &mut self.proposer, from, request, voter, state);
             }
-            Message::PollCommitted { committed, known } => self.on_inquire(from, committed, known),
+            Message::PollCommitted { committed, known } => self.on_poll_committed(from, committed, known),
             Message::RegisterIncarnation { nonce, incarnation } => {
                 if let Some(acceptor) = &mut self.acceptor {
-                    acceptor.on_register(&mut self.context, from, nonce, incarnation);
+                    acceptor.on_register_incarnation(&mut self.context, from, nonce, incarnation);
                 }
             }
             Message::IncarnationRegistered {
@@ -321,7 +325,7 @@
             } => {
                 let answer =
                     RecoveryResponse { incarnation, minimum_incarnations, promised, accepted, value };
-                self.on_registered(from, nonce, requested, answer);
+                self.on_incarnation_registered(from, nonce, requested, answer);
             }
         }
     }
@@ -354,7 +358,7 @@
     }
 
     /// Tells a newer committed value, or asks for one.
-    fn on_inquire(&mut self, from: Node, committed: Ballot, known: bool) {
+    fn on_poll_committed(&mut self, from: Node, committed: Ballot, known: bool) {
         let own = self.context.committed.as_ref().map(|committed| committed.ballot);
         match own {
             Some(own) if !known || own > committed => {
@@ -369,14 +373,20 @@
         }
     }
 
-    fn on_registered(&mut self, from: Node, nonce: u64, requested: u64, answer: RecoveryResponse) {
+    fn on_incarnation_registered(
+        &mut self,
+        from: Node,
+        nonce: u64,
+        requested: u64,
+        answer: RecoveryResponse,
+    ) {
         let Some(recovery) = self.recovery.as_mut().filter(|_| nonce == self.context.nonce) else {
             return;
         };
-        if let Some(record) = recovery.on_registered(&mut self.context, from, requested, answer) {
+        if let Some(record) = recovery.on_incarnation_registered(&mut self.context, from, requested, answer) {
             self.recovery = None;
-            self.acceptor = Some(Acceptor::fresh(record));
-            self.reader.push(Task::internal(Operation::Read));
+            self.acceptor = Some(Acceptor::unwritten(record));
+            self.reader.enqueue(Task::internal(Operation::Read));
         }
     }
 
@@ -390,9 +400,9 @@
         if self.anti_entropy.next_wake() <= self.context.now {
             self.poll_for_update();
         }
-        if self.complete_at.is_some_and(|at| at <= self.context.now) {
-            self.complete_at = None;
-            self.proposer.complete();
+        if self.completion_due_at.is_some_and(|at| at <= self.context.now) {
+            self.completion_due_at = None;
+            self.proposer.request_completion();
         }
     }
 
@@ -403,7 +413,7 @@
             return;
         }
         let mut others = self.known().map(|known| known.value.members()).unwrap_or_default();
-        others.extend(self.contacts.iter().copied());
+        others.extend(self.known_peers.iter().copied());
         self.anti_entropy.poll_next(&mut self.context, others);
     }
 
@@ -413,13 +423,13 @@
     }
 
     /// A joint value that stays in force is ended by whoever knows it.
-    fn watch_change_of_members(&mut self) {
+    fn schedule_membership_completion(&mut self) {
         let joint = self.context.committed.as_ref().is_some_and(|committed| committed.value.is_joint());
         if !joint {
-            self.complete_at = None;
-        } else if self.complete_at.is_none() {
-            let wait = self.context.settings.retry_interval * COMPLETION_RETRIES;
-            self.complete_at = Some(self.context.now + wait + self.context.random_up_to(wait));
+            self.completion_due_at = None;
+        } else if self.completion_due_at.is_none() {
+            let wait = self.context.settings.retry_interval * COMPLETION_DELAY_RETRIES;
+            self.completion_due_at = Some(self.context.now + wait + self.context.random_up_to(wait));
         }
     }
 }
--- a/crates/coordination/src/register/round.rs
+++ b/crates/coordination/src/register/round.rs
@@ -51,7 +51,7 @@
 
 impl Round {
     /// Groups that must promise: those the round started from and those of the newest value found.
-    pub(super) fn required(&self, context: &Context, start: &[Group]) -> Vec<Group> {
+    pub(super) fn required_groups(&self, context: &Context, start: &[Group]) -> Vec<Group> {
         let newest = &self.base.value.groups;
         if context.settings.has(Fault::NewGroupOnly) { last(newest) } else { union(start, newest) }
     }
@@ -69,7 +69,7 @@
     }
 
     /// Sends the message of this phase to those that have not got it.
-    pub(super) fn ask(&mut self, context: &mut Context, nodes: &[Node]) {
+    pub(super) fn send_to_new(&mut self, context: &mut Context, nodes: &[Node]) {
         for node in nodes {
             if !self.sent_to.contains(node) {
                 self.sent_to.push(*node);
@@ -79,7 +79,7 @@
     }
 
     /// Goes on to phase two with a value, under the next step of the ballot.
-    pub(super) fn accept(&mut self, context: &mut Context, value: Value, after_commit: AfterCommit) {
+    pub(super) fn start_accept(&mut self, context: &mut Context, value: Value, after_commit: AfterCommit) {
         let groups = if context.settings.has(Fault::NewGroupOnly) {
             last(&value.groups)
         } else {
--- a/crates/coordination/src/register/settings.rs
+++ b/crates/coordination/src/register/settings.rs
@@ -22,11 +22,11 @@
     /// Shortest wait of a proposer that was preempted; doubles with each further time, and is spread by chance.
     pub backoff: Duration,
     /// Wait before a write that the disk refused is tried again.
-    pub persist_retry: Duration,
+    pub persist_retry_interval: Duration,
     /// Every so often one other member is asked for a newer committed value.
-    pub announce_interval: Duration,
+    pub anti_entropy_interval: Duration,
     /// Most commands proposed together.
-    pub batch_limit: usize,
+    pub max_batch_size: usize,
     /// Sets back-off times together with the nonce.
     pub seed: u64,
     /// A deliberate mistake, for tests that prove that it is found.
@@ -45,9 +45,9 @@
             initial_state: Bytes::new(),
             retry_interval: Duration::from_millis(200),
             backoff: Duration::from_millis(10),
-            persist_retry: Duration::from_millis(500),
-            announce_interval: Duration::from_secs(2),
-            batch_limit: 64,
+            persist_retry_interval: Duration::from_millis(500),
+            anti_entropy_interval: Duration::from_secs(2),
+            max_batch_size: 64,
             seed: 0,
             fault: None,
         }
