--- a/crates/coordination/src/register/acceptor.rs
+++ b/crates/coordination/src/register/acceptor.rs
@@ -1,4 +1,4 @@
-//! The voting part: promises and accepts, and answers only once the record is durable.
+//! The acceptor: promises and accepts, and answers only once the record that says so is durable.
 
 use std::mem::discriminant;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use super::settings::Fault;
 use super::value::{Value, ValueTransfer};
 
-/// An answer that waits for a version of the record to be durable.
+/// An answer that is sent once this version of the record is durable.
 #[derive(Clone, Hash)]
 struct DeferredReply {
     version: u64,
@@ -30,10 +30,13 @@
 #[derive(Clone, Hash)]
 pub(super) struct Acceptor {
     current: Record,
+    /// Rises with each change of the record.
     version: u64,
+    /// The record as the disk holds it.
     durable: Option<Record>,
     durable_version: u64,
-    write: Option<Write>,
+    write_in_flight: Option<Write>,
+    /// When a write that the disk refused is tried again.
     retry_at: Option<Duration>,
     deferred_replies: Vec<DeferredReply>,
 }
@@ -51,7 +54,7 @@
             version: 1,
             durable: None,
             durable_version: 0,
-            write: None,
+            write_in_flight: None,
             retry_at: None,
             deferred_replies: Vec::new(),
         }
@@ -66,34 +69,32 @@
         self.durable_version > 0 && self.retry_at.is_none()
     }
 
-    /// Starts a write if one is due and none is under way.
+    /// Starts a write if the record has changed and no write is in flight.
     pub(super) fn persist(&mut self, context: &mut Context) {
-        let wait = self.retry_at.is_some_and(|at| at > context.now);
-        if self.version == self.durable_version || self.write.is_some() || wait {
+        let is_waiting = self.retry_at.is_some_and(|at| at > context.now);
+        if self.version == self.durable_version || self.write_in_flight.is_some() || is_waiting {
             return;
         }
         self.retry_at = None;
-        self.write = Some(Write { version: self.version, record: self.current.clone() });
+        self.write_in_flight = Some(Write { version: self.version, record: self.current.clone() });
         context.outputs.push_back(Output::Persist { token: self.version, record: self.current.clone() });
     }
 
+    /// The write of version `token` is durable: answers that waited for it are sent.
     pub(super) fn on_persisted(&mut self, context: &mut Context, token: u64) {
-        let Some(write) = self.write.take_if(|write| write.version == token) else {
+        let Some(write) = self.write_in_flight.take_if(|write| write.version == token) else {
             return;
         };
         self.durable = Some(write.record);
         self.durable_version = write.version;
-        let (due, waiting) =
-            std::mem::take(&mut self.deferred_replies).into_iter().partition(|r| r.version <= token);
-        self.deferred_replies = waiting;
-        let due: Vec<DeferredReply> = due;
-        for reply in due {
+        for reply in self.deferred_replies.extract_if(.., |reply| reply.version <= token) {
             context.send(reply.to, reply.message);
         }
     }
 
+    /// The disk refused the write of version `token`: it is tried again later.
     pub(super) fn on_persist_failed(&mut self, context: &Context, token: u64) {
-        if self.write.take_if(|write| write.version == token).is_some() {
+        if self.write_in_flight.take_if(|write| write.version == token).is_some() {
             self.retry_at = Some(context.now + context.settings.persist_retry_interval);
         }
     }
@@ -102,6 +103,7 @@
         self.retry_at
     }
 
+    /// Phase one: promises to accept nothing below `ballot`, or rejects it.
     pub(super) fn on_prepare(&mut self, context: &mut Context, from: Node, ballot: Ballot, known: Ballot) {
         if ballot < self.current.promised {
             let promised = self.current.promised;
@@ -121,6 +123,7 @@
         self.reply(context, from, message);
     }
 
+    /// Phase two: accepts the value of `ballot`, or rejects it.
     pub(super) fn on_accept(&mut self, context: &mut Context, from: Node, ballot: Ballot, value: Value) {
         if ballot < self.current.promised && !context.settings.has(Fault::AcceptBelowPromise) {
             let promised = self.current.promised;
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Registers an incarnation of a recovering replica and tells it what is known here.
+    /// Registers an incarnation of a recovering replica and sends it all that is known here.
     pub(super) fn on_register_incarnation(
         &mut self,
         context: &mut Context,
@@ -192,7 +195,8 @@
         self.reply(context, from, message);
     }
 
-    /// Sends an answer, at once or when the record as it is now is durable.
+    /// Sends an answer as soon as the present record is durable. A deferred answer of the same kind to the same
+    /// node is replaced.
     fn reply(&mut self, context: &mut Context, to: Node, message: Message) {
         if self.durable_version == self.version || context.settings.has(Fault::ReplyBeforePersist) {
             return context.send(to, message);
@@ -203,6 +207,7 @@
     }
 }
 
+/// The accepted value, unless the receiver already has it: it says that it holds the value of `known`.
 fn value_newer_than(record: &Record, known: Ballot) -> ValueTransfer {
     if record.accepted > known { ValueTransfer::Full(record.value.clone()) } else { ValueTransfer::Omitted }
 }
--- a/crates/coordination/src/register/context.rs
+++ b/crates/coordination/src/register/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of a replica share: settings, time, chance, outgoing messages, the newest committed value.
+//! What all parts of a replica share: settings, time, random numbers, outputs, the newest committed value.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -15,10 +15,7 @@
 use super::settings::{Fault, Settings};
 use super::value::{Value, ValueTransfer};
 
-/// Retransmissions grow apart up to this many retry intervals.
-const MAX_RETRY_FACTOR: u32 = 8;
-
-/// Back-off doubles at most this many times.
+/// The backoff of a preempted proposer doubles at most this many times.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 /// A value and the ballot it was accepted at.
@@ -28,21 +25,26 @@
     pub(super) value: Value,
 }
 
+/// State that all parts of a replica read, and the outputs that they append to.
 #[derive(Clone)]
 pub(super) struct Context {
     pub(super) settings: Settings,
     pub(super) state_machine: Arc<dyn StateMachine>,
+    /// Random number drawn at the start of the process.
     pub(super) nonce: u64,
+    /// Reading of the caller's monotonic clock at the latest input.
     pub(super) now: Duration,
+    /// The newest value known to be committed.
     pub(super) committed: Option<Proposal>,
     /// Replicas that were sent a value to accept and have not answered since.
     pub(super) unanswered: BTreeSet<Node>,
     pub(super) outputs: VecDeque<Output>,
+    /// Messages of this replica to itself.
     pub(super) local_messages: VecDeque<Message>,
     random: SmallRng,
 }
 
-/// Settings, the state machine and chance to come tell no two states of one replica apart.
+/// Settings, state machine and random generator are left out: they are equal in all clones of one replica.
 impl Hash for Context {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         (self.nonce, self.now, &self.committed, &self.unanswered, &self.outputs, &self.local_messages)
@@ -80,6 +82,7 @@
         if self.settings.has(Fault::ReuseBallot) { 0 } else { self.nonce }
     }
 
+    /// Sends a message, if need be to this replica itself.
     pub(super) fn send(&mut self, to: Node, message: Message) {
         if to == self.node() {
             self.local_messages.push_back(message);
@@ -88,18 +91,19 @@
         }
     }
 
+    /// Answers a request; an internal task has none.
     pub(super) fn complete(&mut self, request: Option<u64>, outcome: Outcome) {
         if let Some(request) = request {
             self.outputs.push_back(Output::Done { request, outcome });
         }
     }
 
-    /// A value that another replica sent whole.
+    /// A value as it is taken over from another replica.
     pub(super) fn adopt(&self, value: Value) -> Value {
         if self.settings.has(Fault::ForgetHistory) { Value { history: Vec::new(), ..value } } else { value }
     }
 
-    /// Takes note of a committed value.
+    /// Records a committed value, unless a newer one is known.
     pub(super) fn record_committed(&mut self, ballot: Ballot, value: &Value) {
         let known = self.committed.as_ref();
         if known.is_some_and(|known| known.ballot >= ballot) {
@@ -111,7 +115,7 @@
         self.committed = Some(Proposal { ballot, value: value.clone() });
     }
 
-    /// The committed value as a message, if any.
+    /// The newest committed value as a message, if one is known.
     pub(super) fn committed_message(&self) -> Option<Message> {
         let committed = self.committed.as_ref()?;
         Some(Message::Committed {
@@ -120,25 +124,20 @@
         })
     }
 
-    /// A question for a newer committed value.
+    /// The message that polls for a newer committed value.
     pub(super) fn poll_message(&self) -> Message {
         let known = self.committed.is_some();
         let committed = self.committed.as_ref().map_or(Ballot::ZERO, |committed| committed.ballot);
         Message::PollCommitted { committed, known }
     }
 
-    /// The interval after `interval` between retransmissions.
-    pub(super) fn next_retry_interval(&self, interval: Duration) -> Duration {
-        (interval * 2).min(self.settings.retry_interval * MAX_RETRY_FACTOR)
-    }
-
-    /// How long a proposer waits that was preempted so many times in a row.
+    /// How long a proposer waits after `preemptions` preemptions in a row; random, so that rivals part.
     pub(super) fn backoff(&mut self, preemptions: u32) -> Duration {
         let longest = self.settings.backoff * (1 << preemptions.min(MAX_BACKOFF_DOUBLINGS));
         self.random_up_to(longest) + self.settings.backoff / 2
     }
 
-    /// A time drawn evenly from zero to `longest`.
+    /// A random time, uniform from zero to `longest`.
     pub(super) fn random_up_to(&mut self, longest: Duration) -> Duration {
         longest.mul_f64(self.random.random::<f64>())
     }
--- a/crates/coordination/src/register/mod.rs
+++ b/crates/coordination/src/register/mod.rs
@@ -86,12 +86,10 @@
 mod acceptor;
 mod anti_entropy;
 mod ballot;
-mod batch;
 mod catch_up;
 mod codec;
 mod context;
 mod event;
-mod membership_change;
 mod message;
 mod node;
 mod proposer;
@@ -100,8 +98,9 @@
 mod record;
 mod recovery;
 mod replica;
-mod round;
+mod retry;
 mod settings;
+mod task;
 mod value;
 
 pub use ballot::Ballot;
--- a/crates/coordination/src/register/membership_change.rs
+++ b/crates/coordination/src/register/proposer/membership_change.rs
@@ -1,14 +1,25 @@
-//! Changes of members: a joint value with the old and the new group, then the new group alone.
+//! Membership changes by joint consensus: a joint value with the old and the new group, then the new group alone.
 
-use super::batch::{Batch, MembershipStep, Operation, plan_membership_change};
-use super::context::Context;
-use super::event::Outcome;
-use super::node::Node;
-use super::proposer::Proposer;
+use super::Proposer;
+use super::batch::Batch;
 use super::round::{AfterCommit, Round};
-use super::settings::Fault;
+use crate::register::context::Context;
+use crate::register::event::Outcome;
+use crate::register::node::Node;
+use crate::register::settings::Fault;
+use crate::register::task::Operation;
+use crate::register::value::{Group, Value};
+
+/// The next step of a membership change.
+enum MembershipStep {
+    /// A joint value with these groups is to be committed.
+    EnterJoint(Vec<Group>),
+    /// Nothing is to be committed.
+    Done(Outcome),
+}
 
 impl Proposer {
+    /// Proposes the next step of a membership change, on a base that was committed in this round.
     pub(super) fn propose_membership_change(
         &mut self,
         context: &mut Context,
@@ -46,8 +57,8 @@
         }
     }
 
-    /// Ends a change of members that someone has begun. Its end may have been accepted, and yet be committed for
-    /// nobody: then it is committed here, as otherwise all who wait for it would wait for ever.
+    /// Completes a membership change that any replica has begun. Its final value may have been accepted without
+    /// anyone knowing it to be committed: then it is committed here, as nobody else would do so.
     pub(super) fn propose_completion(&mut self, context: &mut Context, round: Round, batch: Batch) {
         let joint = round.base.value.is_joint();
         if !joint && context.settings.has(Fault::LeaveChangeUncommitted) {
@@ -63,7 +74,7 @@
         self.propose_final_group(context, round);
     }
 
-    /// The second half of a change of members; the joint value must be committed.
+    /// Proposes the newest group alone; the joint value must be committed.
     fn propose_final_group(&mut self, context: &mut Context, mut round: Round) {
         let id = self.next_id(context);
         let base = &round.base.value;
@@ -73,6 +84,7 @@
         self.round = Some(round);
     }
 
+    /// Records in the task that its joint value is committed.
     pub(super) fn record_joint_committed(&mut self) {
         for task in self.batch.iter_mut().flat_map(|batch| batch.tasks.iter_mut()) {
             if let Operation::ChangeMembers { joint_committed, .. } = &mut task.operation {
@@ -81,3 +93,22 @@
         }
     }
 }
+
+/// The next step of a membership change on a value with one group.
+fn plan_membership_change(base: &Value, remove: &[Node], add: &[Node]) -> MembershipStep {
+    let old = Group::new(base.newest_group().to_vec());
+    let kept = old.members().iter().copied().filter(|node| !remove.contains(node));
+    let new = Group::new(kept.chain(add.iter().copied()).collect());
+    let revision = base.revision;
+    let answer = Vec::new();
+    if new == old {
+        return MembershipStep::Done(Outcome::Unchanged { revision, answer });
+    }
+    let removes_non_member = remove.iter().any(|node| !old.contains(*node));
+    // Two callers may have chosen the same new member: the second replacement would only remove a member.
+    let shrinks = !add.is_empty() && new.members().len() < old.members().len();
+    if removes_non_member || shrinks || new.members().is_empty() {
+        return MembershipStep::Done(Outcome::Refused { revision, answer });
+    }
+    MembershipStep::EnterJoint(vec![old, new])
+}
--- a/crates/coordination/src/register/round.rs
+++ b/crates/coordination/src/register/proposer/round.rs
@@ -1,35 +1,36 @@
-//! One round of a proposer: a prepare phase, then a value, or several under further steps of the ballot.
+//! One round of a proposer: a prepare phase, then one value, or several under further steps of the ballot.
 
-use std::time::Duration;
-
-use super::ballot::Ballot;
-use super::context::{Context, Proposal};
-use super::event::Outcome;
-use super::message::Message;
-use super::node::Node;
-use super::quorum::{Votes, members, union};
-use super::settings::Fault;
-use super::value::{Group, Value, ValueTransfer};
+use crate::register::ballot::Ballot;
+use crate::register::context::{Context, Proposal};
+use crate::register::event::Outcome;
+use crate::register::message::Message;
+use crate::register::node::Node;
+use crate::register::quorum::{Votes, members, union};
+use crate::register::retry::RetryTimer;
+use crate::register::settings::Fault;
+use crate::register::value::{Group, Value, ValueTransfer};
 
 /// What follows once a proposed value is committed.
 #[derive(Clone, Hash)]
 pub(super) enum AfterCommit {
-    /// The batch is looked at again, on the value just committed.
+    /// The batch is proposed again, on the value just committed.
     Continue,
-    /// As `Continue`, and the change of members has got its joint value.
+    /// As `Continue`, and the joint value of a membership change is committed.
     JointCommitted,
-    /// The batch is answered.
+    /// The batch is answered with these outcomes.
     Complete(Vec<Outcome>),
 }
 
+/// What a round waits for.
 #[derive(Clone, Hash)]
 pub(super) enum Phase {
-    /// Waiting for promises.
+    /// Promises; `known` is the newest value known here at the start.
     Prepare { known: Proposal },
-    /// Waiting for a value to be accepted by a majority of every group.
+    /// Acceptance of a value by a majority of every group.
     Accept { value: Value, groups: Vec<Group>, after_commit: AfterCommit },
 }
 
+/// A round in progress.
 #[derive(Clone, Hash)]
 pub(super) struct Round {
     pub(super) ballot: Ballot,
@@ -39,28 +40,43 @@
     pub(super) base: Proposal,
     /// The base is known to be committed.
     pub(super) base_committed: bool,
-    /// A value was committed in this round: the base is fresh.
+    /// A value was committed in this round, so that the base is the newest committed one.
     pub(super) base_confirmed: bool,
-    /// Whom the message of this phase is for.
+    /// Receivers of the message of this phase.
     pub(super) sent_to: Vec<Node>,
-    /// Those of them that get it once they have answered an earlier one.
+    /// Receivers that get it once they have answered an earlier message.
     pub(super) deferred: Vec<Node>,
-    pub(super) resend_at: Duration,
-    pub(super) interval: Duration,
+    pub(super) retry: RetryTimer,
 }
 
 impl Round {
+    /// A round that waits for promises, on the newest value known here.
+    pub(super) fn new(context: &Context, ballot: Ballot, known: Proposal, base_committed: bool) -> Self {
+        Self {
+            ballot,
+            phase: Phase::Prepare { known: known.clone() },
+            votes: Votes::new(&context.settings),
+            base: known,
+            base_committed,
+            base_confirmed: false,
+            sent_to: Vec::new(),
+            deferred: Vec::new(),
+            retry: RetryTimer::start(context),
+        }
+    }
+
     /// Groups that must promise: those the round started from and those of the newest value found.
     pub(super) fn required_groups(&self, context: &Context, start: &[Group]) -> Vec<Group> {
         let newest = &self.base.value.groups;
-        if context.settings.has(Fault::NewGroupOnly) { last(newest) } else { union(start, newest) }
+        if context.settings.has(Fault::NewGroupOnly) { newest_group(newest) } else { union(start, newest) }
     }
 
-    /// Whether a replica was asked and has not given a vote that counts.
+    /// Whether a replica is to vote and has not given a vote that counts.
     pub(super) fn is_awaiting(&self, node: Node) -> bool {
         self.sent_to.contains(&node) && !self.votes.counts(node)
     }
 
+    /// The message of this phase.
     pub(super) fn message(&self) -> Message {
         match &self.phase {
             Phase::Prepare { known } => Message::Prepare { ballot: self.ballot, known: known.ballot },
@@ -78,10 +94,10 @@
         }
     }
 
-    /// Goes on to phase two with a value, under the next step of the ballot.
+    /// Starts phase two with a value, under the next step of the ballot.
     pub(super) fn start_accept(&mut self, context: &mut Context, value: Value, after_commit: AfterCommit) {
         let groups = if context.settings.has(Fault::NewGroupOnly) {
-            last(&value.groups)
+            newest_group(&value.groups)
         } else {
             union(&self.base.value.groups, &value.groups)
         };
@@ -91,19 +107,18 @@
         self.votes = Votes::new(&context.settings);
         self.sent_to = Vec::new();
         self.deferred = Vec::new();
-        self.interval = context.settings.retry_interval;
-        self.resend_at = context.now + self.interval;
+        self.retry = RetryTimer::start(context);
         for node in all {
             self.sent_to.push(node);
             self.send_or_defer(context, node);
         }
     }
 
-    /// Sends the value, or holds it back from a replica that has not answered the one before: such a one has
-    /// a queue before it, which is to hold one value and not all that are committed meanwhile.
+    /// Sends the value, or defers it for a replica that has not answered the one before: the queue towards such a
+    /// replica should hold one value and not all that are committed meanwhile.
     fn send_or_defer(&mut self, context: &mut Context, node: Node) {
-        let waits = node != context.node() && !context.unanswered.insert(node);
-        if waits && !context.settings.has(Fault::SendAhead) {
+        let is_behind = node != context.node() && !context.unanswered.insert(node);
+        if is_behind && !context.settings.has(Fault::SendAhead) {
             return self.deferred.push(node);
         }
         context.send(node, self.message());
@@ -118,7 +133,7 @@
         context.send(node, self.message());
     }
 
-    /// A replica has answered: what was held back is sent to it.
+    /// A replica has answered: a deferred message is sent to it.
     pub(super) fn send_deferred(&mut self, context: &mut Context, node: Node) {
         if let Some(index) = self.deferred.iter().position(|deferred| *deferred == node) {
             self.deferred.swap_remove(index);
@@ -127,12 +142,12 @@
     }
 }
 
-fn last(groups: &[Group]) -> Vec<Group> {
+/// The newest group alone.
+fn newest_group(groups: &[Group]) -> Vec<Group> {
     groups.last().cloned().into_iter().collect()
 }
 
-/// Tells the members of a decision. Each of them was sent the value, or is being sent an earlier one; whoever
-/// does not have it asks for it.
+/// Announces a commit without its value to the other members. A member that has not got the value requests it.
 pub(super) fn announce_commit(context: &mut Context, ballot: Ballot, nodes: &[Node]) {
     let own = context.node();
     for node in nodes.iter().copied().filter(|node| *node != own) {
--- a/crates/coordination/src/register/quorum.rs
+++ b/crates/coordination/src/register/quorum.rs
@@ -6,15 +6,21 @@
 use super::settings::{Fault, Settings};
 use super::value::Group;
 
+/// The incarnation that voted, and what it knows of the incarnations of others.
+#[derive(Debug, Clone, Hash)]
+pub(super) struct Voter {
+    pub(super) incarnation: u64,
+    pub(super) minimum_incarnations: MinimumIncarnations,
+}
+
 /// The vote of one replica.
 #[derive(Debug, Clone, Hash)]
 struct Vote<T> {
-    incarnation: u64,
-    minimum_incarnations: MinimumIncarnations,
+    voter: Voter,
     vote: T,
 }
 
-/// The votes of one round.
+/// The votes of one round, at most one of each node.
 #[derive(Debug, Clone, Hash)]
 pub(super) struct Votes<T> {
     entries: BTreeMap<Node, Vote<T>>,
@@ -31,17 +37,11 @@
         }
     }
 
-    /// Takes a vote, unless a later incarnation of the same node has voted already.
-    pub(super) fn insert(
-        &mut self,
-        node: Node,
-        incarnation: u64,
-        minimum_incarnations: MinimumIncarnations,
-        vote: T,
-    ) {
-        let outdated = self.entries.get(&node).is_some_and(|entry| entry.incarnation > incarnation);
-        if !outdated {
-            self.entries.insert(node, Vote { incarnation, minimum_incarnations, vote });
+    /// Adds a vote, unless a later incarnation of the same node has voted already.
+    pub(super) fn insert(&mut self, node: Node, voter: Voter, vote: T) {
+        let known = self.entries.get(&node).map(|entry| entry.voter.incarnation);
+        if known.is_none_or(|known| known <= voter.incarnation) {
+            self.entries.insert(node, Vote { voter, vote });
         }
     }
 
@@ -50,8 +50,9 @@
         let Some(entry) = self.entries.get(&node) else {
             return false;
         };
-        self.ignore_incarnations
-            || self.entries.values().all(|other| other.minimum_incarnations.of(node) <= entry.incarnation)
+        let is_outdated =
+            |other: &Vote<T>| other.voter.minimum_incarnations.of(node) > entry.voter.incarnation;
+        self.ignore_incarnations || !self.entries.values().any(is_outdated)
     }
 
     /// Whether a majority of every group has cast a vote that counts and that `accepts` approves.
@@ -67,7 +68,7 @@
     }
 }
 
-/// Adds the groups that are not there yet.
+/// The groups of both lists, each once, in order of first appearance.
 pub(super) fn union(groups: &[Group], others: &[Group]) -> Vec<Group> {
     let mut all = groups.to_vec();
     for group in others {
@@ -78,7 +79,7 @@
     all
 }
 
-/// Members of all the groups, each once.
+/// Members of all the groups, each once, in ascending order.
 pub(super) fn members(groups: &[Group]) -> Vec<Node> {
     let all = groups.iter().flat_map(|group| group.members().iter().copied()).collect();
     Group::new(all).members().to_vec()
--- a/crates/coordination/src/register/reader.rs
+++ b/crates/coordination/src/register/reader.rs
@@ -3,54 +3,67 @@
 use std::time::Duration;
 
 use super::ballot::Ballot;
-use super::batch::{Operation, Task, timeout_outcome};
 use super::context::{Context, Proposal, earlier};
 use super::event::{Applied, Outcome};
 use super::message::Message;
-use super::node::{MinimumIncarnations, Node};
-use super::proposer::Proposer;
-use super::quorum::{Votes, members, union};
+use super::node::Node;
+use super::quorum::{Voter, Votes, members, union};
+use super::retry::RetryTimer;
 use super::settings::Fault;
-use super::value::{Group, ValueTransfer};
+use super::task::{Operation, Task};
+use super::value::{Group, Value, ValueTransfer};
 
 /// Spreads the nonces of successive processes, so that the numbers of their queries lie far apart: an answer to
 /// a query of an earlier process must not count, as it may be older than what was acknowledged since.
 const NONCE_SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What a replica told of itself.
+/// The state of a replica as it replied to a query.
+pub(super) struct ReadReply {
+    pub(super) voter: Voter,
+    pub(super) promised: Ballot,
+    pub(super) accepted: Ballot,
+    pub(super) value: ValueTransfer,
+}
+
+/// What a reply says about the newest value.
 #[derive(Clone, Hash)]
 struct AcceptorState {
     promised: Ballot,
     accepted: Ballot,
 }
 
+/// One query in flight, which serves several tasks.
 #[derive(Clone, Hash)]
 struct Query {
     request: u64,
     tasks: Vec<Task>,
+    /// The newest value that was known here at the start, or was committed since.
     known: Proposal,
+    /// The newest value that was found.
     newest: Proposal,
     votes: Votes<AcceptorState>,
     sent_to: Vec<Node>,
-    resend_at: Duration,
-    interval: Duration,
+    retry: RetryTimer,
 }
 
+/// Tasks that a read could not answer: they are to be proposed.
+pub(super) type TasksToPropose = Vec<Task>;
+
 #[derive(Clone, Default, Hash)]
 pub(super) struct Reader {
     waiting: Vec<Task>,
     query: Option<Query>,
-    /// Queries of this process so far.
+    /// Number of queries that this process has started.
     started: u64,
 }
 
 impl Reader {
-    /// Takes a read, or a command that seems to change nothing.
+    /// Queues a read, or a command that seems to change nothing.
     pub(super) fn enqueue(&mut self, task: Task) {
         self.waiting.push(task);
     }
 
-    /// Whether a query could start, if the group is known.
+    /// Whether a query could start, if a group is known.
     pub(super) fn is_ready(&self) -> bool {
         self.query.is_none() && !self.waiting.is_empty()
     }
@@ -58,16 +71,13 @@
     pub(super) fn next_wake(&self) -> Option<Duration> {
         let started = self.query.iter().flat_map(|query| query.tasks.iter());
         let deadline = self.waiting.iter().chain(started).map(|task| task.deadline).min();
-        let resend = self.query.as_ref().map(|query| query.resend_at);
-        earlier(deadline, resend).filter(|at| *at != Duration::MAX)
+        let retry = self.query.as_ref().map(|query| query.retry.due_at());
+        earlier(deadline, retry).filter(|at| *at != Duration::MAX)
     }
 
-    /// Starts a query for all that wait, if none is under way.
+    /// Starts a query for all waiting tasks, if none is in flight.
     pub(super) fn start_query(&mut self, context: &mut Context, known: Option<Proposal>) {
-        if !self.is_ready() {
-            return;
-        }
-        let Some(known) = known else {
+        let Some(known) = known.filter(|_| self.is_ready()) else {
             return;
         };
         self.started += 1;
@@ -78,135 +88,130 @@
             newest: known,
             votes: Votes::new(&context.settings),
             sent_to: Vec::new(),
-            resend_at: context.now + context.settings.retry_interval,
-            interval: context.settings.retry_interval,
+            retry: RetryTimer::start(context),
         };
         query.send_to_new(context, &query.known.value.members());
         self.query = Some(query);
     }
 
+    /// Counts a reply; answers the tasks once the newest value is known to be committed.
     pub(super) fn on_read_reply(
         &mut self,
         context: &mut Context,
-        proposer: &mut Proposer,
         from: Node,
         request: u64,
-        voter: (u64, MinimumIncarnations),
-        state: (Ballot, Ballot, ValueTransfer),
-    ) {
+        reply: ReadReply,
+    ) -> TasksToPropose {
         let Some(query) = self.query.as_mut().filter(|query| query.request == request) else {
-            return;
+            return Vec::new();
         };
-        let (promised, accepted, value) = state;
+        let ReadReply { voter, promised, accepted, value } = reply;
         match value.into_value() {
             Some(value) if accepted > query.newest.ballot => {
                 query.newest = Proposal { ballot: accepted, value };
             }
-            None if accepted > query.newest.ballot => return,
+            None if accepted > query.newest.ballot => return Vec::new(),
             _ => {}
         }
-        query.votes.insert(from, voter.0, voter.1, AcceptorState { promised, accepted });
+        query.votes.insert(from, voter, AcceptorState { promised, accepted });
         let groups = query.groups();
         query.send_to_new(context, &members(&groups));
         if !query.votes.have_majorities(&groups, |_| true) {
-            return;
+            return Vec::new();
         }
         if query.is_committed(context) {
-            self.answer_tasks(context, proposer);
+            self.answer_tasks(context)
         } else if members(&groups).iter().all(|node| query.votes.counts(*node)) {
-            self.hand_to_proposer(proposer);
+            self.abandon_query()
+        } else {
+            Vec::new()
         }
     }
 
-    /// A replica can be reached again: it is asked again unless it has answered.
+    /// A replica is reachable again: it gets the query again unless it has replied.
     pub(super) fn on_reachable(&self, context: &mut Context, node: Node) {
         if let Some(query) = self.query.as_ref().filter(|query| query.is_awaiting(node)) {
             context.send(node, query.message());
         }
     }
 
-    /// Gives up what is late, asks the silent again, repairs what stays uncommitted.
-    pub(super) fn on_tick(&mut self, context: &mut Context, proposer: &mut Proposer) {
-        self.expire(context);
-        let Some(query) = &mut self.query else {
-            return;
+    /// Expires tasks and sends the query again to those that have not replied. A query that a majority has
+    /// answered without showing the newest value to be committed is abandoned.
+    pub(super) fn on_tick(&mut self, context: &mut Context) -> TasksToPropose {
+        self.expire_tasks(context);
+        let Some(query) = self.query.as_mut().filter(|query| query.retry.is_due(context)) else {
+            return Vec::new();
         };
-        if query.resend_at > context.now {
-            return;
-        }
         if query.votes.have_majorities(&query.groups(), |_| true) {
-            return self.hand_to_proposer(proposer);
+            return self.abandon_query();
         }
-        query.interval = context.next_retry_interval(query.interval);
-        query.resend_at = context.now + query.interval;
-        let silent: Vec<Node> =
-            query.sent_to.iter().copied().filter(|node| query.is_awaiting(*node)).collect();
-        for node in silent {
-            context.send(node, query.message());
+        query.retry.back_off(context);
+        for node in query.sent_to.iter().filter(|node| query.is_awaiting(**node)) {
+            context.send(*node, query.message());
         }
+        Vec::new()
     }
 
-    fn expire(&mut self, context: &mut Context) {
+    fn expire_tasks(&mut self, context: &mut Context) {
         let now = context.now;
         let started = self.query.as_mut().map(|query| &mut query.tasks);
         for tasks in started.into_iter().chain([&mut self.waiting]) {
             for task in tasks.iter_mut().filter(|task| task.deadline <= now) {
-                context.complete(task.request.take(), timeout_outcome(&task.operation, false));
+                context.complete(task.request.take(), task.timeout_outcome(false));
             }
             tasks.retain(|task| task.deadline > now);
         }
         self.query.take_if(|query| query.tasks.is_empty());
     }
 
-    /// A committed value learned from elsewhere may settle the query, or show it newer groups.
-    pub(super) fn on_committed(&mut self, context: &mut Context, proposer: &mut Proposer) {
+    /// A committed value that was learned from elsewhere may complete the query, or show it newer groups.
+    pub(super) fn on_committed(&mut self, context: &mut Context) -> TasksToPropose {
         let Some((query, committed)) = self.query.as_mut().zip(context.committed.clone()) else {
-            return;
+            return Vec::new();
         };
         if committed.ballot < query.newest.ballot {
-            return;
+            return Vec::new();
         }
         query.known = committed.clone();
         query.newest = committed;
         let groups = query.groups();
         query.send_to_new(context, &members(&groups));
-        if query.votes.have_majorities(&groups, |_| true) {
-            self.answer_tasks(context, proposer);
-        }
+        if query.votes.have_majorities(&groups, |_| true) { self.answer_tasks(context) } else { Vec::new() }
     }
 
-    /// Answers with the newest value.
-    fn answer_tasks(&mut self, context: &mut Context, proposer: &mut Proposer) {
+    /// Answers the tasks from the newest value; commands that would change it are left over.
+    fn answer_tasks(&mut self, context: &mut Context) -> TasksToPropose {
         let Some(query) = self.query.take() else {
-            return;
+            return Vec::new();
         };
         let Proposal { ballot, value } = query.newest;
         context.record_committed(ballot, &value);
+        let mut to_propose = Vec::new();
         for task in query.tasks {
-            match &task.operation {
-                Operation::Command(command) => match context.state_machine.apply(&value.state, command) {
-                    Applied::Changed { .. } => proposer.enqueue(task),
-                    Applied::Unchanged { answer } => {
-                        context
-                            .complete(task.request, Outcome::Unchanged { revision: value.revision, answer });
-                    }
-                    Applied::Refused { answer } => {
-                        context.complete(task.request, Outcome::Refused { revision: value.revision, answer });
-                    }
-                },
-                _ => {
-                    let (revision, state) = (value.revision, value.state.clone());
-                    context.complete(task.request, Outcome::Value { revision, state });
-                }
+            match read_outcome(context, &task, &value) {
+                Some(outcome) => context.complete(task.request, outcome),
+                None => to_propose.push(task),
             }
         }
+        to_propose
     }
 
-    /// Leaves the items to the proposer, which gets the newest value committed.
-    fn hand_to_proposer(&mut self, proposer: &mut Proposer) {
-        for task in self.query.take().into_iter().flat_map(|query| query.tasks) {
-            proposer.enqueue(task);
-        }
+    /// Gives the query up: the proposer has to get the newest value committed.
+    fn abandon_query(&mut self) -> TasksToPropose {
+        self.query.take().map(|query| query.tasks).unwrap_or_default()
+    }
+}
+
+/// The outcome of a task that changes nothing; `None` for a command that would change the value.
+fn read_outcome(context: &Context, task: &Task, value: &Value) -> Option<Outcome> {
+    let revision = value.revision;
+    let Operation::Command(command) = &task.operation else {
+        return Some(Outcome::Value { revision, state: value.state.clone() });
+    };
+    match context.state_machine.apply(&value.state, command) {
+        Applied::Changed { .. } => None,
+        Applied::Unchanged { answer } => Some(Outcome::Unchanged { revision, answer }),
+        Applied::Refused { answer } => Some(Outcome::Refused { revision, answer }),
     }
 }
 
@@ -219,10 +224,12 @@
         self.sent_to.contains(&node) && !self.votes.counts(node)
     }
 
+    /// Groups of which a majority has to reply.
     fn groups(&self) -> Vec<Group> {
         union(&self.known.value.groups, &self.newest.value.groups)
     }
 
+    /// Sends the query to those that have not got it.
     fn send_to_new(&mut self, context: &mut Context, nodes: &[Node]) {
         for node in nodes {
             if !self.sent_to.contains(node) {
--- a/crates/coordination/src/register/recovery.rs
+++ b/crates/coordination/src/register/recovery.rs
@@ -1,4 +1,8 @@
-//! Recovery of a replica whose disk is empty: it registers an incarnation and learns before it votes.
+//! Recovery of a replica that lost its disk: it registers a new incarnation and learns the state of the others
+//! before it votes.
+//!
+//! Recovery has two stages. In the first the replica queries the highest incarnation that the others know of it;
+//! in the second it registers a higher one. The page of [the module](super) says why this is safe.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,38 +11,47 @@
 use super::context::{Context, Proposal};
 use super::message::Message;
 use super::node::{MinimumIncarnations, Node};
+use super::quorum::Voter;
 use super::record::Record;
+use super::retry::RetryTimer;
 use super::settings::Fault;
 use super::value::{Group, Value};
 
-/// What a replica answered.
+/// Stands for an incarnation in the first stage, which only queries.
+const QUERY_ONLY: u64 = 0;
+
+/// What a voting replica answers to one that lost its disk.
 #[derive(Clone, Hash)]
 pub(super) struct RecoveryResponse {
-    pub(super) incarnation: u64,
-    pub(super) minimum_incarnations: MinimumIncarnations,
+    pub(super) voter: Voter,
     pub(super) promised: Ballot,
     pub(super) accepted: Ballot,
     pub(super) value: Value,
 }
 
+/// How many members of a group have responded, and how many have to.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub(super) struct ResponseCount {
+    pub(super) answered: usize,
+    pub(super) needed: usize,
+}
+
 #[derive(Clone, Hash)]
 pub(super) struct Recovery {
-    /// The incarnation being registered; zero while it is still being asked for.
+    /// The incarnation being registered, or [`QUERY_ONLY`].
     incarnation: u64,
     known_peers: Vec<Node>,
     responses: BTreeMap<Node, RecoveryResponse>,
-    resend_at: Duration,
-    interval: Duration,
+    retry: RetryTimer,
 }
 
 impl Recovery {
     pub(super) fn start(context: &mut Context) -> Self {
         let mut recovery = Self {
-            incarnation: 0,
+            incarnation: QUERY_ONLY,
             known_peers: Vec::new(),
             responses: BTreeMap::new(),
-            resend_at: context.now + context.settings.retry_interval,
-            interval: context.settings.retry_interval,
+            retry: RetryTimer::start(context),
         };
         for seed in context.settings.seeds.clone() {
             recovery.add_peer(context, seed);
@@ -46,7 +59,7 @@
         recovery
     }
 
-    /// A replica can be reached: it is asked unless it has answered.
+    /// A peer is reachable: it gets the request unless it has responded.
     pub(super) fn on_reachable(&mut self, context: &mut Context, node: Node) {
         if !self.known_peers.contains(&node) {
             self.known_peers.push(node);
@@ -56,7 +69,7 @@
         }
     }
 
-    /// Asks a replica that was not asked before.
+    /// Sends the request to a peer that was not known before.
     fn add_peer(&mut self, context: &mut Context, node: Node) {
         if node != context.node() && !self.known_peers.contains(&node) {
             self.known_peers.push(node);
@@ -65,26 +78,27 @@
     }
 
     fn send_registration(&self, context: &mut Context, node: Node) {
-        context
-            .send(node, Message::RegisterIncarnation { nonce: context.nonce, incarnation: self.incarnation });
+        let message = Message::RegisterIncarnation { nonce: context.nonce, incarnation: self.incarnation };
+        context.send(node, message);
     }
 
     pub(super) fn next_wake(&self) -> Duration {
-        self.resend_at
+        self.retry.due_at()
     }
 
+    /// Sends the request again to those that have not responded in time.
     pub(super) fn on_tick(&mut self, context: &mut Context) {
-        if self.resend_at > context.now {
+        if !self.retry.is_due(context) {
             return;
         }
-        self.interval = context.next_retry_interval(self.interval);
-        self.resend_at = context.now + self.interval;
+        self.retry.back_off(context);
         for node in self.known_peers.iter().filter(|node| !self.responses.contains_key(*node)) {
             self.send_registration(context, *node);
         }
     }
 
-    /// Takes an answer; gives the record once enough have answered.
+    /// Adds a response to the request for the incarnation `requested`. Returns the recovered record once enough
+    /// replicas have responded in the second stage.
     pub(super) fn on_incarnation_registered(
         &mut self,
         context: &mut Context,
@@ -95,36 +109,38 @@
         if requested != self.incarnation {
             return None;
         }
-        let minimum = response.minimum_incarnations.of(context.node());
+        let minimum = response.voter.minimum_incarnations.of(context.node());
         self.responses.insert(from, response);
         for node in self.newest_accepted()?.value.members() {
             self.add_peer(context, node);
         }
-        if requested != 0 && minimum > requested {
-            self.start_stage(context, 0);
+        if requested != QUERY_ONLY && minimum > requested {
+            // A later incarnation of this node has registered meanwhile.
+            self.start_stage(context, QUERY_ONLY);
             return None;
         }
         if self.missing_responses(context).is_some() {
             return None;
         }
-        if self.incarnation == 0 {
-            let highest = self
-                .responses
-                .values()
-                .map(|response| response.minimum_incarnations.of(context.node()))
-                .max();
-            self.start_stage(context, highest.unwrap_or_default() + 1);
+        if self.incarnation == QUERY_ONLY {
+            let highest = self.highest_own_incarnation(context);
+            self.start_stage(context, highest + 1);
             return None;
         }
         self.recovered_record(context)
     }
 
-    /// Starts the next stage.
+    fn highest_own_incarnation(&self, context: &Context) -> u64 {
+        let responses = self.responses.values();
+        let incarnations = responses.map(|response| response.voter.minimum_incarnations.of(context.node()));
+        incarnations.max().unwrap_or_default()
+    }
+
+    /// Starts a stage: all known peers get the request anew.
     fn start_stage(&mut self, context: &mut Context, incarnation: u64) {
         self.incarnation = incarnation;
         self.responses.clear();
-        self.interval = context.settings.retry_interval;
-        self.resend_at = context.now + self.interval;
+        self.retry = RetryTimer::start(context);
         for node in self.known_peers.clone() {
             self.send_registration(context, node);
         }
@@ -135,32 +151,28 @@
         Some(Proposal { ballot: newest.accepted, value: newest.value.clone() })
     }
 
-    /// Answered and needed in the first group that lacks answers.
-    pub(super) fn missing_responses(&self, context: &Context) -> Option<(usize, usize)> {
+    /// The first group in force that lacks responses; zero of zero while no group is known.
+    pub(super) fn missing_responses(&self, context: &Context) -> Option<ResponseCount> {
         let Some(newest) = self.newest_accepted() else {
-            return Some((0, 0));
+            return Some(ResponseCount::default());
         };
-        newest
-            .value
-            .groups
-            .iter()
-            .map(|group| self.count_responses(context, group))
-            .find(|(has, needs)| has < needs)
+        let mut counts = newest.value.groups.iter().map(|group| self.count_responses(context, group));
+        counts.find(|count| count.answered < count.needed)
     }
 
-    fn count_responses(&self, context: &Context, group: &Group) -> (usize, usize) {
+    fn count_responses(&self, context: &Context, group: &Group) -> ResponseCount {
         let answered = group.members().iter().filter(|node| self.responses.contains_key(node)).count();
         let needed = if context.settings.has(Fault::RecoverFromOne) { 1 } else { group.recovery_quorum() };
-        (answered, needed)
+        ResponseCount { answered, needed }
     }
 
-    /// The highest promise, the newest accepted value and all floors.
+    /// The record with the highest promise, the newest accepted value and all minimum incarnations.
     fn recovered_record(&self, context: &Context) -> Option<Record> {
         let newest = self.newest_accepted()?;
         let mut minimum_incarnations = MinimumIncarnations::default();
         for (node, response) in &self.responses {
-            minimum_incarnations.merge(&response.minimum_incarnations);
-            minimum_incarnations.raise(*node, response.incarnation);
+            minimum_incarnations.merge(&response.voter.minimum_incarnations);
+            minimum_incarnations.raise(*node, response.voter.incarnation);
         }
         let promised = self.responses.values().map(|response| response.promised).max()?;
         let promised = promised.max(newest.ballot);
