--- a/crates/coordination/tests/membership_digests.rs
+++ b/crates/coordination/tests/membership_digests.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use lanegate_coordination::membership::{
-    Heartbeat, FailureDetector, MembershipSettings, NodeId, Output, PeerState, monitors_of, rendezvous_order,
+    FailureDetector, Heartbeat, MembershipSettings, NodeId, Output, PeerState, monitors_of, rendezvous_order,
 };
 use lanegate_coordination::registry::{FINAL_SEQUENCE, Registration, Registry, RegistryUpdate};
 use rand::rngs::SmallRng;
