--- a/crates/coordination/src/feed.rs
+++ b/crates/coordination/src/feed.rs
@@ -1,21 +1,24 @@
-//! Change feed: a journal in memory from which readers tail changes by offset, or start with a snapshot.
+//! Change feed: an in-memory journal of changes. A subscriber follows it from an offset, or starts with a snapshot.
 
 use std::collections::VecDeque;
 
-/// Where a reader stands: which source's journal, and how much of it the reader has applied.
+/// The position of a subscriber: in which source's journal, and how much of it the subscriber has applied.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Position {
-    /// Life of the process whose journal it is; 0 for a reader that has none yet.
+    /// Incarnation of the process whose journal it is; 0 for a subscriber that has none yet.
     pub source: u64,
-    /// Offset of the next change that the reader needs.
+    /// Offset of the next change that the subscriber needs.
     pub offset: u64,
 }
 
-/// How a reader that stands at some position is brought up to date.
+/// How a subscriber at some position is brought up to date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
     /// The changes from this offset on are still in the journal.
-    Tail { from: u64 },
+    Tail {
+        /// Offset of the first change to send.
+        from: u64,
+    },
     /// A snapshot first, then the changes from the end of the journal on.
     Snapshot,
 }
@@ -30,12 +33,12 @@
 }
 
 impl<C> Journal<C> {
-    /// An empty journal of the source `source` (not 0) that keeps `capacity` changes.
+    /// An empty journal of `source` (not 0) that retains the newest `capacity` changes.
     pub fn new(source: u64, capacity: usize) -> Self {
         Journal { source, first: 0, changes: VecDeque::new(), capacity }
     }
 
-    /// Appends a change and tells its offset.
+    /// Appends a change and returns its offset.
     pub fn append(&mut self, change: C) -> u64 {
         if self.changes.len() == self.capacity {
             self.changes.pop_front();
@@ -45,15 +48,15 @@
         self.end().offset - 1
     }
 
-    /// The position of a reader that has applied everything.
+    /// The position of a subscriber that has applied all changes.
     pub fn end(&self) -> Position {
         Position { source: self.source, offset: self.first + self.changes.len() as u64 }
     }
 
-    /// How to bring a reader at `position` up to date.
+    /// How to bring a subscriber at `position` up to date.
     pub fn start(&self, position: Position) -> Start {
-        let kept = self.first..=self.end().offset;
-        if position.source == self.source && kept.contains(&position.offset) {
+        let retained = self.first..=self.end().offset;
+        if position.source == self.source && retained.contains(&position.offset) {
             return Start::Tail { from: position.offset };
         }
         Start::Snapshot
--- a/crates/coordination/src/lease/grantor.rs
+++ b/crates/coordination/src/lease/grantor.rs
@@ -1,4 +1,4 @@
-//! The member of a group that grants leases.
+//! The grantor: a member of a group, which grants the lease of each shard to one candidate at a time.
 
 use super::message::{LeaseRelease, LeaseReply, LeaseRequest};
 use super::settings::LeaseSettings;
@@ -11,7 +11,7 @@
 pub enum GrantorStart {
     /// The first start of the whole system: nothing was ever granted.
     First,
-    /// Any other start: what was granted is forgotten, so nothing is granted until it has run out.
+    /// Any other start: earlier grants are forgotten, so nothing is granted until they have expired.
     Restarted,
 }
 
@@ -19,19 +19,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Grant {
     candidate: NodeId,
-    /// Rounds of the candidate up to this one count for nothing any more.
+    /// The newest round of the candidate that was granted or released.
     round: u64,
-    /// When another candidate may have a grant.
+    /// When another candidate may get a grant.
     expires_at: Duration,
 }
 
-/// Grants leases, for each shard to one life at a time.
+/// Grants leases, for each shard to one incarnation at a time.
+///
+/// All times are readings of the caller's monotonic clock.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseGrantor {
     settings: LeaseSettings,
     /// Newest known generation of each shard's group.
     generations: BTreeMap<u32, u64>,
-    /// Before this time nothing is granted.
+    /// Earliest time of a grant after a restart.
     no_grants_before: Duration,
     grants: BTreeMap<u32, Grant>,
 }
@@ -46,13 +48,13 @@
         LeaseGrantor { settings, generations: BTreeMap::new(), no_grants_before, grants: BTreeMap::new() }
     }
 
-    /// Learns the generation of a shard's group; requests that know only an older one are refused from now on.
+    /// Sets the generation of a shard's group. Requests of an older generation are refused from now on.
     pub fn set_generation(&mut self, shard: u32, generation: u64) {
         let known = self.generations.entry(shard).or_default();
         *known = generation.max(*known);
     }
 
-    /// Grants or refuses; a late or doubled request has no answer.
+    /// Grants or refuses a request. A late or duplicate request gets no reply.
     pub fn on_request(&mut self, now: Duration, request: &LeaseRequest) -> Option<LeaseReply> {
         let known = self.grants.get(&request.shard);
         let known = known.filter(|grant| grant.candidate == request.candidate);
@@ -74,7 +76,7 @@
         })
     }
 
-    /// Frees the shard as soon as the quiet period after the last act of the candidate has passed.
+    /// Ends a grant once the quiet period after the candidate's last action has passed.
     pub fn on_release(&mut self, now: Duration, release: &LeaseRelease) {
         let Some(grant) = self.grants.get_mut(&release.shard) else { return };
         if grant.candidate != release.candidate || release.round < grant.round {
@@ -87,7 +89,7 @@
         grant.expires_at = grant.expires_at.min(expires_at);
     }
 
-    /// How long this candidate has to wait for a grant; zero if it may have one.
+    /// How long this candidate has to wait for a grant; zero if it can get one now.
     fn remaining_wait(&self, now: Duration, request: &LeaseRequest) -> Duration {
         let grant = self.grants.get(&request.shard);
         let others = grant.filter(|grant| grant.candidate != request.candidate);
@@ -105,7 +107,7 @@
     }
 }
 
-/// A wait in the unit of the messages, rounded up.
-fn millis_rounded_up(wait: Duration) -> u32 {
-    u32::try_from(wait.as_micros().div_ceil(1_000)).unwrap_or(u32::MAX)
+/// A duration in the unit of the messages, rounded up.
+fn millis_rounded_up(duration: Duration) -> u32 {
+    u32::try_from(duration.as_micros().div_ceil(1_000)).unwrap_or(u32::MAX)
 }
--- a/crates/coordination/src/lease/group.rs
+++ b/crates/coordination/src/lease/group.rs
@@ -1,17 +1,17 @@
-//! The group whose majority grants a lease, across changes of its members.
+//! The group whose majority grants a lease, across membership changes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A group, and the one before it for as long as grants of that one may be in use.
+/// A group, with the previous ones for as long as grants of theirs may be valid.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct GrantorGroup {
     pub generation: u64,
     members: Vec<SocketAddr>,
-    /// Earlier groups, each with the time up to which its majority is needed too.
     previous: Vec<PreviousGroup>,
 }
 
+/// A group whose majority is required too, up to some time.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct PreviousGroup {
     members: Vec<SocketAddr>,
@@ -19,10 +19,14 @@
 }
 
 impl GrantorGroup {
-    /// Moves to a newer generation; until `required_until` the majority of the present one is needed as well.
-    ///
-    /// A generation that is not newer changes nothing.
-    pub fn change(&mut self, generation: u64, members: &[SocketAddr], required_until: Duration) -> bool {
+    /// Changes to a newer generation; until `required_until` a majority of the present group is required as well.
+    /// Returns whether the generation is newer; otherwise nothing changes.
+    pub(super) fn change(
+        &mut self,
+        generation: u64,
+        members: &[SocketAddr],
+        required_until: Duration,
+    ) -> bool {
         if generation <= self.generation && !self.members.is_empty() {
             return false;
         }
@@ -34,26 +38,26 @@
         true
     }
 
-    /// Forgets earlier groups whose grants have run out.
-    pub fn on_tick(&mut self, now: Duration) {
+    /// Drops previous groups whose grants have expired.
+    pub(super) fn on_tick(&mut self, now: Duration) {
         self.previous.retain(|group| now < group.required_until);
     }
 
-    /// Everyone who is to be asked.
-    pub fn all_members(&self) -> Vec<SocketAddr> {
+    /// The members of all groups, each once, in ascending order.
+    pub(super) fn all_members(&self) -> Vec<SocketAddr> {
         let mut all: Vec<_> = self.groups().flatten().copied().collect();
         all.sort_unstable();
         all.dedup();
         all
     }
 
-    /// Whether `granted` holds a majority of every group that counts.
-    pub fn is_majority(&self, granted: &[SocketAddr]) -> bool {
+    /// Whether `granted` contains a majority of every group.
+    pub(super) fn is_majority(&self, granted: &[SocketAddr]) -> bool {
         !self.members.is_empty() && self.groups().all(|members| count(members, granted) > members.len() / 2)
     }
 
-    /// Whether, with `refused`, no majority can come together.
-    pub fn is_majority_refused(&self, refused: &[SocketAddr]) -> bool {
+    /// Whether so many have refused that no majority is possible in some group.
+    pub(super) fn is_majority_refused(&self, refused: &[SocketAddr]) -> bool {
         self.groups().any(|members| members.len() - count(members, refused) <= members.len() / 2)
     }
 
@@ -63,7 +67,7 @@
     }
 }
 
-/// How many of `members` are among `chosen`.
-fn count(members: &[SocketAddr], chosen: &[SocketAddr]) -> usize {
-    members.iter().filter(|member| chosen.contains(member)).count()
+/// How many of `members` are in `set`.
+fn count(members: &[SocketAddr], set: &[SocketAddr]) -> usize {
+    members.iter().filter(|member| set.contains(member)).count()
 }
--- a/crates/coordination/src/lease/holder.rs
+++ b/crates/coordination/src/lease/holder.rs
@@ -1,4 +1,4 @@
-//! The candidate for the lease of one shard, and its holder once a majority granted.
+//! The candidate for the lease of one shard. It holds the lease once a majority of its group has granted it.
 
 use super::group::GrantorGroup;
 use super::message::{LeaseRelease, LeaseReply, LeaseRequest};
@@ -8,36 +8,60 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Names one unbroken time as holder; never used twice in one life.
+/// Identifies one uninterrupted time as lease holder. It is unique within one incarnation of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Tenure(pub u64);
 
-/// What the caller has to do or to know.
+/// What the caller has to do, or is notified of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
-    /// Send this request to that grantor.
-    Request { to: SocketAddr, request: LeaseRequest },
-    /// Send this release to that grantor.
-    Release { to: SocketAddr, release: LeaseRelease },
-    /// Take a new epoch from the shard's register and hand it to [`LeaseHolder::epoch_acquired`]; the caller
-    /// tries until it has one or the tenure ended. The register has to be asked after this, not before.
-    AcquireEpoch { tenure: Tenure },
-    /// The tenure has its epoch: [`LeaseHolder::authorize`] lets it act from now on.
-    Began { tenure: Tenure, epoch: u64 },
-    /// The tenure is over; it acts no more.
-    Ended { tenure: Tenure },
+    /// Send a request to a grantor.
+    Request {
+        /// The grantor.
+        to: SocketAddr,
+        /// The request.
+        request: LeaseRequest,
+    },
+    /// Send a release to a grantor.
+    Release {
+        /// The grantor.
+        to: SocketAddr,
+        /// The release.
+        release: LeaseRelease,
+    },
+    /// Acquire a new epoch from the shard's register and pass it to [`LeaseHolder::epoch_acquired`]. The caller
+    /// retries until it has one or the tenure has ended. An epoch that was acquired before this output must not
+    /// be used.
+    AcquireEpoch {
+        /// The tenure that needs the epoch.
+        tenure: Tenure,
+    },
+    /// The tenure has its epoch: [`LeaseHolder::authorize`] allows actions from now on.
+    Began {
+        /// The tenure.
+        tenure: Tenure,
+        /// Its fencing token.
+        epoch: u64,
+    },
+    /// The tenure has ended; no further action is allowed under it.
+    Ended {
+        /// The tenure.
+        tenure: Tenure,
+    },
 }
 
-/// One unbroken time as holder.
+/// The lease while this process holds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Lease {
     tenure: Tenure,
-    /// End of the newest majority of grants, margin taken off.
+    /// End of the newest majority of grants, less the margin.
     expires_at: Duration,
     epoch: Option<u64>,
 }
 
 /// The candidate for the lease of one shard, and its holder.
+///
+/// All times are readings of the caller's monotonic clock.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     settings: LeaseSettings,
@@ -48,17 +72,18 @@
     rounds: Rounds,
     next_round_at: Duration,
     lease: Option<Lease>,
+    /// Number of tenures that have begun.
     tenures: u64,
-    /// Highest epoch that this life acquired.
+    /// Highest epoch that this incarnation has acquired.
     highest_epoch: Option<u64>,
-    /// When the last act has reached its endpoint at the latest.
+    /// Latest time at which the last action arrives at its endpoint.
     last_action_arrival: Option<Duration>,
-    /// When the grants are given back: not before the last act has arrived.
+    /// When the grants are released: not before the last action has arrived.
     release_at: Option<Duration>,
 }
 
 impl LeaseHolder {
-    /// A process that is no candidate and knows no group yet.
+    /// A process that is not a candidate and knows no group yet.
     pub fn new(settings: LeaseSettings, shard: u32, this: NodeId) -> Self {
         LeaseHolder {
             settings,
@@ -76,8 +101,8 @@
         }
     }
 
-    /// Learns the group that grants; each change of the members needs a higher `generation`, and a majority of
-    /// the group before must know of the change before this is called.
+    /// Sets the group that grants the lease. Each change of its members needs a higher `generation`, and a
+    /// majority of the previous group must know of the change before this is called.
     pub fn set_group(&mut self, now: Duration, generation: u64, members: &[SocketAddr]) {
         let required_until = now + self.settings.lockout_period(self.settings.validity);
         if self.group.change(generation, members, required_until) {
@@ -86,7 +111,7 @@
         }
     }
 
-    /// Says whether this process is to hold the lease: it is the first live one in the shard's order.
+    /// Sets whether this process should hold the lease, because it is the first live one in the shard's order.
     pub fn set_candidate(&mut self, now: Duration, is_candidate: bool) -> Vec<Output> {
         let mut outputs = self.end_if_expired(now);
         if is_candidate == self.is_candidate {
@@ -104,7 +129,7 @@
         outputs
     }
 
-    /// Notices the end of the lease and sends a round that is due; to be called at [`LeaseHolder::next_wake`].
+    /// Ends an expired lease and starts a round that is due. To be called at [`LeaseHolder::next_wake`].
     pub fn on_tick(&mut self, now: Duration) -> Vec<Output> {
         let mut outputs = self.end_if_expired(now);
         self.group.on_tick(now);
@@ -115,14 +140,14 @@
         outputs
     }
 
-    /// When [`LeaseHolder::on_tick`] is to be called next; never for a process that is no candidate.
+    /// When [`LeaseHolder::on_tick`] is due next; `None` for a process that is not a candidate.
     pub fn next_wake(&self) -> Option<Duration> {
-        let lapse = self.lease.map(|lease| lease.expires_at);
+        let expiry = self.lease.map(|lease| lease.expires_at);
         let round = self.is_candidate.then_some(self.next_round_at);
-        lapse.into_iter().chain(round).chain(self.release_at).min()
+        expiry.into_iter().chain(round).chain(self.release_at).min()
     }
 
-    /// Takes in the answer of the grantor at `from`.
+    /// Processes the reply of the grantor at `from`.
     pub fn on_reply(&mut self, now: Duration, from: SocketAddr, reply: &LeaseReply) -> Vec<Output> {
         let mut outputs = self.end_if_expired(now);
         if !self.is_candidate || reply.candidate != self.this || reply.shard != self.shard {
@@ -142,9 +167,10 @@
         outputs
     }
 
-    /// Takes in the epoch that was taken from the register for `tenure`.
+    /// Sets the epoch that the register gave for `tenure`.
     ///
-    /// The epoch of a tenure that is over is dropped, and one that does not rise is asked for again.
+    /// The epoch of a tenure that has ended is dropped. If an epoch is not higher than all earlier ones, another
+    /// one is acquired.
     pub fn epoch_acquired(&mut self, now: Duration, tenure: Tenure, epoch: u64) -> Vec<Output> {
         let mut outputs = self.end_if_expired(now);
         let highest = self.highest_epoch;
@@ -164,7 +190,7 @@
         outputs
     }
 
-    /// The register gave no epoch for `tenure` in time: it is asked again, for as long as the tenure lasts.
+    /// The register gave no epoch for `tenure` in time: another attempt is made, as long as the tenure lasts.
     pub fn epoch_unavailable(&mut self, now: Duration, tenure: Tenure) -> Vec<Output> {
         let mut outputs = self.end_if_expired(now);
         let waits = |lease: &Lease| lease.tenure == tenure && lease.epoch.is_none();
@@ -174,10 +200,11 @@
         outputs
     }
 
-    /// The epoch under which an act may be sent now that reaches its endpoint within `delivery_time`; notes the act.
+    /// Allows an action that arrives at its endpoint within `delivery_time`, and records it. Returns the epoch to
+    /// send it under, or `None` if it must not be sent.
     ///
-    /// To be asked right before each act with a clock that was just read: only this notices that the process was
-    /// frozen since it last did anything.
+    /// To be called immediately before each action with a clock that was just read, as the process may have been
+    /// suspended since its last step.
     pub fn authorize(&mut self, now: Duration, delivery_time: Duration) -> Option<u64> {
         let epoch = self.current_epoch(now, delivery_time)?;
         let arrival = now + delivery_time;
@@ -185,13 +212,13 @@
         Some(epoch)
     }
 
-    /// As [`LeaseHolder::authorize`], without an act: for decisions whether to plan one.
+    /// As [`LeaseHolder::authorize`], without recording an action: tells whether one could be sent now.
     pub fn current_epoch(&self, now: Duration, delivery_time: Duration) -> Option<u64> {
         let lease = self.lease.filter(|lease| now + delivery_time < lease.expires_at)?;
         lease.epoch
     }
 
-    /// Prolongs the tenure, or begins one.
+    /// Extends the lease, or begins a tenure.
     fn extend(&mut self, now: Duration, expires_at: Duration) -> Vec<Output> {
         if let Some(lease) = &mut self.lease {
             lease.expires_at = lease.expires_at.max(expires_at);
@@ -206,16 +233,18 @@
         vec![Output::AcquireEpoch { tenure }]
     }
 
-    /// A round was lost: a process that holds nothing gives back what it got, so that another may win.
+    /// No majority granted this round: unless this process holds the lease it releases the grants that it got,
+    /// so that another candidate can win.
     ///
-    /// It asks again when the named wait is over, but at least once in a validity: a release shortens waits.
+    /// The next round starts after the shortest wait that a grantor named, but at least once in a validity
+    /// period, as a release of another candidate shortens waits.
     fn on_round_lost(&mut self, now: Duration, wait: Duration) -> Vec<Output> {
         if self.lease.is_some() {
             return Vec::new();
         }
-        let pause =
+        let delay =
             if wait.is_zero() { self.settings.round_interval } else { wait.min(self.settings.validity) };
-        self.next_round_at = now + pause;
+        self.next_round_at = now + delay;
         self.release(now)
     }
 
@@ -239,7 +268,7 @@
         self.release(now)
     }
 
-    /// Gives all rounds back; none of them counts any more.
+    /// Releases the grants of all rounds.
     fn release(&mut self, now: Duration) -> Vec<Output> {
         self.rounds.close_all();
         if self.rounds.newest() == 0 {
@@ -254,14 +283,14 @@
         self.group.all_members().into_iter().map(|to| Output::Release { to, release }).collect()
     }
 
-    /// Time since the last act has arrived, rounded down.
+    /// Time since the arrival of the last action in milliseconds, rounded down.
     fn idle_ms(&self, now: Duration) -> u32 {
         let Some(last) = self.last_action_arrival else { return LeaseRelease::NEVER_ACTED };
         let idle = now.saturating_sub(last).as_millis();
         u32::try_from(idle).unwrap_or(LeaseRelease::NEVER_ACTED)
     }
 
-    /// Ends the tenure if its time is over.
+    /// Ends the tenure if the lease has expired.
     fn end_if_expired(&mut self, now: Duration) -> Vec<Output> {
         match self.lease {
             Some(lease) if now >= lease.expires_at => self.end_tenure(),
@@ -274,7 +303,7 @@
     }
 }
 
-/// A validity in the unit of the messages, rounded up.
-fn millis_rounded_up(validity: Duration) -> u32 {
-    u32::try_from(validity.as_micros().div_ceil(1_000)).unwrap_or(u32::MAX)
+/// A duration in the unit of the messages, rounded up.
+fn millis_rounded_up(duration: Duration) -> u32 {
+    u32::try_from(duration.as_micros().div_ceil(1_000)).unwrap_or(u32::MAX)
 }
--- a/crates/coordination/src/lease/message.rs
+++ b/crates/coordination/src/lease/message.rs
@@ -1,4 +1,4 @@
-//! What candidates and grantors say to one another.
+//! Messages between candidates and grantors.
 
 use crate::membership::NodeId;
 use deku::prelude::*;
@@ -8,70 +8,86 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(magic = b"LGLS", id_type = "u8")]
 pub enum LeaseMessage {
+    /// A candidate requests a grant.
     #[deku(id = "1")]
     Request(LeaseRequest),
+    /// A grantor replies to a request.
     #[deku(id = "2")]
     Reply(LeaseReply),
+    /// A candidate releases its grants.
     #[deku(id = "3")]
     Release(LeaseRelease),
 }
 
-/// A candidate asks for a grant.
+/// A candidate requests a grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "big")]
 pub struct LeaseRequest {
+    /// The shard.
     pub shard: u32,
+    /// The candidate.
     pub candidate: NodeId,
-    /// Rises with each request of one life for one shard.
+    /// Rises with each round of one incarnation for one shard.
     pub round: u64,
     /// Generation of the group that the candidate knows.
     pub generation: u64,
-    /// How long the candidate will act on this round, ms.
+    /// How long the candidate will act on the grants of this round, in milliseconds.
     pub valid_ms: u32,
 }
 
-/// A grantor's answer to a request.
+/// A grantor's reply to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "big")]
 pub struct LeaseReply {
+    /// The shard, as in the request.
     pub shard: u32,
-    /// The candidate that asked: a late answer may meet another life.
+    /// The candidate, as in the request: a late reply may reach another incarnation.
     pub candidate: NodeId,
+    /// The round, as in the request.
     pub round: u64,
+    /// Whether the grant is given.
     pub granted: bool,
-    /// When refused: time after which the grantor may grant, ms.
+    /// If refused: time after which the grantor can grant, in milliseconds.
     pub wait_ms: u32,
 }
 
-/// A candidate gives its grants back and will not act on them again.
+/// A candidate releases its grants and will not act on them again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "big")]
 pub struct LeaseRelease {
+    /// The shard.
     pub shard: u32,
+    /// The candidate.
     pub candidate: NodeId,
-    /// The last round that is given back, with all before it.
+    /// The newest round that is released, with all before it.
     pub round: u64,
-    /// Time since the last act of the candidate, ms; [`LeaseRelease::NEVER_ACTED`] if there was none.
+    /// Time since the candidate's last action, in milliseconds; [`LeaseRelease::NEVER_ACTED`] if there was none.
     pub idle_ms: u32,
 }
 
 impl LeaseRelease {
-    /// Stands for "the candidate never acted".
+    /// The value of [`LeaseRelease::idle_ms`] for a candidate that never acted.
     pub const NEVER_ACTED: u32 = u32::MAX;
 }
 
-/// What was received is not a message of the lease.
+/// The bytes are not exactly one lease message, or a message cannot be encoded.
 #[derive(Debug, Error)]
 #[error("not a lease message: {0}")]
 pub struct LeaseMessageError(#[from] DekuError);
 
 impl LeaseMessage {
-    /// The message that `bytes` hold, and nothing else.
+    /// Decodes a message.
+    ///
+    /// # Errors
+    /// If the bytes are not exactly one message.
     pub fn decode(bytes: &[u8]) -> Result<Self, LeaseMessageError> {
         Ok(Self::try_from(bytes)?)
     }
 
-    /// The message as it is sent.
+    /// Encodes the message.
+    ///
+    /// # Errors
+    /// None in practice: every message fits the format.
     pub fn encode(&self) -> Result<Vec<u8>, LeaseMessageError> {
         Ok(self.to_bytes()?)
     }
--- a/crates/coordination/src/lease/mod.rs
+++ b/crates/coordination/src/lease/mod.rs
@@ -1,13 +1,16 @@
-//! Leases: a role of which at most one holder acts, fenced by an epoch.
+//! Leases: at most one process at a time acts for a shard, and each tenure has an epoch as fencing token.
 //!
-//! A candidate asks every member of a group for a grant. A majority of grants lets it act until a time that it
-//! measures from before it asked; a member that granted gives nothing to another life until that time and a
-//! quiet period have passed on its own clock. Between the last act of one holder and the first act of the next
-//! lies at least the quiet period, whatever the network does, as long as monotonic clocks run at nearly the
-//! same rate. Every tenure acts under an epoch of its own, which the caller takes from a replicated register.
+//! A candidate requests a grant from every member of a group. With a majority of grants it holds the lease for the
+//! validity period, measured from before its requests were sent. A member that granted gives no grant to another
+//! incarnation until the validity and a quiet period have passed on its own clock. So at least the quiet period
+//! lies between the last action of one holder and the first action of the next, whatever the network does, as
+//! long as monotonic clocks run at nearly the same rate. Every tenure acts under an epoch of its own, which the
+//! caller acquires from a replicated register (Gray and Cheriton, 1989; Chubby's sequencers).
 //!
-//! A life of a process is a holder of its own: a restarted process waits like any other candidate. No clock is
+//! Each incarnation of a process is a candidate of its own: a restarted process waits like any other. No clock is
 //! read here: time is the reading of the caller's monotonic clock, counted from any fixed origin.
+//!
+//! Begin with [`LeaseNode`], then read the holder, the grantor and the group.
 
 mod grantor;
 mod group;
--- a/crates/coordination/src/lease/node.rs
+++ b/crates/coordination/src/lease/node.rs
@@ -1,4 +1,4 @@
-//! All leases of one process: a grantor for its groups and a candidate for each shard.
+//! All leases of one process: a grantor, and a candidate for each shard.
 
 use super::grantor::{GrantorStart, LeaseGrantor};
 use super::holder::{LeaseHolder, Output as HolderOutput, Tenure};
@@ -9,20 +9,42 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the caller has to do or to know.
+/// What the caller has to do, or is notified of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
-    /// Send this message to that process.
-    Send { to: SocketAddr, message: LeaseMessage },
-    /// Take a new epoch from the register of the shard and hand it to [`LeaseNode::epoch_acquired`].
-    AcquireEpoch { shard: u32, tenure: Tenure },
-    /// This process may act for the shard, each time that [`LeaseNode::authorize`] says so.
-    Began { shard: u32, tenure: Tenure, epoch: u64 },
-    /// This process acts no more for the shard.
-    Ended { shard: u32, tenure: Tenure },
+    /// Send a message to another process.
+    Send {
+        /// The receiver.
+        to: SocketAddr,
+        /// The message.
+        message: LeaseMessage,
+    },
+    /// Acquire a new epoch from the shard's register and pass it to [`LeaseNode::epoch_acquired`].
+    AcquireEpoch {
+        /// The shard.
+        shard: u32,
+        /// The tenure that needs the epoch.
+        tenure: Tenure,
+    },
+    /// This process holds the lease of the shard: it may send the actions that [`LeaseNode::authorize`] allows.
+    Began {
+        /// The shard.
+        shard: u32,
+        /// The tenure.
+        tenure: Tenure,
+        /// Its fencing token.
+        epoch: u64,
+    },
+    /// This process no longer holds the lease of the shard.
+    Ended {
+        /// The shard.
+        shard: u32,
+        /// The tenure.
+        tenure: Tenure,
+    },
 }
 
-/// All leases of one process. Messages to itself never leave it.
+/// All leases of one process. Messages to itself are delivered directly.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseNode {
     settings: LeaseSettings,
@@ -32,25 +54,25 @@
 }
 
 impl LeaseNode {
-    /// A process that starts `now` and is no candidate yet.
+    /// A process that starts `now` and is not a candidate yet.
     pub fn new(settings: LeaseSettings, this: NodeId, start: GrantorStart, now: Duration) -> Self {
         let grantor = LeaseGrantor::new(settings.clone(), start, now);
         LeaseNode { settings, this, grantor, holders: BTreeMap::new() }
     }
 
-    /// Learns the group of a shard; see [`LeaseHolder::set_group`].
+    /// Sets the group of a shard; see [`LeaseHolder::set_group`].
     pub fn set_group(&mut self, now: Duration, shard: u32, generation: u64, members: &[SocketAddr]) {
         self.grantor.set_generation(shard, generation);
         self.holder(shard).set_group(now, generation, members);
     }
 
-    /// Says whether this process is to hold the lease of the shard.
+    /// Sets whether this process should hold the lease of the shard.
     pub fn set_candidate(&mut self, now: Duration, shard: u32, is_candidate: bool) -> Vec<Output> {
         let outputs = self.holder(shard).set_candidate(now, is_candidate);
         self.deliver(now, shard, outputs)
     }
 
-    /// Does what is due; to be called at [`LeaseNode::next_wake`].
+    /// Processes what is due. To be called at [`LeaseNode::next_wake`].
     pub fn on_tick(&mut self, now: Duration) -> Vec<Output> {
         let shards: Vec<_> = self.holders.keys().copied().collect();
         let mut all = Vec::new();
@@ -61,12 +83,12 @@
         all
     }
 
-    /// When [`LeaseNode::on_tick`] is to be called next; never while this process is no candidate.
+    /// When [`LeaseNode::on_tick`] is due next; `None` while this process is not a candidate.
     pub fn next_wake(&self) -> Option<Duration> {
         self.holders.values().filter_map(LeaseHolder::next_wake).min()
     }
 
-    /// Takes in a message of another process.
+    /// Processes a message of another process.
     pub fn on_message(&mut self, now: Duration, from: SocketAddr, message: &LeaseMessage) -> Vec<Output> {
         match message {
             LeaseMessage::Request(request) => {
@@ -85,14 +107,14 @@
         }
     }
 
-    /// Takes in the epoch that was taken from the register.
+    /// See [`LeaseHolder::epoch_acquired`].
     pub fn epoch_acquired(&mut self, now: Duration, shard: u32, tenure: Tenure, epoch: u64) -> Vec<Output> {
         let Some(holder) = self.holders.get_mut(&shard) else { return Vec::new() };
         let outputs = holder.epoch_acquired(now, tenure, epoch);
         self.deliver(now, shard, outputs)
     }
 
-    /// The register gave no epoch for a tenure in time.
+    /// See [`LeaseHolder::epoch_unavailable`].
     pub fn epoch_unavailable(&mut self, now: Duration, shard: u32, tenure: Tenure) -> Vec<Output> {
         let Some(holder) = self.holders.get_mut(&shard) else { return Vec::new() };
         let outputs = holder.epoch_unavailable(now, tenure);
@@ -114,11 +136,11 @@
         self.holders.entry(shard).or_insert_with(|| LeaseHolder::new(settings.clone(), shard, this))
     }
 
-    /// Hands messages to this process's own grantor and the rest to the caller.
+    /// Delivers messages to this process's own grantor and returns the other outputs.
     fn deliver(&mut self, now: Duration, shard: u32, outputs: Vec<HolderOutput>) -> Vec<Output> {
         let own = self.this.address();
         let mut pending = VecDeque::from(outputs);
-        let mut outside = Vec::new();
+        let mut external = Vec::new();
         while let Some(output) = pending.pop_front() {
             match output {
                 HolderOutput::Request { to, request } if to == own => {
@@ -127,15 +149,15 @@
                     pending.extend(reply.into_iter().flat_map(|reply| holder.on_reply(now, own, &reply)));
                 }
                 HolderOutput::Release { to, release } if to == own => self.grantor.on_release(now, &release),
-                other => outside.push(outward(shard, other)),
+                other => external.push(with_shard(shard, other)),
             }
         }
-        outside
+        external
     }
 }
 
-/// An output of one shard's holder as the caller sees it.
-fn outward(shard: u32, output: HolderOutput) -> Output {
+/// An output of one shard's holder, with the shard.
+fn with_shard(shard: u32, output: HolderOutput) -> Output {
     match output {
         HolderOutput::Request { to, request } => Output::Send { to, message: LeaseMessage::Request(request) },
         HolderOutput::Release { to, release } => Output::Send { to, message: LeaseMessage::Release(release) },
--- a/crates/coordination/src/lease/round.rs
+++ b/crates/coordination/src/lease/round.rs
@@ -1,10 +1,10 @@
-//! Rounds of requests that may still be answered in time.
+//! Rounds of requests to the grantors.
 
 use super::group::GrantorGroup;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Rounds that are open at once at most: answers to older ones come too late to be of use.
+/// Largest number of open rounds: replies to older ones come too late to be of use.
 const MAX_OPEN_ROUNDS: usize = 4;
 
 /// One round of requests to all grantors.
@@ -19,18 +19,18 @@
 }
 
 impl Round {
-    /// Whether a majority granted.
-    pub fn has_majority(&self, group: &GrantorGroup) -> bool {
+    /// Whether a majority of every group has granted.
+    pub(super) fn has_majority(&self, group: &GrantorGroup) -> bool {
         group.is_majority(&self.granted)
     }
 
-    /// Whether so many refused that no majority can come together.
-    pub fn is_refused(&self, group: &GrantorGroup) -> bool {
+    /// Whether so many have refused that no majority is possible.
+    pub(super) fn is_refused(&self, group: &GrantorGroup) -> bool {
         group.is_majority_refused(&self.refused)
     }
 
-    /// Shortest wait that a refusing grantor named.
-    pub fn shortest_wait(&self) -> Duration {
+    /// The shortest wait that a refusing grantor named.
+    pub(super) fn shortest_wait(&self) -> Duration {
         self.waits.iter().min().copied().unwrap_or_default()
     }
 
@@ -56,12 +56,12 @@
 
 impl Rounds {
     /// Number of the newest round; 0 before the first.
-    pub fn newest(&self) -> u64 {
+    pub(super) fn newest(&self) -> u64 {
         self.newest
     }
 
-    /// Opens a round that is sent `now`.
-    pub fn begin(&mut self, now: Duration) -> u64 {
+    /// Opens a round whose requests are sent `now`, and returns its number.
+    pub(super) fn begin(&mut self, now: Duration) -> u64 {
         self.newest += 1;
         if self.open.len() == MAX_OPEN_ROUNDS {
             self.open.remove(0);
@@ -77,8 +77,8 @@
         self.newest
     }
 
-    /// Notes an answer and hands back its round, if that is still open.
-    pub fn record_reply(
+    /// Records a reply and returns its round, if that is still open.
+    pub(super) fn record_reply(
         &mut self,
         number: u64,
         from: SocketAddr,
@@ -91,7 +91,7 @@
     }
 
     /// Closes all rounds.
-    pub fn close_all(&mut self) {
+    pub(super) fn close_all(&mut self) {
         self.open.clear();
     }
 }
--- a/crates/coordination/src/membership/detector.rs
+++ b/crates/coordination/src/membership/detector.rs
@@ -9,35 +9,52 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What this process thinks of a peer.
+/// The state of a peer as this process sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerState {
-    /// Heard within its timeout, or new and within its first timeout.
+    /// Its last heartbeat is within its timeout, or it is new and within its first timeout.
     Live,
-    /// Silent for longer than its heartbeats allow.
+    /// No heartbeat for longer than its timeout.
     Suspect,
-    /// Silent for so long that it is taken to be gone; a heartbeat makes it live again.
+    /// No heartbeat for several timeouts; the next one makes it live again.
     Dead,
 }
 
-/// What the caller has to do or to know.
+/// What the caller has to do, or is notified of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
-    /// Send this heartbeat to that node.
-    Send { to: SocketAddr, heartbeat: Heartbeat },
+    /// Send a heartbeat to a node.
+    Send {
+        /// The receiver.
+        to: SocketAddr,
+        /// The heartbeat.
+        heartbeat: Heartbeat,
+    },
     /// A monitored peer changed its state.
-    StateChanged { peer: SocketAddr, state: PeerState },
-    /// A monitored peer came back as a new life: what the old one promised is void.
-    Restarted { peer: SocketAddr, incarnation: u64 },
+    StateChanged {
+        /// The peer.
+        peer: SocketAddr,
+        /// Its new state.
+        state: PeerState,
+    },
+    /// A monitored peer is a new incarnation: whatever the old one promised no longer holds.
+    Restarted {
+        /// The peer.
+        peer: SocketAddr,
+        /// Its new incarnation.
+        incarnation: u64,
+    },
 }
 
-/// The failure detector of one process: whom it monitors, who monitors it, and who is live.
+/// The failure detector of one process: the peers that it monitors, its own monitors, and who is live.
+///
+/// All times are readings of the caller's monotonic clock.
 #[derive(Debug)]
 pub struct FailureDetector {
     settings: MembershipSettings,
     this: NodeId,
     nodes: Vec<SocketAddr>,
-    /// Nodes that monitor this one and get its heartbeats.
+    /// Nodes that monitor this one; heartbeats go to them.
     monitors: Vec<SocketAddr>,
     peers: BTreeMap<SocketAddr, Peer>,
     sequence: u64,
@@ -60,7 +77,7 @@
         }
     }
 
-    /// Replaces the nodes that are known (with or without this one); what is known of those that stay is kept.
+    /// Replaces the known nodes. This process belongs to them in any case; the state of peers that stay is retained.
     pub fn set_nodes(&mut self, now: Duration, nodes: &[SocketAddr]) {
         self.detect_local_pause(now);
         let this = self.this.address();
@@ -76,7 +93,7 @@
         }
     }
 
-    /// Takes in a heartbeat; one from a node that is not monitored changes nothing.
+    /// Processes a heartbeat. One from a node that is not monitored is ignored.
     pub fn on_heartbeat(&mut self, now: Duration, heartbeat: &Heartbeat) -> Vec<Output> {
         self.detect_local_pause(now);
         let address = heartbeat.sender.address();
@@ -92,7 +109,8 @@
         outputs
     }
 
-    /// Sends what is due and judges the silence of each peer; to be called at [`FailureDetector::next_wake`].
+    /// Sends heartbeats that are due and updates the state of each peer. To be called at
+    /// [`FailureDetector::next_wake`].
     pub fn on_tick(&mut self, now: Duration) -> Vec<Output> {
         self.detect_local_pause(now);
         let mut outputs = self.due_heartbeats(now);
@@ -104,7 +122,7 @@
         outputs
     }
 
-    /// When [`FailureDetector::on_tick`] is to be called next.
+    /// When [`FailureDetector::on_tick`] is due next.
     pub fn next_wake(&self) -> Duration {
         let changes = self.peers.values().filter_map(|peer| peer.next_change(&self.settings));
         changes.min().map_or(self.next_heartbeat, |change| change.min(self.next_heartbeat))
@@ -115,13 +133,13 @@
         self.peers.get(&peer).map(|peer| peer.state)
     }
 
-    /// Whether a known node may be counted on: this process, or a node that nothing speaks against.
+    /// Whether a known node is live: this process, a live peer, or a node that only others monitor.
     pub fn is_live(&self, node: SocketAddr) -> bool {
         let known = self.nodes.binary_search(&node).is_ok();
         known && self.state(node).is_none_or(|state| state == PeerState::Live)
     }
 
-    /// The known life of a monitored peer, once it has been heard.
+    /// The incarnation of a monitored peer, once a heartbeat of it was received.
     pub fn incarnation(&self, peer: SocketAddr) -> Option<u64> {
         self.peers.get(&peer)?.incarnation
     }
@@ -137,7 +155,7 @@
         order.into_iter().find(|node| self.is_live(*node)).unwrap_or(self.this.address())
     }
 
-    /// After a pause of this process itself, silence says nothing of the peers: all get a fresh timeout.
+    /// If this process itself was suspended, missing heartbeats say nothing about the peers: their timeouts restart.
     fn detect_local_pause(&mut self, now: Duration) {
         let paused = now.saturating_sub(self.last_call) > self.settings.local_pause_threshold;
         self.last_call = self.last_call.max(now);
--- a/crates/coordination/src/membership/heartbeat.rs
+++ b/crates/coordination/src/membership/heartbeat.rs
@@ -1,30 +1,37 @@
-//! The message by which a process says that it is live.
+//! The message by which a process shows that it is live.
 
 use super::node::NodeId;
 use deku::prelude::*;
 use thiserror::Error;
 
-/// "I am live", as sent to every monitor of the sender.
+/// A heartbeat, sent to every monitor of the sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(magic = b"LGHB", endian = "big")]
 pub struct Heartbeat {
+    /// The incarnation that sends it.
     pub sender: NodeId,
-    /// Rises with each heartbeat of one life, so that late and doubled ones are recognised.
+    /// Rises with each heartbeat of one incarnation, so that late and duplicate ones are recognised.
     pub sequence: u64,
 }
 
-/// What was received is not a heartbeat.
+/// The bytes are not exactly one heartbeat, or a heartbeat cannot be encoded.
 #[derive(Debug, Error)]
 #[error("not a heartbeat: {0}")]
 pub struct HeartbeatError(#[from] DekuError);
 
 impl Heartbeat {
-    /// The heartbeat that `bytes` hold, and nothing else.
+    /// Decodes a heartbeat.
+    ///
+    /// # Errors
+    /// If the bytes are not exactly one heartbeat.
     pub fn decode(bytes: &[u8]) -> Result<Self, HeartbeatError> {
         Ok(Self::try_from(bytes)?)
     }
 
-    /// The heartbeat as it is sent.
+    /// Encodes the heartbeat.
+    ///
+    /// # Errors
+    /// None in practice: every heartbeat fits the format.
     pub fn encode(&self) -> Result<Vec<u8>, HeartbeatError> {
         Ok(self.to_bytes()?)
     }
--- a/crates/coordination/src/membership/mod.rs
+++ b/crates/coordination/src/membership/mod.rs
@@ -1,9 +1,9 @@
-//! Membership: who is live, and whom each process monitors.
+//! Membership: which processes are live, and which peers each process monitors.
 //!
-//! A process learns the addresses of its peers from elsewhere and hands them to [`FailureDetector`]. Rendezvous
-//! hashing gives each process a small set of peers to monitor; heartbeats feed a detector with an adaptive
-//! timeout for each of them. No clock is read here: time is the reading of the caller's monotonic clock,
-//! counted from any fixed origin.
+//! The caller passes the addresses of all processes to the [`FailureDetector`]. Rendezvous hashing assigns each
+//! process a few monitors, to which it sends heartbeats; a monitor suspects a peer after an adaptive timeout, which
+//! follows the mean and deviation of the gaps between its heartbeats. No clock is read here: time is the reading
+//! of the caller's monotonic clock, counted from any fixed origin.
 
 mod detector;
 mod hash;
--- a/crates/coordination/src/membership/peer.rs
+++ b/crates/coordination/src/membership/peer.rs
@@ -1,13 +1,13 @@
-//! What one process knows of one peer that it monitors.
+//! One monitored peer: its incarnation, its heartbeats and their adaptive timeout.
 
 use super::detector::PeerState;
 use super::heartbeat::Heartbeat;
 use super::settings::MembershipSettings;
 use std::time::Duration;
 
-/// Share of the newest gap in the smoothed mean: one eighth, as in the retransmission timer of TCP.
+/// Weight of the newest gap in the smoothed mean: one eighth, as in TCP's retransmission timer (RFC 6298).
 const MEAN_GAIN_DIVISOR: u32 = 8;
-/// Share of the newest difference in the smoothed deviation: one quarter.
+/// Weight of the newest difference in the smoothed deviation: one quarter (RFC 6298).
 const DEVIATION_GAIN_DIVISOR: u32 = 4;
 
 /// What a heartbeat changed.
@@ -21,20 +21,20 @@
 pub(super) struct Peer {
     pub state: PeerState,
     pub incarnation: Option<u64>,
-    /// The life before the present one; its late heartbeats count for nothing.
+    /// The incarnation before the present one; its late heartbeats are ignored.
     previous_incarnation: Option<u64>,
     sequence: u64,
-    /// Start of the silence: the last heartbeat, or a later moment from which grace was given.
+    /// Start of the present idle time: the last heartbeat, or a later restart of the timeout.
     idle_since: Duration,
-    /// Arrival of the last heartbeat, unless the gap that follows it says nothing of the peer.
+    /// Arrival of the last heartbeat, unless the gap that follows it says nothing about the peer.
     gap_start: Option<Duration>,
     mean_gap: Duration,
     gap_deviation: Duration,
 }
 
 impl Peer {
-    /// A peer that has not been heard; it is taken to be live for one timeout.
-    pub fn new(now: Duration, settings: &MembershipSettings) -> Self {
+    /// A peer without a heartbeat so far; it is live for one timeout.
+    pub(super) fn new(now: Duration, settings: &MembershipSettings) -> Self {
         Peer {
             state: PeerState::Live,
             incarnation: None,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Takes in a heartbeat; a late, doubled or outlived one changes nothing.
-    pub fn on_heartbeat(&mut self, now: Duration, heartbeat: &Heartbeat) -> Option<HeartbeatEffect> {
+    /// Processes a heartbeat. A late or duplicate one, or one of the previous incarnation, is ignored.
+    pub(super) fn on_heartbeat(&mut self, now: Duration, heartbeat: &Heartbeat) -> Option<HeartbeatEffect> {
         let incarnation = heartbeat.sender.incarnation;
         if self.previous_incarnation == Some(incarnation) {
             return None;
@@ -70,7 +70,8 @@
         Some(HeartbeatEffect { state_changed, restarted })
     }
 
-    /// Smooths the newest gap into mean and deviation; gaps that ended a suspicion are outages, not samples.
+    /// Updates the smoothed mean and deviation with the newest gap. A gap that ended a suspicion is an outage and
+    /// no sample.
     fn update_gap_estimate(&mut self, now: Duration) {
         let start = self.gap_start.replace(now);
         let Some(start) = start.filter(|_| self.state == PeerState::Live) else { return };
@@ -81,8 +82,8 @@
             (self.gap_deviation * (DEVIATION_GAIN_DIVISOR - 1) + difference) / DEVIATION_GAIN_DIVISOR;
     }
 
-    /// Gives a peer that is not dead a whole timeout from now, because this process itself was frozen.
-    pub fn restart_timeout(&mut self, now: Duration) {
+    /// Restarts the timeout of a peer that is not dead, because this process itself was suspended.
+    pub(super) fn restart_timeout(&mut self, now: Duration) {
         if self.state == PeerState::Dead {
             return;
         }
@@ -90,8 +91,8 @@
         self.gap_start = None;
     }
 
-    /// The state that the silence up to `now` calls for, if it differs from the present one.
-    pub fn on_tick(&mut self, now: Duration, settings: &MembershipSettings) -> Option<PeerState> {
+    /// Updates the state by the idle time up to `now`; returns it if it changed.
+    pub(super) fn on_tick(&mut self, now: Duration, settings: &MembershipSettings) -> Option<PeerState> {
         let state = self.state_at(now, settings);
         if state == self.state {
             return None;
@@ -102,18 +103,18 @@
 
     fn state_at(&self, now: Duration, settings: &MembershipSettings) -> PeerState {
         let timeout = self.timeout(settings);
-        let silence = now.saturating_sub(self.idle_since);
-        if self.state == PeerState::Dead || silence >= timeout * (1 + settings.dead_after_timeouts) {
+        let idle = now.saturating_sub(self.idle_since);
+        if self.state == PeerState::Dead || idle >= timeout * (1 + settings.dead_after_timeouts) {
             PeerState::Dead
-        } else if self.state == PeerState::Suspect || silence >= timeout {
+        } else if self.state == PeerState::Suspect || idle >= timeout {
             PeerState::Suspect
         } else {
             PeerState::Live
         }
     }
 
-    /// When silence changes the state next; never for a dead peer.
-    pub fn next_change(&self, settings: &MembershipSettings) -> Option<Duration> {
+    /// When the state changes next without a heartbeat; `None` for a dead peer.
+    pub(super) fn next_change(&self, settings: &MembershipSettings) -> Option<Duration> {
         let timeout = self.timeout(settings);
         match self.state {
             PeerState::Live => Some(self.idle_since + timeout),
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Silence after which the peer is suspected.
+    /// Idle time after which the peer is suspected.
     fn timeout(&self, settings: &MembershipSettings) -> Duration {
         let adaptive = self.mean_gap + self.gap_deviation * settings.deviation_factor;
         adaptive.clamp(settings.min_timeout, settings.max_timeout)
--- a/crates/coordination/src/membership/rendezvous.rs
+++ b/crates/coordination/src/membership/rendezvous.rs
@@ -1,12 +1,12 @@
-//! Rendezvous hashing: every process derives the same order of nodes for a key, without talking.
+//! Rendezvous hashing: every process computes the same order of nodes for a key, without communication.
 
 use super::hash::{mix, stable_hash};
 use std::cmp::Reverse;
 use std::net::{IpAddr, SocketAddr};
 
-/// `nodes` in the order in which they are preferred for `key`; the same in every process.
+/// `nodes` in their order of preference for `key`; the same in every process.
 ///
-/// When a node comes or goes, the order of the others stays as it was.
+/// When a node is added or removed, the order of the others does not change.
 pub fn rendezvous_order(key: &[u8], nodes: &[SocketAddr]) -> Vec<SocketAddr> {
     let key = stable_hash(key);
     let mut ranked: Vec<_> =
@@ -16,7 +16,7 @@
     ranked.into_iter().map(|(_, node)| node).collect()
 }
 
-/// The `count` nodes that monitor `node`: the first ones in its rendezvous order, itself left out.
+/// The `count` nodes that monitor `node`: the first others in its rendezvous order.
 pub fn monitors_of(node: SocketAddr, nodes: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
     let mut order = rendezvous_order(&node_key(&node), nodes);
     order.retain(|other| *other != node);
@@ -34,8 +34,8 @@
     nodes.dedup();
     let hashed: Vec<_> = nodes.into_iter().map(|node| (node_hash(&node), node)).collect();
     let own = (node_hash(&this), this);
-    let watches = |node: &&(u64, SocketAddr)| node.1 != this && is_monitor(own, **node, &hashed, count);
-    hashed.iter().filter(watches).map(|(_, node)| *node).collect()
+    let is_monitored = |node: &&(u64, SocketAddr)| node.1 != this && is_monitor(own, **node, &hashed, count);
+    hashed.iter().filter(is_monitored).map(|(_, node)| *node).collect()
 }
 
 /// Whether fewer than `count` nodes come before `this` in the rendezvous order of `node`.
@@ -61,7 +61,7 @@
     stable_hash(&node_key(node))
 }
 
-/// Bytes that stand for an address in hashes: the octets, then the port in network order.
+/// The bytes of an address that are hashed: the octets, then the port in network byte order.
 fn node_key(node: &SocketAddr) -> Vec<u8> {
     let mut key = match node.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
--- a/crates/coordination/src/membership/settings.rs
+++ b/crates/coordination/src/membership/settings.rs
@@ -1,35 +1,35 @@
-//! Figures of the failure detector.
+//! Settings of the failure detector.
 
 use std::time::Duration;
 
-/// Figures of the failure detector; all are set by the caller, the defaults suit a local network.
+/// Settings of the failure detector; the defaults suit a local network.
 #[derive(Debug, Clone)]
 pub struct MembershipSettings {
     /// Time between two heartbeats of this process.
     pub heartbeat_interval: Duration,
-    /// Monitors of each node; a figure of `nodes - 1` or more makes every node monitor every other.
+    /// Number of monitors of each node; with `nodes - 1` or more every node monitors every other.
     pub monitors: usize,
-    /// Shortest silence after which a peer is suspected, however regular its heartbeats were.
+    /// Shortest idle time after which a peer is suspected, however regular its heartbeats were.
     pub min_timeout: Duration,
-    /// Longest silence before a peer is suspected, however irregular its heartbeats were.
+    /// Longest idle time before a peer is suspected, however irregular its heartbeats were.
     pub max_timeout: Duration,
-    /// Deviations of the heartbeat gap that are added to its mean.
+    /// How many deviations of the heartbeat gap are added to its mean.
     pub deviation_factor: u32,
-    /// Further silence, in timeouts, after which a suspected peer is taken for dead.
+    /// Further idle time, in timeouts, after which a suspected peer is dead.
     pub dead_after_timeouts: u32,
-    /// Time without any call after which this process takes itself to have been frozen.
+    /// Time without any call after which this process assumes that it was itself suspended.
     pub local_pause_threshold: Duration,
 }
 
-/// Heartbeats missed in a row before a regular peer is suspected.
+/// Heartbeats missed in a row before a peer with regular heartbeats is suspected.
 const MISSED_HEARTBEATS: u32 = 3;
-/// Heartbeat intervals before even an irregular peer is suspected.
+/// Heartbeats missed in a row before any peer is suspected.
 const MAX_MISSED_HEARTBEATS: u32 = 10;
-/// Deviations as in the retransmission timer of TCP.
+/// As in TCP's retransmission timer (RFC 6298).
 const DEVIATION_FACTOR: u32 = 4;
 
 impl MembershipSettings {
-    /// Figures in proportion to `heartbeat_interval`, with `monitors` monitors for each node.
+    /// Settings in proportion to `heartbeat_interval`, with `monitors` monitors for each node.
     pub fn new(heartbeat_interval: Duration, monitors: usize) -> Self {
         MembershipSettings {
             heartbeat_interval,
--- a/crates/coordination/src/register/value.rs
+++ b/crates/coordination/src/register/value.rs
@@ -8,7 +8,7 @@
 
 /// Changes a value remembers, so that a proposer can tell whether its preempted proposal took effect.
 /// More than the proposals that usually pass between two tries of one proposer.
-pub const HISTORY_LENGTH: usize = 16;
+pub(super) const HISTORY_LENGTH: usize = 16;
 
 /// Members of which a majority must vote.
 #[deku_derive(DekuRead, DekuWrite)]
--- a/crates/coordination/src/registry.rs
+++ b/crates/coordination/src/registry.rs
@@ -1,53 +1,57 @@
 //! Registry of endpoints: the newest registration of each incarnation, merged from any number of replicas.
 //!
-//! Every incarnation counts its own heartbeats, so the registration with the highest sequence is the newest,
-//! whoever heard it and in whatever order: replicas that heard the same registrations agree without a log.
-//! What must be decided by one alone is that an incarnation is lost because nobody hears it; that is left
-//! to the owner of its shard ([`Registry::expire`]).
+//! Every incarnation numbers its own heartbeats, so the registration with the highest sequence is the newest,
+//! whichever replica received it and in whatever order: replicas that received the same registrations agree
+//! without a log. Only the expiry of an incarnation without heartbeats must be decided by one replica alone: the
+//! owner of its shard calls [`Registry::expire`]. A removed incarnation leaves a tombstone, so that a late message
+//! does not bring it back.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Sequence of an incarnation that said itself that it ends: no later heartbeat can revive it.
+/// Sequence of an incarnation that has ended for good: no later heartbeat can revive it.
 pub const FINAL_SEQUENCE: u64 = u64::MAX;
 
-/// What a registry keeps of one incarnation's registration.
+/// The registration of one incarnation of an endpoint.
 pub trait Registration: Clone {
-    /// Name of the service, which places the registration in a shard.
+    /// Name of the service, which determines the shard.
     fn service(&self) -> &str;
     /// Address at which the incarnation serves; another incarnation there replaces it.
     fn address(&self) -> std::net::SocketAddr;
-    /// Whether routers have to hear of the step from `self` to `newer`.
+    /// Whether routers have to be notified of the change from `self` to `newer`.
     fn differs(&self, newer: &Self) -> bool;
 }
 
 /// The newest state of one incarnation.
 #[derive(Debug, Clone)]
 pub struct Entry<R> {
-    /// The registration; `None` once the incarnation is gone.
+    /// The registration; `None` for a tombstone.
     pub registration: Option<R>,
-    /// Sequence of the registration; once the incarnation is gone, that as of which it is, which is
-    /// [`FINAL_SEQUENCE`] if it has ended for good.
+    /// Sequence of the registration; of a tombstone, the sequence as of which the incarnation was removed, which
+    /// is [`FINAL_SEQUENCE`] if it has ended for good.
     pub sequence: u64,
-    /// Sequence of the newest heartbeat that any replica is known to have heard. It may be ahead of the
-    /// registration's: word of an unchanged heartbeat may overtake the change before it.
+    /// Sequence of the newest heartbeat that any replica is known to have received. It may be ahead of the
+    /// registration's, as the message about an unchanged heartbeat may overtake the change before it.
     pub latest: u64,
-    /// When any replica is known to have heard it last.
+    /// When the newest heartbeat was received here, or reported by another replica.
     pub last_heartbeat: Duration,
 }
 
-/// What taking a registration changed.
+/// What merging a registration changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RegistryUpdate {
-    /// Nothing: an older one, or one of an incarnation that has ended.
+    /// Nothing: the registration is older, or its incarnation has ended.
     Stale,
-    /// The incarnation is still there, and nothing that routers need to hear has changed.
+    /// A newer heartbeat, without a change that routers have to be notified of.
     Refreshed,
-    /// Routers need to hear of it; `replaced` are incarnations that it displaces from its address.
-    Changed { replaced: Vec<String> },
+    /// A change that routers have to be notified of.
+    Changed {
+        /// Incarnations that were removed because this one has their address.
+        replaced: Vec<String>,
+    },
 }
 
-/// All known incarnations.
+/// All known incarnations by id.
 #[derive(Debug, Clone)]
 pub struct Registry<R> {
     entries: BTreeMap<String, Entry<R>>,
@@ -60,7 +64,7 @@
 }
 
 impl<R: Registration> Registry<R> {
-    /// Takes a registration that was heard directly or from another replica.
+    /// Merges a registration that was received from the endpoint itself or from another replica.
     pub fn merge(&mut self, now: Duration, id: &str, sequence: u64, registration: R) -> RegistryUpdate {
         let Some(known) = self.entries.get_mut(id) else {
             return self.insert(now, id, sequence, registration);
@@ -91,7 +95,7 @@
         RegistryUpdate::Changed { replaced }
     }
 
-    /// Notes that some replica heard heartbeat `sequence` and that nothing else had changed.
+    /// Records that some replica received heartbeat `sequence`, which changed nothing else.
     pub fn refresh(&mut self, now: Duration, id: &str, sequence: u64) {
         let Some(known) = self.entries.get_mut(id) else { return };
         if known.registration.is_some() && sequence >= known.latest {
@@ -100,67 +104,67 @@
         }
     }
 
-    /// Removes an incarnation as of `sequence`. Tells whether that was news.
+    /// Removes an incarnation as of `sequence`. Returns whether it was registered until now.
     pub fn remove(&mut self, now: Duration, id: &str, sequence: u64) -> bool {
-        let gone = || Entry { registration: None, sequence, latest: sequence, last_heartbeat: now };
+        let tombstone = || Entry { registration: None, sequence, latest: sequence, last_heartbeat: now };
         let Some(known) = self.entries.get_mut(id) else {
-            self.entries.insert(id.to_owned(), gone());
+            self.entries.insert(id.to_owned(), tombstone());
             return false;
         };
         if sequence < known.latest || (known.registration.is_none() && sequence == known.latest) {
             return false;
         }
         let was_there = known.registration.is_some();
-        *known = gone();
+        *known = tombstone();
         was_there
     }
 
-    /// Removes the incarnations that nobody has heard for `silence`, in the shards that this replica owns.
-    /// Tells each with the sequence as of which it is gone.
+    /// Removes the incarnations without a heartbeat for longer than `idle_timeout`, in the services that this
+    /// replica owns. Returns each with the sequence as of which it was removed.
     pub fn expire(
         &mut self,
         now: Duration,
-        silence: Duration,
+        idle_timeout: Duration,
         owns: impl Fn(&str) -> bool,
     ) -> Vec<(String, u64)> {
-        let lost = |entry: &Entry<R>| {
+        let is_expired = |entry: &Entry<R>| {
             let registration = entry.registration.as_ref();
             registration
-                .is_some_and(|r| now.saturating_sub(entry.last_heartbeat) > silence && owns(r.service()))
+                .is_some_and(|r| now.saturating_sub(entry.last_heartbeat) > idle_timeout && owns(r.service()))
         };
-        let silent = self.entries.iter().filter(|(_, entry)| lost(entry));
-        let silent: Vec<(String, u64)> = silent.map(|(id, entry)| (id.clone(), entry.latest)).collect();
-        for (id, sequence) in &silent {
+        let expired = self.entries.iter().filter(|(_, entry)| is_expired(entry));
+        let expired: Vec<(String, u64)> = expired.map(|(id, entry)| (id.clone(), entry.latest)).collect();
+        for (id, sequence) in &expired {
             self.remove(now, id, *sequence);
         }
-        silent
+        expired
     }
 
-    /// Forgets incarnations that have been gone for `span`, after which no late message can name them.
-    pub fn purge_removed(&mut self, now: Duration, span: Duration) {
+    /// Drops tombstones older than `retention`, after which no late message can name their incarnations.
+    pub fn purge_removed(&mut self, now: Duration, retention: Duration) {
         self.entries.retain(|_, entry| {
-            entry.registration.is_some() || now.saturating_sub(entry.last_heartbeat) <= span
+            entry.registration.is_some() || now.saturating_sub(entry.last_heartbeat) <= retention
         });
     }
 
-    /// Forgets an incarnation at once; a message of any sequence makes it known again.
+    /// Drops an entry without a tombstone: a message of any sequence registers the incarnation again.
     pub fn drop_entry(&mut self, id: &str) {
         self.entries.remove(id);
     }
 
-    /// Gives every incarnation a fresh start, after a time in which this process could not listen.
+    /// Restarts the idle time of every incarnation, after a time in which this process could not receive.
     pub fn restart_timeouts(&mut self, now: Duration) {
         for entry in self.entries.values_mut().filter(|entry| entry.registration.is_some()) {
             entry.last_heartbeat = now;
         }
     }
 
-    /// All entries, gone ones included, by id.
+    /// All entries, tombstones included, by id.
     pub fn entries(&self) -> impl Iterator<Item = (&String, &Entry<R>)> + Clone {
         self.entries.iter()
     }
 
-    /// The registration of a live incarnation, to be amended in place.
+    /// The registration of an incarnation that was not removed, for changes in place.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut R> {
         self.entries.get_mut(id)?.registration.as_mut()
     }
--- a/crates/coordination/src/storage/directory.rs
+++ b/crates/coordination/src/storage/directory.rs
@@ -1,15 +1,15 @@
-//! A flat folder of files, and the one of the operating system.
+//! A flat directory of files, and its implementation on the file system.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::PathBuf;
 
-/// A flat folder of files.
+/// A flat directory of files.
 pub trait Directory {
     /// Names of all files.
     ///
     /// # Errors
-    /// If the folder cannot be read.
+    /// If the directory cannot be read.
     fn list(&mut self) -> io::Result<Vec<String>>;
 
     /// The content of a file.
@@ -18,7 +18,7 @@
     /// If the file cannot be read.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Writes a new file, in place of an old one of that name, and waits until its content is durable.
+    /// Writes a new file, replacing one of that name, and waits until its content is durable.
     ///
     /// # Errors
     /// If the disk refuses; part of the file may then be there.
@@ -43,7 +43,7 @@
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the operating system.
+/// A directory of the file system.
 #[derive(Debug)]
 pub struct FileDirectory {
     path: PathBuf,
@@ -51,10 +51,10 @@
 }
 
 impl FileDirectory {
-    /// Opens a folder, made if it is missing.
+    /// Opens a directory, which is created if it does not exist.
     ///
     /// # Errors
-    /// If it cannot be made or opened.
+    /// If it cannot be created or opened.
     pub fn open(path: impl Into<PathBuf>) -> io::Result<Self> {
         let path = path.into();
         fs::create_dir_all(&path)?;
--- a/crates/coordination/src/storage/mod.rs
+++ b/crates/coordination/src/storage/mod.rs
@@ -1,7 +1,8 @@
-//! Versioned files: written aside, synced, renamed, folder synced.
+//! Durable storage of records: each version in a file of its own, written under a temporary name, synced, renamed,
+//! and the directory synced.
 //!
-//! A [`VersionedStore`] keeps the newest version of one record, each version in a file of its own. It works on a
-//! [`Directory`], real ([`FileDirectory`]) or simulated ([`SimulatedDirectory`]); many stores may share one.
+//! A [`VersionedStore`] retains the newest versions of one record. It works on a [`Directory`], real
+//! ([`FileDirectory`]) or simulated ([`SimulatedDirectory`]); many stores may share one.
 
 mod directory;
 mod simulated;
--- a/crates/coordination/src/storage/simulated.rs
+++ b/crates/coordination/src/storage/simulated.rs
@@ -1,4 +1,4 @@
-//! A simulated folder: what is not synced may be lost, torn or kept when power is lost.
+//! A simulated directory: what is not synced may be lost, truncated or retained when power is lost.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -6,7 +6,7 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// A change of names that no sync of the folder has covered yet.
+/// A change of names that is not synced yet.
 #[derive(Debug, Clone)]
 enum NameChange {
     Named { name: String, content: Vec<u8> },
@@ -15,7 +15,7 @@
 }
 
 impl NameChange {
-    /// What is left of this change once a new file of that name is durable.
+    /// What remains of this change once a new file named `replaced` is durable.
     fn without(self, replaced: &str) -> Option<Self> {
         match self {
             Self::Named { name, .. } | Self::Removed { name } if name == replaced => None,
@@ -35,45 +35,45 @@
     synced: bool,
 }
 
-/// A folder in memory with the rules of a disk.
+/// A directory in memory with the durability of a disk.
 #[derive(Debug, Clone, Default)]
 pub struct SimulatedDirectory {
     /// Files as a running process sees them.
     files: BTreeMap<String, Content>,
-    /// Files that outlast a loss of power.
+    /// Files that survive a loss of power.
     durable: BTreeMap<String, Vec<u8>>,
     unsynced: Vec<NameChange>,
-    /// Bytes that fit, if limited.
+    /// Capacity in bytes, if limited.
     pub capacity: Option<usize>,
-    /// Whether every write is refused.
+    /// Whether every write fails.
     pub rejects_writes: bool,
-    /// Steps until the machine stops, if it is about to.
+    /// Operations until the machine stops, if it is about to.
     pub operations_until_crash: Option<u32>,
 }
 
 impl SimulatedDirectory {
-    /// An empty folder.
+    /// An empty directory.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Power is lost: each thing not synced is kept, torn or lost; at times all of it is lost.
+    /// Power is lost: each unsynced change is retained, truncated or lost; at times all are lost.
     pub fn lose_power(&mut self, random: &mut SmallRng) {
-        let keeps = !random.random_bool(0.25);
+        let retains_some = !random.random_bool(0.25);
         for (name, content) in std::mem::take(&mut self.files) {
-            if !content.synced && keeps && random.random_bool(0.5) {
-                let kept = random.random_range(0..=content.written.len());
-                self.durable.insert(name, content.written[..kept].to_vec());
+            if !content.synced && retains_some && random.random_bool(0.5) {
+                let length = random.random_range(0..=content.written.len());
+                self.durable.insert(name, content.written[..length].to_vec());
             }
         }
         for change in std::mem::take(&mut self.unsynced) {
-            if keeps && random.random_bool(0.5) {
+            if retains_some && random.random_bool(0.5) {
                 self.make_durable(change);
             }
         }
-        let whole = |written: &Vec<u8>| Content { written: written.clone(), synced: true };
-        self.files = self.durable.iter().map(|(name, written)| (name.clone(), whole(written))).collect();
+        let synced = |written: &Vec<u8>| Content { written: written.clone(), synced: true };
+        self.files = self.durable.iter().map(|(name, written)| (name.clone(), synced(written))).collect();
         self.operations_until_crash = None;
     }
 
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Counts a step; fails once the machine has stopped.
+    /// Counts an operation; fails once the machine has stopped.
     fn count_operation(&mut self) -> io::Result<()> {
         match &mut self.operations_until_crash {
             Some(0) => Err(io::Error::other("the machine has stopped")),
--- a/crates/coordination/src/storage/store.rs
+++ b/crates/coordination/src/storage/store.rs
@@ -1,4 +1,4 @@
-//! One record, each version in a file of its own.
+//! A store of one record, with each version in a file of its own.
 
 use std::io;
 
@@ -7,25 +7,25 @@
 
 use super::directory::Directory;
 
-/// Ends the name of a file that is not complete yet.
+/// Suffix of the name of a file that is still being written.
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// First bytes of every version: names the format.
+/// First bytes of every version; identify the format.
 const MAGIC: u32 = 0x4c47_5631;
 
 /// Length of the header in bytes.
 const HEADER_BYTES: usize = 20;
 
-/// Versions that stay: the newest, and the one before as long as there is room.
+/// Retained versions: the newest, and the one before as long as there is space.
 const RETAINED_VERSIONS: usize = 2;
 
-/// Why a version could not be saved or the store not be opened.
+/// Why a version could not be saved or the store could not be opened.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The disk refused.
+    /// A file operation failed.
     #[error("cannot {action}: {source}")]
     Disk {
-        /// What was tried.
+        /// The operation.
         action: &'static str,
         /// The reason.
         #[source]
@@ -36,7 +36,7 @@
     TooLong(usize),
 }
 
-/// Precedes the content of each file.
+/// Precedes the record in each file.
 #[derive(Debug, Clone, Copy, DekuRead, DekuWrite)]
 #[deku(endian = "big")]
 struct Header {
@@ -46,24 +46,24 @@
     checksum: u32,
 }
 
-/// The newest version of one record in a folder that others may share.
+/// The newest versions of one record, in a directory that other stores may share.
 #[derive(Debug)]
 pub struct VersionedStore {
     prefix: String,
     /// The highest version number that any file has or had.
     last_version: u64,
-    /// Complete versions in the folder, oldest first.
+    /// Complete versions in the directory, oldest first.
     versions: Vec<u64>,
 }
 
 impl VersionedStore {
-    /// Opens the record named `prefix`; gives its newest intact version. Files left aside are removed.
+    /// Opens the record named `prefix` and returns its newest intact version. Temporary files are removed.
     ///
-    /// The process before may have died between renaming a version and syncing the folder, so the folder is
-    /// synced before a version is given out.
+    /// The previous process may have died between renaming a version and syncing the directory, so the directory
+    /// is synced before a version is returned.
     ///
     /// # Errors
-    /// If the folder or a file cannot be read, or the folder not be synced.
+    /// If the directory or a file cannot be read, or the directory cannot be synced.
     pub fn open(directory: &mut dyn Directory, prefix: &str) -> Result<(Self, Option<Vec<u8>>), StoreError> {
         let mut store = Self { prefix: prefix.to_owned(), last_version: 0, versions: Vec::new() };
         for name in directory.list().map_err(disk_error("list the folder"))? {
@@ -77,6 +77,7 @@
         Ok((store, newest))
     }
 
+    /// Adds a file to the index if it belongs to this record; removes it if it is temporary.
     fn index_file(&mut self, directory: &mut dyn Directory, name: &str) -> Result<(), StoreError> {
         let (base, temporary) = match name.strip_suffix(TEMPORARY_SUFFIX) {
             Some(base) => (base, true),
@@ -93,7 +94,7 @@
         Ok(())
     }
 
-    /// The newest version that is intact; damaged ones are forgotten, and removed with the next save.
+    /// The newest intact version; damaged ones are skipped, and removed by later saves.
     fn newest(&self, directory: &mut dyn Directory) -> Result<Option<Vec<u8>>, StoreError> {
         for version in self.versions.iter().rev() {
             let bytes = directory.read(&self.name(*version)).map_err(disk_error("read a version"))?;
@@ -104,10 +105,10 @@
         Ok(None)
     }
 
-    /// Saves a new version. Once this returns without error it outlasts a loss of power.
+    /// Saves a new version. Once this returns without error the version survives a loss of power.
     ///
     /// # Errors
-    /// If the disk refuses. The versions before are then still there, and a later save may work.
+    /// If a file operation fails. The previous versions are then still there, and a later save may succeed.
     pub fn save(&mut self, directory: &mut dyn Directory, record: &[u8]) -> Result<(), StoreError> {
         self.last_version += 1;
         let version = self.last_version;
@@ -118,7 +119,7 @@
         let named = written
             .and_then(|()| directory.rename(&temporary, &name).map_err(disk_error("rename a version")));
         if let Err(error) = named {
-            // Whatever is left of it is removed now, or when the store is opened again.
+            // If it cannot be removed now, it is removed when the store is opened again.
             let _ = directory.remove(&temporary);
             return Err(error);
         }
@@ -128,7 +129,7 @@
         Ok(())
     }
 
-    /// Writes the file aside; if the disk is full, once more after making room.
+    /// Writes the temporary file; if the disk is full, once more after pruning old versions.
     fn write_temporary(
         &mut self,
         directory: &mut dyn Directory,
@@ -144,9 +145,9 @@
         directory.write_new(temporary, bytes).map_err(disk_error("write a version"))
     }
 
-    /// Removes all but the newest versions. One that cannot be removed stays for the next time.
-    fn prune_versions(&mut self, directory: &mut dyn Directory, kept: usize) {
-        let old = self.versions.len().saturating_sub(kept);
+    /// Removes all but the newest `retained` versions. One that cannot be removed is tried again next time.
+    fn prune_versions(&mut self, directory: &mut dyn Directory, retained: usize) {
+        let old = self.versions.len().saturating_sub(retained);
         let (old, newest) = self.versions.split_at(old);
         let undeleted: Vec<u64> =
             old.iter().copied().filter(|version| directory.remove(&self.name(*version)).is_err()).collect();
@@ -176,7 +177,7 @@
     Ok(bytes)
 }
 
-/// The record in a file, if the file is whole.
+/// The record in a file, if the file is intact.
 fn decode_file(mut bytes: Vec<u8>, version: u64) -> Option<Vec<u8>> {
     let (_, header) = Header::from_bytes((&bytes, 0)).ok()?;
     let record = bytes.split_off(HEADER_BYTES.min(bytes.len()));
--- a/crates/coordination/tests/cluster/configuration.rs
+++ b/crates/coordination/tests/cluster/configuration.rs
@@ -4,7 +4,7 @@
 use lanegate_coordination::register::{Applied, Outcome as RegisterOutcome, StateMachine};
 
 /// As the controllers apply changes.
-pub struct Configuration;
+pub(crate) struct Configuration;
 
 impl StateMachine for Configuration {
     fn apply(&self, current: &[u8], command: &[u8]) -> Applied {
@@ -19,17 +19,17 @@
 }
 
 /// A whole configuration.
-pub fn put(base: u64, body: String) -> Command {
+pub(crate) fn put(base: u64, body: String) -> Command {
     Command { method: Method::Put, if_match: Some(base), body: body.into_bytes() }
 }
 
 /// A change by the names of items.
-pub fn patch(base: u64, body: String) -> Command {
+pub(crate) fn patch(base: u64, body: String) -> Command {
     Command { method: Method::Patch, if_match: Some(base), body: body.into_bytes() }
 }
 
 /// A configuration with so many routes, each to the same service.
-pub fn document(version: u64, routes: usize) -> String {
+pub(crate) fn document(version: u64, routes: usize) -> String {
     let routes: Vec<String> = (0..routes).map(|number| route(number, version)).collect();
     format!(
         r#"{{"Version":{version},"Routes":[{}],"Backends":[{{"Name":"service","HealthPath":"/healthz","MaxConns":360,"Protocol":"h1","Tls":false}}]}}"#,
@@ -38,7 +38,7 @@
 }
 
 /// A route as operators write them.
-pub fn route(number: usize, version: u64) -> String {
+pub(crate) fn route(number: usize, version: u64) -> String {
     let timeout = 1_000 + version % 1_000;
     format!(
         r#"{{"Name":"route-{number}","Hostname":"host.example","PathPrefix":"/path{number}/","RouteType":"streaming","TimeoutMs":{timeout},"TargetMs":800,"Priority":1,"TrafficSplit":[{{"Backend":"service","Weight":90}},{{"Backend":"service","Weight":10}}],"MaxAttempts":2,"Sticky":true,"Resumable":true,"gap_aim_ms":400}}"#
@@ -46,7 +46,7 @@
 }
 
 /// The outcome of a change; `None` stands for no answer, or none that is clear.
-pub fn outcome(answer: Option<RegisterOutcome>) -> Option<Outcome> {
+pub(crate) fn outcome(answer: Option<RegisterOutcome>) -> Option<Outcome> {
     let encoded = match answer? {
         RegisterOutcome::Changed { answer, .. }
         | RegisterOutcome::Unchanged { answer, .. }
@@ -57,6 +57,6 @@
 }
 
 /// The version of the configuration in a state.
-pub fn version(state: &[u8]) -> u64 {
+pub(crate) fn version(state: &[u8]) -> u64 {
     ControlState::decode(state).expect("a state").version()
 }
--- a/crates/coordination/tests/cluster/member.rs
+++ b/crates/coordination/tests/cluster/member.rs
@@ -7,7 +7,7 @@
 use super::Traffic;
 
 #[derive(Default)]
-pub struct Member {
+pub(super) struct Member {
     pub replica: Option<Replica>,
     /// The encoded record.
     pub disk: Option<Vec<u8>>,
@@ -25,12 +25,12 @@
 
 impl Member {
     /// What the disk holds.
-    pub fn stored(&self) -> Option<Record> {
+    pub(super) fn stored(&self) -> Option<Record> {
         self.disk.as_deref().map(|bytes| Record::decode(bytes).expect("a record of a replica"))
     }
 
     /// Writes a record; false if the disk refuses.
-    pub fn save(&mut self, record: Record) -> bool {
+    pub(super) fn save(&mut self, record: Record) -> bool {
         if self.disk_full {
             return false;
         }
@@ -40,18 +40,18 @@
         true
     }
 
-    pub fn kill(&mut self) {
+    pub(super) fn kill(&mut self) {
         self.replica = None;
         self.frozen = false;
         self.backlog.clear();
     }
 
     /// The replica, unless its process is dead or stands still.
-    pub fn running(&mut self) -> Option<&mut Replica> {
+    pub(super) fn running(&mut self) -> Option<&mut Replica> {
         self.replica.as_mut().filter(|_| !self.frozen)
     }
 
-    pub fn next_wake(&self) -> Option<Duration> {
+    pub(super) fn next_wake(&self) -> Option<Duration> {
         self.replica.as_ref().filter(|_| !self.frozen).and_then(Replica::next_wake)
     }
 }
--- a/crates/coordination/tests/cluster/mod.rs
+++ b/crates/coordination/tests/cluster/mod.rs
@@ -4,7 +4,7 @@
 //! learned: one value for each revision, and no replica learns backwards.
 #![allow(dead_code)]
 
-pub mod configuration;
+pub(crate) mod configuration;
 mod member;
 
 use std::collections::{BTreeMap, VecDeque};
@@ -17,12 +17,12 @@
 use member::Member;
 
 /// Time that a message takes.
-pub const ONE_WAY: Duration = Duration::from_millis(5);
+pub(crate) const ONE_WAY: Duration = Duration::from_millis(5);
 /// Longest wait of a caller for an answer, as a controller's.
-pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(950);
+pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_millis(950);
 
 /// The node of a member.
-pub fn node(index: usize) -> Node {
+pub(crate) fn node(index: usize) -> Node {
     Node { ip: u32::try_from(index).expect("a small number"), port: 1 }
 }
 
@@ -31,7 +31,7 @@
 }
 
 /// What is made anew for each start of a replica.
-pub type MachineMaker = fn() -> Box<dyn StateMachine>;
+pub(crate) type MachineMaker = fn() -> Box<dyn StateMachine>;
 
 struct Envelope {
     at: Duration,
@@ -42,12 +42,12 @@
 
 /// Bytes and messages that a member took in.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Traffic {
+pub(crate) struct Traffic {
     pub messages: u64,
     pub bytes: u64,
 }
 
-pub struct Cluster {
+pub(crate) struct Cluster {
     pub now: Duration,
     members: Vec<Member>,
     founders: usize,
@@ -62,12 +62,17 @@
 
 impl Cluster {
     /// Members of which the first `founders` make the group.
-    pub fn new(founders: usize, spares: usize, machine: MachineMaker) -> Self {
+    pub(crate) fn new(founders: usize, spares: usize, machine: MachineMaker) -> Self {
         Self::with_fault(founders, spares, machine, None)
     }
 
     /// As [`Cluster::new`], with a deliberate mistake.
-    pub fn with_fault(founders: usize, spares: usize, machine: MachineMaker, fault: Option<Fault>) -> Self {
+    pub(crate) fn with_fault(
+        founders: usize,
+        spares: usize,
+        machine: MachineMaker,
+        fault: Option<Fault>,
+    ) -> Self {
         let mut cluster = Self {
             now: Duration::ZERO,
             members: (0..founders + spares).map(|_| Member::default()).collect(),
@@ -86,7 +91,7 @@
     }
 
     /// Starts the process of a member with what its disk holds.
-    pub fn start(&mut self, at: usize) {
+    pub(crate) fn start(&mut self, at: usize) {
         let first = self.starts < self.members.len() as u64;
         self.starts += 1;
         let seeds = (0..self.founders).map(node).collect();
@@ -114,22 +119,22 @@
         }
     }
 
-    pub fn kill(&mut self, at: usize) {
+    pub(crate) fn kill(&mut self, at: usize) {
         self.members[at].kill();
     }
 
     /// The member loses its process and its disk.
-    pub fn wipe(&mut self, at: usize) {
+    pub(crate) fn wipe(&mut self, at: usize) {
         self.members[at].kill();
         self.members[at].disk = None;
     }
 
     /// The process stands still; what is sent to it waits.
-    pub fn freeze(&mut self, at: usize) {
+    pub(crate) fn freeze(&mut self, at: usize) {
         self.members[at].frozen = true;
     }
 
-    pub fn thaw(&mut self, at: usize) {
+    pub(crate) fn thaw(&mut self, at: usize) {
         self.members[at].frozen = false;
         for (from, bytes) in std::mem::take(&mut self.members[at].backlog) {
             self.deliver(from, at, &bytes);
@@ -137,30 +142,30 @@
         self.input(at, Input::Tick);
     }
 
-    pub fn fill_disk(&mut self, at: usize) {
+    pub(crate) fn fill_disk(&mut self, at: usize) {
         self.members[at].disk_full = true;
     }
 
-    pub fn clear_disk(&mut self, at: usize) {
+    pub(crate) fn clear_disk(&mut self, at: usize) {
         self.members[at].disk_full = false;
     }
 
     /// Cuts the members of a set off from all others.
-    pub fn part(&mut self, set: &[usize]) {
+    pub(crate) fn part(&mut self, set: &[usize]) {
         for at in 0..self.members.len() {
             self.members[at].side = u8::from(set.contains(&at));
         }
     }
 
     /// All cuts end; links that were cut come up anew.
-    pub fn heal(&mut self) {
+    pub(crate) fn heal(&mut self) {
         let apart: Vec<usize> = (0..self.members.len()).filter(|at| self.members[*at].side == 1).collect();
         self.part(&[]);
         apart.into_iter().for_each(|at| self.connect(at));
     }
 
     /// All cuts end, and nobody notices.
-    pub fn heal_silently(&mut self) {
+    pub(crate) fn heal_silently(&mut self) {
         self.part(&[]);
     }
 
@@ -169,19 +174,19 @@
     }
 
     /// Asks for a command at a member; tells the number of the request.
-    pub fn propose(&mut self, at: usize, command: Vec<u8>) -> u64 {
+    pub(crate) fn propose(&mut self, at: usize, command: Vec<u8>) -> u64 {
         let deadline = self.now + ANSWER_TIMEOUT;
         self.ask(at, |request| Input::Propose { request, command, deadline })
     }
 
     /// Asks for a read at a member.
-    pub fn read(&mut self, at: usize) -> u64 {
+    pub(crate) fn read(&mut self, at: usize) -> u64 {
         let deadline = self.now + ANSWER_TIMEOUT;
         self.ask(at, |request| Input::Read { request, deadline })
     }
 
     /// Asks for a change of members at a member.
-    pub fn change_members(&mut self, at: usize, remove: &[usize], add: &[usize]) -> u64 {
+    pub(crate) fn change_members(&mut self, at: usize, remove: &[usize], add: &[usize]) -> u64 {
         let deadline = self.now + ANSWER_TIMEOUT;
         let nodes = |set: &[usize]| set.iter().copied().map(node).collect();
         let (remove, add) = (nodes(remove), nodes(add));
@@ -196,60 +201,60 @@
     }
 
     /// The answer to a request, waited for as long as a caller waits.
-    pub fn answer(&mut self, request: u64) -> Option<Outcome> {
+    pub(crate) fn answer(&mut self, request: u64) -> Option<Outcome> {
         let end = self.now + ANSWER_TIMEOUT;
         while !self.answers.contains_key(&request) && self.advance(end) {}
         self.answers.get(&request).cloned()
     }
 
     /// The answer to a request, if there is one already.
-    pub fn answered(&self, request: u64) -> Option<&Outcome> {
+    pub(crate) fn answered(&self, request: u64) -> Option<&Outcome> {
         self.answers.get(&request)
     }
 
     /// The newest revision that a member has learned in this life.
-    pub fn learned(&self, at: usize) -> Option<u64> {
+    pub(crate) fn learned(&self, at: usize) -> Option<u64> {
         self.members[at].learned
     }
 
     /// The newest revision that anyone has learned.
-    pub fn newest(&self) -> u64 {
+    pub(crate) fn newest(&self) -> u64 {
         self.decided.last_key_value().map_or(0, |(revision, _)| *revision)
     }
 
     /// The state of the newest revision that a member has learned.
-    pub fn state(&self, at: usize) -> Bytes {
+    pub(crate) fn state(&self, at: usize) -> Bytes {
         self.members[at].learned.and_then(|revision| self.decided.get(&revision).cloned()).unwrap_or_default()
     }
 
-    pub fn status(&self, at: usize) -> Option<Status> {
+    pub(crate) fn status(&self, at: usize) -> Option<Status> {
         self.members[at].replica.as_ref().map(Replica::status)
     }
 
     /// What a member took in since the last call.
-    pub fn take_traffic(&mut self, at: usize) -> Traffic {
+    pub(crate) fn take_traffic(&mut self, at: usize) -> Traffic {
         std::mem::take(&mut self.members[at].traffic)
     }
 
     /// Bytes that a member wrote to its disk since the last call.
-    pub fn take_written(&mut self, at: usize) -> u64 {
+    pub(crate) fn take_written(&mut self, at: usize) -> u64 {
         std::mem::take(&mut self.members[at].written)
     }
 
     /// The record on a member's disk, encoded; empty if there is none.
-    pub fn record(&self, at: usize) -> Vec<u8> {
+    pub(crate) fn record(&self, at: usize) -> Vec<u8> {
         self.members[at].disk.clone().unwrap_or_default()
     }
 
     /// Lets time pass.
-    pub fn run(&mut self, time: Duration) {
+    pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.advance(end) {}
         self.now = end;
     }
 
     /// Lets time pass until a member has learned the newest revision; tells how long, at most `longest`.
-    pub fn time_to_catch_up(&mut self, at: usize, longest: Duration) -> Option<Duration> {
+    pub(crate) fn time_to_catch_up(&mut self, at: usize, longest: Duration) -> Option<Duration> {
         let start = self.now;
         while self.learned(at) != Some(self.newest()) {
             if !self.advance(start + longest) {
--- a/crates/coordination/tests/lease_world/mod.rs
+++ b/crates/coordination/tests/lease_world/mod.rs
@@ -1,6 +1,6 @@
 //! A simulated group of processes that contend for the lease of one shard and act while they may.
 
-pub mod schedule;
+pub(crate) mod schedule;
 
 use lanegate_coordination::lease::{GrantorStart, LeaseMessage, LeaseNode, LeaseSettings, Output, Tenure};
 use lanegate_coordination::membership::NodeId;
@@ -8,40 +8,40 @@
 use std::time::Duration;
 
 /// The one shard of these tests.
-pub const SHARD: u32 = 7;
+pub(crate) const SHARD: u32 = 7;
 /// Resolution of the simulated time.
-pub const STEP: Duration = Duration::from_millis(5);
+pub(crate) const STEP: Duration = Duration::from_millis(5);
 /// Time that an act may take on the wire.
-pub const WIRE: Duration = Duration::from_millis(40);
+pub(crate) const WIRE: Duration = Duration::from_millis(40);
 /// The quiet period of these tests.
-pub const QUIET: Duration = Duration::from_secs(3);
+pub(crate) const QUIET: Duration = Duration::from_secs(3);
 /// True time at which every world starts; clocks of processes must be able to lag behind it.
 const START: Duration = Duration::from_secs(100);
 const MILLION: i64 = 1_000_000;
 
 /// Small generator of chance, so that a schedule is a function of its seed.
-pub struct Chance(u64);
+pub(crate) struct Chance(u64);
 
 impl Chance {
-    pub fn new(seed: u64) -> Self {
+    pub(crate) fn new(seed: u64) -> Self {
         Chance(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
 
-    pub fn below(&mut self, bound: u64) -> u64 {
+    pub(crate) fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
         (self.0 >> 11) % bound
     }
 
-    pub fn one_in(&mut self, bound: u64) -> bool {
+    pub(crate) fn one_in(&mut self, bound: u64) -> bool {
         self.below(bound) == 0
     }
 }
 
 /// An act as its endpoint saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Act {
+pub(crate) struct Act {
     pub arrival: Duration,
     pub holder: NodeId,
     pub epoch: u64,
@@ -49,7 +49,7 @@
 
 /// What the network does to messages.
 #[derive(Debug, Clone, Copy)]
-pub struct Network {
+pub(crate) struct Network {
     pub shortest_delay: Duration,
     pub longest_delay: Duration,
     /// One in so many messages is lost; 0 for none.
@@ -58,7 +58,7 @@
     pub doubled_one_in: u64,
 }
 
-pub const CALM: Network = Network {
+pub(crate) const CALM: Network = Network {
     shortest_delay: Duration::from_millis(1),
     longest_delay: Duration::from_millis(6),
     lost_one_in: 0,
@@ -87,13 +87,13 @@
 }
 
 /// What one process put out, and when in true time.
-pub struct Observation {
+pub(crate) struct Observation {
     pub at: Duration,
     pub process: usize,
     pub output: Output,
 }
 
-pub struct World {
+pub(crate) struct World {
     pub now: Duration,
     pub network: Network,
     pub acts: Vec<Act>,
@@ -113,11 +113,11 @@
 
 impl World {
     /// A first start of as many processes as there are clock rates (ppm from true time).
-    pub fn new(seed: u64, rates_ppm: &[i64]) -> Self {
+    pub(crate) fn new(seed: u64, rates_ppm: &[i64]) -> Self {
         World::with_settings(seed, rates_ppm, LeaseSettings::for_quiet_period(QUIET))
     }
 
-    pub fn with_settings(seed: u64, rates_ppm: &[i64], settings: LeaseSettings) -> Self {
+    pub(crate) fn with_settings(seed: u64, rates_ppm: &[i64], settings: LeaseSettings) -> Self {
         settings.check().expect("settings that fit together");
         let mut world = World {
             now: START,
@@ -147,15 +147,15 @@
         world
     }
 
-    pub fn settings(&self) -> &LeaseSettings {
+    pub(crate) fn settings(&self) -> &LeaseSettings {
         &self.settings
     }
 
-    pub fn members(&self) -> Vec<SocketAddr> {
+    pub(crate) fn members(&self) -> Vec<SocketAddr> {
         (0..self.side.len()).map(|index| address(index).into()).collect()
     }
 
-    pub fn id(&self, index: usize) -> NodeId {
+    pub(crate) fn id(&self, index: usize) -> NodeId {
         NodeId::new(self.processes[index].address, self.processes[index].incarnation)
     }
 
@@ -167,29 +167,29 @@
         node
     }
 
-    pub fn want(&mut self, index: usize, wanted: bool) {
+    pub(crate) fn want(&mut self, index: usize, wanted: bool) {
         self.processes[index].wanted = wanted;
         if self.runs(index) {
             self.apply_wanted(index);
         }
     }
 
-    pub fn freeze(&mut self, index: usize) {
+    pub(crate) fn freeze(&mut self, index: usize) {
         self.processes[index].frozen = true;
     }
 
     /// Lets a frozen process run on; the first thing that it does is to act, if it still thinks it may.
-    pub fn thaw(&mut self, index: usize) {
+    pub(crate) fn thaw(&mut self, index: usize) {
         self.processes[index].frozen = false;
         self.act(index);
         self.apply_wanted(index);
     }
 
-    pub fn crash(&mut self, index: usize) {
+    pub(crate) fn crash(&mut self, index: usize) {
         self.processes[index].up = false;
     }
 
-    pub fn restart(&mut self, index: usize) {
+    pub(crate) fn restart(&mut self, index: usize) {
         let incarnation = self.processes[index].incarnation + 1;
         let node = self.start(index, incarnation, self.processes[index].rate_ppm, GrantorStart::Restarted);
         let process = &mut self.processes[index];
@@ -201,19 +201,19 @@
     }
 
     /// Moves a process to one side of a cut; messages pass within a side only.
-    pub fn set_side(&mut self, index: usize, side: bool) {
+    pub(crate) fn set_side(&mut self, index: usize, side: bool) {
         self.side[index] = side;
     }
 
-    pub fn heal(&mut self) {
+    pub(crate) fn heal(&mut self) {
         self.side.fill(false);
     }
 
-    pub fn is_up(&self, index: usize) -> bool {
+    pub(crate) fn is_up(&self, index: usize) -> bool {
         self.processes[index].up
     }
 
-    pub fn is_frozen(&self, index: usize) -> bool {
+    pub(crate) fn is_frozen(&self, index: usize) -> bool {
         self.processes[index].frozen
     }
 
@@ -221,14 +221,14 @@
         self.processes[index].up && !self.processes[index].frozen
     }
 
-    pub fn run_for(&mut self, span: Duration) {
+    pub(crate) fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             self.step();
         }
     }
 
-    pub fn step(&mut self) {
+    pub(crate) fn step(&mut self) {
         self.now += STEP;
         for index in 0..self.processes.len() {
             if self.chance.one_in(2) {
@@ -243,16 +243,16 @@
     }
 
     /// The one that acted last.
-    pub fn last_holder(&self) -> Option<NodeId> {
+    pub(crate) fn last_holder(&self) -> Option<NodeId> {
         self.acts.last().map(|act| act.holder)
     }
 
-    pub fn acts_of(&self, holder: NodeId) -> Vec<Act> {
+    pub(crate) fn acts_of(&self, holder: NodeId) -> Vec<Act> {
         self.acts.iter().copied().filter(|act| act.holder == holder).collect()
     }
 
     /// Whether two holders acted within the quiet period, or an epoch did not rise from holder to holder.
-    pub fn violation(&self) -> Option<(Act, Act)> {
+    pub(crate) fn violation(&self) -> Option<(Act, Act)> {
         let mut acts = self.acts.clone();
         acts.sort_by_key(|act| act.arrival);
         acts.windows(2).map(|pair| (pair[0], pair[1])).find(|(one, next)| {
--- a/crates/coordination/tests/lease_world/schedule.rs
+++ b/crates/coordination/tests/lease_world/schedule.rs
@@ -47,7 +47,7 @@
 }
 
 /// Plays the schedule of `seed` on processes with these clock rates (ppm from true time).
-pub fn random_schedule(seed: u64, rates: &[i64]) -> World {
+pub(crate) fn random_schedule(seed: u64, rates: &[i64]) -> World {
     let mut chance = Chance::new(seed);
     let mut world = World::with_settings(seed ^ 1, rates, tight_settings());
     for _ in 0..80 {
--- a/crates/coordination/tests/modelled_register/mod.rs
+++ b/crates/coordination/tests/modelled_register/mod.rs
@@ -15,8 +15,8 @@
 const FOUNDERS: usize = 3;
 const REPLICAS: usize = 4;
 const PROPOSERS: [usize; 2] = [2, 3];
-pub const A: usize = 0;
-pub const B: usize = 1;
+pub(crate) const A: usize = 0;
+pub(crate) const B: usize = 1;
 const D: usize = 3;
 
 struct Append;
@@ -37,7 +37,7 @@
 
 /// A message on its way; its bytes order and compare it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Envelope {
+pub(crate) struct Envelope {
     from: usize,
     to: usize,
     bytes: Vec<u8>,
@@ -45,7 +45,7 @@
 
 /// What a founder suffers that proposes nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub(crate) enum Trouble {
     Wipe(usize),
     Restart(usize),
 }
@@ -60,7 +60,7 @@
 
 /// What the first proposer asks for; the second one always asks for a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Change {
+pub(crate) enum Change {
     Command,
     /// `a` leaves.
     Leave,
@@ -86,14 +86,14 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Action {
+pub(crate) enum Action {
     Deliver(Envelope),
     Propose(usize),
     Trouble,
 }
 
 #[derive(Clone)]
-pub struct State {
+pub(crate) struct State {
     replicas: Vec<Arc<Replica>>,
     disks: Vec<Option<Record>>,
     network: BTreeSet<Envelope>,
@@ -196,7 +196,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct Register {
+pub(crate) struct Register {
     pub change: Change,
     /// One after the other, each at any time.
     pub troubles: Vec<Trouble>,
--- a/crates/coordination/tests/support/digest.rs
+++ b/crates/coordination/tests/support/digest.rs
@@ -13,45 +13,45 @@
 const UPDATE_VARIABLE: &str = "UPDATE_DIGESTS";
 
 /// The 64-bit FNV-1a hash of everything that is put in.
-pub struct Digest(u64);
+pub(crate) struct Digest(u64);
 
 impl Digest {
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         Self(FNV_OFFSET_BASIS)
     }
 
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub(crate) fn raw(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
         }
     }
 
-    pub fn tag(&mut self, tag: u8) {
+    pub(crate) fn tag(&mut self, tag: u8) {
         self.raw(&[tag]);
     }
 
-    pub fn number(&mut self, number: u64) {
+    pub(crate) fn number(&mut self, number: u64) {
         self.raw(&number.to_le_bytes());
     }
 
     /// A time, in nanoseconds.
-    pub fn time(&mut self, time: Duration) {
+    pub(crate) fn time(&mut self, time: Duration) {
         self.raw(&time.as_nanos().to_le_bytes());
     }
 
     /// Bytes with their length.
-    pub fn bytes(&mut self, bytes: &[u8]) {
+    pub(crate) fn bytes(&mut self, bytes: &[u8]) {
         self.number(bytes.len() as u64);
         self.raw(bytes);
     }
 
-    pub fn value(&self) -> u64 {
+    pub(crate) fn value(&self) -> u64 {
         self.0
     }
 }
 
 /// Compares digests with those in `tests/digests/<name>.txt`, one `key digest` a line.
-pub fn check(name: &str, digests: &[(String, u64)]) {
+pub(crate) fn check(name: &str, digests: &[(String, u64)]) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join(format!("tests/digests/{name}.txt"));
     if std::env::var_os(UPDATE_VARIABLE).is_some() {
         let text = digests.iter().fold(String::new(), |mut text, (key, digest)| {
--- a/crates/coordination/tests/support/golden.rs
+++ b/crates/coordination/tests/support/golden.rs
@@ -24,14 +24,14 @@
 }
 
 /// The bytes committed in `tests/golden/<file>.txt`, by name.
-pub fn committed(file: &str) -> BTreeMap<String, Vec<u8>> {
+pub(crate) fn committed(file: &str) -> BTreeMap<String, Vec<u8>> {
     let text = std::fs::read_to_string(path(file)).expect("the committed bytes");
     let lines = text.lines().filter_map(|line| line.split_once(' '));
     lines.map(|(name, hex)| (name.to_owned(), from_hex(hex))).collect()
 }
 
 /// Asserts that `encoded` is exactly what is committed in `tests/golden/<file>.txt`, and returns that.
-pub fn check(file: &str, encoded: &[(&str, Vec<u8>)]) -> BTreeMap<String, Vec<u8>> {
+pub(crate) fn check(file: &str, encoded: &[(&str, Vec<u8>)]) -> BTreeMap<String, Vec<u8>> {
     if std::env::var_os(UPDATE_VARIABLE).is_some() {
         let lines: String = encoded.iter().map(|(name, bytes)| format!("{name} {}\n", hex(bytes))).collect();
         std::fs::write(path(file), lines).expect("a writable file of bytes");
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -2,5 +2,5 @@
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-pub mod digest;
-pub mod golden;
+pub(crate) mod digest;
+pub(crate) mod golden;
