--- a/crates/coordination/src/lease/grantor.rs
+++ b/crates/coordination/src/lease/grantor.rs
@@ -1,6 +1,6 @@
 //! The grantor: a member of a group, which grants the lease of each shard to one candidate at a time.
 
-use super::message::{LeaseRelease, LeaseReply, LeaseRequest};
+use super::message::{LeaseRelease, LeaseReply, LeaseRequest, millis_rounded_up};
 use super::settings::LeaseSettings;
 use crate::membership::NodeId;
 use std::collections::BTreeMap;
@@ -106,8 +106,3 @@
         self.grants.insert(request.shard, grant);
     }
 }
-
-/// A duration in the unit of the messages, rounded up.
-fn millis_rounded_up(duration: Duration) -> u32 {
-    u32::try_from(duration.as_micros().div_ceil(1_000)).unwrap_or(u32::MAX)
-}
--- a/crates/coordination/src/lease/holder.rs
+++ b/crates/coordination/src/lease/holder.rs
@@ -1,7 +1,7 @@
 //! The candidate for the lease of one shard. It holds the lease once a majority of its group has granted it.
 
 use super::group::GrantorGroup;
-use super::message::{LeaseRelease, LeaseReply, LeaseRequest};
+use super::message::{LeaseRelease, LeaseReply, LeaseRequest, millis_rounded_up};
 use super::round::Rounds;
 use super::settings::LeaseSettings;
 use crate::membership::NodeId;
@@ -302,8 +302,3 @@
         self.lease.take().map(|lease| Output::Ended { tenure: lease.tenure }).into_iter().collect()
     }
 }
-
-/// A duration in the unit of the messages, rounded up.
-fn millis_rounded_up(duration: Duration) -> u32 {
-    u32::try_from(duration.as_micros().div_ceil(1_000)).unwrap_or(u32::MAX)
-}
--- a/crates/coordination/src/lease/message.rs
+++ b/crates/coordination/src/lease/message.rs
@@ -2,6 +2,7 @@
 
 use crate::membership::NodeId;
 use deku::prelude::*;
+use std::time::Duration;
 use thiserror::Error;
 
 /// A message between a candidate and a grantor.
@@ -92,3 +93,8 @@
         Ok(self.to_bytes()?)
     }
 }
+
+/// A duration in the unit of the messages, rounded up.
+pub(super) fn millis_rounded_up(duration: Duration) -> u32 {
+    u32::try_from(duration.as_micros().div_ceil(1_000)).unwrap_or(u32::MAX)
+}
--- a/crates/coordination/src/simulation/history.rs
+++ b/crates/coordination/src/simulation/history.rs
@@ -2,79 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use thiserror::Error;
-
 use super::append::{Command, entries};
-use super::step::MachineIndex;
+use super::violation::Violation;
 use crate::register::{Outcome, Value};
 
-/// A rule was broken.
-#[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Violation {
-    /// Two values were decided for one revision.
-    #[error("revision {0} has two values")]
-    TwoValues(u64),
-    /// A value does not build on the one before.
-    #[error("the value of revision {later} does not build on that of {earlier}")]
-    NotBuiltOn {
-        /// The revision before.
-        earlier: u64,
-        /// The revision after.
-        later: u64,
-    },
-    /// A number is in the list twice.
-    #[error("number {0} took effect twice")]
-    AppliedTwice(u32),
-    /// A number that was given up before it was proposed is in the list.
-    #[error("number {0} took effect after it had expired")]
-    Expired(u32),
-    /// An acknowledged number is missing.
-    #[error("number {0}, acknowledged at revision {1}, is missing")]
-    Lost(u32, u64),
-    /// An answer is older than one given before the request.
-    #[error("request {request} was answered from revision {answered} after {acknowledged} was acknowledged")]
-    Stale {
-        /// The request.
-        request: u64,
-        /// Its revision.
-        answered: u64,
-        /// The newest revision acknowledged before.
-        acknowledged: u64,
-    },
-    /// A replica learned an older value.
-    #[error("machine {machine} learned revision {to} after {from}")]
-    Regression {
-        /// The machine.
-        machine: MachineIndex,
-        /// Learned before.
-        from: u64,
-        /// Learned after.
-        to: u64,
-    },
-    /// A request was answered twice, or one that was never made.
-    #[error("request {0} was answered once too often")]
-    UnexpectedAnswer(u64),
-    /// The record on disk cannot be read.
-    #[error("machine {0} has an unreadable record")]
-    Record(MachineIndex),
-    /// A message cannot be encoded or decoded.
-    #[error("machine {0} sent an unreadable message")]
-    Message(MachineIndex),
-    /// After everything was mended a machine does not serve.
-    #[error("machine {0} does not serve although everything is mended")]
-    Unavailable(MachineIndex),
-    /// An expectation of the scenario is not met.
-    #[error("step {step}: expected '{expected}', found '{found}'")]
-    UnmetExpectation {
-        /// Number of the step, from one.
-        step: usize,
-        /// The expectation.
-        expected: String,
-        /// What was found.
-        found: String,
-    },
-}
-
 /// A request that was made.
 struct Request {
     command: Option<Command>,
--- a/crates/coordination/src/simulation/machine.rs
+++ b/crates/coordination/src/simulation/machine.rs
@@ -7,8 +7,8 @@
 
 use super::append::Append;
 use super::disk::Disk;
-use super::history::Violation;
 use super::step::MachineIndex;
+use super::violation::Violation;
 use crate::register::{Input, Node, Output, Record, Replica, Settings, Status};
 
 /// Control port of all machines.
--- a/crates/coordination/src/simulation/mod.rs
+++ b/crates/coordination/src/simulation/mod.rs
@@ -6,19 +6,21 @@
 
 mod append;
 mod disk;
-mod expectations;
-mod fault_tolerance;
+mod event_queue;
 mod history;
 mod machine;
 mod network;
 mod scenario;
 mod schedule;
+mod shrink;
 mod step;
+mod violation;
 mod world;
 
 pub use append::{Append, Command};
-pub use history::Violation;
 pub use scenario::{ParseError, Scenario};
-pub use schedule::{random_scenario, shrink};
+pub use schedule::random_scenario;
+pub use shrink::shrink;
 pub use step::{Expectation, MachineIndex, Machines, Step, UnknownStep};
+pub use violation::Violation;
 pub use world::{Observation, World};
--- a/crates/coordination/src/simulation/step.rs
+++ b/crates/coordination/src/simulation/step/text.rs
@@ -1,148 +1,9 @@
-//! Steps of a scenario and their text form.
+//! The text form of steps, as in scenario files.
 
 use std::fmt;
 use std::str::FromStr;
 
-use thiserror::Error;
-
-/// Index of a machine; machines are named `a`, `b`, `c` and so on.
-pub type MachineIndex = usize;
-
-/// A set of machines.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Machines(u32);
-
-impl Machines {
-    /// This set and one machine more.
-    #[must_use]
-    pub fn with(self, machine: MachineIndex) -> Self {
-        Self(self.0 | 1_u32.checked_shl(u32::try_from(machine).unwrap_or(u32::MAX)).unwrap_or_default())
-    }
-
-    /// Whether a machine is in the set.
-    #[must_use]
-    pub fn contains(self, machine: MachineIndex) -> bool {
-        self == self.with(machine)
-    }
-
-    fn iter(self) -> impl Iterator<Item = MachineIndex> {
-        (0..u32::BITS as MachineIndex).filter(move |machine| self.contains(*machine))
-    }
-}
-
-/// What a scenario expects of a machine.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Expectation {
-    /// Its last request changed the value.
-    Changed,
-    /// Its last request found nothing to change.
-    Unchanged,
-    /// Its last request was refused.
-    Refused,
-    /// Its last request read a value.
-    Value,
-    /// Its last request was given up before it was proposed.
-    Expired,
-    /// Its last request was given up without a clear answer.
-    Timeout,
-    /// Its last request is not answered.
-    Unanswered,
-    /// It is a voting member.
-    Member,
-    /// It is able to vote, but no member.
-    Spare,
-    /// It is not able to vote yet.
-    Recovering,
-    /// It has learned this revision.
-    Revision(u64),
-}
-
-/// One step of a scenario.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
-    /// A new number is appended through a machine.
-    Append(MachineIndex),
-    /// So many new numbers are appended through a machine, one every so many milliseconds.
-    Appends {
-        /// Takes the requests.
-        at: MachineIndex,
-        /// How many.
-        count: u32,
-        /// Time after each, in milliseconds.
-        every: u64,
-    },
-    /// A number is ensured through a machine: an old one if there is one.
-    Ensure(MachineIndex),
-    /// A new number is appended if the list is even.
-    AppendIfEven(MachineIndex),
-    /// The value is read through a machine.
-    Read(MachineIndex),
-    /// A member is replaced by a spare, asked for at a machine.
-    Replace {
-        /// Leaves.
-        old: MachineIndex,
-        /// Joins.
-        new: MachineIndex,
-        /// Takes the request.
-        via: MachineIndex,
-    },
-    /// A spare joins, asked for at a machine.
-    Grow {
-        /// Joins.
-        new: MachineIndex,
-        /// Takes the request.
-        via: MachineIndex,
-    },
-    /// A member leaves without a replacement, asked for at a machine.
-    Leave {
-        /// Leaves.
-        old: MachineIndex,
-        /// Takes the request.
-        via: MachineIndex,
-    },
-    /// Time passes, in milliseconds.
-    Wait(u64),
-    /// The process is killed.
-    Kill(MachineIndex),
-    /// The machine loses power.
-    Power(MachineIndex),
-    /// The machine loses its disk.
-    Wipe(MachineIndex),
-    /// The machine is gone for good.
-    Retire(MachineIndex),
-    /// The process starts.
-    Start(MachineIndex),
-    /// The machine freezes.
-    Freeze(MachineIndex),
-    /// The machine wakes.
-    Thaw(MachineIndex),
-    /// Messages from one machine to another are lost.
-    Cut(MachineIndex, MachineIndex),
-    /// All messages from and to a machine are lost.
-    Isolate(MachineIndex),
-    /// The machines of a set and the others no longer reach each other.
-    Partition(Machines),
-    /// All cuts end.
-    Heal,
-    /// So many of a hundred messages are lost.
-    Loss(u8),
-    /// So many of a hundred messages arrive twice.
-    Duplicate(u8),
-    /// Messages take from nothing up to so many milliseconds.
-    Delay(u64),
-    /// A write takes up to so many milliseconds.
-    Slow(MachineIndex, u64),
-    /// The disk answers nothing.
-    Stall(MachineIndex),
-    /// The disk refuses writes.
-    Full(MachineIndex),
-    /// The disk works.
-    Work(MachineIndex),
-    /// Everything is mended and started; all machines that are left must then serve.
-    Quiesce,
-    /// Something is expected of a machine.
-    Expect(MachineIndex, Expectation),
-}
+use super::{Expectation, MachineIndex, Machines, Step, UnknownStep};
 
 /// The name of a machine.
 struct Name(MachineIndex);
@@ -216,11 +77,6 @@
     }
 }
 
-/// A line is no step.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("no such step")]
-pub struct UnknownStep;
-
 fn machine(word: &str) -> Result<MachineIndex, UnknownStep> {
     match word.as_bytes() {
         [letter @ b'a'..=b'z'] => Ok(usize::from(letter - b'a')),
--- a/crates/coordination/src/simulation/expectations.rs
+++ b/crates/coordination/src/simulation/world/expectations.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use super::append::Command;
-use super::history::Violation;
-use super::step::{Expectation, MachineIndex};
-use super::world::World;
+use super::World;
 use crate::register::{Input, Outcome, Status};
+use crate::simulation::append::Command;
+use crate::simulation::step::{Expectation, MachineIndex};
+use crate::simulation::violation::Violation;
 
 /// Time for everything to come right once it is mended: several of the longest retry intervals.
 const QUIESCE_TIME: Duration = Duration::from_secs(12);
@@ -31,7 +31,7 @@
     }
 
     /// A read and a change through one machine must both succeed.
-    pub(super) fn serve(&mut self, at: MachineIndex) -> Result<(), Violation> {
+    fn serve(&mut self, at: MachineIndex) -> Result<(), Violation> {
         let deadline = self.now + FINAL_DEADLINE;
         self.request_until(at, None, deadline, |request, deadline| Input::Read { request, deadline })?;
         let read = self.machines[at].last_request;
@@ -67,7 +67,7 @@
         Err(Violation::UnmetExpectation { step, expected: expected.to_string(), found })
     }
 
-    pub(super) fn member_status(&self, at: MachineIndex) -> Option<Expectation> {
+    fn member_status(&self, at: MachineIndex) -> Option<Expectation> {
         self.machines[at].status().map(|status| match status {
             Status::Member => Expectation::Member,
             Status::Spare => Expectation::Spare,
@@ -75,7 +75,7 @@
         })
     }
 
-    pub(super) fn answer(&self, at: MachineIndex) -> Option<Expectation> {
+    fn answer(&self, at: MachineIndex) -> Option<Expectation> {
         let request = self.machines[at].last_request?;
         let Some(outcome) = self.history.outcome(request) else {
             return Some(Expectation::Unanswered);
--- a/crates/coordination/src/simulation/fault_tolerance.rs
+++ b/crates/coordination/src/simulation/world/fault_tolerance.rs
@@ -1,10 +1,10 @@
 //! Which losses the groups still bear: a scenario does not go beyond, as too few would be left to recover from.
 
-use super::disk::Disk;
-use super::machine::index_of;
-use super::step::MachineIndex;
-use super::world::World;
+use super::World;
 use crate::register::{Group, Node, Outcome, Record};
+use crate::simulation::disk::Disk;
+use crate::simulation::machine::index_of;
+use crate::simulation::step::MachineIndex;
 
 /// A change of members that was asked for.
 pub(super) struct RequestedMembershipChange {
@@ -60,7 +60,7 @@
     }
 
     /// The groups of the record on a machine's disk; none if there is no record.
-    pub(super) fn groups_on_disk(&mut self, at: MachineIndex) -> Vec<Group> {
+    fn groups_on_disk(&mut self, at: MachineIndex) -> Vec<Group> {
         let directory = self.machines[at].disk.directory.clone();
         let mut copy = Disk::new();
         copy.directory = directory;
