--- a/crates/coordination/src/lease/node.rs
+++ b/crates/coordination/src/lease/node.rs
@@ -126,7 +126,7 @@
         self.holders.get_mut(&shard)?.authorize(now, delivery_time)
     }
 
-    /// See [`LeaseHolder::may_act`].
+    /// See [`LeaseHolder::current_epoch`].
     pub fn current_epoch(&self, now: Duration, shard: u32, delivery_time: Duration) -> Option<u64> {
         self.holders.get(&shard)?.current_epoch(now, delivery_time)
     }
--- a/crates/coordination/src/register/acceptor.rs
+++ b/crates/coordination/src/register/acceptor.rs
@@ -140,7 +140,7 @@
         self.reply(context, from, message);
     }
 
-    /// Catches up with a committed value, as if its proposer had just asked to accept it.
+    /// Catches up with a committed value, as if its proposer had just requested to accept it.
     pub(super) fn on_committed(&mut self, ballot: Ballot, value: &Value) {
         if ballot >= self.current.promised && ballot > self.current.accepted {
             self.accept(ballot, value.clone());
--- a/crates/coordination/src/register/ballot.rs
+++ b/crates/coordination/src/register/ballot.rs
@@ -15,7 +15,7 @@
     pub counter: u64,
     /// The proposer.
     pub node: Node,
-    /// Chance drawn at the start of the proposer's process.
+    /// Random number drawn at the start of the proposer's process.
     pub nonce: u64,
     /// Values proposed under this ballot so far; zero in the prepare phase.
     pub step: u32,
--- a/crates/coordination/src/register/codec.rs
+++ b/crates/coordination/src/register/codec.rs
@@ -1,4 +1,4 @@
-//! Shared steps of the binary form.
+//! Shared parts of the binary encoding.
 
 use std::io::{Read, Seek, Write};
 
@@ -7,14 +7,14 @@
 use deku::prelude::*;
 use thiserror::Error;
 
-/// Longest state that is taken from outside, in bytes: a longer length is garbage, and must not make the
-/// receiver reserve memory for it.
+/// Largest state that is decoded, in bytes: a larger length is invalid, and must not make the receiver reserve
+/// memory for it.
 pub const MAX_STATE_BYTES: usize = 16 << 20;
 
-/// Bytes reserved at once while reading, so that a wrong length costs little.
+/// Bytes reserved at once while reading, so that an invalid length costs little.
 const READ_STEP_BYTES: usize = 64 << 10;
 
-/// Why bytes are no message or record.
+/// Why bytes are not a message or a record.
 #[derive(Debug, Error)]
 pub enum CodecError {
     /// A field is missing, too long or of no known kind.
@@ -25,7 +25,7 @@
     Trailing(usize),
 }
 
-/// Reads a 32-bit length and so many bytes.
+/// Reads a 32-bit length and that many bytes.
 pub(super) fn read_bytes<R: Read + Seek>(reader: &mut deku::reader::Reader<R>) -> Result<Bytes, DekuError> {
     let length = u32::from_reader_with_ctx(reader, Endian::Big)? as usize;
     if length > MAX_STATE_BYTES {
--- a/crates/coordination/src/register/event.rs
+++ b/crates/coordination/src/register/event.rs
@@ -1,4 +1,4 @@
-//! What goes into a replica and what comes out.
+//! Inputs and outputs of a replica.
 
 use std::time::Duration;
 
@@ -9,35 +9,35 @@
 use super::record::Record;
 use super::value::Value;
 
-/// What the state machine makes of a command.
+/// The effect of a command on the state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Applied {
     /// The state changes.
     Changed {
         /// The state after the command.
         state: Vec<u8>,
-        /// Handed to whoever proposed.
+        /// Returned to the caller.
         answer: Vec<u8>,
     },
-    /// The state is already as asked.
+    /// The state is already as the command wants it.
     Unchanged {
-        /// Handed to whoever proposed.
+        /// Returned to the caller.
         answer: Vec<u8>,
     },
     /// The command does not apply to this state.
     Refused {
-        /// Handed to whoever proposed.
+        /// Returned to the caller.
         answer: Vec<u8>,
     },
 }
 
-/// Applies commands to the opaque state. Must depend on nothing but its arguments.
+/// Applies commands to the opaque state. It must be a function of its arguments alone.
 pub trait StateMachine: Send + Sync {
     /// The effect of `command` on the state `current`.
     fn apply(&self, current: &[u8], command: &[u8]) -> Applied;
 }
 
-/// An event for a replica.
+/// An input of a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
     /// A message arrived.
@@ -52,63 +52,63 @@
         /// As in the output.
         token: u64,
     },
-    /// The record of [`Output::Persist`] could not be written; it is handed out again later.
+    /// The record of [`Output::Persist`] could not be written; the write is requested again later.
     PersistFailed {
         /// As in the output.
         token: u64,
     },
-    /// The time of [`super::Replica::next_wake`] has come.
+    /// The time of [`super::Replica::next_wake`] is reached.
     Tick,
     /// Applies a command.
     Propose {
-        /// Named in [`Output::Done`].
+        /// Identifies the request in [`Output::Done`].
         request: u64,
         /// For the state machine.
         command: Vec<u8>,
-        /// When to give up.
+        /// When the request expires.
         deadline: Duration,
     },
     /// Reads the value; never older than any change acknowledged before.
     Read {
-        /// Named in [`Output::Done`].
+        /// Identifies the request in [`Output::Done`].
         request: u64,
-        /// When to give up.
+        /// When the request expires.
         deadline: Duration,
     },
     /// Changes the members.
     ChangeMembers {
-        /// Named in [`Output::Done`].
+        /// Identifies the request in [`Output::Done`].
         request: u64,
         /// Members that leave.
         remove: Vec<Node>,
         /// Nodes that join.
         add: Vec<Node>,
-        /// When to give up.
+        /// When the request expires.
         deadline: Duration,
     },
-    /// A node that may know the group can be reached, for the first time or again (a connection to it came
-    /// up): what it has not answered is sent to it at once.
+    /// A node that may know the group is reachable, for the first time or again (a connection to it was
+    /// established): what it has not answered is sent to it at once.
     PeerReachable {
         /// The node.
         node: Node,
     },
 }
 
-/// An order of a replica to its driver.
+/// An output of a replica, which its driver carries out.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Output {
-    /// Send a message; it may be lost, doubled or overtaken.
+    /// Send a message; it may be lost, duplicated or reordered.
     Send {
         /// The receiver, never the replica itself.
         to: Node,
         /// The message.
         message: Message,
     },
-    /// Write a record in place of the one before. At most one is under way.
+    /// Write a record, replacing the one before. At most one write is in flight.
     Persist {
-        /// To be named when done.
+        /// Identifies the write in [`Input::Persisted`] or [`Input::PersistFailed`].
         token: u64,
-        /// What to write.
+        /// The record to write.
         record: Record,
     },
     /// A request is answered.
@@ -125,7 +125,7 @@
     },
 }
 
-/// The answer to a request.
+/// The outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// The change is committed and durable.
@@ -137,14 +137,14 @@
     },
     /// Nothing had to change.
     Unchanged {
-        /// The revision that was looked at.
+        /// The revision that the command was applied to.
         revision: u64,
         /// From the state machine.
         answer: Vec<u8>,
     },
     /// The command does not apply.
     Refused {
-        /// The revision that was looked at.
+        /// The revision that the command was applied to.
         revision: u64,
         /// From the state machine.
         answer: Vec<u8>,
@@ -158,11 +158,11 @@
     },
     /// The deadline passed before the command was proposed: it has no effect, now or later.
     Expired,
-    /// No clear answer: the command may have taken effect, or may yet.
+    /// Unknown: the command may have taken effect, or may do so later.
     Timeout,
 }
 
-/// Where a replica stands.
+/// The member status of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
     /// The disk was empty: not voting until enough members have answered.
--- a/crates/coordination/src/register/message.rs
+++ b/crates/coordination/src/register/message.rs
@@ -7,33 +7,33 @@
 use super::node::MinimumIncarnations;
 use super::value::{Value, ValueTransfer};
 
-/// A message between replicas of one register. The transport tells who sent it.
+/// A message between replicas of one register. The transport identifies the sender.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", endian = "big")]
 pub enum Message {
-    /// Phase one: asks for a promise. The sender holds the value accepted at `known`.
+    /// Phase one: requests a promise. The sender has the value of the ballot `known`.
     #[deku(id = 1)]
     Prepare {
         /// The ballot to promise.
         ballot: Ballot,
-        /// Values up to here need not be sent.
+        /// Values up to this ballot need not be sent.
         known: Ballot,
     },
-    /// Phase one: nothing below `ballot` will be accepted any more.
+    /// Phase one: the sender accepts nothing below `ballot` from now on.
     #[deku(id = 2)]
     Promise {
         /// The promised ballot.
         ballot: Ballot,
         /// The voter's own incarnation.
         incarnation: u64,
-        /// Floors the voter knows.
+        /// Minimum incarnations that the voter knows.
         minimum_incarnations: MinimumIncarnations,
         /// The ballot of the voter's accepted value.
         accepted: Ballot,
-        /// That value, if newer than what the proposer said it knows.
+        /// That value, if newer than `known` of the request.
         value: ValueTransfer,
     },
-    /// Phase two: asks to accept a value.
+    /// Phase two: requests the acceptance of a value.
     #[deku(id = 3)]
     Accept {
         /// The ballot of the proposal.
@@ -48,13 +48,13 @@
         ballot: Ballot,
         /// The voter's own incarnation.
         incarnation: u64,
-        /// Floors the voter knows.
+        /// Minimum incarnations that the voter knows.
         minimum_incarnations: MinimumIncarnations,
     },
     /// Either phase: a higher ballot was promised before.
     #[deku(id = 5)]
     Rejected {
-        /// The ballot that was asked for.
+        /// The ballot of the request.
         ballot: Ballot,
         /// The ballot that was promised.
         promised: Ballot,
@@ -62,17 +62,17 @@
     /// The value of `ballot` is committed.
     #[deku(id = 6)]
     Committed {
-        /// The ballot of the decision.
+        /// The ballot of the commit.
         ballot: Ballot,
         /// Its value, if the receiver may not have accepted it.
         value: ValueTransfer,
     },
-    /// Quorum read: asks for the state of a replica.
+    /// Quorum read: requests the state of a replica.
     #[deku(id = 7)]
     ReadQuery {
         /// Number of the read, unique over restarts of the reader.
         request: u64,
-        /// Values up to here need not be sent.
+        /// Values up to this ballot need not be sent.
         known: Ballot,
     },
     /// Quorum read: the state of a replica as its disk holds it.
@@ -82,16 +82,16 @@
         request: u64,
         /// The voter's own incarnation.
         incarnation: u64,
-        /// Floors the voter knows.
+        /// Minimum incarnations that the voter knows.
         minimum_incarnations: MinimumIncarnations,
         /// The highest promise.
         promised: Ballot,
         /// The ballot of the accepted value.
         accepted: Ballot,
-        /// That value, if newer than what the reader said it knows.
+        /// That value, if newer than `known` of the request.
         value: ValueTransfer,
     },
-    /// Asks for a committed value newer than this one.
+    /// Polls for a committed value newer than this one.
     #[deku(id = 9)]
     PollCommitted {
         /// The ballot of the newest committed value the sender knows.
@@ -99,24 +99,24 @@
         /// Whether the sender knows any.
         known: bool,
     },
-    /// Recovery: a replica with an empty disk registers an incarnation; zero only asks.
+    /// Recovery: a replica with an empty disk registers an incarnation; zero only queries the highest one known.
     #[deku(id = 10)]
     RegisterIncarnation {
-        /// Chance drawn at the start of the recovering process.
+        /// Random number drawn at the start of the recovering process.
         nonce: u64,
         /// The incarnation to register, or zero.
         incarnation: u64,
     },
-    /// Recovery: what the replica knows, after the registration was made durable.
+    /// Recovery: the state of the responding replica, once the registration is durable.
     #[deku(id = 11)]
     IncarnationRegistered {
         /// As in the request.
         nonce: u64,
         /// As in the request.
         requested: u64,
-        /// The answering replica's own incarnation.
+        /// The responding replica's own incarnation.
         incarnation: u64,
-        /// Floors it knows, the recovering replica's among them.
+        /// Minimum incarnations that it knows, the recovering replica's among them.
         minimum_incarnations: MinimumIncarnations,
         /// Its highest promise.
         promised: Ballot,
@@ -128,12 +128,12 @@
 }
 
 impl Message {
-    /// Whether the sender has come to what was sent to it last, or asks for what it did not get.
+    /// Whether the sender has processed what was sent to it last, or requests what it did not get.
     pub(super) const fn is_answer(&self) -> bool {
         matches!(self, Self::Accepted { .. } | Self::Rejected { .. } | Self::PollCommitted { .. })
     }
 
-    /// The binary form.
+    /// Encodes the message.
     ///
     /// # Errors
     /// If the state is longer than a length field can say.
@@ -141,7 +141,7 @@
         Ok(self.to_bytes()?)
     }
 
-    /// Reads the binary form.
+    /// Decodes a message.
     ///
     /// # Errors
     /// If the bytes are not exactly one message.
--- a/crates/coordination/src/register/mod.rs
+++ b/crates/coordination/src/register/mod.rs
@@ -1,7 +1,7 @@
 //! Replicated registers without log or leader.
 //!
 //! A register holds one value that is replaced by compare-and-set, agreed on by a group of replicas with
-//! `CASPaxos`: any replica may propose; a change needs one round trip to a majority if the proposer made the
+//! `CASPaxos` (Rystsov, 2018): any replica may propose; a change needs one round trip to a majority if the proposer made the
 //! last change, two otherwise. A [`Replica`] does no input or output: [`Input`]s go in, [`Output`]s come out.
 //!
 //! ```
@@ -23,9 +23,9 @@
 //! let mut changed = false;
 //! while let Some(output) = replica.poll_output() {
 //!     match output {
-//!         // Hand `record.encode()` to the disk thread; tell the replica when it is durable.
+//!         // Pass `record.encode()` to the disk thread; notify the replica when it is durable.
 //!         Output::Persist { token, .. } => replica.handle(Duration::ZERO, Input::Persisted { token }),
-//!         // Hand `message.encode()` to the transport.
+//!         // Pass `message.encode()` to the transport.
 //!         Output::Send { .. } => {}
 //!         Output::Done { request: 1, outcome: Outcome::Changed { revision, .. } } => changed = revision == 1,
 //!         Output::Done { .. } | Output::Committed { .. } => {}
@@ -37,7 +37,7 @@
 //!
 //! # Ballots
 //!
-//! A [`Ballot`] is unique by its counter, its node and chance drawn at each start of the process, so a restart
+//! A [`Ballot`] is unique by its counter, its node and a random number drawn at each start of the process, so a restart
 //! cannot repeat one. A proposer that got promises for a ballot counts its `step` up for every further value
 //! and needs no promises again: no other ballot lies between two steps. It proposes the next step only when
 //! the value of the last one is committed.
@@ -53,35 +53,42 @@
 //!
 //! # Lost disks
 //!
-//! A replica whose disk is empty, and which does not found the group, must not vote: it forgot promises and
-//! accepted values that others rely on. Each life of a node with a disk has an incarnation. An empty replica
-//! asks for the highest one known, registers a higher one with enough others ([`Group::recovery_quorum`]: f+1
-//! of 2f+1) that do not recover themselves, and these answer, once the registration is durable, with their
-//! promise, their accepted value and all registered incarnations. It takes the highest promise and the newest
-//! accepted value, and is then the same as a replica that never lost its disk, as far as anyone can tell:
-//!
-//! - Let a quorum contain a vote of the lost life for a ballot `b`. Its other voters and those that registered
-//!   the new incarnation overlap: some replica did both. If it voted first, the recovered replica learned of
-//!   the promise or value of `b` from it. If it registered first, its vote names the new incarnation, and the
-//!   proposer discards the vote of the lost life, in either phase. So no quorum both counts a forgotten vote
-//!   and is unknown to the recovered replica.
-//! - With several replicas recovering at once the same holds among those that do not: they do not answer
-//!   registrations, and no more than f can recover together, as f+1 answers are needed from others. If more
-//!   are empty, they wait, and [`Replica::status`] tells for how many answers.
-//! - Two registrations of one node overlap in a replica, so a later life gets a higher incarnation than any
-//!   life that voted. What a replica knew of incarnations outlasts its own lost disk in the same way.
+//! A replica whose disk is empty, and which is not a bootstrap member, must not vote: it forgot promises and
+//! accepted values that others rely on. Each run of a node with one disk is an incarnation. A replica with an
+//! empty disk queries the highest incarnation that others know of it, then registers a higher one with enough
+//! others ([`Group::recovery_quorum`]: f+1 of 2f+1) that are not recovering themselves. These respond, once the
+//! registration is durable, with their promise, their accepted value and all registered incarnations. The replica
+//! takes the highest promise and the newest accepted value. To all others it is then equivalent to a replica that
+//! never lost its disk:
+//!
+//! - Let a quorum contain a vote of the lost incarnation for a ballot `b`. Its other voters and those that
+//!   registered the new incarnation overlap: some replica did both. If it voted first, the recovered replica
+//!   learned of the promise or value of `b` from it. If it registered first, its vote names the new incarnation,
+//!   and the proposer discards the vote of the lost incarnation, in either phase. So no quorum both counts a
+//!   forgotten vote and is unknown to the recovered replica.
+//! - With several replicas recovering at once the same holds among those that are not: recovering replicas do not
+//!   answer registrations, and no more than f can recover together, as f+1 responses are needed from others. If
+//!   more have empty disks, they wait, and [`Replica::status`] shows for how many responses.
+//! - Two registrations of one node overlap in a replica, so a later incarnation is higher than any that voted.
+//!   What a replica knew of incarnations survives the loss of its own disk in the same way.
 //! - A recovered replica may hold a value below its promise for which it never voted. A quorum read therefore
 //!   takes a value for committed only from replicas that promised nothing higher; otherwise it has the value
 //!   accepted again.
 //!
-//! A new node is empty too and goes the same way before it is made a member.
+//! The disk of a new node is empty too: it recovers in the same way before it becomes a member.
 //!
 //! # Commands
 //!
-//! A preempted proposal may still take effect later, through another proposer. Each value remembers the latest
-//! changes, so that a proposer applies a command again only if its earlier try has surely no effect; if that
-//! can no longer be told the answer is [`Outcome::Timeout`]. A command that would change nothing is answered by
-//! a quorum read alone.
+//! A preempted proposal may still take effect later, through another proposer. Each value contains the latest
+//! changes, so that a proposer applies a command again only if its earlier attempt certainly has no effect; if
+//! that is no longer known the outcome is [`Outcome::Timeout`]. A command that would change nothing is answered
+//! by a quorum read alone.
+//!
+//! # Files
+//!
+//! [`Replica`] (`replica/`) routes inputs to the parts: `acceptor` votes, `proposer/` runs rounds, `reader` runs
+//! quorum reads, `recovery` restores a lost disk, `catch_up` and `anti_entropy` fetch committed values. They share a
+//! `context`; `quorum` counts votes. The other files are the data: ballots, values, messages, records.
 
 mod acceptor;
 mod anti_entropy;
--- a/crates/coordination/src/register/node.rs
+++ b/crates/coordination/src/register/node.rs
@@ -1,4 +1,4 @@
-//! Names of replicas: the control address a replica is reached at.
+//! Nodes, named by their control addresses, and the incarnations of nodes.
 
 use std::fmt;
 use std::net::{AddrParseError, Ipv4Addr, SocketAddrV4};
@@ -8,7 +8,7 @@
 
 /// A replica, named by its control address.
 ///
-/// The address alone does not tell one life of a replica from the next: see [`MinimumIncarnation`].
+/// The address does not identify the incarnation: see [`MinimumIncarnation`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Node {
@@ -44,7 +44,7 @@
     }
 }
 
-/// The lowest incarnation of a node whose votes still count.
+/// The lowest incarnation of a node whose votes count.
 ///
 /// A node whose disk was lost registers a higher incarnation before it votes again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, DekuRead, DekuWrite)]
@@ -56,7 +56,7 @@
     pub incarnation: u64,
 }
 
-/// Floors known to one replica, at most one for each node; a node not listed has floor zero.
+/// Minimum incarnations known to one replica, at most one for each node; that of other nodes is zero.
 #[deku_derive(DekuRead, DekuWrite)]
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
@@ -68,13 +68,13 @@
 }
 
 impl MinimumIncarnations {
-    /// The floor of a node.
+    /// The minimum incarnation of a node.
     #[must_use]
     pub fn of(&self, node: Node) -> u64 {
         self.entries.iter().find(|minimum| minimum.node == node).map_or(0, |minimum| minimum.incarnation)
     }
 
-    /// Raises the floor of a node; tells whether anything changed.
+    /// Raises the minimum incarnation of a node; returns whether it was lower.
     pub fn raise(&mut self, node: Node, incarnation: u64) -> bool {
         if self.of(node) >= incarnation {
             return false;
@@ -86,7 +86,7 @@
         true
     }
 
-    /// Takes over all higher floors of another list.
+    /// Raises each minimum incarnation to that of another list.
     pub fn merge(&mut self, other: &Self) {
         for minimum in &other.entries {
             self.raise(minimum.node, minimum.incarnation);
--- a/crates/coordination/src/register/proposer/mod.rs
+++ b/crates/coordination/src/register/proposer/mod.rs
@@ -1,7 +1,7 @@
 //! The proposer: rounds of prepare and accept for one batch of tasks after the other.
 //!
-//! This file queues tasks, starts rounds and counts votes; [`proposal`] decides what a round proposes and what
-//! follows once that is committed.
+//! This file queues tasks, starts rounds and counts votes; `proposal` is what a round proposes and what follows
+//! once that is committed.
 
 mod batch;
 mod membership_change;
--- a/crates/coordination/src/register/record.rs
+++ b/crates/coordination/src/register/record.rs
@@ -1,4 +1,4 @@
-//! What a replica keeps on disk.
+//! The durable state of a replica.
 
 use deku::prelude::*;
 
@@ -11,20 +11,20 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, DekuRead, DekuWrite)]
 #[deku(endian = "big")]
 pub struct Record {
-    /// Which of the node's lives with a disk this is; zero for a founder.
+    /// The incarnation of the node; zero for a bootstrap member.
     pub incarnation: u64,
-    /// Nothing below is accepted any more.
+    /// The highest promise: nothing below it is accepted.
     pub promised: Ballot,
     /// The ballot of the accepted value.
     pub accepted: Ballot,
     /// The accepted value.
     pub value: Value,
-    /// Floors of other nodes.
+    /// Minimum incarnations of other nodes.
     pub minimum_incarnations: MinimumIncarnations,
 }
 
 impl Record {
-    /// The binary form.
+    /// Encodes the record.
     ///
     /// # Errors
     /// If the state is longer than a length field can say.
@@ -32,7 +32,7 @@
         Ok(self.to_bytes()?)
     }
 
-    /// Reads the binary form.
+    /// Decodes a record.
     ///
     /// # Errors
     /// If the bytes are not exactly one record.
--- a/crates/coordination/src/register/settings.rs
+++ b/crates/coordination/src/register/settings.rs
@@ -11,31 +11,31 @@
 pub struct Settings {
     /// This replica.
     pub node: Node,
-    /// Whom to ask for the group while it is not known; with `bootstrap`, the founders.
+    /// Nodes to query for the group while it is not known; with `bootstrap`, the bootstrap members.
     pub seeds: Vec<Node>,
-    /// First start of the whole system: the seeds found the group.
+    /// First start of the whole system: the seeds are the first group.
     pub bootstrap: bool,
-    /// State bytes of the initial value; the same at all founders.
+    /// State of the initial value; the same at all bootstrap members.
     pub initial_state: Bytes,
-    /// After this long an unanswered message is sent again; doubles up to eight times that.
+    /// Time after which an unanswered message is sent again; it doubles up to eight times that.
     pub retry_interval: Duration,
-    /// Shortest wait of a proposer that was preempted; doubles with each further time, and is spread by chance.
+    /// Shortest backoff of a preempted proposer; it doubles with each further preemption, with random jitter.
     pub backoff: Duration,
-    /// Wait before a write that the disk refused is tried again.
+    /// Delay before a write that the disk refused is retried.
     pub persist_retry_interval: Duration,
-    /// Every so often one other member is asked for a newer committed value.
+    /// Mean time between two polls of other members for a newer committed value.
     pub anti_entropy_interval: Duration,
-    /// Most commands proposed together.
+    /// Largest number of commands that are proposed together.
     pub max_batch_size: usize,
-    /// Sets back-off times together with the nonce.
+    /// Seed of the random generator, together with the nonce.
     pub seed: u64,
-    /// A deliberate mistake, for tests that prove that it is found.
+    /// A deliberate mistake, for tests that prove that they find it.
     #[doc(hidden)]
     pub fault: Option<Fault>,
 }
 
 impl Settings {
-    /// Settings with usual times for a local network.
+    /// Settings with times that suit a local network.
     #[must_use]
     pub fn new(node: Node, seeds: Vec<Node>) -> Self {
         Self {
@@ -63,9 +63,9 @@
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Votes leave before the record is durable.
+    /// Votes are sent before the record is durable.
     ReplyBeforePersist,
-    /// A replica with an empty disk votes at once, from the initial value.
+    /// A replica with an empty disk votes at once, beginning with the initial value.
     VoteAfterWipe,
     /// A wiped replica recovers from one other replica only.
     RecoverFromOne,
@@ -73,26 +73,26 @@
     IgnoreIncarnations,
     /// Ballots repeat after a restart, and equal ballots are accepted again.
     ReuseBallot,
-    /// While members change, a majority of the new group is enough.
+    /// During a membership change a majority of the new group is enough.
     NewGroupOnly,
-    /// The highest accepted value found in phase one is not taken over.
+    /// The newest accepted value found in phase one is ignored.
     IgnoreAccepted,
-    /// A read answers from the local committed value.
+    /// A read is answered from the local committed value.
     ReadLocally,
-    /// A read answers with the newest accepted value, committed or not.
+    /// A read is answered with the newest accepted value, committed or not.
     ReadUncommitted,
-    /// An acceptor forgets its promise once asked to accept.
+    /// An acceptor accepts values below its promise.
     AcceptBelowPromise,
     /// A majority is one less.
     SmallMajority,
-    /// The end of a change of members that was accepted, and not committed, is left as it is.
+    /// The final value of a membership change that was accepted, and not committed, is left as it is.
     LeaveChangeUncommitted,
-    /// A preempted command is proposed again without looking whether it took effect.
+    /// A preempted command is proposed again even if it took effect.
     ProposeTwice,
-    /// The recent changes of a value that is taken over from others (recovery, catching up) are left out.
+    /// The recent changes of a value that is taken over from others (recovery, catch-up) are dropped.
     ForgetHistory,
     /// A value is also sent to a replica that has not answered the one before.
     SendAhead,
-    /// A replica asks for the value of every decision it hears of.
+    /// A replica requests the value of every announced commit.
     AskForEach,
 }
--- a/crates/coordination/src/register/task.rs
+++ b/crates/coordination/src/register/task.rs
@@ -1,4 +1,4 @@
-//! What a replica has been asked to do, or does of its own accord.
+//! Tasks of a replica: requests of callers, and internal ones.
 
 use std::time::Duration;
 
--- a/crates/coordination/src/register/value.rs
+++ b/crates/coordination/src/register/value.rs
@@ -6,8 +6,8 @@
 use super::codec;
 use super::node::Node;
 
-/// Changes a value remembers, so that a proposer can tell whether its preempted proposal took effect.
-/// More than the proposals that usually pass between two tries of one proposer.
+/// Number of recent changes in a value, by which a proposer can tell whether its preempted proposal took effect.
+/// More than the proposals that usually lie between two attempts of one proposer.
 pub(super) const HISTORY_LENGTH: usize = 16;
 
 /// Members of which a majority must vote.
@@ -49,20 +49,20 @@
         self.members.len() / 2 + 1
     }
 
-    /// Members, the recovering one left out, that together overlap every majority it may have voted in.
+    /// Number of other members that overlap every majority in which a recovering member may have voted.
     #[must_use]
     pub fn recovery_quorum(&self) -> usize {
         self.members.len().saturating_sub(self.majority()) + 1
     }
 }
 
-/// Names one proposal that changed the value.
+/// Identifies one proposal that changed the value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct ChangeId {
-    /// Chance drawn at the start of the proposer's process.
+    /// Random number drawn at the start of the proposer's process.
     pub nonce: u64,
-    /// Counted by the proposer.
+    /// Number of the proposal within that process.
     pub sequence: u64,
 }
 
@@ -85,15 +85,15 @@
     pub revision: u64,
     #[deku(temp, temp_value = "groups.len() as u8")]
     group_count: u8,
-    /// One group, or two while a change of members is under way (old, new).
+    /// One group, or two during a membership change (old, new).
     #[deku(count = "group_count")]
     pub groups: Vec<Group>,
     #[deku(temp, temp_value = "history.len() as u8")]
     history_length: u8,
-    /// The latest changes, oldest first.
+    /// The latest changes, oldest first; at most 16.
     #[deku(count = "history_length")]
     pub history: Vec<Change>,
-    /// Opaque state.
+    /// The state, opaque to the register.
     #[deku(reader = "codec::read_bytes(deku::reader)", writer = "codec::write_bytes(deku::writer, state)")]
     pub state: Bytes,
 }
@@ -105,7 +105,7 @@
         Self { revision: 0, groups: vec![Group::new(members)], history: Vec::new(), state }
     }
 
-    /// Whether a change of members is under way.
+    /// Whether a membership change is in progress.
     #[must_use]
     pub fn is_joint(&self) -> bool {
         self.groups.len() > 1
@@ -117,7 +117,7 @@
         self.groups.last().map_or(&[], Group::members)
     }
 
-    /// Members of all groups in force, each once.
+    /// Members of all groups in force, each once, in ascending order.
     #[must_use]
     pub fn members(&self) -> Vec<Node> {
         let all = self.groups.iter().flat_map(|group| group.members().iter().copied()).collect();
@@ -136,24 +136,24 @@
         Self { revision, groups, history, state }
     }
 
-    /// Whether the change is among the remembered ones.
+    /// Whether the change is among the recent ones.
     #[must_use]
     pub fn has_change(&self, id: ChangeId) -> bool {
         self.history.iter().any(|change| change.id == id)
     }
 
-    /// Whether every change made after `revision` is still remembered.
+    /// Whether the recent changes include every change after `revision`.
     #[must_use]
     pub fn has_all_changes_since(&self, revision: u64) -> bool {
         self.history.len() < HISTORY_LENGTH || self.history[0].revision <= revision
     }
 }
 
-/// A value on its way, or the word that the receiver has it already.
+/// A value in a message, which is omitted if the receiver has it already.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub enum ValueTransfer {
-    /// The receiver has the value of the ballot named beside this field.
+    /// The receiver has the value of the ballot in the same message.
     #[deku(id = 0)]
     Omitted,
     /// The value.
--- a/crates/coordination/src/simulation/append.rs
+++ b/crates/coordination/src/simulation/append.rs
@@ -1,4 +1,4 @@
-//! The state machine of the simulation: a list of numbers, so that a lost or doubled command shows.
+//! The state machine of the simulation: a list of numbers, so that a lost or duplicate command shows.
 
 use crate::register::{Applied, StateMachine};
 
@@ -8,9 +8,9 @@
 /// A command on the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
-    /// Appends a number, also if it is there already.
+    /// Appends a number, even if the list contains it.
     Append(u32),
-    /// Appends a number unless it is there.
+    /// Appends a number unless the list contains it.
     Ensure(u32),
     /// Appends a number if the list has an even length.
     AppendIfEven(u32),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The binary form.
+    /// Encodes the command.
     #[must_use]
     pub fn encode(self) -> Vec<u8> {
         let kind = match self {
@@ -54,7 +54,7 @@
     state.chunks(ENTRY_BYTES).map(entry).collect()
 }
 
-/// Keeps a list of numbers.
+/// A state machine whose state is a list of numbers.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Append;
 
--- a/crates/coordination/src/simulation/disk.rs
+++ b/crates/coordination/src/simulation/disk.rs
@@ -1,4 +1,4 @@
-//! The simulated disk of a machine: one write at a time, which takes a while, fails or hangs.
+//! The simulated disk of a machine: one write at a time, which takes a while, fails or stalls.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 
 use crate::storage::{SimulatedDirectory, StoreError, VersionedStore};
 
-/// A write on a healthy disk takes up to this long.
+/// Longest time of a write on a healthy disk.
 const USUAL_WRITE: Duration = Duration::from_millis(2);
 
-/// Steps of a save, from making the file to removing old ones.
+/// File operations of a save, from creating the file to removing old ones.
 const SAVE_STEPS: u32 = 6;
 
-/// The record's name in the folder.
+/// The record's name in the directory.
 const RECORD_NAME: &str = "register";
 
 /// A write that is not finished.
@@ -27,7 +27,7 @@
     pub(super) longest_write: Duration,
     pub(super) stalled: bool,
     store: Option<VersionedStore>,
-    /// At most one is under way.
+    /// The write in flight, if any.
     pub(super) write: Option<Write>,
 }
 
@@ -42,14 +42,14 @@
         }
     }
 
-    /// What a starting process finds.
+    /// The record that a starting process finds.
     pub(super) fn open(&mut self) -> Result<Option<Vec<u8>>, StoreError> {
         let (store, record) = VersionedStore::open(&mut self.directory, RECORD_NAME)?;
         self.store = Some(store);
         Ok(record)
     }
 
-    /// Ends the write under way; tells its token and whether it worked.
+    /// Completes the write in flight; returns its token and whether it succeeded.
     pub(super) fn finish_write(&mut self) -> Option<(u64, bool)> {
         let write = self.write.take()?;
         let store = self.store.as_mut()?;
@@ -57,7 +57,7 @@
         Some((write.token, saved.is_ok()))
     }
 
-    /// The process dies, perhaps within a write.
+    /// The process dies, perhaps during a write.
     pub(super) fn interrupt(&mut self, random: &mut SmallRng) {
         self.directory.operations_until_crash = Some(random.random_range(0..=SAVE_STEPS));
         let _ = self.finish_write();
@@ -65,7 +65,7 @@
         self.store = None;
     }
 
-    /// The disk is as good as new, apart from what is on it.
+    /// Ends all faults of the disk; its content stays.
     pub(super) fn repair(&mut self) {
         self.longest_write = USUAL_WRITE;
         self.stalled = false;
--- a/crates/coordination/src/simulation/history.rs
+++ b/crates/coordination/src/simulation/history.rs
@@ -1,4 +1,4 @@
-//! What was asked, answered and learned, and the rules it must keep.
+//! The requests, answers and committed values of a run, and the rules that they must obey.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,10 +6,10 @@
 use super::violation::Violation;
 use crate::register::{Outcome, Value};
 
-/// A request that was made.
+/// A request and its answer.
 struct Request {
     command: Option<Command>,
-    /// The newest revision acknowledged before the request.
+    /// The newest revision that was answered before the request.
     newest_answered: u64,
     outcome: Option<Outcome>,
 }
@@ -18,14 +18,14 @@
 pub(super) struct History {
     requests: Vec<Request>,
     values: BTreeMap<u64, Value>,
-    /// The newest revision any answer was given from.
+    /// The newest revision of any answer.
     newest_answered: u64,
     acknowledged: BTreeMap<u32, u64>,
     expired: BTreeSet<u32>,
 }
 
 impl History {
-    /// Notes a request and numbers it.
+    /// Records a request and returns its number.
     pub(super) fn record_request(&mut self, command: Option<Command>) -> u64 {
         self.requests.push(Request { command, newest_answered: self.newest_answered, outcome: None });
         self.requests.len() as u64 - 1
@@ -40,7 +40,7 @@
         self.requests.get(usize::try_from(request).ok()?)?.outcome.as_ref()
     }
 
-    /// The newest revision that anyone has learned.
+    /// The newest committed value that any replica has learned.
     pub(super) fn newest(&self) -> Option<&Value> {
         self.values.last_key_value().map(|(_, value)| value)
     }
@@ -65,7 +65,7 @@
                 self.check_freshness(request, newest_answered, revision)
             }
             Outcome::Expired => {
-                // An ensured number may be there for another request's sake.
+                // Another request may have ensured the same number.
                 let own = command.filter(|command| !matches!(command, Command::Ensure(_)));
                 self.expired.extend(own.map(Command::entry));
                 self.check_expired()
@@ -74,7 +74,7 @@
         }
     }
 
-    /// An answer must not be older than any that was given before the request.
+    /// An answer must not be older than any answer before the request.
     fn check_freshness(
         &mut self,
         request: u64,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Notes a decided value.
+    /// Records a committed value.
     pub(super) fn record_committed(&mut self, value: &Value) -> Result<(), Violation> {
         let revision = value.revision;
         if let Some(known) = self.values.get(&revision) {
@@ -125,7 +125,7 @@
         effective.map_or(Ok(()), |entry| Err(Violation::Expired(entry)))
     }
 
-    /// The newest value has every number acknowledged up to its revision.
+    /// The newest value contains every number that was acknowledged up to its revision.
     fn check_acknowledged(&self) -> Result<(), Violation> {
         let Some(newest) = self.newest() else {
             return Ok(());
--- a/crates/coordination/src/simulation/machine.rs
+++ b/crates/coordination/src/simulation/machine.rs
@@ -1,4 +1,4 @@
-//! A simulated machine: a disk, and a process that comes and goes.
+//! A simulated machine: a disk, and a process that starts and dies.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -32,7 +32,7 @@
 pub(super) enum Event {
     /// A message arrives.
     Message { from: MachineIndex, bytes: Vec<u8> },
-    /// The write under way ends.
+    /// The write in flight ends.
     Written { incarnation: u64, token: u64 },
     /// A timer of the process fires.
     Wake { incarnation: u64, at: Duration },
@@ -42,15 +42,15 @@
     pub(super) index: MachineIndex,
     pub(super) disk: Disk,
     pub(super) replica: Option<Replica>,
-    /// Counts starts of the process.
+    /// Number of starts of the process.
     pub(super) incarnation: u64,
     pub(super) frozen: bool,
     pub(super) retired: bool,
-    /// Came in while frozen.
+    /// Events that arrived while the process was frozen.
     pub(super) backlog: VecDeque<Event>,
     /// The timer that is set.
     pub(super) wake_at: Option<Duration>,
-    /// The newest revision learned in this life.
+    /// The newest revision that this incarnation has learned.
     newest_committed: Option<u64>,
     /// The last request made here.
     pub(super) last_request: Option<u64>,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Starts the process with what the disk holds.
+    /// Starts the process with the record on disk.
     pub(super) fn start(&mut self, settings: Settings, now: Duration, nonce: u64) -> Result<(), Violation> {
         if self.replica.is_some() || self.retired {
             return Ok(());
@@ -107,7 +107,7 @@
         self.disk.directory.wipe();
     }
 
-    /// Hands an event to the process; a frozen one gets it later.
+    /// Passes an event to the process; a frozen one gets it later.
     pub(super) fn receive(&mut self, now: Duration, event: Event) -> Result<(), Violation> {
         if self.frozen {
             self.backlog.push_back(event);
@@ -122,7 +122,7 @@
         Ok(())
     }
 
-    /// What the process sees of an event, if anything.
+    /// The input that an event is for the process, if any.
     fn input(&mut self, event: Event) -> Result<Option<Input>, Violation> {
         match event {
             Event::Message { from, bytes } => {
@@ -152,7 +152,7 @@
         self.replica.as_mut()?.poll_output()
     }
 
-    /// Checks that the process never learns backwards.
+    /// Checks that the process never learns an older value than before.
     pub(super) fn record_committed(&mut self, revision: u64) -> Result<(), Violation> {
         match self.newest_committed.replace(revision) {
             Some(from) if from >= revision => {
--- a/crates/coordination/src/simulation/mod.rs
+++ b/crates/coordination/src/simulation/mod.rs
@@ -1,8 +1,9 @@
-//! Registers in simulated time: network, disks, processes and machines that fail on command.
+//! Registers under injected faults of network, disks, processes and machines, in simulated time.
 //!
-//! A [`Scenario`] is a list of steps, written by hand as text or drawn from a seed. [`World::play`] plays it and
-//! checks at every step that no revision has two values, that nothing acknowledged is lost or done twice, that
-//! reads are linearizable and that no replica learns backwards. Everything follows from the seed.
+//! A [`Scenario`] is a list of steps, written by hand as text or drawn from a seed ([`random_scenario`]).
+//! [`World::play`] plays it and checks at every step that no revision has two values, that no acknowledged change
+//! is lost or applied twice, that reads are linearizable and that no replica learns an older value than before;
+//! a [`Violation`] is the error. Everything follows from the seed.
 
 mod append;
 mod disk;
--- a/crates/coordination/src/simulation/network.rs
+++ b/crates/coordination/src/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: delay, loss, doubling and cuts.
+//! The simulated network: delay, loss, duplication and partitions.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// From now on messages from one machine to another are lost.
+    /// Loses all messages from one machine to another from now on.
     pub(super) fn block_link(&mut self, from: MachineIndex, to: MachineIndex) {
         self.blocked_links.insert((from, to));
     }
@@ -41,7 +41,7 @@
         *self = Self::new();
     }
 
-    /// After which times a message arrives: never, once or more often.
+    /// The delays after which the copies of a message arrive: none, one or two.
     pub(super) fn delivery_delays(
         &self,
         from: MachineIndex,
--- a/crates/coordination/src/simulation/scenario.rs
+++ b/crates/coordination/src/simulation/scenario.rs
@@ -7,26 +7,26 @@
 
 use super::step::Step;
 
-/// What is played.
+/// The machines of a run and the steps that happen to them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Scenario {
-    /// Machines that found the group.
+    /// Number of bootstrap members.
     pub founders: usize,
-    /// Machines that may join later.
+    /// Number of machines that may join later.
     pub spares: usize,
-    /// Sets delays, losses and all other chance.
+    /// Seed of all random choices during the run.
     pub seed: u64,
     /// The steps.
     pub steps: Vec<Step>,
 }
 
-/// Why a text is no scenario.
+/// Why a text is not a scenario.
 #[derive(Debug, Clone, Error, PartialEq, Eq)]
 pub enum ParseError {
     /// The first line must say `founders N spares N seed N`.
     #[error("line {0}: expected 'founders N spares N seed N'")]
     Header(usize),
-    /// A later line is no step.
+    /// A later line is not a step.
     #[error("line {0}: no such step: {1}")]
     Step(usize, String),
 }
--- a/crates/coordination/src/simulation/schedule.rs
+++ b/crates/coordination/src/simulation/schedule.rs
@@ -9,36 +9,36 @@
 /// Steps of a random scenario.
 const STEPS: usize = 60;
 
-/// First pause, in milliseconds, so that the founders have written their first record.
+/// First delay in milliseconds, in which the bootstrap members write their first record.
 const FIRST_DELAY: u64 = 50;
 
-/// Longest pause between steps that are close together, in milliseconds: some messages and writes.
+/// Longest delay in milliseconds between steps that are close together: some messages and writes.
 const MAX_SHORT_DELAY: u64 = 12;
 
-/// A pause for a few round trips, in milliseconds.
+/// A delay for a few round trips, in milliseconds.
 const ROUND_TRIPS: u64 = 40;
 
-/// A pause for a message to be sent again, in milliseconds.
+/// A delay for a retransmission, in milliseconds.
 const RETRY: u64 = 300;
 
-/// Share of the changes in a round that one machine takes.
+/// Fraction of the changes that go to the favourite machine.
 const FAVOURITE_PROBABILITY: f64 = 0.7;
 
-/// Share of the steps of a round that are played.
+/// Fraction of the steps of a round that are played.
 const KEEP_PROBABILITY: f64 = 0.9;
 
-/// What a random scenario has most of.
+/// The faults that a random scenario has most of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FaultMix {
     /// Everything.
     Any,
-    /// Lost disks while messages are under way.
+    /// Lost disks while messages are in flight.
     Wipes,
-    /// Processes that die while messages are under way.
+    /// Processes that die while messages are in flight.
     Restarts,
-    /// Changes of members.
+    /// Membership changes.
     Members,
-    /// Changes of members, and a loss before or after they have taken effect.
+    /// Membership changes, and a loss before or after they have taken effect.
     SecondLoss,
 }
 
@@ -54,15 +54,15 @@
     }
 }
 
-/// The cast of a random scenario.
+/// The machines of a random scenario.
 struct Participants {
     mix: FaultMix,
     count: usize,
-    /// Takes most requests where few kinds of steps come close together.
+    /// Gets most of the requests.
     favourite: MachineIndex,
 }
 
-/// A scenario drawn from a seed: requests and troubles in any order, then everything is mended.
+/// The random scenario of a seed: requests and faults in any order, then all faults end.
 #[must_use]
 pub fn random_scenario(seed: u64) -> Scenario {
     let mut random = SmallRng::seed_from_u64(seed);
@@ -155,12 +155,12 @@
     }
 }
 
-/// A pause about as long as a message or a write takes.
+/// A delay about as long as a message or a write takes.
 fn short_delay(random: &mut SmallRng) -> u64 {
     random.random_range(1..=MAX_SHORT_DELAY)
 }
 
-/// Any machines are parted from the others.
+/// A partition between a random set of machines and the others.
 fn partition(random: &mut SmallRng, count: usize) -> Step {
     let set = (0..count).filter(|_| random.random_bool(0.5));
     Step::Partition(set.fold(Machines::default(), Machines::with))
@@ -175,7 +175,7 @@
     });
 }
 
-/// Short pauses are as likely as long ones.
+/// A delay in milliseconds; short ones are as likely as long ones.
 fn random_delay(random: &mut SmallRng) -> u64 {
     let longest = [1, 4, 15, 60, 250, 1_000][random.random_range(0..6)];
     random.random_range(1..=longest)
--- a/crates/coordination/src/simulation/shrink.rs
+++ b/crates/coordination/src/simulation/shrink.rs
@@ -4,7 +4,7 @@
 use super::world::World;
 use crate::register::Fault;
 
-/// Leaves out steps as long as the rest still breaks a rule.
+/// Drops steps as long as the rest still violates a rule.
 #[must_use]
 pub fn shrink(scenario: &Scenario, fault: Option<Fault>) -> Scenario {
     let mut smallest = scenario.clone();
@@ -17,7 +17,7 @@
     smallest
 }
 
-/// Leaves out each run of `chunk` steps that is not needed; tells whether any was.
+/// Drops each run of `chunk` steps that is not needed; returns whether any was dropped.
 fn drop_steps(scenario: &mut Scenario, chunk: usize, fault: Option<Fault>) -> bool {
     let mut dropped = false;
     let mut start = 0;
--- a/crates/coordination/src/simulation/step/mod.rs
+++ b/crates/coordination/src/simulation/step/mod.rs
@@ -45,15 +45,15 @@
     Refused,
     /// Its last request read a value.
     Value,
-    /// Its last request was given up before it was proposed.
+    /// Its last request expired before it was proposed.
     Expired,
-    /// Its last request was given up without a clear answer.
+    /// Its last request timed out with an unknown outcome.
     Timeout,
     /// Its last request is not answered.
     Unanswered,
     /// It is a voting member.
     Member,
-    /// It is able to vote, but no member.
+    /// It is able to vote, but not a member.
     Spare,
     /// It is not able to vote yet.
     Recovering,
@@ -66,13 +66,13 @@
 pub enum Step {
     /// A new number is appended through a machine.
     Append(MachineIndex),
-    /// So many new numbers are appended through a machine, one every so many milliseconds.
+    /// New numbers are appended through a machine at a steady rate.
     Appends {
-        /// Takes the requests.
+        /// The machine that gets the requests.
         at: MachineIndex,
-        /// How many.
+        /// Number of requests.
         count: u32,
-        /// Time after each, in milliseconds.
+        /// Time between two requests, in milliseconds.
         every: u64,
     },
     /// A number is ensured through a machine: an old one if there is one.
@@ -81,27 +81,27 @@
     AppendIfEven(MachineIndex),
     /// The value is read through a machine.
     Read(MachineIndex),
-    /// A member is replaced by a spare, asked for at a machine.
+    /// A member is replaced by a spare, on a request to `via`.
     Replace {
         /// Leaves.
         old: MachineIndex,
         /// Joins.
         new: MachineIndex,
-        /// Takes the request.
+        /// The machine that gets the request.
         via: MachineIndex,
     },
-    /// A spare joins, asked for at a machine.
+    /// A spare joins, on a request to `via`.
     Grow {
         /// Joins.
         new: MachineIndex,
-        /// Takes the request.
+        /// The machine that gets the request.
         via: MachineIndex,
     },
-    /// A member leaves without a replacement, asked for at a machine.
+    /// A member leaves without a replacement, on a request to `via`.
     Leave {
         /// Leaves.
         old: MachineIndex,
-        /// Takes the request.
+        /// The machine that gets the request.
         via: MachineIndex,
     },
     /// Time passes, in milliseconds.
@@ -112,37 +112,37 @@
     Power(MachineIndex),
     /// The machine loses its disk.
     Wipe(MachineIndex),
-    /// The machine is gone for good.
+    /// The machine is lost for good.
     Retire(MachineIndex),
     /// The process starts.
     Start(MachineIndex),
-    /// The machine freezes.
+    /// The machine is suspended.
     Freeze(MachineIndex),
-    /// The machine wakes.
+    /// The machine resumes.
     Thaw(MachineIndex),
     /// Messages from one machine to another are lost.
     Cut(MachineIndex, MachineIndex),
     /// All messages from and to a machine are lost.
     Isolate(MachineIndex),
-    /// The machines of a set and the others no longer reach each other.
+    /// A partition: the machines of a set and the others no longer reach each other.
     Partition(Machines),
-    /// All cuts end.
+    /// All links work again.
     Heal,
-    /// So many of a hundred messages are lost.
+    /// This percentage of messages is lost.
     Loss(u8),
-    /// So many of a hundred messages arrive twice.
+    /// This percentage of messages arrives twice.
     Duplicate(u8),
-    /// Messages take from nothing up to so many milliseconds.
+    /// Messages take up to this many milliseconds.
     Delay(u64),
-    /// A write takes up to so many milliseconds.
+    /// A write takes up to this many milliseconds.
     Slow(MachineIndex, u64),
-    /// The disk answers nothing.
+    /// Writes do not complete.
     Stall(MachineIndex),
     /// The disk refuses writes.
     Full(MachineIndex),
-    /// The disk works.
+    /// The disk works again.
     Work(MachineIndex),
-    /// Everything is mended and started; all machines that are left must then serve.
+    /// All faults end and all processes start; all machines that are left must then serve.
     Quiesce,
     /// Something is expected of a machine.
     Expect(MachineIndex, Expectation),
--- a/crates/coordination/src/simulation/violation.rs
+++ b/crates/coordination/src/simulation/violation.rs
@@ -4,10 +4,10 @@
 
 use super::step::MachineIndex;
 
-/// A rule was broken.
+/// A rule that was violated.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Violation {
-    /// Two values were decided for one revision.
+    /// Two values were committed for one revision.
     #[error("revision {0} has two values")]
     TwoValues(u64),
     /// A value does not build on the one before.
@@ -18,13 +18,13 @@
         /// The revision after.
         later: u64,
     },
-    /// A number is in the list twice.
+    /// The list contains a number twice.
     #[error("number {0} took effect twice")]
     AppliedTwice(u32),
-    /// A number that was given up before it was proposed is in the list.
+    /// The list contains a number whose request expired before it was proposed.
     #[error("number {0} took effect after it had expired")]
     Expired(u32),
-    /// An acknowledged number is missing.
+    /// The list does not contain an acknowledged number.
     #[error("number {0}, acknowledged at revision {1}, is missing")]
     Lost(u32, u64),
     /// An answer is older than one given before the request.
@@ -47,7 +47,7 @@
         /// Learned after.
         to: u64,
     },
-    /// A request was answered twice, or one that was never made.
+    /// A request was answered twice, or was never made.
     #[error("request {0} was answered once too often")]
     UnexpectedAnswer(u64),
     /// The record on disk cannot be read.
@@ -56,10 +56,10 @@
     /// A message cannot be encoded or decoded.
     #[error("machine {0} sent an unreadable message")]
     Message(MachineIndex),
-    /// After everything was mended a machine does not serve.
-    #[error("machine {0} does not serve although everything is mended")]
+    /// A machine does not serve although all faults have ended.
+    #[error("machine {0} does not serve although all faults have ended")]
     Unavailable(MachineIndex),
-    /// An expectation of the scenario is not met.
+    /// An expectation of the scenario was not met.
     #[error("step {step}: expected '{expected}', found '{found}'")]
     UnmetExpectation {
         /// Number of the step, from one.
--- a/crates/coordination/src/simulation/world/driver.rs
+++ b/crates/coordination/src/simulation/world/driver.rs
@@ -10,6 +10,7 @@
 use crate::simulation::violation::Violation;
 
 impl World {
+    /// Passes an input to the replica on a machine, if its process runs.
     pub(super) fn input(&mut self, at: MachineIndex, input: Input) -> Result<(), Violation> {
         let now = self.now;
         if let Some(replica) = &mut self.machines[at].replica {
@@ -18,12 +19,13 @@
         self.flush(at)
     }
 
+    /// Delivers an event to a machine.
     pub(super) fn deliver(&mut self, at: MachineIndex, event: Event) -> Result<(), Violation> {
         self.machines[at].receive(self.now, event)?;
         self.flush(at)
     }
 
-    /// Carries out what a process ordered.
+    /// Carries out the outputs of a replica.
     pub(super) fn flush(&mut self, at: MachineIndex) -> Result<(), Violation> {
         while let Some(output) = self.machines[at].poll_output() {
             if let Some(observations) = &mut self.observations {
--- a/crates/coordination/src/simulation/world/fault_tolerance.rs
+++ b/crates/coordination/src/simulation/world/fault_tolerance.rs
@@ -1,4 +1,4 @@
-//! Which losses the groups still bear: a scenario does not go beyond, as too few would be left to recover from.
+//! The fault tolerance of the groups: a scenario loses no more disks than the others can recover from.
 
 use super::World;
 use crate::register::{Group, Node, Outcome, Record};
@@ -6,7 +6,7 @@
 use crate::simulation::machine::index_of;
 use crate::simulation::step::MachineIndex;
 
-/// A change of members that was asked for.
+/// A membership change that was requested.
 pub(super) struct RequestedMembershipChange {
     pub(super) request: u64,
     pub(super) remove: Vec<Node>,
@@ -27,7 +27,7 @@
         self.keeps_majorities(&groups, Some(lost))
     }
 
-    /// Whether a majority of every group keeps its record.
+    /// Whether a majority of every group has a record, apart from the machine `lost`.
     pub(super) fn keeps_majorities(&mut self, groups: &[Group], lost: Option<MachineIndex>) -> bool {
         let stored: Vec<bool> = (0..self.machines.len())
             .map(|at| Some(at) != lost && !self.groups_on_disk(at).is_empty())
@@ -36,20 +36,22 @@
         groups.iter().all(|group| kept(group) >= group.majority())
     }
 
-    /// Groups that any disk knows of, and those that changes under way may lead to in any order.
+    /// Groups in the records of all disks, and those that requested changes may lead to in any order.
     pub(super) fn possible_groups(&mut self) -> Vec<Group> {
         let mut groups: Vec<Group> =
             (0..self.machines.len()).flat_map(|at| self.groups_on_disk(at)).collect();
         groups.sort_by(|first, second| first.members().cmp(second.members()));
         groups.dedup();
-        let void = |outcome: &Outcome| matches!(outcome, Outcome::Refused { .. } | Outcome::Expired);
-        let changes =
-            self.changes.iter().filter(|change| !self.history.outcome(change.request).is_some_and(void));
+        let has_no_effect = |outcome: &Outcome| matches!(outcome, Outcome::Refused { .. } | Outcome::Expired);
+        let changes = self
+            .changes
+            .iter()
+            .filter(|change| !self.history.outcome(change.request).is_some_and(has_no_effect));
         let changes: Vec<&RequestedMembershipChange> = changes.collect();
         let mut next = 0;
         while let Some(group) = groups.get(next).cloned() {
             for changed in changes.iter().map(|change| change.apply(&group)) {
-                // A change that would leave nobody is refused.
+                // A change that would leave no member is refused.
                 if !changed.members().is_empty() && !groups.contains(&changed) {
                     groups.push(changed);
                 }
--- a/crates/coordination/src/simulation/world/requests.rs
+++ b/crates/coordination/src/simulation/world/requests.rs
@@ -13,6 +13,7 @@
 const DEADLINE: Duration = Duration::from_secs(4);
 
 impl World {
+    /// Proposes a command with a new number.
     pub(super) fn append(
         &mut self,
         at: MachineIndex,
@@ -22,12 +23,13 @@
         self.propose(at, command(self.next_entry))
     }
 
+    /// Proposes a command.
     pub(super) fn propose(&mut self, at: MachineIndex, command: Command) -> Result<(), Violation> {
         let input = |request, deadline| Input::Propose { request, command: command.encode(), deadline };
         self.request(at, Some(command), input)
     }
 
-    /// Asks for a change of members, unless too many of the new ones could be without a disk.
+    /// Requests a membership change, unless too many of the new members could be without a record.
     pub(super) fn change_members(
         &mut self,
         via: MachineIndex,
@@ -59,6 +61,7 @@
         self.request_until(at, command, self.now + DEADLINE, input)
     }
 
+    /// As [`Self::request`], with a deadline.
     pub(super) fn request_until(
         &mut self,
         at: MachineIndex,
--- a/crates/coordination/src/simulation/world/steps.rs
+++ b/crates/coordination/src/simulation/world/steps.rs
@@ -18,6 +18,7 @@
 const ENSURED: u32 = 4;
 
 impl World {
+    /// Executes the step of this number, counted from one.
     pub(super) fn step(&mut self, number: usize, step: Step) -> Result<(), Violation> {
         match step {
             Step::Append(at) => self.append(at, Command::Append),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Steps that only do harm.
+    /// Steps that only inject a fault, or end one of the network.
     fn apply_fault(&mut self, step: Step) {
         match step {
             Step::Kill(at) => self.machines[at].kill(&mut self.random),
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Cuts all links between the machines of a set and the others, and no further ones.
+    /// Blocks all links between the machines of a set and the others, and no other links.
     fn partition(&mut self, set: Machines) {
         self.network.heal();
         for from in 0..self.machines.len() {
@@ -89,6 +90,7 @@
         }
     }
 
+    /// Starts a process; peers that run are told that it is reachable.
     pub(super) fn start(&mut self, at: MachineIndex, bootstrap: bool) -> Result<(), Violation> {
         let seeds = (0..self.founders).map(node_of).collect();
         let settings = Settings { bootstrap, fault: self.fault, ..Settings::new(node_of(at), seeds) };
@@ -103,6 +105,7 @@
         self.flush(at)
     }
 
+    /// Resumes a process, which then gets the events that arrived meanwhile.
     pub(super) fn thaw(&mut self, at: MachineIndex) -> Result<(), Violation> {
         self.machines[at].frozen = false;
         let backlog = std::mem::take(&mut self.machines[at].backlog);
@@ -112,6 +115,7 @@
         Ok(())
     }
 
+    /// Ends the faults of a disk; a stalled write completes.
     pub(super) fn repair_disk(&mut self, at: MachineIndex) -> Result<(), Violation> {
         let stalled = self.machines[at].disk.stalled;
         self.machines[at].disk.repair();
