--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -1,107 +1,108 @@
-//! Fair-EDF admission: the requests that are held, one occupancy chart for each endpoint, and who gives way
-//! where a chart cannot be met.
+//! Fair-EDF admission control: the queued requests, one timeline for each endpoint, and which request yields when a
+//! timeline is overdue.
 
 use crate::endpoints::EndpointKey;
 use crate::interface::RequestId;
-use crate::tracked::Hold;
+use crate::pending_request::QueueEntry;
 use fair_edf::{MissRatios, Ns, VariableTimeline};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// A request on an overdue chart.
+/// A request on an overdue timeline.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Overdue {
     pub request: RequestId,
     pub route: Arc<str>,
     pub due: Ns,
-    /// Time for which it occupies the endpoint.
-    pub occupies: Ns,
+    /// Time for which it occupies the endpoint, ns.
+    pub occupancy: Ns,
 }
 
-/// What is held, and how each class has fared.
+/// The queued requests, and the miss ratio of each class. The class of a request is its route.
 #[derive(Debug, Default)]
 pub struct Admission {
-    charts: HashMap<EndpointKey, VariableTimeline<RequestId>>,
-    held: BTreeMap<Arc<str>, BTreeSet<(Ns, RequestId)>>,
+    timelines: HashMap<EndpointKey, VariableTimeline<RequestId>>,
+    queued: BTreeMap<Arc<str>, BTreeSet<(Ns, RequestId)>>,
     classes: HashMap<Arc<str>, MissRatios>,
 }
 
 impl Admission {
-    /// Holds a request; with an endpoint it stands on that one's chart for the time that it occupies.
-    pub fn insert(&mut self, backend: &Arc<str>, request: RequestId, hold: Hold, occupies: Ns) {
-        self.held.entry(backend.clone()).or_default().insert((hold.due, request));
-        if let Some(lane) = hold.lane {
-            self.charts.entry(lane).or_default().insert(hold.due, request, occupies);
+    /// Adds a request to the queue of its service. If its entry names an endpoint, the request also takes a slot of
+    /// length `occupancy` (ns) on the timeline of that endpoint.
+    pub fn insert(&mut self, backend: &Arc<str>, request: RequestId, entry: QueueEntry, occupancy: Ns) {
+        self.queued.entry(backend.clone()).or_default().insert((entry.due, request));
+        if let Some(endpoint) = entry.endpoint {
+            self.timelines.entry(endpoint).or_default().insert(entry.due, request, occupancy);
         }
     }
 
-    /// Holds a request no longer.
-    pub fn remove(&mut self, backend: &Arc<str>, request: RequestId, hold: Hold) {
-        if let Some(held) = self.held.get_mut(backend) {
-            held.remove(&(hold.due, request));
+    /// Removes a request from the queue and from its timeline.
+    pub fn remove(&mut self, backend: &Arc<str>, request: RequestId, entry: QueueEntry) {
+        if let Some(queued) = self.queued.get_mut(backend) {
+            queued.remove(&(entry.due, request));
         }
-        let Some(lane) = hold.lane else {
+        let Some(endpoint) = entry.endpoint else {
             return;
         };
-        if let Some(chart) = self.charts.get_mut(&lane) {
-            chart.remove(hold.due, request);
-            if chart.is_empty() {
-                self.charts.remove(&lane);
+        if let Some(timeline) = self.timelines.get_mut(&endpoint) {
+            timeline.remove(entry.due, request);
+            if timeline.is_empty() {
+                self.timelines.remove(&endpoint);
             }
         }
     }
 
-    /// Whether nothing is held for a service.
+    /// Whether no request is queued for a service.
     pub fn is_empty(&self, backend: &str) -> bool {
-        self.held.get(backend).is_none_or(BTreeSet::is_empty)
+        self.queued.get(backend).is_none_or(BTreeSet::is_empty)
     }
 
-    /// The services for which something is held.
+    /// The services with queued requests.
     pub fn backends(&self) -> Vec<Arc<str>> {
-        let held = self.held.iter().filter(|(_, requests)| !requests.is_empty());
-        held.map(|(backend, _)| backend.clone()).collect()
+        let queued = self.queued.iter().filter(|(_, requests)| !requests.is_empty());
+        queued.map(|(backend, _)| backend.clone()).collect()
     }
 
-    /// What is held for a service, by earliest deadline, at most so many.
+    /// At most `most` queued requests of a service, in order of their due time.
     pub fn by_deadline(&self, backend: &str, most: usize) -> Vec<RequestId> {
-        let held = self.held.get(backend).into_iter().flatten();
-        held.take(most).map(|&(_, request)| request).collect()
+        let queued = self.queued.get(backend).into_iter().flatten();
+        queued.take(most).map(|&(_, request)| request).collect()
     }
 
-    /// How long an endpoint is occupied by what is held for it.
-    pub fn backlog(&self, lane: EndpointKey, now: Ns) -> Ns {
-        let last = self.charts.get(&lane).and_then(|chart| chart.iter().last());
+    /// Time until the last slot on the timeline of an endpoint ends, ns.
+    pub fn backlog(&self, endpoint: EndpointKey, now: Ns) -> Ns {
+        let last = self.timelines.get(&endpoint).and_then(|timeline| timeline.iter().last());
         last.map_or(0, |(due, _)| (due - now).max(0))
     }
 
-    /// The requests on an endpoint's chart of which one cannot be met, with the time that each occupies.
-    pub fn overdue(&mut self, lane: EndpointKey, now: Ns) -> Option<Vec<(RequestId, Ns)>> {
-        self.charts.get_mut(&lane)?.overdue(now)
+    /// The requests of which at least one cannot meet its due time at the endpoint, each with its occupancy in ns.
+    pub fn overdue(&mut self, endpoint: EndpointKey, now: Ns) -> Option<Vec<(RequestId, Ns)>> {
+        self.timelines.get_mut(&endpoint)?.overdue(now)
     }
 
-    /// Counts a request of a class.
+    /// Records a request of a class.
     pub fn count_request(&mut self, route: &Arc<str>, now: Ns) {
         self.class(route).request(0, now);
     }
 
-    /// Counts a request of a class that was refused, failed or late.
+    /// Records a request of a class that was refused, failed or answered late.
     pub fn count_miss(&mut self, route: &Arc<str>, now: Ns) {
         self.class(route).miss(0, now);
     }
 
-    /// Share of the requests of a class that missed.
+    /// Fraction of the requests of a class that missed their target.
     pub fn miss_ratio(&self, route: &str) -> f64 {
         let class = self.classes.get(route);
         class.map_or_else(|| MissRatios::new(1).ratio(0), |ratios| ratios.ratio(0))
     }
 
-    /// Who gives way: of the class that has missed least, the one that occupies longest; of equals the one
-    /// that is due last.
+    /// The request that yields: of the class with the lowest miss ratio the one with the longest occupancy; ties go to the
+    /// latest due time.
     pub fn victim<'a>(&self, overdue: &'a [Overdue], by_class: bool) -> Option<&'a Overdue> {
-        let ratio = |held: &Overdue| if by_class { self.miss_ratio(&held.route) } else { 0.0 };
+        let ratio = |queued: &Overdue| if by_class { self.miss_ratio(&queued.route) } else { 0.0 };
         overdue.iter().min_by(|one, other| {
             let by_class = ratio(one).total_cmp(&ratio(other));
-            let by_length = other.occupies.cmp(&one.occupies);
+            let by_length = other.occupancy.cmp(&one.occupancy);
             by_class.then(by_length).then(other.due.cmp(&one.due)).then(other.request.cmp(&one.request))
         })
     }
--- a/crates/dispatch/src/demand.rs
+++ b/crates/dispatch/src/demand.rs
@@ -1,4 +1,4 @@
-//! Counts of what was asked for, by model and adapter, for the placement.
+//! Demand counters by model and adapter, which the placement uses.
 
 use crate::interface::Generation;
 use lanegate_config::demand::{DemandReport, ModelDemand};
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Requests since the last report; only models that were asked for take room.
+/// Requests since the last report, for the models that were requested.
 #[derive(Debug, Default)]
 pub struct DemandCounts {
     counts: BTreeMap<DemandKey, DemandCount>,
-    since: Duration,
+    period_start: Duration,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -34,42 +34,42 @@
 }
 
 impl DemandCounts {
-    /// When the present period began.
-    pub fn since(&self) -> Duration {
-        self.since
+    /// When the current reporting period began.
+    pub fn period_start(&self) -> Duration {
+        self.period_start
     }
 
-    /// Counts one request, and whether any endpoint can serve it now.
-    pub fn count(&mut self, backend: &Arc<str>, wanted: &Generation, placed: bool) {
+    /// Counts a request, and whether any endpoint can serve it now.
+    pub fn count(&mut self, backend: &Arc<str>, wanted: &Generation, is_resident: bool) {
         let count = self.counts.entry(DemandKey::of(backend, wanted)).or_default();
         count.requests += 1;
         count.tokens += u64::from(wanted.prompt_tokens) + u64::from(wanted.output_tokens);
-        count.unplaced += u32::from(!placed);
+        count.unplaced += u32::from(!is_resident);
     }
 
-    /// Counts a request that came in an earlier period and still waits for an endpoint that can serve it. What was
-    /// told of it before may have been lost.
+    /// Counts a request of an earlier period that is still queued because no endpoint can serve it. The report of that
+    /// period may have been lost.
     pub fn count_waiting(&mut self, backend: &Arc<str>, wanted: &Generation) {
         self.counts.entry(DemandKey::of(backend, wanted)).or_default().unplaced += 1;
     }
 
-    /// Whether something was asked for that no endpoint can serve now.
+    /// Whether a request was counted that no endpoint can serve.
     pub fn has_unplaced(&self) -> bool {
         self.counts.values().any(|count| count.unplaced > 0)
     }
 
-    /// Hands over the counts and starts anew.
+    /// Returns the report of the period that ends now, and starts a new period.
     pub fn take(&mut self, now: Duration) -> DemandReport {
-        let period = now.saturating_sub(std::mem::replace(&mut self.since, now));
+        let period = now.saturating_sub(std::mem::replace(&mut self.period_start, now));
         let counts = std::mem::take(&mut self.counts);
         DemandReport {
             period_ms: u32::try_from(period.as_millis()).unwrap_or(u32::MAX),
-            models: counts.into_iter().map(told).collect(),
+            models: counts.into_iter().map(model_demand).collect(),
         }
     }
 }
 
-fn told((key, count): (DemandKey, DemandCount)) -> ModelDemand {
+fn model_demand((key, count): (DemandKey, DemandCount)) -> ModelDemand {
     ModelDemand {
         backend: key.backend.as_ref().to_owned(),
         model: key.model.as_ref().to_owned(),
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,24 +1,24 @@
-//! The dispatcher: one state machine that holds requests and decides for each.
+//! The state machine that queues requests and decides what happens to each.
 //!
-//! A request ends by `Answered`, by `cancel`, or by one of the decisions `Refuse` and `Fail`; nothing more is
-//! decided for it afterwards. A `Send` with a higher attempt, a `Refuse` or a `Fail` for a request with an
-//! attempt under way means that the attempt is given up: its connection is to be closed, and its reports
-//! are ignored.
-
-mod ending;
-mod learning;
-mod placing;
+//! A request ends by [`AttemptEnd::Answered`], by [`Dispatcher::cancel`], or by one of the decisions
+//! [`Decision::Refuse`] and [`Decision::Fail`]. No decision about it follows. A `Send` with a higher attempt number, a
+//! `Refuse` or a `Fail` for a request with an attempt in flight abandons that attempt: the caller closes its connection,
+//! and reports about it are ignored.
+
+mod assignment;
+mod attempt_end;
+mod observations;
 mod timing;
 
 use crate::admission::Admission;
-use crate::agenda::Agenda;
-use crate::choice;
+use crate::client_timeout::ClientTimeouts;
 use crate::demand::DemandCounts;
+use crate::endpoint_selection;
 use crate::fleet::Fleet;
 use crate::interface::{AttemptEnd, Decision, Progress, Request, RequestId};
-use crate::patience::Patience;
+use crate::pending_request::PendingRequest;
 use crate::settings::DispatchSettings;
-use crate::tracked::Tracked;
+use crate::timer_queue::TimerQueue;
 use crate::units::nanoseconds;
 use lanegate_config::demand::DemandReport;
 use lanegate_config::feed::FeedEvent;
@@ -27,89 +27,89 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Decides for one router.
+/// Decides for one router which endpoint gets each request, and when.
 pub struct Dispatcher {
     fleet: Fleet,
-    requests: HashMap<RequestId, Tracked>,
+    requests: HashMap<RequestId, PendingRequest>,
     admission: Admission,
-    agenda: Agenda,
+    timers: TimerQueue,
     demand: DemandCounts,
-    patience: Patience,
+    client_timeouts: ClientTimeouts,
     decisions: Vec<Decision>,
-    /// Whether all that the control plane knows has been told.
+    /// Whether the feed has delivered its complete state.
     synchronized: bool,
-    /// When it was last noticed that the process had stood still.
-    stood_still: Duration,
-    /// When answers have to be whole because the process ends, once it was asked to.
+    /// When a stall of the process was last detected.
+    last_stall: Duration,
+    /// When all answers have to be complete because the process shuts down, once that was requested.
     end: Option<Duration>,
     violations: Violations,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows no endpoints yet.
+    /// A dispatcher without endpoints.
     pub fn new(settings: DispatchSettings, seed: u64) -> Self {
         Dispatcher {
             fleet: Fleet::new(settings, seed),
             requests: HashMap::new(),
             admission: Admission::default(),
-            agenda: Agenda::default(),
+            timers: TimerQueue::default(),
             demand: DemandCounts::default(),
-            patience: Patience::default(),
+            client_timeouts: ClientTimeouts::default(),
             decisions: Vec::new(),
             synchronized: false,
-            stood_still: Duration::ZERO,
+            last_stall: Duration::ZERO,
             end: None,
             violations: Violations::default(),
         }
     }
 
-    /// The process was asked to end: what may not be answered whole by `end` is refused while it has not run. No
-    /// stream is begun any more, as nothing bounds its time.
+    /// Starts the shutdown. Requests that may not be answered completely by `end` are refused unless they may have run. No
+    /// stream is started from now on, because nothing bounds its duration.
     pub fn end_by(&mut self, now: Duration, end: Duration) {
-        self.notice_stall(now);
+        self.detect_stall(now);
         self.end = Some(end);
         for backend in self.admission.backends() {
-            self.reconsider(now, &backend);
+            self.reassign_queued(now, &backend);
         }
     }
 
-    /// Counts violated invariants in `violations`.
+    /// Counts violations of invariants in `violations`.
     pub fn counting_violations(self, violations: Violations) -> Self {
         Dispatcher { violations, ..self }
     }
 
-    /// Whether a mechanism works here.
+    /// Whether a mechanism is switched on.
     pub fn uses(&self, mechanism: Mechanism) -> bool {
         self.fleet.uses(mechanism)
     }
 
-    /// Requests that are at no endpoint now.
-    pub(crate) fn held_requests(&self) -> usize {
-        self.requests.values().filter(|tracked| tracked.hold().is_some()).count()
+    /// Requests without an attempt in flight.
+    pub(crate) fn queued_requests(&self) -> usize {
+        self.requests.values().filter(|pending| pending.queue_entry().is_some()).count()
     }
 
-    /// What is known of endpoints and services.
+    /// The known endpoints and services.
     pub(crate) fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Takes news of the control plane in.
+    /// Applies an event of the feed.
     pub fn apply(&mut self, now: Duration, event: &FeedEvent) {
-        self.notice_stall(now);
+        self.detect_stall(now);
         match event {
             FeedEvent::Instance(instance) => {
                 if self.fleet.register(now, instance) {
-                    self.reconsider(now, &instance.backend.as_str().into());
+                    self.reassign_queued(now, &instance.backend.as_str().into());
                 }
             }
             FeedEvent::Removed { id } => {
                 if let Some((_, endpoint)) = self.fleet.remove(id) {
-                    self.reconsider(now, &endpoint.backend);
+                    self.reassign_queued(now, &endpoint.backend);
                 }
             }
             FeedEvent::Configuration(configuration) => {
                 self.fleet.configure(configuration);
-                self.patience.configure(configuration);
+                self.client_timeouts.configure(configuration);
             }
             FeedEvent::Routers { live: 0 } | FeedEvent::Behind { .. } | FeedEvent::AgentLink { .. } => {}
             FeedEvent::Routers { live } => self.fleet.live_routers = Some(*live),
@@ -117,97 +117,99 @@
         }
     }
 
-    /// Takes a new request.
+    /// Accepts a new request and decides for it.
     pub fn submit(&mut self, now: Duration, request: Request) {
-        self.notice_stall(now);
+        self.detect_stall(now);
         let id = request.id;
         let bounds = self.fleet.budget_bounds;
         self.admission.count_request(&request.route, nanoseconds(now));
-        self.fleet.service_mut(&request.backend).budget.request(now, &bounds);
-        let tracked = Tracked::new(request);
-        if let Some(wanted) = &tracked.request.generation {
-            let placed = choice::is_placed(&self.fleet, &tracked);
-            self.demand.count(&tracked.request.backend, wanted, placed);
+        self.fleet.service_mut(&request.backend).budget.record_request(now, &bounds);
+        let pending = PendingRequest::new(request);
+        if let Some(wanted) = &pending.request.generation {
+            let placed = endpoint_selection::is_resident(&self.fleet, &pending);
+            self.demand.count(&pending.request.backend, wanted, placed);
         }
-        self.requests.insert(id, tracked);
-        self.place(now, id);
+        self.requests.insert(id, pending);
+        self.assign(now, id);
     }
 
-    /// Takes news of an attempt before its end.
+    /// Reports the progress of an attempt. Reports about abandoned attempts are ignored.
     pub fn progress(&mut self, now: Duration, request: RequestId, attempt: u32, progress: Progress) {
-        self.notice_stall(now);
-        let Some(flight) = self.flight(request, attempt) else {
+        self.detect_stall(now);
+        let Some(flight) = self.current_attempt(request, attempt) else {
             return;
         };
         match progress {
-            Progress::Head { load } => self.head_arrived(now, flight.endpoint, load),
-            Progress::FirstByte => self.first_byte_arrived(now, request),
+            Progress::Head { load } => self.on_head(now, flight.endpoint, load),
+            Progress::FirstByte => self.on_first_byte(now, request),
         }
     }
 
-    /// Takes the end of an attempt.
+    /// Reports the end of an attempt. Reports about abandoned attempts are ignored.
     pub fn ended(&mut self, now: Duration, request: RequestId, attempt: u32, end: AttemptEnd) {
-        self.notice_stall(now);
-        let Some(flight) = self.flight(request, attempt) else {
+        self.detect_stall(now);
+        let Some(flight) = self.current_attempt(request, attempt) else {
             return;
         };
         let backend = self.requests[&request].request.backend.clone();
-        self.settle(now, request, flight, end);
-        self.release(now, &backend, flight.endpoint);
+        self.conclude_attempt(now, request, flight, end);
+        self.on_capacity_freed(now, &backend, flight.endpoint);
     }
 
-    /// The client left: nothing more is decided for the request.
+    /// The client has disconnected: nothing more is decided for the request.
     pub fn cancel(&mut self, now: Duration, request: RequestId) {
-        self.notice_stall(now);
-        let Some(tracked) = self.requests.get(&request) else {
+        self.detect_stall(now);
+        let Some(pending) = self.requests.get(&request) else {
             return;
         };
-        let backend = tracked.request.backend.clone();
-        let freed = tracked.flight().map(|flight| flight.endpoint);
-        self.forget(request);
+        let backend = pending.request.backend.clone();
+        let freed = pending.attempt().map(|flight| flight.endpoint);
+        self.remove_request(request);
         if let Some(freed) = freed {
-            self.release(now, &backend, freed);
+            self.on_capacity_freed(now, &backend, freed);
         }
     }
 
-    /// The time told by `next_wake` has come.
+    /// Handles all timers that have expired; called at the time that [`Dispatcher::next_wake`] returns.
     pub fn wake(&mut self, now: Duration) {
-        self.notice_stall(now);
-        for id in self.agenda.due(now) {
-            self.look_at(now, id);
+        self.detect_stall(now);
+        for id in self.timers.due(now) {
+            self.on_timer(now, id);
         }
     }
 
-    /// Hands over what is to be done, in order.
+    /// Returns the decisions since the last call, in order.
     pub fn take_decisions(&mut self) -> Vec<Decision> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// When `wake` is to be called, if nothing else happens before.
+    /// When [`Dispatcher::wake`] has to be called next.
     pub fn next_wake(&self) -> Option<Duration> {
-        self.agenda.next()
+        self.timers.next()
     }
 
-    /// Whether the next report tells of demand that no endpoint can serve, and should not wait.
+    /// Whether the next report contains demand that no endpoint can serve, so that it should be sent at once.
     pub fn has_unplaced_demand(&self) -> bool {
         self.demand.has_unplaced()
     }
 
-    /// Counts again what waits for a model or an adapter that no endpoint holds.
+    /// Counts the requests of earlier periods that wait for a model or an adapter that no endpoint has loaded.
     fn count_waiting(&mut self) {
-        let since = self.demand.since();
-        let waits = |tracked: &&Tracked| {
-            let unserved = tracked.hold().is_some_and(|hold| hold.lane.is_none());
-            unserved && tracked.request.arrived < since && !choice::is_placed(&self.fleet, tracked)
+        let period_start = self.demand.period_start();
+        let waits = |pending: &&PendingRequest| {
+            let unserved = pending.queue_entry().is_some_and(|entry| entry.endpoint.is_none());
+            unserved
+                && pending.request.arrived < period_start
+                && !endpoint_selection::is_resident(&self.fleet, pending)
         };
-        for tracked in self.requests.values().filter(waits) {
-            if let Some(wanted) = &tracked.request.generation {
-                self.demand.count_waiting(&tracked.request.backend, wanted);
+        for pending in self.requests.values().filter(waits) {
+            if let Some(wanted) = &pending.request.generation {
+                self.demand.count_waiting(&pending.request.backend, wanted);
             }
         }
     }
 
-    /// The demand since the last report, and what still waits of the demand before.
+    /// The demand since the last report, and the older requests that still wait.
     pub fn demand_report(&mut self, now: Duration) -> DemandReport {
         self.count_waiting();
         self.demand.take(now)
--- a/crates/dispatch/src/dispatcher/timing.rs
+++ b/crates/dispatch/src/dispatcher/timing.rs
@@ -1,199 +1,199 @@
-//! What happens as time passes: the end of a hold, the last moment for an offer, silence, the deadline.
+//! Timers: the end of the queueing time, the last attempt in time, the response time-out and the deadline.
 
 use super::Dispatcher;
-use super::placing::{REFUSAL_PART, hang};
-use crate::choice::{self, Candidate, Verdict};
-use crate::health::{Fault, Standing};
+use super::assignment::{EARLY_REFUSAL_DIVISOR, response_timeout};
+use crate::endpoint_selection::{self, Candidate, Selection};
+use crate::health::{Failure, HealthStatus};
 use crate::interface::{FailReason, RequestId};
-use crate::tracked::{Flight, Phase, Tracked};
+use crate::pending_request::{Attempt, PendingRequest, Phase};
 use crate::units::seconds;
 use lanegate_config::mechanism::Mechanism;
 use std::time::Duration;
 
-/// A wake later than this tells that the process stood still: what arrived meanwhile is heard first.
-const OVERSLEPT: Duration = Duration::from_millis(150);
+/// A timer that fires later than this shows that the process was stalled.
+const STALL_THRESHOLD: Duration = Duration::from_millis(150);
 
-/// Time for the news that waited while the process stood still.
-const CATCH_UP: Duration = Duration::from_millis(200);
+/// After a stall, time to process the input that arrived during the stall before anything counts as timed out.
+const STALL_GRACE: Duration = Duration::from_millis(200);
 
-/// Time before the end at which a request that can't be served any more is answered, at least.
-const CLOSING_MARGIN: Duration = Duration::from_millis(5);
+/// Shortest margin before the deadline at which a request that cannot be served is answered.
+const MIN_ANSWER_MARGIN: Duration = Duration::from_millis(5);
 
-/// Part of a request's time that is kept for the answer at most.
-const CLOSING_PART: u32 = 4;
+/// The margin is at most this part of the time that the request has.
+const ANSWER_MARGIN_DIVISOR: u32 = 4;
 
-/// What others take of an endpoint changes unheard, unless an own request there will tell: the time after which
-/// to look again.
-const UNTOLD: Duration = Duration::from_millis(100);
+/// The load by other routers changes unnoticed unless a request of this router is in flight there: interval of the
+/// checks in that case.
+const IDLE_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Part of the objective kept for the answer to an offer, at least.
-const OFFER_PART: u32 = 10;
+/// The last attempt in time leaves at least this part of the latency target for the answer.
+const ANSWER_RESERVE_DIVISOR: u32 = 10;
 
-/// Before the end of the process an answer is taken to last this many times as long as expected, and a margin
-/// more.
-const END_CAUTION: u32 = 2;
-const END_MARGIN: Duration = Duration::from_millis(250);
+/// During shutdown an answer is assumed to take this factor times its expected duration, plus a margin.
+const SHUTDOWN_SAFETY_FACTOR: u32 = 2;
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(250);
 
 impl Dispatcher {
-    /// Notices that the process stood still, by what it should have done meanwhile.
-    pub(super) fn notice_stall(&mut self, now: Duration) {
-        let overslept = self.agenda.next().map_or(Duration::ZERO, |at| now.saturating_sub(at));
-        if overslept > OVERSLEPT {
-            self.stood_still = now;
+    /// Detects a stall of the process by a timer that is overdue.
+    pub(super) fn detect_stall(&mut self, now: Duration) {
+        let overdue_by = self.timers.next().map_or(Duration::ZERO, |at| now.saturating_sub(at));
+        if overdue_by > STALL_THRESHOLD {
+            self.last_stall = now;
         }
     }
 
-    /// Whether the process stood still during an attempt, so that its times tell nothing.
-    pub(super) fn spans_stall(&self, flight: &Flight) -> bool {
-        flight.sent < self.stood_still
+    /// Whether the process was stalled during an attempt, so that its times mean nothing.
+    pub(super) fn spans_stall(&self, attempt: &Attempt) -> bool {
+        attempt.sent < self.last_stall
     }
 
-    /// Looks at a request whose booked moment has come.
-    pub(super) fn look_at(&mut self, now: Duration, id: RequestId) {
-        let Some(tracked) = self.requests.get(&id) else {
+    /// Handles the expiry of the timer of a request.
+    pub(super) fn on_timer(&mut self, now: Duration, id: RequestId) {
+        let Some(pending) = self.requests.get(&id) else {
             return;
         };
-        match tracked.phase {
-            Phase::Sent(flight) if tracked.request.deadline <= now => {
-                let backend = tracked.request.backend.clone();
-                self.give_up(now, id, FailReason::Deadline, Duration::ZERO);
-                self.release(now, &backend, flight.endpoint);
+        match pending.phase {
+            Phase::InFlight(attempt) if pending.request.deadline <= now => {
+                let backend = pending.request.backend.clone();
+                self.refuse_or_fail(now, id, FailReason::Deadline, Duration::ZERO);
+                self.on_capacity_freed(now, &backend, attempt.endpoint);
             }
-            Phase::Sent(flight) => self.check_silence(now, id, flight),
-            Phase::Held(_) => self.replace(now, id),
+            Phase::InFlight(attempt) => self.check_response_timeout(now, id, attempt),
+            Phase::Queued(_) => self.reassign(now, id),
         }
     }
 
-    /// When a held request is answered at the latest: while there is time for a first byte, and for the whole
-    /// answer before the process ends.
-    pub(super) fn closing(&self, tracked: &Tracked, found: &[Candidate]) -> Duration {
+    /// When a queued request is answered at the latest: while there is time for a first byte and, during shutdown, for a
+    /// complete answer.
+    pub(super) fn answer_by(&self, pending: &PendingRequest, candidates: &[Candidate]) -> Duration {
         let ends = match self.fleet.uses(Mechanism::ClientTimeout) {
-            true => self.patience.ends(tracked),
-            false => tracked.request.deadline,
+            true => self.client_timeouts.expires_at(pending),
+            false => pending.request.deadline,
         };
-        let usual = found.iter().map(|candidate| candidate.expected).min().unwrap_or_default();
-        let whole = ends.saturating_sub(tracked.request.arrived);
-        let closing = ends.saturating_sub(usual.min(whole / CLOSING_PART).max(CLOSING_MARGIN));
-        self.last_start(tracked, usual).map_or(closing, |last| last.min(closing))
+        let usual = candidates.iter().map(|candidate| candidate.expected).min().unwrap_or_default();
+        let whole = ends.saturating_sub(pending.request.arrived);
+        let answer_by = ends.saturating_sub(usual.min(whole / ANSWER_MARGIN_DIVISOR).max(MIN_ANSWER_MARGIN));
+        self.latest_start(pending, usual).map_or(answer_by, |last| last.min(answer_by))
     }
 
-    /// When a request has to be sent at the latest to be answered whole before the process ends; `None` while
-    /// the process goes on, and for what may have run: that could no longer be refused. For what is open-ended it
-    /// is too late at once.
-    fn last_start(&self, tracked: &Tracked, first_byte: Duration) -> Option<Duration> {
-        let end = self.end.filter(|_| !tracked.may_have_run)?;
-        if tracked.is_open_ended() {
+    /// The latest time at which a request can be sent and still be answered completely before the shutdown. `None` without a
+    /// shutdown, and for a request that may have run, which cannot be refused. Zero if its duration is unbounded.
+    fn latest_start(&self, pending: &PendingRequest, first_byte: Duration) -> Option<Duration> {
+        let end = self.end.filter(|_| !pending.may_have_run)?;
+        if pending.has_unbounded_duration() {
             return Some(Duration::ZERO);
         }
-        let served = seconds(self.fleet.service(&tracked.request.backend).served.seconds());
-        Some(end.saturating_sub((first_byte + served) * END_CAUTION + END_MARGIN))
+        let service_time = seconds(self.fleet.service(&pending.request.backend).service_time.seconds());
+        Some(end.saturating_sub((first_byte + service_time) * SHUTDOWN_SAFETY_FACTOR + SHUTDOWN_MARGIN))
     }
 
-    /// When to look at a held request next.
-    pub(super) fn next_look(
+    /// When to examine a queued request next.
+    pub(super) fn next_timer(
         &self,
         now: Duration,
         id: RequestId,
-        lane: Option<&Candidate>,
-        found: &[Candidate],
+        endpoint: Option<&Candidate>,
+        candidates: &[Candidate],
     ) -> Duration {
-        let tracked = &self.requests[&id];
-        let mut next = self.closing(tracked, found);
+        let pending = &self.requests[&id];
+        let mut next = self.answer_by(pending, candidates);
         let mut consider = |at: Duration| {
             if at > now {
                 next = next.min(at);
             }
         };
-        match lane {
-            Some(candidate) if tracked.attempts == 0 => consider(offer_at(tracked, candidate.expected)),
+        match endpoint {
+            Some(candidate) if pending.attempts == 0 => {
+                consider(last_attempt_time(pending, candidate.expected))
+            }
             Some(_) => {}
-            None => consider(tracked.request.arrived + tracked.aim() / REFUSAL_PART),
+            None => consider(pending.request.arrived + pending.latency_target() / EARLY_REFUSAL_DIVISOR),
         }
-        found.iter().for_each(|candidate| consider(reopens(candidate)));
-        if lane.is_some_and(|candidate| self.fleet.load(candidate.key).in_flight == 0) {
-            consider(now + UNTOLD);
+        candidates.iter().for_each(|candidate| consider(available_at(candidate)));
+        if endpoint.is_some_and(|candidate| self.fleet.load(candidate.key).in_flight == 0) {
+            consider(now + IDLE_RECHECK_INTERVAL);
         }
-        if tracked.is_repeat() {
-            let budget = &self.fleet.service(&tracked.request.backend).budget;
-            budget.eases_at(now, &self.fleet.budget_bounds).into_iter().for_each(consider);
+        if pending.is_retry() {
+            let budget = &self.fleet.service(&pending.request.backend).budget;
+            budget.next_expiry(now, &self.fleet.budget_bounds).into_iter().for_each(consider);
         }
         next
     }
 
-    /// Whether a request that was sent nowhere must be offered to this endpoint now, whatever its load, to be
-    /// answered within its objective.
-    pub(super) fn must_offer(&self, now: Duration, id: RequestId, candidate: &Candidate) -> bool {
-        let tracked = &self.requests[&id];
-        let last_moment = offer_at(tracked, candidate.expected);
+    /// Whether a request without an attempt has to be sent to this endpoint now, whatever its load, to meet its latency
+    /// target.
+    pub(super) fn must_attempt_now(&self, now: Duration, id: RequestId, candidate: &Candidate) -> bool {
+        let pending = &self.requests[&id];
+        let last_moment = last_attempt_time(pending, candidate.expected);
         let offers = self.fleet.uses(Mechanism::LastOffer);
-        offers && tracked.attempts == 0 && now >= last_moment && now < tracked.request.target
+        offers && pending.attempts == 0 && now >= last_moment && now < pending.request.target
     }
 
-    /// Nothing came for much longer than expected. Where the endpoint told nothing else either, it is taken
-    /// as silent, and what may run again goes elsewhere.
-    fn check_silence(&mut self, now: Duration, id: RequestId, flight: Flight) {
-        if flight.first_byte.is_some() {
-            return self.book_flight(id, None);
+    /// Handles a response time-out. If the endpoint sent nothing else either, it counts as failed, and a request that may
+    /// run twice is sent to another endpoint.
+    fn check_response_timeout(&mut self, now: Duration, id: RequestId, attempt: Attempt) {
+        if attempt.first_byte.is_some() {
+            return self.schedule_attempt_timer(id, None);
         }
-        let heard_by = self.stood_still + CATCH_UP;
-        if self.spans_stall(&flight) && now < heard_by {
-            return self.book_flight(id, Some(heard_by));
+        let heard_by = self.last_stall + STALL_GRACE;
+        if self.spans_stall(&attempt) && now < heard_by {
+            return self.schedule_attempt_timer(id, Some(heard_by));
         }
-        let health = &self.fleet.load(flight.endpoint).health;
-        let silent = health.heard_at() < flight.sent;
-        if silent && (!health.is_out() || flight.is_trial) {
-            self.fleet.failed(now, flight.endpoint, Fault::Silent);
+        let health = &self.fleet.load(attempt.endpoint).health;
+        let silent = health.last_activity() < attempt.sent;
+        if silent && (!health.is_ejected() || attempt.is_trial) {
+            self.fleet.record_failure(now, attempt.endpoint, Failure::Timeout);
         }
-        if silent && self.try_elsewhere(now, id, flight) {
+        if silent && self.retry_elsewhere(now, id, attempt) {
             return;
         }
-        let again = self.requests[&id].is_repeatable().then(|| now + hang(flight.expected));
-        self.book_flight(id, again);
+        let again = self.requests[&id].is_retryable().then(|| now + response_timeout(attempt.expected));
+        self.schedule_attempt_timer(id, again);
     }
 
-    /// Gives a silent attempt up for another endpoint, where the rules, the budget and the load allow it.
-    fn try_elsewhere(&mut self, now: Duration, id: RequestId, flight: Flight) -> bool {
-        let tracked = &self.requests[&id];
-        let may_leave = self.fleet.uses(Mechanism::ResponseTimeoutRetry) && tracked.is_repeatable();
-        if !may_leave || !self.affords(now, id) {
+    /// Abandons a timed-out attempt for another endpoint, if the attempt limit, the retry budget and the load allow it.
+    fn retry_elsewhere(&mut self, now: Duration, id: RequestId, attempt: Attempt) -> bool {
+        let pending = &self.requests[&id];
+        let may_leave = self.fleet.uses(Mechanism::ResponseTimeoutRetry) && pending.is_retryable();
+        if !may_leave || !self.is_within_retry_budget(now, id) {
             return false;
         }
-        let mut found = choice::candidates(&self.fleet, now, tracked);
-        found.retain(|candidate| candidate.key != flight.endpoint && candidate.is_in());
-        let Verdict::Send(candidate) = choice::decide(now, tracked, &found) else {
+        let mut candidates = endpoint_selection::candidates(&self.fleet, now, pending);
+        candidates.retain(|candidate| candidate.key != attempt.endpoint && candidate.is_in_rotation());
+        let Selection::Dispatch(candidate) = endpoint_selection::select(now, pending, &candidates) else {
             return false;
         };
-        self.fleet.leave(flight.endpoint, flight.footprint);
-        if let Some(tracked) = self.requests.get_mut(&id) {
-            tracked.may_have_run = true;
-            tracked.avoided.push(flight.endpoint);
+        self.fleet.end_request(attempt.endpoint, attempt.requirement);
+        if let Some(pending) = self.requests.get_mut(&id) {
+            pending.may_have_run = true;
+            pending.excluded_endpoints.push(attempt.endpoint);
         }
         self.send(now, id, candidate);
         true
     }
 
-    /// Books the next look at a request under way: a check of silence, or its deadline.
-    pub(super) fn book_flight(&mut self, id: RequestId, check: Option<Duration>) {
-        let Some(tracked) = self.requests.get_mut(&id) else {
+    /// Sets the timer of a request in flight: a response time-out, or its deadline.
+    pub(super) fn schedule_attempt_timer(&mut self, id: RequestId, check: Option<Duration>) {
+        let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
-        let deadline = tracked.request.deadline;
+        let deadline = pending.request.deadline;
         let next = check.map_or(deadline, |check| check.min(deadline));
-        self.agenda.book(id, &mut tracked.booked, Some(next));
+        self.timers.schedule(id, &mut pending.scheduled_at, Some(next));
     }
 }
 
-/// When an endpoint that is closed or left out may take requests again.
-fn reopens(candidate: &Candidate) -> Duration {
-    match candidate.standing {
-        Standing::Out { until } => candidate.closed_until.max(until),
-        _ => candidate.closed_until,
+/// When an endpoint in backoff or ejection may get requests again.
+fn available_at(candidate: &Candidate) -> Duration {
+    match candidate.health {
+        HealthStatus::Ejected { until } => candidate.backoff_until.max(until),
+        _ => candidate.backoff_until,
     }
 }
 
-/// The last moment at which an offer can be answered within the objective.
-fn offer_at(tracked: &Tracked, expected: Duration) -> Duration {
-    let aim = tracked.aim();
-    let kept = expected.max(aim / OFFER_PART).min(aim / 2);
-    tracked.request.target.saturating_sub(kept)
+/// The latest time at which an attempt can be answered within the latency target.
+fn last_attempt_time(pending: &PendingRequest, expected: Duration) -> Duration {
+    let latency_target = pending.latency_target();
+    let kept = expected.max(latency_target / ANSWER_RESERVE_DIVISOR).min(latency_target / 2);
+    pending.request.target.saturating_sub(kept)
 }
--- a/crates/dispatch/src/endpoints.rs
+++ b/crates/dispatch/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints that are known from the feed, by service.
+//! The table of the endpoints that the feed announced, by service.
 
 use crate::rendezvous::stable_hash;
 use crate::units::milliseconds;
@@ -8,11 +8,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Heartbeats after which an endpoint in whose place another answered is believed to live all the same: the
-/// first may have been on its way.
-const SIGNS_OF_LIFE: u64 = 2;
+/// Heartbeats after which a replaced endpoint counts as alive again. One heartbeat is not enough: it may have been in
+/// flight when the other incarnation answered.
+const REVIVAL_HEARTBEATS: u64 = 2;
 
-/// Number of an endpoint in the table; never used twice in a process.
+/// Key of an endpoint in the table; never reused in a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EndpointKey(pub u64);
 
@@ -20,20 +20,20 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
     pub id: Arc<str>,
-    /// Of the id; the same in every router.
+    /// Stable hash of the id; the same in every router.
     pub hash: u64,
     pub backend: Arc<str>,
     pub address: SocketAddr,
     pub zone: Arc<str>,
-    /// Requests that it works on at the same time.
+    /// Requests that it processes concurrently.
     pub capacity: u32,
     pub state: InstanceState,
-    /// When it stops being slow after its start.
+    /// When its warm-up ends.
     pub warm_at: Duration,
     pub models: Vec<ResidentModel>,
-    /// Of the newest registration when another incarnation answered in its place, so that this one is gone.
+    /// Sequence of the newest registration when another incarnation answered at its address; `None` unless replaced.
     pub replaced_at: Option<u64>,
-    /// Of the newest registration taken.
+    /// Sequence of the newest registration that was applied.
     pub sequence: u64,
 }
 
@@ -43,17 +43,17 @@
         self.state == InstanceState::Ready && self.replaced_at.is_none()
     }
 
-    /// Whether it holds the model and, where one is asked for, the adapter.
-    pub fn holds(&self, model: &str, adapter: Option<&str>) -> bool {
+    /// Whether it has loaded the model and, if one is given, the adapter.
+    pub fn has_model(&self, model: &str, adapter: Option<&str>) -> bool {
         instance::is_resident(&self.models, model, adapter)
     }
 
-    /// Takes a newer registration of the same incarnation in; an endpoint that drains never comes back.
-    fn renew(&mut self, now: Duration, instance: &Instance) -> TableChange {
+    /// Applies a newer registration of the same incarnation. An endpoint that drains never becomes ready again.
+    fn update(&mut self, now: Duration, instance: &Instance) -> TableChange {
         let drains = self.state == InstanceState::Draining || instance.state == InstanceState::Draining;
         let state = if drains { InstanceState::Draining } else { InstanceState::Ready };
         let was_replaced = self.replaced_at;
-        self.replaced_at = was_replaced.filter(|&at| instance.sequence < at + SIGNS_OF_LIFE);
+        self.replaced_at = was_replaced.filter(|&at| instance.sequence < at + REVIVAL_HEARTBEATS);
         let same = self.state == state && self.models == instance.models && self.replaced_at == was_replaced;
         self.sequence = instance.sequence;
         self.state = state;
@@ -68,18 +68,18 @@
     }
 }
 
-/// What a registration changed of where requests may go.
+/// How a registration changed the routing table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TableChange {
-    /// Nothing.
+    /// No change that matters for routing.
     Unchanged,
-    /// The state or the models of a known endpoint.
+    /// The state or the models of a known endpoint changed.
     Changed,
-    /// The endpoint was not known.
+    /// The endpoint is new.
     Added,
 }
 
-/// All endpoints, by their key, and the keys of each service in order.
+/// All endpoints by their key, and the keys of each service in the order of their announcement.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     endpoints: HashMap<EndpointKey, Endpoint>,
@@ -89,14 +89,14 @@
 }
 
 impl EndpointTable {
-    /// Takes a registration in, unless a newer one of that incarnation is known. One of the same sequence may say
-    /// more: the feed completes a heartbeat with what is known of orders since.
+    /// Applies a registration unless a newer one of the same incarnation is known. One with the same sequence may contain
+    /// more: the feed adds the results of orders to the last heartbeat.
     pub fn register(&mut self, now: Duration, instance: &Instance) -> (EndpointKey, TableChange) {
         if let Some(&key) = self.keys.get(instance.id.as_str())
             && let Some(known) = self.endpoints.get_mut(&key)
         {
             let is_older = instance.sequence < known.sequence;
-            let change = if is_older { TableChange::Unchanged } else { known.renew(now, instance) };
+            let change = if is_older { TableChange::Unchanged } else { known.update(now, instance) };
             return (key, change);
         }
         (self.add(endpoint_of(now, instance)), TableChange::Added)
@@ -111,7 +111,7 @@
         key
     }
 
-    /// Forgets an endpoint that is gone; hands it over.
+    /// Removes an endpoint and returns it.
     pub fn remove(&mut self, id: &str) -> Option<(EndpointKey, Endpoint)> {
         let key = self.keys.remove(id)?;
         let endpoint = self.endpoints.remove(&key)?;
@@ -121,8 +121,8 @@
         Some((key, endpoint))
     }
 
-    /// Takes a model, or one adapter, out of what an endpoint is known to hold, after it said so itself.
-    pub fn forget_model(&mut self, key: EndpointKey, model: &str, adapter: Option<&str>) {
+    /// Removes a model, or one adapter of it, from an endpoint that answered that it does not have it.
+    pub fn remove_model(&mut self, key: EndpointKey, model: &str, adapter: Option<&str>) {
         let Some(endpoint) = self.endpoints.get_mut(&key) else {
             return;
         };
@@ -135,29 +135,29 @@
         }
     }
 
-    /// Notes that another incarnation answered in an endpoint's place.
+    /// Marks an endpoint as replaced: another incarnation answered at its address.
     pub fn mark_replaced(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
             endpoint.replaced_at = Some(endpoint.sequence);
         }
     }
 
-    /// All endpoints that are known.
+    /// All known endpoints, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (EndpointKey, &Endpoint)> {
         self.endpoints.iter().map(|(key, endpoint)| (*key, endpoint))
     }
 
-    /// The endpoint of a key, while it is known.
+    /// The endpoint of a key, if it is known.
     pub fn get(&self, key: EndpointKey) -> Option<&Endpoint> {
         self.endpoints.get(&key)
     }
 
-    /// Keys of a service's endpoints, in the order in which they were first heard of.
+    /// Keys of the endpoints of a service, in the order of their announcement.
     pub fn of_service(&self, backend: &str) -> &[EndpointKey] {
         self.services.get(backend).map_or(&[], Vec::as_slice)
     }
 
-    /// The service's endpoints that take requests.
+    /// The endpoints of a service that take requests.
     pub fn ready<'a>(&'a self, backend: &str) -> impl Iterator<Item = (EndpointKey, &'a Endpoint)> + 'a {
         let known = self.of_service(backend).iter();
         let known = known.filter_map(|&key| Some((key, self.endpoints.get(&key)?)));
--- a/crates/dispatch/src/estimate.rs
+++ b/crates/dispatch/src/estimate.rs
@@ -1,31 +1,31 @@
-//! What is learned from answers: the time to the first byte by tokens to read, the pace of output, and how
-//! often a prompt is found in an engine's memory.
+//! Estimators that learn from answers: the time to the first byte by tokens to prefill, hit rates of prefix caches, and
+//! the latency of an endpoint relative to its service.
 
-/// Weight that earlier samples keep at each new one: some 50 samples back still count.
-const KEEP: f64 = 0.98;
+/// Factor on the weight of earlier samples at each new one; the mean spans about 50 samples.
+const SAMPLE_DECAY: f64 = 0.98;
 
-/// Before any sample, an answer is believed to begin after this, s: what the first answers tell replaces it.
-const FIRST_BASE_S: f64 = 0.05;
+/// Expected time to the first byte without prefill before any sample, s.
+const INITIAL_BASE_S: f64 = 0.05;
 
-/// Before any sample, an engine is believed to read this many tokens a second: rather too few, so that the
-/// first answers of a slow engine aren't taken for silence.
-const FIRST_READ_RATE: f64 = 20_000.0;
+/// Expected prefill rate before any sample, tokens a second. It is low, so that the first answers of a slow engine do
+/// not count as response time-outs.
+const INITIAL_PREFILL_RATE: f64 = 20_000.0;
 
-/// Prompt size at which the second guessed point of the line lies, tokens.
-const FIRST_READ_TOKENS: f64 = 10_000.0;
+/// Prompt size of the second prior sample, tokens.
+const INITIAL_PREFILL_TOKENS: f64 = 10_000.0;
 
-/// Weight of a guessed point, samples.
-const GUESS_WEIGHT: f64 = 0.5;
+/// Weight of a prior sample.
+const PRIOR_WEIGHT: f64 = 0.5;
 
-/// A time this many times longer or shorter than expected is odd: it is learned step by step.
-const ODD_MULTIPLE: f64 = 6.0;
+/// Samples are clamped to this factor above and below the expected time.
+const OUTLIER_FACTOR: f64 = 6.0;
 
-/// Least time that is expected, s, so that a service that answers at once can still be found slow.
-const LEAST_EXPECTED_S: f64 = 0.001;
+/// Lower bound of the expected time, s, so that a fast service can still be found slow.
+const MIN_EXPECTED_S: f64 = 0.001;
 
-/// Time to the first byte as a line over the tokens to be read: an exponentially weighted least-squares fit.
+/// Time to the first byte as a linear function of the tokens to prefill: an exponentially weighted least-squares fit.
 #[derive(Debug, Clone, Copy)]
-pub struct FirstByteLine {
+pub struct FirstByteRegression {
     weight: f64,
     x: f64,
     y: f64,
@@ -33,29 +33,33 @@
     xy: f64,
 }
 
-impl Default for FirstByteLine {
+impl Default for FirstByteRegression {
     fn default() -> Self {
-        let mut line = FirstByteLine { weight: 0.0, x: 0.0, y: 0.0, xx: 0.0, xy: 0.0 };
-        line.add(GUESS_WEIGHT, 0.0, FIRST_BASE_S);
-        line.add(GUESS_WEIGHT, FIRST_READ_TOKENS, FIRST_BASE_S + FIRST_READ_TOKENS / FIRST_READ_RATE);
+        let mut line = FirstByteRegression { weight: 0.0, x: 0.0, y: 0.0, xx: 0.0, xy: 0.0 };
+        line.add(PRIOR_WEIGHT, 0.0, INITIAL_BASE_S);
+        line.add(
+            PRIOR_WEIGHT,
+            INITIAL_PREFILL_TOKENS,
+            INITIAL_BASE_S + INITIAL_PREFILL_TOKENS / INITIAL_PREFILL_RATE,
+        );
         line
     }
 }
 
-impl FirstByteLine {
-    /// Takes a measured time in; one far from what was expected counts as less far.
+impl FirstByteRegression {
+    /// Adds a measured time in s. Outliers are clamped.
     pub fn sample(&mut self, tokens: f64, measured_s: f64) {
-        let expected_s = self.expected_s(tokens).max(LEAST_EXPECTED_S);
-        let measured_s = measured_s.clamp(expected_s / ODD_MULTIPLE, expected_s * ODD_MULTIPLE);
-        self.weight *= KEEP;
-        self.x *= KEEP;
-        self.y *= KEEP;
-        self.xx *= KEEP;
-        self.xy *= KEEP;
+        let expected_s = self.expected_s(tokens).max(MIN_EXPECTED_S);
+        let measured_s = measured_s.clamp(expected_s / OUTLIER_FACTOR, expected_s * OUTLIER_FACTOR);
+        self.weight *= SAMPLE_DECAY;
+        self.x *= SAMPLE_DECAY;
+        self.y *= SAMPLE_DECAY;
+        self.xx *= SAMPLE_DECAY;
+        self.xy *= SAMPLE_DECAY;
         self.add(1.0, tokens, measured_s);
     }
 
-    /// Time that one more token takes, s; never below zero.
+    /// Time for one more token, s; never negative.
     pub fn per_token_s(&self) -> f64 {
         let spread = self.weight * self.xx - self.x * self.x;
         if spread <= f64::EPSILON {
@@ -64,12 +68,12 @@
         ((self.weight * self.xy - self.x * self.y) / spread).max(0.0)
     }
 
-    /// Time to the first byte where nothing is to be read, s.
+    /// Time to the first byte without prefill, s.
     pub fn base_s(&self) -> f64 {
         ((self.y - self.per_token_s() * self.x) / self.weight).max(0.0)
     }
 
-    /// Time to the first byte after reading so many tokens, s.
+    /// Time to the first byte after a prefill of `tokens`, s.
     pub fn expected_s(&self, tokens: f64) -> f64 {
         self.base_s() + self.per_token_s() * tokens
     }
@@ -83,20 +87,20 @@
     }
 }
 
-/// A share from 0 to 1 as an exponentially weighted mean.
+/// The hit rate of a prefix cache, from 0 to 1, as an exponentially weighted mean.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Share(f64);
+pub struct HitRate(f64);
 
-impl Share {
+impl HitRate {
     /// Weight of a new sample.
     const GAIN: f64 = 0.05;
 
-    /// A share before any sample.
+    /// A hit rate before any sample.
     pub const fn new(initial: f64) -> Self {
-        Share(initial)
+        HitRate(initial)
     }
 
-    /// Takes a sample in; it is cut to the range.
+    /// Adds a sample, clamped to the range.
     pub fn sample(&mut self, measured: f64) {
         self.0 += Self::GAIN * (measured.clamp(0.0, 1.0) - self.0);
     }
@@ -107,23 +111,23 @@
     }
 }
 
-/// How much slower than the others of its service an endpoint is, 1 for as fast as they.
+/// Latency of an endpoint relative to its service: 1 for the mean, above 1 for a slower one.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Slowness(f64);
+pub struct LatencyRatio(f64);
 
-impl Default for Slowness {
+impl Default for LatencyRatio {
     fn default() -> Self {
-        Slowness(1.0)
+        LatencyRatio(1.0)
     }
 }
 
-impl Slowness {
-    /// Weight of a new sample: a few answers tell.
+impl LatencyRatio {
+    /// Weight of a new sample: a few answers are enough.
     const GAIN: f64 = 0.2;
-    /// Range of one sample, so that one odd answer doesn't shut an endpoint.
+    /// Range of a sample, so that a single outlier does not keep all requests away.
     const RANGE: (f64, f64) = (0.25, 6.0);
 
-    /// Takes an answer in, by the time that was expected of any endpoint of the service.
+    /// Adds a measured time, compared with the time that was expected of any endpoint of the service, both in s.
     pub fn sample(&mut self, measured_s: f64, expected_s: f64) {
         let ratio = measured_s / expected_s.max(1e-3);
         self.0 += Self::GAIN * (ratio.clamp(Self::RANGE.0, Self::RANGE.1) - self.0);
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -1,149 +1,157 @@
-//! Passive health of one endpoint: what its answers, failures and silence tell. Nothing is probed: an
-//! endpoint that was left out comes back by an ordinary request as its trial.
+//! Passive health checks with outlier ejection. Nothing is probed: an ejected endpoint comes back by an ordinary request
+//! as its trial, like a half-open circuit breaker.
 
 use std::time::Duration;
 
-/// Pause after the first silence: longer than a short outage, as a trial in the dark may be lost.
-const SILENCE_PAUSE: Duration = Duration::from_millis(2_500);
-/// Pause after a first failure that tells quickly; most are hiccups.
-const FAILURE_PAUSE: Duration = Duration::from_millis(300);
-/// Longest pause between two trials.
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
-/// Growth of the pause after a failed trial.
-const PAUSE_GROWTH: f64 = 1.6;
-/// Failures told in whole answers, in a row, that leave an endpoint out.
-const TOLD_FAILURES: u32 = 3;
-/// How long a trial stays reserved for requests that may be repeated.
-const TRIAL_RESERVED: Duration = Duration::from_millis(1_500);
-/// Requests at once to an endpoint whose trial went well; doubled by each success.
-const FIRST_RETURN: u32 = 1;
-/// Requests at once at which an endpoint counts as back.
-const FULL_RETURN: u32 = 16;
+/// Backoff after the first time-out. Longer than a short outage, because a trial during the outage may be lost.
+const TIMEOUT_BACKOFF: Duration = Duration::from_millis(2_500);
+/// Backoff after a first failure that shows at once; most of these are transient.
+const FAILURE_BACKOFF: Duration = Duration::from_millis(300);
+/// Longest backoff between two trials.
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
+/// Growth of the backoff after a failed trial.
+const BACKOFF_FACTOR: f64 = 1.6;
+/// Consecutive error responses that eject an endpoint.
+const EJECTION_ERROR_RESPONSES: u32 = 3;
+/// How long a trial is reserved for requests that may be retried.
+const TRIAL_RESERVATION: Duration = Duration::from_millis(1_500);
+/// Concurrent requests at the beginning of a slow start; each success doubles the limit.
+const SLOW_START_INITIAL: u32 = 1;
+/// Limit of concurrent requests at which a slow start ends.
+const SLOW_START_COMPLETE: u32 = 16;
 
 /// How an endpoint failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
-    /// No connection, a broken one, or bytes that are no answer.
-    Broken,
-    /// An answer of its own that tells a failure.
-    Told,
-    /// Nothing was heard for much longer than expected.
-    Silent,
+pub enum Failure {
+    /// No connection, a broken one, or bytes that are not a valid response.
+    Connection,
+    /// A complete response with an error status.
+    ErrorResponse,
+    /// No response for much longer than expected.
+    Timeout,
 }
 
 /// Whether an endpoint may get requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
-    /// Yes.
-    In,
-    /// Up to so many at once, as it has just come back.
-    Returning(u32),
-    /// One request may try it; until the moment told it should be one that may be repeated.
-    Trial { reserved_until: Duration },
-    /// Not before the moment told.
-    Out { until: Duration },
+pub enum HealthStatus {
+    /// Without a limit.
+    Healthy,
+    /// Up to this many concurrent requests, because it has just come back.
+    SlowStart(u32),
+    /// One trial request; until `reserved_until` only one that may be retried.
+    HalfOpen { reserved_until: Duration },
+    /// None before `until`.
+    Ejected { until: Duration },
 }
 
-/// What is remembered of one endpoint.
+/// The health of one endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
     state: State,
     /// Failures since the last success.
-    faults: u32,
-    pause: Duration,
-    /// When the endpoint was last heard, whatever it said.
-    heard: Duration,
+    consecutive_failures: u32,
+    backoff: Duration,
+    /// When the endpoint last sent anything.
+    last_activity: Duration,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
 enum State {
     #[default]
-    In,
-    Returning(u32),
-    Out {
+    Healthy,
+    SlowStart(u32),
+    Ejected {
         until: Duration,
-        silent: bool,
+        timed_out: bool,
         trial: bool,
     },
 }
 
 impl Health {
-    /// Whether it may get requests now.
-    pub fn standing(&self, now: Duration) -> Standing {
+    /// Whether it may get requests at `now`.
+    pub fn status(&self, now: Duration) -> HealthStatus {
         match self.state {
-            State::In => Standing::In,
-            State::Returning(allowed) => Standing::Returning(allowed),
-            State::Out { until, trial: false, .. } if until <= now => {
-                Standing::Trial { reserved_until: until + TRIAL_RESERVED }
+            State::Healthy => HealthStatus::Healthy,
+            State::SlowStart(allowed) => HealthStatus::SlowStart(allowed),
+            State::Ejected { until, trial: false, .. } if until <= now => {
+                HealthStatus::HalfOpen { reserved_until: until + TRIAL_RESERVATION }
             }
-            State::Out { until, .. } => Standing::Out { until: until.max(now + FAILURE_PAUSE) },
+            State::Ejected { until, .. } => HealthStatus::Ejected { until: until.max(now + FAILURE_BACKOFF) },
         }
     }
 
-    /// Whether it is left out, or on trial.
-    pub fn is_out(&self) -> bool {
-        matches!(self.state, State::Out { .. })
+    /// Whether it is ejected, also while a trial is in flight.
+    pub fn is_ejected(&self) -> bool {
+        matches!(self.state, State::Ejected { .. })
     }
 
-    /// Failures in a row.
-    pub fn faults(&self) -> u32 {
-        self.faults
+    /// Consecutive failures.
+    pub fn consecutive_failures(&self) -> u32 {
+        self.consecutive_failures
     }
 
-    /// When it was last heard.
-    pub fn heard_at(&self) -> Duration {
-        self.heard
+    /// When the endpoint last sent anything.
+    pub fn last_activity(&self) -> Duration {
+        self.last_activity
     }
 
-    /// A request was sent: while it is out, that is its trial.
-    pub fn sent(&mut self) {
-        if let State::Out { trial, .. } = &mut self.state {
+    /// Records that a request was sent. While the endpoint is ejected, that request is its trial.
+    pub fn record_dispatch(&mut self) {
+        if let State::Ejected { trial, .. } = &mut self.state {
             *trial = true;
         }
     }
 
-    /// It said something: it isn't silent. After a first silence it was only slow; else it comes back slowly.
-    pub fn heard(&mut self, now: Duration) {
-        self.heard = now;
-        if let State::Out { silent: true, .. } = self.state {
-            self.state = if self.faults > 1 { State::Returning(FIRST_RETURN) } else { State::In };
+    /// Records that the endpoint sent something, which ends a time-out. After a first time-out the endpoint was only slow
+    /// and is healthy again; later it returns with a slow start.
+    pub fn record_activity(&mut self, now: Duration) {
+        self.last_activity = now;
+        if let State::Ejected { timed_out: true, .. } = self.state {
+            self.state = if self.consecutive_failures > 1 {
+                State::SlowStart(SLOW_START_INITIAL)
+            } else {
+                State::Healthy
+            };
         }
     }
 
-    /// It answered in full and well. It gets few requests at first where it comes back `slowly`.
-    pub fn succeeded(&mut self, now: Duration, slowly: bool) {
-        self.heard = now;
-        self.faults = 0;
-        self.pause = Duration::ZERO;
+    /// Records a complete and successful answer. With `slow_start` an ejected endpoint gets few requests at first.
+    pub fn record_success(&mut self, now: Duration, slow_start: bool) {
+        self.last_activity = now;
+        self.consecutive_failures = 0;
+        self.backoff = Duration::ZERO;
         self.state = match self.state {
-            State::In => State::In,
-            State::Out { .. } | State::Returning(_) if !slowly => State::In,
-            State::Out { .. } => State::Returning(FIRST_RETURN),
-            State::Returning(allowed) if allowed >= FULL_RETURN => State::In,
-            State::Returning(allowed) => State::Returning(allowed * 2),
+            State::Healthy => State::Healthy,
+            State::Ejected { .. } | State::SlowStart(_) if !slow_start => State::Healthy,
+            State::Ejected { .. } => State::SlowStart(SLOW_START_INITIAL),
+            State::SlowStart(allowed) if allowed >= SLOW_START_COMPLETE => State::Healthy,
+            State::SlowStart(allowed) => State::SlowStart(allowed * 2),
         };
     }
 
-    /// A request that was its trial ended without telling anything: another one may try.
-    pub fn trial_void(&mut self) {
-        if let State::Out { trial, .. } = &mut self.state {
+    /// The trial request ended without a result: another request may be the trial.
+    pub fn cancel_trial(&mut self) {
+        if let State::Ejected { trial, .. } = &mut self.state {
             *trial = false;
         }
     }
 
-    /// It failed. It is left out for a pause where `may_eject`, by a share of chance so that routers don't
-    /// come back together (`jitter`, around 1).
-    pub fn failed(&mut self, now: Duration, fault: Fault, may_eject: bool, jitter: f64) {
-        self.faults += 1;
-        if fault == Fault::Told && self.faults < TOLD_FAILURES && !self.is_out() {
+    /// Records a failure. If `may_eject`, the endpoint is ejected for a backoff that is multiplied by `jitter` (around 1),
+    /// so that routers do not return at the same time.
+    pub fn record_failure(&mut self, now: Duration, fault: Failure, may_eject: bool, jitter: f64) {
+        self.consecutive_failures += 1;
+        if fault == Failure::ErrorResponse
+            && self.consecutive_failures < EJECTION_ERROR_RESPONSES
+            && !self.is_ejected()
+        {
             return;
         }
-        if !may_eject && !self.is_out() {
+        if !may_eject && !self.is_ejected() {
             return;
         }
-        let first = if fault == Fault::Silent { SILENCE_PAUSE } else { FAILURE_PAUSE };
-        self.pause = self.pause.mul_f64(PAUSE_GROWTH).max(first).min(LONGEST_PAUSE);
-        let until = now + self.pause.mul_f64(jitter);
-        self.state = State::Out { until, silent: fault == Fault::Silent, trial: false };
+        let first = if fault == Failure::Timeout { TIMEOUT_BACKOFF } else { FAILURE_BACKOFF };
+        self.backoff = self.backoff.mul_f64(BACKOFF_FACTOR).max(first).min(MAX_BACKOFF);
+        let until = now + self.backoff.mul_f64(jitter);
+        self.state = State::Ejected { until, timed_out: fault == Failure::Timeout, trial: false };
     }
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -6,26 +6,26 @@
 //! the retry [`budget`].
 
 pub mod admission;
-mod agenda;
 pub mod budget;
-pub mod choice;
+mod client_timeout;
 pub mod demand;
 pub mod dispatcher;
+pub mod endpoint_selection;
 pub mod endpoints;
+pub mod engine_priority;
 pub mod estimate;
 pub mod fleet;
 pub mod health;
 pub mod interface;
 pub mod load;
-mod patience;
+pub mod pending_request;
 pub mod prefix;
 pub mod rendezvous;
 pub mod service;
 pub mod settings;
 pub mod summary;
-pub mod tracked;
+mod timer_queue;
 mod units;
-pub mod urgency;
 
 pub use dispatcher::Dispatcher;
 pub use settings::DispatchSettings;
--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -1,6 +1,6 @@
-//! The load of one endpoint as this router sees it: its own requests there, and what answers tell of others'.
+//! The load of one endpoint as this router sees it: its own requests, and the requests of others from load reports.
 
-use crate::estimate::Slowness;
+use crate::estimate::LatencyRatio;
 use crate::health::Health;
 use crate::interface::InstanceLoad;
 use crate::prefix::PrefixCache;
@@ -8,137 +8,142 @@
 use fair_edf::concurrency_limit::RecentCalls;
 use std::time::Duration;
 
-/// Time in which what an answer told of others' requests counts for 1/e, s: about the time that requests run.
-const TOLD_MEMORY_S: f64 = 0.8;
+/// Time constant of the decay of a load report, s: about the duration of a request.
+const REPORT_DECAY_S: f64 = 0.8;
 
-/// What an answer told, less the requests of this router.
+/// The reported load without the requests of this router.
 #[derive(Debug, Clone, Copy, Default)]
-struct Others {
+struct ReportedLoad {
     running: f64,
     waiting: f64,
     at: Duration,
 }
 
-/// One endpoint's load.
+/// The load of one endpoint.
 #[derive(Debug, Default)]
 pub struct EndpointLoad {
-    /// Own requests there that have no end yet.
+    /// Requests of this router in flight there.
     pub in_flight: u32,
-    /// Tokens of own prompts there that are still to be read.
-    pub unread_tokens: u64,
-    /// Tokens of engine memory that own requests take.
-    pub held_tokens: u64,
-    /// Prompts that its memory is believed to keep.
+    /// Tokens of the prompts of this router that the engine still has to prefill.
+    pub prefill_tokens: u64,
+    /// KV-cache tokens that the requests of this router take.
+    pub kv_cache_tokens: u64,
+    /// Prefixes that are expected in the cache of the engine.
     pub cache: PrefixCache,
-    pub slowness: Slowness,
+    pub latency_ratio: LatencyRatio,
     pub recent: RecentCalls,
     pub health: Health,
-    /// Nothing is sent before this: it was full, or no connection was to be had.
-    pub closed_until: Duration,
-    /// What it refuses though it has places, and until when: an order is under way there.
-    pub refusing: Option<(Artifact, Duration)>,
-    /// When the first byte of each own request is expected that has none yet.
-    awaited: Vec<Duration>,
-    /// When it was last sent a request.
-    pub last_sent: Duration,
-    others: Others,
-    excess: Excess,
+    /// Nothing is sent before this time: the endpoint was full, or a connection failed.
+    pub backoff_until: Duration,
+    /// A model or adapter that the endpoint rejects although it has free slots, and until when: an order is in progress.
+    pub rejected_artifact: Option<(Artifact, Duration)>,
+    /// When the first byte is expected, for each request in flight that has none yet.
+    expected_first_byte: Vec<Duration>,
+    /// When a request was last sent there.
+    pub last_dispatched: Duration,
+    reported: ReportedLoad,
+    excess_delay: ExcessDelay,
 }
 
-/// How much later than expected a first byte came.
+/// How much later than expected first bytes came.
 #[derive(Debug, Clone, Copy, Default)]
-struct Excess {
+struct ExcessDelay {
     seconds: f64,
     at: Duration,
 }
 
 impl EndpointLoad {
-    /// Takes in what the endpoint told of itself.
-    pub fn told(&mut self, now: Duration, load: InstanceLoad) {
+    /// Records the load that the endpoint reported.
+    pub fn record_reported_load(&mut self, now: Duration, load: InstanceLoad) {
         let own = f64::from(self.in_flight);
         let running = (f64::from(load.running) - own).max(0.0);
         let waiting = (f64::from(load.running) + f64::from(load.waiting) - own).max(0.0) - running;
-        self.others = Others { running, waiting: waiting.max(0.0), at: now };
+        self.reported = ReportedLoad { running, waiting: waiting.max(0.0), at: now };
     }
 
-    /// Takes in how much later than expected a first byte came, s; below zero where it came sooner.
-    pub fn sample_excess(&mut self, now: Duration, measured_s: f64) {
-        let seconds = (self.excess_s(now) + measured_s).max(0.0) / 2.0;
-        self.excess = Excess { seconds, at: now };
+    /// Records how much later than expected a first byte came, s; negative if it came earlier.
+    pub fn sample_excess_delay(&mut self, now: Duration, measured_s: f64) {
+        let seconds = (self.excess_delay_s(now) + measured_s).max(0.0) / 2.0;
+        self.excess_delay = ExcessDelay { seconds, at: now };
     }
 
-    /// How much later than expected a first byte is likely to come, s: by the last ones, and by the one that
-    /// is most overdue.
-    pub fn excess_s(&self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.excess.at).as_secs_f64();
-        let of_past = self.excess.seconds * (-age / TOLD_MEMORY_S).exp();
-        let overdue =
-            self.awaited.iter().min().map_or(Duration::ZERO, |&expected| now.saturating_sub(expected));
+    /// How much later than expected the next first byte is likely to come, s: the larger of the decayed past excess and the
+    /// excess of the most overdue request.
+    pub fn excess_delay_s(&self, now: Duration) -> f64 {
+        let age = now.saturating_sub(self.excess_delay.at).as_secs_f64();
+        let of_past = self.excess_delay.seconds * (-age / REPORT_DECAY_S).exp();
+        let overdue = self
+            .expected_first_byte
+            .iter()
+            .min()
+            .map_or(Duration::ZERO, |&expected| now.saturating_sub(expected));
         of_past.max(overdue.as_secs_f64())
     }
 
-    /// Requests of other routers there, as far as known.
-    pub fn others(&self, now: Duration) -> f64 {
-        (self.others.running + self.others.waiting) * self.freshness(now)
+    /// Estimated requests of other routers there.
+    pub fn other_requests(&self, now: Duration) -> f64 {
+        (self.reported.running + self.reported.waiting) * self.decay(now)
     }
 
-    /// Of these, the ones that wait for a place.
-    pub fn others_waiting(&self, now: Duration) -> f64 {
-        self.others.waiting * self.freshness(now)
+    /// Of these, the ones that wait for a slot.
+    pub fn other_waiting_requests(&self, now: Duration) -> f64 {
+        self.reported.waiting * self.decay(now)
     }
 
-    /// All requests there.
+    /// Estimated number of all requests there.
     pub fn occupancy(&self, now: Duration) -> f64 {
-        f64::from(self.in_flight) + self.others(now)
+        f64::from(self.in_flight) + self.other_requests(now)
     }
 
-    /// Until when it refuses the model or adapter, as far as it told.
-    pub fn refuses_until(&self, artifact: Option<&Artifact>) -> Option<Duration> {
-        let (refused, until) = self.refusing.as_ref()?;
+    /// Until when the endpoint rejects the model or adapter, if it does.
+    pub fn rejects_until(&self, artifact: Option<&Artifact>) -> Option<Duration> {
+        let (refused, until) = self.rejected_artifact.as_ref()?;
         (Some(refused) == artifact).then_some(*until)
     }
 
-    fn freshness(&self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.others.at);
-        (-age.as_secs_f64() / TOLD_MEMORY_S).exp()
+    fn decay(&self, now: Duration) -> f64 {
+        let age = now.saturating_sub(self.reported.at);
+        (-age.as_secs_f64() / REPORT_DECAY_S).exp()
     }
 }
 
-/// What one request takes of an endpoint while it is there.
+/// What a request takes of an endpoint while it is in flight.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Footprint {
-    /// Tokens that are to be read before the first byte.
-    pub unread_tokens: u64,
-    /// Tokens of memory that it takes.
-    pub held_tokens: u64,
-    /// When its first byte is expected, until it has come.
-    pub awaited: Option<Duration>,
+pub struct ResourceRequirement {
+    /// Tokens to prefill before the first byte.
+    pub prefill_tokens: u64,
+    /// KV-cache tokens that it takes.
+    pub kv_cache_tokens: u64,
+    /// When its first byte is expected; `None` after it has come.
+    pub expected_first_byte: Option<Duration>,
 }
 
 impl EndpointLoad {
-    /// A request was sent there.
-    pub fn enter(&mut self, now: Duration, footprint: Footprint) {
+    /// Records that a request was sent to an endpoint.
+    pub fn begin_request(&mut self, now: Duration, requirement: ResourceRequirement) {
         self.in_flight += 1;
-        self.awaited.extend(footprint.awaited);
-        self.unread_tokens += footprint.unread_tokens;
-        self.held_tokens += footprint.held_tokens;
-        self.last_sent = now;
-        self.health.sent();
+        self.expected_first_byte.extend(requirement.expected_first_byte);
+        self.prefill_tokens += requirement.prefill_tokens;
+        self.kv_cache_tokens += requirement.kv_cache_tokens;
+        self.last_dispatched = now;
+        self.health.record_dispatch();
     }
 
-    /// Its first byte came: its prompt has been read.
-    pub fn read(&mut self, footprint: Footprint) {
-        let awaited = footprint.awaited;
-        if let Some(at) = self.awaited.iter().position(|&expected| Some(expected) == awaited) {
-            self.awaited.swap_remove(at);
+    /// Records the first byte of a request: its prefill is complete.
+    pub fn finish_prefill(&mut self, requirement: ResourceRequirement) {
+        let expected_first_byte = requirement.expected_first_byte;
+        if let Some(at) =
+            self.expected_first_byte.iter().position(|&expected| Some(expected) == expected_first_byte)
+        {
+            self.expected_first_byte.swap_remove(at);
         }
-        self.unread_tokens = self.unread_tokens.saturating_sub(footprint.unread_tokens);
+        self.prefill_tokens = self.prefill_tokens.saturating_sub(requirement.prefill_tokens);
     }
 
-    /// It ended or was given up.
-    pub fn leave(&mut self, footprint: Footprint) {
+    /// Records that a request ended or was abandoned.
+    pub fn end_request(&mut self, requirement: ResourceRequirement) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.read(footprint);
-        self.held_tokens = self.held_tokens.saturating_sub(footprint.held_tokens);
+        self.finish_prefill(requirement);
+        self.kv_cache_tokens = self.kv_cache_tokens.saturating_sub(requirement.kv_cache_tokens);
     }
 }
--- a/crates/dispatch/src/rendezvous.rs
+++ b/crates/dispatch/src/rendezvous.rs
@@ -1,6 +1,7 @@
-//! Rendezvous hashing: every router ranks the endpoints for a key in the same way, without talking.
+//! Rendezvous (highest random weight) hashing: all routers rank the endpoints for a key in the same way without
+//! communicating.
 
-/// First value and prime of 64-bit FNV-1a.
+/// Offset basis and prime of 64-bit FNV-1a.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
@@ -10,8 +11,8 @@
     mix(text.bytes().fold(FNV_OFFSET, step))
 }
 
-/// Adds one more number to a hash.
-pub fn extend(hash: u64, next: u64) -> u64 {
+/// Combines a hash with one more number.
+pub fn combine(hash: u64, next: u64) -> u64 {
     mix(hash.rotate_left(23) ^ mix(next))
 }
 
--- a/crates/dispatch/src/service.rs
+++ b/crates/dispatch/src/service.rs
@@ -1,7 +1,7 @@
-//! What is known and learned of one service: its engines, its times, its budget and the models it lacks.
+//! The state of one service: its engines, its service times, its retry budget and the models that are not loaded.
 
 use crate::budget::RetryBudget;
-use crate::estimate::{FirstByteLine, Share};
+use crate::estimate::{FirstByteRegression, HitRate};
 use crate::units::{milliseconds, seconds};
 use fair_edf::{Smoothed, Smoothing};
 use lanegate_config::configuration::{Backend, Runtime};
@@ -9,47 +9,47 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The design's first service time, and the weight of a further sample.
-pub const SERVED: Smoothing = Smoothing { initial: 0.05, gain: 0.1 };
+/// Initial service time in s, and the weight of a new sample.
+pub const SERVICE_TIME: Smoothing = Smoothing { initial: 0.05, gain: 0.1 };
 
-/// Tokens of memory that a request takes, as a mean over requests.
-const HELD_TOKENS: Smoothing = Smoothing { initial: 1_000.0, gain: 0.05 };
+/// KV-cache tokens of a request, as a mean over requests.
+const KV_CACHE_TOKENS: Smoothing = Smoothing { initial: 1_000.0, gain: 0.05 };
 
-/// Tokens that are read of a prompt, as a mean over requests.
-const READ_TOKENS: Smoothing = Smoothing { initial: 0.0, gain: 0.05 };
+/// Prefilled tokens of a request, as a mean over requests.
+const PREFILL_TOKENS: Smoothing = Smoothing { initial: 0.0, gain: 0.05 };
 
-/// Time from the first request for a missing model to its presence: a guess added to the time of a load until
-/// the first such wait is seen.
-const LOAD_REACTION: Duration = Duration::from_millis(1_000);
+/// Time from the first request for a missing model to the start of its load: a guess that is used until the first
+/// load has been observed.
+const LOAD_REACTION_TIME: Duration = Duration::from_millis(1_000);
 
-/// Weight of a further wait for a model.
+/// Weight of an observed wait for a model.
 const LOAD_WAIT: Smoothing = Smoothing { initial: 0.0, gain: 0.3 };
 
-/// A model that nobody has asked for during this time is no longer waited for.
-const WANT_MEMORY: Duration = Duration::from_secs(10);
+/// A missing model that was not requested for this long is no longer expected.
+const MISSING_EXPIRY: Duration = Duration::from_secs(10);
 
-/// Wanted models and adapters that are kept at most before the forgotten ones are dropped.
-const WANTED_MOST: usize = 256;
+/// Number of missing models and adapters at which expired ones are removed.
+const MAX_MISSING: usize = 256;
 
-/// Share of prompts found in memory where this router sent them before, until measured.
-const FIRST_KEPT: f64 = 0.9;
+/// Hit rate of the prefix cache where this router sent the prefix before, until measured.
+const INITIAL_CACHE_HIT_RATE: f64 = 0.9;
 
-/// The same at the endpoint that owns the prefix, where only other routers may have sent it.
-const FIRST_OWNED: f64 = 0.5;
+/// Hit rate at the owner of the prefix, where only other routers may have sent it, until measured.
+const INITIAL_OWNER_HIT_RATE: f64 = 0.5;
 
-/// The engines of a service.
+/// The engines of a service, as configured.
 #[derive(Debug, Clone, PartialEq)]
-pub struct EngineShape {
-    /// Memory of one engine, tokens.
+pub struct EngineProfile {
+    /// KV cache of one engine, tokens.
     pub memory_tokens: u64,
-    /// Time of a load of each model that may be loaded.
+    /// Load time of each model that may be loaded.
     pub models: BTreeMap<Arc<str>, Duration>,
 }
 
-impl From<&Runtime> for EngineShape {
+impl From<&Runtime> for EngineProfile {
     fn from(runtime: &Runtime) -> Self {
         let load_times = runtime.models.iter();
-        EngineShape {
+        EngineProfile {
             memory_tokens: runtime.kv_cache_tokens.max(0.0) as u64,
             models: load_times
                 .map(|model| (model.name.as_str().into(), seconds(model.load_time_s)))
@@ -58,38 +58,38 @@
     }
 }
 
-/// A model, or an adapter of it.
+/// A model, or an adapter of a model.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Artifact {
     pub model: Arc<str>,
     pub adapter: Option<Arc<str>>,
 }
 
-/// When something that is held nowhere was asked for.
+/// When a model or adapter that no endpoint has loaded was requested.
 #[derive(Debug, Clone, Copy)]
-struct Want {
+struct MissingArtifact {
     since: Duration,
     last: Duration,
 }
 
-/// One service.
+/// The state of one service.
 #[derive(Debug)]
 pub struct Service {
-    /// Present once a configuration says that its endpoints are engines.
-    pub engine: Option<EngineShape>,
+    /// The engines of the service; `None` if its endpoints are not engines or before the first configuration.
+    pub engine: Option<EngineProfile>,
     pub budget: RetryBudget,
-    pub first_byte: FirstByteLine,
-    /// From the send of a request to the end of its answer.
-    pub served: Smoothed,
-    held_tokens: Smoothed,
+    pub first_byte: FirstByteRegression,
+    /// Mean time from the send of a request to the end of its answer, s.
+    pub service_time: Smoothed,
+    kv_cache_tokens: Smoothed,
     first_byte_wait: Smoothed,
     read_tokens: Smoothed,
-    /// Share of prompts that are found where this router sent them before.
-    pub kept: Share,
-    /// The same at the owner of the prefix, where this router did not send it.
-    pub owned: Share,
-    /// What was asked for and is held nowhere.
-    wanted: BTreeMap<Artifact, Want>,
+    /// Hit rate where this router sent the prefix before.
+    pub cache_hit_rate: HitRate,
+    /// Hit rate at the owner of the prefix, where this router did not send it.
+    pub owner_hit_rate: HitRate,
+    /// Requested models and adapters that no endpoint has loaded.
+    missing: BTreeMap<Artifact, MissingArtifact>,
     load_wait: Smoothed,
 }
 
@@ -98,90 +98,90 @@
         Service {
             engine: None,
             budget: RetryBudget::default(),
-            first_byte: FirstByteLine::default(),
-            served: SERVED.start(),
-            held_tokens: HELD_TOKENS.start(),
-            first_byte_wait: SERVED.start(),
-            read_tokens: READ_TOKENS.start(),
-            kept: Share::new(FIRST_KEPT),
-            owned: Share::new(FIRST_OWNED),
-            wanted: BTreeMap::new(),
+            first_byte: FirstByteRegression::default(),
+            service_time: SERVICE_TIME.start(),
+            kv_cache_tokens: KV_CACHE_TOKENS.start(),
+            first_byte_wait: SERVICE_TIME.start(),
+            read_tokens: PREFILL_TOKENS.start(),
+            cache_hit_rate: HitRate::new(INITIAL_CACHE_HIT_RATE),
+            owner_hit_rate: HitRate::new(INITIAL_OWNER_HIT_RATE),
+            missing: BTreeMap::new(),
             load_wait: LOAD_WAIT.start(),
         }
     }
 }
 
 impl Service {
-    /// Takes the service's part of a configuration in.
+    /// Applies the configuration of the service.
     pub fn configure(&mut self, backend: &Backend) {
-        self.engine = backend.runtime.as_ref().map(EngineShape::from);
+        self.engine = backend.runtime.as_ref().map(EngineProfile::from);
     }
 
-    /// Whether the model may be loaded at all, as far as known.
-    pub fn may_load(&self, model: &str) -> bool {
+    /// Whether the model may be loaded; true while the configuration is unknown.
+    pub fn is_loadable(&self, model: &str) -> bool {
         self.engine.as_ref().is_none_or(|engine| engine.models.contains_key(model))
     }
 
-    /// Memory of one engine in tokens, where it is known.
+    /// KV cache of one engine in tokens, if known.
     pub fn memory_tokens(&self) -> Option<u64> {
         self.engine.as_ref().map(|engine| engine.memory_tokens).filter(|&tokens| tokens > 0)
     }
 
-    /// Mean tokens of memory that a request takes.
-    pub fn mean_held_tokens(&self) -> f64 {
-        self.held_tokens.seconds()
+    /// Mean KV-cache tokens of a request.
+    pub fn mean_kv_cache_tokens(&self) -> f64 {
+        self.kv_cache_tokens.seconds()
     }
 
-    /// Takes in how much memory a request takes.
-    pub fn sample_held_tokens(&mut self, tokens: u64) {
-        self.held_tokens.sample(&HELD_TOKENS, tokens as f64);
+    /// Records the KV-cache tokens of a request.
+    pub fn sample_kv_cache_tokens(&mut self, tokens: u64) {
+        self.kv_cache_tokens.sample(&KV_CACHE_TOKENS, tokens as f64);
     }
 
-    /// Takes in how long a first byte took, and how many tokens were believed to be read for it.
+    /// Records the time to a first byte in s, and the tokens that were expected to be prefilled for it.
     pub fn sample_first_byte(&mut self, measured_s: f64, tokens: u64) {
-        self.first_byte_wait.sample(&SERVED, measured_s);
-        self.read_tokens.sample(&READ_TOKENS, tokens as f64);
+        self.first_byte_wait.sample(&SERVICE_TIME, measured_s);
+        self.read_tokens.sample(&PREFILL_TOKENS, tokens as f64);
     }
 
-    /// Tokens that a request there still has to be read, as a mean over its time: half of its tokens while
-    /// they are being read, none after.
-    pub fn unread_at_a_time(&self) -> f64 {
-        let reading = (self.first_byte_wait.seconds() / self.served.seconds().max(1e-3)).min(1.0);
+    /// Tokens of a request that are still to be prefilled, as a mean over its duration: half of its tokens during the
+    /// prefill, none after.
+    pub fn mean_pending_prefill_tokens(&self) -> f64 {
+        let reading = (self.first_byte_wait.seconds() / self.service_time.seconds().max(1e-3)).min(1.0);
         reading * self.read_tokens.seconds() / 2.0
     }
 
-    /// Takes in the time from send to end of an answer.
-    pub fn sample_served(&mut self, served: Duration) {
-        self.served.sample(&SERVED, served.as_secs_f64());
+    /// Records the time from the send of a request to the end of its answer.
+    pub fn sample_service_time(&mut self, service_time: Duration) {
+        self.service_time.sample(&SERVICE_TIME, service_time.as_secs_f64());
     }
 
-    /// Notes that something is asked for which no endpoint holds.
-    pub fn want(&mut self, now: Duration, artifact: Artifact) {
-        if self.wanted.len() >= WANTED_MOST {
-            self.wanted.retain(|_, want| !is_forgotten(want, now));
+    /// Records a request for something that no endpoint has loaded.
+    pub fn record_missing(&mut self, now: Duration, artifact: Artifact) {
+        if self.missing.len() >= MAX_MISSING {
+            self.missing.retain(|_, missing| !is_expired(missing, now));
         }
-        let want = self.wanted.entry(artifact).or_insert(Want { since: now, last: now });
-        if is_forgotten(want, now) {
-            want.since = now;
+        let missing = self.missing.entry(artifact).or_insert(MissingArtifact { since: now, last: now });
+        if is_expired(missing, now) {
+            missing.since = now;
         }
-        want.last = now;
+        missing.last = now;
     }
 
-    /// Notes that something is held; tells whether it was waited for.
-    pub fn placed(&mut self, now: Duration, artifact: &Artifact) -> bool {
-        let Some(want) = self.wanted.remove(artifact).filter(|want| !is_forgotten(want, now)) else {
+    /// Records that something was loaded; returns whether it was missing.
+    pub fn record_loaded(&mut self, now: Duration, artifact: &Artifact) -> bool {
+        let Some(missing) = self.missing.remove(artifact).filter(|missing| !is_expired(missing, now)) else {
             return false;
         };
-        let waited = now.saturating_sub(want.since);
+        let waited = now.saturating_sub(missing.since);
         self.load_wait.sample(&LOAD_WAIT, waited.as_secs_f64());
         true
     }
 
-    /// How long something that is held nowhere will still be missing.
+    /// Expected time until something missing is loaded.
     pub fn expected_load_wait(&self, now: Duration, artifact: &Artifact) -> Duration {
-        let since = self.wanted.get(artifact).map_or(now, |want| want.since);
+        let since = self.missing.get(artifact).map_or(now, |missing| missing.since);
         let load_time = self.engine.as_ref().and_then(|engine| engine.models.get(&artifact.model));
-        let guess = load_time.copied().unwrap_or_default() + LOAD_REACTION;
+        let guess = load_time.copied().unwrap_or_default() + LOAD_REACTION_TIME;
         let usual = match self.load_wait.seconds() {
             waited if waited > 0.0 => {
                 milliseconds(waited * 1_000.0).max(load_time.copied().unwrap_or_default())
@@ -192,7 +192,7 @@
     }
 }
 
-/// Whether nobody has asked for so long that a load which comes now tells nothing of how long loads take.
-fn is_forgotten(want: &Want, now: Duration) -> bool {
-    now.saturating_sub(want.last) > WANT_MEMORY
+/// Whether it was not requested for so long that a load now says nothing about the duration of loads.
+fn is_expired(missing: &MissingArtifact, now: Duration) -> bool {
+    now.saturating_sub(missing.last) > MISSING_EXPIRY
 }
--- a/crates/dispatch/src/settings.rs
+++ b/crates/dispatch/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher takes from the settings file of its process.
+//! The settings of the dispatcher.
 
 use lanegate_config::mechanism::SwitchedOff;
 use lanegate_config::settings::{Bounds, Settings};
@@ -11,9 +11,9 @@
     pub zone: String,
     /// Region of each zone.
     pub zones: BTreeMap<String, String>,
-    /// Figures of the rules in force.
+    /// Bounds of retries and times.
     pub bounds: Bounds,
-    /// Mechanisms that do not work.
+    /// Mechanisms that are switched off.
     pub switched_off: SwitchedOff,
 }
 
--- a/crates/dispatch/src/agenda.rs
+++ b/crates/dispatch/src/timer_queue.rs
@@ -1,36 +1,41 @@
-//! When to look at each request next.
+//! The timers of the requests.
 
 use crate::interface::RequestId;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Requests by the moment at which something may change for them.
+/// One timer for each request, in order of expiry.
 #[derive(Debug, Default)]
-pub struct Agenda {
+pub struct TimerQueue {
     times: BTreeSet<(Duration, RequestId)>,
 }
 
-impl Agenda {
-    /// Books a request anew; `booked` is its entry, kept with the request.
-    pub fn book(&mut self, request: RequestId, booked: &mut Option<Duration>, at: Option<Duration>) {
-        if *booked == at {
+impl TimerQueue {
+    /// Sets or clears the timer of a request. `scheduled_at` is its current expiry, which is stored with the request.
+    pub fn schedule(
+        &mut self,
+        request: RequestId,
+        scheduled_at: &mut Option<Duration>,
+        at: Option<Duration>,
+    ) {
+        if *scheduled_at == at {
             return;
         }
-        if let Some(before) = booked.take() {
+        if let Some(before) = scheduled_at.take() {
             self.times.remove(&(before, request));
         }
         if let Some(at) = at {
             self.times.insert((at, request));
         }
-        *booked = at;
+        *scheduled_at = at;
     }
 
-    /// The earliest moment.
+    /// The earliest expiry.
     pub fn next(&self) -> Option<Duration> {
         self.times.first().map(|&(at, _)| at)
     }
 
-    /// Those whose moment has come, in order.
+    /// The requests whose timers have expired, in order of expiry.
     pub fn due(&self, now: Duration) -> Vec<RequestId> {
         self.times.iter().take_while(|&&(at, _)| at <= now).map(|&(_, request)| request).collect()
     }
--- a/crates/dispatch/tests/admission.rs
+++ b/crates/dispatch/tests/admission.rs
@@ -1,19 +1,19 @@
-//! Who gives way on an occupancy chart that cannot be met.
+//! Which request yields on an overdue timeline.
 
 use lanegate_dispatch::admission::{Admission, Overdue};
 use lanegate_dispatch::endpoints::EndpointKey;
 use lanegate_dispatch::interface::RequestId;
-use lanegate_dispatch::tracked::Hold;
+use lanegate_dispatch::pending_request::QueueEntry;
 use std::sync::Arc;
 
 const LANE: EndpointKey = EndpointKey(1);
 
-fn overdue(request: u64, route: &str, due: i64, occupies: i64) -> Overdue {
-    Overdue { request: RequestId(request), route: route.into(), due, occupies }
+fn overdue(request: u64, route: &str, due: i64, occupancy: i64) -> Overdue {
+    Overdue { request: RequestId(request), route: route.into(), due, occupancy }
 }
 
 #[test]
-fn the_class_that_has_missed_least_gives_way() {
+fn the_class_with_the_lowest_miss_ratio_yields() {
     let mut admission = Admission::default();
     let (paid, casual): (Arc<str>, Arc<str>) = ("paid".into(), "casual".into());
     for _ in 0..10 {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn within_a_class_the_longest_and_then_the_latest_gives_way() {
+fn within_a_class_the_longest_then_the_latest_request_yields() {
     let admission = Admission::default();
     let held = [overdue(1, "c", 10, 5), overdue(2, "c", 20, 7), overdue(3, "c", 30, 5)];
     assert_eq!(admission.victim(&held, true).map(|victim| victim.request), Some(RequestId(2)));
@@ -39,17 +39,17 @@
 }
 
 #[test]
-fn a_chart_is_overdue_once_its_requests_dont_fit_before_their_deadlines() {
+fn a_timeline_is_overdue_when_its_requests_cannot_meet_their_due_times() {
     let mut admission = Admission::default();
     let backend: Arc<str> = "tiles".into();
-    let hold = |due: i64| Hold { lane: Some(LANE), due };
-    admission.insert(&backend, RequestId(1), hold(100), 60);
+    let entry = |due: i64| QueueEntry { endpoint: Some(LANE), due };
+    admission.insert(&backend, RequestId(1), entry(100), 60);
     assert_eq!(admission.overdue(LANE, 30), None);
-    admission.insert(&backend, RequestId(2), hold(120), 60);
+    admission.insert(&backend, RequestId(2), entry(120), 60);
     assert!(admission.overdue(LANE, 30).is_some());
-    admission.remove(&backend, RequestId(2), hold(120));
+    admission.remove(&backend, RequestId(2), entry(120));
     assert_eq!(admission.overdue(LANE, 30), None);
     assert_eq!(admission.by_deadline("tiles", 9), [RequestId(1)]);
-    admission.remove(&backend, RequestId(1), hold(100));
+    admission.remove(&backend, RequestId(1), entry(100));
     assert!(admission.is_empty("tiles"));
 }
--- a/crates/dispatch/tests/thin_path.rs
+++ b/crates/dispatch/tests/basic_path.rs
@@ -1,4 +1,4 @@
-//! The plain path: an endpoint registers, a request goes there and is answered.
+//! The basic path: an endpoint registers, a request is sent there and answered.
 
 use lanegate_config::configuration::RouteType;
 use lanegate_config::feed::FeedEvent;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_fails_and_is_never_refused() {
+fn a_request_that_may_have_run_is_failed_and_never_refused() {
     let mut dispatcher = Dispatcher::new(DispatchSettings::default(), 1);
     dispatcher.apply(at(0), &FeedEvent::Instance(instance("i1")));
     dispatcher.apply(at(0), &FeedEvent::Instance(instance("i2")));
--- a/crates/dispatch/tests/demand.rs
+++ b/crates/dispatch/tests/demand.rs
@@ -1,4 +1,4 @@
-//! The demand that is told to the placement.
+//! The demand that is reported to the placement.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use support::{engine, generation, ms};
 
 #[test]
-fn a_report_counts_by_model_and_adapter_and_starts_anew() {
+fn a_report_counts_by_model_and_adapter_and_resets_the_counters() {
     let mut dispatcher = Dispatcher::new(DispatchSettings::default(), 1);
     dispatcher.apply(ms(0), &FeedEvent::Instance(engine("e1", &["m1"])));
     dispatcher.submit(ms(10), generation(1, 10, "m1", &[(1, 100)]));
@@ -29,9 +29,9 @@
     assert_eq!(told, [(Some("a1"), 0, 1)], "only what still waits");
 }
 
-/// The report before may have been lost with the agent or its link.
+/// The previous report may have been lost with the agent or its connection.
 #[test]
-fn what_waits_for_a_model_is_told_in_each_report_until_it_is_placed() {
+fn requests_that_wait_for_a_model_are_in_each_report_until_it_is_loaded() {
     let mut dispatcher = Dispatcher::new(DispatchSettings::default(), 1);
     dispatcher.apply(ms(0), &FeedEvent::Synchronized);
     dispatcher.apply(ms(0), &FeedEvent::Instance(engine("e1", &["m1"])));
--- a/crates/dispatch/tests/digests.rs
+++ b/crates/dispatch/tests/digests.rs
@@ -1,6 +1,6 @@
-//! What dispatchers decide in simulated time, seed by seed, as it was when the digests were committed.
+//! Digests of all decisions in simulated time, seed by seed, compared with the committed ones.
 //!
-//! With `UPDATE_DIGESTS=1` the digests are written anew; that is for changes that mean to decide otherwise.
+//! `UPDATE_DIGESTS=1` rewrites the files, for changes that are meant to change decisions.
 
 mod support;
 
@@ -9,8 +9,8 @@
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 use support::digest::{Digest, assert_digests};
-use support::fleet::{CHAT, DRAFT, Day, PAID, Policy, Trouble, play};
-use support::history::{Budget, ENDPOINTS, Happening, World};
+use support::fleet::{CHAT, DRAFT, Fault, FleetRun, PAID, Policy, simulate};
+use support::history::{Budget, ENDPOINTS, Event, RandomHistory};
 use support::ms;
 
 const FLEETS: u64 = 200;
@@ -18,23 +18,23 @@
 /// Events of one history.
 const EVENTS: u32 = 300;
 
-/// A short run of a fleet; seeds differ in their size and in what happens.
-fn fleet(seed: u64) -> Day {
+/// A short fleet simulation; seeds differ in size and faults.
+fn fleet(seed: u64) -> FleetRun {
     let mut rng = SmallRng::seed_from_u64(seed);
     let engines = rng.random_range(4..10);
     let models = rng.random_range(5..engines * 3);
     let mut engine = || rng.random_range(0..engines);
-    let (dark, crashed, loading) = (engine(), engine(), engine());
-    let load = Trouble::Load { at: 5_000, engine: loading, model: 0 };
-    let mut troubles = vec![
-        Trouble::Burst { from: 1_000, to: 3_000, kind: "draft", times: 2.5 + (seed % 4) as f64 * 3.0 },
-        Trouble::Dark { from: 2_000, to: 4_500, engine: dark },
-        Trouble::Crash { at: 2_500, engine: crashed },
-        Trouble::Burst { from: 5_000, to: 6_500, kind: "paid", times: 20.0 },
+    let (unresponsive, crashed, loading) = (engine(), engine(), engine());
+    let load = Fault::LoadModel { at: 5_000, engine: loading, model: 0 };
+    let mut faults = vec![
+        Fault::Burst { from: 1_000, to: 3_000, class: "draft", times: 2.5 + (seed % 4) as f64 * 3.0 },
+        Fault::Unresponsive { from: 2_000, to: 4_500, engine: unresponsive },
+        Fault::Crash { at: 2_500, engine: crashed },
+        Fault::Burst { from: 5_000, to: 6_500, class: "paid", times: 20.0 },
     ];
-    troubles.extend([load].into_iter().filter(|_| loading != crashed));
-    troubles.retain(|_| rng.random_range(0..4) > 0);
-    Day {
+    faults.extend([load].into_iter().filter(|_| loading != crashed));
+    faults.retain(|_| rng.random_range(0..4) > 0);
+    FleetRun {
         policy: Policy::Dispatched,
         seed,
         routers: 1 + (seed % 5) as usize,
@@ -42,41 +42,41 @@
         models,
         subjects: 1 + seed % 8,
         seconds: 8,
-        kinds: vec![DRAFT, PAID, CHAT],
-        troubles,
-        rare_model: seed.is_multiple_of(3).then_some(0),
+        classes: vec![DRAFT, PAID, CHAT],
+        faults,
+        missing_model: seed.is_multiple_of(3).then_some(0),
     }
 }
 
 #[test]
-fn fleets_decide_as_before() {
-    let digests: Vec<Digest> = (0..FLEETS).map(|seed| play(fleet(seed)).digest).collect();
+fn fleet_decisions_match_their_digests() {
+    let digests: Vec<Digest> = (0..FLEETS).map(|seed| simulate(fleet(seed)).digest).collect();
     assert_digests("fleets", &digests);
 }
 
-fn happening(rng: &mut SmallRng) -> Happening {
+fn random_event(rng: &mut SmallRng) -> Event {
     let request = rng.random_range(0..8);
     match rng.random_range(0..32) {
-        0..3 => Happening::Register {
+        0..3 => Event::Register {
             endpoint: rng.random_range(0..ENDPOINTS),
             models: rng.random_range(0..4),
             draining: rng.random_range(0..8) == 0,
         },
-        3 => Happening::Remove { endpoint: rng.random_range(0..ENDPOINTS) },
-        4..12 => Happening::Submit {
-            kind: rng.random_range(0..5),
+        3 => Event::Remove { endpoint: rng.random_range(0..ENDPOINTS) },
+        4..12 => Event::Submit {
+            class: rng.random_range(0..5),
             attempts: rng.random_range(1..4),
             model: rng.random_range(0..3),
         },
-        12..14 => Happening::Head { request, waiting: rng.random_range(0..3) },
-        14..18 => Happening::FirstByte { request },
-        18..30 => Happening::End { request, how: rng.random_range(0..9) },
-        30 => Happening::Cancel { request },
-        _ => Happening::Oversleep,
+        12..14 => Event::Head { request, waiting: rng.random_range(0..3) },
+        14..18 => Event::FirstByte { request },
+        18..30 => Event::End { request, how: rng.random_range(0..9) },
+        30 => Event::Cancel { request },
+        _ => Event::Stall,
     }
 }
 
-/// Every other history has one mechanism switched off, each in its turn.
+/// Every other history has one mechanism switched off, in rotation.
 fn switched_off(seed: u64) -> SwitchedOff {
     let mechanisms: Vec<Mechanism> = Mechanism::all().collect();
     let off = mechanisms[(seed / 2) as usize % mechanisms.len()];
@@ -89,11 +89,11 @@
     let ratio = [0.0, 0.05, 0.2, 2.0][rng.random_range(0..4)];
     let slack = [0.0, 4.0, 12.0, 400.0][rng.random_range(0..4)];
     let longest_pause = [3, 40, 200][rng.random_range(0..3)];
-    let mut world = World::new(Budget { ratio, slack }, switched_off(seed));
+    let mut world = RandomHistory::new(Budget { ratio, slack }, switched_off(seed));
     for event in 0..EVENTS {
         let to = world.now + ms(rng.random_range(0..longest_pause));
-        world.pass(to);
-        world.happen(&happening(&mut rng));
+        world.advance_to(to);
+        world.apply_event(&random_event(&mut rng));
         let summary = world.dispatcher.summary(world.now);
         world.digest.add_summary(&summary);
         world.digest.add_wake(world.dispatcher.next_wake());
@@ -103,12 +103,12 @@
     }
     let demand = world.dispatcher.demand_report(world.now);
     world.digest.add_demand(&demand);
-    world.pass(world.now + Duration::from_secs(10));
+    world.advance_to(world.now + Duration::from_secs(10));
     world.digest
 }
 
 #[test]
-fn random_histories_are_decided_as_before() {
+fn random_history_decisions_match_their_digests() {
     let digests: Vec<Digest> = (0..HISTORIES).map(history).collect();
     assert_digests("histories", &digests);
 }
--- a/crates/dispatch/tests/choice.rs
+++ b/crates/dispatch/tests/endpoint_selection.rs
@@ -12,7 +12,7 @@
 const SERVICES: &str = r#"{"Version":1,"Backends":[{"Name":"llm","Runtime":
     {"Capacity":64,"KvCacheTokens":233500,"Models":[{"Name":"m","WeightsMb":1,"LoadTimeS":2}]}}]}"#;
 
-/// A dispatcher that knows two engines, of which the first told that so many streams run there.
+/// A dispatcher with two engines, of which the first reported `running` streams.
 fn dispatcher(running: u32) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(DispatchSettings::default(), 1);
     let configuration: Configuration = serde_json::from_str(SERVICES).expect("a configuration");
@@ -27,7 +27,7 @@
     dispatcher
 }
 
-/// How many of 40 long prompts, each of another subject, go to the engine that told its load.
+/// How many of 40 long prompts, each with another prefix, go to the engine that reported load.
 fn long_prompts_at_busy(running: u32) -> usize {
     let sent = (0..40).filter(|&subject| {
         let mut dispatcher = dispatcher(running);
@@ -39,17 +39,17 @@
 }
 
 #[test]
-fn a_long_prompt_goes_by_its_prefix_while_engines_are_alike() {
+fn prefix_affinity_decides_between_equally_loaded_engines() {
     assert!((8..32).contains(&long_prompts_at_busy(0)));
 }
 
 #[test]
-fn a_long_prompt_keeps_off_an_engine_whose_many_streams_it_would_hold_up() {
+fn a_long_prompt_avoids_an_engine_whose_many_streams_it_would_stall() {
     assert_eq!(long_prompts_at_busy(25), 0);
 }
 
 #[test]
-fn prompts_of_one_subject_stay_together() {
+fn prompts_with_one_prefix_go_to_one_engine() {
     let mut dispatcher = dispatcher(0);
     let mut instances = Vec::new();
     for request in 2..12 {
--- a/crates/dispatch/tests/exhausted.rs
+++ b/crates/dispatch/tests/exhausted_attempts.rs
@@ -1,4 +1,4 @@
-//! A try that was sent to as many endpoints as its route allows ends once none of these will take it.
+//! A request that was sent to as many endpoints as its route allows ends once none of these can serve it.
 
 mod support;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_try_is_refused_at_once_when_its_only_endpoint_has_dropped_the_model() {
+fn a_request_is_refused_at_once_when_its_only_endpoint_has_evicted_the_model() {
     let mut dispatcher = synchronized(&[engine("e1", &["m1"]), engine("e2", &["m2"])]);
     dispatcher.submit(ms(10), once(1, 10, "m1"));
     dispatcher.ended(ms(20), RequestId(1), 1, MISDIRECTED);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn it_may_come_back_at_once_where_another_endpoint_holds_the_model() {
+fn the_client_may_retry_at_once_when_another_endpoint_has_the_model() {
     let mut dispatcher = synchronized(&[engine("e1", &["m1"])]);
     dispatcher.submit(ms(10), once(1, 10, "m1"));
     dispatcher.apply(ms(15), &FeedEvent::Instance(engine("e2", &["m1"])));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_try_waits_on_where_its_endpoint_still_holds_the_model() {
+fn a_request_stays_queued_while_its_endpoint_still_has_the_model() {
     let mut dispatcher = synchronized(&[engine("e1", &["m1"])]);
     dispatcher.submit(ms(10), once(1, 10, "m1"));
     dispatcher.ended(
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_try_that_may_go_to_two_endpoints_waits_for_the_second() {
+fn a_request_with_two_attempts_waits_for_a_second_endpoint() {
     let mut dispatcher = synchronized(&[engine("e1", &["m1"])]);
     dispatcher.submit(ms(10), generation(1, 10, "m1", &[(1, 100)]));
     dispatcher.ended(ms(20), RequestId(1), 1, MISDIRECTED);
--- a/crates/dispatch/tests/news.rs
+++ b/crates/dispatch/tests/feed_order.rs
@@ -1,4 +1,4 @@
-//! What the feed tells of an endpoint between two of its heartbeats, under the sequence of the first.
+//! Feed events between two heartbeats of an endpoint, which carry the sequence of the first.
 
 mod support;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_model_that_is_about_to_be_evicted_gets_no_requests_before_the_next_heartbeat() {
+fn a_model_that_is_being_evicted_gets_no_requests_before_the_next_heartbeat() {
     let mut dispatcher = synchronized(&[engine("e1", &["m1", "m2"]), engine("e2", &["m1"])]);
     dispatcher.apply(ms(100), &FeedEvent::Instance(engine("e1", &["m2"])));
     for id in 1..=8 {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_model_that_was_loaded_serves_what_waits_before_the_next_heartbeat() {
+fn a_loaded_model_serves_queued_requests_before_the_next_heartbeat() {
     let mut dispatcher = synchronized(&[engine("e1", &["m1"])]);
     dispatcher.submit(ms(10), generation(1, 10, "m2", &[(1, 100)]));
     assert_eq!(sent(&mut dispatcher), [""; 0]);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn news_older_than_the_newest_heartbeat_change_nothing() {
+fn events_older_than_the_newest_heartbeat_are_ignored() {
     let newer = Instance { sequence: 5, ..engine("e1", &["m1"]) };
     let mut dispatcher = synchronized(&[newer]);
     dispatcher.apply(ms(100), &FeedEvent::Instance(Instance { sequence: 4, ..engine("e1", &["m2"]) }));
--- a/crates/dispatch/tests/health.rs
+++ b/crates/dispatch/tests/health.rs
@@ -1,92 +1,92 @@
-//! Passive health: what leaves an endpoint out, and how it comes back.
+//! Passive health: what ejects an endpoint, and how it returns.
 
 mod support;
 
-use lanegate_dispatch::health::{Fault, Health, Standing};
+use lanegate_dispatch::health::{Failure, Health, HealthStatus};
 use support::ms;
 
 #[test]
-fn one_failed_answer_is_no_outage_but_several_in_a_row_are() {
+fn consecutive_error_responses_eject_but_a_single_one_does_not() {
     let mut health = Health::default();
-    health.failed(ms(10), Fault::Told, true, 1.0);
-    health.failed(ms(20), Fault::Told, true, 1.0);
-    assert_eq!(health.standing(ms(20)), Standing::In);
-    health.failed(ms(30), Fault::Told, true, 1.0);
-    assert!(health.is_out());
+    health.record_failure(ms(10), Failure::ErrorResponse, true, 1.0);
+    health.record_failure(ms(20), Failure::ErrorResponse, true, 1.0);
+    assert_eq!(health.status(ms(20)), HealthStatus::Healthy);
+    health.record_failure(ms(30), Failure::ErrorResponse, true, 1.0);
+    assert!(health.is_ejected());
     let mut mixed = Health::default();
     for at in 0..10 {
-        mixed.failed(ms(at * 10), Fault::Told, true, 1.0);
-        mixed.succeeded(ms(at * 10 + 5), true);
+        mixed.record_failure(ms(at * 10), Failure::ErrorResponse, true, 1.0);
+        mixed.record_success(ms(at * 10 + 5), true);
     }
-    assert_eq!(mixed.standing(ms(200)), Standing::In);
+    assert_eq!(mixed.status(ms(200)), HealthStatus::Healthy);
 }
 
 #[test]
-fn a_broken_connection_leaves_it_out_for_growing_pauses() {
+fn broken_connections_eject_with_exponential_backoff() {
     let mut health = Health::default();
-    health.failed(ms(0), Fault::Broken, true, 1.0);
-    assert!(matches!(health.standing(ms(299)), Standing::Out { .. }));
-    assert!(matches!(health.standing(ms(300)), Standing::Trial { .. }));
-    health.sent();
-    assert!(matches!(health.standing(ms(310)), Standing::Out { .. }), "one trial at a time");
-    health.failed(ms(310), Fault::Broken, true, 1.0);
-    assert!(matches!(health.standing(ms(310 + 450)), Standing::Out { .. }));
-    assert!(matches!(health.standing(ms(310 + 500)), Standing::Trial { .. }));
+    health.record_failure(ms(0), Failure::Connection, true, 1.0);
+    assert!(matches!(health.status(ms(299)), HealthStatus::Ejected { .. }));
+    assert!(matches!(health.status(ms(300)), HealthStatus::HalfOpen { .. }));
+    health.record_dispatch();
+    assert!(matches!(health.status(ms(310)), HealthStatus::Ejected { .. }), "one trial at a time");
+    health.record_failure(ms(310), Failure::Connection, true, 1.0);
+    assert!(matches!(health.status(ms(310 + 450)), HealthStatus::Ejected { .. }));
+    assert!(matches!(health.status(ms(310 + 500)), HealthStatus::HalfOpen { .. }));
 }
 
 #[test]
-fn pauses_are_bounded() {
+fn the_backoff_is_bounded() {
     let mut health = Health::default();
     for _ in 0..50 {
-        health.failed(ms(0), Fault::Silent, true, 1.0);
+        health.record_failure(ms(0), Failure::Timeout, true, 1.0);
     }
-    assert!(matches!(health.standing(ms(8_000)), Standing::Trial { .. }));
+    assert!(matches!(health.status(ms(8_000)), HealthStatus::HalfOpen { .. }));
 }
 
 #[test]
-fn it_comes_back_slowly_after_a_trial() {
+fn a_successful_trial_starts_a_slow_start() {
     let mut health = Health::default();
-    health.failed(ms(0), Fault::Silent, true, 1.0);
-    health.sent();
-    health.succeeded(ms(3_000), true);
+    health.record_failure(ms(0), Failure::Timeout, true, 1.0);
+    health.record_dispatch();
+    health.record_success(ms(3_000), true);
     let mut allowed = Vec::new();
-    while let Standing::Returning(most) = health.standing(ms(3_000)) {
+    while let HealthStatus::SlowStart(most) = health.status(ms(3_000)) {
         allowed.push(most);
-        health.succeeded(ms(3_000), true);
+        health.record_success(ms(3_000), true);
     }
     assert_eq!(allowed, [1, 2, 4, 8, 16]);
-    assert_eq!(health.standing(ms(3_000)), Standing::In);
-    assert_eq!(health.faults(), 0);
+    assert_eq!(health.status(ms(3_000)), HealthStatus::Healthy);
+    assert_eq!(health.consecutive_failures(), 0);
 }
 
 #[test]
-fn a_sign_of_life_ends_a_silence_but_not_an_outage_of_connections() {
+fn activity_ends_a_timeout_but_not_an_ejection_for_broken_connections() {
     let mut silent = Health::default();
-    silent.failed(ms(0), Fault::Silent, true, 1.0);
-    silent.heard(ms(10));
-    assert_eq!(silent.standing(ms(10)), Standing::In, "it was only slow");
-    silent.failed(ms(20), Fault::Silent, true, 1.0);
-    silent.heard(ms(30));
-    assert_eq!(silent.standing(ms(30)), Standing::Returning(1));
+    silent.record_failure(ms(0), Failure::Timeout, true, 1.0);
+    silent.record_activity(ms(10));
+    assert_eq!(silent.status(ms(10)), HealthStatus::Healthy, "it was only slow");
+    silent.record_failure(ms(20), Failure::Timeout, true, 1.0);
+    silent.record_activity(ms(30));
+    assert_eq!(silent.status(ms(30)), HealthStatus::SlowStart(1));
     let mut broken = Health::default();
-    broken.failed(ms(0), Fault::Broken, true, 1.0);
-    broken.heard(ms(10));
-    assert!(matches!(broken.standing(ms(10)), Standing::Out { .. }));
+    broken.record_failure(ms(0), Failure::Connection, true, 1.0);
+    broken.record_activity(ms(10));
+    assert!(matches!(broken.status(ms(10)), HealthStatus::Ejected { .. }));
 }
 
 #[test]
-fn it_stays_in_where_too_many_others_are_out() {
+fn it_stays_in_rotation_when_too_many_others_are_ejected() {
     let mut health = Health::default();
-    health.failed(ms(0), Fault::Broken, false, 1.0);
-    assert_eq!(health.standing(ms(0)), Standing::In);
-    assert_eq!(health.faults(), 1);
+    health.record_failure(ms(0), Failure::Connection, false, 1.0);
+    assert_eq!(health.status(ms(0)), HealthStatus::Healthy);
+    assert_eq!(health.consecutive_failures(), 1);
 }
 
 #[test]
-fn a_trial_that_told_nothing_leaves_room_for_another() {
+fn a_trial_without_a_result_allows_another_trial() {
     let mut health = Health::default();
-    health.failed(ms(0), Fault::Broken, true, 1.0);
-    health.sent();
-    health.trial_void();
-    assert!(matches!(health.standing(ms(400)), Standing::Trial { .. }));
+    health.record_failure(ms(0), Failure::Connection, true, 1.0);
+    health.record_dispatch();
+    health.cancel_trial();
+    assert!(matches!(health.status(ms(400)), HealthStatus::HalfOpen { .. }));
 }
--- a/crates/dispatch/tests/prefix.rs
+++ b/crates/dispatch/tests/prefix.rs
@@ -1,4 +1,4 @@
-//! Prompt chains, the memory of prompts, and the hashing that all routers agree on.
+//! Prompt chains, the prefix cache, and the stable hashes that all routers share.
 
 mod support;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn only_unbroken_beginnings_are_kept() {
+fn only_complete_prefixes_are_cached() {
     let mut cache = PrefixCache::default();
     cache.insert(&chain("m", &[(1, 800), (2, 400), (3, 200)]), 10_000);
     assert_eq!(cache.cached_tokens(&chain("m", &[(1, 800), (2, 400), (9, 200)])), 1_200);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_parts_unused_longest_give_way_and_ends_before_beginnings() {
+fn eviction_is_lru_and_ends_go_before_beginnings() {
     let mut cache = PrefixCache::default();
     cache.insert(&chain("m", &[(1, 800), (2, 100)]), 1_000);
     cache.insert(&chain("m", &[(1, 800), (3, 100)]), 1_000);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_chain_lives_by_its_shared_parts() {
+fn the_affinity_of_a_chain_is_that_of_its_shared_parts() {
     let one = chain("m", &[(1, 800), (2, 400), (3, 200)]);
     let other = chain("m", &[(1, 800), (2, 400), (4, 900)]);
     assert_eq!(one.affinity(), other.affinity());
@@ -51,12 +51,12 @@
 }
 
 #[test]
-fn a_prompt_larger_than_its_parts_counts_whole() {
+fn a_prompt_larger_than_its_parts_counts_completely() {
     let larger = Generation { prompt_tokens: 5_000, ..wanted("m", &[(1, 800)]) };
     assert_eq!(PromptChain::of(&larger).prompt_tokens, 5_000);
 }
 
-/// Routers of different builds must agree: these values never change.
+/// Routers of different versions must agree: these values never change.
 #[test]
 fn the_hash_is_the_same_everywhere() {
     assert_eq!(stable_hash("i-7f3a91c2"), HASH_OF_AN_ID);
@@ -69,7 +69,7 @@
 const RANK_OF_ONE_AND_TWO: u64 = 2185194620014831856;
 
 #[test]
-fn ownership_spreads_evenly_and_moves_only_where_it_must() {
+fn ownership_is_even_and_moves_minimally() {
     let nodes: Vec<u64> = (0..12).map(|node| stable_hash(&format!("node-{node}"))).collect();
     let owner =
         |key: u64, nodes: &[u64]| nodes.iter().copied().max_by_key(|&node| rank(key, node)).expect("nodes");
--- a/crates/dispatch/tests/process_end.rs
+++ b/crates/dispatch/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! What a process that is to end takes on, beyond the scenario of that name.
+//! What is still accepted during shutdown.
 
 mod support;
 
@@ -19,7 +19,7 @@
     ]
 }"#;
 
-/// A dispatcher of a service of one engine and of one without engines.
+/// A dispatcher with a service of one engine and a service without engines.
 fn dispatcher() -> Dispatcher {
     let mut dispatcher = Dispatcher::new(DispatchSettings::default(), 1);
     let configuration: Configuration = serde_json::from_str(CONFIGURATION).expect("a configuration");
@@ -31,7 +31,7 @@
     dispatcher
 }
 
-/// A stream with 15 s for an answer of so many tokens.
+/// A stream with 15 s for an answer of `output_tokens`.
 fn stream(id: u64, arrived: u64, output_tokens: u32) -> Request {
     let request = generation(id, arrived, "m1", &[(id, 100)]);
     let wanted = request.generation.as_ref().expect("what it asks of an engine").clone();
@@ -39,7 +39,7 @@
     Request { deadline, generation: Some(Generation { output_tokens, ..wanted }), ..request }
 }
 
-/// Submits a request; whether it was sent.
+/// Submits a request; returns whether it was sent.
 fn is_sent(dispatcher: &mut Dispatcher, now: u64, request: Request) -> bool {
     dispatcher.submit(ms(now), request);
     dispatcher.take_decisions().iter().any(|decision| matches!(decision, Decision::Send { .. }))
@@ -56,15 +56,15 @@
     dispatcher.take_decisions();
 }
 
-/// A request that is answered as a whole, with 1.5 s for that.
+/// A request without a stream, with 1.5 s for its answer.
 fn fetch(id: u64, arrived: u64) -> Request {
     request(id, arrived)
 }
 
-/// Its engine may become overloaded after the send, whatever was known before: drawn day
-/// `sccx-lanegate-planned-work-131`, where a stream of 1.5 s ran for more than 6 s.
+/// Its engine may become overloaded after the send. Found by run
+/// `sccx-lanegate-planned-work-131`, where a stream of 1.5 s took more than 6 s.
 #[test]
-fn no_stream_is_begun_once_the_process_is_to_end() {
+fn no_stream_is_started_during_shutdown() {
     let mut dispatcher = dispatcher();
     for id in 0..50 {
         let arrived = id * 10_000;
@@ -78,9 +78,9 @@
     }
 }
 
-/// Whether or not its service has engines, and whatever has been answered before.
+/// With or without engines, and whatever has been answered before.
 #[test]
-fn no_stream_of_a_plain_service_is_begun_either() {
+fn no_stream_of_a_service_without_engines_is_started_either() {
     for answered in [0, 1, 50] {
         let mut dispatcher = dispatcher();
         let plain = |id, arrived| Request { route_type: RouteType::Streaming, ..fetch(id, arrived) };
@@ -94,9 +94,9 @@
     }
 }
 
-/// Twice the usual time has to be left, and a margin.
+/// At least twice the usual time and a margin have to remain.
 #[test]
-fn what_is_answered_as_a_whole_is_sent_while_there_is_time_for_it() {
+fn requests_without_a_stream_are_sent_while_there_is_time() {
     let mut dispatcher = dispatcher();
     for id in 0..100 {
         let arrived = id * 2_000;
@@ -109,9 +109,9 @@
     assert!(!is_sent(&mut dispatcher, 306_700, fetch(201, 306_700)), "0.5 s hardly fit into 1.1 s");
 }
 
-/// What waits is not held to the end of its client's patience.
+/// Queued requests are not kept until their clients time out.
 #[test]
-fn streams_that_wait_are_refused_when_the_process_is_told_to_end() {
+fn queued_streams_are_refused_at_the_start_of_the_shutdown() {
     let mut dispatcher = dispatcher();
     let mut waiting = stream(1, 1_000, 100);
     waiting.generation.as_mut().expect("what it asks of an engine").adapter = Some("a1".into());
--- a/crates/dispatch/tests/support/digest.rs
+++ b/crates/dispatch/tests/support/digest.rs
@@ -1,6 +1,6 @@
-//! Digests of what a dispatcher decides, and the files of digests that tests compare them with.
+//! Digests of decisions, and their comparison with the committed files.
 //!
-//! A digest covers numbers and wire names only, never names of Rust items or `Debug` texts.
+//! A digest covers numbers and wire names only, no names of Rust items and no `Debug` output.
 
 use lanegate_config::demand::DemandReport;
 use lanegate_dispatch::DispatchSummary;
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Set to 1, this environment variable has the files of digests written anew.
+/// Set this environment variable to 1 to rewrite the files.
 const UPDATE_VARIABLE: &str = "UPDATE_DIGESTS";
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Adds when a dispatcher wants to be woken.
+    /// Adds the time of the next wake.
     pub fn add_wake(&mut self, at: Option<Duration>) {
         self.add_number(u64::from(at.is_some()));
         self.add_time(at.unwrap_or_default());
@@ -81,14 +81,14 @@
         }
     }
 
-    /// Adds the figures that a dispatcher gives to operators.
+    /// Adds the figures for operators.
     pub fn add_summary(&mut self, summary: &DispatchSummary) {
-        self.add_number(summary.held_requests as u64);
+        self.add_number(summary.queued_requests as u64);
         self.add_number(summary.retries);
-        self.add_number(summary.least_retry_budget.map_or(u64::MAX, |left| left));
+        self.add_number(summary.min_retry_budget.map_or(u64::MAX, |left| left));
         self.add_number(summary.endpoints.serving as u64);
         self.add_number(summary.endpoints.ejected as u64);
-        self.add_number(summary.endpoints.leaving as u64);
+        self.add_number(summary.endpoints.draining as u64);
     }
 
     fn add_time(&mut self, time: Duration) {
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -1,8 +1,8 @@
-//! A fleet in simulated time: several routers that don't talk, engines that they share, clients that come back
-//! once after a refusal.
+//! A simulated fleet: several routers that do not communicate, the engines that they share, and clients that retry once
+//! after a refusal.
 
 use super::digest::Digest;
-use super::engine::{EngineSpeed, Job, News, SimulatedEngine};
+use super::engine::{EngineEvent, EngineSpeed, Job, SimulatedEngine};
 use super::{engine, ms};
 use lanegate_config::configuration::{Configuration, RouteType};
 use lanegate_config::feed::FeedEvent;
@@ -15,64 +15,64 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after the last arrival in which all requests end.
+/// Time after the last arrival within which all requests end.
 const LAST_ANSWERS: Duration = Duration::from_secs(16);
 
 const TICK: Duration = Duration::from_millis(2);
-/// The retry budget: the ratio, the window and the slack.
+/// The retry budget.
 const RETRY_RATIO: f64 = 0.2;
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
 const RETRY_SLACK: f64 = 50.0;
 
-const SPEED: EngineSpeed = EngineSpeed {
+const ENGINE_SPEED: EngineSpeed = EngineSpeed {
     slots: 64,
     memory_tokens: 233_500,
-    read_per_ms: 38.0,
+    prefill_per_ms: 38.0,
     step_ms: 4.4,
     step_per_run_ms: 0.05,
     event_tokens: 5,
 };
 
-/// Who decides where requests go.
+/// How endpoints are selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
     Dispatched,
-    /// Any engine that holds the model, by chance.
+    /// A random engine that has the model.
     Random,
 }
 
-/// One kind of request.
+/// One class of requests.
 #[derive(Debug, Clone, Copy)]
-pub struct Kind {
+pub struct RequestClass {
     pub name: &'static str,
     pub rate: f64,
     pub shared_tokens: u32,
     pub own_tokens: u32,
     pub output_tokens: u32,
-    pub aim_ms: u64,
+    pub target_ms: u64,
     pub deadline_ms: u64,
     pub priority: u8,
     pub resumable: bool,
     pub attempts: u32,
 }
 
-pub const DRAFT: Kind = Kind {
+pub const DRAFT: RequestClass = RequestClass {
     name: "draft",
     rate: 16.5,
     shared_tokens: 6_300,
     own_tokens: 2_890,
     output_tokens: 50,
-    aim_ms: 800,
+    target_ms: 800,
     deadline_ms: 5_000,
     priority: 1,
     resumable: false,
     attempts: 1,
 };
 
-pub const PAID: Kind = Kind {
+pub const PAID: RequestClass = RequestClass {
     name: "paid",
     rate: 2.3,
-    aim_ms: 1_500,
+    target_ms: 1_500,
     deadline_ms: 6_000,
     priority: 0,
     resumable: true,
@@ -80,35 +80,35 @@
     ..DRAFT
 };
 
-pub const CHAT: Kind = Kind {
+pub const CHAT: RequestClass = RequestClass {
     name: "chat",
     rate: 21.0,
     shared_tokens: 198,
     own_tokens: 628,
     output_tokens: 290,
-    aim_ms: 500,
+    target_ms: 500,
     deadline_ms: 15_000,
     priority: 2,
     resumable: false,
     attempts: 2,
 };
 
-/// What happens to the fleet.
+/// A fault, or another change of the fleet or its load. Times in ms.
 #[derive(Debug, Clone, Copy)]
-pub enum Trouble {
-    /// One kind of request comes this many times as often.
-    Burst { from: u64, to: u64, kind: &'static str, times: f64 },
-    /// An engine says nothing, and its routers hear nothing.
-    Dark { from: u64, to: u64, engine: usize },
-    /// An engine ends; its heartbeats are missed some seconds later.
+pub enum Fault {
+    /// The arrival rate of one class is multiplied.
+    Burst { from: u64, to: u64, class: &'static str, times: f64 },
+    /// An engine does not respond.
+    Unresponsive { from: u64, to: u64, engine: usize },
+    /// An engine crashes; it is removed from the feed some seconds later.
     Crash { at: u64, engine: usize },
-    /// A model moves: one engine drops it, another takes it, and requests find it in between nowhere.
-    Load { at: u64, engine: usize, model: usize },
+    /// An engine has loaded a model.
+    LoadModel { at: u64, engine: usize, model: usize },
 }
 
-/// A day to be played.
+/// The parameters of a simulation.
 #[derive(Debug, Clone)]
-pub struct Day {
+pub struct FleetRun {
     pub policy: Policy,
     pub seed: u64,
     pub routers: usize,
@@ -116,61 +116,62 @@
     pub models: usize,
     pub subjects: u64,
     pub seconds: u64,
-    pub kinds: Vec<Kind>,
-    pub troubles: Vec<Trouble>,
-    /// Model and adapter of a kind that no engine holds at first.
-    pub rare_model: Option<usize>,
+    pub classes: Vec<RequestClass>,
+    pub faults: Vec<Fault>,
+    /// A model that no engine has at first.
+    pub missing_model: Option<usize>,
 }
 
-/// How the requests of one kind fared.
+/// The results of the requests of one class.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Tally {
-    pub asked: u32,
+    pub submitted: u32,
     pub in_time: u32,
-    /// In time from the second try, after a refusal.
-    pub returned: u32,
+    /// In time with the second request, after a refusal.
+    pub in_time_on_retry: u32,
     pub late: u32,
     pub refused: u32,
     pub failed: u32,
 }
 
 impl Tally {
-    /// What they were worth, with a share for late answers, and the mean of both for second tries.
-    pub fn worth(&self, late: f64) -> f64 {
-        let returned = (1.0 + late) / 2.0 * f64::from(self.returned);
-        (f64::from(self.in_time) + returned + late * f64::from(self.late)) / f64::from(self.asked.max(1))
+    /// Their value: 1 in time, `late` for a late answer, and the mean of both for a second request.
+    pub fn value(&self, late: f64) -> f64 {
+        let in_time_on_retry = (1.0 + late) / 2.0 * f64::from(self.in_time_on_retry);
+        (f64::from(self.in_time) + in_time_on_retry + late * f64::from(self.late))
+            / f64::from(self.submitted.max(1))
     }
 
-    pub fn in_time_share(&self) -> f64 {
-        f64::from(self.in_time) / f64::from(self.asked.max(1))
+    pub fn in_time_fraction(&self) -> f64 {
+        f64::from(self.in_time) / f64::from(self.submitted.max(1))
     }
 
-    pub fn served_share(&self) -> f64 {
-        f64::from(self.in_time + self.returned + self.late) / f64::from(self.asked.max(1))
+    pub fn served_fraction(&self) -> f64 {
+        f64::from(self.in_time + self.in_time_on_retry + self.late) / f64::from(self.submitted.max(1))
     }
 }
 
-/// What a day came to.
+/// The results of a simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    pub kinds: BTreeMap<&'static str, Tally>,
-    pub read_tokens: f64,
-    pub repeats: u32,
+    pub classes: BTreeMap<&'static str, Tally>,
+    pub prefilled_tokens: f64,
+    pub retries: u32,
     pub rejections: u32,
     pub decisions: u64,
-    /// Of all decisions, and of what the routers tell each second.
+    /// Of all decisions, and of the reports of the routers each second.
     pub digest: Digest,
 }
 
 impl Outcome {
-    pub fn kind(&self, kind: &Kind) -> Tally {
-        self.kinds.get(kind.name).copied().unwrap_or_default()
+    pub fn class(&self, class: &RequestClass) -> Tally {
+        self.classes.get(class.name).copied().unwrap_or_default()
     }
 }
 
 #[derive(Debug, Clone)]
 struct Client {
-    kind: Kind,
+    class: RequestClass,
     wanted: Generation,
     router: usize,
     first_arrived: Duration,
@@ -181,8 +182,8 @@
 }
 
 struct Fleet {
-    day: Day,
-    /// Of the arrivals, and of all else, so that policies see the same requests.
+    run: FleetRun,
+    /// Random numbers of the arrivals, and of everything else, so that all policies see the same requests.
     arrivals: SmallRng,
     rng: SmallRng,
     now: Duration,
@@ -196,34 +197,34 @@
     removals: Vec<(Duration, usize)>,
     next: u64,
     outcome: Outcome,
-    /// Requests that began to run and may run once.
-    begun: BTreeSet<u64>,
-    asked_at: Vec<Duration>,
-    repeated_at: Vec<Duration>,
+    /// Started requests that must not run twice.
+    started: BTreeSet<u64>,
+    submitted_at: Vec<Duration>,
+    retried_at: Vec<Duration>,
 }
 
-/// Plays a day.
-pub fn play(day: Day) -> Outcome {
-    let mut fleet = Fleet::new(day);
-    let seconds = fleet.day.seconds;
+/// Runs a simulation.
+pub fn simulate(run: FleetRun) -> Outcome {
+    let mut fleet = Fleet::new(run);
+    let seconds = fleet.run.seconds;
     while fleet.now < Duration::from_secs(seconds) + LAST_ANSWERS {
         fleet.tick();
     }
     assert!(fleet.clients.is_empty(), "requests without an end: {:?}", fleet.clients.keys());
-    fleet.outcome.read_tokens = fleet.engines.iter().map(|engine| engine.read_tokens).sum();
+    fleet.outcome.prefilled_tokens = fleet.engines.iter().map(|engine| engine.prefilled_tokens).sum();
     fleet.outcome
 }
 
 impl Fleet {
-    fn new(day: Day) -> Self {
-        let holds = place(day.engines, day.models, day.rare_model);
+    fn new(run: FleetRun) -> Self {
+        let holds = place_models(run.engines, run.models, run.missing_model);
         let mut fleet = Fleet {
-            arrivals: SmallRng::seed_from_u64(day.seed),
-            rng: SmallRng::seed_from_u64(day.seed + 1),
+            arrivals: SmallRng::seed_from_u64(run.seed),
+            rng: SmallRng::seed_from_u64(run.seed + 1),
             now: Duration::ZERO,
-            dispatchers: (0..day.routers).map(|router| dispatcher(router, &day)).collect(),
-            engines: (0..day.engines).map(|_| SimulatedEngine::new(SPEED)).collect(),
-            alive: vec![true; day.engines],
+            dispatchers: (0..run.routers).map(|router| dispatcher(router, &run)).collect(),
+            engines: (0..run.engines).map(|_| SimulatedEngine::new(ENGINE_SPEED)).collect(),
+            alive: vec![true; run.engines],
             holds,
             sequence: 0,
             clients: BTreeMap::new(),
@@ -231,12 +232,12 @@
             removals: Vec::new(),
             next: 0,
             outcome: Outcome::default(),
-            begun: BTreeSet::new(),
-            asked_at: Vec::new(),
-            repeated_at: Vec::new(),
-            day,
+            started: BTreeSet::new(),
+            submitted_at: Vec::new(),
+            retried_at: Vec::new(),
+            run,
         };
-        (0..fleet.day.engines).for_each(|engine| fleet.announce(engine));
+        (0..fleet.run.engines).for_each(|engine| fleet.announce(engine));
         fleet
     }
 
@@ -244,25 +245,25 @@
         self.sequence += 1;
         let models: Vec<String> = self.holds[number].iter().map(|model| format!("m{model}")).collect();
         let models: Vec<&str> = models.iter().map(String::as_str).collect();
-        let mut told = engine(&format!("e{number}"), &models);
-        told.zone = ["a", "b", "c"][number % 3].to_owned();
-        told.sequence = self.sequence;
-        let event = FeedEvent::Instance(told);
+        let mut registered = engine(&format!("e{number}"), &models);
+        registered.zone = ["a", "b", "c"][number % 3].to_owned();
+        registered.sequence = self.sequence;
+        let event = FeedEvent::Instance(registered);
         let now = self.now;
         self.dispatchers.iter_mut().for_each(|dispatcher| dispatcher.apply(now, &event));
     }
 
     fn tick(&mut self) {
         self.now += TICK;
-        self.strike();
-        self.arrive();
+        self.inject_faults();
+        self.generate_arrivals();
         self.wake();
         self.work();
-        self.leave();
+        self.expire_clients();
         self.observe();
     }
 
-    /// Adds what the routers tell of themselves to the digest, once a second.
+    /// Adds the reports of the routers to the digest, once a second.
     fn observe(&mut self) {
         if !self.now.as_millis().is_multiple_of(1_000) {
             return;
@@ -274,13 +275,13 @@
         }
     }
 
-    fn strike(&mut self) {
+    fn inject_faults(&mut self) {
         let (from, to) = (self.now - TICK, self.now);
-        let struck = |at: u64| from < ms(at) && ms(at) <= to;
-        for trouble in self.day.troubles.clone() {
-            match trouble {
-                Trouble::Crash { at, engine } if struck(at) => self.crash(engine),
-                Trouble::Load { at, engine, model } if struck(at) => {
+        let is_due = |at: u64| from < ms(at) && ms(at) <= to;
+        for fault in self.run.faults.clone() {
+            match fault {
+                Fault::Crash { at, engine } if is_due(at) => self.crash(engine),
+                Fault::LoadModel { at, engine, model } if is_due(at) => {
                     self.holds[engine].push(model);
                     self.announce(engine);
                 }
@@ -304,33 +305,33 @@
         }
     }
 
-    fn is_dark(&self, number: usize) -> bool {
-        self.day.troubles.iter().any(|trouble| match trouble {
-            Trouble::Dark { from, to, engine } => {
+    fn is_unresponsive(&self, number: usize) -> bool {
+        self.run.faults.iter().any(|fault| match fault {
+            Fault::Unresponsive { from, to, engine } => {
                 *engine == number && ms(*from) <= self.now && self.now < ms(*to)
             }
             _ => false,
         })
     }
 
-    fn rate(&self, kind: &Kind) -> f64 {
-        let times = self.day.troubles.iter().map(|trouble| match trouble {
-            Trouble::Burst { from, to, kind: name, times }
-                if *name == kind.name && ms(*from) <= self.now && self.now < ms(*to) =>
+    fn rate(&self, class: &RequestClass) -> f64 {
+        let times = self.run.faults.iter().map(|fault| match fault {
+            Fault::Burst { from, to, class: name, times }
+                if *name == class.name && ms(*from) <= self.now && self.now < ms(*to) =>
             {
                 *times
             }
             _ => 1.0,
         });
-        kind.rate * times.product::<f64>()
+        class.rate * times.product::<f64>()
     }
 
-    fn arrive(&mut self) {
-        let is_over = self.now >= Duration::from_secs(self.day.seconds);
-        for kind in self.day.kinds.clone().into_iter().filter(|_| !is_over) {
-            let chance = self.rate(&kind) * TICK.as_secs_f64();
+    fn generate_arrivals(&mut self) {
+        let is_over = self.now >= Duration::from_secs(self.run.seconds);
+        for class in self.run.classes.clone().into_iter().filter(|_| !is_over) {
+            let chance = self.rate(&class) * TICK.as_secs_f64();
             if self.arrivals.random::<f64>() < chance {
-                let client = self.client(kind);
+                let client = self.client(class);
                 self.submit(client);
             }
         }
@@ -339,32 +340,32 @@
             std::mem::take(&mut self.returning).into_iter().partition(|(at, _)| *at <= now);
         self.returning = later;
         for (_, client) in back {
-            let router = self.rng.random_range(0..self.day.routers);
+            let router = self.rng.random_range(0..self.run.routers);
             self.submit(Client { router, arrived: now, ..client });
         }
     }
 
-    /// A few models get most requests, and a few subjects of each model too.
-    fn client(&mut self, kind: Kind) -> Client {
-        let model = skewed(&mut self.arrivals, self.day.models as u64);
-        let subject = skewed(&mut self.arrivals, self.day.subjects);
+    /// A few models get most requests, and so do a few prefixes of each model.
+    fn client(&mut self, class: RequestClass) -> Client {
+        let model = skewed(&mut self.arrivals, self.run.models as u64);
+        let subject = skewed(&mut self.arrivals, self.run.subjects);
         let own = self.arrivals.random::<u64>();
         let shared = PromptPart {
-            id: 1_000 * model + subject + u64::from(kind.priority) * 1_000_000,
-            tokens: kind.shared_tokens,
+            id: 1_000 * model + subject + u64::from(class.priority) * 1_000_000,
+            tokens: class.shared_tokens,
         };
         let wanted = Generation {
             model: format!("m{model}").as_str().into(),
             adapter: None,
-            prompt_tokens: kind.shared_tokens + kind.own_tokens,
-            output_tokens: kind.output_tokens,
-            prefix: vec![shared, PromptPart { id: own, tokens: kind.own_tokens }],
+            prompt_tokens: class.shared_tokens + class.own_tokens,
+            output_tokens: class.output_tokens,
+            prefix: vec![shared, PromptPart { id: own, tokens: class.own_tokens }],
         };
-        self.outcome.kinds.entry(kind.name).or_default().asked += 1;
-        let router = self.arrivals.random_range(0..self.day.routers);
+        self.outcome.classes.entry(class.name).or_default().submitted += 1;
+        let router = self.arrivals.random_range(0..self.run.routers);
         let now = self.now;
         Client {
-            kind,
+            class,
             wanted,
             router,
             first_arrived: now,
@@ -377,39 +378,39 @@
 
     fn submit(&mut self, client: Client) {
         self.next += 1;
-        self.asked_at.push(self.now);
+        self.submitted_at.push(self.now);
         let id = self.next;
-        let kind = client.kind;
+        let class = client.class;
         let request = Request {
             id: RequestId(id),
             backend: "llm".into(),
-            route: kind.name.into(),
+            route: class.name.into(),
             route_type: RouteType::Streaming,
-            resumable: kind.resumable,
-            max_attempts: kind.attempts,
-            priority: kind.priority,
+            resumable: class.resumable,
+            max_attempts: class.attempts,
+            priority: class.priority,
             arrived: self.now,
-            target: self.now + ms(kind.aim_ms),
-            deadline: client.first_arrived + ms(kind.deadline_ms),
+            target: self.now + ms(class.target_ms),
+            deadline: client.first_arrived + ms(class.deadline_ms),
             body_bytes: 0,
             generation: Some(client.wanted.clone()),
         };
         let router = client.router;
         self.clients.insert(id, client);
-        match self.day.policy {
+        match self.run.policy {
             Policy::Dispatched => {
                 self.dispatchers[router].submit(self.now, request);
-                self.carry_out(router);
+                self.execute_decisions(router);
             }
-            Policy::Random => self.send_by_chance(id),
+            Policy::Random => self.send_at_random(id),
         }
     }
 
-    fn send_by_chance(&mut self, id: u64) {
+    fn send_at_random(&mut self, id: u64) {
         let client = &self.clients[&id];
         let model: usize = client.wanted.model[1..].parse().expect("a model");
         let able: Vec<usize> =
-            (0..self.day.engines).filter(|&e| self.alive[e] && self.holds[e].contains(&model)).collect();
+            (0..self.run.engines).filter(|&e| self.alive[e] && self.holds[e].contains(&model)).collect();
         if able.is_empty() {
             return self.refuse(id, ms(300));
         }
@@ -426,7 +427,7 @@
             attempt,
             urgency,
             chain: PromptChain::of(&client.wanted),
-            output_tokens: client.kind.output_tokens,
+            output_tokens: client.class.output_tokens,
         };
         let router = client.router;
         if !self.alive[engine] {
@@ -434,7 +435,7 @@
         }
         if self.engines[engine].offer(job).is_err() {
             self.outcome.rejections += 1;
-            let load = Some(self.told_load(engine));
+            let load = Some(self.reported_load(engine));
             self.end(
                 router,
                 id,
@@ -444,7 +445,7 @@
         }
     }
 
-    fn told_load(&self, engine: usize) -> InstanceLoad {
+    fn reported_load(&self, engine: usize) -> InstanceLoad {
         let (running, waiting, slots) = self.engines[engine].load();
         InstanceLoad { running, waiting, slots }
     }
@@ -453,20 +454,20 @@
         for router in 0..self.dispatchers.len() {
             if self.dispatchers[router].next_wake().is_some_and(|at| at <= self.now) {
                 self.dispatchers[router].wake(self.now);
-                self.carry_out(router);
+                self.execute_decisions(router);
             }
         }
     }
 
-    fn carry_out(&mut self, router: usize) {
+    fn execute_decisions(&mut self, router: usize) {
         for decision in self.dispatchers[router].take_decisions() {
             self.outcome.decisions += 1;
             self.outcome.digest.add_decision(self.now, router, &decision);
             match decision {
                 Decision::Send { request, attempt, instance, engine_priority, .. } => {
                     if attempt > 1 {
-                        self.outcome.repeats += 1;
-                        self.repeated_at.push(self.now);
+                        self.outcome.retries += 1;
+                        self.retried_at.push(self.now);
                         self.check_budget();
                     }
                     if let Some((engine, _)) = self.clients.get(&request.0).and_then(|client| client.sent) {
@@ -483,9 +484,9 @@
 
     fn refuse(&mut self, id: u64, retry_after: Duration) {
         let Some(client) = self.clients.remove(&id) else { return };
-        let deadline = client.first_arrived + ms(client.kind.deadline_ms);
+        let deadline = client.first_arrived + ms(client.class.deadline_ms);
         if client.tries > 1 || self.now + retry_after >= deadline {
-            self.outcome.kinds.entry(client.kind.name).or_default().refused += 1;
+            self.outcome.classes.entry(client.class.name).or_default().refused += 1;
             return;
         }
         let at = self.now + retry_after;
@@ -497,61 +498,61 @@
         if let Some((engine, _)) = client.sent {
             self.engines[engine].drop_job(client.router, id);
         }
-        self.outcome.kinds.entry(client.kind.name).or_default().failed += 1;
+        self.outcome.classes.entry(client.class.name).or_default().failed += 1;
     }
 
     fn end(&mut self, router: usize, id: u64, attempt: u32, end: AttemptEnd) {
-        if self.day.policy == Policy::Random {
+        if self.run.policy == Policy::Random {
             return match end {
                 AttemptEnd::NotExecuted { .. } | AttemptEnd::NotSent => self.refuse(id, ms(300)),
                 _ => self.fail(id),
             };
         }
         self.dispatchers[router].ended(self.now, RequestId(id), attempt, end);
-        self.carry_out(router);
+        self.execute_decisions(router);
     }
 
     fn work(&mut self) {
         for number in 0..self.engines.len() {
-            if self.is_dark(number) {
+            if self.is_unresponsive(number) {
                 continue;
             }
-            for news in self.engines[number].work(TICK) {
-                self.hear(number, news);
+            for event in self.engines[number].work(TICK) {
+                self.on_engine_event(number, event);
             }
             self.check_runs(number);
         }
     }
 
-    /// What may run once begins to run once.
+    /// Checks that requests that must not run twice are started once.
     fn check_runs(&mut self, number: usize) {
-        for (_, request) in std::mem::take(&mut self.engines[number].begun) {
-            let Some(client) = self.clients.get(&request).filter(|client| !client.kind.resumable) else {
+        for (_, request) in std::mem::take(&mut self.engines[number].started) {
+            let Some(client) = self.clients.get(&request).filter(|client| !client.class.resumable) else {
                 continue;
             };
-            assert!(self.begun.insert(request), "{} {request} runs twice", client.kind.name);
+            assert!(self.started.insert(request), "{} {request} runs twice", client.class.name);
         }
     }
 
-    /// Repeats of all routers together stay within the shared budget.
+    /// Checks that the retries of all routers together stay within the shared budget.
     fn check_budget(&self) {
         let within = |times: &[Duration], end: Duration| {
             times.iter().filter(|&&at| at <= end && at + RETRY_WINDOW > end).count() as f64
         };
         let ends = [0, 1, 2].map(|half| self.now.saturating_sub(RETRY_WINDOW / 2 * half));
-        let most = ends.iter().map(|&end| within(&self.asked_at, end)).fold(0.0, f64::max);
+        let most = ends.iter().map(|&end| within(&self.submitted_at, end)).fold(0.0, f64::max);
         assert!(
-            within(&self.repeated_at, self.now) <= RETRY_RATIO * most + RETRY_SLACK,
+            within(&self.retried_at, self.now) <= RETRY_RATIO * most + RETRY_SLACK,
             "over budget at {:?}",
             self.now
         );
     }
 
-    fn hear(&mut self, engine: usize, news: News) {
+    fn on_engine_event(&mut self, engine: usize, event: EngineEvent) {
         let now = self.now;
-        let load = Some(self.told_load(engine));
-        match news {
-            News::First { router, request, attempt } => {
+        let load = Some(self.reported_load(engine));
+        match event {
+            EngineEvent::First { router, request, attempt } => {
                 if let Some(client) = self.clients.get_mut(&request) {
                     client.first_event.get_or_insert(now);
                 }
@@ -559,7 +560,7 @@
                 dispatcher.progress(now, RequestId(request), attempt, Progress::Head { load });
                 dispatcher.progress(now, RequestId(request), attempt, Progress::FirstByte);
             }
-            News::Done { router, request, attempt } => {
+            EngineEvent::Done { router, request, attempt } => {
                 self.dispatchers[router].ended(
                     now,
                     RequestId(request),
@@ -567,28 +568,28 @@
                     AttemptEnd::Answered { success: true, load },
                 );
                 self.served(request);
-                self.carry_out(router);
+                self.execute_decisions(router);
             }
         }
     }
 
     fn served(&mut self, id: u64) {
         let Some(client) = self.clients.remove(&id) else { return };
-        let tally = self.outcome.kinds.entry(client.kind.name).or_default();
+        let tally = self.outcome.classes.entry(client.class.name).or_default();
         let in_time =
-            client.first_event.is_some_and(|at| at <= client.first_arrived + ms(client.kind.aim_ms));
+            client.first_event.is_some_and(|at| at <= client.first_arrived + ms(client.class.target_ms));
         match in_time {
             true => tally.in_time += 1,
             false => tally.late += 1,
         }
     }
 
-    /// Clients give a stream up after a silence.
-    fn leave(&mut self) {
+    /// Clients abandon a stream after their time-out.
+    fn expire_clients(&mut self) {
         let now = self.now;
         let gone = |client: &Client| {
-            let patience = ms(2_000).max(ms(client.kind.aim_ms * 4));
-            let deadline = client.first_arrived + ms(client.kind.deadline_ms);
+            let patience = ms(2_000).max(ms(client.class.target_ms * 4));
+            let deadline = client.first_arrived + ms(client.class.deadline_ms);
             client.first_event.is_none() && now > client.arrived + patience || now > deadline
         };
         let left: Vec<u64> =
@@ -597,7 +598,7 @@
             let router = self.clients[&id].router;
             self.fail(id);
             self.dispatchers[router].cancel(now, RequestId(id));
-            self.carry_out(router);
+            self.execute_decisions(router);
         }
     }
 }
@@ -607,39 +608,39 @@
     ((chance * chance * chance) * many as f64) as u64
 }
 
-/// Every model on one engine, and the rest of the places by demand.
-fn place(engines: usize, models: usize, absent: Option<usize>) -> Vec<Vec<usize>> {
+/// Places every model on one engine, and fills the other slots by demand.
+fn place_models(engines: usize, models: usize, absent: Option<usize>) -> Vec<Vec<usize>> {
     let mut holds = vec![Vec::new(); engines];
     let mut copies = vec![0usize; models];
     let present: Vec<usize> = (0..models).filter(|&model| Some(model) != absent).collect();
     for &model in present.iter().rev() {
-        let engine = emptiest(&holds, model).expect("room");
+        let engine = least_loaded(&holds, model).expect("room");
         holds[engine].push(model);
         copies[model] = 1;
     }
-    // Demand of a model under the skew: the part of the cube root that falls to it.
+    // Demand of a model under the skewed distribution.
     let part = |at: usize| (at as f64 / models as f64).cbrt();
     let need = |model: usize, copies: &[usize]| (part(model + 1) - part(model)) / copies[model] as f64;
-    for _ in 0..engines * PLACES - present.len() {
+    for _ in 0..engines * MODEL_SLOTS - present.len() {
         let neediest = present.iter().copied().filter(|&model| copies[model] < engines);
         let model = neediest.max_by(|&a, &b| need(a, &copies).total_cmp(&need(b, &copies))).expect("a model");
-        let Some(engine) = emptiest(&holds, model) else { break };
+        let Some(engine) = least_loaded(&holds, model) else { break };
         holds[engine].push(model);
         copies[model] += 1;
     }
     holds
 }
 
-/// Models that an engine has room for.
-const PLACES: usize = 4;
+/// Models that fit on one engine.
+const MODEL_SLOTS: usize = 4;
 
-fn emptiest(holds: &[Vec<usize>], model: usize) -> Option<usize> {
-    let able =
-        (0..holds.len()).filter(|&engine| holds[engine].len() < PLACES && !holds[engine].contains(&model));
+fn least_loaded(holds: &[Vec<usize>], model: usize) -> Option<usize> {
+    let able = (0..holds.len())
+        .filter(|&engine| holds[engine].len() < MODEL_SLOTS && !holds[engine].contains(&model));
     able.min_by_key(|&engine| holds[engine].len())
 }
 
-fn dispatcher(router: usize, day: &Day) -> Dispatcher {
+fn dispatcher(router: usize, run: &FleetRun) -> Dispatcher {
     let mut settings =
         DispatchSettings { zone: ["a", "b", "c"][router % 3].to_owned(), ..DispatchSettings::default() };
     for zone in ["a", "b", "c"] {
@@ -647,7 +648,7 @@
     }
     settings.bounds.retry_slack = RETRY_SLACK;
     let mut dispatcher = Dispatcher::new(settings, router as u64);
-    let models: Vec<String> = (0..day.models)
+    let models: Vec<String> = (0..run.models)
         .map(|model| format!(r#"{{"Name":"m{model}","WeightsMb":1,"LoadTimeS":2}}"#))
         .collect();
     let document = format!(
@@ -656,7 +657,7 @@
     );
     let configuration: Configuration = serde_json::from_str(&document).expect("a configuration");
     dispatcher.apply(Duration::ZERO, &FeedEvent::Configuration(Arc::new(configuration)));
-    dispatcher.apply(Duration::ZERO, &FeedEvent::Routers { live: day.routers as u32 });
+    dispatcher.apply(Duration::ZERO, &FeedEvent::Routers { live: run.routers as u32 });
     dispatcher.apply(Duration::ZERO, &FeedEvent::Synchronized);
     dispatcher
 }
--- a/crates/dispatch/tests/support/history.rs
+++ b/crates/dispatch/tests/support/history.rs
@@ -1,4 +1,4 @@
-//! Random histories of one dispatcher, checked against the rules.
+//! Random histories of one dispatcher, checked against the invariants.
 
 use super::digest::Digest;
 use super::{engine, generation, instance, ms, request};
@@ -15,31 +15,31 @@
 const WINDOW: Duration = Duration::from_secs(10);
 pub const ENDPOINTS: usize = 5;
 
-/// One thing that happens, after a pause in ms.
+/// One event of a history.
 #[derive(Debug, Clone)]
-pub enum Happening {
+pub enum Event {
     Register { endpoint: usize, models: usize, draining: bool },
     Remove { endpoint: usize },
-    Submit { kind: usize, attempts: u32, model: usize },
+    Submit { class: usize, attempts: u32, model: usize },
     Head { request: usize, waiting: u32 },
     FirstByte { request: usize },
     End { request: usize, how: usize },
     Cancel { request: usize },
-    Oversleep,
+    Stall,
 }
 
-/// A request as a strict observer sees it.
-pub struct Watched {
+/// A request as the checks observe it.
+pub struct ObservedRequest {
     request: Request,
     attempts: u32,
     under_way: Option<String>,
-    reached: Vec<String>,
+    attempted_endpoints: Vec<String>,
     may_have_run: bool,
-    arrivals: u32,
+    deliveries: u32,
 }
 
-impl Watched {
-    fn is_repeatable(&self) -> bool {
+impl ObservedRequest {
+    fn is_retryable(&self) -> bool {
         match self.request.route_type {
             RouteType::Idempotent => true,
             RouteType::NonIdempotent => false,
@@ -48,34 +48,34 @@
     }
 }
 
-/// Figures of the retry budget.
+/// The retry budget of a history.
 #[derive(Debug, Clone, Copy)]
 pub struct Budget {
     pub ratio: f64,
     pub slack: f64,
 }
 
-/// A dispatcher among random events, and the rules that its decisions are checked against.
-pub struct World {
+/// A dispatcher with the state that its decisions are checked against.
+pub struct RandomHistory {
     budget: Budget,
     pub dispatcher: Dispatcher,
     pub now: Duration,
     incarnations: [u32; ENDPOINTS],
-    /// Instances that may get requests.
+    /// Instances that may get requests, with their models.
     usable: BTreeMap<String, Vec<String>>,
     drained: BTreeMap<String, bool>,
     sequence: u64,
-    pub open: BTreeMap<RequestId, Watched>,
+    pub open: BTreeMap<RequestId, ObservedRequest>,
     pub ended: Vec<RequestId>,
     next: u64,
-    /// Requests and repeats by service.
+    /// Times of requests and of retries by service.
     arrived: BTreeMap<String, Vec<Duration>>,
-    repeats: BTreeMap<String, Vec<Duration>>,
+    retries: BTreeMap<String, Vec<Duration>>,
     /// Of all decisions.
     pub digest: Digest,
 }
 
-impl World {
+impl RandomHistory {
     pub fn new(budget: Budget, switched_off: SwitchedOff) -> Self {
         let mut settings = DispatchSettings { zone: "a".to_owned(), ..DispatchSettings::default() };
         settings.switched_off = switched_off;
@@ -85,7 +85,7 @@
         let mut dispatcher = Dispatcher::new(settings, 7);
         dispatcher.apply(Duration::ZERO, &FeedEvent::Routers { live: LIVE });
         dispatcher.apply(Duration::ZERO, &FeedEvent::Synchronized);
-        World {
+        RandomHistory {
             budget,
             dispatcher,
             now: Duration::ZERO,
@@ -97,7 +97,7 @@
             ended: Vec::new(),
             next: 0,
             arrived: BTreeMap::new(),
-            repeats: BTreeMap::new(),
+            retries: BTreeMap::new(),
             digest: Digest::default(),
         }
     }
@@ -106,43 +106,41 @@
         format!("i{endpoint}-{}", self.incarnations[endpoint])
     }
 
-    pub fn pass(&mut self, to: Duration) {
+    pub fn advance_to(&mut self, to: Duration) {
         while let Some(at) = self.dispatcher.next_wake().filter(|&at| at <= to) {
             self.now = at.max(self.now);
             self.dispatcher.wake(self.now);
-            self.watch();
+            self.check_decisions();
             let next = self.dispatcher.next_wake();
             assert!(next.is_none_or(|next| next > self.now), "a wake asks for another at once");
         }
         self.now = to;
     }
 
-    pub fn happen(&mut self, happening: &Happening) {
-        match happening {
-            Happening::Register { endpoint, models, draining } => {
-                self.register(*endpoint, *models, *draining)
-            }
-            Happening::Remove { endpoint } => self.remove(*endpoint),
-            Happening::Submit { kind, attempts, model } => self.submit(*kind, *attempts, *model),
-            Happening::Head { request, waiting } => {
+    pub fn apply_event(&mut self, event: &Event) {
+        match event {
+            Event::Register { endpoint, models, draining } => self.register(*endpoint, *models, *draining),
+            Event::Remove { endpoint } => self.remove(*endpoint),
+            Event::Submit { class, attempts, model } => self.submit(*class, *attempts, *model),
+            Event::Head { request, waiting } => {
                 let load = InstanceLoad { running: 4, waiting: *waiting, slots: 6 };
                 self.report(*request, Progress::Head { load: Some(load) });
             }
-            Happening::FirstByte { request } => self.report(*request, Progress::FirstByte),
-            Happening::End { request, how } => self.end(*request, *how),
-            Happening::Cancel { request } => self.cancel(*request),
-            Happening::Oversleep => {
+            Event::FirstByte { request } => self.report(*request, Progress::FirstByte),
+            Event::End { request, how } => self.end(*request, *how),
+            Event::Cancel { request } => self.cancel(*request),
+            Event::Stall => {
                 self.now += ms(700);
                 self.dispatcher.wake(self.now);
             }
         }
-        self.watch();
+        self.check_decisions();
     }
 
-    /// The process is asked to end.
+    /// Starts the shutdown.
     pub fn end_by(&mut self, end: Duration) {
         self.dispatcher.end_by(self.now, end);
-        self.watch();
+        self.check_decisions();
     }
 
     /// Even endpoints serve `tiles`, odd ones are engines.
@@ -151,21 +149,21 @@
         self.sequence += 1;
         let held: Vec<String> = (0..models).map(|model| format!("m{model}")).collect();
         let held: Vec<&str> = held.iter().map(String::as_str).collect();
-        let mut told = match endpoint % 2 {
+        let mut registered = match endpoint % 2 {
             0 => instance(&name),
             _ => engine(&name, &held),
         };
-        told.sequence = self.sequence;
+        registered.sequence = self.sequence;
         let drained = self.drained.entry(name.clone()).or_default();
         *drained |= draining;
         if draining {
-            told.state = InstanceState::Draining;
+            registered.state = InstanceState::Draining;
         }
         match *drained {
             true => drop(self.usable.remove(&name)),
             false => drop(self.usable.insert(name, held.iter().map(|&model| model.to_owned()).collect())),
         }
-        self.dispatcher.apply(self.now, &FeedEvent::Instance(told));
+        self.dispatcher.apply(self.now, &FeedEvent::Instance(registered));
     }
 
     fn remove(&mut self, endpoint: usize) {
@@ -175,11 +173,11 @@
         self.dispatcher.apply(self.now, &FeedEvent::Removed { id: name });
     }
 
-    fn submit(&mut self, kind: usize, attempts: u32, model: usize) {
+    fn submit(&mut self, class: usize, attempts: u32, model: usize) {
         self.next += 1;
         let (id, now) = (self.next, self.now.as_millis() as u64);
         let model = format!("m{model}");
-        let made = match kind {
+        let made = match class {
             0 => request(id, now),
             1 => Request { route_type: RouteType::Idempotent, route: "read".into(), ..request(id, now) },
             2 => generation(id, now, &model, &[(1, 3_000), (id + 100, 500)]),
@@ -189,21 +187,21 @@
             _ => Request { priority: 0, ..generation(id, now, &model, &[]) },
         };
         let made = Request { max_attempts: attempts, arrived: self.now, ..made };
-        let watched = Watched {
+        let observed = ObservedRequest {
             request: made.clone(),
             attempts: 0,
             under_way: None,
-            reached: Vec::new(),
+            attempted_endpoints: Vec::new(),
             may_have_run: false,
-            arrivals: 0,
+            deliveries: 0,
         };
         self.arrived.entry(made.backend.to_string()).or_default().push(self.now);
-        self.open.insert(made.id, watched);
+        self.open.insert(made.id, observed);
         self.dispatcher.submit(self.now, made);
     }
 
     fn under_way(&self, request: usize) -> Option<RequestId> {
-        let under_way = self.open.iter().filter(|(_, watched)| watched.under_way.is_some());
+        let under_way = self.open.iter().filter(|(_, observed)| observed.under_way.is_some());
         under_way.map(|(&id, _)| id).nth(request)
     }
 
@@ -226,16 +224,16 @@
             7 => AttemptEnd::Cancelled,
             _ => AttemptEnd::Answered { success: true, load: None },
         };
-        let watched = self.open.get_mut(&id).expect("an open request");
-        watched.under_way = None;
-        let attempt = watched.attempts;
+        let observed = self.open.get_mut(&id).expect("an open request");
+        observed.under_way = None;
+        let attempt = observed.attempts;
         match end {
             AttemptEnd::NotSent => {
-                watched.arrivals -= 1;
-                watched.reached.pop();
+                observed.deliveries -= 1;
+                observed.attempted_endpoints.pop();
             }
             AttemptEnd::Broken | AttemptEnd::BrokenMidway | AttemptEnd::Garbled => {
-                watched.may_have_run = true
+                observed.may_have_run = true
             }
             AttemptEnd::Answered { .. } | AttemptEnd::Cancelled => {
                 self.open.remove(&id);
@@ -253,23 +251,23 @@
         self.dispatcher.cancel(self.now, id);
     }
 
-    /// Checks all decisions against the rules.
-    fn watch(&mut self) {
+    /// Checks all new decisions against the invariants.
+    fn check_decisions(&mut self) {
         for decision in self.dispatcher.take_decisions() {
             self.digest.add_decision(self.now, 0, &decision);
             match decision {
                 Decision::Send { request, attempt, instance, .. } => self.sent(request, attempt, &instance),
                 Decision::Refuse { request, .. } => {
-                    let watched = self.open.remove(&request).expect("refused once, while open");
+                    let observed = self.open.remove(&request).expect("refused once, while open");
                     assert!(
-                        !watched.may_have_run && watched.under_way.is_none(),
+                        !observed.may_have_run && observed.under_way.is_none(),
                         "refused, but may have run"
                     );
                     self.ended.push(request);
                 }
                 Decision::Fail { request, .. } => {
-                    let watched = self.open.remove(&request).expect("failed once, while open");
-                    assert!(watched.attempts > 0, "failed without any attempt");
+                    let observed = self.open.remove(&request).expect("failed once, while open");
+                    assert!(observed.attempts > 0, "failed without any attempt");
                     self.ended.push(request);
                 }
             }
@@ -277,25 +275,25 @@
     }
 
     fn sent(&mut self, id: RequestId, attempt: u32, instance: &str) {
-        let watched = self.open.get_mut(&id).expect("sent while open");
-        assert_eq!(attempt, watched.attempts + 1);
+        let observed = self.open.get_mut(&id).expect("sent while open");
+        assert_eq!(attempt, observed.attempts + 1);
         let held = self.usable.get(instance).expect("sent to an endpoint in use");
-        if let Some(wanted) = &watched.request.generation {
+        if let Some(wanted) = &observed.request.generation {
             assert!(held.iter().any(|model| *model == *wanted.model), "sent where the model isn't");
         }
-        watched.may_have_run |= watched.under_way.is_some();
-        assert!(!watched.may_have_run || watched.is_repeatable(), "sent twice though it may run once");
-        watched.attempts = attempt;
-        watched.under_way = Some(instance.to_owned());
-        watched.reached.push(instance.to_owned());
-        let mut distinct = watched.reached.clone();
+        observed.may_have_run |= observed.under_way.is_some();
+        assert!(!observed.may_have_run || observed.is_retryable(), "sent twice though it may run once");
+        observed.attempts = attempt;
+        observed.under_way = Some(instance.to_owned());
+        observed.attempted_endpoints.push(instance.to_owned());
+        let mut distinct = observed.attempted_endpoints.clone();
         distinct.sort();
         distinct.dedup();
-        assert!(distinct.len() as u32 <= watched.request.max_attempts, "sent to too many endpoints");
-        watched.arrivals += 1;
-        if watched.arrivals > 1 {
-            let backend = watched.request.backend.to_string();
-            self.repeats.entry(backend.clone()).or_default().push(self.now);
+        assert!(distinct.len() as u32 <= observed.request.max_attempts, "sent to too many endpoints");
+        observed.deliveries += 1;
+        if observed.deliveries > 1 {
+            let backend = observed.request.backend.to_string();
+            self.retries.entry(backend.clone()).or_default().push(self.now);
             self.check_budget(&backend);
         }
     }
@@ -306,6 +304,6 @@
             times.filter(|&&at| at + WINDOW > self.now).count() as f64
         };
         let allowed = self.budget.ratio * recent(&self.arrived) + self.budget.slack / f64::from(2 * LIVE);
-        assert!(recent(&self.repeats) <= allowed, "more repeats than the budget allows");
+        assert!(recent(&self.retries) <= allowed, "more repeats than the budget allows");
     }
 }
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the dispatcher share: short ways to write instances, routes and requests.
+//! Shared test code: builders of instances and requests.
 
 #![allow(dead_code)]
 
@@ -15,7 +15,7 @@
 use lanegate_dispatch::{DispatchSettings, Dispatcher};
 use std::time::Duration;
 
-/// A moment or a span in ms.
+/// A time or duration in ms.
 pub fn ms(value: u64) -> Duration {
     Duration::from_millis(value)
 }
@@ -38,13 +38,13 @@
     }
 }
 
-/// An engine of service `llm` that holds the models, each perhaps followed by `/` and its adapters.
+/// An engine of service `llm` with loaded models, each written as [`resident_model`] takes it.
 pub fn engine(id: &str, models: &[&str]) -> Instance {
-    let models = models.iter().map(|model| held(model)).collect();
+    let models = models.iter().map(|model| resident_model(model)).collect();
     Instance { backend: "llm".to_owned(), capacity: 64, models, ..instance(id) }
 }
 
-/// A dispatcher that knows these endpoints, and that there are no others.
+/// A dispatcher that has received a complete feed with these endpoints.
 pub fn synchronized(instances: &[Instance]) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(DispatchSettings::default(), 1);
     for instance in instances {
@@ -55,13 +55,13 @@
 }
 
 /// `model` or `model/adapter/adapter`.
-pub fn held(text: &str) -> ResidentModel {
+pub fn resident_model(text: &str) -> ResidentModel {
     let mut names = text.split('/');
     let name = names.next().unwrap_or_default().to_owned();
     ResidentModel { name, version: 1, adapters: names.map(str::to_owned).collect() }
 }
 
-/// A request for `tiles` that may run once, with an objective of 300 ms and 1.5 s in all.
+/// A request for `tiles` that must not run twice, with a target of 300 ms and a deadline of 1.5 s.
 pub fn request(id: u64, arrived: u64) -> Request {
     Request {
         id: RequestId(id),
@@ -79,7 +79,7 @@
     }
 }
 
-/// A stream of `llm` for a model, with an objective of 800 ms and 5 s in all.
+/// A stream of `llm` for a model, with a target of 800 ms and a deadline of 5 s.
 pub fn generation(id: u64, arrived: u64, model: &str, parts: &[(u64, u32)]) -> Request {
     let prefix: Vec<PromptPart> = parts.iter().map(|&(id, tokens)| PromptPart { id, tokens }).collect();
     let wanted = Generation {
--- a/crates/dispatch/tests/support/scenario.rs
+++ b/crates/dispatch/tests/support/scenario.rs
@@ -1,9 +1,8 @@
-//! One runner for the scenarios in text files, on simulated time.
+//! The interpreter of the scenario files, in simulated time.
 //!
 //! A line is a comment (`#`), a setting (`settings`, `route`, `service`), `sleep`, an action that begins with its time
-//! in ms, or an expectation (`->`). Expectations tell all decisions since the last ones, in order; `-> nothing`
-//! tells that there were none, and `-> any` takes whatever came. Words of the form `name=value` fill in the
-//! rest of a line.
+//! in ms, or an expectation (`->`). Expectations list all decisions since the last ones, in order; `-> nothing` states
+//! that there were none, and `-> any` accepts all. Words of the form `name=value` are optional parameters.
 
 use super::{engine, generation, instance, ms, request};
 use lanegate_config::configuration::{Configuration, RouteType};
@@ -15,28 +14,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A decision and when it was made.
-struct Made {
+/// A decision with its time.
+struct TimedDecision {
     at: Duration,
     decision: Decision,
 }
 
-/// The words of a line: plain ones in order, and named values.
-struct Words<'a> {
-    plain: Vec<&'a str>,
+/// The words of a line: positional ones in order, and named values.
+struct ScenarioLine<'a> {
+    positional: Vec<&'a str>,
     named: BTreeMap<&'a str, &'a str>,
 }
 
-impl<'a> Words<'a> {
+impl<'a> ScenarioLine<'a> {
     fn of(line: &'a str) -> Self {
-        let mut words = Words { plain: Vec::new(), named: BTreeMap::new() };
+        let mut parsed = ScenarioLine { positional: Vec::new(), named: BTreeMap::new() };
         for word in line.split_whitespace() {
             match word.split_once('=') {
-                Some((name, value)) => drop(words.named.insert(name, value)),
-                None => words.plain.push(word),
+                Some((name, value)) => drop(parsed.named.insert(name, value)),
+                None => parsed.positional.push(word),
             }
         }
-        words
+        parsed
     }
 
     fn text(&self, name: &str) -> Option<&'a str> {
@@ -47,13 +46,13 @@
         self.text(name).map(|value| value.parse().unwrap_or_else(|_| panic!("{name}={value} is no number")))
     }
 
-    fn whole(&self, name: &str) -> Option<u64> {
+    fn integer(&self, name: &str) -> Option<u64> {
         self.number(name).map(|value| value as u64)
     }
 }
 
-/// Plays one scenario; panics at the first expectation that isn't met, with its line.
-pub fn play(name: &str, text: &str) {
+/// Runs one scenario; panics with the line of the first expectation that is not met.
+pub fn run(name: &str, text: &str) {
     let mut runner = Runner::new();
     for (number, line) in text.lines().enumerate() {
         let line = line.trim();
@@ -63,7 +62,7 @@
         let place = format!("{name}:{}: {line}", number + 1);
         runner.step(&place, line);
     }
-    assert!(runner.made.is_empty(), "{name}: decisions that no line expects: {}", told(&runner.made));
+    assert!(runner.made.is_empty(), "{name}: decisions that no line expects: {}", describe(&runner.made));
 }
 
 struct Runner {
@@ -73,7 +72,7 @@
     services: Vec<String>,
     templates: BTreeMap<String, Request>,
     instances: BTreeMap<String, Instance>,
-    made: Vec<Made>,
+    made: Vec<TimedDecision>,
     now: Duration,
 }
 
@@ -98,58 +97,58 @@
 
     fn step(&mut self, place: &str, line: &str) {
         if let Some(expected) = line.strip_prefix("->") {
-            return self.expect(place, &Words::of(expected));
+            return self.expect(place, &ScenarioLine::of(expected));
         }
-        let words = Words::of(line);
-        match words.plain[0] {
-            "settings" => self.settings(&words),
-            "route" => self.route(&words),
-            "service" => self.service(&words),
-            "sleep" => self.sleep(ms(words.plain[1].parse().expect("a time"))),
+        let parsed = ScenarioLine::of(line);
+        match parsed.positional[0] {
+            "settings" => self.settings(&parsed),
+            "route" => self.route(&parsed),
+            "service" => self.service(&parsed),
+            "sleep" => self.sleep(ms(parsed.positional[1].parse().expect("a time"))),
             at => {
                 let at = at.parse().unwrap_or_else(|_| panic!("{place}: no time"));
                 self.advance(ms(at));
-                self.act(place, &words);
+                self.act(place, &parsed);
             }
         }
     }
 
-    fn settings(&mut self, words: &Words) {
+    fn settings(&mut self, parsed: &ScenarioLine) {
         let bounds = &mut self.settings.bounds;
-        bounds.retry_slack = words.number("slack").unwrap_or(bounds.retry_slack);
-        bounds.retry_ratio = words.number("ratio").unwrap_or(bounds.retry_ratio);
-        bounds.retry_window_s = words.number("window").unwrap_or(bounds.retry_window_s);
+        bounds.retry_slack = parsed.number("slack").unwrap_or(bounds.retry_slack);
+        bounds.retry_ratio = parsed.number("ratio").unwrap_or(bounds.retry_ratio);
+        bounds.retry_window_s = parsed.number("window").unwrap_or(bounds.retry_window_s);
     }
 
-    fn route(&mut self, words: &Words) {
-        let name = words.plain[1];
-        let aim = words.whole("aim").unwrap_or(300);
-        let gap = words.number("gap").map(|gap| format!(r#","gap_aim_ms":{gap}"#)).unwrap_or_default();
+    fn route(&mut self, parsed: &ScenarioLine) {
+        let name = parsed.positional[1];
+        let target = parsed.integer("aim").unwrap_or(300);
+        let gap = parsed.number("gap").map(|gap| format!(r#","gap_aim_ms":{gap}"#)).unwrap_or_default();
         self.routes.push(format!(
             r#"{{"Name":"{name}","Hostname":"h","PathPrefix":"/{name}/","TimeoutMs":5000{gap}}}"#
         ));
         let template = Request {
             route: name.into(),
-            backend: words.text("service").unwrap_or("tiles").into(),
-            route_type: match words.text("type") {
+            backend: parsed.text("service").unwrap_or("tiles").into(),
+            route_type: match parsed.text("type") {
                 Some("idempotent") => RouteType::Idempotent,
                 Some("streaming") => RouteType::Streaming,
                 _ => RouteType::NonIdempotent,
             },
-            resumable: words.text("resumable") == Some("yes"),
-            max_attempts: words.whole("attempts").unwrap_or(2) as u32,
-            priority: words.whole("priority").unwrap_or(1) as u8,
-            target: ms(aim),
-            deadline: ms(words.whole("deadline").unwrap_or(1_500)),
+            resumable: parsed.text("resumable") == Some("yes"),
+            max_attempts: parsed.integer("attempts").unwrap_or(2) as u32,
+            priority: parsed.integer("priority").unwrap_or(1) as u8,
+            target: ms(target),
+            deadline: ms(parsed.integer("deadline").unwrap_or(1_500)),
             ..request(0, 0)
         };
         self.templates.insert(name.to_owned(), template);
     }
 
-    fn service(&mut self, words: &Words) {
-        let name = words.plain[1];
-        let runtime = words.whole("memory").map(|memory| {
-            let models = words.text("models").unwrap_or_default().split(',');
+    fn service(&mut self, parsed: &ScenarioLine) {
+        let name = parsed.positional[1];
+        let runtime = parsed.integer("memory").map(|memory| {
+            let models = parsed.text("models").unwrap_or_default().split(',');
             let models: Vec<String> = models.map(model_document).collect();
             format!(
                 r#","Runtime":{{"Capacity":64,"KvCacheTokens":{memory},"Models":[{}]}}"#,
@@ -175,7 +174,7 @@
         })
     }
 
-    /// Lets time pass, with a wake whenever the dispatcher asks for one.
+    /// Advances the time, and wakes the dispatcher whenever it asks for that.
     fn advance(&mut self, to: Duration) {
         assert!(to >= self.now, "time goes back to {to:?}");
         while let Some(at) = self.dispatcher().next_wake().filter(|&at| at <= to) {
@@ -189,7 +188,7 @@
         self.now = to;
     }
 
-    /// The process stands still until then; it wakes too late for what it was to do.
+    /// The process is stalled until then and wakes too late.
     fn sleep(&mut self, to: Duration) {
         self.now = to;
         self.dispatcher().wake(to);
@@ -199,13 +198,13 @@
     fn collect(&mut self) {
         let at = self.now;
         let decisions = self.dispatcher().take_decisions();
-        self.made.extend(decisions.into_iter().map(|decision| Made { at, decision }));
+        self.made.extend(decisions.into_iter().map(|decision| TimedDecision { at, decision }));
     }
 
-    fn act(&mut self, place: &str, words: &Words) {
+    fn act(&mut self, place: &str, parsed: &ScenarioLine) {
         let now = self.now;
-        let name = words.plain.get(2).copied().unwrap_or_default();
-        match words.plain[1] {
+        let name = parsed.positional.get(2).copied().unwrap_or_default();
+        match parsed.positional[1] {
             "passes" => {}
             "synchronized" => self.dispatcher().apply(now, &FeedEvent::Synchronized),
             "routers" => {
@@ -213,69 +212,71 @@
                 self.dispatcher().apply(now, &FeedEvent::Routers { live });
             }
             "instance" => {
-                let event = FeedEvent::Instance(self.instance(name, words));
+                let event = FeedEvent::Instance(self.instance(name, parsed));
                 self.dispatcher().apply(now, &event);
             }
             "removed" => self.dispatcher().apply(now, &FeedEvent::Removed { id: name.to_owned() }),
             "submit" => {
-                let request = self.request(words);
+                let request = self.request(parsed);
                 self.dispatcher().submit(now, request);
             }
             "cancel" => self.dispatcher().cancel(now, id_of(name)),
             "head" | "first" => {
-                let progress = match words.plain[1] {
-                    "head" => Progress::Head { load: load_of(words) },
+                let progress = match parsed.positional[1] {
+                    "head" => Progress::Head { load: load_of(parsed) },
                     _ => Progress::FirstByte,
                 };
-                self.dispatcher().progress(now, id_of(name), attempt_of(words), progress);
+                self.dispatcher().progress(now, id_of(name), attempt_of(parsed), progress);
             }
             "end_by" => {
                 let end = ms(name.parse().expect("a time"));
                 self.dispatcher().end_by(now, end);
             }
             "ended" => {
-                let end = end_of(place, words);
-                self.dispatcher().ended(now, id_of(name), attempt_of(words), end);
+                let end = end_of(place, parsed);
+                self.dispatcher().ended(now, id_of(name), attempt_of(parsed), end);
             }
             other => panic!("{place}: no action {other}"),
         }
         self.collect();
     }
 
-    /// A registration, with what the last one of that instance told where the line tells nothing.
-    fn instance(&mut self, id: &str, words: &Words) -> Instance {
-        let is_engine = words.named.contains_key("models");
+    /// A registration; values that the line does not name are those of the previous one of that instance.
+    fn instance(&mut self, id: &str, parsed: &ScenarioLine) -> Instance {
+        let is_engine = parsed.named.contains_key("models");
         let fresh = || if is_engine { engine(id, &[]) } else { instance(id) };
-        let mut told = self.instances.remove(id).unwrap_or_else(fresh);
-        told.sequence = words.whole("sequence").unwrap_or(told.sequence + 1);
-        told.zone = words.text("zone").map_or(told.zone, str::to_owned);
-        told.backend = words.text("service").map_or(told.backend, str::to_owned);
-        told.capacity = words.whole("capacity").map_or(told.capacity, |capacity| capacity as u32);
-        told.remaining_ms = words.number("remaining").or(told.remaining_ms);
-        if let Some(models) = words.text("models") {
+        let mut registered = self.instances.remove(id).unwrap_or_else(fresh);
+        registered.sequence = parsed.integer("sequence").unwrap_or(registered.sequence + 1);
+        registered.zone = parsed.text("zone").map_or(registered.zone, str::to_owned);
+        registered.backend = parsed.text("service").map_or(registered.backend, str::to_owned);
+        registered.capacity =
+            parsed.integer("capacity").map_or(registered.capacity, |capacity| capacity as u32);
+        registered.remaining_ms = parsed.number("remaining").or(registered.remaining_ms);
+        if let Some(models) = parsed.text("models") {
             let models = models.split(',').filter(|model| !model.is_empty());
-            told.models = models.map(super::held).collect();
+            registered.models = models.map(super::resident_model).collect();
         }
-        told.state = match words.text("state") {
+        registered.state = match parsed.text("state") {
             Some("draining") => InstanceState::Draining,
             Some(_) => InstanceState::Ready,
-            None => told.state,
+            None => registered.state,
         };
-        self.instances.insert(id.to_owned(), told.clone());
-        told
+        self.instances.insert(id.to_owned(), registered.clone());
+        registered
     }
 
-    fn request(&self, words: &Words) -> Request {
-        let number = words.plain[2].parse().expect("a number");
-        let template = &self.templates[words.text("route").expect("a route")];
-        let wanted = words.text("model").map(|text| {
+    fn request(&self, parsed: &ScenarioLine) -> Request {
+        let number = parsed.positional[2].parse().expect("a number");
+        let template = &self.templates[parsed.text("route").expect("a route")];
+        let wanted = parsed.text("model").map(|text| {
             let (model, adapter) =
                 text.split_once('/').map_or((text, None), |(model, name)| (model, Some(name)));
             let parts: Vec<(u64, u32)> =
-                words.text("parts").unwrap_or("1:100").split(',').map(part_of).collect();
+                parsed.text("parts").unwrap_or("1:100").split(',').map(part_of).collect();
             let mut wanted = generation(0, 0, model, &parts).generation.expect("a generation");
             wanted.adapter = adapter.map(Into::into);
-            wanted.output_tokens = words.whole("output").map_or(wanted.output_tokens, |tokens| tokens as u32);
+            wanted.output_tokens =
+                parsed.integer("output").map_or(wanted.output_tokens, |tokens| tokens as u32);
             wanted
         });
         Request {
@@ -288,38 +289,39 @@
         }
     }
 
-    fn expect(&mut self, place: &str, words: &Words) {
+    fn expect(&mut self, place: &str, parsed: &ScenarioLine) {
         self.collect();
-        match words.plain[0] {
+        match parsed.positional[0] {
             "any" => return self.made.clear(),
-            "nothing" => return assert!(self.made.is_empty(), "{place}: but {}", told(&self.made)),
+            "nothing" => return assert!(self.made.is_empty(), "{place}: but {}", describe(&self.made)),
             _ => {}
         }
         assert!(!self.made.is_empty(), "{place}: but nothing was decided");
         let made = self.made.remove(0);
-        let met = matches_expectation(&made, words);
-        assert!(met, "{place}: but {} (and {})", told(std::slice::from_ref(&made)), told(&self.made));
+        let met = matches_expectation(&made, parsed);
+        assert!(met, "{place}: but {} (and {})", describe(std::slice::from_ref(&made)), describe(&self.made));
     }
 }
 
-fn matches_expectation(made: &Made, words: &Words) -> bool {
-    let id = id_of(words.plain[1]);
-    let in_time = words.text("at").is_none_or(|range| within(range, made.at));
-    let as_told = match (words.plain[0], &made.decision) {
+fn matches_expectation(made: &TimedDecision, parsed: &ScenarioLine) -> bool {
+    let id = id_of(parsed.positional[1]);
+    let in_time = parsed.text("at").is_none_or(|range| within(range, made.at));
+    let as_told = match (parsed.positional[0], &made.decision) {
         ("send", Decision::Send { request, attempt, instance, engine_priority, resume, .. }) => {
-            let instance_fits = words.plain.get(2).is_none_or(|&name| name == "*" || name == &**instance);
+            let instance_fits =
+                parsed.positional.get(2).is_none_or(|&name| name == "*" || name == &**instance);
             *request == id
                 && instance_fits
-                && words.whole("attempt").is_none_or(|expected| expected == u64::from(*attempt))
-                && words.whole("priority").is_none_or(|expected| expected == u64::from(*engine_priority))
-                && words.text("resume").is_none_or(|expected| (expected == "yes") == *resume)
+                && parsed.integer("attempt").is_none_or(|expected| expected == u64::from(*attempt))
+                && parsed.integer("priority").is_none_or(|expected| expected == u64::from(*engine_priority))
+                && parsed.text("resume").is_none_or(|expected| (expected == "yes") == *resume)
         }
         ("refuse", Decision::Refuse { request, retry_after }) => {
-            *request == id && words.text("after").is_none_or(|range| within(range, *retry_after))
+            *request == id && parsed.text("after").is_none_or(|range| within(range, *retry_after))
         }
         ("fail", Decision::Fail { request, reason }) => {
             let reason = format!("{reason:?}");
-            *request == id && words.plain.get(2).is_none_or(|&expected| expected == reason)
+            *request == id && parsed.positional.get(2).is_none_or(|&expected| expected == reason)
         }
         _ => false,
     };
@@ -347,19 +349,19 @@
     RequestId(text.parse().unwrap_or_else(|_| panic!("{text} is no request")))
 }
 
-fn attempt_of(words: &Words) -> u32 {
-    words.whole("attempt").unwrap_or(1) as u32
+fn attempt_of(parsed: &ScenarioLine) -> u32 {
+    parsed.integer("attempt").unwrap_or(1) as u32
 }
 
-fn load_of(words: &Words) -> Option<InstanceLoad> {
-    let mut figures = words.text("load")?.split(',').map(|figure| figure.parse().expect("a figure"));
+fn load_of(parsed: &ScenarioLine) -> Option<InstanceLoad> {
+    let mut figures = parsed.text("load")?.split(',').map(|figure| figure.parse().expect("a figure"));
     let mut next = || figures.next().expect("three figures");
     Some(InstanceLoad { running: next(), waiting: next(), slots: next() })
 }
 
-fn end_of(place: &str, words: &Words) -> AttemptEnd {
-    let load = load_of(words);
-    match words.plain[3] {
+fn end_of(place: &str, parsed: &ScenarioLine) -> AttemptEnd {
+    let load = load_of(parsed);
+    match parsed.positional[3] {
         "answered" => AttemptEnd::Answered { success: true, load },
         "erred" => AttemptEnd::Answered { success: false, load },
         "full" => AttemptEnd::NotExecuted { status: 503, load, wrong_instance: false },
@@ -374,7 +376,7 @@
     }
 }
 
-fn told(made: &[Made]) -> String {
+fn describe(made: &[TimedDecision]) -> String {
     let lines: Vec<String> = made.iter().map(|made| format!("{:?} {:?}", made.at, made.decision)).collect();
     lines.join("; ")
 }
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -102,12 +102,12 @@
 fn add_attempts(exposition: &mut Exposition, state: &RouterState) {
     let counters = &state.counters;
     let dispatch = state.dispatch_summary();
-    exposition.set(&REQUESTS_HELD, dispatch.held_requests);
+    exposition.set(&REQUESTS_HELD, dispatch.queued_requests);
     exposition.set(&ATTEMPTS, counters.attempts.get());
     exposition.set(&ATTEMPTS_FAILED, counters.failed_attempts.get());
     exposition.set(&RETRIES, dispatch.retries);
     exposition.declare(&RETRY_BUDGET_LEFT);
-    if let Some(left) = dispatch.least_retry_budget {
+    if let Some(left) = dispatch.min_retry_budget {
         exposition.set(&RETRY_BUDGET_LEFT, left);
     }
     exposition.set(&STREAMS_RESUMED, counters.resumed.get());
@@ -115,7 +115,7 @@
     exposition.set(&BYTES_PASSED, counters.bytes_passed.get());
     let endpoints = dispatch.endpoints;
     for (standing, count) in
-        [("serving", endpoints.serving), ("ejected", endpoints.ejected), ("leaving", endpoints.leaving)]
+        [("serving", endpoints.serving), ("ejected", endpoints.ejected), ("leaving", endpoints.draining)]
     {
         exposition.set_labelled(&ENDPOINTS, &[("standing", standing)], count);
     }
