--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -5,10 +5,17 @@
 //! `Refuse` or a `Fail` for a request with an attempt in flight abandons that attempt: the caller closes its connection,
 //! and reports about it are ignored.
 
+mod admission_control;
+mod answer_deadline;
 mod assignment;
 mod attempt_end;
 mod observations;
-mod timing;
+mod queueing;
+mod request_end;
+mod response_timeout;
+mod sending;
+mod stall;
+mod timers;
 
 use crate::admission::Admission;
 use crate::client_timeout::ClientTimeouts;
@@ -18,6 +25,7 @@
 use crate::interface::{AttemptEnd, Decision, Progress, Request, RequestId};
 use crate::pending_request::PendingRequest;
 use crate::settings::DispatchSettings;
+use crate::summary::DispatchSummary;
 use crate::timer_queue::TimerQueue;
 use crate::units::nanoseconds;
 use lanegate_config::demand::DemandReport;
@@ -83,14 +91,15 @@
         self.fleet.uses(mechanism)
     }
 
-    /// Requests without an attempt in flight.
-    pub(crate) fn queued_requests(&self) -> usize {
-        self.requests.values().filter(|pending| pending.queue_entry().is_some()).count()
-    }
-
-    /// The known endpoints and services.
-    pub(crate) fn fleet(&self) -> &Fleet {
-        &self.fleet
+    /// The figures at `now`. Takes time proportional to the number of requests and endpoints.
+    pub fn summary(&self, now: Duration) -> DispatchSummary {
+        let queued = self.requests.values().filter(|pending| pending.queue_entry().is_some());
+        DispatchSummary {
+            queued_requests: queued.count(),
+            retries: self.fleet.retries(),
+            min_retry_budget: self.fleet.min_retry_budget(now),
+            endpoints: self.fleet.endpoint_counts(),
+        }
     }
 
     /// Applies an event of the feed.
--- /dev/null
+++ b/crates/dispatch/src/dispatcher/answer_deadline.rs
@@ -0,0 +1,44 @@
+//! When queued requests have to be answered at the latest.
+
+use super::Dispatcher;
+use crate::candidate::Candidate;
+use crate::pending_request::PendingRequest;
+use crate::units::seconds;
+use lanegate_config::mechanism::Mechanism;
+use std::time::Duration;
+
+/// Shortest margin before the deadline at which a request that cannot be served is answered.
+const MIN_ANSWER_MARGIN: Duration = Duration::from_millis(5);
+
+/// The margin is at most this part of the time that the request has.
+const ANSWER_MARGIN_DIVISOR: u32 = 4;
+
+/// During shutdown an answer is assumed to take this factor times its expected duration, plus a margin.
+const SHUTDOWN_SAFETY_FACTOR: u32 = 2;
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(250);
+
+impl Dispatcher {
+    /// When a queued request is answered at the latest: while there is time for a first byte and, during shutdown, for a
+    /// complete answer.
+    pub(super) fn answer_by(&self, pending: &PendingRequest, candidates: &[Candidate]) -> Duration {
+        let ends = match self.fleet.uses(Mechanism::ClientTimeout) {
+            true => self.client_timeouts.expires_at(pending),
+            false => pending.request.deadline,
+        };
+        let usual = candidates.iter().map(|candidate| candidate.expected).min().unwrap_or_default();
+        let whole = ends.saturating_sub(pending.request.arrived);
+        let answer_by = ends.saturating_sub(usual.min(whole / ANSWER_MARGIN_DIVISOR).max(MIN_ANSWER_MARGIN));
+        self.latest_start(pending, usual).map_or(answer_by, |last| last.min(answer_by))
+    }
+
+    /// The latest time at which a request can be sent and still be answered completely before the shutdown. `None` without a
+    /// shutdown, and for a request that may have run, which cannot be refused. Zero if its duration is unbounded.
+    fn latest_start(&self, pending: &PendingRequest, first_byte: Duration) -> Option<Duration> {
+        let end = self.end.filter(|_| !pending.may_have_run)?;
+        if pending.has_unbounded_duration() {
+            return Some(Duration::ZERO);
+        }
+        let service_time = seconds(self.fleet.service(&pending.request.backend).service_time.seconds());
+        Some(end.saturating_sub((first_byte + service_time) * SHUTDOWN_SAFETY_FACTOR + SHUTDOWN_MARGIN))
+    }
+}
--- a/crates/dispatch/src/dispatcher/attempt_end.rs
+++ b/crates/dispatch/src/dispatcher/attempt_end.rs
@@ -4,7 +4,6 @@
 use crate::health::Failure;
 use crate::interface::{AttemptEnd, FailReason, InstanceLoad, RequestId};
 use crate::pending_request::{Attempt, Phase, QueueEntry};
-use crate::units::nanoseconds;
 use std::time::Duration;
 
 /// A full endpoint gets no requests for the time in which a slot becomes free, within these bounds.
@@ -132,31 +131,6 @@
             false => self.refuse_or_fail(now, id, FailReason::MayHaveRun, Duration::ZERO),
         }
     }
-
-    /// Counts a request as a miss of its class, once.
-    pub(super) fn count_miss(&mut self, now: Duration, id: RequestId) {
-        let Some(pending) = self.requests.get_mut(&id) else {
-            return;
-        };
-        if !std::mem::replace(&mut pending.counted_as_miss, true) {
-            self.admission.count_miss(&pending.request.route, nanoseconds(now));
-        }
-    }
-
-    /// Removes a request with its timer, its queue entry and its attempt.
-    pub(super) fn remove_request(&mut self, id: RequestId) {
-        let Some(mut pending) = self.requests.remove(&id) else {
-            return;
-        };
-        self.timers.schedule(id, &mut pending.scheduled_at, None);
-        match pending.phase {
-            Phase::Queued(entry) => self.admission.remove(&pending.request.backend, id, entry),
-            Phase::InFlight(attempt) => {
-                self.cancel_trial(attempt);
-                self.fleet.end_request(attempt.endpoint, attempt.requirement);
-            }
-        }
-    }
 }
 
 /// The answer of an endpoint that it did not run a request.
--- a/crates/dispatch/src/dispatcher/observations.rs
+++ b/crates/dispatch/src/dispatcher/observations.rs
@@ -4,7 +4,8 @@
 use crate::endpoints::EndpointKey;
 use crate::health::Failure;
 use crate::interface::{AttemptEnd, InstanceLoad, RequestId};
-use crate::pending_request::{Attempt, PendingRequest, Phase, PrefixExpectation};
+use crate::pending_request::{Attempt, PendingRequest, Phase};
+use crate::prefix::PrefixExpectation;
 use lanegate_config::mechanism::Mechanism;
 use std::time::Duration;
 
--- a/crates/dispatch/src/endpoint_selection.rs
+++ b/crates/dispatch/src/endpoint_selection.rs
@@ -1,11 +1,13 @@
 //! Endpoint selection: each candidate gets a cost, which is the expected time to the first byte in seconds plus
 //! penalties in the same unit.
 
+use crate::candidate::Candidate;
 use crate::endpoints::{Endpoint, EndpointKey};
 use crate::fleet::Fleet;
 use crate::health::HealthStatus;
 use crate::load::{EndpointLoad, ResourceRequirement};
-use crate::pending_request::{PendingRequest, PrefixExpectation};
+use crate::pending_request::PendingRequest;
+use crate::prefix::PrefixExpectation;
 use crate::rendezvous::rank;
 use crate::service::{Artifact, Service};
 use lanegate_config::mechanism::Mechanism;
@@ -37,34 +39,6 @@
 const TIE_RELATIVE_TOLERANCE: f64 = 0.1;
 const TIE_ABSOLUTE_TOLERANCE_S: f64 = 0.001;
 
-/// An endpoint to which a request may be sent.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Candidate {
-    pub key: EndpointKey,
-    pub health: HealthStatus,
-    /// Whether the request may be sent there now.
-    pub has_capacity: bool,
-    pub cost_s: f64,
-    /// Expected time to the first byte.
-    pub expected: Duration,
-    pub requirement: ResourceRequirement,
-    /// Tokens that the engine has to prefill before the prompt of this request.
-    pub queued_prefill_tokens: u64,
-    pub prefix: PrefixExpectation,
-    /// Rendezvous rank for the prefix of the prompt; 0 without one.
-    rank: u64,
-    last_dispatched: Duration,
-    /// No request is sent there before this time.
-    pub backoff_until: Duration,
-}
-
-impl Candidate {
-    /// Whether the endpoint gets ordinary requests, with or without the limit of a slow start.
-    pub fn is_in_rotation(&self) -> bool {
-        matches!(self.health, HealthStatus::Healthy | HealthStatus::SlowStart(_))
-    }
-}
-
 /// The endpoints that can serve the request and that its attempt limit allows, best first.
 pub fn candidates(fleet: &Fleet, now: Duration, pending: &PendingRequest) -> Vec<Candidate> {
     let backend = &pending.request.backend;
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -7,6 +7,7 @@
 
 pub mod admission;
 pub mod budget;
+pub mod candidate;
 mod client_timeout;
 pub mod demand;
 pub mod dispatcher;
--- a/crates/dispatch/src/pending_request.rs
+++ b/crates/dispatch/src/pending_request.rs
@@ -1,14 +1,19 @@
 //! The state of a request from its arrival to its end.
 
+use crate::candidate::Candidate;
 use crate::endpoints::{Endpoint, EndpointKey};
 use crate::interface::Request;
 use crate::load::ResourceRequirement;
-use crate::prefix::PromptChain;
+use crate::prefix::{PrefixExpectation, PromptChain};
 use crate::service::Artifact;
 use fair_edf::Ns;
 use lanegate_config::configuration::RouteType;
 use std::time::Duration;
 
+/// A refusal within this part of the latency target is early: the client can still be served elsewhere in time. A later
+/// one only adds to the delay.
+const EARLY_REFUSAL_DIVISOR: u32 = 4;
+
 /// A request that has not ended.
 #[derive(Debug)]
 pub struct PendingRequest {
@@ -62,26 +67,12 @@
     /// Tokens that the engine had to prefill before this prompt.
     pub queued_prefill_tokens: u64,
     pub first_byte: Option<Duration>,
-    /// When the response time-out ends.
-    pub response_timeout_at: Duration,
     /// Whether it is the trial of an ejected endpoint.
     pub is_trial: bool,
     /// Whether it is the first attempt of the request at this endpoint.
     pub is_first_on_endpoint: bool,
 }
 
-/// Whether the prefix of a prompt is expected in the cache of an engine.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum PrefixExpectation {
-    /// Not expected.
-    #[default]
-    Absent,
-    /// Expected, because this router sent it there before.
-    Cached,
-    /// Possible, because the endpoint owns the prefix and other routers may have sent it there.
-    Owned,
-}
-
 impl PendingRequest {
     /// A request that has just arrived.
     pub fn new(request: Request) -> Self {
@@ -101,6 +92,32 @@
         }
     }
 
+    /// Maximum number of endpoints to which it may be sent, at least 1.
+    pub fn max_attempts(&self) -> usize {
+        self.request.max_attempts.max(1) as usize
+    }
+
+    /// Records that an attempt at a candidate begins.
+    pub fn begin_attempt(&mut self, now: Duration, candidate: &Candidate) {
+        let is_first_on_endpoint = !self.attempted_endpoints.contains(&candidate.key);
+        if is_first_on_endpoint {
+            self.attempted_endpoints.push(candidate.key);
+        }
+        self.attempts += 1;
+        self.deliveries += 1;
+        self.phase = Phase::InFlight(Attempt {
+            endpoint: candidate.key,
+            sent: now,
+            requirement: candidate.requirement,
+            expected: candidate.expected,
+            prefix: candidate.prefix,
+            queued_prefill_tokens: candidate.queued_prefill_tokens,
+            first_byte: None,
+            is_trial: !candidate.is_in_rotation(),
+            is_first_on_endpoint,
+        });
+    }
+
     /// The attempt in flight, if there is one.
     pub fn attempt(&self) -> Option<&Attempt> {
         match &self.phase {
@@ -135,8 +152,8 @@
     /// Whether the attempt limit and earlier failures allow an attempt at this endpoint.
     pub fn may_attempt_on(&self, key: EndpointKey) -> bool {
         let known = self.attempted_endpoints.contains(&key);
-        let room = (self.attempted_endpoints.len() as u32) < self.request.max_attempts.max(1);
-        (known || room) && !self.excluded_endpoints.contains(&key)
+        let is_below_limit = self.attempted_endpoints.len() < self.max_attempts();
+        (known || is_below_limit) && !self.excluded_endpoints.contains(&key)
     }
 
     /// Whether the next attempt is a retry, which the retry budget has to allow.
@@ -162,6 +179,11 @@
         u64::from(self.chain.prompt_tokens) + u64::from(output)
     }
 
+    /// Until when a refusal is early enough for the client to be served elsewhere in time.
+    pub fn early_refusal_end(&self) -> Duration {
+        self.request.arrived + self.latency_target() / EARLY_REFUSAL_DIVISOR
+    }
+
     /// Time from its arrival to its latency target.
     pub fn latency_target(&self) -> Duration {
         self.request.target.saturating_sub(self.request.arrived)
--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -53,6 +53,18 @@
     }
 }
 
+/// Whether the prefix of a prompt is expected in the cache of an engine.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub enum PrefixExpectation {
+    /// Not expected.
+    #[default]
+    Absent,
+    /// Expected, because this router sent it there before.
+    Cached,
+    /// Possible, because the endpoint owns the prefix and other routers may have sent it there.
+    Owned,
+}
+
 /// A model of the prefix cache of one engine: the chains that this router sent there, evicted in LRU order.
 #[derive(Debug, Default)]
 pub struct PrefixCache {
--- a/crates/dispatch/src/summary.rs
+++ b/crates/dispatch/src/summary.rs
@@ -1,8 +1,5 @@
 //! Figures of the dispatcher for operators.
 
-use crate::dispatcher::Dispatcher;
-use std::time::Duration;
-
 /// The figures at one point in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DispatchSummary {
@@ -25,15 +22,3 @@
     /// Draining, or replaced by another incarnation.
     pub draining: usize,
 }
-
-impl Dispatcher {
-    /// The figures at `now`. Takes time proportional to the number of requests and endpoints.
-    pub fn summary(&self, now: Duration) -> DispatchSummary {
-        DispatchSummary {
-            queued_requests: self.queued_requests(),
-            retries: self.fleet().retries(),
-            min_retry_budget: self.fleet().min_retry_budget(now),
-            endpoints: self.fleet().endpoint_counts(),
-        }
-    }
-}
