--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -11,8 +11,11 @@
 /// A request on an overdue timeline.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Overdue {
+    /// The queued request.
     pub request: RequestId,
+    /// Its route, which is its class.
     pub route: Arc<str>,
+    /// When its slot has to end, ns.
     pub due: Ns,
     /// Time for which it occupies the endpoint, ns.
     pub occupancy: Ns,
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -17,8 +17,11 @@
 /// The configured bounds of the budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetBounds {
+    /// Retries of all routers as a part of the requests of a window.
     pub ratio: f64,
+    /// Length of the sliding window.
     pub window: Duration,
+    /// Retries that all routers together may make beyond the ratio.
     pub slack: f64,
 }
 
--- a/crates/dispatch/src/client_timeout.rs
+++ b/crates/dispatch/src/client_timeout.rs
@@ -17,13 +17,13 @@
 
 /// The largest allowed gap between events, for each route that configures one.
 #[derive(Debug, Default)]
-pub struct ClientTimeouts {
+pub(crate) struct ClientTimeouts {
     event_gaps: HashMap<String, Duration>,
 }
 
 impl ClientTimeouts {
     /// Applies a configuration.
-    pub fn configure(&mut self, configuration: &Configuration) {
+    pub(crate) fn configure(&mut self, configuration: &Configuration) {
         let event_gaps = configuration.routes.iter().filter_map(|route| {
             let event_gap = crate::units::milliseconds(route.token_gap_target_ms?);
             Some((route.name.clone(), event_gap))
@@ -32,7 +32,7 @@
     }
 
     /// When the client gives up unless the answer has begun.
-    pub fn expires_at(&self, pending: &PendingRequest) -> Duration {
+    pub(crate) fn expires_at(&self, pending: &PendingRequest) -> Duration {
         let request = &pending.request;
         if request.route_type != RouteType::Streaming || pending.resume {
             return request.deadline;
--- a/crates/dispatch/src/dispatcher/answer_deadline.rs
+++ b/crates/dispatch/src/dispatcher/answer_deadline.rs
@@ -21,9 +21,10 @@
     /// When a queued request is answered at the latest: while there is time for a first byte and, during shutdown, for a
     /// complete answer.
     pub(super) fn answer_by(&self, pending: &PendingRequest, candidates: &[Candidate]) -> Duration {
-        let ends = match self.fleet.uses(Mechanism::ClientTimeout) {
-            true => self.client_timeouts.expires_at(pending),
-            false => pending.request.deadline,
+        let ends = if self.fleet.uses(Mechanism::ClientTimeout) {
+            self.client_timeouts.expires_at(pending)
+        } else {
+            pending.request.deadline
         };
         let usual = candidates.iter().map(|candidate| candidate.expected).min().unwrap_or_default();
         let whole = ends.saturating_sub(pending.request.arrived);
--- a/crates/dispatch/src/dispatcher/attempt_end.rs
+++ b/crates/dispatch/src/dispatcher/attempt_end.rs
@@ -126,9 +126,10 @@
         pending.excluded_endpoints.push(attempt.endpoint);
         let goes_on = pending.is_retryable() && (!midway || pending.request.resumable);
         pending.resume |= midway;
-        match goes_on {
-            true => self.assign(now, id),
-            false => self.refuse_or_fail(now, id, FailReason::MayHaveRun, Duration::ZERO),
+        if goes_on {
+            self.assign(now, id)
+        } else {
+            self.refuse_or_fail(now, id, FailReason::MayHaveRun, Duration::ZERO)
         }
     }
 }
--- a/crates/dispatch/src/dispatcher/observations.rs
+++ b/crates/dispatch/src/dispatcher/observations.rs
@@ -120,9 +120,10 @@
         if let Some(load) = self.fleet.load_mut(attempt.endpoint).filter(|_| tells) {
             load.recent.record(success, service_time.as_secs_f64(), usual);
         }
-        match success {
-            true => self.record_success(now, attempt.endpoint),
-            false => self.fleet.record_failure(now, attempt.endpoint, Failure::ErrorResponse),
+        if success {
+            self.record_success(now, attempt.endpoint)
+        } else {
+            self.fleet.record_failure(now, attempt.endpoint, Failure::ErrorResponse)
         }
     }
 
--- a/crates/dispatch/src/endpoint_selection.rs
+++ b/crates/dispatch/src/endpoint_selection.rs
@@ -121,10 +121,8 @@
     /// Whether the prefix of the prompt is expected in the cache of the endpoint, and the tokens left to prefill.
     fn unread(&self, key: EndpointKey, load: &EndpointLoad) -> (PrefixExpectation, u64) {
         let chain = &self.pending.chain;
-        let cached = match self.fleet.uses(Mechanism::PrefixCache) {
-            true => load.cache.cached_tokens(chain),
-            false => 0,
-        };
+        let cached =
+            if self.fleet.uses(Mechanism::PrefixCache) { load.cache.cached_tokens(chain) } else { 0 };
         let (prefix, kept) = match cached {
             0 if self.owner == Some(key) => (
                 PrefixExpectation::Owned,
@@ -196,10 +194,7 @@
             return 0.0;
         }
         let region = |zone: &str| settings.zones.get(zone);
-        match region(&endpoint.zone) == region(&settings.zone) {
-            true => ZONE_COST_S,
-            false => REGION_COST_S,
-        }
+        if region(&endpoint.zone) == region(&settings.zone) { ZONE_COST_S } else { REGION_COST_S }
     }
 
     fn has_capacity(&self, endpoint: &Endpoint, load: &EndpointLoad, health: HealthStatus) -> bool {
--- a/crates/dispatch/src/endpoints.rs
+++ b/crates/dispatch/src/endpoints.rs
@@ -19,17 +19,23 @@
 /// One incarnation of an endpoint.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
+    /// Id of the incarnation.
     pub id: Arc<str>,
     /// Stable hash of the id; the same in every router.
     pub hash: u64,
+    /// Name of its service.
     pub backend: Arc<str>,
+    /// Where it accepts requests.
     pub address: SocketAddr,
+    /// Zone of its machine.
     pub zone: Arc<str>,
     /// Requests that it processes concurrently.
     pub capacity: u32,
+    /// Whether it is ready or draining.
     pub state: InstanceState,
     /// When its warm-up ends.
     pub warm_at: Duration,
+    /// Loaded models with their adapters.
     pub models: Vec<ResidentModel>,
     /// Sequence of the newest registration when another incarnation answered at its address; `None` unless replaced.
     pub replaced_at: Option<u64>,
--- a/crates/dispatch/src/fleet.rs
+++ b/crates/dispatch/src/fleet.rs
@@ -22,8 +22,11 @@
 
 /// The endpoints and services, and what was learned about them.
 pub struct Fleet {
+    /// Settings of the dispatcher.
     pub settings: DispatchSettings,
+    /// Bounds of the retry budgets.
     pub budget_bounds: BudgetBounds,
+    /// The known endpoints.
     pub table: EndpointTable,
     /// Number of live routers, once known.
     pub live_routers: Option<u32>,
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -39,9 +39,15 @@
     /// Up to this many concurrent requests, because it has just come back.
     SlowStart(u32),
     /// One trial request; until `reserved_until` only one that may be retried.
-    HalfOpen { reserved_until: Duration },
+    HalfOpen {
+        /// End of the time in which the trial is reserved for requests that may be retried.
+        reserved_until: Duration,
+    },
     /// None before `until`.
-    Ejected { until: Duration },
+    Ejected {
+        /// End of the ejection.
+        until: Duration,
+    },
 }
 
 /// The health of one endpoint.
--- a/crates/dispatch/src/interface.rs
+++ b/crates/dispatch/src/interface.rs
@@ -13,12 +13,15 @@
 /// A completely received request of a client, with its route.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
+    /// Id of the request.
     pub id: RequestId,
     /// Name of the service that the route, and its traffic split, selected.
     pub backend: Arc<str>,
     /// Name of the route; it is the class of the request for Fair-EDF.
     pub route: Arc<str>,
+    /// Whether the request is idempotent or a stream.
     pub route_type: RouteType,
+    /// Whether a broken stream may be resumed by another attempt.
     pub resumable: bool,
     /// Maximum number of endpoints to which the request may be sent.
     pub max_attempts: u32,
@@ -39,7 +42,9 @@
 /// What a request asks of an inference engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Generation {
+    /// Name of the model.
     pub model: Arc<str>,
+    /// Name of the adapter, if one is requested.
     pub adapter: Option<Arc<str>>,
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
@@ -52,7 +57,9 @@
 /// A part of a prompt. Requests may share it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
+    /// Id of the content.
     pub id: u64,
+    /// Length in tokens.
     pub tokens: u32,
 }
 
@@ -61,10 +68,13 @@
 pub enum Decision {
     /// Send the request to this endpoint, with `Expect-Instance` and, for engines, `Priority`.
     Send {
+        /// The request.
         request: RequestId,
         /// Number of the attempt, from 1. Reports repeat it, so that late reports are recognised.
         attempt: u32,
+        /// Id of the endpoint.
         instance: Arc<str>,
+        /// Address of the endpoint.
         address: SocketAddr,
         /// Priority for the engine, 0 (first) to 9.
         engine_priority: u8,
@@ -72,9 +82,19 @@
         resume: bool,
     },
     /// Answer 503 with `Retry-After`: the request has not run and never will.
-    Refuse { request: RequestId, retry_after: Duration },
+    Refuse {
+        /// The request.
+        request: RequestId,
+        /// When the client should retry.
+        retry_after: Duration,
+    },
     /// Answer 502 or 504: the request may have run.
-    Fail { request: RequestId, reason: FailReason },
+    Fail {
+        /// The request.
+        request: RequestId,
+        /// Why it failed.
+        reason: FailReason,
+    },
 }
 
 /// Why a request that may have run failed.
@@ -91,8 +111,11 @@
 /// The load that an endpoint reports in `Instance-Load`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InstanceLoad {
+    /// Requests that run.
     pub running: u32,
+    /// Requests that wait for a slot.
     pub waiting: u32,
+    /// Requests that can run concurrently.
     pub slots: u32,
 }
 
@@ -100,7 +123,10 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Progress {
     /// The head of the endpoint's answer arrived.
-    Head { load: Option<InstanceLoad> },
+    Head {
+        /// The load that the head reports.
+        load: Option<InstanceLoad>,
+    },
     /// The first event, or the first byte of the body, arrived.
     FirstByte,
 }
@@ -109,9 +135,21 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AttemptEnd {
     /// The complete answer was forwarded, with any status that means that the request ran.
-    Answered { success: bool, load: Option<InstanceLoad> },
+    Answered {
+        /// Whether the status is one of success.
+        success: bool,
+        /// The load that the answer reports.
+        load: Option<InstanceLoad>,
+    },
     /// The endpoint answered that it did not run the request (`Not-Executed`, 421).
-    NotExecuted { status: u16, load: Option<InstanceLoad>, wrong_instance: bool },
+    NotExecuted {
+        /// HTTP status of the answer.
+        status: u16,
+        /// The load that the answer reports.
+        load: Option<InstanceLoad>,
+        /// Whether another incarnation answered.
+        wrong_instance: bool,
+    },
     /// No connection was established, or nothing was sent on it.
     NotSent,
     /// The connection broke after the request was sent, before any of the answer was forwarded.
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,9 +1,33 @@
-//! The decisions of a router, without I/O: which endpoint a request goes to, when it leaves, when it is
-//! tried again and when it is refused. Time and chance are passed in.
+//! The routing decisions of a router: which endpoint gets a request and when, whether it is retried, and when it is
+//! refused.
 //!
-//! [`dispatcher`] is the state machine. What it decides by: [`endpoints`] from the feed, their [`load`] and
-//! [`health`], what is learned of a [`service`], the [`choice`] among candidates, Fair-EDF [`admission`] and
-//! the retry [`budget`].
+//! The crate does no I/O and reads no clock. The caller passes the time to each call, carries out the
+//! [`Decision`](interface::Decision)s and reports what became of them. Randomness comes from a seed. The same calls
+//! therefore lead to the same decisions.
+//!
+//! # Invariants
+//!
+//! - Each request has exactly one end: a complete answer, a cancellation, a refusal or a failure.
+//! - A request that may have run is never refused, and it is retried only if it may run twice.
+//! - A request is sent to at most as many endpoints as its route allows.
+//! - The retries of all routers together stay within the shared [`budget`].
+//!
+//! # Where to begin
+//!
+//! [`interface`] has the types that go in and out. [`dispatcher`] is the state machine; its submodules have one concern
+//! each (assignment, queueing, sending, the end of attempts, timers). It decides by
+//!
+//! - [`endpoints`] and [`fleet`]: the endpoints from the feed, with the [`load`] and [`health`] of each;
+//! - [`service`] and [`estimate`]: what is learned about a service from its answers;
+//! - [`endpoint_selection`]: the cost of each candidate;
+//! - [`admission`]: Fair-EDF timelines of the queued requests;
+//! - [`prefix`] and [`rendezvous`]: affinity of prompts to the engines that have cached their prefix.
+//!
+//! # Tests
+//!
+//! `tests/scenarios/*.txt` are short scripts of events and expected decisions. `tests/invariants.rs` checks random
+//! histories, `tests/fleet.rs` simulates whole fleets, and `tests/digests.rs` compares all decisions of both simulations
+//! with committed digests.
 
 pub mod admission;
 pub mod budget;
--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -30,8 +30,11 @@
     pub kv_cache_tokens: u64,
     /// Prefixes that are expected in the cache of the engine.
     pub cache: PrefixCache,
+    /// Its latency relative to its service.
     pub latency_ratio: LatencyRatio,
+    /// Results of recent requests, for the concurrency limit.
     pub recent: RecentCalls,
+    /// Its passive health.
     pub health: Health,
     /// Nothing is sent before this time: the endpoint was full, or a connection failed.
     pub backoff_until: Duration,
--- a/crates/dispatch/src/pending_request.rs
+++ b/crates/dispatch/src/pending_request.rs
@@ -17,8 +17,11 @@
 /// A request that has not ended.
 #[derive(Debug)]
 pub struct PendingRequest {
+    /// The request as submitted.
     pub request: Request,
+    /// The prompt as a chain of parts; empty without a generation.
     pub chain: PromptChain,
+    /// Whether it is queued or in flight.
     pub phase: Phase,
     /// Attempts so far.
     pub attempts: u32,
@@ -41,7 +44,9 @@
 /// Where a request is at present.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Phase {
+    /// It waits in the router.
     Queued(QueueEntry),
+    /// An attempt is in flight.
     InFlight(Attempt),
 }
 
@@ -57,8 +62,11 @@
 /// An attempt in flight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Attempt {
+    /// The endpoint.
     pub endpoint: EndpointKey,
+    /// When it was sent.
     pub sent: Duration,
+    /// What it takes of the endpoint.
     pub requirement: ResourceRequirement,
     /// Expected time to the first byte.
     pub expected: Duration,
@@ -66,6 +74,7 @@
     pub prefix: PrefixExpectation,
     /// Tokens that the engine had to prefill before this prompt.
     pub queued_prefill_tokens: u64,
+    /// When the first byte arrived.
     pub first_byte: Option<Duration>,
     /// Whether it is the trial of an ejected endpoint.
     pub is_trial: bool,
--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -9,12 +9,14 @@
 pub struct Link {
     /// Hash of the model, the adapter and the parts up to this one.
     pub hash: u64,
+    /// Tokens of the part itself.
     pub tokens: u32,
 }
 
 /// The prompt of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PromptChain {
+    /// The parts, in order.
     pub links: Vec<Link>,
     /// Tokens of the complete prompt, which may be more than the sum of its parts.
     pub prompt_tokens: u32,
--- a/crates/dispatch/src/service.rs
+++ b/crates/dispatch/src/service.rs
@@ -61,7 +61,9 @@
 /// A model, or an adapter of a model.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Artifact {
+    /// Name of the model.
     pub model: Arc<str>,
+    /// Name of the adapter; `None` for the model itself.
     pub adapter: Option<Arc<str>>,
 }
 
@@ -77,7 +79,9 @@
 pub struct Service {
     /// The engines of the service; `None` if its endpoints are not engines or before the first configuration.
     pub engine: Option<EngineProfile>,
+    /// Its retry budget.
     pub budget: RetryBudget,
+    /// Time to the first byte by tokens to prefill.
     pub first_byte: FirstByteRegression,
     /// Mean time from the send of a request to the end of its answer, s.
     pub service_time: Smoothed,
--- a/crates/dispatch/src/summary.rs
+++ b/crates/dispatch/src/summary.rs
@@ -9,6 +9,7 @@
     pub retries: u64,
     /// Remaining retries of the service that has the fewest; `None` while no service is known.
     pub min_retry_budget: Option<u64>,
+    /// Endpoints by their health.
     pub endpoints: EndpointCounts,
 }
 
--- a/crates/dispatch/src/timer_queue.rs
+++ b/crates/dispatch/src/timer_queue.rs
@@ -6,13 +6,13 @@
 
 /// One timer for each request, in order of expiry.
 #[derive(Debug, Default)]
-pub struct TimerQueue {
+pub(crate) struct TimerQueue {
     times: BTreeSet<(Duration, RequestId)>,
 }
 
 impl TimerQueue {
     /// Sets or clears the timer of a request. `scheduled_at` is its current expiry, which is stored with the request.
-    pub fn schedule(
+    pub(crate) fn schedule(
         &mut self,
         request: RequestId,
         scheduled_at: &mut Option<Duration>,
@@ -31,12 +31,12 @@
     }
 
     /// The earliest expiry.
-    pub fn next(&self) -> Option<Duration> {
+    pub(crate) fn next(&self) -> Option<Duration> {
         self.times.first().map(|&(at, _)| at)
     }
 
     /// The requests whose timers have expired, in order of expiry.
-    pub fn due(&self, now: Duration) -> Vec<RequestId> {
+    pub(crate) fn due(&self, now: Duration) -> Vec<RequestId> {
         self.times.iter().take_while(|&&(at, _)| at <= now).map(|&(_, request)| request).collect()
     }
 }
--- a/crates/dispatch/tests/support/digest.rs
+++ b/crates/dispatch/tests/support/digest.rs
@@ -17,7 +17,7 @@
 
 /// 64-bit FNV-1a over a sequence of decisions and reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Digest(u64);
+pub(crate) struct Digest(u64);
 
 impl Default for Digest {
     fn default() -> Self {
@@ -27,12 +27,12 @@
 
 impl Digest {
     /// The digest of all that was added.
-    pub fn value(self) -> u64 {
+    pub(crate) fn value(self) -> u64 {
         self.0
     }
 
     /// Adds a decision that a router made at a simulated time.
-    pub fn add_decision(&mut self, at: Duration, router: usize, decision: &Decision) {
+    pub(crate) fn add_decision(&mut self, at: Duration, router: usize, decision: &Decision) {
         self.add_time(at);
         self.add_number(router as u64);
         match decision {
@@ -63,13 +63,13 @@
     }
 
     /// Adds the time of the next wake.
-    pub fn add_wake(&mut self, at: Option<Duration>) {
+    pub(crate) fn add_wake(&mut self, at: Option<Duration>) {
         self.add_number(u64::from(at.is_some()));
         self.add_time(at.unwrap_or_default());
     }
 
     /// Adds a report of demand.
-    pub fn add_demand(&mut self, report: &DemandReport) {
+    pub(crate) fn add_demand(&mut self, report: &DemandReport) {
         self.add_number(u64::from(report.period_ms));
         for model in &report.models {
             self.add_text(&model.backend);
@@ -82,7 +82,7 @@
     }
 
     /// Adds the figures for operators.
-    pub fn add_summary(&mut self, summary: &DispatchSummary) {
+    pub(crate) fn add_summary(&mut self, summary: &DispatchSummary) {
         self.add_number(summary.queued_requests as u64);
         self.add_number(summary.retries);
         self.add_number(summary.min_retry_budget.map_or(u64::MAX, |left| left));
@@ -112,7 +112,7 @@
 }
 
 /// Compares the digests of seeds 0, 1, 2, ... with the file `tests/digests/<name>.txt`.
-pub fn assert_digests(name: &str, digests: &[Digest]) {
+pub(crate) fn assert_digests(name: &str, digests: &[Digest]) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/digests").join(format!("{name}.txt"));
     let mut actual = String::new();
     for (seed, digest) in digests.iter().enumerate() {
--- a/crates/dispatch/tests/support/engine.rs
+++ b/crates/dispatch/tests/support/engine.rs
@@ -5,7 +5,7 @@
 
 /// The speed and size of an engine.
 #[derive(Debug, Clone, Copy)]
-pub struct EngineSpeed {
+pub(crate) struct EngineSpeed {
     pub slots: usize,
     pub memory_tokens: u64,
     /// Prompt tokens prefilled per ms.
@@ -19,7 +19,7 @@
 
 /// A request at an engine.
 #[derive(Debug, Clone)]
-pub struct Job {
+pub(crate) struct Job {
     /// The router that sent it, and its request id and attempt number there.
     pub router: usize,
     pub request: u64,
@@ -39,14 +39,14 @@
 
 /// Progress of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EngineEvent {
+pub(crate) enum EngineEvent {
     First { router: usize, request: u64, attempt: u32 },
     Done { router: usize, request: u64, attempt: u32 },
 }
 
 /// One engine.
 #[derive(Debug)]
-pub struct SimulatedEngine {
+pub(crate) struct SimulatedEngine {
     speed: EngineSpeed,
     waiting: Vec<Job>,
     running: Vec<RunningJob>,
@@ -58,7 +58,7 @@
 }
 
 impl SimulatedEngine {
-    pub fn new(speed: EngineSpeed) -> Self {
+    pub(crate) fn new(speed: EngineSpeed) -> Self {
         let cache = PrefixCache::default();
         SimulatedEngine {
             speed,
@@ -71,7 +71,7 @@
     }
 
     /// Accepts a job unless too many are waiting.
-    pub fn offer(&mut self, job: Job) -> Result<(), Job> {
+    pub(crate) fn offer(&mut self, job: Job) -> Result<(), Job> {
         if self.waiting.len() > self.speed.slots / 8 {
             return Err(job);
         }
@@ -81,25 +81,25 @@
     }
 
     /// Running and waiting jobs, and slots.
-    pub fn load(&self) -> (u32, u32, u32) {
+    pub(crate) fn load(&self) -> (u32, u32, u32) {
         (self.running.len() as u32, self.waiting.len() as u32, self.speed.slots as u32)
     }
 
     /// Drops a job whose client has disconnected.
-    pub fn drop_job(&mut self, router: usize, request: u64) {
+    pub(crate) fn drop_job(&mut self, router: usize, request: u64) {
         self.waiting.retain(|job| (job.router, job.request) != (router, request));
         self.running.retain(|run| (run.job.router, run.job.request) != (router, request));
     }
 
     /// Fails all jobs and returns them.
-    pub fn crash(&mut self) -> Vec<Job> {
+    pub(crate) fn crash(&mut self) -> Vec<Job> {
         self.cache.clear();
         let running = std::mem::take(&mut self.running).into_iter().map(|run| run.job);
         std::mem::take(&mut self.waiting).into_iter().chain(running).collect()
     }
 
     /// Advances the simulation by `time`.
-    pub fn work(&mut self, time: Duration) -> Vec<EngineEvent> {
+    pub(crate) fn work(&mut self, time: Duration) -> Vec<EngineEvent> {
         self.admit();
         let ms = time.as_secs_f64() * 1_000.0;
         self.prefill(ms);
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -35,7 +35,7 @@
 
 /// How endpoints are selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Policy {
+pub(crate) enum Policy {
     Dispatched,
     /// A random engine that has the model.
     Random,
@@ -43,7 +43,7 @@
 
 /// One class of requests.
 #[derive(Debug, Clone, Copy)]
-pub struct RequestClass {
+pub(crate) struct RequestClass {
     pub name: &'static str,
     pub rate: f64,
     pub shared_tokens: u32,
@@ -56,7 +56,7 @@
     pub attempts: u32,
 }
 
-pub const DRAFT: RequestClass = RequestClass {
+pub(crate) const DRAFT: RequestClass = RequestClass {
     name: "draft",
     rate: 16.5,
     shared_tokens: 6_300,
@@ -69,7 +69,7 @@
     attempts: 1,
 };
 
-pub const PAID: RequestClass = RequestClass {
+pub(crate) const PAID: RequestClass = RequestClass {
     name: "paid",
     rate: 2.3,
     target_ms: 1_500,
@@ -80,7 +80,7 @@
     ..DRAFT
 };
 
-pub const CHAT: RequestClass = RequestClass {
+pub(crate) const CHAT: RequestClass = RequestClass {
     name: "chat",
     rate: 21.0,
     shared_tokens: 198,
@@ -95,7 +95,7 @@
 
 /// A fault, or another change of the fleet or its load. Times in ms.
 #[derive(Debug, Clone, Copy)]
-pub enum Fault {
+pub(crate) enum Fault {
     /// The arrival rate of one class is multiplied.
     Burst { from: u64, to: u64, class: &'static str, times: f64 },
     /// An engine does not respond.
@@ -108,7 +108,7 @@
 
 /// The parameters of a simulation.
 #[derive(Debug, Clone)]
-pub struct FleetRun {
+pub(crate) struct FleetRun {
     pub policy: Policy,
     pub seed: u64,
     pub routers: usize,
@@ -124,7 +124,7 @@
 
 /// The results of the requests of one class.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Tally {
+pub(crate) struct Tally {
     pub submitted: u32,
     pub in_time: u32,
     /// In time with the second request, after a refusal.
@@ -136,24 +136,24 @@
 
 impl Tally {
     /// Their value: 1 in time, `late` for a late answer, and the mean of both for a second request.
-    pub fn value(&self, late: f64) -> f64 {
+    pub(crate) fn value(&self, late: f64) -> f64 {
         let in_time_on_retry = (1.0 + late) / 2.0 * f64::from(self.in_time_on_retry);
         (f64::from(self.in_time) + in_time_on_retry + late * f64::from(self.late))
             / f64::from(self.submitted.max(1))
     }
 
-    pub fn in_time_fraction(&self) -> f64 {
+    pub(crate) fn in_time_fraction(&self) -> f64 {
         f64::from(self.in_time) / f64::from(self.submitted.max(1))
     }
 
-    pub fn served_fraction(&self) -> f64 {
+    pub(crate) fn served_fraction(&self) -> f64 {
         f64::from(self.in_time + self.in_time_on_retry + self.late) / f64::from(self.submitted.max(1))
     }
 }
 
 /// The results of a simulation.
 #[derive(Debug, Default)]
-pub struct Outcome {
+pub(crate) struct Outcome {
     pub classes: BTreeMap<&'static str, Tally>,
     pub prefilled_tokens: f64,
     pub retries: u32,
@@ -164,7 +164,7 @@
 }
 
 impl Outcome {
-    pub fn class(&self, class: &RequestClass) -> Tally {
+    pub(crate) fn class(&self, class: &RequestClass) -> Tally {
         self.classes.get(class.name).copied().unwrap_or_default()
     }
 }
@@ -204,7 +204,7 @@
 }
 
 /// Runs a simulation.
-pub fn simulate(run: FleetRun) -> Outcome {
+pub(crate) fn simulate(run: FleetRun) -> Outcome {
     let mut fleet = Fleet::new(run);
     let seconds = fleet.run.seconds;
     while fleet.now < Duration::from_secs(seconds) + LAST_ANSWERS {
@@ -578,10 +578,7 @@
         let tally = self.outcome.classes.entry(client.class.name).or_default();
         let in_time =
             client.first_event.is_some_and(|at| at <= client.first_arrived + ms(client.class.target_ms));
-        match in_time {
-            true => tally.in_time += 1,
-            false => tally.late += 1,
-        }
+        if in_time { tally.in_time += 1 } else { tally.late += 1 }
     }
 
     /// Clients abandon a stream after their time-out.
--- a/crates/dispatch/tests/support/history.rs
+++ b/crates/dispatch/tests/support/history.rs
@@ -13,11 +13,11 @@
 
 const LIVE: u32 = 2;
 const WINDOW: Duration = Duration::from_secs(10);
-pub const ENDPOINTS: usize = 5;
+pub(crate) const ENDPOINTS: usize = 5;
 
 /// One event of a history.
 #[derive(Debug, Clone)]
-pub enum Event {
+pub(crate) enum Event {
     Register { endpoint: usize, models: usize, draining: bool },
     Remove { endpoint: usize },
     Submit { class: usize, attempts: u32, model: usize },
@@ -29,7 +29,7 @@
 }
 
 /// A request as the checks observe it.
-pub struct ObservedRequest {
+pub(crate) struct ObservedRequest {
     request: Request,
     attempts: u32,
     under_way: Option<String>,
@@ -50,13 +50,13 @@
 
 /// The retry budget of a history.
 #[derive(Debug, Clone, Copy)]
-pub struct Budget {
+pub(crate) struct Budget {
     pub ratio: f64,
     pub slack: f64,
 }
 
 /// A dispatcher with the state that its decisions are checked against.
-pub struct RandomHistory {
+pub(crate) struct RandomHistory {
     budget: Budget,
     pub dispatcher: Dispatcher,
     pub now: Duration,
@@ -76,7 +76,7 @@
 }
 
 impl RandomHistory {
-    pub fn new(budget: Budget, switched_off: SwitchedOff) -> Self {
+    pub(crate) fn new(budget: Budget, switched_off: SwitchedOff) -> Self {
         let mut settings = DispatchSettings { zone: "a".to_owned(), ..DispatchSettings::default() };
         settings.switched_off = switched_off;
         settings.bounds.retry_slack = budget.slack;
@@ -106,7 +106,7 @@
         format!("i{endpoint}-{}", self.incarnations[endpoint])
     }
 
-    pub fn advance_to(&mut self, to: Duration) {
+    pub(crate) fn advance_to(&mut self, to: Duration) {
         while let Some(at) = self.dispatcher.next_wake().filter(|&at| at <= to) {
             self.now = at.max(self.now);
             self.dispatcher.wake(self.now);
@@ -117,7 +117,7 @@
         self.now = to;
     }
 
-    pub fn apply_event(&mut self, event: &Event) {
+    pub(crate) fn apply_event(&mut self, event: &Event) {
         match event {
             Event::Register { endpoint, models, draining } => self.register(*endpoint, *models, *draining),
             Event::Remove { endpoint } => self.remove(*endpoint),
@@ -138,7 +138,7 @@
     }
 
     /// Starts the shutdown.
-    pub fn end_by(&mut self, end: Duration) {
+    pub(crate) fn end_by(&mut self, end: Duration) {
         self.dispatcher.end_by(self.now, end);
         self.check_decisions();
     }
@@ -159,9 +159,10 @@
         if draining {
             registered.state = InstanceState::Draining;
         }
-        match *drained {
-            true => drop(self.usable.remove(&name)),
-            false => drop(self.usable.insert(name, held.iter().map(|&model| model.to_owned()).collect())),
+        if *drained {
+            drop(self.usable.remove(&name))
+        } else {
+            drop(self.usable.insert(name, held.iter().map(|&model| model.to_owned()).collect()))
         }
         self.dispatcher.apply(self.now, &FeedEvent::Instance(registered));
     }
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -2,11 +2,11 @@
 
 #![allow(dead_code)]
 
-pub mod digest;
-pub mod engine;
-pub mod fleet;
-pub mod history;
-pub mod scenario;
+pub(crate) mod digest;
+pub(crate) mod engine;
+pub(crate) mod fleet;
+pub(crate) mod history;
+pub(crate) mod scenario;
 
 use lanegate_config::configuration::RouteType;
 use lanegate_config::feed::FeedEvent;
@@ -16,12 +16,12 @@
 use std::time::Duration;
 
 /// A time or duration in ms.
-pub fn ms(value: u64) -> Duration {
+pub(crate) fn ms(value: u64) -> Duration {
     Duration::from_millis(value)
 }
 
 /// An endpoint of service `tiles` in zone `a`, without an engine.
-pub fn instance(id: &str) -> Instance {
+pub(crate) fn instance(id: &str) -> Instance {
     Instance {
         id: id.to_owned(),
         backend: "tiles".to_owned(),
@@ -39,13 +39,13 @@
 }
 
 /// An engine of service `llm` with loaded models, each written as [`resident_model`] takes it.
-pub fn engine(id: &str, models: &[&str]) -> Instance {
+pub(crate) fn engine(id: &str, models: &[&str]) -> Instance {
     let models = models.iter().map(|model| resident_model(model)).collect();
     Instance { backend: "llm".to_owned(), capacity: 64, models, ..instance(id) }
 }
 
 /// A dispatcher that has received a complete feed with these endpoints.
-pub fn synchronized(instances: &[Instance]) -> Dispatcher {
+pub(crate) fn synchronized(instances: &[Instance]) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(DispatchSettings::default(), 1);
     for instance in instances {
         dispatcher.apply(ms(0), &FeedEvent::Instance(instance.clone()));
@@ -55,14 +55,14 @@
 }
 
 /// `model` or `model/adapter/adapter`.
-pub fn resident_model(text: &str) -> ResidentModel {
+pub(crate) fn resident_model(text: &str) -> ResidentModel {
     let mut names = text.split('/');
     let name = names.next().unwrap_or_default().to_owned();
     ResidentModel { name, version: 1, adapters: names.map(str::to_owned).collect() }
 }
 
 /// A request for `tiles` that must not run twice, with a target of 300 ms and a deadline of 1.5 s.
-pub fn request(id: u64, arrived: u64) -> Request {
+pub(crate) fn request(id: u64, arrived: u64) -> Request {
     Request {
         id: RequestId(id),
         backend: "tiles".into(),
@@ -80,7 +80,7 @@
 }
 
 /// A stream of `llm` for a model, with a target of 800 ms and a deadline of 5 s.
-pub fn generation(id: u64, arrived: u64, model: &str, parts: &[(u64, u32)]) -> Request {
+pub(crate) fn generation(id: u64, arrived: u64, model: &str, parts: &[(u64, u32)]) -> Request {
     let prefix: Vec<PromptPart> = parts.iter().map(|&(id, tokens)| PromptPart { id, tokens }).collect();
     let wanted = Generation {
         model: model.into(),
--- a/crates/dispatch/tests/support/scenario.rs
+++ b/crates/dispatch/tests/support/scenario.rs
@@ -52,7 +52,7 @@
 }
 
 /// Runs one scenario; panics with the line of the first expectation that is not met.
-pub fn run(name: &str, text: &str) {
+pub(crate) fn run(name: &str, text: &str) {
     let mut runner = Runner::new();
     for (number, line) in text.lines().enumerate() {
         let line = line.trim();
