--- a/crates/fair-edf/src/lib.rs
+++ b/crates/fair-edf/src/lib.rs
@@ -1,16 +1,24 @@
-//! Fair-EDF occupancy charts, shared by the courier and the router. Pure: time comes with each call.
+//! Fair-EDF admission control, shared by the courier and the router. No I/O and no clock: the caller passes the time.
 //!
-//! [`timeline`] tells which held requests can be met, [`misses`] which class gives way where they cannot,
-//! [`smoothed`] what a slot time is derived from, and [`concurrency_limit`] how many calls may be out at an endpoint.
+//! A timeline has one slot for each queued request of an endpoint; each slot ends at the due time of its request or earlier.
+//! The endpoint is overloaded when the first slot would have to start before now. Then one request yields.
+//!
+//! - [`timeline`] and [`variable_timeline`]: which queued requests can be met, with equal and with different slot times;
+//! - [`miss_ratio`]: which class yields when some cannot be met;
+//! - [`smoothed`]: the mean times from which slot times are derived;
+//! - [`concurrency_limit`]: how many calls to an endpoint may be in flight.
+//!
+//! Invariant: the segments of a timeline are the latest schedule that meets all due times. `tests/timeline.rs` checks it
+//! against exhaustive search, with random requests.
 
 pub mod concurrency_limit;
-pub mod misses;
+pub mod miss_ratio;
 mod segments;
 pub mod smoothed;
 pub mod timeline;
 pub mod variable_timeline;
 
-pub use misses::MissRatios;
+pub use miss_ratio::MissRatios;
 pub use smoothed::{Smoothed, Smoothing};
 pub use timeline::Timeline;
 pub use variable_timeline::VariableTimeline;
--- a/crates/fair-edf/src/segments.rs
+++ b/crates/fair-edf/src/segments.rs
@@ -1,8 +1,8 @@
-//! The busy segments [L, R] that held requests make when each starts as late as it can.
+//! The busy segments [L, R] of the schedule in which each queued request starts as late as possible.
 
 use crate::Ns;
 
-/// Busy segments in order of time, apart from each other.
+/// Disjoint busy segments, in order of time.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize), serde(transparent))]
 pub(crate) struct Segments(Vec<(Ns, Ns)>);
@@ -16,14 +16,14 @@
         self.0.clear();
     }
 
-    /// Where the first segment starts.
+    /// Start of the first segment.
     pub(crate) fn start(&self) -> Option<Ns> {
         self.0.first().map(|first| first.0)
     }
 
-    /// Gives `due` its interval: between segments [due - sigma, due], merged with the segment
-    /// before where they touch; inside a segment, its left end moves by sigma. Merges cascade.
-    pub(crate) fn place(&mut self, due: Ns, sigma: Ns) {
+    /// Adds a slot of length `sigma` that ends at `due`. Between segments it is [due - sigma, due]; inside a segment the left
+    /// end of that segment moves by `sigma`. Segments that touch are merged.
+    pub(crate) fn insert(&mut self, due: Ns, sigma: Ns) {
         let mut at = self.0.partition_point(|segment| segment.1 < due);
         match self.0.get_mut(at) {
             Some(segment) if segment.0 <= due => segment.0 -= sigma,
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Takes off the request with the earliest deadline of all: no other one moves for it.
-    pub(crate) fn release_first(&mut self, sigma: Ns) {
+    /// Removes the slot of the request with the earliest due time. No other slot moves.
+    pub(crate) fn remove_first(&mut self, sigma: Ns) {
         let Some(first) = self.0.first_mut() else { return };
         first.0 += sigma;
         if first.0 >= first.1 {
--- a/crates/fair-edf/src/smoothed.rs
+++ b/crates/fair-edf/src/smoothed.rs
@@ -1,16 +1,16 @@
-//! Smoothed times: of an answer, of the first byte.
+//! Exponentially weighted means of times.
 
-/// How a measured time is smoothed.
+/// Parameters of an exponentially weighted mean.
 #[derive(Clone, Copy, Debug)]
 pub struct Smoothing {
-    /// Value before the first sample, s, which the first sample replaces.
+    /// Value before the first sample, s. The first sample replaces it.
     pub initial: f64,
     /// Weight of each further sample, 0 to 1.
     pub gain: f64,
 }
 
 impl Smoothing {
-    /// A time without any sample.
+    /// A mean without samples.
     pub const fn start(&self) -> Smoothed {
         Smoothed(self.initial)
     }
@@ -27,13 +27,13 @@
         self.0
     }
 
-    /// Takes a sample, s.
+    /// Adds a sample, s.
     pub fn sample(&mut self, smoothing: &Smoothing, measured: f64) {
         let gain = if self.0 == smoothing.initial { 1.0 } else { smoothing.gain };
         self.0 += gain * (measured - self.0);
     }
 
-    /// Takes a sample of which only a lower bound is known, s: one below the mean tells nothing.
+    /// Adds a sample of which only a lower bound is known, s. A bound below the mean changes nothing.
     pub fn sample_at_least(&mut self, smoothing: &Smoothing, least: f64) {
         self.0 += smoothing.gain * (least - self.0).max(0.0);
     }
--- a/crates/fair-edf/src/timeline.rs
+++ b/crates/fair-edf/src/timeline.rs
@@ -1,51 +1,52 @@
-//! The occupancy chart of one endpoint whose requests all take one slot time.
+//! The timeline of an endpoint whose requests all have one slot time.
 
 use crate::Ns;
 use crate::segments::Segments;
 use std::collections::BTreeSet;
 
-/// What is held, by deadline, and the busy segments that this makes; every request occupies `sigma`.
+/// The queued requests by due time, and their busy segments. Each request has a slot of length `sigma`.
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 #[cfg_attr(feature = "serde", serde(bound(deserialize = "K: Ord + serde::Deserialize<'de>")))]
 pub struct Timeline<K> {
-    held: BTreeSet<(Ns, K)>,
+    #[cfg_attr(feature = "serde", serde(rename = "held"))]
+    queued: BTreeSet<(Ns, K)>,
     segments: Segments,
     sigma: Ns,
-    /// The segments no longer fit what is held and are made anew when next asked for.
+    /// Whether the segments have to be computed again.
     stale: bool,
 }
 
 impl<K> Default for Timeline<K> {
     fn default() -> Self {
-        Timeline { held: BTreeSet::new(), segments: Segments::default(), sigma: 0, stale: false }
+        Timeline { queued: BTreeSet::new(), segments: Segments::default(), sigma: 0, stale: false }
     }
 }
 
 impl<K: Copy + Ord> Timeline<K> {
-    /// An empty chart of requests that take `sigma` each.
+    /// An empty timeline with slots of length `sigma`.
     pub fn new(sigma: Ns) -> Self {
         Timeline { sigma, ..Timeline::default() }
     }
 
-    /// Holds a request that is due to be answered at `due`.
+    /// Adds a request that is due at `due`.
     pub fn insert(&mut self, due: Ns, key: K) {
-        let new = self.held.insert((due, key));
+        let new = self.queued.insert((due, key));
         if new && !self.stale {
-            self.segments.place(due, self.sigma);
+            self.segments.insert(due, self.sigma);
         }
     }
 
-    /// Takes a request off; those left of it shift right into its slot. True if it was held.
+    /// Removes a request; earlier slots shift right into its slot. Returns whether it was queued.
     pub fn remove(&mut self, due: Ns, key: K) -> bool {
         let is_first = self.first() == Some((due, key));
-        let held = self.held.remove(&(due, key));
+        let queued = self.queued.remove(&(due, key));
         if is_first && !self.stale {
-            self.segments.release_first(self.sigma);
+            self.segments.remove_first(self.sigma);
         } else {
-            self.stale |= held;
+            self.stale |= queued;
         }
-        held
+        queued
     }
 
     /// Sets the slot time of all requests.
@@ -58,7 +59,7 @@
         self.sigma
     }
 
-    /// The latest moment at which work must begin for all to be met.
+    /// The latest time at which work has to begin to meet all due times.
     pub fn start(&mut self) -> Option<Ns> {
         self.refresh();
         self.segments.start()
@@ -70,41 +71,41 @@
         self.segments.as_slice()
     }
 
-    /// If the first segment starts before `now`: its requests up to the first that cannot be met. Taking off
-    /// any one of them, and asking again, refuses the fewest.
+    /// If the first segment starts before `now`: its requests up to the first that cannot be met. Removing any one of them,
+    /// and repeating that until none is overdue, removes the fewest requests.
     pub fn overdue(&mut self, now: Ns) -> Option<Vec<K>> {
         self.start().filter(|start| *start < now)?;
-        let unmet = |(n, held): (usize, &(Ns, K))| now + self.sigma * (n as Ns + 1) > held.0;
-        let first_unmet = self.held.iter().enumerate().position(unmet)?;
-        Some(self.held.iter().take(first_unmet + 1).map(|held| held.1).collect())
+        let unmet = |(n, queued): (usize, &(Ns, K))| now + self.sigma * (n as Ns + 1) > queued.0;
+        let first_unmet = self.queued.iter().enumerate().position(unmet)?;
+        Some(self.queued.iter().take(first_unmet + 1).map(|queued| queued.1).collect())
     }
 
-    /// What is held, by earliest deadline: the order of release.
+    /// The queued requests in order of due time, which is the order of release.
     pub fn iter(&self) -> impl Iterator<Item = (Ns, K)> {
-        self.held.iter().copied()
+        self.queued.iter().copied()
     }
 
-    /// The request with the earliest deadline.
+    /// The request with the earliest due time.
     pub fn first(&self) -> Option<(Ns, K)> {
-        self.held.first().copied()
+        self.queued.first().copied()
     }
 
-    /// How many requests are held.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.queued.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.queued.is_empty()
     }
 
-    /// Makes segments that no longer fit anew, once.
+    /// Computes the segments again if they are stale.
     fn refresh(&mut self) {
         if std::mem::take(&mut self.stale) {
             self.segments.clear();
-            for (due, _) in &self.held {
-                self.segments.place(*due, self.sigma);
+            for (due, _) in &self.queued {
+                self.segments.insert(*due, self.sigma);
             }
         }
     }
--- a/crates/fair-edf/src/variable_timeline.rs
+++ b/crates/fair-edf/src/variable_timeline.rs
@@ -1,50 +1,50 @@
-//! The occupancy chart of an endpoint whose requests take different slot times, as in a batching engine.
+//! The timeline of an endpoint whose requests have different slot times, as in a batching engine.
 
 use crate::Ns;
 use crate::segments::Segments;
 use std::collections::BTreeMap;
 
-/// What is held, by deadline, with a slot time for each, and the busy segments that this makes.
+/// The queued requests by due time, each with its slot time, and their busy segments.
 #[derive(Clone, Debug)]
 pub struct VariableTimeline<K> {
-    /// Slot times by deadline and key.
-    held: BTreeMap<(Ns, K), Ns>,
+    /// Slot times by due time and key.
+    queued: BTreeMap<(Ns, K), Ns>,
     segments: Segments,
-    /// The segments no longer fit what is held and are made anew when next asked for.
+    /// Whether the segments have to be computed again.
     stale: bool,
 }
 
 impl<K> Default for VariableTimeline<K> {
     fn default() -> Self {
-        VariableTimeline { held: BTreeMap::new(), segments: Segments::default(), stale: false }
+        VariableTimeline { queued: BTreeMap::new(), segments: Segments::default(), stale: false }
     }
 }
 
 impl<K: Copy + Ord> VariableTimeline<K> {
-    /// Holds a request that takes `sigma` and is due to be answered at `due`. One that is held already at
-    /// that place gets the new slot time.
+    /// Adds a request that is due at `due` and takes `sigma`. If it is queued with that due time already, its slot time
+    /// changes.
     pub fn insert(&mut self, due: Ns, key: K, sigma: Ns) {
-        if self.held.insert((due, key), sigma).is_some() {
+        if self.queued.insert((due, key), sigma).is_some() {
             self.stale = true;
         }
         if !self.stale {
-            self.segments.place(due, sigma);
+            self.segments.insert(due, sigma);
         }
     }
 
-    /// Takes a request off; those left of it shift right into its slot. True if it was held.
+    /// Removes a request; earlier slots shift right into its slot. Returns whether it was queued.
     pub fn remove(&mut self, due: Ns, key: K) -> bool {
         let is_first = self.first() == Some((due, key));
-        let Some(sigma) = self.held.remove(&(due, key)) else { return false };
+        let Some(sigma) = self.queued.remove(&(due, key)) else { return false };
         if is_first && !self.stale {
-            self.segments.release_first(sigma);
+            self.segments.remove_first(sigma);
         } else {
             self.stale = true;
         }
         true
     }
 
-    /// The latest moment at which work must begin for all to be met.
+    /// The latest time at which work has to begin to meet all due times.
     pub fn start(&mut self) -> Option<Ns> {
         self.refresh();
         self.segments.start()
@@ -56,13 +56,13 @@
         self.segments.as_slice()
     }
 
-    /// If the first segment starts before `now`: its requests up to the first that cannot be met, each with
-    /// its slot time. Taking off one with the longest, and asking again, refuses the fewest.
+    /// If the first segment starts before `now`: its requests up to the first that cannot be met, each with its slot time.
+    /// Removing one with the longest slot, and repeating that until none is overdue, removes the fewest requests.
     pub fn overdue(&mut self, now: Ns) -> Option<Vec<(K, Ns)>> {
         self.start().filter(|start| *start < now)?;
         let mut end = now;
         let mut candidates = Vec::new();
-        for ((due, key), sigma) in &self.held {
+        for ((due, key), sigma) in &self.queued {
             end += sigma;
             candidates.push((*key, *sigma));
             if end > *due {
@@ -72,7 +72,7 @@
         None
     }
 
-    /// Those of [`VariableTimeline::overdue`] whose refusal leaves the most others to be met.
+    /// The requests of [`VariableTimeline::overdue`] with the longest slot, whose refusal leaves the most others to be met.
     pub fn longest_overdue(&mut self, now: Ns) -> Option<Vec<K>> {
         let candidates = self.overdue(now)?;
         let longest = candidates.iter().map(|(_, sigma)| *sigma).max()?;
@@ -80,32 +80,32 @@
         Some(of_longest.map(|(key, _)| key).collect())
     }
 
-    /// What is held, by earliest deadline: the order of release.
+    /// The queued requests in order of due time, which is the order of release.
     pub fn iter(&self) -> impl Iterator<Item = (Ns, K)> {
-        self.held.keys().copied()
+        self.queued.keys().copied()
     }
 
-    /// The request with the earliest deadline.
+    /// The request with the earliest due time.
     pub fn first(&self) -> Option<(Ns, K)> {
-        self.held.first_key_value().map(|(first, _)| *first)
+        self.queued.first_key_value().map(|(first, _)| *first)
     }
 
-    /// How many requests are held.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.queued.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.queued.is_empty()
     }
 
-    /// Makes segments that no longer fit anew, once.
+    /// Computes the segments again if they are stale.
     fn refresh(&mut self) {
         if std::mem::take(&mut self.stale) {
             self.segments.clear();
-            for ((due, _), sigma) in &self.held {
-                self.segments.place(*due, *sigma);
+            for ((due, _), sigma) in &self.queued {
+                self.segments.insert(*due, *sigma);
             }
         }
     }
--- a/crates/fair-edf/tests/estimates.rs
+++ b/crates/fair-edf/tests/estimates.rs
@@ -1,4 +1,4 @@
-//! Miss ratios, smoothed times and caps.
+//! Miss ratios, smoothed times and concurrency limits.
 
 use fair_edf::concurrency_limit::RecentCalls;
 use fair_edf::{MissRatios, Smoothing};
@@ -6,7 +6,7 @@
 const SECOND: i64 = 1_000_000_000;
 
 #[test]
-fn the_class_that_missed_least_has_the_smallest_ratio() {
+fn the_class_with_the_fewest_misses_has_the_lowest_ratio() {
     let mut ratios = MissRatios::new(2);
     for class in [0, 1] {
         (0..10).for_each(|_| ratios.request(class, SECOND));
@@ -17,12 +17,12 @@
 }
 
 #[test]
-fn a_class_of_which_nothing_is_known_stands_in_the_middle() {
+fn a_class_without_requests_has_the_prior_ratio() {
     assert_eq!(MissRatios::new(1).ratio(0), 0.5);
 }
 
 #[test]
-fn a_miss_is_forgotten_with_time() {
+fn misses_decay() {
     let mut ratios = MissRatios::new(1);
     ratios.request(0, 0);
     ratios.miss(0, 0);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_first_sample_is_taken_whole_and_others_by_their_weight() {
+fn the_first_sample_replaces_the_initial_value_and_later_ones_are_weighted() {
     let smoothing = Smoothing { initial: 0.05, gain: 0.25 };
     let mut time = smoothing.start();
     assert_eq!(time.seconds(), 0.05);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_lower_bound_only_raises() {
+fn a_lower_bound_only_raises_the_mean() {
     let smoothing = Smoothing { initial: 0.0, gain: 0.5 };
     let mut time = smoothing.start();
     time.sample(&smoothing, 1.0);
@@ -54,11 +54,11 @@
 }
 
 #[test]
-fn three_quarters_of_the_slots_and_half_while_most_calls_fail_or_are_slow() {
+fn the_limit_is_lower_while_most_calls_fail_or_are_slow() {
     let mut calls = RecentCalls::default();
     assert_eq!((calls.cap(100), calls.cap(1)), (75, 1));
     (0..3).for_each(|_| calls.record(false, 0.1, 0.1));
-    assert!(!calls.is_degraded(), "three calls tell too little");
+    assert!(!calls.is_degraded(), "three calls are too few");
     calls.record(true, 0.3, 0.1);
     assert_eq!((calls.is_degraded(), calls.cap(100)), (true, 50));
     (0..6).for_each(|_| calls.record(true, 0.2, 0.1));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn only_the_last_twelve_calls_tell() {
+fn only_the_last_twelve_calls_count() {
     let mut calls = RecentCalls::default();
     (0..100).for_each(|_| calls.record(false, 0.1, 0.1));
     (0..6).for_each(|_| calls.record(true, 0.1, 0.1));
