--- a/crates/dispatch/src/dispatcher/answer_deadline.rs
+++ b/crates/dispatch/src/dispatcher/answer_deadline.rs
@@ -21,15 +21,16 @@
     /// When a queued request is answered at the latest: while there is time for a first byte and, during shutdown, for a
     /// complete answer.
     pub(super) fn answer_by(&self, pending: &PendingRequest, candidates: &[Candidate]) -> Duration {
-        let ends = if self.fleet.uses(Mechanism::ClientTimeout) {
+        let expires_at = if self.fleet.uses(Mechanism::ClientTimeout) {
             self.client_timeouts.expires_at(pending)
         } else {
             pending.request.deadline
         };
-        let usual = candidates.iter().map(|candidate| candidate.expected).min().unwrap_or_default();
-        let whole = ends.saturating_sub(pending.request.arrived);
-        let answer_by = ends.saturating_sub(usual.min(whole / ANSWER_MARGIN_DIVISOR).max(MIN_ANSWER_MARGIN));
-        self.latest_start(pending, usual).map_or(answer_by, |last| last.min(answer_by))
+        let first_byte_wait = candidates.iter().map(|candidate| candidate.expected).min().unwrap_or_default();
+        let total_time = expires_at.saturating_sub(pending.request.arrived);
+        let answer_by = expires_at
+            .saturating_sub(first_byte_wait.min(total_time / ANSWER_MARGIN_DIVISOR).max(MIN_ANSWER_MARGIN));
+        self.latest_start(pending, first_byte_wait).map_or(answer_by, |latest| latest.min(answer_by))
     }
 
     /// The latest time at which a request can be sent and still be answered completely before the shutdown. `None` without a
--- a/crates/dispatch/src/dispatcher/assignment.rs
+++ b/crates/dispatch/src/dispatcher/assignment.rs
@@ -100,8 +100,8 @@
     ) {
         let pending = &self.requests[&id];
         let budget = &self.fleet.service(&pending.request.backend).budget;
-        let eases = budget.next_expiry(now, &self.fleet.budget_bounds);
-        match eases.filter(|&at| at < self.answer_by(pending, candidates)) {
+        let next_expiry = budget.next_expiry(now, &self.fleet.budget_bounds);
+        match next_expiry.filter(|&at| at < self.answer_by(pending, candidates)) {
             Some(_) => self.enqueue(now, id, Some(candidate), candidates),
             None => self.refuse_or_fail(now, id, FailReason::Attempts, MIN_RETRY_AFTER),
         }
--- a/crates/dispatch/src/dispatcher/attempt_end.rs
+++ b/crates/dispatch/src/dispatcher/attempt_end.rs
@@ -124,9 +124,9 @@
         };
         pending.may_have_run = true;
         pending.excluded_endpoints.push(attempt.endpoint);
-        let goes_on = pending.is_retryable() && (!midway || pending.request.resumable);
+        let may_retry = pending.is_retryable() && (!midway || pending.request.resumable);
         pending.resume |= midway;
-        if goes_on {
+        if may_retry {
             self.assign(now, id)
         } else {
             self.refuse_or_fail(now, id, FailReason::MayHaveRun, Duration::ZERO)
--- a/crates/dispatch/src/dispatcher/observations.rs
+++ b/crates/dispatch/src/dispatcher/observations.rs
@@ -6,6 +6,7 @@
 use crate::interface::{AttemptEnd, InstanceLoad, RequestId};
 use crate::pending_request::{Attempt, PendingRequest, Phase};
 use crate::prefix::PrefixExpectation;
+use crate::service::Service;
 use lanegate_config::mechanism::Mechanism;
 use std::time::Duration;
 
@@ -49,8 +50,8 @@
     }
 
     fn record_first_byte(&mut self, now: Duration, id: RequestId, attempt: Attempt) {
-        let tells = !self.spans_stall(&attempt);
-        let Some(pending) = self.requests.get(&id).filter(|pending| tells && !pending.resume) else {
+        let is_measurable = !self.spans_stall(&attempt);
+        let Some(pending) = self.requests.get(&id).filter(|pending| is_measurable && !pending.resume) else {
             return;
         };
         let backend = pending.request.backend.clone();
@@ -58,17 +59,17 @@
         let measured_s = now.saturating_sub(attempt.sent).as_secs_f64();
         let tokens = attempt.queued_prefill_tokens as f64 + attempt.requirement.prefill_tokens as f64;
         let memory = self.fleet.service(&backend).memory_tokens();
-        let found =
+        let hit_rate =
             observed_hit_rate(pending, &attempt, measured_s / latency_ratio, self.fleet.service(&backend));
         let service = self.fleet.service_mut(&backend);
         let expected_s = service.first_byte.expected_s(tokens);
         match attempt.prefix {
             PrefixExpectation::Absent => service.first_byte.sample(tokens, measured_s),
             PrefixExpectation::Cached => {
-                found.into_iter().for_each(|share| service.cache_hit_rate.sample(share))
+                hit_rate.into_iter().for_each(|sample| service.cache_hit_rate.sample(sample))
             }
             PrefixExpectation::Owned => {
-                found.into_iter().for_each(|share| service.owner_hit_rate.sample(share))
+                hit_rate.into_iter().for_each(|sample| service.owner_hit_rate.sample(sample))
             }
         }
         service.sample_kv_cache_tokens(pending.kv_cache_tokens());
@@ -97,9 +98,9 @@
             }
             AttemptEnd::Cancelled => {}
             AttemptEnd::NotSent | AttemptEnd::Broken | AttemptEnd::BrokenMidway | AttemptEnd::Garbled => {
-                let usual = self.fleet.service(&self.requests[&id].request.backend).service_time.seconds();
+                let usual_s = self.fleet.service(&self.requests[&id].request.backend).service_time.seconds();
                 if let Some(load) = self.fleet.load_mut(attempt.endpoint) {
-                    load.recent.record(false, 0.0, usual);
+                    load.recent.record(false, 0.0, usual_s);
                 }
             }
         }
@@ -111,14 +112,14 @@
         };
         let backend = pending.request.backend.clone();
         let service_time = now.saturating_sub(attempt.sent);
-        let tells = !self.spans_stall(&attempt);
+        let is_measurable = !self.spans_stall(&attempt);
         let service = self.fleet.service_mut(&backend);
-        let usual = service.service_time.seconds();
-        if success && tells {
+        let usual_s = service.service_time.seconds();
+        if success && is_measurable {
             service.sample_service_time(service_time);
         }
-        if let Some(load) = self.fleet.load_mut(attempt.endpoint).filter(|_| tells) {
-            load.recent.record(success, service_time.as_secs_f64(), usual);
+        if let Some(load) = self.fleet.load_mut(attempt.endpoint).filter(|_| is_measurable) {
+            load.recent.record(success, service_time.as_secs_f64(), usual_s);
         }
         if success {
             self.record_success(now, attempt.endpoint)
@@ -149,23 +150,23 @@
     pending: &PendingRequest,
     attempt: &Attempt,
     measured_s: f64,
-    service: &crate::service::Service,
+    service: &Service,
 ) -> Option<f64> {
     let prompt = f64::from(pending.chain.prompt_tokens);
-    let (in_question, share) = match attempt.prefix {
+    let (expected_cached, expected_rate) = match attempt.prefix {
         PrefixExpectation::Absent => return None,
         PrefixExpectation::Cached => {
-            let share = service.cache_hit_rate.get().max(0.05);
-            ((prompt - attempt.requirement.prefill_tokens as f64) / share, share)
+            let expected_rate = service.cache_hit_rate.get().max(0.05);
+            ((prompt - attempt.requirement.prefill_tokens as f64) / expected_rate, expected_rate)
         }
         PrefixExpectation::Owned => (f64::from(pending.chain.shared_tokens()), service.owner_hit_rate.get()),
     };
     let per_token_s = service.first_byte.per_token_s();
-    if in_question < MIN_SIGNIFICANT_TOKENS || per_token_s <= 0.0 || share <= 0.0 {
+    if expected_cached < MIN_SIGNIFICANT_TOKENS || per_token_s <= 0.0 || expected_rate <= 0.0 {
         return None;
     }
-    let read =
+    let prefilled =
         (measured_s - service.first_byte.base_s()) / per_token_s - attempt.queued_prefill_tokens as f64;
-    let certain = prompt - in_question;
-    Some(1.0 - (read - certain) / in_question)
+    let surely_prefilled = prompt - expected_cached;
+    Some(1.0 - (prefilled - surely_prefilled) / expected_cached)
 }
--- a/crates/dispatch/src/dispatcher/response_timeout.rs
+++ b/crates/dispatch/src/dispatcher/response_timeout.rs
@@ -20,16 +20,16 @@
         if attempt.first_byte.is_some() {
             return self.schedule_attempt_timer(id, None);
         }
-        let heard_by = self.stall_grace_end();
-        if self.spans_stall(&attempt) && now < heard_by {
-            return self.schedule_attempt_timer(id, Some(heard_by));
+        let grace_end = self.stall_grace_end();
+        if self.spans_stall(&attempt) && now < grace_end {
+            return self.schedule_attempt_timer(id, Some(grace_end));
         }
         let health = &self.fleet.load(attempt.endpoint).health;
-        let silent = health.last_activity() < attempt.sent;
-        if silent && (!health.is_ejected() || attempt.is_trial) {
+        let timed_out = health.last_activity() < attempt.sent;
+        if timed_out && (!health.is_ejected() || attempt.is_trial) {
             self.fleet.record_failure(now, attempt.endpoint, Failure::Timeout);
         }
-        if silent && self.retry_elsewhere(now, id, attempt) {
+        if timed_out && self.retry_elsewhere(now, id, attempt) {
             return;
         }
         let again = self.requests[&id].is_retryable().then(|| now + response_timeout(attempt.expected));
--- a/crates/dispatch/src/dispatcher/timers.rs
+++ b/crates/dispatch/src/dispatcher/timers.rs
@@ -69,9 +69,9 @@
     /// target.
     pub(super) fn must_attempt_now(&self, now: Duration, id: RequestId, candidate: &Candidate) -> bool {
         let pending = &self.requests[&id];
-        let last_moment = last_attempt_time(pending, candidate.expected);
-        let offers = self.fleet.uses(Mechanism::LastOffer);
-        offers && pending.attempts == 0 && now >= last_moment && now < pending.request.target
+        let latest = last_attempt_time(pending, candidate.expected);
+        let is_enabled = self.fleet.uses(Mechanism::LastOffer);
+        is_enabled && pending.attempts == 0 && now >= latest && now < pending.request.target
     }
 }
 
@@ -86,6 +86,6 @@
 /// The latest time at which an attempt can be answered within the latency target.
 fn last_attempt_time(pending: &PendingRequest, expected: Duration) -> Duration {
     let latency_target = pending.latency_target();
-    let kept = expected.max(latency_target / ANSWER_RESERVE_DIVISOR).min(latency_target / 2);
-    pending.request.target.saturating_sub(kept)
+    let reserve = expected.max(latency_target / ANSWER_RESERVE_DIVISOR).min(latency_target / 2);
+    pending.request.target.saturating_sub(reserve)
 }
