--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -19,7 +19,7 @@
 //!
 //! - [`endpoints`] and [`fleet`]: the endpoints from the feed, with the [`load`] and [`health`] of each;
 //! - [`service`] and [`estimate`]: what is learned about a service from its answers;
-//! - [`endpoint_selection`]: the cost of each candidate;
+//! - [`endpoint_selection`]: which candidate gets a request, by the cost that `scoring` gives to each;
 //! - [`admission`]: Fair-EDF timelines of the queued requests;
 //! - [`prefix`] and [`rendezvous`]: affinity of prompts to the engines that have cached their prefix.
 //!
@@ -46,6 +46,7 @@
 pub mod pending_request;
 pub mod prefix;
 pub mod rendezvous;
+mod scoring;
 pub mod service;
 pub mod settings;
 pub mod summary;
--- a/crates/dispatch/tests/health.rs
+++ b/crates/dispatch/tests/health.rs
@@ -61,13 +61,13 @@
 
 #[test]
 fn activity_ends_a_timeout_but_not_an_ejection_for_broken_connections() {
-    let mut silent = Health::default();
-    silent.record_failure(ms(0), Failure::Timeout, true, 1.0);
-    silent.record_activity(ms(10));
-    assert_eq!(silent.status(ms(10)), HealthStatus::Healthy, "it was only slow");
-    silent.record_failure(ms(20), Failure::Timeout, true, 1.0);
-    silent.record_activity(ms(30));
-    assert_eq!(silent.status(ms(30)), HealthStatus::SlowStart(1));
+    let mut slow = Health::default();
+    slow.record_failure(ms(0), Failure::Timeout, true, 1.0);
+    slow.record_activity(ms(10));
+    assert_eq!(slow.status(ms(10)), HealthStatus::Healthy, "it was only slow");
+    slow.record_failure(ms(20), Failure::Timeout, true, 1.0);
+    slow.record_activity(ms(30));
+    assert_eq!(slow.status(ms(30)), HealthStatus::SlowStart(1));
     let mut broken = Health::default();
     broken.record_failure(ms(0), Failure::Connection, true, 1.0);
     broken.record_activity(ms(10));
