--- a/crates/dispatch/tests/support/digest.rs
+++ b/crates/dispatch/tests/support/digest.rs
@@ -1,6 +1,6 @@
-//! Digests of what a dispatcher decides, and the files of digests that tests compare them with.
+//! Digests of decisions, and their comparison with the committed files.
 //!
-//! A digest covers numbers and wire names only, never names of Rust items or `Debug` texts.
+//! A digest covers numbers and wire names only, no names of Rust items and no `Debug` output.
 
 use lanegate_config::demand::DemandReport;
 use lanegate_dispatch::DispatchSummary;
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Set to 1, this environment variable has the files of digests written anew.
+/// Set this environment variable to 1 to rewrite the files.
 const UPDATE_VARIABLE: &str = "UPDATE_DIGESTS";
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
@@ -17,7 +17,7 @@
 
 /// 64-bit FNV-1a over a sequence of decisions and reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Digest(u64);
+pub(crate) struct Digest(u64);
 
 impl Default for Digest {
     fn default() -> Self {
@@ -27,12 +27,12 @@
 
 impl Digest {
     /// The digest of all that was added.
-    pub fn value(self) -> u64 {
+    pub(crate) fn value(self) -> u64 {
         self.0
     }
 
     /// Adds a decision that a router made at a simulated time.
-    pub fn add_decision(&mut self, at: Duration, router: usize, decision: &Decision) {
+    pub(crate) fn add_decision(&mut self, at: Duration, router: usize, decision: &Decision) {
         self.add_time(at);
         self.add_number(router as u64);
         match decision {
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Adds when a dispatcher wants to be woken.
-    pub fn add_wake(&mut self, at: Option<Duration>) {
+    /// Adds the time of the next wake.
+    pub(crate) fn add_wake(&mut self, at: Option<Duration>) {
         self.add_number(u64::from(at.is_some()));
         self.add_time(at.unwrap_or_default());
     }
 
     /// Adds a report of demand.
-    pub fn add_demand(&mut self, report: &DemandReport) {
+    pub(crate) fn add_demand(&mut self, report: &DemandReport) {
         self.add_number(u64::from(report.period_ms));
         for model in &report.models {
             self.add_text(&model.backend);
@@ -81,14 +81,14 @@
         }
     }
 
-    /// Adds the figures that a dispatcher gives to operators.
-    pub fn add_summary(&mut self, summary: &DispatchSummary) {
-        self.add_number(summary.held_requests as u64);
+    /// Adds the figures for operators.
+    pub(crate) fn add_summary(&mut self, summary: &DispatchSummary) {
+        self.add_number(summary.queued_requests as u64);
         self.add_number(summary.retries);
-        self.add_number(summary.least_retry_budget.map_or(u64::MAX, |left| left));
+        self.add_number(summary.min_retry_budget.map_or(u64::MAX, |left| left));
         self.add_number(summary.endpoints.serving as u64);
         self.add_number(summary.endpoints.ejected as u64);
-        self.add_number(summary.endpoints.leaving as u64);
+        self.add_number(summary.endpoints.draining as u64);
     }
 
     fn add_time(&mut self, time: Duration) {
@@ -112,7 +112,7 @@
 }
 
 /// Compares the digests of seeds 0, 1, 2, ... with the file `tests/digests/<name>.txt`.
-pub fn assert_digests(name: &str, digests: &[Digest]) {
+pub(crate) fn assert_digests(name: &str, digests: &[Digest]) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/digests").join(format!("{name}.txt"));
     let mut actual = String::new();
     for (seed, digest) in digests.iter().enumerate() {
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -1,12 +1,12 @@
-//! What the tests of the dispatcher share: short ways to write instances, routes and requests.
+//! Shared test code: builders of instances and requests.
 
 #![allow(dead_code)]
 
-pub mod digest;
-pub mod engine;
-pub mod fleet;
-pub mod history;
-pub mod scenario;
+pub(crate) mod digest;
+pub(crate) mod engine;
+pub(crate) mod fleet;
+pub(crate) mod history;
+pub(crate) mod scenario;
 
 use lanegate_config::configuration::RouteType;
 use lanegate_config::feed::FeedEvent;
@@ -15,13 +15,13 @@
 use lanegate_dispatch::{DispatchSettings, Dispatcher};
 use std::time::Duration;
 
-/// A moment or a span in ms.
-pub fn ms(value: u64) -> Duration {
+/// A time or duration in ms.
+pub(crate) fn ms(value: u64) -> Duration {
     Duration::from_millis(value)
 }
 
 /// An endpoint of service `tiles` in zone `a`, without an engine.
-pub fn instance(id: &str) -> Instance {
+pub(crate) fn instance(id: &str) -> Instance {
     Instance {
         id: id.to_owned(),
         backend: "tiles".to_owned(),
@@ -38,14 +38,14 @@
     }
 }
 
-/// An engine of service `llm` that holds the models, each perhaps followed by `/` and its adapters.
-pub fn engine(id: &str, models: &[&str]) -> Instance {
-    let models = models.iter().map(|model| held(model)).collect();
+/// An engine of service `llm` with loaded models, each written as [`resident_model`] takes it.
+pub(crate) fn engine(id: &str, models: &[&str]) -> Instance {
+    let models = models.iter().map(|model| resident_model(model)).collect();
     Instance { backend: "llm".to_owned(), capacity: 64, models, ..instance(id) }
 }
 
-/// A dispatcher that knows these endpoints, and that there are no others.
-pub fn synchronized(instances: &[Instance]) -> Dispatcher {
+/// A dispatcher that has received a complete feed with these endpoints.
+pub(crate) fn synchronized(instances: &[Instance]) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(DispatchSettings::default(), 1);
     for instance in instances {
         dispatcher.apply(ms(0), &FeedEvent::Instance(instance.clone()));
@@ -55,14 +55,14 @@
 }
 
 /// `model` or `model/adapter/adapter`.
-pub fn held(text: &str) -> ResidentModel {
+pub(crate) fn resident_model(text: &str) -> ResidentModel {
     let mut names = text.split('/');
     let name = names.next().unwrap_or_default().to_owned();
     ResidentModel { name, version: 1, adapters: names.map(str::to_owned).collect() }
 }
 
-/// A request for `tiles` that may run once, with an objective of 300 ms and 1.5 s in all.
-pub fn request(id: u64, arrived: u64) -> Request {
+/// A request for `tiles` that must not run twice, with a target of 300 ms and a deadline of 1.5 s.
+pub(crate) fn request(id: u64, arrived: u64) -> Request {
     Request {
         id: RequestId(id),
         backend: "tiles".into(),
@@ -79,8 +79,8 @@
     }
 }
 
-/// A stream of `llm` for a model, with an objective of 800 ms and 5 s in all.
-pub fn generation(id: u64, arrived: u64, model: &str, parts: &[(u64, u32)]) -> Request {
+/// A stream of `llm` for a model, with a target of 800 ms and a deadline of 5 s.
+pub(crate) fn generation(id: u64, arrived: u64, model: &str, parts: &[(u64, u32)]) -> Request {
     let prefix: Vec<PromptPart> = parts.iter().map(|&(id, tokens)| PromptPart { id, tokens }).collect();
     let wanted = Generation {
         model: model.into(),
