--- a/crates/controller/src/controller/placement.rs
+++ b/crates/controller/src/controller/placement.rs
@@ -91,7 +91,7 @@
             }
             placer.configure(now, runtime);
             if settings.switched_off.leaves(Mechanism::DemandRecall) {
-                demand.reports().iter().for_each(|(at, report)| placer.recall(*at, report));
+                demand.reports().iter().for_each(|(at, report)| placer.restore_demand(*at, report));
             }
             for registered in instances.clone().filter(|r| r.instance.backend == backend.name) {
                 placer.instance(now, &registered.instance);
@@ -123,7 +123,7 @@
     /// What an endpoint of a service was ordered to drop and may not have dropped yet.
     pub fn leaving(&self, registered: &Registered) -> Option<Item> {
         let instance = &registered.instance;
-        self.placers.get(&instance.backend)?.leaving(&instance.id).cloned()
+        self.placers.get(&instance.backend)?.evicting(&instance.id).cloned()
     }
 
     /// An incarnation is gone.
--- a/crates/placement/src/catalog.rs
+++ b/crates/placement/src/catalog.rs
@@ -1,4 +1,4 @@
-//! What the configuration says of the models of a service and of the room of its endpoints.
+//! Sizes and load times of a service's models, and the capacity of its endpoints, from the configuration.
 
 use crate::interface::Item;
 use lanegate_config::configuration::Runtime;
@@ -16,7 +16,7 @@
     adapters: u32,
 }
 
-/// Room that a model and each of its adapters take, MB.
+/// Memory that a model and each of its adapters take, MB.
 #[derive(Debug, Clone, Copy)]
 struct Sizes {
     weights_mb: f64,
@@ -27,18 +27,19 @@
 #[derive(Debug, Default)]
 pub struct Catalog {
     models: BTreeMap<Arc<str>, ModelSpec>,
-    /// Sizes that count, also of models that the configuration had before.
+    /// Sizes that are counted, including those of models that an earlier configuration had.
     sizes: BTreeMap<Arc<str>, Sizes>,
     largest_model_mb: f64,
     largest_adapter_mb: f64,
     mean_load_time: Duration,
-    pub room_mb: f64,
+    pub capacity_mb: f64,
     pub max_adapters: usize,
     pub loads_per_s: f64,
 }
 
 impl Catalog {
-    /// Reads the runtime of a service. Of what `before` has, the larger size counts: it may be held as it was.
+    /// Reads the runtime of a service. Where `before` has a larger size, that one is counted: the item may still be
+    /// resident in its earlier form.
     pub fn new(runtime: &Runtime, before: &Catalog) -> Catalog {
         let models: BTreeMap<Arc<str>, ModelSpec> = runtime
             .models
@@ -63,7 +64,7 @@
             mean_load_time: total / (models.len().max(1) as u32),
             sizes: before.larger_sizes(&models),
             models,
-            room_mb: runtime.weights_mb,
+            capacity_mb: runtime.weights_mb,
             max_adapters: runtime.max_adapters as usize,
             loads_per_s: runtime.loads_per_s,
         }
@@ -80,39 +81,39 @@
         sizes
     }
 
-    /// The model of that name, if the configuration has it.
+    /// The model of that name, if it is configured.
     pub fn get(&self, name: &str) -> Option<&ModelSpec> {
         self.models.get(name)
     }
 
-    /// Whether an adapter is one that may be loaded for the model: `a1`, `a2` and so on.
+    /// Whether the model has such an adapter; adapters are named `a1`, `a2` and so on.
     pub fn has_adapter(&self, model: &str, adapter: &str) -> bool {
         let Some(spec) = self.models.get(model) else { return false };
         let number = adapter.strip_prefix('a').and_then(|digits| digits.parse::<u32>().ok());
         number.is_some_and(|number| (1..=spec.adapters).contains(&number))
     }
 
-    /// The shared form of a name.
+    /// The shared string of a model's name.
     pub fn intern(&self, name: &str) -> Arc<str> {
         self.models.get(name).map_or_else(|| Arc::from(name), |spec| spec.name.clone())
     }
 
-    /// Room that an item takes, MB. A model that no configuration told of may take all of it.
+    /// Memory that an item takes, MB. A model that was never configured may take all of an endpoint's.
     pub fn size_mb(&self, item: &Item) -> f64 {
         let sizes = self.sizes.get(&item.model);
         match item.adapter {
-            None => sizes.map_or(self.room_mb.max(self.largest_model_mb), |sizes| sizes.weights_mb),
+            None => sizes.map_or(self.capacity_mb.max(self.largest_model_mb), |sizes| sizes.weights_mb),
             Some(_) => sizes.map_or(self.largest_adapter_mb, |sizes| sizes.adapter_mb),
         }
     }
 
-    /// Time that a load of the model takes at full speed.
+    /// Time that a load of the model takes when the weight store is not congested.
     pub fn load_time(&self, model: &str) -> Duration {
         self.models.get(model).map_or(self.mean_load_time, |spec| spec.load_time)
     }
 
-    /// Loads at once that sustain the permitted rate: the rate times the time of a load.
-    pub fn sustained_loads(&self) -> f64 {
+    /// Concurrent loads that sustain the permitted rate: the rate times the mean load time (Little's law).
+    pub fn sustained_concurrency(&self) -> f64 {
         self.loads_per_s * self.mean_load_time.as_secs_f64()
     }
 }
--- a/crates/placement/src/endpoint.rs
+++ b/crates/placement/src/endpoint.rs
@@ -1,48 +1,49 @@
-//! One incarnation of an endpoint: what it holds and shows, and the order that it was given.
+//! One incarnation of an endpoint: its contents, what it advertises, and its order in flight.
 //!
-//! A registration may be older than orders that were carried out, by any time: a heartbeat may stand still on its
-//! way. So what takes room here is not what registrations show. It is what a report of an endpoint at rest told,
-//! together with the count of orders taken by then, and what this placer's own orders did to it since. Each order
-//! names that count: an endpoint that has taken any other order since refuses it, and nothing that is not known of
-//! can take the room that is counted as free.
+//! A registration may be older than orders that were executed since, by any time, because a heartbeat can be delayed
+//! on its way. Memory is therefore not counted from registrations. It is counted from a report of the idle endpoint,
+//! with the number of orders that the endpoint had accepted by then (its revision), and from this placer's own orders
+//! since. Every order names the revision it relies on. The endpoint refuses it at any other, so an order that the
+//! placer does not know of cannot take memory that the placer counts as free.
 
 use crate::catalog::Catalog;
 use crate::contents::Contents;
+use crate::in_flight::{InFlightOrder, OrderStage};
 use crate::interface::{Item, Operation};
-use crate::underway::{Stage, Underway};
 use lanegate_config::instance::{Instance, InstanceState};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long registrations may contradict what is known before it is doubted; longer than a heartbeat.
-const DOUBT_AFTER: Duration = Duration::from_millis(2_600);
+/// Time for which registrations may contradict verified contents before these are requested again; longer than a
+/// heartbeat interval.
+const CONTRADICTION_TIMEOUT: Duration = Duration::from_millis(2_600);
 
-/// Time between registrations until it is measured.
-const USUAL_BEAT: Duration = Duration::from_millis(1_200);
+/// Heartbeat interval until it is measured.
+const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// How long room is kept for a load that an eviction was made for.
-const INTENT_LASTS: Duration = Duration::from_secs(12);
+/// Time for which freed memory stays reserved for the load it was freed for.
+const RESERVATION_DURATION: Duration = Duration::from_secs(12);
 
-/// A model for which room is being made.
+/// Memory that is being freed for a model.
 #[derive(Debug, Clone)]
-pub struct Intent {
+pub struct Reservation {
     pub model: Arc<str>,
-    /// Whether requests wait for it.
+    /// Whether requests wait for the model.
     pub urgent: bool,
     pub until: Duration,
 }
 
-/// Whether it is known what the endpoint holds; without that it is given no order.
+/// Whether the contents are known. Only an endpoint with verified contents is given an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verification {
-    /// The contents are those of the endpoint when it has taken so many orders, and the one under way is done.
-    Settled { revision: u64 },
-    /// To be asked once there is an order to give, no earlier than then.
-    Wanted { not_before: Duration },
-    /// Asked; no answer yet.
-    Asked { at: Duration },
+    /// The contents are those after `revision` accepted orders, the one in flight included.
+    Verified { revision: u64 },
+    /// A report is requested when there is an order to give, not before this time.
+    Unverified { not_before: Duration },
+    /// A report was requested and has not arrived.
+    Requested { at: Duration },
 }
 
 /// One incarnation of an endpoint.
@@ -53,29 +54,29 @@
     pub zone: Arc<str>,
     pub ready: bool,
     pub registered: Duration,
-    /// Usual time between two registrations.
-    pub beat: Duration,
-    /// What the newest registration shows: requests are served there.
-    pub shown: Contents,
-    /// What takes room. Until it is verified, a guess after the newest registration.
+    /// Moving average of the time between registrations.
+    pub heartbeat_interval: Duration,
+    /// Contents by the newest registration: routers send requests for these.
+    pub advertised: Contents,
+    /// Contents that are counted. Until they are verified, those of the newest registration.
     pub contents: Contents,
     pub verification: Verification,
-    /// Orders that the endpoint has taken at least: a report that counts fewer is older than one of them.
-    pub least_revision: u64,
+    /// Lower bound of the orders that the endpoint has accepted: a report with fewer is outdated.
+    pub min_revision: u64,
     /// When the contents last changed by an order or a report.
     changed: Duration,
-    pub order: Option<Underway>,
-    /// No order before then, after a refusal.
+    pub order: Option<InFlightOrder>,
+    /// No order before this time, after a rejection.
     pub not_before: Duration,
-    pub refusals: u32,
-    pub intent: Option<Intent>,
-    /// Models that this incarnation has held: their weights are on its disk.
+    pub rejections: u32,
+    pub reservation: Option<Reservation>,
+    /// Models that were resident in this incarnation: their weights are on its disk.
     pub on_disk: BTreeSet<Arc<str>>,
     sequence: Option<u64>,
 }
 
 impl Endpoint {
-    /// An endpoint that registered for the first time, as far as this placer knows.
+    /// An endpoint at its first registration with this placer.
     pub fn new(now: Duration, instance: &Instance) -> Endpoint {
         Endpoint {
             id: Arc::from(instance.id.as_str()),
@@ -83,29 +84,29 @@
             zone: Arc::from(instance.zone.as_str()),
             ready: false,
             registered: Duration::ZERO,
-            beat: USUAL_BEAT,
-            shown: Contents::default(),
+            heartbeat_interval: DEFAULT_HEARTBEAT_INTERVAL,
+            advertised: Contents::default(),
             contents: Contents::default(),
-            verification: Verification::Wanted { not_before: now },
-            least_revision: 0,
+            verification: Verification::Unverified { not_before: now },
+            min_revision: 0,
             changed: now,
             order: None,
             not_before: Duration::ZERO,
-            refusals: 0,
-            intent: None,
+            rejections: 0,
+            reservation: None,
             on_disk: BTreeSet::new(),
             sequence: None,
         }
     }
 
-    /// Takes in a registration; false if it is older than one before or changes nothing.
-    pub fn registration(&mut self, now: Duration, instance: &Instance, catalog: &Catalog) -> bool {
+    /// Applies a registration. Returns false if it is outdated or changes nothing.
+    pub fn register(&mut self, now: Duration, instance: &Instance, catalog: &Catalog) -> bool {
         if self.sequence.is_some_and(|known| instance.sequence <= known) {
             return false;
         }
         if self.sequence.is_some() {
-            let gap = now.saturating_sub(self.registered).min(USUAL_BEAT * 2);
-            self.beat = (self.beat * 3 + gap) / 4;
+            let gap = now.saturating_sub(self.registered).min(DEFAULT_HEARTBEAT_INTERVAL * 2);
+            self.heartbeat_interval = (self.heartbeat_interval * 3 + gap) / 4;
         }
         self.sequence = Some(instance.sequence);
         self.registered = now;
@@ -113,172 +114,176 @@
         let mut changed = self.address != instance.address || self.ready != ready;
         self.address = instance.address;
         self.ready = ready;
-        if !self.shown.is_told_by(&instance.models) {
-            self.shown = Contents::told(&instance.models, catalog);
-            self.note_disk();
+        if !self.advertised.matches_listing(&instance.models) {
+            self.advertised = Contents::from_listing(&instance.models, catalog);
+            self.record_disk();
             changed = true;
         }
-        changed | self.guess(now, instance, catalog)
+        changed | self.assume_contents(now, instance, catalog)
     }
 
-    /// Sequence of the newest registration.
+    /// Sequence number of the newest registration.
     pub fn sequence(&self) -> u64 {
         self.sequence.unwrap_or(0)
     }
 
-    /// Takes what a registration shows for the contents, where nothing better is known. True if that changes them.
-    fn guess(&mut self, now: Duration, instance: &Instance, catalog: &Catalog) -> bool {
-        if self.order.is_some() || self.contents.is_told_by(&instance.models) {
+    /// Assumes the contents of a registration where nothing better is known. Returns whether that changed them.
+    fn assume_contents(&mut self, now: Duration, instance: &Instance, catalog: &Catalog) -> bool {
+        if self.order.is_some() || self.contents.matches_listing(&instance.models) {
             return false;
         }
         if self.revision().is_some() {
-            if now < self.changed + DOUBT_AFTER {
+            if now < self.changed + CONTRADICTION_TIMEOUT {
                 return false;
             }
-            self.verification = Verification::Wanted { not_before: now };
+            self.verification = Verification::Unverified { not_before: now };
         }
-        self.contents = Contents::told(&instance.models, catalog);
+        self.contents = Contents::from_listing(&instance.models, catalog);
         true
     }
 
-    /// Takes over what the endpoint held, at rest, when it had taken `revision` orders.
-    pub fn verified(&mut self, now: Duration, contents: Contents, revision: u64) {
-        self.verification = Verification::Settled { revision };
-        self.least_revision = revision;
-        self.shown.keep_common(&contents);
+    /// Sets the contents that the idle endpoint reported after `revision` orders.
+    pub fn verify(&mut self, now: Duration, contents: Contents, revision: u64) {
+        self.verification = Verification::Verified { revision };
+        self.min_revision = revision;
+        self.advertised.retain_common(&contents);
         self.contents = contents;
         self.changed = now;
-        self.note_disk();
+        self.record_disk();
     }
 
-    /// The endpoint has taken the order under way, whose effect on the contents is noted when it is done.
-    pub fn taken(&mut self, now: Duration) {
-        let next_beat = self.registered + self.beat;
+    /// The endpoint accepted the order in flight. Its effect on the contents is applied when it is done.
+    pub fn order_accepted(&mut self, now: Duration) {
+        let next_heartbeat = self.registered + self.heartbeat_interval;
         let Some(order) = self.order.as_mut() else { return };
-        order.taken(now, next_beat);
-        self.refusals = 0;
-        self.least_revision = order.revision + 1;
-        self.verification = Verification::Settled { revision: self.least_revision };
+        order.accepted(now, next_heartbeat);
+        self.rejections = 0;
+        self.min_revision = order.revision + 1;
+        self.verification = Verification::Verified { revision: self.min_revision };
     }
 
-    /// The order under way is done.
-    pub fn done(&mut self, now: Duration) -> Option<Underway> {
+    /// The order in flight is done: applies its effect.
+    pub fn finish_order(&mut self, now: Duration) -> Option<InFlightOrder> {
         let order = self.order.take()?;
         match order.operation {
             Operation::Load => self.contents.add(&order.item),
             Operation::Evict => {
                 self.contents.remove(&order.item);
-                self.shown.remove(&order.item);
+                self.advertised.remove(&order.item);
             }
         }
         self.changed = now;
-        self.note_disk();
+        self.record_disk();
         Some(order)
     }
 
-    /// What is held is no longer known; it is asked for before the next order.
-    pub fn doubt(&mut self, not_before: Duration) {
-        self.verification = Verification::Wanted { not_before };
+    /// The contents are no longer known; a report is requested before the next order, not before `not_before`.
+    pub fn invalidate(&mut self, not_before: Duration) {
+        self.verification = Verification::Unverified { not_before };
     }
 
-    fn note_disk(&mut self) {
-        let models = self.shown.models().chain(self.contents.models()).map(|held| &held.model);
+    fn record_disk(&mut self) {
+        let models = self.advertised.models().chain(self.contents.models()).map(|resident| &resident.model);
         for model in models.filter(|model| !self.on_disk.contains(*model)).cloned().collect::<Vec<_>>() {
             self.on_disk.insert(model);
         }
     }
 
-    /// Orders that the endpoint has taken, where what it holds is known.
+    /// Number of orders that the endpoint has accepted, if its contents are verified.
     pub fn revision(&self) -> Option<u64> {
         match self.verification {
-            Verification::Settled { revision } => Some(revision),
-            Verification::Wanted { .. } | Verification::Asked { .. } => None,
+            Verification::Verified { revision } => Some(revision),
+            Verification::Unverified { .. } | Verification::Requested { .. } => None,
         }
     }
 
-    /// What the order under way is bringing, if it brings anything.
+    /// The item that the order in flight loads.
     pub fn loading(&self) -> Option<&Item> {
         let order = self.order.as_ref().filter(|order| order.operation == Operation::Load)?;
         Some(&order.item).filter(|item| !self.contents.contains(item))
     }
 
-    /// What the order under way is taking away, if it takes anything.
-    pub fn leaving(&self) -> Option<&Item> {
+    /// The item that the order in flight evicts.
+    pub fn evicting(&self) -> Option<&Item> {
         let order = self.order.as_ref().filter(|order| order.operation == Operation::Evict)?;
         Some(&order.item)
     }
 
-    /// Whether the item takes room here: held, being loaded, or perhaps being loaded.
-    pub fn counts(&self, item: &Item) -> bool {
+    /// Whether the item takes memory: resident, loading, or perhaps loading.
+    pub fn occupies(&self, item: &Item) -> bool {
         self.contents.contains(item) || self.loading() == Some(item)
     }
 
-    /// Whether the model is shown and stays.
-    pub fn shows_model(&self, model: &Arc<str>) -> bool {
-        self.shows(&Item::model(model.clone()))
+    /// Whether requests for the model are served here and will be.
+    pub fn advertises_model(&self, model: &Arc<str>) -> bool {
+        self.advertises(&Item::model(model.clone()))
     }
 
-    /// Whether the item is here, or will be, and stays.
-    pub fn keeps(&self, item: &Item) -> bool {
-        self.counts(item) && !self.is_leaving(item)
+    /// Whether the item is resident or loading, and is not being evicted.
+    pub fn retains(&self, item: &Item) -> bool {
+        self.occupies(item) && !self.is_evicting(item)
     }
 
-    /// Whether the item is shown and stays.
-    pub fn shows(&self, item: &Item) -> bool {
-        self.shown.contains(item) && self.contents.contains(item) && !self.is_leaving(item)
+    /// Whether requests for the item are served here and will be.
+    pub fn advertises(&self, item: &Item) -> bool {
+        self.advertised.contains(item) && self.contents.contains(item) && !self.is_evicting(item)
     }
 
-    fn is_leaving(&self, item: &Item) -> bool {
-        self.leaving()
-            .is_some_and(|leaving| leaving == item || (leaving.is_model() && leaving.model == item.model))
+    fn is_evicting(&self, item: &Item) -> bool {
+        self.evicting()
+            .is_some_and(|evicting| evicting == item || (evicting.is_model() && evicting.model == item.model))
     }
 
-    /// Every item that takes room here.
+    /// Every item that takes memory.
     pub fn items(&self) -> impl Iterator<Item = Item> + '_ {
         self.contents.items().chain(self.loading().cloned())
     }
 
-    /// Room taken, MB.
+    /// Memory taken, MB.
     pub fn used_mb(&self, catalog: &Catalog) -> f64 {
         self.items().map(|item| catalog.size_mb(&item)).sum()
     }
 
-    /// Room left, MB; below zero where more is held than the configuration now grants.
+    /// Free memory, MB; negative where more is resident than the configuration now allows.
     pub fn free_mb(&self, catalog: &Catalog) -> f64 {
-        catalog.room_mb - self.used_mb(catalog)
+        catalog.capacity_mb - self.used_mb(catalog)
     }
 
-    /// Adapters that take a place here.
+    /// Number of adapters that take a slot.
     pub fn adapters(&self) -> usize {
         self.items().filter(|item| !item.is_model()).count()
     }
 
-    /// Whether an order may be given now, verification aside.
-    pub fn free(&self, now: Duration) -> bool {
+    /// Whether an order may be given now, apart from verification.
+    pub fn accepts_orders(&self, now: Duration) -> bool {
         self.ready && self.order.is_none() && now >= self.not_before
     }
 
-    /// Whether the newest registration shows what the order under way was to do.
-    pub fn shows_effect(&self) -> bool {
-        let Some(order) = self.order.as_ref().filter(|order| order.stage != Stage::Sent) else {
+    /// Whether the newest registration shows the effect of the order in flight.
+    pub fn advertises_effect(&self) -> bool {
+        let Some(order) = self.order.as_ref().filter(|order| order.stage != OrderStage::Sent) else {
             return false;
         };
-        self.shown.contains(&order.item) == (order.operation == Operation::Load)
+        self.advertised.contains(&order.item) == (order.operation == Operation::Load)
     }
 
-    /// Keeps what room is made here for a model.
-    pub fn intend(&mut self, model: Arc<str>, urgent: bool, now: Duration) {
-        self.intent = Some(Intent { model, urgent, until: now + INTENT_LASTS });
+    /// Reserves the memory that is being freed here for a model.
+    pub fn reserve_for(&mut self, model: Arc<str>, urgent: bool, now: Duration) {
+        self.reservation = Some(Reservation { model, urgent, until: now + RESERVATION_DURATION });
     }
 
-    /// Whether a load that requests wait for, or not, may have the room that is being made here.
-    pub fn open_to(&self, urgent: bool, now: Duration) -> bool {
-        let intent = self.intent.as_ref().filter(|intent| now < intent.until);
-        intent.is_none_or(|intent| urgent && !intent.urgent)
+    /// Whether a load may use the memory of this endpoint: it is not reserved, or the load is urgent and the reserved
+    /// one is not.
+    pub fn accepts_load(&self, urgent: bool, now: Duration) -> bool {
+        let reservation = self.reservation.as_ref().filter(|reservation| now < reservation.until);
+        reservation.is_none_or(|reservation| urgent && !reservation.urgent)
     }
 
-    /// The model for which room is being made.
-    pub fn intended(&self, now: Duration) -> Option<&Arc<str>> {
-        self.intent.as_ref().filter(|intent| now < intent.until).map(|intent| &intent.model)
+    /// The model for which memory is being freed.
+    pub fn reserved_model(&self, now: Duration) -> Option<&Arc<str>> {
+        self.reservation
+            .as_ref()
+            .filter(|reservation| now < reservation.until)
+            .map(|reservation| &reservation.model)
     }
 }
--- a/crates/placement/src/guard.rs
+++ b/crates/placement/src/guard.rs
@@ -1,91 +1,91 @@
-//! The last check before an order leaves: whatever the planning believes, no order may break a limit of its endpoint.
+//! The last check before an order is sent: whatever the planner believes, no order may exceed a limit of its endpoint.
 //!
-//! The guard keeps accounts of its own, from reports, orders and answers alone. Its account of an endpoint begins with
-//! a report of it at rest, and goes on with the orders that it accepted. The endpoint executes one order at a time and
-//! each order names the count of orders that it rests on, so an accepted eviction is over before a later load begins.
+//! The guard keeps its own record of each endpoint, from reports, orders and answers alone. A record begins with a
+//! report of the idle endpoint and continues with the orders that it accepted. The endpoint executes one order at a
+//! time, and each order names the revision it relies on, so an accepted eviction is done before a later load begins.
 
 use crate::catalog::Catalog;
 use crate::contents::Contents;
+use crate::in_flight::known_lost_at;
 use crate::interface::{EndpointReport, Item, Operation, Order, OrderAnswer, OrderId};
-use crate::underway::refuted_at;
 use std::collections::BTreeMap;
 use std::ops::AddAssign;
 use std::sync::Arc;
 use std::time::Duration;
 use thiserror::Error;
 
-/// A limit that an order would have broken, had it left.
+/// A limit that an order would have exceeded.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum Violation {
-    /// No report told what the endpoint holds, or something since then is not known.
-    #[error("it is not known what the endpoint holds")]
+    /// No report has told the contents, or they are no longer known.
+    #[error("the contents of the endpoint are unknown")]
     UnknownContents,
-    /// An earlier order may have been taken, and no report told yet.
-    #[error("order {0:?} may have been taken, and no report told")]
-    OrderUnsettled(OrderId),
-    /// The order expects another count of orders than the one at which the contents are known.
-    #[error("the contents are known at revision {known}, the order expects {expected}")]
+    /// An earlier order may have been accepted, and no report has resolved it.
+    #[error("order {} may have been accepted, and no report has resolved it", .0.0)]
+    OrderPending(OrderId),
+    /// The order names another revision than that of the known contents.
+    #[error("the contents are known at revision {known}, the order names {expected}")]
     WrongRevision { known: u64, expected: u64 },
-    /// The load exceeds the endpoint's room.
-    #[error("{needed_mb} MB are needed, there is room for {room_mb} MB")]
-    BeyondRoom { needed_mb: f64, room_mb: f64 },
-    /// The load exceeds the endpoint's places for adapters.
-    #[error("{needed} adapters are needed, there are places for {places}")]
-    BeyondAdapters { needed: usize, places: usize },
+    /// The load exceeds the endpoint's memory.
+    #[error("{needed_mb} MB are needed, the capacity is {capacity_mb} MB")]
+    ExceedsCapacity { needed_mb: f64, capacity_mb: f64 },
+    /// The load exceeds the endpoint's number of adapters.
+    #[error("{needed} adapters are needed, the limit is {limit}")]
+    ExceedsAdapterLimit { needed: usize, limit: usize },
 }
 
-/// How often an order was held back, by what it would have broken. All are zero in a placer without mistakes.
+/// Orders that were blocked, by what they would have exceeded. All are zero unless the planner is wrong.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct InvariantViolations {
     unknown_contents: u64,
-    order_unsettled: u64,
+    order_pending: u64,
     wrong_revision: u64,
-    beyond_room: u64,
-    beyond_adapters: u64,
+    exceeds_capacity: u64,
+    exceeds_adapter_limit: u64,
 }
 
 impl InvariantViolations {
-    /// Orders to endpoints of which it was not known what they hold.
+    /// Orders to endpoints with unknown contents.
     pub fn unknown_contents(&self) -> u64 {
         self.unknown_contents
     }
 
-    /// Orders after one that may have been taken.
-    pub fn order_unsettled(&self) -> u64 {
-        self.order_unsettled
+    /// Orders while an earlier one was unresolved.
+    pub fn order_pending(&self) -> u64 {
+        self.order_pending
     }
 
-    /// Orders that expected another count of orders than the one at which the contents are known.
+    /// Orders with another revision than that of the known contents.
     pub fn wrong_revision(&self) -> u64 {
         self.wrong_revision
     }
 
     /// Loads beyond `WeightsMb`.
-    pub fn beyond_room(&self) -> u64 {
-        self.beyond_room
+    pub fn exceeds_capacity(&self) -> u64 {
+        self.exceeds_capacity
     }
 
     /// Loads beyond `MaxAdapters`.
-    pub fn beyond_adapters(&self) -> u64 {
-        self.beyond_adapters
+    pub fn exceeds_adapter_limit(&self) -> u64 {
+        self.exceeds_adapter_limit
     }
 
     /// All of them.
     pub fn total(&self) -> u64 {
         self.unknown_contents
-            + self.order_unsettled
+            + self.order_pending
             + self.wrong_revision
-            + self.beyond_room
-            + self.beyond_adapters
+            + self.exceeds_capacity
+            + self.exceeds_adapter_limit
     }
 
     fn count(&mut self, violation: &Violation) {
         let counter = match violation {
             Violation::UnknownContents => &mut self.unknown_contents,
-            Violation::OrderUnsettled(_) => &mut self.order_unsettled,
+            Violation::OrderPending(_) => &mut self.order_pending,
             Violation::WrongRevision { .. } => &mut self.wrong_revision,
-            Violation::BeyondRoom { .. } => &mut self.beyond_room,
-            Violation::BeyondAdapters { .. } => &mut self.beyond_adapters,
+            Violation::ExceedsCapacity { .. } => &mut self.exceeds_capacity,
+            Violation::ExceedsAdapterLimit { .. } => &mut self.exceeds_adapter_limit,
         };
         *counter += 1;
     }
@@ -94,14 +94,14 @@
 impl AddAssign for InvariantViolations {
     fn add_assign(&mut self, other: InvariantViolations) {
         self.unknown_contents += other.unknown_contents;
-        self.order_unsettled += other.order_unsettled;
+        self.order_pending += other.order_pending;
         self.wrong_revision += other.wrong_revision;
-        self.beyond_room += other.beyond_room;
-        self.beyond_adapters += other.beyond_adapters;
+        self.exceeds_capacity += other.exceeds_capacity;
+        self.exceeds_adapter_limit += other.exceeds_adapter_limit;
     }
 }
 
-/// An order that left and is not known to be over or refused.
+/// An order that was sent and is not known to be done or rejected.
 #[derive(Debug)]
 struct OpenOrder {
     id: OrderId,
@@ -110,59 +110,60 @@
     sent: Duration,
 }
 
-/// What one incarnation of an endpoint may hold.
+/// What one incarnation of an endpoint may have resident.
 #[derive(Debug, Default)]
-struct Account {
-    /// What it holds once it is done with so many orders.
+struct EndpointRecord {
+    /// Revision, and the contents at that revision.
     known: Option<(u64, Contents)>,
     open: Option<OpenOrder>,
 }
 
-/// The accounts of all endpoints of a service.
+/// Records of all endpoints of a service.
 #[derive(Debug, Default)]
 pub struct OrderGuard {
-    accounts: BTreeMap<Arc<str>, Account>,
+    records: BTreeMap<Arc<str>, EndpointRecord>,
     violations: InvariantViolations,
 }
 
 impl OrderGuard {
-    /// How often an order was held back so far.
+    /// Orders that were blocked so far.
     pub fn violations(&self) -> InvariantViolations {
         self.violations
     }
 
-    /// Lets an order leave, or counts why it must not.
+    /// Allows an order to be sent.
+    ///
+    /// # Errors
+    /// The limit that it would exceed; the violation is counted.
     pub fn permit(&mut self, now: Duration, order: &Order, catalog: &Catalog) -> Result<(), Violation> {
-        let account = self.accounts.entry(order.instance.clone()).or_default();
-        if let Err(violation) = account.check(order, catalog) {
+        let record = self.records.entry(order.instance.clone()).or_default();
+        if let Err(violation) = record.check(order, catalog) {
             self.violations.count(&violation);
             return Err(violation);
         }
         let Order { id, operation, .. } = *order;
-        account.open = Some(OpenOrder { id, operation, item: order.item(), sent: now });
+        record.open = Some(OpenOrder { id, operation, item: order.item(), sent: now });
         Ok(())
     }
 
-    /// An order was answered, or will get no answer.
+    /// Records the answer to an order, or that there will be none.
     pub fn answered(&mut self, instance: &str, id: OrderId, answer: OrderAnswer) {
-        let Some(account) = self.accounts.get_mut(instance) else { return };
-        if account.open.as_ref().is_none_or(|open| open.id != id) {
+        let Some(record) = self.records.get_mut(instance) else { return };
+        if record.open.as_ref().is_none_or(|open| open.id != id) {
             return;
         }
         match answer {
-            OrderAnswer::Accepted => account.carry_out(),
+            OrderAnswer::Accepted => record.apply_open_order(),
             OrderAnswer::AlreadyDone | OrderAnswer::Conflict | OrderAnswer::Invalid => {
-                account.open = None;
-                account.known = None;
-            }
-            OrderAnswer::Fenced | OrderAnswer::WrongInstance | OrderAnswer::Unavailable => {
-                account.open = None
+                record.open = None;
+                record.known = None;
             }
+            OrderAnswer::Fenced | OrderAnswer::WrongInstance | OrderAnswer::Unavailable => record.open = None,
             OrderAnswer::Unknown => {}
         }
     }
 
-    /// An endpoint told of itself, as it stood some hundred ms earlier.
+    /// Records a report, which shows the endpoint some hundred ms earlier.
     pub fn reported(
         &mut self,
         now: Duration,
@@ -170,23 +171,23 @@
         report: &EndpointReport,
         catalog: &Catalog,
     ) {
-        let account = self.accounts.entry(instance.clone()).or_default();
-        if account.is_settled_by(now, report) {
-            account.known = Some((report.sequence, Contents::told(&report.models, catalog)));
-            account.open = None;
+        let record = self.records.entry(instance.clone()).or_default();
+        if record.is_resolved_by(now, report) {
+            record.known = Some((report.sequence, Contents::from_listing(&report.models, catalog)));
+            record.open = None;
         }
     }
 
-    /// An incarnation is gone, or nothing is remembered of it.
+    /// Removes the record of an incarnation that has ended.
     pub fn forget(&mut self, instance: &str) {
-        self.accounts.remove(instance);
+        self.records.remove(instance);
     }
 }
 
-impl Account {
+impl EndpointRecord {
     fn check(&self, order: &Order, catalog: &Catalog) -> Result<(), Violation> {
         if let Some(open) = &self.open {
-            return Err(Violation::OrderUnsettled(open.id));
+            return Err(Violation::OrderPending(open.id));
         }
         let Some((known, contents)) = &self.known else { return Err(Violation::UnknownContents) };
         if *known != order.if_revision {
@@ -195,7 +196,7 @@
         if order.operation == Operation::Load { check_load(contents, &order.item(), catalog) } else { Ok(()) }
     }
 
-    fn carry_out(&mut self) {
+    fn apply_open_order(&mut self) {
         let Some(open) = self.open.take() else { return };
         let Some((revision, contents)) = self.known.as_mut() else { return };
         *revision += 1;
@@ -205,14 +206,14 @@
         }
     }
 
-    /// Whether a report tells what is held, and what became of an order without an answer.
-    fn is_settled_by(&self, now: Duration, report: &EndpointReport) -> bool {
+    /// Whether a report tells the contents, and what became of an unanswered order.
+    fn is_resolved_by(&self, now: Duration, report: &EndpointReport) -> bool {
         let known = self.known.as_ref().map_or(0, |(revision, _)| *revision);
         if report.busy || report.sequence < known {
             return false;
         }
-        let refuted = |open: &OpenOrder| now >= refuted_at(open.sent);
-        self.open.as_ref().is_none_or(|open| report.sequence > known || refuted(open))
+        let known_lost = |open: &OpenOrder| now >= known_lost_at(open.sent);
+        self.open.as_ref().is_none_or(|open| report.sequence > known || known_lost(open))
     }
 }
 
@@ -221,12 +222,12 @@
         return Ok(());
     }
     let needed_mb = contents.used_mb(catalog) + catalog.size_mb(item);
-    if needed_mb > catalog.room_mb {
-        return Err(Violation::BeyondRoom { needed_mb, room_mb: catalog.room_mb });
+    if needed_mb > catalog.capacity_mb {
+        return Err(Violation::ExceedsCapacity { needed_mb, capacity_mb: catalog.capacity_mb });
     }
     let needed = contents.adapters() + usize::from(!item.is_model());
     if !item.is_model() && needed > catalog.max_adapters {
-        return Err(Violation::BeyondAdapters { needed, places: catalog.max_adapters });
+        return Err(Violation::ExceedsAdapterLimit { needed, limit: catalog.max_adapters });
     }
     Ok(())
 }
--- a/crates/placement/src/guard_test.rs
+++ b/crates/placement/src/guard_test.rs
@@ -31,13 +31,13 @@
 }
 
 fn report(models: &[(&str, &[&str])], busy: bool, sequence: u64) -> EndpointReport {
-    let held = |(name, adapters): &(&str, &[&str])| ResidentModel {
+    let resident = |(name, adapters): &(&str, &[&str])| ResidentModel {
         name: (*name).into(),
         version: 1,
         adapters: adapters.iter().map(|adapter| (*adapter).into()).collect(),
     };
     let json = serde_json::json!({ "Busy": busy, "Sequence": sequence });
-    EndpointReport { models: models.iter().map(held).collect(), ..serde_json::from_value(json).unwrap() }
+    EndpointReport { models: models.iter().map(resident).collect(), ..serde_json::from_value(json).unwrap() }
 }
 
 /// A guard with the catalog and the endpoint `i-1`.
@@ -106,14 +106,14 @@
 #[test]
 fn a_load_beyond_the_room_is_held_back_and_counted() {
     let mut play = Play::told(&[("m1", &[]), ("m2", &[]), ("m3", &[])], 4);
-    let beyond = Violation::BeyondRoom { needed_mb: 280_000.0, room_mb: 220_000.0 };
+    let beyond = Violation::ExceedsCapacity { needed_mb: 280_000.0, capacity_mb: 220_000.0 };
     assert_eq!(play.load("m4", 4), Err(beyond));
-    assert_eq!(play.guard.violations().beyond_room(), 1);
+    assert_eq!(play.guard.violations().exceeds_capacity(), 1);
     assert_eq!(play.order(Operation::Evict, "m3", None, 4), Ok(()));
     play.answer(OrderAnswer::Accepted);
     assert_eq!(play.load("m4", 5), Ok(()));
     play.answer(OrderAnswer::Accepted);
-    assert!(matches!(play.load("m5", 6), Err(Violation::BeyondRoom { .. })));
+    assert!(matches!(play.load("m5", 6), Err(Violation::ExceedsCapacity { .. })));
 }
 
 #[test]
@@ -121,9 +121,9 @@
     let mut play = Play::told(&[("m1", &["a1"])], 0);
     assert_eq!(play.order(Operation::Load, "m1", Some("a2"), 0), Ok(()));
     play.answer(OrderAnswer::Accepted);
-    let beyond = Violation::BeyondAdapters { needed: 3, places: 2 };
+    let beyond = Violation::ExceedsAdapterLimit { needed: 3, limit: 2 };
     assert_eq!(play.order(Operation::Load, "m1", Some("a3"), 1), Err(beyond));
-    assert_eq!(play.guard.violations().beyond_adapters(), 1);
+    assert_eq!(play.guard.violations().exceeds_adapter_limit(), 1);
 }
 
 #[test]
@@ -135,7 +135,7 @@
     let _ = second.load("m4", 1);
     let mut sum = first.guard.violations();
     sum += second.guard.violations();
-    assert_eq!((sum.unknown_contents(), sum.beyond_room(), sum.wrong_revision()), (1, 1, 1));
+    assert_eq!((sum.unknown_contents(), sum.exceeds_capacity(), sum.wrong_revision()), (1, 1, 1));
     assert_eq!(sum.total(), 3);
 }
 
@@ -151,7 +151,7 @@
     for operation in [Operation::Load, Operation::Evict] {
         let mut play = Play::told(&[("m1", &[])], 0);
         assert_eq!(play.load("m2", 0), Ok(()));
-        let unsettled = Err(Violation::OrderUnsettled(OrderId(1)));
+        let unsettled = Err(Violation::OrderPending(OrderId(1)));
         play.answer(OrderAnswer::Unknown);
         assert_eq!(play.order(operation, "m1", None, 0), unsettled);
         // It may be older than the order's arrival.
@@ -161,7 +161,7 @@
         assert_eq!(play.order(operation, "m1", None, 1), unsettled);
         play.report(REFUTED, &report(&[("m1", &[])], false, 0));
         assert_eq!(play.order(operation, "m1", None, 0), Ok(()));
-        assert_eq!(play.guard.violations().order_unsettled(), 3);
+        assert_eq!(play.guard.violations().order_pending(), 3);
     }
 }
 
@@ -171,7 +171,7 @@
     assert_eq!(play.load("m3", 7), Ok(()));
     play.answer(OrderAnswer::Accepted);
     play.report(REFUTED, &report(&[("m1", &[]), ("m2", &[])], false, 7));
-    assert!(matches!(play.load("m4", 8), Err(Violation::BeyondRoom { .. })));
+    assert!(matches!(play.load("m4", 8), Err(Violation::ExceedsCapacity { .. })));
 }
 
 #[test]
--- a/crates/placement/src/interface.rs
+++ b/crates/placement/src/interface.rs
@@ -1,4 +1,4 @@
-//! The vocabulary between the placer and the I/O around it.
+//! What goes in and out of the placer: orders, answers and reports.
 
 use lanegate_config::instance::ResidentModel;
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Number of an order; never used twice by one placer.
+/// Number of an order, unique within one placer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OrderId(pub u64);
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// What an order asks of an endpoint.
+/// What an order does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Operation {
@@ -42,7 +42,7 @@
     Evict,
 }
 
-/// One order to one incarnation of an endpoint.
+/// An order to one incarnation of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
     pub id: OrderId,
@@ -51,50 +51,50 @@
     pub operation: Operation,
     pub model: Arc<str>,
     pub adapter: Option<Arc<str>>,
-    /// Number of orders that the endpoint is expected to have taken so far: what the order rests on is known to hold
-    /// at that count, and the endpoint refuses the order at any other.
+    /// Number of orders that the endpoint must have accepted so far (its revision). The endpoint refuses the order at
+    /// any other, so it is executed only on the contents it was planned for.
     pub if_revision: u64,
 }
 
 impl Order {
-    /// What it is to load or evict.
+    /// The item to load or evict.
     pub fn item(&self) -> Item {
         Item { model: self.model.clone(), adapter: self.adapter.clone() }
     }
 }
 
-/// What the I/O side is to do now.
+/// What the caller has to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send this order and give its answer back through `order_answered`.
+    /// Send this order, and pass its answer to `order_answered`.
     Order(Order),
-    /// Ask the endpoint for its report and give it back through `report`.
+    /// Request a report from the endpoint, and pass it to `report`.
     RequestReport { instance: Arc<str>, address: SocketAddr },
 }
 
-/// How an endpoint answered an order.
+/// The answer of an endpoint to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum OrderAnswer {
-    /// 202: it is being done.
+    /// 202: being executed.
     Accepted,
-    /// 200: it holds already.
+    /// 200: already in effect.
     AlreadyDone,
-    /// 409: another order is under way, or the expected revision is wrong.
+    /// 409: another order is being executed, or the revision differs.
     Conflict,
     /// 412: an order with a higher fencing token came before.
     Fenced,
     /// 421: another incarnation has the address.
     WrongInstance,
-    /// 400: there is no such order.
+    /// 400: invalid order.
     Invalid,
-    /// 503, or another answer by which the order was not taken.
+    /// 503, or another answer that means that the order was not accepted.
     Unavailable,
-    /// No answer, or one that says nothing: the order may have been taken.
+    /// No answer, or one that leaves it open whether the order was accepted.
     Unknown,
 }
 
 impl OrderAnswer {
-    /// Reads the status of an answer.
+    /// The answer with that HTTP status.
     pub fn from_status(status: u16) -> OrderAnswer {
         match status {
             202 => OrderAnswer::Accepted,
@@ -109,7 +109,7 @@
     }
 }
 
-/// What an endpoint tells of itself when it is asked, as it stood some hundred ms earlier.
+/// What an endpoint reports of itself when requested; it shows the endpoint some hundred ms earlier.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct EndpointReport {
@@ -117,10 +117,10 @@
     pub phase: Option<String>,
     #[serde(default)]
     pub models: Vec<ResidentModel>,
-    /// Whether an order is under way.
+    /// Whether an order is being executed.
     #[serde(default)]
     pub busy: bool,
-    /// Orders taken since the endpoint started.
+    /// Orders accepted since the endpoint started (its revision).
     #[serde(default)]
     pub sequence: u64,
     #[serde(default)]
@@ -135,11 +135,11 @@
     pub handles: u32,
 }
 
-/// A load that an endpoint has taken, or may have taken, and has not shown yet.
+/// A load that an endpoint has accepted, or may have accepted, and does not advertise yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PendingLoad {
     pub instance: Arc<str>,
     pub item: Item,
-    /// When the load should be over.
+    /// When the load should be done.
     pub expected: Duration,
 }
--- /dev/null
+++ b/crates/placement/src/load_limiter.rs
@@ -0,0 +1,155 @@
+//! Limits the loads from the weight store: their rate in a sliding window, and their concurrency.
+
+use crate::interface::OrderId;
+use std::time::Duration;
+
+/// Loads that the rate limit allows beyond the permitted rate with its overshoot.
+const BURST_ALLOWANCE: f64 = 3.0;
+
+/// Takeovers within one window that together stay below the rate limit.
+const TAKEOVERS: f64 = 2.0;
+
+/// Lowest concurrency limit.
+const MIN_CONCURRENCY: f64 = 2.0;
+
+/// A load that takes more than this times the expected time shows that the store is congested.
+const SLOW_LOAD: f64 = 1.6;
+
+/// A load that counts in the window.
+#[derive(Debug)]
+struct WindowedLoad {
+    order: OrderId,
+    accepted_at: Option<Duration>,
+}
+
+/// A load that is probably still fetching.
+#[derive(Debug)]
+struct ActiveLoad {
+    order: OrderId,
+    until: Duration,
+}
+
+/// Rate and concurrency limiter of loads from the weight store.
+#[derive(Debug)]
+pub struct LoadLimiter {
+    window: Duration,
+    overshoot: f64,
+    loads_per_s: f64,
+    loads: Vec<WindowedLoad>,
+    active: Vec<ActiveLoad>,
+    concurrency: f64,
+    max_concurrency: f64,
+    /// Until then the loads of a predecessor are assumed to fill the window.
+    assumed_until: Duration,
+}
+
+impl LoadLimiter {
+    /// A limiter that allows nothing until `set_limits`.
+    pub fn new(window: Duration, overshoot: f64, assumed_until: Duration) -> LoadLimiter {
+        LoadLimiter {
+            window,
+            overshoot,
+            loads_per_s: 0.0,
+            loads: Vec::new(),
+            active: Vec::new(),
+            concurrency: MIN_CONCURRENCY,
+            max_concurrency: MIN_CONCURRENCY,
+            assumed_until,
+        }
+    }
+
+    /// Until when the loads of a predecessor are assumed to fill the window.
+    pub fn assumed_until(&self) -> Duration {
+        self.assumed_until
+    }
+
+    /// Sets until when that is assumed.
+    pub fn assume_until(&mut self, until: Duration) {
+        self.assumed_until = until;
+    }
+
+    /// Sets the permitted rate, loads/s, and the concurrency that sustains it.
+    pub fn set_limits(&mut self, loads_per_s: f64, max_concurrency: f64) {
+        self.loads_per_s = loads_per_s;
+        self.max_concurrency = max_concurrency.ceil().max(MIN_CONCURRENCY);
+        self.concurrency = self.max_concurrency;
+    }
+
+    /// Loads that may start now, leaving `reserve` of the window's for more urgent ones, and allowing `extra` beyond
+    /// the concurrency limit.
+    pub fn available(&mut self, now: Duration, reserve: usize, extra: usize) -> usize {
+        self.expire(now);
+        let window = self.limit(now).saturating_sub(self.loads.len() + reserve);
+        let concurrency = (self.concurrency as usize + extra).saturating_sub(self.active.len());
+        window.min(concurrency)
+    }
+
+    /// Used fraction of the window.
+    pub fn utilization(&mut self, now: Duration) -> f64 {
+        self.expire(now);
+        if now < self.assumed_until {
+            return 1.0;
+        }
+        self.loads.len() as f64 / self.limit(now).max(1) as f64
+    }
+
+    /// When the next load may start, if only time is needed for that.
+    pub fn next_free(&self, now: Duration) -> Option<Duration> {
+        let oldest = self.loads.iter().filter_map(|load| load.accepted_at).min();
+        let assumed = (now < self.assumed_until).then_some(self.assumed_until);
+        let window_frees = oldest.map(|accepted_at| accepted_at + self.window);
+        let load_ends = self.active.iter().map(|load| load.until).min();
+        [assumed, window_frees, load_ends].into_iter().flatten().filter(|at| *at > now).min()
+    }
+
+    /// A load was ordered that should be done at `until`.
+    pub fn start(&mut self, order: OrderId, until: Duration) {
+        self.loads.push(WindowedLoad { order, accepted_at: None });
+        self.active.push(ActiveLoad { order, until });
+    }
+
+    /// The load was accepted no later than now.
+    pub fn accepted(&mut self, order: OrderId, now: Duration) {
+        if let Some(load) =
+            self.loads.iter_mut().find(|load| load.order == order && load.accepted_at.is_none())
+        {
+            load.accepted_at = Some(now);
+        }
+    }
+
+    /// The load was not accepted and never will be.
+    pub fn cancel(&mut self, order: OrderId) {
+        self.loads.retain(|load| load.order != order);
+        self.active.retain(|load| load.order != order);
+    }
+
+    /// The load is done, or its endpoint is gone.
+    pub fn finish(&mut self, order: OrderId, now: Duration) {
+        self.accepted(order, now);
+        self.active.retain(|load| load.order != order);
+    }
+
+    /// Adapts the concurrency limit: a load took at least `least`, where `expected` was expected.
+    pub fn observe(&mut self, least: Duration, expected: Duration) {
+        if least.as_secs_f64() > expected.as_secs_f64() * SLOW_LOAD {
+            self.concurrency = (self.concurrency - 1.0).max(MIN_CONCURRENCY);
+        } else {
+            self.concurrency = (self.concurrency + 0.5).min(self.max_concurrency);
+        }
+    }
+
+    fn limit(&self, now: Duration) -> usize {
+        let permitted = (self.loads_per_s * self.window.as_secs_f64()).floor();
+        if now >= self.assumed_until {
+            return permitted.max(1.0) as usize;
+        }
+        let hard = self.loads_per_s * self.window.as_secs_f64() * self.overshoot.max(1.0);
+        ((hard + BURST_ALLOWANCE - permitted) / TAKEOVERS).floor().min(permitted.max(1.0)) as usize
+    }
+
+    fn expire(&mut self, now: Duration) {
+        let window = self.window;
+        self.loads.retain(|load| load.accepted_at.is_none_or(|accepted_at| accepted_at + window > now));
+        self.active.retain(|load| load.until > now);
+    }
+}
--- a/crates/placement/src/order_log.rs
+++ b/crates/placement/src/order_log.rs
@@ -1,10 +1,10 @@
-//! What the log says of orders: what was believed of an endpoint as each left, and what became of it.
+//! Log lines about orders: what was known of the endpoint when each was sent, and what became of it.
 
 use crate::catalog::Catalog;
-use crate::contents::Held;
+use crate::contents::Resident;
 use crate::endpoint::Endpoint;
+use crate::in_flight::InFlightOrder;
 use crate::interface::{EndpointReport, Item, Order, OrderAnswer, OrderId};
-use crate::underway::Underway;
 use lanegate_config::instance::{Instance, ResidentModel};
 use std::fmt;
 use std::time::Duration;
@@ -18,45 +18,45 @@
     }
 }
 
-/// What is believed of an endpoint: the room that is counted, and for what.
-pub struct Belief<'a> {
+/// Memory and adapters that are counted at an endpoint, for the log.
+pub struct EndpointState<'a> {
     pub endpoint: &'a Endpoint,
     pub catalog: &'a Catalog,
 }
 
-impl fmt::Display for Belief<'_> {
+impl fmt::Display for EndpointState<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Belief { endpoint, catalog } = self;
-        write!(f, "{} of {} MB, ", endpoint.used_mb(catalog), catalog.room_mb)?;
-        write!(f, "{} of {} adapters, holds [", endpoint.adapters(), catalog.max_adapters)?;
-        list(f, endpoint.contents.models().map(HeldLine))?;
-        write!(f, "], shows [")?;
-        list(f, endpoint.shown.models().map(HeldLine))?;
+        let EndpointState { endpoint, catalog } = self;
+        write!(f, "used_mb={} capacity_mb={} ", endpoint.used_mb(catalog), catalog.capacity_mb)?;
+        write!(f, "adapters={} max_adapters={} resident=[", endpoint.adapters(), catalog.max_adapters)?;
+        list(f, endpoint.contents.models().map(ResidentLine))?;
+        write!(f, "] advertised=[")?;
+        list(f, endpoint.advertised.models().map(ResidentLine))?;
         write!(f, "]")
     }
 }
 
-struct HeldLine<'a>(&'a Held);
+struct ResidentLine<'a>(&'a Resident);
 
-impl fmt::Display for HeldLine<'_> {
+impl fmt::Display for ResidentLine<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0.model)?;
         self.0.adapters.iter().try_for_each(|adapter| write!(f, "+{adapter}"))
     }
 }
 
-/// Models as an endpoint tells them.
-struct Told<'a>(&'a [ResidentModel]);
+/// Models as an endpoint lists them.
+struct ListedModels<'a>(&'a [ResidentModel]);
 
-impl fmt::Display for Told<'_> {
+impl fmt::Display for ListedModels<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        list(f, self.0.iter().map(ToldLine))
+        list(f, self.0.iter().map(ListedModelLine))
     }
 }
 
-struct ToldLine<'a>(&'a ResidentModel);
+struct ListedModelLine<'a>(&'a ResidentModel);
 
-impl fmt::Display for ToldLine<'_> {
+impl fmt::Display for ListedModelLine<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0.name)?;
         self.0.adapters.iter().try_for_each(|adapter| write!(f, "+{adapter}"))
@@ -71,10 +71,10 @@
     Ok(())
 }
 
-/// An order is about to leave.
-pub fn given(now: Duration, order: &Order, belief: &Belief) {
+/// An order is sent.
+pub fn sent(now: Duration, order: &Order, state: &EndpointState) {
     log::info!(
-        "{:.3} order {} to {}: {:?} {}, if revision {}; counted with it: {belief}",
+        "order sent time={:.3} order={} instance={} operation={:?} item={} if_revision={} {state}",
         now.as_secs_f64(),
         order.id.0,
         order.instance,
@@ -86,13 +86,14 @@
 
 /// An order was answered.
 pub fn answered(now: Duration, id: OrderId, instance: &str, answer: OrderAnswer) {
-    log::info!("{:.3} order {} at {instance}: {answer:?}", now.as_secs_f64(), id.0);
+    let time = now.as_secs_f64();
+    log::info!("order answered time={time:.3} order={} instance={instance} answer={answer:?}", id.0);
 }
 
-/// An order is over, whatever came of it.
-pub fn closed(now: Duration, instance: &str, order: &Underway) {
+/// An order has ended.
+pub fn closed(now: Duration, instance: &str, order: &InFlightOrder) {
     log::info!(
-        "{:.3} order {} at {instance} is over: {:?} {}, {:?}, sent at {:.3}",
+        "order closed time={:.3} order={} instance={instance} operation={:?} item={} stage={:?} sent={:.3}",
         now.as_secs_f64(),
         order.id.0,
         order.operation,
@@ -105,23 +106,23 @@
 /// An endpoint reported.
 pub fn reported(now: Duration, instance: &str, report: &EndpointReport) {
     log::info!(
-        "{:.3} report of {instance}: busy {}, sequence {}, models [{}]",
+        "report received time={:.3} instance={instance} busy={} revision={} models=[{}]",
         now.as_secs_f64(),
         report.busy,
         report.sequence,
-        Told(&report.models),
+        ListedModels(&report.models),
     );
 }
 
-/// An endpoint registered something new.
+/// A registration changed what is known.
 pub fn registered(now: Duration, instance: &Instance) {
     log::info!(
-        "{:.3} registration {} of {} at {}: {:?}, models [{}]",
+        "registration applied time={:.3} sequence={} instance={} address={} state={:?} models=[{}]",
         now.as_secs_f64(),
         instance.sequence,
         instance.id,
         instance.address,
         instance.state,
-        Told(&instance.models),
+        ListedModels(&instance.models),
     );
 }
--- a/crates/placement/src/planning.rs
+++ b/crates/placement/src/planning.rs
@@ -1,220 +1,232 @@
-//! One round of planning: from demand and what the endpoints hold to orders.
+//! One planning round: from demand and contents to orders.
 
-use crate::adapters::{AdapterRank, AdapterSite, AdapterView, AdapterWish};
-use crate::answers::ASK_AGAIN;
+use crate::adapter_placement::{AdapterPlanner, AdapterPriority, AdapterSite, DesiredAdapter};
 use crate::endpoint::Verification;
+use crate::in_flight::InFlightOrder;
 use crate::interface::{Action, Item, Operation, Order, OrderId};
-use crate::models::{Rank, Site, Wish, load_lasts, wish, wishes};
-use crate::order_log::{self, Belief};
+use crate::model_placement::{
+    DesiredReplica, Priority, Site, desired_replica, desired_replicas, expected_load_time,
+};
+use crate::order_completion::REPORT_RETRY_DELAY;
+use crate::order_log::{self, EndpointState};
 use crate::placer::Placer;
-use crate::underway::Underway;
-use crate::view::View;
+use crate::planning_view::PlanningView;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Loads of a window that are left for models that no endpoint holds.
+/// Loads of a window that are reserved for models without a replica.
 const RESERVED_LOADS: usize = 3;
 
-/// Loads that requests wait for may go so far beyond what the store serves at full speed.
-const URGENT_BEYOND: usize = 1;
+/// Urgent loads may exceed the concurrency limit by this many.
+const URGENT_EXTRA_LOADS: usize = 1;
 
-/// Share of a window's loads up to which models are loaded that may be asked for again.
+/// Models that may be requested again are loaded up to this fraction of the window.
 const RESTORE_SHARE: f64 = 0.5;
 
-/// How long an adapter's load should take.
+/// Expected time of an adapter load.
 const ADAPTER_LOAD: Duration = Duration::from_millis(100);
 
-/// What an endpoint is to be ordered.
+/// An order that is to be sent.
 #[derive(Debug)]
 struct Assignment {
     operation: Operation,
     item: Item,
     /// Whether requests wait for what the order makes possible.
     urgent: bool,
-    /// Requests a second that the item gets there, where that matters.
-    rate: f64,
+    /// Rate of the item at the endpoint, requests/s; only for evictions of models.
+    request_rate: f64,
 }
 
 impl Assignment {
     fn new(operation: Operation, item: Item, urgent: bool) -> Assignment {
-        Assignment { operation, item, urgent, rate: 0.0 }
+        Assignment { operation, item, urgent, request_rate: 0.0 }
     }
 }
 
 impl Placer {
-    /// Looks at everything and gives what orders are worth giving.
+    /// Plans all models and adapters, and sends the orders that follow.
     pub(crate) fn plan(&mut self, now: Duration) {
-        self.planned = Some(now);
-        self.plan_at = None;
-        self.blocked = false;
+        self.last_plan = Some(now);
+        self.next_plan = None;
+        self.load_blocked = false;
         if self.fenced {
             return;
         }
-        self.demand.forget(now);
+        self.demand.expire(now);
         let (drain, switched_off) = (self.drain, self.switched_off);
-        let mut view = View::new(now, &self.demand, &self.endpoints, &self.catalog, drain, switched_off);
-        self.follow_intents(&mut view);
+        let mut view =
+            PlanningView::new(now, &self.demand, &self.endpoints, &self.catalog, drain, switched_off);
+        self.continue_reservations(&mut view);
         self.place_models(&mut view);
         self.place_adapters(&view);
     }
 
-    /// Goes on where room is being made: loads once there is room, evicts more while there is not.
-    fn follow_intents(&mut self, view: &mut View) {
+    /// Continues where memory is being freed: loads once there is enough, evicts more until then.
+    fn continue_reservations(&mut self, view: &mut PlanningView) {
         let now = view.now;
-        let intents: Vec<(Arc<str>, Arc<str>)> = self
+        let reservations: Vec<(Arc<str>, Arc<str>)> = self
             .endpoints
             .values()
-            .filter(|endpoint| endpoint.free(now))
-            .filter_map(|endpoint| Some((endpoint.id.clone(), endpoint.intended(now)?.clone())))
+            .filter(|endpoint| endpoint.accepts_orders(now))
+            .filter_map(|endpoint| Some((endpoint.id.clone(), endpoint.reserved_model(now)?.clone())))
             .collect();
-        for (id, model) in intents {
-            self.follow_intent(view, &id, model);
+        for (id, model) in reservations {
+            self.continue_reservation(view, &id, model);
         }
     }
 
-    fn follow_intent(&mut self, view: &mut View, id: &Arc<str>, model: Arc<str>) {
-        let standing = view.standing(&model);
+    fn continue_reservation(&mut self, view: &mut PlanningView, id: &Arc<str>, model: Arc<str>) {
+        let status = view.status(&model);
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
-        let surplus = standing.copies > standing.target.keep.max(1);
-        if surplus || standing.remembered <= 0.0 || self.catalog.get(&model).is_none() {
-            endpoint.intent = None;
-            view.remove_copy(&model, &endpoint.zone);
+        let surplus = status.replicas > status.target.maximum.max(1);
+        if surplus || status.expected_rate <= 0.0 || self.catalog.get(&model).is_none() {
+            endpoint.reservation = None;
+            view.remove_replica(&model, &endpoint.zone);
             return;
         }
-        let wish = Wish::chosen(model, standing);
+        let desired = DesiredReplica::at_reserved_site(model, status);
         let missing =
-            self.catalog.size_mb(&Item::model(wish.model.clone())) - endpoint.free_mb(&self.catalog);
-        match wish.victims(view, endpoint, &self.catalog, missing) {
+            self.catalog.size_mb(&Item::model(desired.model.clone())) - endpoint.free_mb(&self.catalog);
+        match desired.victims(view, endpoint, &self.catalog, missing) {
             None => {
-                endpoint.intent = None;
+                endpoint.reservation = None;
                 let zone = endpoint.zone.clone();
-                view.remove_copy(&wish.model, &zone);
+                view.remove_replica(&desired.model, &zone);
             }
             Some(victims) => {
                 let victim = victims.into_iter().next().map(|victim| victim.model);
                 let site = Site { endpoint: id.clone(), victim };
-                self.carry_out(view, &wish, &site);
+                self.order_next(view, &desired, &site);
             }
         }
     }
 
-    fn place_models(&mut self, view: &mut View) {
-        for wanted in wishes(view) {
-            let standing = view.standing(&wanted.model);
-            let missing = standing.target.order.max(1).saturating_sub(standing.copies);
+    fn place_models(&mut self, view: &mut PlanningView) {
+        for desired in desired_replicas(view) {
+            let status = view.status(&desired.model);
+            let missing = status.target.minimum.max(1).saturating_sub(status.replicas);
             for _ in 0..missing {
-                if !self.place_model(view, &wanted.model) {
+                if !self.place_model(view, &desired.model) {
                     break;
                 }
             }
         }
     }
 
-    fn place_model(&mut self, view: &mut View, model: &Arc<str>) -> bool {
-        let standing = view.standing(model);
-        let Some(wish) = wish(model, &standing) else { return false };
-        let Some(site) = wish.site(view, &self.endpoints, &self.catalog, self.seed) else { return false };
+    fn place_model(&mut self, view: &mut PlanningView, model: &Arc<str>) -> bool {
+        let status = view.status(model);
+        let Some(desired) = desired_replica(model, &status) else { return false };
+        let Some(site) = desired.site(view, &self.endpoints, &self.catalog, self.seed) else { return false };
         let Some(endpoint) = self.endpoints.get(&site.endpoint) else { return false };
         let zone = endpoint.zone.clone();
-        let counted = !endpoint.on_disk.contains(model);
+        let uses_store = !endpoint.on_disk.contains(model);
         let later = site.victim.is_some() || endpoint.revision().is_none();
-        if counted && !self.permitted(view.now, wish.rank) {
-            self.blocked = true;
+        if uses_store && !self.may_load(view.now, desired.priority) {
+            self.load_blocked = true;
             return false;
         }
         if let Some(endpoint) = self.endpoints.get_mut(&site.endpoint) {
-            if let Some(intent) = endpoint.intent.take().filter(|intent| view.now < intent.until) {
-                view.remove_copy(&intent.model, &zone);
+            if let Some(reservation) =
+                endpoint.reservation.take().filter(|reservation| view.now < reservation.until)
+            {
+                view.remove_replica(&reservation.model, &zone);
             }
             if later {
-                endpoint.intend(model.clone(), wish.rank.urgent(), view.now);
+                endpoint.reserve_for(model.clone(), desired.priority.urgent(), view.now);
             }
         }
-        view.add_copy(model, &zone);
-        self.carry_out(view, &wish, &site);
+        view.add_replica(model, &zone);
+        self.order_next(view, &desired, &site);
         true
     }
 
-    /// Whether the weight store may be asked for a load that is wanted this much.
-    fn permitted(&mut self, now: Duration, rank: Rank) -> bool {
-        match rank {
-            Rank::Unplaced | Rank::First | Rank::Short => self.store.available(now, 0, URGENT_BEYOND) > 0,
-            Rank::Further => self.store.available(now, RESERVED_LOADS, 0) > 0,
-            Rank::Restore => self.store.used(now) < RESTORE_SHARE && self.store.available(now, 0, 0) > 0,
+    /// Whether the weight store's limits allow a load of this priority.
+    fn may_load(&mut self, now: Duration, priority: Priority) -> bool {
+        match priority {
+            Priority::Unplaced | Priority::First | Priority::Underprovisioned => {
+                self.load_limiter.available(now, 0, URGENT_EXTRA_LOADS) > 0
+            }
+            Priority::Additional => self.load_limiter.available(now, RESERVED_LOADS, 0) > 0,
+            Priority::Restore => {
+                self.load_limiter.utilization(now) < RESTORE_SHARE
+                    && self.load_limiter.available(now, 0, 0) > 0
+            }
         }
     }
 
-    /// Gives the order that comes next for a copy at a site.
-    fn carry_out(&mut self, view: &mut View, wish: &Wish, site: &Site) {
-        if !self.verified(view.now, &site.endpoint) {
+    /// Sends the next order for a replica at a site: an eviction, or the load.
+    fn order_next(&mut self, view: &mut PlanningView, desired: &DesiredReplica, site: &Site) {
+        if !self.request_verification(view.now, &site.endpoint) {
             return;
         }
         let Some(endpoint) = self.endpoints.get(&site.endpoint) else { return };
-        let urgent = wish.rank.urgent();
+        let urgent = desired.priority.urgent();
         if let Some(victim) = &site.victim {
             let zone = endpoint.zone.clone();
-            let rate = view.standing(victim).rate_per_copy();
-            view.evict_copy(victim, &zone);
-            let eviction =
-                Assignment { rate, ..Assignment::new(Operation::Evict, Item::model(victim.clone()), urgent) };
-            self.give(view.now, &site.endpoint, eviction);
+            let request_rate = view.status(victim).rate_per_replica();
+            view.evict_replica(victim, &zone);
+            let eviction = Assignment {
+                request_rate,
+                ..Assignment::new(Operation::Evict, Item::model(victim.clone()), urgent)
+            };
+            self.send_order(view.now, &site.endpoint, eviction);
             return;
         }
-        let counted = !endpoint.on_disk.contains(&wish.model);
-        if counted && !self.permitted(view.now, wish.rank) {
-            self.blocked = true;
+        let uses_store = !endpoint.on_disk.contains(&desired.model);
+        if uses_store && !self.may_load(view.now, desired.priority) {
+            self.load_blocked = true;
             return;
         }
-        let load = Assignment::new(Operation::Load, Item::model(wish.model.clone()), urgent);
-        self.give(view.now, &site.endpoint, load);
+        let load = Assignment::new(Operation::Load, Item::model(desired.model.clone()), urgent);
+        self.send_order(view.now, &site.endpoint, load);
     }
 
-    fn place_adapters(&mut self, view: &View) {
+    fn place_adapters(&mut self, view: &PlanningView) {
         let now = view.now;
-        let mut adapters = AdapterView::new(view, &self.demand, &self.endpoints, &self.catalog, self.seed);
-        let mut given: Vec<(AdapterWish, AdapterSite)> = Vec::new();
-        for wish in adapters.wishes() {
-            let taken: Vec<&Arc<str>> = given.iter().map(|(_, site)| &site.endpoint).collect();
-            if let Some(site) = adapters.site(&wish, &taken) {
+        let mut adapters = AdapterPlanner::new(view, &self.demand, &self.endpoints, &self.catalog, self.seed);
+        let mut chosen: Vec<(DesiredAdapter, AdapterSite)> = Vec::new();
+        for desired in adapters.desired() {
+            let excluded: Vec<&Arc<str>> = chosen.iter().map(|(_, site)| &site.endpoint).collect();
+            if let Some(site) = adapters.site(&desired, &excluded) {
                 adapters.evicted(site.victim.as_ref());
-                given.push((wish, site));
+                chosen.push((desired, site));
             }
         }
-        for (wish, site) in given {
-            self.place_adapter(now, &wish, &site);
+        for (desired, site) in chosen {
+            self.place_adapter(now, &desired, &site);
         }
     }
 
-    fn place_adapter(&mut self, now: Duration, wish: &AdapterWish, site: &AdapterSite) {
-        if !self.verified(now, &site.endpoint) {
+    fn place_adapter(&mut self, now: Duration, desired: &DesiredAdapter, site: &AdapterSite) {
+        if !self.request_verification(now, &site.endpoint) {
             return;
         }
-        let urgent = wish.rank == AdapterRank::First;
+        let urgent = desired.priority == AdapterPriority::First;
         let assignment = match &site.victim {
             Some(victim) => Assignment::new(Operation::Evict, victim.clone(), urgent),
-            None => Assignment::new(Operation::Load, wish.item.clone(), urgent),
+            None => Assignment::new(Operation::Load, desired.item.clone(), urgent),
         };
-        self.give(now, &site.endpoint, assignment);
+        self.send_order(now, &site.endpoint, assignment);
     }
 
-    /// Whether an endpoint may be given an order; otherwise it is asked what it holds.
-    fn verified(&mut self, now: Duration, id: &Arc<str>) -> bool {
+    /// Whether the contents of an endpoint are verified; otherwise a report is requested.
+    fn request_verification(&mut self, now: Duration, id: &Arc<str>) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(id) else { return false };
         match endpoint.verification {
-            Verification::Settled { .. } => true,
-            Verification::Wanted { not_before } if now >= not_before => {
-                endpoint.verification = Verification::Asked { at: now };
+            Verification::Verified { .. } => true,
+            Verification::Unverified { not_before } if now >= not_before => {
+                endpoint.verification = Verification::Requested { at: now };
                 let address = endpoint.address;
                 self.actions.push_back(Action::RequestReport { instance: id.clone(), address });
                 false
             }
-            Verification::Wanted { .. } | Verification::Asked { .. } => false,
+            Verification::Unverified { .. } | Verification::Requested { .. } => false,
         }
     }
 
-    /// Gives an order to an endpoint that is free and of which it is known what it holds.
-    fn give(&mut self, now: Duration, id: &Arc<str>, assignment: Assignment) {
-        let Assignment { operation, item, urgent, rate } = assignment;
+    /// Sends an order to an endpoint that accepts orders and has verified contents.
+    fn send_order(&mut self, now: Duration, id: &Arc<str>, assignment: Assignment) {
+        let Assignment { operation, item, urgent, request_rate } = assignment;
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         let Some(if_revision) = endpoint.revision() else { return };
         self.last_order += 1;
@@ -228,24 +240,26 @@
             if_revision,
         };
         if let Err(violation) = self.guard.permit(now, &order, &self.catalog) {
-            log::error!("held back: {operation:?} {item} at {id}: {violation}");
-            endpoint.doubt(now + ASK_AGAIN);
+            log::error!(
+                "order blocked instance={id} operation={operation:?} item={item} violation=\"{violation}\""
+            );
+            endpoint.invalidate(now + REPORT_RETRY_DELAY);
             return;
         }
-        let lasts = match (operation, item.is_model()) {
-            (Operation::Load, true) => load_lasts(&self.catalog, &item.model),
+        let load_time = match (operation, item.is_model()) {
+            (Operation::Load, true) => expected_load_time(&self.catalog, &item.model),
             _ => ADAPTER_LOAD,
         };
-        let mut underway = Underway::new(&order, now, lasts);
-        underway.urgent = urgent;
-        underway.rate = rate;
-        underway.counted =
+        let mut in_flight = InFlightOrder::new(&order, now, load_time);
+        in_flight.urgent = urgent;
+        in_flight.request_rate = request_rate;
+        in_flight.uses_store =
             operation == Operation::Load && item.is_model() && !endpoint.on_disk.contains(&item.model);
-        if underway.counted {
-            self.store.ordered(order.id, now + lasts);
+        if in_flight.uses_store {
+            self.load_limiter.start(order.id, now + load_time);
         }
-        endpoint.order = Some(underway);
-        order_log::given(now, &order, &Belief { endpoint, catalog: &self.catalog });
+        endpoint.order = Some(in_flight);
+        order_log::sent(now, &order, &EndpointState { endpoint, catalog: &self.catalog });
         self.orders.insert(order.id, id.clone());
         self.actions.push_back(Action::Order(order));
     }
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -53,8 +53,8 @@
 impl Play {
     fn new() -> Play {
         let settings = PlacerSettings {
-            ceiling_window: Duration::from_secs(5),
-            ceiling_overshoot: 1.1,
+            rate_limit_window: Duration::from_secs(5),
+            rate_limit_overshoot: 1.1,
             start: Start::First,
             switched_off: SwitchedOff::default(),
         };
@@ -256,17 +256,17 @@
 fn what_is_being_evicted_is_told_until_a_heartbeat_no_longer_lists_it() {
     let mut play = Play::new();
     play.register(&["m1", "m2", "m3"]);
-    assert_eq!(play.placer.leaving("i-1"), None);
+    assert_eq!(play.placer.evicting("i-1"), None);
     let order = play.evict();
-    let leaving = play.placer.leaving("i-1").cloned();
+    let leaving = play.placer.evicting("i-1").cloned();
     assert_eq!(leaving, Some(order.item()), "from the order on");
     play.placer.order_answered(play.now(), order.id, OrderAnswer::Accepted);
     for _ in 0..4 {
         play.run_until(play.now_ms + 1_000);
         play.register(&["m1", "m2", "m3"]);
-        assert_eq!(play.placer.leaving("i-1"), leaving.as_ref(), "a heartbeat still lists it");
+        assert_eq!(play.placer.evicting("i-1"), leaving.as_ref(), "a heartbeat still lists it");
     }
     let left: Vec<&str> = ["m1", "m2", "m3"].into_iter().filter(|model| *order.model != **model).collect();
     play.register(&left);
-    assert_eq!(play.placer.leaving("i-1"), None);
+    assert_eq!(play.placer.evicting("i-1"), None);
 }
--- a/crates/placement/tests/room.rs
+++ b/crates/placement/tests/room.rs
@@ -42,8 +42,8 @@
 
 fn placer(now_ms: u64, start: Start) -> Placer {
     let settings = PlacerSettings {
-        ceiling_window: Duration::from_secs(5),
-        ceiling_overshoot: 1.1,
+        rate_limit_window: Duration::from_secs(5),
+        rate_limit_overshoot: 1.1,
         start,
         switched_off: SwitchedOff::default(),
     };
--- a/crates/placement/tests/support/check.rs
+++ b/crates/placement/tests/support/check.rs
@@ -35,7 +35,7 @@
         self.last_asked.insert(model.into(), now_ms);
     }
 
-    pub fn leaving(&mut self, now_ms: u64, order: &Order, endpoints: &[Endpoint]) {
+    pub fn order_sent(&mut self, now_ms: u64, order: &Order, endpoints: &[Endpoint]) {
         if self.open.insert(order.instance.to_string(), order.id.0).is_some() {
             self.broken.push(format!("{now_ms}: two orders at once to {}", order.instance));
         }
@@ -60,7 +60,7 @@
     }
 
     /// An order is about to be carried out.
-    pub fn carried_out(&mut self, now_ms: u64, order: &Order, endpoint: &Endpoint, runtime: &Runtime) {
+    pub fn order_executed(&mut self, now_ms: u64, order: &Order, endpoint: &Endpoint, runtime: &Runtime) {
         if order.operation == Operation::Evict {
             return;
         }
--- a/crates/placement/tests/support/simulation.rs
+++ b/crates/placement/tests/support/simulation.rs
@@ -107,8 +107,8 @@
 
 fn settings(start: Start, switched_off: SwitchedOff) -> PlacerSettings {
     PlacerSettings {
-        ceiling_window: Duration::from_millis(WINDOW_MS),
-        ceiling_overshoot: OVERSHOOT,
+        rate_limit_window: Duration::from_millis(WINDOW_MS),
+        rate_limit_overshoot: OVERSHOOT,
         start,
         switched_off,
     }
@@ -254,7 +254,7 @@
             digest.number(load.expected.as_nanos() as u64);
         }
         for endpoint in &self.endpoints {
-            if let Some(item) = self.placer.leaving(&endpoint.id()) {
+            if let Some(item) = self.placer.evicting(&endpoint.id()) {
                 digest.byte(5);
                 digest.bytes(endpoint.name.as_bytes());
                 record_item(digest, &item.model, item.adapter.as_deref());
@@ -263,7 +263,7 @@
     }
 
     fn order_leaves(&mut self, order: Order) {
-        self.checks.leaving(self.now_ms, &order, &self.endpoints);
+        self.checks.order_sent(self.now_ms, &order, &self.endpoints);
         self.orders.push((self.now_ms, order.clone()));
         if self.random.unit() < self.loss {
             let answer = Message::Answer(order.id, order.instance.to_string(), OrderAnswer::Unknown);
@@ -363,7 +363,7 @@
         };
         let status = self.endpoints[index].status_without_work(&order).unwrap_or(202);
         if status == 202 {
-            self.checks.carried_out(now_ms, &order, &self.endpoints[index], &self.runtime);
+            self.checks.order_executed(now_ms, &order, &self.endpoints[index], &self.runtime);
             self.take(index, &order);
         }
         self.conflicts += u64::from(status == 409);
@@ -386,7 +386,7 @@
             self.endpoints.iter().position(|endpoint| endpoint.up && endpoint.address == order.address);
         let Some(index) = found else { return };
         if self.endpoints[index].status_without_work(order).is_none() {
-            self.checks.carried_out(self.now_ms, order, &self.endpoints[index], &self.runtime);
+            self.checks.order_executed(self.now_ms, order, &self.endpoints[index], &self.runtime);
             self.take(index, order);
         }
     }
