--- a/crates/placement/src/adapter_placement.rs
+++ b/crates/placement/src/adapter_placement.rs
@@ -22,7 +22,7 @@
 
 /// An adapter that should get one more replica, on an endpoint that has its model resident.
 #[derive(Debug, Clone)]
-pub struct DesiredAdapter {
+pub(crate) struct DesiredAdapter {
     pub item: Item,
     pub priority: AdapterPriority,
     weight: f64,
@@ -30,7 +30,7 @@
 
 /// How urgently a replica is desired, the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum AdapterPriority {
+pub(crate) enum AdapterPriority {
     /// In demand and on no endpoint.
     First,
     /// Has fewer replicas than its demand needs.
@@ -41,7 +41,7 @@
 
 /// The endpoint chosen for a replica, and the adapter to be evicted there first.
 #[derive(Debug, Clone)]
-pub struct AdapterSite {
+pub(crate) struct AdapterSite {
     pub endpoint: Arc<str>,
     pub victim: Option<Item>,
 }
@@ -72,7 +72,7 @@
 }
 
 /// Plans the adapters of one planning round.
-pub struct AdapterPlanner<'a> {
+pub(crate) struct AdapterPlanner<'a> {
     replicas: HashMap<Item, ReplicaCount>,
     hosts: HashMap<Arc<str>, Hosts<'a>>,
     pub now: Duration,
@@ -84,7 +84,7 @@
 
 impl<'a> AdapterPlanner<'a> {
     /// Counts the replicas and hosts of all ready endpoints.
-    pub fn new(
+    pub(crate) fn new(
         view: &PlanningView,
         demand: &'a DemandTable,
         endpoints: &'a Endpoints,
@@ -121,7 +121,7 @@
     }
 
     /// The adapters that should get a replica, the most urgent first.
-    pub fn desired(&self) -> Vec<DesiredAdapter> {
+    pub(crate) fn desired(&self) -> Vec<DesiredAdapter> {
         let mut desired = Vec::new();
         for (model, rates) in &self.demand.models {
             let Some(hosts) = self.hosts.get(model).filter(|hosts| !hosts.free.is_empty()) else {
@@ -155,7 +155,7 @@
     }
 
     /// No longer counts a replica that is about to be evicted.
-    pub fn evicted(&mut self, victim: Option<&Item>) {
+    pub(crate) fn evicted(&mut self, victim: Option<&Item>) {
         let Some(replicas) = victim.and_then(|victim| self.replicas.get_mut(victim)) else { return };
         replicas.all = replicas.all.saturating_sub(1);
         replicas.serving = replicas.serving.saturating_sub(1);
@@ -168,7 +168,7 @@
 
     /// The best endpoint for another replica, apart from those excluded: a free slot before an eviction, then the
     /// highest rendezvous hash.
-    pub fn site(&self, desired: &DesiredAdapter, excluded: &[&Arc<str>]) -> Option<AdapterSite> {
+    pub(crate) fn site(&self, desired: &DesiredAdapter, excluded: &[&Arc<str>]) -> Option<AdapterSite> {
         let hosts = self.hosts.get(&desired.item.model)?;
         let open = hosts.free.iter().filter(|host| !excluded.contains(&&host.endpoint.id));
         let sites = open.filter_map(|host| self.score_site(desired, *host));
--- a/crates/placement/src/catalog.rs
+++ b/crates/placement/src/catalog.rs
@@ -8,7 +8,7 @@
 
 /// Size and load time of a model.
 #[derive(Debug, Clone)]
-pub struct ModelSpec {
+pub(crate) struct ModelSpec {
     pub name: Arc<str>,
     pub weights_mb: f64,
     pub load_time: Duration,
@@ -25,7 +25,7 @@
 
 /// The models that may be placed, and the limits of each endpoint.
 #[derive(Debug, Default)]
-pub struct Catalog {
+pub(crate) struct Catalog {
     models: BTreeMap<Arc<str>, ModelSpec>,
     /// Sizes that are counted, including those of models that an earlier configuration had.
     sizes: BTreeMap<Arc<str>, Sizes>,
@@ -40,7 +40,7 @@
 impl Catalog {
     /// Reads the runtime of a service. Where `before` has a larger size, that one is counted: the item may still be
     /// resident in its earlier form.
-    pub fn new(runtime: &Runtime, before: &Catalog) -> Catalog {
+    pub(crate) fn new(runtime: &Runtime, before: &Catalog) -> Catalog {
         let models: BTreeMap<Arc<str>, ModelSpec> = runtime
             .models
             .iter()
@@ -82,24 +82,24 @@
     }
 
     /// The model of that name, if it is configured.
-    pub fn get(&self, name: &str) -> Option<&ModelSpec> {
+    pub(crate) fn get(&self, name: &str) -> Option<&ModelSpec> {
         self.models.get(name)
     }
 
     /// Whether the model has such an adapter; adapters are named `a1`, `a2` and so on.
-    pub fn has_adapter(&self, model: &str, adapter: &str) -> bool {
+    pub(crate) fn has_adapter(&self, model: &str, adapter: &str) -> bool {
         let Some(spec) = self.models.get(model) else { return false };
         let number = adapter.strip_prefix('a').and_then(|digits| digits.parse::<u32>().ok());
         number.is_some_and(|number| (1..=spec.adapters).contains(&number))
     }
 
     /// The shared string of a model's name.
-    pub fn intern(&self, name: &str) -> Arc<str> {
+    pub(crate) fn intern(&self, name: &str) -> Arc<str> {
         self.models.get(name).map_or_else(|| Arc::from(name), |spec| spec.name.clone())
     }
 
     /// Memory that an item takes, MB. A model that was never configured may take all of an endpoint's.
-    pub fn size_mb(&self, item: &Item) -> f64 {
+    pub(crate) fn size_mb(&self, item: &Item) -> f64 {
         let sizes = self.sizes.get(&item.model);
         match item.adapter {
             None => sizes.map_or(self.capacity_mb.max(self.largest_model_mb), |sizes| sizes.weights_mb),
@@ -108,12 +108,12 @@
     }
 
     /// Time that a load of the model takes when the weight store is not congested.
-    pub fn load_time(&self, model: &str) -> Duration {
+    pub(crate) fn load_time(&self, model: &str) -> Duration {
         self.models.get(model).map_or(self.mean_load_time, |spec| spec.load_time)
     }
 
     /// Concurrent loads that sustain the permitted rate: the rate times the mean load time (Little's law).
-    pub fn sustained_concurrency(&self) -> f64 {
+    pub(crate) fn sustained_concurrency(&self) -> f64 {
         self.loads_per_s * self.mean_load_time.as_secs_f64()
     }
 }
--- a/crates/placement/src/contents.rs
+++ b/crates/placement/src/contents.rs
@@ -7,7 +7,7 @@
 
 /// A resident model with its adapters.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Resident {
+pub(crate) struct Resident {
     pub model: Arc<str>,
     pub adapters: Vec<Arc<str>>,
 }
@@ -32,18 +32,18 @@
 
 /// What is resident on an endpoint, each item once.
 #[derive(Debug, Clone, Default)]
-pub struct Contents {
+pub(crate) struct Contents {
     resident: Vec<Resident>,
 }
 
 impl Contents {
     /// Reads the listing of a registration or a report.
-    pub fn from_listing(models: &[ResidentModel], catalog: &Catalog) -> Contents {
+    pub(crate) fn from_listing(models: &[ResidentModel], catalog: &Catalog) -> Contents {
         Contents { resident: models.iter().map(|model| Resident::new(model, catalog)).collect() }
     }
 
     /// Whether a registration or a report lists exactly this, in any order.
-    pub fn matches_listing(&self, models: &[ResidentModel]) -> bool {
+    pub(crate) fn matches_listing(&self, models: &[ResidentModel]) -> bool {
         self.resident.len() == models.len()
             && models
                 .iter()
@@ -51,12 +51,12 @@
     }
 
     /// The models, each with its adapters.
-    pub fn models(&self) -> impl Iterator<Item = &Resident> {
+    pub(crate) fn models(&self) -> impl Iterator<Item = &Resident> {
         self.resident.iter()
     }
 
     /// Whether the item is resident.
-    pub fn contains(&self, item: &Item) -> bool {
+    pub(crate) fn contains(&self, item: &Item) -> bool {
         self.resident.iter().any(|resident| {
             resident.model == item.model
                 && item.adapter.as_ref().is_none_or(|adapter| resident.adapters.contains(adapter))
@@ -64,7 +64,7 @@
     }
 
     /// Every resident model and adapter.
-    pub fn items(&self) -> impl Iterator<Item = Item> + '_ {
+    pub(crate) fn items(&self) -> impl Iterator<Item = Item> + '_ {
         self.resident.iter().flat_map(|resident| {
             let adapters = resident.adapters.iter();
             let adapters = adapters.map(|adapter| Item::adapter(resident.model.clone(), adapter.clone()));
@@ -73,7 +73,7 @@
     }
 
     /// Adds an item that is missing; an adapter is added to its model.
-    pub fn add(&mut self, item: &Item) {
+    pub(crate) fn add(&mut self, item: &Item) {
         if self.contains(item) {
             return;
         }
@@ -87,7 +87,7 @@
     }
 
     /// Removes an item; a model is removed with its adapters.
-    pub fn remove(&mut self, item: &Item) {
+    pub(crate) fn remove(&mut self, item: &Item) {
         match &item.adapter {
             None => self.resident.retain(|resident| resident.model != item.model),
             Some(adapter) => {
@@ -98,18 +98,18 @@
     }
 
     /// Removes every item that `other` lacks.
-    pub fn retain_common(&mut self, other: &Contents) {
+    pub(crate) fn retain_common(&mut self, other: &Contents) {
         let missing: Vec<Item> = self.items().filter(|item| !other.contains(item)).collect();
         missing.iter().for_each(|item| self.remove(item));
     }
 
     /// Memory taken, MB.
-    pub fn used_mb(&self, catalog: &Catalog) -> f64 {
+    pub(crate) fn used_mb(&self, catalog: &Catalog) -> f64 {
         self.items().map(|item| catalog.size_mb(&item)).sum()
     }
 
     /// Number of adapters.
-    pub fn adapters(&self) -> usize {
+    pub(crate) fn adapters(&self) -> usize {
         self.resident.iter().map(|resident| resident.adapters.len()).sum()
     }
 }
--- a/crates/placement/src/demand_rate.rs
+++ b/crates/placement/src/demand_rate.rs
@@ -42,14 +42,14 @@
 
 /// The interval in which a rate lies, requests/s.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct RateInterval {
+pub(crate) struct RateInterval {
     pub low: f64,
     pub high: f64,
 }
 
 /// Smoothed rates of one item.
 #[derive(Debug, Clone, Copy)]
-pub struct DemandRates {
+pub(crate) struct DemandRates {
     observed_since: Duration,
     updated: Duration,
     recent_rate: f64,
@@ -88,28 +88,28 @@
     }
 
     /// Recent rate, requests/s.
-    pub fn recent_rate(&self, now: Duration) -> f64 {
+    pub(crate) fn recent_rate(&self, now: Duration) -> f64 {
         self.decayed(now, self.recent_rate, RECENT_S)
     }
 
     /// Long-term rate, requests/s.
-    pub fn long_term_rate(&self, now: Duration) -> f64 {
+    pub(crate) fn long_term_rate(&self, now: Duration) -> f64 {
         self.decayed(now, self.long_term_rate, LONG_TERM_S)
     }
 
     /// Rate that is still expected after the gap since the last request, requests/s.
-    pub fn expected_rate(&self, now: Duration) -> f64 {
+    pub(crate) fn expected_rate(&self, now: Duration) -> f64 {
         let gap = now.saturating_sub(self.last_request).as_secs_f64();
         self.long_term_rate(now).min(GAP_REQUESTS / gap.max(0.1))
     }
 
     /// Work of the mean request, tokens.
-    pub fn mean_work(&self) -> f64 {
+    pub(crate) fn mean_work(&self) -> f64 {
         if self.long_term_rate > 0.0 { self.long_term_work / self.long_term_rate } else { REQUEST_WORK }
     }
 
     /// The interval in which the rate lies now, from the standard deviation of a Poisson count.
-    pub fn estimate(&self, now: Duration) -> RateInterval {
+    pub(crate) fn estimate(&self, now: Duration) -> RateInterval {
         let recent_rate = self.recent_rate(now);
         let long_term_rate = self.long_term_rate(now);
         // The long-term rate does not hold up the lower bound of a rate that has fallen.
@@ -118,7 +118,7 @@
     }
 
     /// Whether requests are arriving.
-    pub fn in_demand(&self, now: Duration) -> bool {
+    pub(crate) fn in_demand(&self, now: Duration) -> bool {
         let gap = now.saturating_sub(self.last_request);
         if gap < DEMAND_TIMEOUT {
             return true;
@@ -128,7 +128,7 @@
     }
 
     /// Whether a recent request found no endpoint.
-    pub fn urgent(&self, now: Duration) -> bool {
+    pub(crate) fn urgent(&self, now: Duration) -> bool {
         self.last_unplaced.is_some_and(|last| now.saturating_sub(last) < URGENT_FOR)
     }
 }
@@ -150,14 +150,14 @@
 
 /// Rates of a model and of its requested adapters.
 #[derive(Debug)]
-pub struct ModelDemandRates {
+pub(crate) struct ModelDemandRates {
     pub total: DemandRates,
     pub adapters: BTreeMap<Arc<str>, DemandRates>,
 }
 
 /// Rates of everything that was requested lately.
 #[derive(Debug, Default)]
-pub struct DemandTable {
+pub(crate) struct DemandTable {
     observed_since: Option<Duration>,
     pub models: BTreeMap<Arc<str>, ModelDemandRates>,
 }
@@ -165,7 +165,7 @@
 impl DemandTable {
     /// Adds a report. `name` gives the shared string of a model's name, or `None` for an unknown model or adapter.
     /// Returns whether a request found no endpoint.
-    pub fn add(
+    pub(crate) fn add(
         &mut self,
         now: Duration,
         report: &DemandReport,
@@ -199,12 +199,12 @@
     }
 
     /// Whether demand was observed long enough to conclude that what was not requested is not in demand.
-    pub fn is_established(&self, now: Duration) -> bool {
+    pub(crate) fn is_established(&self, now: Duration) -> bool {
         self.observed_since.is_some_and(|observed_since| now >= observed_since + ESTABLISHED_AFTER)
     }
 
     /// Removes items without a request for a long time.
-    pub fn expire(&mut self, now: Duration) {
+    pub(crate) fn expire(&mut self, now: Duration) {
         let kept = |rates: &DemandRates| now.saturating_sub(rates.last_request) < EXPIRY;
         self.models.retain(|_, rates| kept(&rates.total));
         for rates in self.models.values_mut() {
--- a/crates/placement/src/drain_time.rs
+++ b/crates/placement/src/drain_time.rs
@@ -19,7 +19,7 @@
 
 /// Moving average of the eviction times of busy models.
 #[derive(Debug, Clone, Copy)]
-pub struct DrainTimeEstimate {
+pub(crate) struct DrainTimeEstimate {
     busy_s: f64,
 }
 
@@ -31,7 +31,7 @@
 
 impl DrainTimeEstimate {
     /// Records that the eviction of a model with `rate` requests/s at the endpoint took `duration`.
-    pub fn observe(&mut self, rate: f64, duration: Duration) {
+    pub(crate) fn observe(&mut self, rate: f64, duration: Duration) {
         if rate >= BUSY_RATE {
             self.busy_s += GAIN * (duration.as_secs_f64().min(MAX_S) - self.busy_s);
         }
@@ -39,7 +39,7 @@
 
     /// Expected time, s, until a model with `rate` requests/s at the endpoint is evicted: that of a busy model, times
     /// the probability that a request arrived within that time.
-    pub fn expected_s(&self, rate: f64) -> f64 {
+    pub(crate) fn expected_s(&self, rate: f64) -> f64 {
         self.busy_s * (1.0 - (-rate.max(0.0) * self.busy_s).exp())
     }
 }
--- a/crates/placement/src/endpoint.rs
+++ b/crates/placement/src/endpoint.rs
@@ -28,7 +28,7 @@
 
 /// Memory that is being freed for a model.
 #[derive(Debug, Clone)]
-pub struct Reservation {
+pub(crate) struct Reservation {
     pub model: Arc<str>,
     /// Whether requests wait for the model.
     pub urgent: bool,
@@ -37,7 +37,7 @@
 
 /// Whether the contents are known. Only an endpoint with verified contents is given an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verification {
+pub(crate) enum Verification {
     /// The contents are those after `revision` accepted orders, the one in flight included.
     Verified { revision: u64 },
     /// A report is requested when there is an order to give, not before this time.
@@ -48,7 +48,7 @@
 
 /// One incarnation of an endpoint.
 #[derive(Debug)]
-pub struct Endpoint {
+pub(crate) struct Endpoint {
     pub id: Arc<str>,
     pub address: SocketAddr,
     pub zone: Arc<str>,
@@ -77,7 +77,7 @@
 
 impl Endpoint {
     /// An endpoint at its first registration with this placer.
-    pub fn new(now: Duration, instance: &Instance) -> Endpoint {
+    pub(crate) fn new(now: Duration, instance: &Instance) -> Endpoint {
         Endpoint {
             id: Arc::from(instance.id.as_str()),
             address: instance.address,
@@ -100,7 +100,7 @@
     }
 
     /// Applies a registration. Returns false if it is outdated or changes nothing.
-    pub fn register(&mut self, now: Duration, instance: &Instance, catalog: &Catalog) -> bool {
+    pub(crate) fn register(&mut self, now: Duration, instance: &Instance, catalog: &Catalog) -> bool {
         if self.sequence.is_some_and(|known| instance.sequence <= known) {
             return false;
         }
@@ -123,7 +123,7 @@
     }
 
     /// Sequence number of the newest registration.
-    pub fn sequence(&self) -> u64 {
+    pub(crate) fn sequence(&self) -> u64 {
         self.sequence.unwrap_or(0)
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// Sets the contents that the idle endpoint reported after `revision` orders.
-    pub fn verify(&mut self, now: Duration, contents: Contents, revision: u64) {
+    pub(crate) fn verify(&mut self, now: Duration, contents: Contents, revision: u64) {
         self.verification = Verification::Verified { revision };
         self.min_revision = revision;
         self.advertised.retain_common(&contents);
@@ -153,7 +153,7 @@
     }
 
     /// The endpoint accepted the order in flight. Its effect on the contents is applied when it is done.
-    pub fn order_accepted(&mut self, now: Duration) {
+    pub(crate) fn order_accepted(&mut self, now: Duration) {
         let next_heartbeat = self.registered + self.heartbeat_interval;
         let Some(order) = self.order.as_mut() else { return };
         order.accepted(now, next_heartbeat);
@@ -163,7 +163,7 @@
     }
 
     /// The order in flight is done: applies its effect.
-    pub fn finish_order(&mut self, now: Duration) -> Option<InFlightOrder> {
+    pub(crate) fn finish_order(&mut self, now: Duration) -> Option<InFlightOrder> {
         let order = self.order.take()?;
         match order.operation {
             Operation::Load => self.contents.add(&order.item),
@@ -178,7 +178,7 @@
     }
 
     /// The contents are no longer known; a report is requested before the next order, not before `not_before`.
-    pub fn invalidate(&mut self, not_before: Duration) {
+    pub(crate) fn invalidate(&mut self, not_before: Duration) {
         self.verification = Verification::Unverified { not_before };
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Number of orders that the endpoint has accepted, if its contents are verified.
-    pub fn revision(&self) -> Option<u64> {
+    pub(crate) fn revision(&self) -> Option<u64> {
         match self.verification {
             Verification::Verified { revision } => Some(revision),
             Verification::Unverified { .. } | Verification::Requested { .. } => None,
@@ -198,34 +198,34 @@
     }
 
     /// The item that the order in flight loads.
-    pub fn loading(&self) -> Option<&Item> {
+    pub(crate) fn loading(&self) -> Option<&Item> {
         let order = self.order.as_ref().filter(|order| order.operation == Operation::Load)?;
         Some(&order.item).filter(|item| !self.contents.contains(item))
     }
 
     /// The item that the order in flight evicts.
-    pub fn evicting(&self) -> Option<&Item> {
+    pub(crate) fn evicting(&self) -> Option<&Item> {
         let order = self.order.as_ref().filter(|order| order.operation == Operation::Evict)?;
         Some(&order.item)
     }
 
     /// Whether the item takes memory: resident, loading, or perhaps loading.
-    pub fn occupies(&self, item: &Item) -> bool {
+    pub(crate) fn occupies(&self, item: &Item) -> bool {
         self.contents.contains(item) || self.loading() == Some(item)
     }
 
     /// Whether requests for the model are served here and will be.
-    pub fn advertises_model(&self, model: &Arc<str>) -> bool {
+    pub(crate) fn advertises_model(&self, model: &Arc<str>) -> bool {
         self.advertises(&Item::model(model.clone()))
     }
 
     /// Whether the item is resident or loading, and is not being evicted.
-    pub fn retains(&self, item: &Item) -> bool {
+    pub(crate) fn retains(&self, item: &Item) -> bool {
         self.occupies(item) && !self.is_evicting(item)
     }
 
     /// Whether requests for the item are served here and will be.
-    pub fn advertises(&self, item: &Item) -> bool {
+    pub(crate) fn advertises(&self, item: &Item) -> bool {
         self.advertised.contains(item) && self.contents.contains(item) && !self.is_evicting(item)
     }
 
@@ -235,32 +235,32 @@
     }
 
     /// Every item that takes memory.
-    pub fn items(&self) -> impl Iterator<Item = Item> + '_ {
+    pub(crate) fn items(&self) -> impl Iterator<Item = Item> + '_ {
         self.contents.items().chain(self.loading().cloned())
     }
 
     /// Memory taken, MB.
-    pub fn used_mb(&self, catalog: &Catalog) -> f64 {
+    pub(crate) fn used_mb(&self, catalog: &Catalog) -> f64 {
         self.items().map(|item| catalog.size_mb(&item)).sum()
     }
 
     /// Free memory, MB; negative where more is resident than the configuration now allows.
-    pub fn free_mb(&self, catalog: &Catalog) -> f64 {
+    pub(crate) fn free_mb(&self, catalog: &Catalog) -> f64 {
         catalog.capacity_mb - self.used_mb(catalog)
     }
 
     /// Number of adapters that take a slot.
-    pub fn adapters(&self) -> usize {
+    pub(crate) fn adapters(&self) -> usize {
         self.items().filter(|item| !item.is_model()).count()
     }
 
     /// Whether an order may be given now, apart from verification.
-    pub fn accepts_orders(&self, now: Duration) -> bool {
+    pub(crate) fn accepts_orders(&self, now: Duration) -> bool {
         self.ready && self.order.is_none() && now >= self.not_before
     }
 
     /// Whether the newest registration shows the effect of the order in flight.
-    pub fn advertises_effect(&self) -> bool {
+    pub(crate) fn advertises_effect(&self) -> bool {
         let Some(order) = self.order.as_ref().filter(|order| order.stage != OrderStage::Sent) else {
             return false;
         };
@@ -268,19 +268,19 @@
     }
 
     /// Reserves the memory that is being freed here for a model.
-    pub fn reserve_for(&mut self, model: Arc<str>, urgent: bool, now: Duration) {
+    pub(crate) fn reserve_for(&mut self, model: Arc<str>, urgent: bool, now: Duration) {
         self.reservation = Some(Reservation { model, urgent, until: now + RESERVATION_DURATION });
     }
 
     /// Whether a load may use the memory of this endpoint: it is not reserved, or the load is urgent and the reserved
     /// one is not.
-    pub fn accepts_load(&self, urgent: bool, now: Duration) -> bool {
+    pub(crate) fn accepts_load(&self, urgent: bool, now: Duration) -> bool {
         let reservation = self.reservation.as_ref().filter(|reservation| now < reservation.until);
         reservation.is_none_or(|reservation| urgent && !reservation.urgent)
     }
 
     /// The model for which memory is being freed.
-    pub fn reserved_model(&self, now: Duration) -> Option<&Arc<str>> {
+    pub(crate) fn reserved_model(&self, now: Duration) -> Option<&Arc<str>> {
         self.reservation
             .as_ref()
             .filter(|reservation| now < reservation.until)
--- a/crates/placement/src/guard.rs
+++ b/crates/placement/src/guard.rs
@@ -25,13 +25,28 @@
     OrderPending(OrderId),
     /// The order names another revision than that of the known contents.
     #[error("the contents are known at revision {known}, the order names {expected}")]
-    WrongRevision { known: u64, expected: u64 },
+    WrongRevision {
+        /// Revision of the known contents.
+        known: u64,
+        /// Revision that the order names.
+        expected: u64,
+    },
     /// The load exceeds the endpoint's memory.
     #[error("{needed_mb} MB are needed, the capacity is {capacity_mb} MB")]
-    ExceedsCapacity { needed_mb: f64, capacity_mb: f64 },
+    ExceedsCapacity {
+        /// Memory taken after the load, MB.
+        needed_mb: f64,
+        /// Memory of the endpoint, MB.
+        capacity_mb: f64,
+    },
     /// The load exceeds the endpoint's number of adapters.
     #[error("{needed} adapters are needed, the limit is {limit}")]
-    ExceedsAdapterLimit { needed: usize, limit: usize },
+    ExceedsAdapterLimit {
+        /// Adapters after the load.
+        needed: usize,
+        /// Adapters that the endpoint may have.
+        limit: usize,
+    },
 }
 
 /// Orders that were blocked, by what they would have exceeded. All are zero unless the planner is wrong.
@@ -120,14 +135,14 @@
 
 /// Records of all endpoints of a service.
 #[derive(Debug, Default)]
-pub struct OrderGuard {
+pub(crate) struct OrderGuard {
     records: BTreeMap<Arc<str>, EndpointRecord>,
     violations: InvariantViolations,
 }
 
 impl OrderGuard {
     /// Orders that were blocked so far.
-    pub fn violations(&self) -> InvariantViolations {
+    pub(crate) fn violations(&self) -> InvariantViolations {
         self.violations
     }
 
@@ -135,7 +150,12 @@
     ///
     /// # Errors
     /// The limit that it would exceed; the violation is counted.
-    pub fn permit(&mut self, now: Duration, order: &Order, catalog: &Catalog) -> Result<(), Violation> {
+    pub(crate) fn permit(
+        &mut self,
+        now: Duration,
+        order: &Order,
+        catalog: &Catalog,
+    ) -> Result<(), Violation> {
         let record = self.records.entry(order.instance.clone()).or_default();
         if let Err(violation) = record.check(order, catalog) {
             self.violations.count(&violation);
@@ -147,7 +167,7 @@
     }
 
     /// Records the answer to an order, or that there will be none.
-    pub fn answered(&mut self, instance: &str, id: OrderId, answer: OrderAnswer) {
+    pub(crate) fn answered(&mut self, instance: &str, id: OrderId, answer: OrderAnswer) {
         let Some(record) = self.records.get_mut(instance) else { return };
         if record.open.as_ref().is_none_or(|open| open.id != id) {
             return;
@@ -164,7 +184,7 @@
     }
 
     /// Records a report, which shows the endpoint some hundred ms earlier.
-    pub fn reported(
+    pub(crate) fn reported(
         &mut self,
         now: Duration,
         instance: &Arc<str>,
@@ -179,7 +199,7 @@
     }
 
     /// Removes the record of an incarnation that has ended.
-    pub fn forget(&mut self, instance: &str) {
+    pub(crate) fn forget(&mut self, instance: &str) {
         self.records.remove(instance);
     }
 }
--- a/crates/placement/src/in_flight.rs
+++ b/crates/placement/src/in_flight.rs
@@ -30,7 +30,7 @@
 
 /// Stage of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderStage {
+pub(crate) enum OrderStage {
     /// Not answered yet.
     Sent,
     /// Accepted by the endpoint, and not known to be done.
@@ -41,7 +41,7 @@
 
 /// An order in flight to one endpoint.
 #[derive(Debug, Clone)]
-pub struct InFlightOrder {
+pub(crate) struct InFlightOrder {
     pub id: OrderId,
     pub operation: Operation,
     pub item: Item,
@@ -74,13 +74,13 @@
 
 /// From this time on, a report that does not count an order sent at `sent` proves that it was not accepted and never
 /// will be.
-pub fn known_lost_at(sent: Duration) -> Duration {
+pub(crate) fn known_lost_at(sent: Duration) -> Duration {
     sent + IN_FLIGHT + REPORT_LAG
 }
 
 impl InFlightOrder {
     /// An order that is sent now and should take `duration`.
-    pub fn new(order: &Order, now: Duration, duration: Duration) -> InFlightOrder {
+    pub(crate) fn new(order: &Order, now: Duration, duration: Duration) -> InFlightOrder {
         InFlightOrder {
             id: order.id,
             operation: order.operation,
@@ -98,7 +98,7 @@
     }
 
     /// The endpoint accepted the order; its next registration is due at `next_heartbeat`.
-    pub fn accepted(&mut self, now: Duration, next_heartbeat: Duration) {
+    pub(crate) fn accepted(&mut self, now: Duration, next_heartbeat: Duration) {
         self.stage = OrderStage::Accepted;
         self.poll_at = Some(match self.operation {
             Operation::Evict if self.urgent => eviction_poll(now, next_heartbeat),
@@ -108,35 +108,35 @@
     }
 
     /// The order will get no answer.
-    pub fn unacknowledged(&mut self, now: Duration) {
+    pub(crate) fn unacknowledged(&mut self, now: Duration) {
         self.stage = OrderStage::Unacknowledged;
         self.poll_at = Some(now.max(self.sent + IN_FLIGHT));
     }
 
     /// Polls the endpoint at that time.
-    pub fn poll_at(&mut self, at: Duration) {
+    pub(crate) fn poll_at(&mut self, at: Duration) {
         self.poll_at = Some(at);
     }
 
     /// From this time on, a report that does not count the order proves that it was not accepted.
-    pub fn known_lost_at(&self) -> Duration {
+    pub(crate) fn known_lost_at(&self) -> Duration {
         known_lost_at(self.sent)
     }
 
     /// The endpoint is polled now; schedules the next poll.
-    pub fn polled(&mut self, now: Duration) {
+    pub(crate) fn polled(&mut self, now: Duration) {
         self.polls += 1;
         let backoff = Duration::from_millis(500) * 2u32.pow(self.polls.min(5));
         self.poll_at = Some(now + backoff.min(MAX_POLL_BACKOFF));
     }
 
     /// Whether the order has not been answered yet.
-    pub fn is_unanswered(&self) -> bool {
+    pub(crate) fn is_unanswered(&self) -> bool {
         self.stage == OrderStage::Sent
     }
 
     /// Whether the order is presumed done without confirmation, as adapters load in some ms.
-    pub fn is_presumed_done(&self, now: Duration) -> bool {
+    pub(crate) fn is_presumed_done(&self, now: Duration) -> bool {
         self.stage == OrderStage::Accepted
             && self.operation == Operation::Load
             && !self.item.is_model()
@@ -144,7 +144,7 @@
     }
 
     /// When the order next needs attention.
-    pub fn next_wake(&self) -> Option<Duration> {
+    pub(crate) fn next_wake(&self) -> Option<Duration> {
         let quick =
             self.stage == OrderStage::Accepted && self.operation == Operation::Load && !self.item.is_model();
         if quick { Some(self.sent + ADAPTER_LOAD_TIME) } else { self.poll_at }
--- a/crates/placement/src/interface.rs
+++ b/crates/placement/src/interface.rs
@@ -13,7 +13,9 @@
 /// A model, or one adapter of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Item {
+    /// Name of the model.
     pub model: Arc<str>,
+    /// Name of the adapter; none for the model itself.
     pub adapter: Option<Arc<str>>,
 }
 
@@ -38,18 +40,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Operation {
+    /// Load a model or an adapter.
     Load,
+    /// Evict a model or an adapter.
     Evict,
 }
 
 /// An order to one incarnation of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
+    /// Number of the order.
     pub id: OrderId,
+    /// Id of the incarnation.
     pub instance: Arc<str>,
+    /// Address to which the order is sent.
     pub address: SocketAddr,
+    /// What the order does.
     pub operation: Operation,
+    /// Name of the model.
     pub model: Arc<str>,
+    /// Name of the adapter; none if the order is about the model itself.
     pub adapter: Option<Arc<str>>,
     /// Number of orders that the endpoint must have accepted so far (its revision). The endpoint refuses the order at
     /// any other, so it is executed only on the contents it was planned for.
@@ -69,7 +79,12 @@
     /// Send this order, and pass its answer to `order_answered`.
     Order(Order),
     /// Request a report from the endpoint, and pass it to `report`.
-    RequestReport { instance: Arc<str>, address: SocketAddr },
+    RequestReport {
+        /// Id of the incarnation.
+        instance: Arc<str>,
+        /// Address to which the request is sent.
+        address: SocketAddr,
+    },
 }
 
 /// The answer of an endpoint to an order.
@@ -113,8 +128,10 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct EndpointReport {
+    /// What the engine is doing; absent for endpoints without engines.
     #[serde(default)]
     pub phase: Option<String>,
+    /// Resident models with their adapters.
     #[serde(default)]
     pub models: Vec<ResidentModel>,
     /// Whether an order is being executed.
@@ -123,14 +140,19 @@
     /// Orders accepted since the endpoint started (its revision).
     #[serde(default)]
     pub sequence: u64,
+    /// Requests that wait in the engine.
     #[serde(default)]
     pub queued: u32,
+    /// Requests that run.
     #[serde(default)]
     pub active: u32,
+    /// Used part of the KV cache, tokens.
     #[serde(default)]
     pub kv_used: f64,
+    /// Size of the KV cache, tokens.
     #[serde(default)]
     pub kv_capacity: f64,
+    /// `Handles` of the engine; the placer does not use it.
     #[serde(default)]
     pub handles: u32,
 }
@@ -138,7 +160,9 @@
 /// A load that an endpoint has accepted, or may have accepted, and does not advertise yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PendingLoad {
+    /// Id of the incarnation.
     pub instance: Arc<str>,
+    /// What is loaded.
     pub item: Item,
     /// When the load should be done.
     pub expected: Duration,
--- a/crates/placement/src/load_limiter.rs
+++ b/crates/placement/src/load_limiter.rs
@@ -31,7 +31,7 @@
 
 /// Rate and concurrency limiter of loads from the weight store.
 #[derive(Debug)]
-pub struct LoadLimiter {
+pub(crate) struct LoadLimiter {
     window: Duration,
     overshoot: f64,
     loads_per_s: f64,
@@ -45,7 +45,7 @@
 
 impl LoadLimiter {
     /// A limiter that allows nothing until `set_limits`.
-    pub fn new(window: Duration, overshoot: f64, assumed_until: Duration) -> LoadLimiter {
+    pub(crate) fn new(window: Duration, overshoot: f64, assumed_until: Duration) -> LoadLimiter {
         LoadLimiter {
             window,
             overshoot,
@@ -59,17 +59,17 @@
     }
 
     /// Until when the loads of a predecessor are assumed to fill the window.
-    pub fn assumed_until(&self) -> Duration {
+    pub(crate) fn assumed_until(&self) -> Duration {
         self.assumed_until
     }
 
     /// Sets until when that is assumed.
-    pub fn assume_until(&mut self, until: Duration) {
+    pub(crate) fn assume_until(&mut self, until: Duration) {
         self.assumed_until = until;
     }
 
     /// Sets the permitted rate, loads/s, and the concurrency that sustains it.
-    pub fn set_limits(&mut self, loads_per_s: f64, max_concurrency: f64) {
+    pub(crate) fn set_limits(&mut self, loads_per_s: f64, max_concurrency: f64) {
         self.loads_per_s = loads_per_s;
         self.max_concurrency = max_concurrency.ceil().max(MIN_CONCURRENCY);
         self.concurrency = self.max_concurrency;
@@ -77,7 +77,7 @@
 
     /// Loads that may start now, leaving `reserve` of the window's for more urgent ones, and allowing `extra` beyond
     /// the concurrency limit.
-    pub fn available(&mut self, now: Duration, reserve: usize, extra: usize) -> usize {
+    pub(crate) fn available(&mut self, now: Duration, reserve: usize, extra: usize) -> usize {
         self.expire(now);
         let window = self.limit(now).saturating_sub(self.loads.len() + reserve);
         let concurrency = (self.concurrency as usize + extra).saturating_sub(self.active.len());
@@ -85,7 +85,7 @@
     }
 
     /// Used fraction of the window.
-    pub fn utilization(&mut self, now: Duration) -> f64 {
+    pub(crate) fn utilization(&mut self, now: Duration) -> f64 {
         self.expire(now);
         if now < self.assumed_until {
             return 1.0;
@@ -94,7 +94,7 @@
     }
 
     /// When the next load may start, if only time is needed for that.
-    pub fn next_free(&self, now: Duration) -> Option<Duration> {
+    pub(crate) fn next_free(&self, now: Duration) -> Option<Duration> {
         let oldest = self.loads.iter().filter_map(|load| load.accepted_at).min();
         let assumed = (now < self.assumed_until).then_some(self.assumed_until);
         let window_frees = oldest.map(|accepted_at| accepted_at + self.window);
@@ -103,13 +103,13 @@
     }
 
     /// A load was ordered that should be done at `until`.
-    pub fn start(&mut self, order: OrderId, until: Duration) {
+    pub(crate) fn start(&mut self, order: OrderId, until: Duration) {
         self.loads.push(WindowedLoad { order, accepted_at: None });
         self.active.push(ActiveLoad { order, until });
     }
 
     /// The load was accepted no later than now.
-    pub fn accepted(&mut self, order: OrderId, now: Duration) {
+    pub(crate) fn accepted(&mut self, order: OrderId, now: Duration) {
         if let Some(load) =
             self.loads.iter_mut().find(|load| load.order == order && load.accepted_at.is_none())
         {
@@ -118,19 +118,19 @@
     }
 
     /// The load was not accepted and never will be.
-    pub fn cancel(&mut self, order: OrderId) {
+    pub(crate) fn cancel(&mut self, order: OrderId) {
         self.loads.retain(|load| load.order != order);
         self.active.retain(|load| load.order != order);
     }
 
     /// The load is done, or its endpoint is gone.
-    pub fn finish(&mut self, order: OrderId, now: Duration) {
+    pub(crate) fn finish(&mut self, order: OrderId, now: Duration) {
         self.accepted(order, now);
         self.active.retain(|load| load.order != order);
     }
 
     /// Adapts the concurrency limit: a load took at least `least`, where `expected` was expected.
-    pub fn observe(&mut self, least: Duration, expected: Duration) {
+    pub(crate) fn observe(&mut self, least: Duration, expected: Duration) {
         if least.as_secs_f64() > expected.as_secs_f64() * SLOW_LOAD {
             self.concurrency = (self.concurrency - 1.0).max(MIN_CONCURRENCY);
         } else {
--- a/crates/placement/src/model_placement.rs
+++ b/crates/placement/src/model_placement.rs
@@ -44,14 +44,14 @@
 
 /// The endpoint chosen for a replica, and the model to be evicted there first.
 #[derive(Debug, Clone)]
-pub struct Site {
+pub(crate) struct Site {
     pub endpoint: Arc<str>,
     pub victim: Option<Arc<str>>,
 }
 
 /// A model that should get one more replica.
 #[derive(Debug, Clone)]
-pub struct DesiredReplica {
+pub(crate) struct DesiredReplica {
     pub model: Arc<str>,
     pub priority: Priority,
     status: ModelStatus,
@@ -59,7 +59,7 @@
 
 /// How urgently a replica is desired, the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Priority {
+pub(crate) enum Priority {
     /// Requests find no endpoint.
     Unplaced,
     /// On no endpoint, and in demand.
@@ -83,13 +83,13 @@
     }
 
     /// Whether requests wait for the load.
-    pub fn urgent(self) -> bool {
+    pub(crate) fn urgent(self) -> bool {
         self <= Priority::Underprovisioned
     }
 }
 
 /// The models that should get a replica, the most urgent first.
-pub fn desired_replicas(view: &PlanningView) -> Vec<DesiredReplica> {
+pub(crate) fn desired_replicas(view: &PlanningView) -> Vec<DesiredReplica> {
     let mut desired_replicas: Vec<DesiredReplica> =
         view.models.iter().filter_map(|(model, status)| desired_replica(model, status)).collect();
     desired_replicas.retain(|desired| {
@@ -101,7 +101,7 @@
 }
 
 /// Whether the model should get one more replica, and how urgently.
-pub fn desired_replica(model: &Arc<str>, status: &ModelStatus) -> Option<DesiredReplica> {
+pub(crate) fn desired_replica(model: &Arc<str>, status: &ModelStatus) -> Option<DesiredReplica> {
     let priority = match status.replicas {
         0 if status.urgent => Priority::Unplaced,
         0 if status.in_demand => Priority::First,
@@ -115,7 +115,7 @@
 
 impl DesiredReplica {
     /// A replica whose endpoint has been chosen and reserved already, and is counted in `status`.
-    pub fn at_reserved_site(model: Arc<str>, status: ModelStatus) -> DesiredReplica {
+    pub(crate) fn at_reserved_site(model: Arc<str>, status: ModelStatus) -> DesiredReplica {
         let priority = match status.replicas {
             0..=1 if status.urgent => Priority::Unplaced,
             0..=1 if status.in_demand => Priority::First,
@@ -141,7 +141,7 @@
     }
 
     /// The endpoint with the lowest cost for another replica.
-    pub fn site(
+    pub(crate) fn site(
         &self,
         view: &PlanningView,
         endpoints: &Endpoints,
@@ -185,7 +185,7 @@
     }
 
     /// What to evict from an endpoint to free `missing` MB, the cheapest first; `None` if that is not possible.
-    pub fn victims(
+    pub(crate) fn victims(
         &self,
         view: &PlanningView,
         endpoint: &Endpoint,
@@ -247,9 +247,10 @@
         }
         if other.in_demand {
             let remaining = other.replicas - 1;
-            let missed = match view.switched_off.leaves(Mechanism::NeededCopies) {
-                true => other.served_by_next_replica(remaining),
-                false => 0.0,
+            let missed = if view.switched_off.leaves(Mechanism::NeededCopies) {
+                other.served_by_next_replica(remaining)
+            } else {
+                0.0
             };
             let cost = SPARE_COST * other.relief(remaining) + MISS_COST * missed;
             return (other.replicas >= 2 && self.priority.urgent() && cost <= self.gain()).then_some(cost);
@@ -263,7 +264,7 @@
 
 /// A replica that may be evicted.
 #[derive(Debug)]
-pub struct Victim {
+pub(crate) struct Victim {
     pub model: Arc<str>,
     cost: f64,
     freed_mb: f64,
@@ -276,13 +277,13 @@
 }
 
 /// Rendezvous hash of an endpoint for an item: stable as other endpoints come and go.
-pub fn rendezvous(seed: u64, model: &str, adapter: &str, endpoint: &str) -> u64 {
+pub(crate) fn rendezvous(seed: u64, model: &str, adapter: &str, endpoint: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     (seed, model, adapter, endpoint).hash(&mut hasher);
     hasher.finish()
 }
 
 /// Expected time of a load, with an allowance for requests that run on the endpoint.
-pub fn expected_load_time(catalog: &Catalog, model: &str) -> Duration {
+pub(crate) fn expected_load_time(catalog: &Catalog, model: &str) -> Duration {
     catalog.load_time(model).mul_f64(1.2) + Duration::from_millis(100)
 }
--- a/crates/placement/src/order_log.rs
+++ b/crates/placement/src/order_log.rs
@@ -19,7 +19,7 @@
 }
 
 /// Memory and adapters that are counted at an endpoint, for the log.
-pub struct EndpointState<'a> {
+pub(crate) struct EndpointState<'a> {
     pub endpoint: &'a Endpoint,
     pub catalog: &'a Catalog,
 }
@@ -72,7 +72,7 @@
 }
 
 /// An order is sent.
-pub fn sent(now: Duration, order: &Order, state: &EndpointState) {
+pub(crate) fn sent(now: Duration, order: &Order, state: &EndpointState) {
     log::info!(
         "order sent time={:.3} order={} instance={} operation={:?} item={} if_revision={} {state}",
         now.as_secs_f64(),
@@ -85,13 +85,13 @@
 }
 
 /// An order was answered.
-pub fn answered(now: Duration, id: OrderId, instance: &str, answer: OrderAnswer) {
+pub(crate) fn answered(now: Duration, id: OrderId, instance: &str, answer: OrderAnswer) {
     let time = now.as_secs_f64();
     log::info!("order answered time={time:.3} order={} instance={instance} answer={answer:?}", id.0);
 }
 
 /// An order has ended.
-pub fn closed(now: Duration, instance: &str, order: &InFlightOrder) {
+pub(crate) fn closed(now: Duration, instance: &str, order: &InFlightOrder) {
     log::info!(
         "order closed time={:.3} order={} instance={instance} operation={:?} item={} stage={:?} sent={:.3}",
         now.as_secs_f64(),
@@ -104,7 +104,7 @@
 }
 
 /// An endpoint reported.
-pub fn reported(now: Duration, instance: &str, report: &EndpointReport) {
+pub(crate) fn reported(now: Duration, instance: &str, report: &EndpointReport) {
     log::info!(
         "report received time={:.3} instance={instance} busy={} revision={} models=[{}]",
         now.as_secs_f64(),
@@ -115,7 +115,7 @@
 }
 
 /// A registration changed what is known.
-pub fn registered(now: Duration, instance: &Instance) {
+pub(crate) fn registered(now: Duration, instance: &Instance) {
     log::info!(
         "registration applied time={:.3} sequence={} instance={} address={} state={:?} models=[{}]",
         now.as_secs_f64(),
--- a/crates/placement/src/planning_view.rs
+++ b/crates/placement/src/planning_view.rs
@@ -14,11 +14,11 @@
 const FULL_LOAD: f64 = 2.0;
 
 /// The endpoints of a service by their ids.
-pub type Endpoints = BTreeMap<Arc<str>, Endpoint>;
+pub(crate) type Endpoints = BTreeMap<Arc<str>, Endpoint>;
 
 /// Demand and replicas of a model.
 #[derive(Debug, Default, Clone)]
-pub struct ModelStatus {
+pub(crate) struct ModelStatus {
     pub target: ReplicaTarget,
     /// Endpoints that its recent demand would fill if all work were spread evenly.
     pub endpoints_needed: f64,
@@ -40,29 +40,29 @@
 
 impl ModelStatus {
     /// Work of one replica, tokens/s.
-    pub fn work_per_replica(&self) -> f64 {
+    pub(crate) fn work_per_replica(&self) -> f64 {
         self.work / self.replicas.max(1) as f64
     }
 
     /// Requests/s at each endpoint that advertises it.
-    pub fn rate_per_replica(&self) -> f64 {
+    pub(crate) fn rate_per_replica(&self) -> f64 {
         self.recent_rate / self.serving.max(1) as f64
     }
 
     /// Requests/s beyond what `replicas` can serve. Engines are seldom full: a replica serves twice the work of an
     /// even share, and requests beyond that wait too long.
-    pub fn unserved(&self, replicas: usize) -> f64 {
+    pub(crate) fn unserved(&self, replicas: usize) -> f64 {
         let needed = (self.endpoints_needed / FULL_LOAD).max(1.0);
         self.recent_rate * (1.0 - replicas as f64 / needed).max(0.0)
     }
 
     /// Requests/s that one more replica than `replicas` serves and that would otherwise wait too long.
-    pub fn served_by_next_replica(&self, replicas: usize) -> f64 {
+    pub(crate) fn served_by_next_replica(&self, replicas: usize) -> f64 {
         self.unserved(replicas) - self.unserved(replicas + 1)
     }
 
     /// Requests/s that one more replica than `replicas` takes from each of the others.
-    pub fn relief(&self, replicas: usize) -> f64 {
+    pub(crate) fn relief(&self, replicas: usize) -> f64 {
         let replicas = replicas.max(1) as f64;
         self.recent_rate / (replicas * (replicas + 1.0))
     }
@@ -70,7 +70,7 @@
 
 /// The state of the service in one planning round; it is updated as orders are sent.
 #[derive(Debug)]
-pub struct PlanningView {
+pub(crate) struct PlanningView {
     pub now: Duration,
     pub fleet: FleetLoad,
     /// Estimate of how long evictions take.
@@ -86,7 +86,7 @@
 
 /// An endpoint that accepts orders, as it is at the start of the round.
 #[derive(Debug)]
-pub struct AvailableEndpoint {
+pub(crate) struct AvailableEndpoint {
     pub endpoint: Arc<str>,
     pub free_mb: f64,
     /// Its work, as a multiple of an even share.
@@ -95,7 +95,7 @@
 
 impl PlanningView {
     /// The state of the service now.
-    pub fn new(
+    pub(crate) fn new(
         now: Duration,
         demand: &DemandTable,
         endpoints: &Endpoints,
@@ -172,14 +172,14 @@
     }
 
     /// Counts a replica that was ordered or for which memory is being freed.
-    pub fn add_replica(&mut self, model: &Arc<str>, zone: &Arc<str>) {
+    pub(crate) fn add_replica(&mut self, model: &Arc<str>, zone: &Arc<str>) {
         let status = self.models.entry(model.clone()).or_default();
         status.replicas += 1;
         *status.zones.entry(zone.clone()).or_default() += 1;
     }
 
     /// No longer counts a replica whose eviction was ordered.
-    pub fn evict_replica(&mut self, model: &Arc<str>, zone: &Arc<str>) {
+    pub(crate) fn evict_replica(&mut self, model: &Arc<str>, zone: &Arc<str>) {
         self.remove_replica(model, zone);
         if let Some(status) = self.models.get_mut(model) {
             status.serving = status.serving.saturating_sub(1);
@@ -187,7 +187,7 @@
     }
 
     /// No longer counts a replica for which memory was to be freed.
-    pub fn remove_replica(&mut self, model: &Arc<str>, zone: &Arc<str>) {
+    pub(crate) fn remove_replica(&mut self, model: &Arc<str>, zone: &Arc<str>) {
         let Some(status) = self.models.get_mut(model) else { return };
         status.replicas = status.replicas.saturating_sub(1);
         if let Some(replicas) = status.zones.get_mut(zone) {
@@ -196,7 +196,7 @@
     }
 
     /// The status of a model; one that was not requested has no demand.
-    pub fn status(&self, model: &str) -> ModelStatus {
+    pub(crate) fn status(&self, model: &str) -> ModelStatus {
         self.models.get(model).cloned().unwrap_or_default()
     }
 
--- a/crates/placement/src/replica_target.rs
+++ b/crates/placement/src/replica_target.rs
@@ -14,7 +14,7 @@
 
 /// Range of the number of replicas of an item.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ReplicaTarget {
+pub(crate) struct ReplicaTarget {
     /// Below this, replicas are ordered.
     pub minimum: usize,
     /// Above this, replicas may be evicted for other items.
@@ -23,7 +23,7 @@
 
 /// The work of a service, and the endpoints over which it can be spread.
 #[derive(Debug, Clone, Copy)]
-pub struct FleetLoad {
+pub(crate) struct FleetLoad {
     pub endpoints: usize,
     /// Work of all demand, tokens/s.
     pub work: f64,
@@ -31,7 +31,7 @@
 
 impl FleetLoad {
     /// Target of an item that can be on at most `endpoints` endpoints.
-    pub fn target(&self, rates: &DemandRates, endpoints: usize, now: Duration) -> ReplicaTarget {
+    pub(crate) fn target(&self, rates: &DemandRates, endpoints: usize, now: Duration) -> ReplicaTarget {
         if !rates.in_demand(now) || endpoints == 0 {
             return ReplicaTarget::default();
         }
@@ -43,7 +43,7 @@
     }
 
     /// Endpoints that `rate` requests/s of `work` tokens each would fill if all work were spread evenly.
-    pub fn endpoints_for(&self, rate: f64, work: f64) -> f64 {
+    pub(crate) fn endpoints_for(&self, rate: f64, work: f64) -> f64 {
         if self.work > 0.0 { rate * work * self.endpoints as f64 / self.work } else { 0.0 }
     }
 
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -20,6 +20,7 @@
     pub rate_limit_window: Duration,
     /// Factor by which the loads of a window may exceed the permitted rate.
     pub rate_limit_overshoot: f64,
+    /// How this placer starts.
     pub start: Start,
     /// Mechanisms that are switched off.
     pub switched_off: SwitchedOff,
--- a/crates/placement/tests/support/check.rs
+++ b/crates/placement/tests/support/check.rs
@@ -6,10 +6,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Window of the ceiling, ms.
-pub const WINDOW_MS: u64 = 5_000;
+pub(crate) const WINDOW_MS: u64 = 5_000;
 
 /// Overshoot of the ceiling.
-pub const OVERSHOOT: f64 = 1.1;
+pub(crate) const OVERSHOOT: f64 = 1.1;
 
 /// A model asked for within this may not lose its last copy, ms; a report is up to a second late.
 const WANTED_MS: u64 = 2_500;
@@ -18,7 +18,7 @@
 const CALM_MS: u64 = 6_000;
 
 #[derive(Default)]
-pub struct Checks {
+pub(crate) struct Checks {
     pub store_loads: Vec<u64>,
     pub open: BTreeMap<String, u64>,
     pub last_asked: BTreeMap<String, u64>,
@@ -31,11 +31,11 @@
 }
 
 impl Checks {
-    pub fn asked(&mut self, now_ms: u64, model: &str) {
+    pub(crate) fn asked(&mut self, now_ms: u64, model: &str) {
         self.last_asked.insert(model.into(), now_ms);
     }
 
-    pub fn order_sent(&mut self, now_ms: u64, order: &Order, endpoints: &[Endpoint]) {
+    pub(crate) fn order_sent(&mut self, now_ms: u64, order: &Order, endpoints: &[Endpoint]) {
         if self.open.insert(order.instance.to_string(), order.id.0).is_some() {
             self.broken.push(format!("{now_ms}: two orders at once to {}", order.instance));
         }
@@ -60,7 +60,13 @@
     }
 
     /// An order is about to be carried out.
-    pub fn order_executed(&mut self, now_ms: u64, order: &Order, endpoint: &Endpoint, runtime: &Runtime) {
+    pub(crate) fn order_executed(
+        &mut self,
+        now_ms: u64,
+        order: &Order,
+        endpoint: &Endpoint,
+        runtime: &Runtime,
+    ) {
         if order.operation == Operation::Evict {
             return;
         }
@@ -87,20 +93,20 @@
     }
 
     /// The placer held orders back that would have broken a limit: it planned them by mistake.
-    pub fn held_back(&mut self, now_ms: u64, violations: InvariantViolations) {
+    pub(crate) fn held_back(&mut self, now_ms: u64, violations: InvariantViolations) {
         if violations.total() > 0 {
             self.broken.push(format!("{now_ms}: {violations:?}"));
         }
     }
 
     /// No more than one order of a fleet's endpoints may be open for each; called when one is settled.
-    pub fn settled(&mut self, instance: &str, order: u64) {
+    pub(crate) fn settled(&mut self, instance: &str, order: u64) {
         if self.open.get(instance) == Some(&order) {
             self.open.remove(instance);
         }
     }
 
-    pub fn loading(&mut self, endpoints: &[Endpoint]) {
+    pub(crate) fn loading(&mut self, endpoints: &[Endpoint]) {
         let loading = endpoints.iter().filter(|endpoint| {
             endpoint.work.as_ref().is_some_and(|work| {
                 work.operation == Operation::Load
--- a/crates/placement/tests/support/digest.rs
+++ b/crates/placement/tests/support/digest.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 /// FNV-1a, 64 bits, over bytes that the caller encodes by hand.
-pub struct Digest(u64);
+pub(crate) struct Digest(u64);
 
 impl Default for Digest {
     fn default() -> Digest {
@@ -13,28 +13,28 @@
 }
 
 impl Digest {
-    pub fn byte(&mut self, byte: u8) {
+    pub(crate) fn byte(&mut self, byte: u8) {
         self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01B3);
     }
 
     /// The bytes with their length before them.
-    pub fn bytes(&mut self, bytes: &[u8]) {
+    pub(crate) fn bytes(&mut self, bytes: &[u8]) {
         self.number(bytes.len() as u64);
         bytes.iter().for_each(|byte| self.byte(*byte));
     }
 
     /// Eight bytes, little-endian.
-    pub fn number(&mut self, number: u64) {
+    pub(crate) fn number(&mut self, number: u64) {
         number.to_le_bytes().into_iter().for_each(|byte| self.byte(byte));
     }
 
-    pub fn finish(&self) -> u64 {
+    pub(crate) fn finish(&self) -> u64 {
         self.0
     }
 }
 
 /// Compares the digests of seeds 0, 1, 2, ... with those in a file; with `UPDATE_DIGESTS=1` the file is written instead.
-pub fn compare(file: &Path, digests: &[u64]) {
+pub(crate) fn compare(file: &Path, digests: &[u64]) {
     let mut text = String::new();
     for (seed, digest) in digests.iter().enumerate() {
         writeln!(text, "{seed} {digest:016x}").expect("a string can be written to");
--- a/crates/placement/tests/support/fleet.rs
+++ b/crates/placement/tests/support/fleet.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 /// What an order does to an endpoint, and when it is over.
-pub struct Work {
+pub(crate) struct Work {
     pub operation: Operation,
     pub model: String,
     pub adapter: Option<String>,
@@ -16,14 +16,14 @@
 
 /// What does not pass between an endpoint and the controllers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cut {
+pub(crate) enum Cut {
     /// Heartbeats, which stand still on their way.
     Beats,
     /// Heartbeats, orders and questions.
     All,
 }
 
-pub struct Endpoint {
+pub(crate) struct Endpoint {
     pub name: String,
     pub incarnation: u32,
     pub address: SocketAddr,
@@ -46,17 +46,17 @@
 }
 
 impl Endpoint {
-    pub fn id(&self) -> String {
+    pub(crate) fn id(&self) -> String {
         format!("{}-{}", self.name, self.incarnation)
     }
 
-    pub fn holds(&self, model: &str, adapter: Option<&str>) -> bool {
+    pub(crate) fn holds(&self, model: &str, adapter: Option<&str>) -> bool {
         let adapters = self.models.get(model);
         adapters.is_some_and(|adapters| adapter.is_none_or(|adapter| adapters.contains(adapter)))
     }
 
     /// Whether the item is here or on its way and is not being taken away.
-    pub fn will_hold(&self, model: &str, adapter: Option<&str>) -> bool {
+    pub(crate) fn will_hold(&self, model: &str, adapter: Option<&str>) -> bool {
         let work = self.work.as_ref().filter(|work| work.model == model);
         match work {
             Some(work) if work.operation == Operation::Load => {
@@ -76,7 +76,7 @@
         self.models.iter().map(held).collect()
     }
 
-    pub fn instance(&self, backend: &str) -> Instance {
+    pub(crate) fn instance(&self, backend: &str) -> Instance {
         Instance {
             id: self.id(),
             backend: backend.into(),
@@ -93,7 +93,7 @@
         }
     }
 
-    pub fn report(&self) -> EndpointReport {
+    pub(crate) fn report(&self) -> EndpointReport {
         EndpointReport {
             phase: None,
             models: self.held(),
@@ -108,19 +108,19 @@
     }
 
     /// Room taken by what is held, MB.
-    pub fn used_mb(&self, runtime: &Runtime) -> f64 {
+    pub(crate) fn used_mb(&self, runtime: &Runtime) -> f64 {
         let sizes = self.models.iter().map(|(model, adapters)| {
             size(runtime, model, false) + adapters.len() as f64 * size(runtime, model, true)
         });
         sizes.sum()
     }
 
-    pub fn adapters(&self) -> usize {
+    pub(crate) fn adapters(&self) -> usize {
         self.models.values().map(BTreeSet::len).sum()
     }
 
     /// Ends work whose time has come.
-    pub fn advance(&mut self, now_ms: u64) {
+    pub(crate) fn advance(&mut self, now_ms: u64) {
         let Some(work) = self.work.take_if(|work| work.until_ms <= now_ms) else { return };
         match (work.operation, work.adapter) {
             (Operation::Load, None) => {
@@ -144,7 +144,7 @@
     }
 
     /// The status with which an order is refused or found done, if it is not to be carried out.
-    pub fn status_without_work(&self, order: &Order) -> Option<u16> {
+    pub(crate) fn status_without_work(&self, order: &Order) -> Option<u16> {
         if self.id() != *order.instance {
             return Some(421);
         }
@@ -159,7 +159,7 @@
     }
 }
 
-pub fn size(runtime: &Runtime, model: &str, adapter: bool) -> f64 {
+pub(crate) fn size(runtime: &Runtime, model: &str, adapter: bool) -> f64 {
     let spec = runtime.models.iter().find(|spec| spec.name == model);
     spec.map_or(0.0, |spec| if adapter { spec.adapter_size_mb } else { spec.weights_mb })
 }
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -2,8 +2,8 @@
 //! messages, and checks of every limit at every step.
 #![allow(dead_code)]
 
-pub mod check;
-pub mod digest;
-pub mod fleet;
-pub mod random;
-pub mod simulation;
+pub(crate) mod check;
+pub(crate) mod digest;
+pub(crate) mod fleet;
+pub(crate) mod random;
+pub(crate) mod simulation;
--- a/crates/placement/tests/support/random.rs
+++ b/crates/placement/tests/support/random.rs
@@ -1,13 +1,13 @@
 //! A small generator of chance with a seed.
 
-pub struct Random(u64);
+pub(crate) struct Random(u64);
 
 impl Random {
-    pub fn new(seed: u64) -> Random {
+    pub(crate) fn new(seed: u64) -> Random {
         Random(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1)
     }
 
-    pub fn next(&mut self) -> u64 {
+    pub(crate) fn next(&mut self) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
@@ -15,16 +15,16 @@
     }
 
     /// From 0 up to 1.
-    pub fn unit(&mut self) -> f64 {
+    pub(crate) fn unit(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    pub fn below(&mut self, bound: u64) -> u64 {
+    pub(crate) fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound
     }
 
     /// A count of events whose mean is `mean`.
-    pub fn poisson(&mut self, mean: f64) -> u32 {
+    pub(crate) fn poisson(&mut self, mean: f64) -> u32 {
         let limit = (-mean).exp();
         let mut product = self.unit();
         let mut count = 0;
--- a/crates/placement/tests/support/simulation.rs
+++ b/crates/placement/tests/support/simulation.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-pub const BACKEND: &str = "models";
+pub(crate) const BACKEND: &str = "models";
 const BEAT_MS: u64 = 1_200;
 const DEMAND_MS: u64 = 1_000;
 const REPORT_LAG_MS: u64 = 300;
@@ -43,7 +43,7 @@
 
 /// Requests a second for one item.
 #[derive(Clone)]
-pub struct Asked {
+pub(crate) struct Asked {
     pub model: String,
     pub adapter: Option<String>,
     pub rate: f64,
@@ -55,7 +55,7 @@
     heard_ms: u64,
 }
 
-pub struct Simulation {
+pub(crate) struct Simulation {
     pub now_ms: u64,
     pub runtime: Runtime,
     pub placer: Placer,
@@ -86,7 +86,7 @@
     list: BTreeMap<String, Listed>,
 }
 
-pub fn runtime(models: usize, size_mb: f64, load_s: f64, adapters: u32, adapter_mb: f64) -> Runtime {
+pub(crate) fn runtime(models: usize, size_mb: f64, load_s: f64, adapters: u32, adapter_mb: f64) -> Runtime {
     let model = |number: usize| Model {
         name: format!("m{number}"),
         weights_mb: size_mb,
@@ -115,12 +115,12 @@
 }
 
 impl Simulation {
-    pub fn new(runtime: Runtime, endpoints: usize, zones: usize, seed: u64) -> Simulation {
+    pub(crate) fn new(runtime: Runtime, endpoints: usize, zones: usize, seed: u64) -> Simulation {
         Simulation::without(SwitchedOff::default(), runtime, endpoints, zones, seed)
     }
 
     /// With some mechanisms switched off.
-    pub fn without(
+    pub(crate) fn without(
         switched_off: SwitchedOff,
         runtime: Runtime,
         endpoints: usize,
@@ -158,11 +158,11 @@
         }
     }
 
-    pub fn now(&self) -> Duration {
+    pub(crate) fn now(&self) -> Duration {
         Duration::from_millis(self.now_ms)
     }
 
-    pub fn run_until(&mut self, until_ms: u64) {
+    pub(crate) fn run_until(&mut self, until_ms: u64) {
         while self.now_ms < until_ms {
             self.now_ms += 10;
             self.step();
@@ -478,19 +478,19 @@
     }
 
     /// Endpoints that hold an item and take requests.
-    pub fn copies(&self, model: &str, adapter: Option<&str>) -> usize {
+    pub(crate) fn copies(&self, model: &str, adapter: Option<&str>) -> usize {
         let ready = self.endpoints.iter().filter(|endpoint| endpoint.up && endpoint.ready);
         ready.filter(|endpoint| endpoint.holds(model, adapter)).count()
     }
 
-    pub fn zones(&self, model: &str) -> usize {
+    pub(crate) fn zones(&self, model: &str) -> usize {
         let ready = self.endpoints.iter().filter(|endpoint| endpoint.up && endpoint.ready);
         let zones: BTreeSet<&str> =
             ready.filter(|endpoint| endpoint.holds(model, None)).map(|endpoint| &*endpoint.zone).collect();
         zones.len()
     }
 
-    pub fn place(&mut self, name: &str, models: &[&str]) {
+    pub(crate) fn place(&mut self, name: &str, models: &[&str]) {
         if let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.name == name) {
             for model in models {
                 endpoint.models.entry((*model).into()).or_default();
@@ -500,7 +500,7 @@
     }
 
     /// Fills the endpoints as they begin: the models in demand on many, the rest on one each.
-    pub fn fill(&mut self) {
+    pub(crate) fn fill(&mut self) {
         let mut models: Vec<Asked> =
             self.demand.iter().filter(|asked| asked.adapter.is_none()).cloned().collect();
         models.sort_by(|a, b| b.rate.total_cmp(&a.rate));
@@ -528,7 +528,7 @@
         }
     }
 
-    pub fn crash(&mut self, name: &str) {
+    pub(crate) fn crash(&mut self, name: &str) {
         self.checks.trouble_ms = self.now_ms;
         let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.name == name) else { return };
         endpoint.up = false;
@@ -537,7 +537,7 @@
         self.send(SILENCE_MS, Message::Removed(id));
     }
 
-    pub fn restart(&mut self, name: &str) {
+    pub(crate) fn restart(&mut self, name: &str) {
         self.checks.trouble_ms = self.now_ms;
         let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.name == name) else { return };
         endpoint.up = true;
@@ -551,7 +551,7 @@
         endpoint.work = None;
     }
 
-    pub fn drain_endpoint(&mut self, name: &str, remaining_ms: Option<f64>) {
+    pub(crate) fn drain_endpoint(&mut self, name: &str, remaining_ms: Option<f64>) {
         self.checks.trouble_ms = self.now_ms;
         let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.name == name) else { return };
         endpoint.ready = false;
@@ -560,14 +560,14 @@
     }
 
     /// For a while nothing passes between an endpoint and the controllers; it goes on with what it was ordered to do.
-    pub fn cut(&mut self, name: &str, cut: Cut, lasts_ms: u64) {
+    pub(crate) fn cut(&mut self, name: &str, cut: Cut, lasts_ms: u64) {
         let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.name == name) else { return };
         endpoint.cut = Some(cut);
         endpoint.heal_ms = self.now_ms + lasts_ms;
     }
 
     /// Ends every cut.
-    pub fn heal_all(&mut self) {
+    pub(crate) fn heal_all(&mut self) {
         let now_ms = self.now_ms;
         self.endpoints.iter_mut().for_each(|endpoint| endpoint.heal_ms = endpoint.heal_ms.min(now_ms));
         self.heal();
@@ -591,7 +591,7 @@
     }
 
     /// Another holder of the lease begins with nothing but the newest registrations.
-    pub fn take_over(&mut self) {
+    pub(crate) fn take_over(&mut self) {
         self.checks.trouble_ms = self.now_ms;
         self.generation += 1;
         self.checks.open.clear();
