--- a/crates/placement/src/drain_time_test.rs
+++ b/crates/placement/src/drain_time_test.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 #[test]
-fn an_idle_model_goes_at_once_and_a_busy_one_takes_its_time() {
+fn idle_model_is_evicted_at_once_and_busy_model_is_not() {
     let drain = DrainTimeEstimate::default();
     assert_eq!(drain.expected_s(0.0), 0.0);
     assert!(drain.expected_s(0.05) < 0.2);
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn evictions_of_busy_models_teach_and_those_of_idle_ones_do_not() {
+fn estimate_follows_evictions_of_busy_models_only() {
     let mut drain = DrainTimeEstimate::default();
     let untaught = drain.expected_s(10.0);
     drain.observe(0.2, Duration::from_millis(300));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn one_stuck_endpoint_does_not_stop_all_evictions() {
+fn single_slow_eviction_is_capped() {
     let mut drain = DrainTimeEstimate::default();
     drain.observe(5.0, Duration::from_secs(3_600));
     assert!(drain.expected_s(10.0) < 6.0);
--- a/crates/placement/src/guard_test.rs
+++ b/crates/placement/src/guard_test.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 const SENT: Duration = Duration::from_secs(10);
-/// From then on a report tells that an order sent at [`SENT`] never came.
+/// From then on a report proves that an order sent at [`SENT`] never arrived.
 const REFUTED: Duration = Duration::from_millis(12_500);
 
 fn catalog() -> Catalog {
@@ -41,21 +41,21 @@
 }
 
 /// A guard with the catalog and the endpoint `i-1`.
-struct Play {
+struct Fixture {
     guard: OrderGuard,
     catalog: Catalog,
     orders: u64,
 }
 
-impl Play {
-    fn new() -> Play {
-        Play { guard: OrderGuard::default(), catalog: catalog(), orders: 0 }
+impl Fixture {
+    fn new() -> Fixture {
+        Fixture { guard: OrderGuard::default(), catalog: catalog(), orders: 0 }
     }
 
-    fn told(models: &[(&str, &[&str])], sequence: u64) -> Play {
-        let mut play = Play::new();
-        play.report(SENT, &report(models, false, sequence));
-        play
+    fn with_report(models: &[(&str, &[&str])], sequence: u64) -> Fixture {
+        let mut fixture = Fixture::new();
+        fixture.report(SENT, &report(models, false, sequence));
+        fixture
     }
 
     fn report(&mut self, now: Duration, report: &EndpointReport) {
@@ -92,45 +92,45 @@
 }
 
 #[test]
-fn no_order_leaves_before_a_report_of_an_endpoint_at_rest() {
-    let mut play = Play::new();
-    assert_eq!(play.load("m1", 0), Err(Violation::UnknownContents));
-    play.report(SENT, &report(&[], true, 0));
-    assert_eq!(play.load("m1", 0), Err(Violation::UnknownContents));
-    play.report(SENT, &report(&[], false, 0));
-    assert_eq!(play.load("m1", 0), Ok(()));
-    assert_eq!(play.guard.violations().unknown_contents(), 2);
-    assert_eq!(play.guard.violations().total(), 2);
+fn order_is_blocked_until_idle_endpoint_reports() {
+    let mut fixture = Fixture::new();
+    assert_eq!(fixture.load("m1", 0), Err(Violation::UnknownContents));
+    fixture.report(SENT, &report(&[], true, 0));
+    assert_eq!(fixture.load("m1", 0), Err(Violation::UnknownContents));
+    fixture.report(SENT, &report(&[], false, 0));
+    assert_eq!(fixture.load("m1", 0), Ok(()));
+    assert_eq!(fixture.guard.violations().unknown_contents(), 2);
+    assert_eq!(fixture.guard.violations().total(), 2);
 }
 
 #[test]
-fn a_load_beyond_the_room_is_held_back_and_counted() {
-    let mut play = Play::told(&[("m1", &[]), ("m2", &[]), ("m3", &[])], 4);
+fn load_that_exceeds_capacity_is_blocked_and_counted() {
+    let mut fixture = Fixture::with_report(&[("m1", &[]), ("m2", &[]), ("m3", &[])], 4);
     let beyond = Violation::ExceedsCapacity { needed_mb: 280_000.0, capacity_mb: 220_000.0 };
-    assert_eq!(play.load("m4", 4), Err(beyond));
-    assert_eq!(play.guard.violations().exceeds_capacity(), 1);
-    assert_eq!(play.order(Operation::Evict, "m3", None, 4), Ok(()));
-    play.answer(OrderAnswer::Accepted);
-    assert_eq!(play.load("m4", 5), Ok(()));
-    play.answer(OrderAnswer::Accepted);
-    assert!(matches!(play.load("m5", 6), Err(Violation::ExceedsCapacity { .. })));
+    assert_eq!(fixture.load("m4", 4), Err(beyond));
+    assert_eq!(fixture.guard.violations().exceeds_capacity(), 1);
+    assert_eq!(fixture.order(Operation::Evict, "m3", None, 4), Ok(()));
+    fixture.answer(OrderAnswer::Accepted);
+    assert_eq!(fixture.load("m4", 5), Ok(()));
+    fixture.answer(OrderAnswer::Accepted);
+    assert!(matches!(fixture.load("m5", 6), Err(Violation::ExceedsCapacity { .. })));
 }
 
 #[test]
-fn an_adapter_beyond_the_places_is_held_back_and_counted() {
-    let mut play = Play::told(&[("m1", &["a1"])], 0);
-    assert_eq!(play.order(Operation::Load, "m1", Some("a2"), 0), Ok(()));
-    play.answer(OrderAnswer::Accepted);
+fn adapter_that_exceeds_the_limit_is_blocked_and_counted() {
+    let mut fixture = Fixture::with_report(&[("m1", &["a1"])], 0);
+    assert_eq!(fixture.order(Operation::Load, "m1", Some("a2"), 0), Ok(()));
+    fixture.answer(OrderAnswer::Accepted);
     let beyond = Violation::ExceedsAdapterLimit { needed: 3, limit: 2 };
-    assert_eq!(play.order(Operation::Load, "m1", Some("a3"), 1), Err(beyond));
-    assert_eq!(play.guard.violations().exceeds_adapter_limit(), 1);
+    assert_eq!(fixture.order(Operation::Load, "m1", Some("a3"), 1), Err(beyond));
+    assert_eq!(fixture.guard.violations().exceeds_adapter_limit(), 1);
 }
 
 #[test]
-fn counts_of_several_placers_add_up() {
-    let mut first = Play::new();
+fn violations_of_several_placers_add_up() {
+    let mut first = Fixture::new();
     let _ = first.load("m1", 0);
-    let mut second = Play::told(&[("m1", &[]), ("m2", &[]), ("m3", &[])], 0);
+    let mut second = Fixture::with_report(&[("m1", &[]), ("m2", &[]), ("m3", &[])], 0);
     let _ = second.load("m4", 0);
     let _ = second.load("m4", 1);
     let mut sum = first.guard.violations();
@@ -140,65 +140,65 @@
 }
 
 #[test]
-fn an_order_on_another_count_of_orders_is_held_back() {
-    let mut play = Play::told(&[], 3);
-    assert_eq!(play.load("m1", 2), Err(Violation::WrongRevision { known: 3, expected: 2 }));
-    assert_eq!(play.guard.violations().wrong_revision(), 1);
+fn order_with_wrong_revision_is_blocked() {
+    let mut fixture = Fixture::with_report(&[], 3);
+    assert_eq!(fixture.load("m1", 2), Err(Violation::WrongRevision { known: 3, expected: 2 }));
+    assert_eq!(fixture.guard.violations().wrong_revision(), 1);
 }
 
 #[test]
-fn after_an_order_without_an_answer_no_other_leaves_until_a_report_tells() {
+fn unanswered_order_blocks_others_until_report_resolves_it() {
     for operation in [Operation::Load, Operation::Evict] {
-        let mut play = Play::told(&[("m1", &[])], 0);
-        assert_eq!(play.load("m2", 0), Ok(()));
+        let mut fixture = Fixture::with_report(&[("m1", &[])], 0);
+        assert_eq!(fixture.load("m2", 0), Ok(()));
         let unsettled = Err(Violation::OrderPending(OrderId(1)));
-        play.answer(OrderAnswer::Unknown);
-        assert_eq!(play.order(operation, "m1", None, 0), unsettled);
+        fixture.answer(OrderAnswer::Unknown);
+        assert_eq!(fixture.order(operation, "m1", None, 0), unsettled);
         // It may be older than the order's arrival.
-        play.report(REFUTED - Duration::from_millis(1), &report(&[("m1", &[])], false, 0));
-        assert_eq!(play.order(operation, "m1", None, 0), unsettled);
-        play.report(REFUTED, &report(&[("m1", &[])], true, 1));
-        assert_eq!(play.order(operation, "m1", None, 1), unsettled);
-        play.report(REFUTED, &report(&[("m1", &[])], false, 0));
-        assert_eq!(play.order(operation, "m1", None, 0), Ok(()));
-        assert_eq!(play.guard.violations().order_pending(), 3);
+        fixture.report(REFUTED - Duration::from_millis(1), &report(&[("m1", &[])], false, 0));
+        assert_eq!(fixture.order(operation, "m1", None, 0), unsettled);
+        fixture.report(REFUTED, &report(&[("m1", &[])], true, 1));
+        assert_eq!(fixture.order(operation, "m1", None, 1), unsettled);
+        fixture.report(REFUTED, &report(&[("m1", &[])], false, 0));
+        assert_eq!(fixture.order(operation, "m1", None, 0), Ok(()));
+        assert_eq!(fixture.guard.violations().order_pending(), 3);
     }
 }
 
 #[test]
-fn a_report_older_than_an_order_that_was_taken_tells_nothing() {
-    let mut play = Play::told(&[("m1", &[]), ("m2", &[])], 7);
-    assert_eq!(play.load("m3", 7), Ok(()));
-    play.answer(OrderAnswer::Accepted);
-    play.report(REFUTED, &report(&[("m1", &[]), ("m2", &[])], false, 7));
-    assert!(matches!(play.load("m4", 8), Err(Violation::ExceedsCapacity { .. })));
+fn report_older_than_accepted_order_is_ignored() {
+    let mut fixture = Fixture::with_report(&[("m1", &[]), ("m2", &[])], 7);
+    assert_eq!(fixture.load("m3", 7), Ok(()));
+    fixture.answer(OrderAnswer::Accepted);
+    fixture.report(REFUTED, &report(&[("m1", &[]), ("m2", &[])], false, 7));
+    assert!(matches!(fixture.load("m4", 8), Err(Violation::ExceedsCapacity { .. })));
 }
 
 #[test]
-fn a_refusal_that_contradicts_what_is_known_asks_for_a_report() {
+fn contradicting_rejection_makes_contents_unknown() {
     for answer in [OrderAnswer::Conflict, OrderAnswer::AlreadyDone, OrderAnswer::Invalid] {
-        let mut play = Play::told(&[], 0);
-        assert_eq!(play.load("m1", 0), Ok(()));
-        play.answer(answer);
-        assert_eq!(play.load("m1", 0), Err(Violation::UnknownContents), "{answer:?}");
+        let mut fixture = Fixture::with_report(&[], 0);
+        assert_eq!(fixture.load("m1", 0), Ok(()));
+        fixture.answer(answer);
+        assert_eq!(fixture.load("m1", 0), Err(Violation::UnknownContents), "{answer:?}");
     }
     for answer in [OrderAnswer::Unavailable, OrderAnswer::WrongInstance] {
-        let mut play = Play::told(&[], 0);
-        assert_eq!(play.load("m1", 0), Ok(()));
-        play.answer(answer);
-        assert_eq!(play.load("m1", 0), Ok(()), "{answer:?}");
+        let mut fixture = Fixture::with_report(&[], 0);
+        assert_eq!(fixture.load("m1", 0), Ok(()));
+        fixture.answer(answer);
+        assert_eq!(fixture.load("m1", 0), Ok(()), "{answer:?}");
     }
 }
 
 #[test]
-fn what_was_known_of_an_incarnation_ends_with_it() {
-    let mut play = Play::told(&[], 0);
-    play.guard.forget("i-1");
-    assert_eq!(play.load("m1", 0), Err(Violation::UnknownContents));
+fn record_ends_with_its_incarnation() {
+    let mut fixture = Fixture::with_report(&[], 0);
+    fixture.guard.forget("i-1");
+    assert_eq!(fixture.load("m1", 0), Err(Violation::UnknownContents));
 }
 
 #[test]
-fn a_model_counts_as_large_as_any_configuration_had_it() {
+fn model_counts_with_its_largest_configured_size() {
     let model = |name: &str, weights_mb: f64| Model {
         name: name.into(),
         weights_mb,
@@ -221,6 +221,6 @@
     let third = Catalog::new(&runtime(vec![model("m2", 40_000.0)]), &second);
     let size = |model: &str| third.size_mb(&crate::interface::Item::model(Arc::from(model)));
     assert_eq!((size("m1"), size("m2"), size("m3")), (90_000.0, 60_000.0, 10.0));
-    // No configuration told of it: it may fill the endpoint.
+    // It was never configured: it may fill the endpoint.
     assert_eq!(size("m4"), 220_000.0);
 }
--- a/crates/placement/src/load_limiter_test.rs
+++ b/crates/placement/src/load_limiter_test.rs
@@ -8,7 +8,7 @@
     Duration::from_secs_f64(value)
 }
 
-/// A limiter of 14 loads in 5 s, with many at once.
+/// A limiter of 14 loads in 5 s, with a high concurrency limit.
 fn limiter(assumed_until: Duration) -> LoadLimiter {
     let mut limiter = LoadLimiter::new(WINDOW, 1.1, assumed_until);
     limiter.set_limits(2.8, 50.0);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_window_holds_the_permitted_loads_and_slides() {
+fn window_allows_permitted_loads_and_slides() {
     let mut limiter = limiter(Duration::ZERO);
     for order in 0..14 {
         assert!(limiter.available(seconds(1.0), 0, 0) > 0);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_load_of_unknown_fate_counts_until_it_is_settled() {
+fn unresolved_load_counts_until_it_finishes() {
     let mut limiter = limiter(Duration::ZERO);
     limiter.start(OrderId(1), seconds(1.0));
     assert_eq!(limiter.available(seconds(60.0), 0, 0), 13);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_refused_load_does_not_count() {
+fn cancelled_load_does_not_count() {
     let mut limiter = limiter(Duration::ZERO);
     limiter.start(OrderId(1), seconds(1.0));
     limiter.cancel(OrderId(1));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn two_takeovers_after_a_full_window_keep_the_ceiling() {
+fn two_takeovers_after_full_window_stay_below_rate_limit() {
     let most = 2.8 * 5.0 * 1.1 + 3.0;
     let mut first = limiter(seconds(8.0));
     let mut second = limiter(seconds(11.0));
@@ -62,14 +62,14 @@
 }
 
 #[test]
-fn a_store_that_permits_little_still_gives_a_load() {
+fn lowest_rate_still_allows_one_load() {
     let mut limiter = LoadLimiter::new(WINDOW, 1.0, Duration::ZERO);
     limiter.set_limits(0.1, 0.1);
     assert_eq!(limiter.available(Duration::ZERO, 0, 0), 1);
 }
 
 #[test]
-fn loads_at_once_follow_the_rate_and_shrink_as_loads_take_long() {
+fn concurrency_follows_rate_and_shrinks_with_slow_loads() {
     let mut limiter = LoadLimiter::new(WINDOW, 1.1, Duration::ZERO);
     limiter.set_limits(2.8, 5.6);
     assert_eq!(limiter.available(Duration::ZERO, 0, 0), 6);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_load_frees_its_place_at_once_by_time_or_by_its_end() {
+fn load_frees_its_concurrency_slot_by_time_or_when_finished() {
     let mut limiter = LoadLimiter::new(WINDOW, 1.1, Duration::ZERO);
     limiter.set_limits(2.8, 1.0);
     load(&mut limiter, 1, Duration::ZERO);
--- a/crates/placement/src/planning_view_test.rs
+++ b/crates/placement/src/planning_view_test.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn half_of_the_even_share_serves_all_and_each_copy_below_that_loses_its_part() {
+fn replicas_below_half_of_even_load_leave_requests_unserved() {
     let busy = status(10.0);
     for (replicas, unserved) in [(10, 0.0), (5, 0.0), (4, 4.0), (1, 16.0), (0, 20.0)] {
         assert!((busy.unserved(replicas) - unserved).abs() < 1e-9, "{replicas} replicas");
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_model_of_little_work_needs_one_replica() {
+fn model_with_little_work_needs_one_replica() {
     let light = status(0.3);
     assert_eq!(light.unserved(1), 0.0);
     assert_eq!(light.unserved(0), 20.0);
--- a/crates/placement/src/replica_target_test.rs
+++ b/crates/placement/src/replica_target_test.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_model_with_most_of_the_demand_is_on_most_endpoints() {
+fn target_of_busy_model_spans_most_endpoints() {
     let table = table(30, &[("busy", 70), ("other", 15), ("third", 15)]);
     let now = Duration::from_secs(30);
     let target = fleet(&table, now).target(rates(&table, "busy"), 12, now);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_model_that_is_asked_for_wants_a_copy_and_one_that_is_not_wants_none() {
+fn only_models_in_demand_get_a_target() {
     let mut table = table(30, &[("busy", 30)]);
     add(&mut table, 31, &[("busy", 30), ("rare", 1)]);
     let now = Duration::from_secs(31);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn nothing_is_given_up_for_chance() {
+fn maximum_is_never_below_minimum() {
     let table = table(60, &[("busy", 20), ("other", 2)]);
     let now = Duration::from_secs(60);
     for model in ["busy", "other"] {
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_rising_rate_is_followed_within_seconds_and_a_fallen_one_is_let_go() {
+fn target_follows_rising_and_falling_rates() {
     let mut table = table(60, &[("old", 20), ("new", 1)]);
     for second in 61..64 {
         add(&mut table, second, &[("new", 20)]);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn what_is_expected_of_an_item_shrinks_with_its_pause() {
+fn expected_rate_shrinks_with_gap_since_last_request() {
     let table = table(60, &[("old", 20)]);
     let old = rates(&table, "old");
     let at = |second| old.expected_rate(Duration::from_secs(second));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn what_nobody_asks_for_has_no_entry() {
+fn items_without_requests_have_no_entry() {
     let mut table = table(5, &[("busy", 20)]);
     add(&mut table, 6, &[("idle", 0)]);
     assert_eq!(table.models.len(), 1);
@@ -109,9 +109,9 @@
     assert!(table.models.is_empty());
 }
 
-/// Word of the request itself may have been lost on its way.
+/// The report of the request itself may have been lost.
 #[test]
-fn what_only_waits_is_urgent_and_gets_a_replica() {
+fn waiting_requests_alone_make_a_model_urgent() {
     let now = Duration::from_secs(5);
     let mut table = table(4, &[("busy", 10)]);
     let waiting = ModelDemand { unplaced: 1, ..demand("rare", 0) };
--- a/crates/placement/tests/any_order.rs
+++ b/crates/placement/tests/any_order.rs
@@ -1,11 +1,11 @@
-//! Whatever is asked for and whatever fails: no limit is ever broken.
+//! Random demand and faults never make the placer exceed a limit.
 
 mod support;
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use support::fleet::Cut;
-use support::simulation::{Asked, Simulation, runtime};
+use support::fleet::Partition;
+use support::simulation::{Demanded, Simulation, runtime};
 
 /// One thing that happens.
 #[derive(Debug, Clone)]
@@ -15,8 +15,8 @@
     Restart(usize),
     Drain(usize),
     Takeover,
-    /// Some endpoints are cut off for so long, ms.
-    Outage(Vec<usize>, Cut, u64),
+    /// Some endpoints are partitioned for so long, ms.
+    Outage(Vec<usize>, Partition, u64),
     Loss(f64),
     Lateness(u64),
     Nothing,
@@ -38,16 +38,16 @@
     prop::collection::vec(item, 0..25).prop_map(Event::Demand)
 }
 
-/// Long enough that an endpoint is given up, or not.
+/// Some are long enough that the endpoint is removed, some are not.
 fn outage() -> impl Strategy<Value = Event> {
     let endpoints = prop::sample::subsequence((0..ENDPOINTS).collect::<Vec<_>>(), 1..=ENDPOINTS / 2);
-    let cut = prop_oneof![Just(Cut::All), Just(Cut::Beats)];
-    (endpoints, cut, 1_000..9_000u64)
-        .prop_map(|(endpoints, cut, lasts_ms)| Event::Outage(endpoints, cut, lasts_ms))
+    let partition = prop_oneof![Just(Partition::All), Just(Partition::Heartbeats)];
+    (endpoints, partition, 1_000..9_000u64)
+        .prop_map(|(endpoints, partition, duration_ms)| Event::Outage(endpoints, partition, duration_ms))
 }
 
-/// How long it is until the next event, ms: at times loads of the one before are under way.
-fn pause() -> impl Strategy<Value = u64> {
+/// Delay until the next event, ms; often loads of the one before are in flight.
+fn delay_until_next_event() -> impl Strategy<Value = u64> {
     prop_oneof![1 => 200..2_000u64, 1 => 3_000..9_000u64]
 }
 
@@ -69,23 +69,23 @@
     let name = |number: &usize| format!("e{}", number + 1);
     match event {
         Event::Demand(items) => {
-            let asked = |(model, adapter, rate): &(usize, Option<u32>, f64)| Asked {
+            let demanded = |(model, adapter, rate): &(usize, Option<u32>, f64)| Demanded {
                 model: format!("m{model}"),
                 adapter: adapter.map(|number| format!("a{number}")),
                 rate: *rate,
             };
-            simulation.demand = items.iter().map(asked).collect();
+            simulation.demand = items.iter().map(demanded).collect();
         }
         Event::Crash(number) => simulation.crash(&name(number)),
         Event::Restart(number) => simulation.restart(&name(number)),
         Event::Drain(number) => simulation.drain_endpoint(&name(number), None),
         Event::Takeover => simulation.take_over(),
-        Event::Outage(numbers, cut, lasts_ms) => {
-            numbers.iter().for_each(|number| simulation.cut(&name(number), *cut, *lasts_ms));
+        Event::Outage(numbers, partition, duration_ms) => {
+            numbers.iter().for_each(|number| simulation.partition(&name(number), *partition, *duration_ms));
         }
         Event::Loss(loss) => {
             simulation.loss = *loss;
-            simulation.checks.trouble_ms = if *loss > 0.0 { u64::MAX / 2 } else { simulation.now_ms };
+            simulation.checks.last_fault_ms = if *loss > 0.0 { u64::MAX / 2 } else { simulation.now_ms };
         }
         Event::Lateness(lateness_ms) => simulation.lateness_ms = *lateness_ms,
         Event::Nothing => {}
@@ -107,53 +107,53 @@
     #![proptest_config(config())]
 
     #[test]
-    fn limits_hold(
+    fn limits_hold_under_random_faults(
         seed in any::<u64>(),
         load_s in 0.3..3.0f64,
         size_mb in 40_000.0..90_000.0f64,
         adapter_mb in prop_oneof![Just(66.0), 500.0..9_000.0f64],
-        events in prop::collection::vec((event(), pause()), 1..20),
+        events in prop::collection::vec((event(), delay_until_next_event()), 1..20),
     ) {
         let runtime = runtime(MODELS, size_mb, load_s, ADAPTERS, adapter_mb);
         let mut simulation = Simulation::new(runtime, ENDPOINTS, 3, seed);
-        for (event, lasts_ms) in &events {
+        for (event, duration_ms) in &events {
             apply(&mut simulation, event);
-            let until = simulation.now_ms + lasts_ms;
+            let until = simulation.now_ms + duration_ms;
             simulation.run_until(until);
-            prop_assert!(simulation.checks.broken.is_empty(), "{:?}", simulation.checks.broken);
+            prop_assert!(simulation.checks.violations_found.is_empty(), "{:?}", simulation.checks.violations_found);
         }
     }
 
     #[test]
-    fn all_that_fits_is_held_once_it_is_calm(
+    fn demanded_models_are_resident_after_faults_end(
         seed in any::<u64>(),
         load_s in 0.3..3.0f64,
-        events in prop::collection::vec((event(), pause()), 0..12),
+        events in prop::collection::vec((event(), delay_until_next_event()), 0..12),
         wanted in prop::collection::btree_set(1..=MODELS, 1..9),
     ) {
         let runtime = runtime(MODELS, 70_000.0, load_s, ADAPTERS, 66.0);
         let mut simulation = Simulation::new(runtime, ENDPOINTS, 3, seed);
-        for (event, lasts_ms) in &events {
+        for (event, duration_ms) in &events {
             apply(&mut simulation, event);
-            let until = simulation.now_ms + lasts_ms;
+            let until = simulation.now_ms + duration_ms;
             simulation.run_until(until);
         }
         simulation.loss = 0.0;
         simulation.lateness_ms = 100;
-        simulation.heal_all();
+        simulation.end_all_partitions();
         for number in 0..ENDPOINTS / 2 {
             simulation.restart(&format!("e{}", number + 1));
         }
-        let asked = wanted.iter().map(|model| Asked { model: format!("m{model}"), adapter: None, rate: 1.5 });
-        simulation.demand = asked.collect();
+        let demanded = wanted.iter().map(|model| Demanded { model: format!("m{model}"), adapter: None, rate: 1.5 });
+        simulation.demand = demanded.collect();
         let until = simulation.now_ms + 60_000;
         simulation.run_until(until);
         for model in &wanted {
             let model = format!("m{model}");
-            prop_assert!(simulation.copies(&model, None) >= 1, "{model} is nowhere");
+            prop_assert!(simulation.replicas(&model, None) >= 1, "{model} is resident nowhere");
         }
-        prop_assert!(simulation.checks.broken.is_empty(), "{:?}", simulation.checks.broken);
-        // What was remembered of earlier demand fades, and further copies come one by one.
+        prop_assert!(simulation.checks.violations_found.is_empty(), "{:?}", simulation.checks.violations_found);
+        // The expected rate of earlier demand decays, and additional replicas are loaded one by one.
         let until = simulation.now_ms + 120_000;
         simulation.run_until(until);
         let before = simulation.orders.len();
--- a/crates/placement/tests/delayed_reports.rs
+++ b/crates/placement/tests/delayed_reports.rs
@@ -1,4 +1,4 @@
-//! What is known of an endpoint's room may be older than an order that was carried out there.
+//! Heartbeats and reports that are older than an order executed on the endpoint.
 
 mod support;
 
@@ -15,29 +15,29 @@
 
 const BACKEND: &str = "engines";
 const STEP_MS: u64 = 10;
-const BEAT_MS: u64 = 1_200;
-/// How old a report is when it is given.
+const HEARTBEAT_MS: u64 = 1_200;
+/// Age of a report when it arrives.
 const REPORT_LAG_MS: u64 = 200;
 const LOAD_S: f64 = 1.0;
 const EVICT_MS: u64 = 50;
 /// Three such models fill an endpoint.
 const MODEL_MB: f64 = 70_000.0;
-/// Time without a heartbeat after which an endpoint is given up.
-const SILENCE_MS: u64 = 4_200;
+/// Time without a heartbeat after which an endpoint is removed.
+const HEARTBEAT_TIMEOUT_MS: u64 = 4_200;
 
 /// One endpoint, a placer, and the network between them.
-struct Play {
+struct Fixture {
     placer: Placer,
     endpoint: Endpoint,
     now_ms: u64,
-    asked: Vec<(&'static str, Option<String>)>,
+    demanded: Vec<(&'static str, Option<String>)>,
     /// Whether heartbeats arrive.
-    beats_arrive: bool,
-    /// Whether orders and questions arrive.
-    calls_arrive: bool,
+    heartbeats_arrive: bool,
+    /// Whether orders and report requests arrive.
+    orders_arrive: bool,
     history: VecDeque<EndpointReport>,
     given: Vec<Order>,
-    broken: Vec<String>,
+    violations_found: Vec<String>,
 }
 
 fn placer(now_ms: u64, start: Start) -> Placer {
@@ -53,9 +53,9 @@
     placer
 }
 
-impl Play {
-    /// An endpoint that holds these models.
-    fn new(models: &[&str]) -> Play {
+impl Fixture {
+    /// An endpoint with these models resident.
+    fn new(models: &[&str]) -> Fixture {
         let endpoint = Endpoint {
             name: "e".into(),
             incarnation: 1,
@@ -66,24 +66,24 @@
             models: models.iter().map(|model| (model.to_string(), BTreeSet::new())).collect(),
             disk: BTreeSet::new(),
             work: None,
-            orders_taken: 0,
-            beats: 0,
-            next_beat_ms: 0,
+            revision: 0,
+            heartbeats: 0,
+            next_heartbeat_ms: 0,
             up: true,
-            cut: None,
-            heal_ms: 0,
-            stalled: None,
+            partition: None,
+            partition_ends_ms: 0,
+            delayed_heartbeat: None,
         };
-        Play {
+        Fixture {
             placer: placer(0, Start::First),
             endpoint,
             now_ms: 0,
-            asked: Vec::new(),
-            beats_arrive: true,
-            calls_arrive: true,
+            demanded: Vec::new(),
+            heartbeats_arrive: true,
+            orders_arrive: true,
             history: VecDeque::new(),
             given: Vec::new(),
-            broken: Vec::new(),
+            violations_found: Vec::new(),
         }
     }
 
@@ -91,8 +91,8 @@
         Duration::from_millis(self.now_ms)
     }
 
-    fn run_for(&mut self, lasts_ms: u64) {
-        let until_ms = self.now_ms + lasts_ms;
+    fn run_for(&mut self, duration_ms: u64) {
+        let until_ms = self.now_ms + duration_ms;
         while self.now_ms < until_ms {
             self.now_ms += STEP_MS;
             self.endpoint.advance(self.now_ms);
@@ -100,11 +100,11 @@
             if self.history.len() as u64 > REPORT_LAG_MS / STEP_MS {
                 self.history.pop_front();
             }
-            if self.now_ms >= self.endpoint.next_beat_ms {
-                self.endpoint.next_beat_ms = self.now_ms + BEAT_MS;
-                let beat = self.beat();
-                if self.beats_arrive {
-                    self.hear(&beat);
+            if self.now_ms >= self.endpoint.next_heartbeat_ms {
+                self.endpoint.next_heartbeat_ms = self.now_ms + HEARTBEAT_MS;
+                let heartbeat = self.heartbeat();
+                if self.heartbeats_arrive {
+                    self.deliver_heartbeat(&heartbeat);
                 }
             }
             if self.now_ms.is_multiple_of(500) {
@@ -128,13 +128,13 @@
     }
 
     /// The next heartbeat of the endpoint.
-    fn beat(&mut self) -> Instance {
-        self.endpoint.beats += 1;
+    fn heartbeat(&mut self) -> Instance {
+        self.endpoint.heartbeats += 1;
         self.endpoint.instance(BACKEND)
     }
 
-    fn hear(&mut self, beat: &Instance) {
-        self.placer.instance(self.now(), beat);
+    fn deliver_heartbeat(&mut self, heartbeat: &Instance) {
+        self.placer.instance(self.now(), heartbeat);
         self.act();
     }
 
@@ -145,18 +145,18 @@
             adapter: adapter.clone(),
             requests: 20,
             tokens: 20_000,
-            unplaced: 20 * u32::from(!self.endpoint.holds(model, adapter.as_deref())),
+            unplaced: 20 * u32::from(!self.endpoint.is_resident(model, adapter.as_deref())),
         };
-        let models = self.asked.iter().map(demand).collect();
+        let models = self.demanded.iter().map(demand).collect();
         self.placer.demand(self.now(), "r", &DemandReport { period_ms: 500, models });
     }
 
-    /// Carries out what the placer wants.
+    /// Executes the placer's actions.
     fn act(&mut self) {
         while let Some(action) = self.placer.next_action() {
             match action {
                 Action::Order(order) => self.order(&order),
-                Action::RequestReport { .. } if self.calls_arrive => {
+                Action::RequestReport { .. } if self.orders_arrive => {
                     let report = self.history.front().cloned().unwrap_or_else(|| self.endpoint.report());
                     self.placer.report(self.now(), &self.endpoint.id(), &report);
                 }
@@ -166,37 +166,37 @@
     }
 
     fn order(&mut self, order: &Order) {
-        let answer = if self.calls_arrive { self.take(order) } else { OrderAnswer::Unavailable };
+        let answer = if self.orders_arrive { self.accept_order(order) } else { OrderAnswer::Unavailable };
         self.given.push(order.clone());
         self.placer.order_answered(self.now(), order.id, answer);
     }
 
-    fn take(&mut self, order: &Order) -> OrderAnswer {
+    fn accept_order(&mut self, order: &Order) -> OrderAnswer {
         if let Some(status) = self.endpoint.status_without_work(order) {
             return OrderAnswer::from_status(status);
         }
-        self.check_room(order);
+        self.check_capacity(order);
         let load_ms = if order.adapter.is_some() { 20 } else { (LOAD_S * 1e3) as u64 };
-        let lasts_ms = if order.operation == Operation::Load { load_ms } else { EVICT_MS };
-        self.endpoint.orders_taken += 1;
+        let duration_ms = if order.operation == Operation::Load { load_ms } else { EVICT_MS };
+        self.endpoint.revision += 1;
         self.endpoint.work = Some(Work {
             operation: order.operation,
             model: order.model.to_string(),
             adapter: order.adapter.as_ref().map(ToString::to_string),
-            until_ms: self.now_ms + lasts_ms,
+            until_ms: self.now_ms + duration_ms,
         });
         OrderAnswer::Accepted
     }
 
-    /// After a while the endpoint holds `model`, and was never given more than it has room for.
+    /// Finally the endpoint has `model` resident, and its capacity was never exceeded.
     fn expect_in_the_end(&mut self, model: &str) {
         self.run_for(15_000);
-        assert!(self.broken.is_empty(), "{:?}", self.broken);
+        assert!(self.violations_found.is_empty(), "{:?}", self.violations_found);
         assert_eq!(self.placer.violations().total(), 0);
-        assert!(self.endpoint.holds(model, None), "{:?}", self.given);
+        assert!(self.endpoint.is_resident(model, None), "{:?}", self.given);
     }
 
-    fn check_room(&mut self, order: &Order) {
+    fn check_capacity(&mut self, order: &Order) {
         if order.operation == Operation::Evict {
             return;
         }
@@ -206,61 +206,62 @@
         let adapters = self.endpoint.adapters() + usize::from(is_adapter);
         if used_mb > runtime.weights_mb || adapters > runtime.max_adapters as usize {
             let held: BTreeMap<_, _> = self.endpoint.models.clone();
-            self.broken.push(format!("{}: {order:?} beside {held:?}", self.now_ms));
+            self.violations_found.push(format!("{}: {order:?} beside {held:?}", self.now_ms));
         }
     }
 }
 
-/// An endpoint that was cut off as it loaded `m3`, and has been silent since; with a heartbeat of before the load's end.
-fn cut_off_while_loading() -> (Play, Instance) {
-    let mut play = Play::new(&["m1", "m2"]);
-    play.asked = vec![("m3", None)];
-    play.run_until_loading("m3", None);
-    let late = play.beat();
-    (play.beats_arrive, play.calls_arrive) = (false, false);
-    play.run_for(SILENCE_MS);
-    (play, late)
+/// An endpoint that was partitioned while it loaded `m3`, with a heartbeat from before the end of the load.
+fn partitioned_while_loading() -> (Fixture, Instance) {
+    let mut fixture = Fixture::new(&["m1", "m2"]);
+    fixture.demanded = vec![("m3", None)];
+    fixture.run_until_loading("m3", None);
+    let late = fixture.heartbeat();
+    (fixture.heartbeats_arrive, fixture.orders_arrive) = (false, false);
+    fixture.run_for(HEARTBEAT_TIMEOUT_MS);
+    (fixture, late)
 }
 
-/// The endpoint is cut off while it loads, is given up, and is heard again by a heartbeat of before the load's end.
+/// The endpoint is partitioned while it loads, is removed, and comes back with a heartbeat from before the end of the
+/// load.
 #[test]
-fn a_load_counts_that_was_taken_before_its_endpoint_was_given_up() {
-    let (mut play, late) = cut_off_while_loading();
-    play.placer.removed(play.now(), &play.endpoint.id());
-    play.asked = vec![("m4", None)];
-    play.run_for(1_000);
-    (play.beats_arrive, play.calls_arrive) = (true, true);
-    play.hear(&late);
-    play.expect_in_the_end("m4");
+fn load_accepted_before_endpoint_was_removed_is_counted() {
+    let (mut fixture, late) = partitioned_while_loading();
+    fixture.placer.removed(fixture.now(), &fixture.endpoint.id());
+    fixture.demanded = vec![("m4", None)];
+    fixture.run_for(1_000);
+    (fixture.heartbeats_arrive, fixture.orders_arrive) = (true, true);
+    fixture.deliver_heartbeat(&late);
+    fixture.expect_in_the_end("m4");
 }
 
-/// A new holder of the lease first hears of the endpoint long after it began, by a heartbeat of before the load.
+/// A new lease holder receives its first heartbeat of the endpoint late, and the heartbeat is from before the load.
 #[test]
-fn a_load_of_the_tenure_before_counts_whenever_its_endpoint_is_heard() {
-    let (mut play, late) = cut_off_while_loading();
-    play.placer = placer(play.now_ms, Start::Takeover);
-    play.asked = vec![("m4", None)];
-    play.run_for(6_000);
-    (play.beats_arrive, play.calls_arrive) = (true, true);
-    play.hear(&late);
-    play.expect_in_the_end("m4");
+fn load_of_previous_tenure_is_counted_when_endpoint_returns() {
+    let (mut fixture, late) = partitioned_while_loading();
+    fixture.placer = placer(fixture.now_ms, Start::Takeover);
+    fixture.demanded = vec![("m4", None)];
+    fixture.run_for(6_000);
+    (fixture.heartbeats_arrive, fixture.orders_arrive) = (true, true);
+    fixture.deliver_heartbeat(&late);
+    fixture.expect_in_the_end("m4");
 }
 
-/// Heartbeats stand still on their way while orders arrive; then one of before the first of them is heard.
+/// Heartbeats are delayed while orders arrive; then one from before the first order arrives.
 #[test]
-fn loads_count_that_a_late_heartbeat_does_not_show() {
-    let mut play = Play::new(&["m1"]);
-    play.asked = vec![("m1", None)];
-    play.run_for(3_000);
-    let late = play.beat();
-    play.beats_arrive = false;
-    play.asked = vec![("m1", None), ("m2", None), ("m3", None)];
-    play.run_until_loading("m2", None);
-    play.run_until_loading("m3", None);
-    play.run_for(9_000);
-    play.asked = vec![("m1", None), ("m4", None)];
-    play.run_for(1_000);
-    play.hear(&late);
-    play.beats_arrive = true;
-    play.expect_in_the_end("m4");
+fn loads_missing_from_delayed_heartbeat_are_counted() {
+    let mut fixture = Fixture::new(&["m1"]);
+    fixture.demanded = vec![("m1", None)];
+    fixture.run_for(3_000);
+    let late = fixture.heartbeat();
+    fixture.heartbeats_arrive = false;
+    fixture.demanded = vec![("m1", None), ("m2", None), ("m3", None)];
+    fixture.run_until_loading("m2", None);
+    fixture.run_until_loading("m3", None);
+    fixture.run_for(9_000);
+    fixture.demanded = vec![("m1", None), ("m4", None)];
+    fixture.run_for(1_000);
+    fixture.deliver_heartbeat(&late);
+    fixture.heartbeats_arrive = true;
+    fixture.expect_in_the_end("m4");
 }
--- a/crates/placement/tests/digests.rs
+++ b/crates/placement/tests/digests.rs
@@ -5,24 +5,24 @@
 use lanegate_config::mechanism::{Mechanism, SwitchedOff};
 use std::path::Path;
 use support::digest::compare;
-use support::fleet::Cut;
+use support::fleet::Partition;
 use support::random::Random;
-use support::simulation::{Asked, Simulation, runtime};
+use support::simulation::{Demanded, Simulation, runtime};
 
 const SEEDS: u64 = 240;
 const MODELS: u64 = 20;
 const ADAPTERS: u64 = 12;
 
-fn demand(random: &mut Random) -> Vec<Asked> {
+fn demand(random: &mut Random) -> Vec<Demanded> {
     let items = random.below(25);
-    let mut asked = Vec::new();
+    let mut demanded = Vec::new();
     for _ in 0..items {
         let model = format!("m{}", 1 + random.below(MODELS));
         let adapter = (random.below(3) == 0).then(|| format!("a{}", 1 + random.below(ADAPTERS)));
         let rate = [0.3, 2.0, 14.0][random.below(3) as usize] * (0.2 + random.unit());
-        asked.push(Asked { model, adapter, rate });
+        demanded.push(Demanded { model, adapter, rate });
     }
-    asked
+    demanded
 }
 
 fn event(simulation: &mut Simulation, random: &mut Random, endpoints: u64) {
@@ -34,8 +34,8 @@
         9 => simulation.drain_endpoint(&name, None),
         10 => simulation.drain_endpoint(&name, Some(1_000.0 + random.below(20_000) as f64)),
         11 => simulation.take_over(),
-        12 | 13 => simulation.cut(&name, Cut::All, 1_000 + random.below(8_000)),
-        14 | 15 => simulation.cut(&name, Cut::Beats, 1_000 + random.below(8_000)),
+        12 | 13 => simulation.partition(&name, Partition::All, 1_000 + random.below(8_000)),
+        14 | 15 => simulation.partition(&name, Partition::Heartbeats, 1_000 + random.below(8_000)),
         16 => simulation.loss = if random.below(2) == 0 { 0.0 } else { 0.3 * random.unit() },
         _ => simulation.lateness_ms = [100, 1_000, 2_500][random.below(3) as usize],
     }
@@ -62,8 +62,9 @@
         simulation.fill();
     }
     for _ in 0..2 + random.below(14) {
-        let lasts_ms = if random.below(2) == 0 { random.below(2_000) } else { 3_000 + random.below(6_000) };
-        simulation.run_until(simulation.now_ms + lasts_ms);
+        let duration_ms =
+            if random.below(2) == 0 { random.below(2_000) } else { 3_000 + random.below(6_000) };
+        simulation.run_until(simulation.now_ms + duration_ms);
         event(&mut simulation, &mut random, endpoints);
     }
     simulation.run_until(simulation.now_ms + 5_000);
--- a/crates/placement/tests/endpoint_report.rs
+++ b/crates/placement/tests/endpoint_report.rs
@@ -1,4 +1,4 @@
-//! What endpoints answer when asked for their report, field by field.
+//! The report of an endpoint, field by field.
 
 use lanegate_config::instance::ResidentModel;
 use lanegate_placement::{EndpointReport, Operation, OrderAnswer};
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn operations_have_their_words() {
+fn operations_have_their_names() {
     for (operation, text) in [(Operation::Load, r#""load""#), (Operation::Evict, r#""evict""#)] {
         assert_eq!(serde_json::to_string(&operation).unwrap(), text);
         assert_eq!(serde_json::from_str::<Operation>(text).unwrap(), operation);
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders whose fate is not known: nothing else is ordered there until a report tells what holds.
+//! Unanswered orders: the endpoint gets no other until a report resolves them.
 
 use lanegate_config::configuration::{Model, Runtime};
 use lanegate_config::demand::{DemandReport, ModelDemand};
@@ -10,18 +10,18 @@
 use std::time::Duration;
 
 const BACKEND: &str = "engines";
-/// Time after which an order without an answer is given up.
+/// Time after which an order counts as unanswered.
 const ANSWER_TIMEOUT_MS: u64 = 1_000;
-/// Time after its sending until which such an order may still arrive.
+/// Time after its sending until which an unanswered order may still arrive.
 const IN_FLIGHT_MS: u64 = 1_500;
-/// How old a report may be.
+/// Largest age of a report.
 const REPORT_LAG_MS: u64 = 1_000;
 
-struct Play {
+struct Fixture {
     placer: Placer,
     now_ms: u64,
-    beats: u64,
-    questions: u32,
+    heartbeats: u64,
+    report_requests: u32,
 }
 
 fn runtime() -> Runtime {
@@ -50,8 +50,8 @@
     EndpointReport { models, ..serde_json::from_value(json).unwrap() }
 }
 
-impl Play {
-    fn new() -> Play {
+impl Fixture {
+    fn new() -> Fixture {
         let settings = PlacerSettings {
             rate_limit_window: Duration::from_secs(5),
             rate_limit_overshoot: 1.1,
@@ -60,7 +60,7 @@
         };
         let mut placer = Placer::new(Duration::ZERO, BACKEND, 1, &settings);
         placer.configure(Duration::ZERO, &runtime());
-        Play { placer, now_ms: 0, beats: 0, questions: 0 }
+        Fixture { placer, now_ms: 0, heartbeats: 0, report_requests: 0 }
     }
 
     fn now(&self) -> Duration {
@@ -68,7 +68,7 @@
     }
 
     fn register(&mut self, models: &[&str]) {
-        self.beats += 1;
+        self.heartbeats += 1;
         let instance = Instance {
             id: "i-1".into(),
             backend: BACKEND.into(),
@@ -80,14 +80,14 @@
             warmup_remaining_ms: 0.0,
             phase: None,
             models: report(models, false, 0).models,
-            sequence: self.beats,
+            sequence: self.heartbeats,
             remaining_ms: None,
         };
         self.placer.instance(self.now(), &instance);
     }
 
-    /// Somebody asks for a model that is held nowhere.
-    fn ask_for(&mut self, model: &str) {
+    /// Demand for a model that is resident nowhere.
+    fn add_demand(&mut self, model: &str) {
         let demand = ModelDemand {
             backend: BACKEND.into(),
             model: model.into(),
@@ -99,14 +99,14 @@
         self.placer.demand(self.now(), "r", &DemandReport { period_ms: 500, models: vec![demand] });
     }
 
-    /// Lets time pass, while both models are asked for; tells the orders that leave.
+    /// Runs with demand for both models; returns the orders that were sent.
     fn run_until(&mut self, until_ms: u64) -> Vec<Order> {
         let mut orders = Vec::new();
         loop {
             while let Some(action) = self.placer.next_action() {
                 match action {
                     Action::Order(order) => orders.push(order),
-                    Action::RequestReport { .. } => self.questions += 1,
+                    Action::RequestReport { .. } => self.report_requests += 1,
                 }
             }
             if self.now_ms >= until_ms {
@@ -114,20 +114,20 @@
             }
             self.now_ms += 10;
             if self.now_ms.is_multiple_of(500) {
-                self.ask_for("m1");
-                self.ask_for("m2");
+                self.add_demand("m1");
+                self.add_demand("m2");
             }
             self.placer.wake(self.now());
         }
     }
 
-    /// The endpoint is full and `m4` is asked for, so that it is ordered to evict something; tells the order.
+    /// The endpoint is full and `m4` is in demand, so that an eviction is ordered; returns the order.
     fn evict(&mut self) -> Order {
         loop {
             assert!(self.now_ms < 10_000, "nothing is evicted");
-            self.ask_for("m4");
+            self.add_demand("m4");
             let mut orders = self.run_until(self.now_ms + 100);
-            if std::mem::take(&mut self.questions) > 0 {
+            if std::mem::take(&mut self.report_requests) > 0 {
                 self.placer.report(self.now(), "i-1", &report(&["m1", "m2", "m3"], false, 0));
             }
             if let Some(order) = orders.pop() {
@@ -137,18 +137,21 @@
         }
     }
 
-    /// A first order leaves, once the endpoint has told what it holds; tells it.
+    /// Returns the first order, which is sent once the endpoint has reported.
     fn first_order(&mut self) -> Order {
         self.register(&[]);
-        self.ask_for("m1");
-        while self.questions == 0 {
-            assert!(self.now_ms < 1_000, "nobody asks what the endpoint holds");
-            assert!(self.run_until(self.now_ms + 10).is_empty(), "an order left before the endpoint told");
+        self.add_demand("m1");
+        while self.report_requests == 0 {
+            assert!(self.now_ms < 1_000, "no report is requested");
+            assert!(
+                self.run_until(self.now_ms + 10).is_empty(),
+                "an order was sent before the endpoint reported"
+            );
         }
-        assert_eq!(std::mem::take(&mut self.questions), 1, "the endpoint is asked once");
+        assert_eq!(std::mem::take(&mut self.report_requests), 1, "the endpoint is demanded once");
         self.placer.report(self.now(), "i-1", &report(&[], false, 0));
         loop {
-            assert!(self.now_ms < 1_000, "no order leaves");
+            assert!(self.now_ms < 1_000, "no order is sent");
             let mut orders = self.run_until(self.now_ms + 10);
             if let Some(order) = orders.pop() {
                 assert_eq!(order.operation, Operation::Load);
@@ -160,113 +163,114 @@
 }
 
 #[test]
-fn after_an_order_without_an_answer_no_other_leaves_before_a_report_is_late_enough() {
-    let mut play = Play::new();
-    let lost = play.first_order();
-    let sent_ms = play.now_ms;
-    assert!(play.run_until(sent_ms + ANSWER_TIMEOUT_MS).is_empty());
-    play.placer.order_answered(play.now(), lost.id, OrderAnswer::Unknown);
+fn unanswered_order_is_resolved_only_by_late_enough_report() {
+    let mut fixture = Fixture::new();
+    let lost = fixture.first_order();
+    let sent_ms = fixture.now_ms;
+    assert!(fixture.run_until(sent_ms + ANSWER_TIMEOUT_MS).is_empty());
+    fixture.placer.order_answered(fixture.now(), lost.id, OrderAnswer::Unknown);
     // Each of these reports may be older than the arrival of the order.
-    let settled_ms = sent_ms + IN_FLIGHT_MS + REPORT_LAG_MS;
-    for at_ms in (play.now_ms..settled_ms).step_by(100) {
-        assert!(play.run_until(at_ms).is_empty(), "an order left at {at_ms} ms");
-        play.placer.report(play.now(), "i-1", &report(&[], false, 0));
+    let resolved_ms = sent_ms + IN_FLIGHT_MS + REPORT_LAG_MS;
+    for at_ms in (fixture.now_ms..resolved_ms).step_by(100) {
+        assert!(fixture.run_until(at_ms).is_empty(), "an order was sent at {at_ms} ms");
+        fixture.placer.report(fixture.now(), "i-1", &report(&[], false, 0));
     }
-    assert!(play.run_until(settled_ms).is_empty());
-    assert!(play.questions > 0, "nobody asked what became of the order");
-    play.placer.report(play.now(), "i-1", &report(&[], false, 0));
-    let orders = play.run_until(settled_ms + 500);
+    assert!(fixture.run_until(resolved_ms).is_empty());
+    assert!(fixture.report_requests > 0, "nobody demanded what became of the order");
+    fixture.placer.report(fixture.now(), "i-1", &report(&[], false, 0));
+    let orders = fixture.run_until(resolved_ms + 500);
     assert_eq!(orders.first().map(|order| order.if_revision), Some(0), "{orders:?}");
 }
 
 #[test]
-fn a_busy_endpoint_is_not_given_an_order_after_one_without_an_answer() {
-    let mut play = Play::new();
-    let lost = play.first_order();
-    play.run_until(play.now_ms + ANSWER_TIMEOUT_MS);
-    play.placer.order_answered(play.now(), lost.id, OrderAnswer::Unknown);
+fn busy_endpoint_gets_no_order_after_unanswered_one() {
+    let mut fixture = Fixture::new();
+    let lost = fixture.first_order();
+    fixture.run_until(fixture.now_ms + ANSWER_TIMEOUT_MS);
+    fixture.placer.order_answered(fixture.now(), lost.id, OrderAnswer::Unknown);
     for at_ms in (1_500..9_000).step_by(500) {
-        assert!(play.run_until(at_ms).is_empty(), "an order left at {at_ms} ms");
-        play.placer.report(play.now(), "i-1", &report(&[], true, 1));
+        assert!(fixture.run_until(at_ms).is_empty(), "an order was sent at {at_ms} ms");
+        fixture.placer.report(fixture.now(), "i-1", &report(&[], true, 1));
     }
-    play.placer.report(play.now(), "i-1", &report(&[&lost.model], false, 1));
-    let orders = play.run_until(10_000);
+    fixture.placer.report(fixture.now(), "i-1", &report(&[&lost.model], false, 1));
+    let orders = fixture.run_until(10_000);
     assert!(orders.iter().all(|order| order.model != lost.model), "{orders:?}");
     assert!(!orders.is_empty());
 }
 
 #[test]
-fn orders_to_a_new_incarnation_expect_nothing_of_the_one_before() {
-    let mut play = Play::new();
-    let first = play.first_order();
-    play.placer.order_answered(play.now(), first.id, OrderAnswer::Accepted);
-    play.run_until(1_000);
-    play.register(&[&first.model]);
-    assert!(play.run_until(1_500).iter().all(|order| &*order.instance == "i-1"));
-    // The endpoint starts anew at its address, empty; its count of orders begins anew, too.
+fn orders_to_new_incarnation_start_at_revision_zero() {
+    let mut fixture = Fixture::new();
+    let first = fixture.first_order();
+    fixture.placer.order_answered(fixture.now(), first.id, OrderAnswer::Accepted);
+    fixture.run_until(1_000);
+    fixture.register(&[&first.model]);
+    assert!(fixture.run_until(1_500).iter().all(|order| &*order.instance == "i-1"));
+    // The endpoint restarts at its address, empty and at revision 0.
     let json = serde_json::json!({
         "Id": "i-2", "Backend": BACKEND, "Address": "10.0.0.1:80", "Zone": "z1", "Capacity": 64,
         "State": "ready", "Sequence": 1,
     });
-    play.placer.instance(play.now(), &serde_json::from_value(json).unwrap());
-    assert!(play.run_until(2_000).iter().all(|order| &*order.instance == "i-1"));
-    play.placer.report(play.now(), "i-2", &report(&[], false, 0));
-    let orders = play.run_until(3_000);
+    fixture.placer.instance(fixture.now(), &serde_json::from_value(json).unwrap());
+    assert!(fixture.run_until(2_000).iter().all(|order| &*order.instance == "i-1"));
+    fixture.placer.report(fixture.now(), "i-2", &report(&[], false, 0));
+    let orders = fixture.run_until(3_000);
     assert!(!orders.is_empty());
     assert!(orders.iter().all(|order| &*order.instance == "i-2" && order.if_revision == 0));
-    // What the one before reports late says nothing of the new one.
-    play.placer.report(play.now(), "i-1", &report(&[&first.model], false, 9));
-    assert!(play.run_until(3_100).iter().all(|order| order.if_revision < 9));
+    // A late report of the previous incarnation does not apply to the new one.
+    fixture.placer.report(fixture.now(), "i-1", &report(&[&first.model], false, 9));
+    assert!(fixture.run_until(3_100).iter().all(|order| order.if_revision < 9));
 }
 
-/// A heartbeat of the incarnation before stood still on its way until that one had been given up.
+/// A heartbeat of the previous incarnation was delayed until that one had been removed.
 #[test]
-fn a_late_heartbeat_of_the_incarnation_before_does_not_end_the_new_one() {
-    let mut play = Play::new();
-    let first = play.first_order();
-    play.placer.order_answered(play.now(), first.id, OrderAnswer::Accepted);
-    play.placer.removed(play.now(), "i-1");
+fn delayed_heartbeat_of_old_incarnation_does_not_remove_new_one() {
+    let mut fixture = Fixture::new();
+    let first = fixture.first_order();
+    fixture.placer.order_answered(fixture.now(), first.id, OrderAnswer::Accepted);
+    fixture.placer.removed(fixture.now(), "i-1");
     let json = serde_json::json!({
         "Id": "i-2", "Backend": BACKEND, "Address": "10.0.0.1:80", "Zone": "z1", "Capacity": 64,
         "State": "ready", "Sequence": 1,
     });
     let new: Instance = serde_json::from_value(json).unwrap();
-    play.placer.instance(play.now(), &new);
-    play.register(&[]);
-    play.placer.instance(play.now(), &Instance { sequence: 2, ..new });
-    play.placer.removed(play.now(), "i-1");
-    play.run_until(1_000);
-    play.placer.report(play.now(), "i-2", &report(&[], false, 0));
-    let orders = play.run_until(3_000);
+    fixture.placer.instance(fixture.now(), &new);
+    fixture.register(&[]);
+    fixture.placer.instance(fixture.now(), &Instance { sequence: 2, ..new });
+    fixture.placer.removed(fixture.now(), "i-1");
+    fixture.run_until(1_000);
+    fixture.placer.report(fixture.now(), "i-2", &report(&[], false, 0));
+    let orders = fixture.run_until(3_000);
     assert!(orders.iter().any(|order| &*order.instance == "i-2"), "{orders:?}");
 }
 
 #[test]
-fn a_placer_that_an_endpoint_fenced_gives_no_further_order() {
-    let mut play = Play::new();
-    let first = play.first_order();
-    play.placer.order_answered(play.now(), first.id, OrderAnswer::Fenced);
-    assert!(play.placer.fenced());
-    assert!(play.run_until(10_000).is_empty());
+fn fenced_placer_sends_no_further_order() {
+    let mut fixture = Fixture::new();
+    let first = fixture.first_order();
+    fixture.placer.order_answered(fixture.now(), first.id, OrderAnswer::Fenced);
+    assert!(fixture.placer.fenced());
+    assert!(fixture.run_until(10_000).is_empty());
 }
 
-/// An eviction lasts until the last run with the model has ended; the endpoint refuses new ones all that time, and
-/// its heartbeats list the model.
+/// An eviction takes until the last running request for the model has ended; until then the endpoint refuses new ones
+/// and its heartbeats list the model.
 #[test]
-fn what_is_being_evicted_is_told_until_a_heartbeat_no_longer_lists_it() {
-    let mut play = Play::new();
-    play.register(&["m1", "m2", "m3"]);
-    assert_eq!(play.placer.evicting("i-1"), None);
-    let order = play.evict();
-    let leaving = play.placer.evicting("i-1").cloned();
-    assert_eq!(leaving, Some(order.item()), "from the order on");
-    play.placer.order_answered(play.now(), order.id, OrderAnswer::Accepted);
+fn evicted_item_is_reported_until_heartbeat_omits_it() {
+    let mut fixture = Fixture::new();
+    fixture.register(&["m1", "m2", "m3"]);
+    assert_eq!(fixture.placer.evicting("i-1"), None);
+    let order = fixture.evict();
+    let evicting = fixture.placer.evicting("i-1").cloned();
+    assert_eq!(evicting, Some(order.item()), "from the order on");
+    fixture.placer.order_answered(fixture.now(), order.id, OrderAnswer::Accepted);
     for _ in 0..4 {
-        play.run_until(play.now_ms + 1_000);
-        play.register(&["m1", "m2", "m3"]);
-        assert_eq!(play.placer.evicting("i-1"), leaving.as_ref(), "a heartbeat still lists it");
+        fixture.run_until(fixture.now_ms + 1_000);
+        fixture.register(&["m1", "m2", "m3"]);
+        assert_eq!(fixture.placer.evicting("i-1"), evicting.as_ref(), "a heartbeat still lists it");
     }
-    let left: Vec<&str> = ["m1", "m2", "m3"].into_iter().filter(|model| *order.model != **model).collect();
-    play.register(&left);
-    assert_eq!(play.placer.evicting("i-1"), None);
+    let remaining: Vec<&str> =
+        ["m1", "m2", "m3"].into_iter().filter(|model| *order.model != **model).collect();
+    fixture.register(&remaining);
+    assert_eq!(fixture.placer.evicting("i-1"), None);
 }
--- a/crates/placement/tests/support/check.rs
+++ b/crates/placement/tests/support/check.rs
@@ -1,46 +1,47 @@
-//! The limits that no order may break, checked as orders leave and arrive.
+//! Checks that no order exceeds a limit, as orders are sent and arrive.
 
 use super::fleet::{Endpoint, size};
 use lanegate_config::configuration::Runtime;
 use lanegate_placement::{InvariantViolations, Operation, Order};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Window of the ceiling, ms.
+/// Window of the rate limit, ms.
 pub(crate) const WINDOW_MS: u64 = 5_000;
 
-/// Overshoot of the ceiling.
+/// Overshoot of the rate limit.
 pub(crate) const OVERSHOOT: f64 = 1.1;
 
-/// A model asked for within this may not lose its last copy, ms; a report is up to a second late.
-const WANTED_MS: u64 = 2_500;
+/// A model requested within this time may not lose its last replica, ms; a report is up to a second late.
+const IN_DEMAND_MS: u64 = 2_500;
 
-/// After trouble the placer may be wrong about what serves, ms.
-const CALM_MS: u64 = 6_000;
+/// For this long after a fault the placer may be wrong about what serves, ms.
+const FAULT_RECOVERY_MS: u64 = 6_000;
 
 #[derive(Default)]
 pub(crate) struct Checks {
     pub store_loads: Vec<u64>,
     pub open: BTreeMap<String, u64>,
-    pub last_asked: BTreeMap<String, u64>,
-    pub broken: Vec<String>,
+    pub last_requested: BTreeMap<String, u64>,
+    pub violations_found: Vec<String>,
     pub most_at_once: usize,
-    /// Endpoints of which the placer was told that they are leaving.
-    pub told_leaving: BTreeSet<String>,
-    /// When something last happened that the placer can't know at once.
-    pub trouble_ms: u64,
+    /// Endpoints that have registered as draining.
+    pub known_draining: BTreeSet<String>,
+    /// When a fault last occurred that the placer cannot know of at once.
+    pub last_fault_ms: u64,
 }
 
 impl Checks {
-    pub(crate) fn asked(&mut self, now_ms: u64, model: &str) {
-        self.last_asked.insert(model.into(), now_ms);
+    pub(crate) fn demanded(&mut self, now_ms: u64, model: &str) {
+        self.last_requested.insert(model.into(), now_ms);
     }
 
     pub(crate) fn order_sent(&mut self, now_ms: u64, order: &Order, endpoints: &[Endpoint]) {
         if self.open.insert(order.instance.to_string(), order.id.0).is_some() {
-            self.broken.push(format!("{now_ms}: two orders at once to {}", order.instance));
+            self.violations_found.push(format!("{now_ms}: two orders at once to {}", order.instance));
         }
-        if self.told_leaving.contains(&*order.instance) {
-            self.broken.push(format!("{now_ms}: order to the leaving endpoint {}", order.instance));
+        if self.known_draining.contains(&*order.instance) {
+            self.violations_found
+                .push(format!("{now_ms}: order to the draining endpoint {}", order.instance));
         }
         if order.operation == Operation::Evict && order.adapter.is_none() {
             self.last_copy(now_ms, order, endpoints);
@@ -48,18 +49,20 @@
     }
 
     fn last_copy(&mut self, now_ms: u64, order: &Order, endpoints: &[Endpoint]) {
-        let wanted = self.last_asked.get(&*order.model).is_some_and(|at| now_ms < at + WANTED_MS);
+        let wanted = self.last_requested.get(&*order.model).is_some_and(|at| now_ms < at + IN_DEMAND_MS);
         let others = endpoints.iter().filter(|endpoint| endpoint.up && endpoint.ready);
         let others = others.filter(|endpoint| endpoint.id() != *order.instance);
-        let kept = others.filter(|endpoint| endpoint.will_hold(&order.model, None)).count();
-        let calm = now_ms > self.trouble_ms + CALM_MS;
+        let kept = others.filter(|endpoint| endpoint.will_be_resident(&order.model, None)).count();
+        let calm = now_ms > self.last_fault_ms + FAULT_RECOVERY_MS;
         if calm && wanted && kept == 0 {
-            self.broken
-                .push(format!("{now_ms}: last wanted copy of {} leaves {}", order.model, order.instance));
+            self.violations_found.push(format!(
+                "{now_ms}: last replica in demand of {} is evicted from {}",
+                order.model, order.instance
+            ));
         }
     }
 
-    /// An order is about to be carried out.
+    /// An order is about to be executed.
     pub(crate) fn order_executed(
         &mut self,
         now_ms: u64,
@@ -72,11 +75,11 @@
         }
         let used = endpoint.used_mb(runtime) + size(runtime, &order.model, order.adapter.is_some());
         if used > runtime.weights_mb {
-            self.broken.push(format!("{now_ms}: {used} MB at {}", order.instance));
+            self.violations_found.push(format!("{now_ms}: {used} MB at {}", order.instance));
         }
         let adapters = endpoint.adapters() + usize::from(order.adapter.is_some());
         if adapters > runtime.max_adapters as usize {
-            self.broken.push(format!("{now_ms}: {adapters} adapters at {}", order.instance));
+            self.violations_found.push(format!("{now_ms}: {adapters} adapters at {}", order.instance));
         }
         if order.adapter.is_none() && !endpoint.disk.contains(&*order.model) {
             self.store_load(now_ms, runtime);
@@ -88,19 +91,19 @@
         let window = self.store_loads.iter().filter(|at| **at + WINDOW_MS > now_ms).count() as f64;
         let permitted = runtime.loads_per_s * WINDOW_MS as f64 / 1_000.0;
         if window > permitted * OVERSHOOT + 3.0 {
-            self.broken.push(format!("{now_ms}: {window} loads in the window"));
+            self.violations_found.push(format!("{now_ms}: {window} loads in the window"));
         }
     }
 
-    /// The placer held orders back that would have broken a limit: it planned them by mistake.
-    pub(crate) fn held_back(&mut self, now_ms: u64, violations: InvariantViolations) {
+    /// The guard blocked orders: the planner was wrong.
+    pub(crate) fn orders_blocked(&mut self, now_ms: u64, violations: InvariantViolations) {
         if violations.total() > 0 {
-            self.broken.push(format!("{now_ms}: {violations:?}"));
+            self.violations_found.push(format!("{now_ms}: {violations:?}"));
         }
     }
 
-    /// No more than one order of a fleet's endpoints may be open for each; called when one is settled.
-    pub(crate) fn settled(&mut self, instance: &str, order: u64) {
+    /// An order was answered: the endpoint may get another.
+    pub(crate) fn order_settled(&mut self, instance: &str, order: u64) {
         if self.open.get(instance) == Some(&order) {
             self.open.remove(instance);
         }
--- a/crates/placement/tests/support/digest.rs
+++ b/crates/placement/tests/support/digest.rs
@@ -33,7 +33,8 @@
     }
 }
 
-/// Compares the digests of seeds 0, 1, 2, ... with those in a file; with `UPDATE_DIGESTS=1` the file is written instead.
+/// Compares the digests of seeds 0, 1, 2, ... with those in a file; with `UPDATE_DIGESTS=1` the file is written
+/// instead.
 pub(crate) fn compare(file: &Path, digests: &[u64]) {
     let mut text = String::new();
     for (seed, digest) in digests.iter().enumerate() {
--- a/crates/placement/tests/support/fleet.rs
+++ b/crates/placement/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Endpoints that hold models and obey orders.
+//! Simulated endpoints, which execute orders.
 
 use lanegate_config::configuration::Runtime;
 use lanegate_config::instance::{Instance, InstanceState, ResidentModel};
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// What an order does to an endpoint, and when it is over.
+/// The order that an endpoint executes, and when it is done.
 pub(crate) struct Work {
     pub operation: Operation,
     pub model: String,
@@ -14,12 +14,12 @@
     pub until_ms: u64,
 }
 
-/// What does not pass between an endpoint and the controllers.
+/// What a partition stops between an endpoint and the controllers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Cut {
-    /// Heartbeats, which stand still on their way.
-    Beats,
-    /// Heartbeats, orders and questions.
+pub(crate) enum Partition {
+    /// Heartbeats, which are delayed.
+    Heartbeats,
+    /// Heartbeats, orders and report requests.
     All,
 }
 
@@ -33,16 +33,16 @@
     pub models: BTreeMap<String, BTreeSet<String>>,
     pub disk: BTreeSet<String>,
     pub work: Option<Work>,
-    pub orders_taken: u64,
-    pub beats: u64,
-    pub next_beat_ms: u64,
+    pub revision: u64,
+    pub heartbeats: u64,
+    pub next_heartbeat_ms: u64,
     pub up: bool,
-    pub cut: Option<Cut>,
-    /// When what is cut passes again.
-    pub heal_ms: u64,
-    /// The heartbeat that stands still on its way. The endpoint gives up each later one before it is sent, as its
-    /// connection does not come up.
-    pub stalled: Option<Instance>,
+    pub partition: Option<Partition>,
+    /// When the partition ends.
+    pub partition_ends_ms: u64,
+    /// The delayed heartbeat. The endpoint drops each later one before it is sent, as its connection does not come
+    /// up.
+    pub delayed_heartbeat: Option<Instance>,
 }
 
 impl Endpoint {
@@ -50,20 +50,20 @@
         format!("{}-{}", self.name, self.incarnation)
     }
 
-    pub(crate) fn holds(&self, model: &str, adapter: Option<&str>) -> bool {
+    pub(crate) fn is_resident(&self, model: &str, adapter: Option<&str>) -> bool {
         let adapters = self.models.get(model);
         adapters.is_some_and(|adapters| adapter.is_none_or(|adapter| adapters.contains(adapter)))
     }
 
-    /// Whether the item is here or on its way and is not being taken away.
-    pub(crate) fn will_hold(&self, model: &str, adapter: Option<&str>) -> bool {
+    /// Whether the item is resident or loading, and is not being evicted.
+    pub(crate) fn will_be_resident(&self, model: &str, adapter: Option<&str>) -> bool {
         let work = self.work.as_ref().filter(|work| work.model == model);
         match work {
             Some(work) if work.operation == Operation::Load => {
-                work.adapter.as_deref() == adapter || self.holds(model, adapter)
+                work.adapter.as_deref() == adapter || self.is_resident(model, adapter)
             }
             Some(work) if work.adapter.is_none() || work.adapter.as_deref() == adapter => false,
-            _ => self.holds(model, adapter),
+            _ => self.is_resident(model, adapter),
         }
     }
 
@@ -88,7 +88,7 @@
             warmup_remaining_ms: 0.0,
             phase: None,
             models: self.held(),
-            sequence: self.beats,
+            sequence: self.heartbeats,
             remaining_ms: self.remaining_ms,
         }
     }
@@ -98,7 +98,7 @@
             phase: None,
             models: self.held(),
             busy: self.work.is_some(),
-            sequence: self.orders_taken,
+            sequence: self.revision,
             queued: 0,
             active: 0,
             kv_used: 0.0,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Room taken by what is held, MB.
+    /// Memory taken, MB.
     pub(crate) fn used_mb(&self, runtime: &Runtime) -> f64 {
         let sizes = self.models.iter().map(|(model, adapters)| {
             size(runtime, model, false) + adapters.len() as f64 * size(runtime, model, true)
@@ -119,7 +119,7 @@
         self.models.values().map(BTreeSet::len).sum()
     }
 
-    /// Ends work whose time has come.
+    /// Completes work whose time has come.
     pub(crate) fn advance(&mut self, now_ms: u64) {
         let Some(work) = self.work.take_if(|work| work.until_ms <= now_ms) else { return };
         match (work.operation, work.adapter) {
@@ -143,18 +143,18 @@
         }
     }
 
-    /// The status with which an order is refused or found done, if it is not to be carried out.
+    /// The status of an order that is not executed: rejected, or already in effect.
     pub(crate) fn status_without_work(&self, order: &Order) -> Option<u16> {
         if self.id() != *order.instance {
             return Some(421);
         }
-        if self.work.is_some() || order.if_revision != self.orders_taken {
+        if self.work.is_some() || order.if_revision != self.revision {
             return Some(409);
         }
         if order.adapter.is_some() && !self.models.contains_key(&*order.model) {
             return Some(400);
         }
-        let holds = self.holds(&order.model, order.adapter.as_deref());
+        let holds = self.is_resident(&order.model, order.adapter.as_deref());
         (holds == (order.operation == Operation::Load)).then_some(200)
     }
 }
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated service: endpoints that obey orders, routers that report demand, a network that loses
-//! messages, and checks of every limit at every step.
+//! A simulated service: endpoints that obey orders, routers that report demand, a network that loses messages, and
+//! checks of every limit at every step.
 #![allow(dead_code)]
 
 pub(crate) mod check;
--- a/crates/placement/tests/support/random.rs
+++ b/crates/placement/tests/support/random.rs
@@ -1,4 +1,4 @@
-//! A small generator of chance with a seed.
+//! A small seeded random number generator.
 
 pub(crate) struct Random(u64);
 
--- a/crates/placement/tests/support/simulation.rs
+++ b/crates/placement/tests/support/simulation.rs
@@ -1,8 +1,8 @@
-//! Simulated time: messages under way, heartbeats, reports of demand, and a placer among them.
+//! Simulates messages in flight, heartbeats and demand reports around a placer.
 
 use super::check::{Checks, OVERSHOOT, WINDOW_MS};
 use super::digest::Digest;
-use super::fleet::{Cut, Endpoint, Work, size};
+use super::fleet::{Endpoint, Partition, Work, size};
 use super::random::Random;
 use lanegate_config::configuration::{Model, Runtime};
 use lanegate_config::demand::{DemandReport, ModelDemand};
@@ -16,34 +16,34 @@
 use std::time::Duration;
 
 pub(crate) const BACKEND: &str = "models";
-const BEAT_MS: u64 = 1_200;
+const HEARTBEAT_MS: u64 = 1_200;
 const DEMAND_MS: u64 = 1_000;
 const REPORT_LAG_MS: u64 = 300;
-const SILENCE_MS: u64 = 3_000;
-/// Time without a heartbeat after which whoever is not known to have crashed is given up.
-const PATIENCE_MS: u64 = 4_200;
+const HEARTBEAT_TIMEOUT_MS: u64 = 3_000;
+/// Time without a heartbeat after which an endpoint that is not known to have crashed is removed.
+const REMOVAL_TIMEOUT_MS: u64 = 4_200;
 const ANSWER_TIMEOUT_MS: u64 = 1_000;
-/// Part of the orders without an answer that arrive all the same.
+/// Fraction of the unanswered orders that arrive.
 const ARRIVE_LATE: f64 = 0.5;
-/// Time after its sending until which such an order may arrive.
+/// Time after its sending until which an unanswered order may arrive.
 const LATEST_ARRIVAL_MS: u64 = 1_400;
 
 enum Message {
     Order(Order),
-    /// An order whose answer nobody waits for any more when it comes.
+    /// An order that arrives after its sender has given up waiting for the answer.
     LateOrder(Order),
     Answer(OrderId, String, OrderAnswer),
     Instance(Box<Instance>),
-    /// A heartbeat that stood still on its way.
-    StalledInstance(Box<Instance>),
+    /// A heartbeat that was delayed.
+    DelayedInstance(Box<Instance>),
     Removed(String),
     Report(String, EndpointReport),
-    Question(SocketAddr, String),
+    ReportRequest(SocketAddr, String),
 }
 
 /// Requests a second for one item.
 #[derive(Clone)]
-pub(crate) struct Asked {
+pub(crate) struct Demanded {
     pub model: String,
     pub adapter: Option<String>,
     pub rate: f64,
@@ -52,7 +52,7 @@
 /// The newest registration of an incarnation.
 struct Listed {
     instance: Instance,
-    heard_ms: u64,
+    last_heartbeat_ms: u64,
 }
 
 pub(crate) struct Simulation {
@@ -60,20 +60,20 @@
     pub runtime: Runtime,
     pub placer: Placer,
     pub endpoints: Vec<Endpoint>,
-    pub demand: Vec<Asked>,
+    pub demand: Vec<Demanded>,
     pub checks: Checks,
     pub orders: Vec<(u64, Order)>,
-    /// What was decided and when, in bytes.
+    /// Digest of the placer's actions and their times.
     pub decisions: Digest,
     pub conflicts: u64,
-    /// Questions beyond the first to an incarnation by a placer.
-    pub questions: u64,
-    /// Incarnations that were asked, by generation of the placer.
-    pub first_questions: BTreeSet<(u32, String)>,
+    /// Report requests beyond the first from a placer to an incarnation.
+    pub report_requests: u64,
+    /// Incarnations from which a report was requested, by generation of the placer.
+    pub first_report_requests: BTreeSet<(u32, String)>,
     pub unplaced: Vec<(u64, String, u32)>,
     pub requests: u64,
     pub loss: f64,
-    /// Most that a registration is late, ms.
+    /// Largest delay of a registration, ms.
     pub lateness_ms: u64,
     pub routers: usize,
     pub random: Random,
@@ -82,7 +82,7 @@
     messages: BTreeMap<(u64, u64), (u32, Message)>,
     sent: u64,
     histories: BTreeMap<(u64, String), EndpointReport>,
-    /// What every controller has of each incarnation.
+    /// The newest registration of each incarnation, which every controller has.
     list: BTreeMap<String, Listed>,
 }
 
@@ -141,8 +141,8 @@
             orders: Vec::new(),
             decisions: Digest::default(),
             conflicts: 0,
-            questions: 0,
-            first_questions: BTreeSet::new(),
+            report_requests: 0,
+            first_report_requests: BTreeSet::new(),
             unplaced: Vec::new(),
             requests: 0,
             loss: 0.0,
@@ -174,9 +174,9 @@
         for endpoint in &mut self.endpoints {
             endpoint.advance(now_ms);
         }
-        self.beats();
-        self.heal();
-        self.give_up_silent();
+        self.heartbeats();
+        self.end_partitions();
+        self.remove_silent();
         self.deliver();
         if now_ms.is_multiple_of(100) {
             self.remember();
@@ -192,7 +192,7 @@
         self.drain();
         self.record_placer();
         self.checks.loading(&self.endpoints);
-        self.checks.held_back(now_ms, self.placer.violations());
+        self.checks.orders_blocked(now_ms, self.placer.violations());
     }
 
     fn send(&mut self, delay_ms: u64, message: Message) {
@@ -210,10 +210,10 @@
             match action {
                 Action::Order(order) => self.order_leaves(order),
                 Action::RequestReport { instance, address } => {
-                    let first = self.first_questions.insert((self.generation, instance.to_string()));
-                    self.questions += u64::from(!first);
+                    let first = self.first_report_requests.insert((self.generation, instance.to_string()));
+                    self.report_requests += u64::from(!first);
                     let delay = self.delay();
-                    self.send(delay, Message::Question(address, instance.to_string()));
+                    self.send(delay, Message::ReportRequest(address, instance.to_string()));
                 }
             }
         }
@@ -240,7 +240,7 @@
         }
     }
 
-    /// What the placer tells of itself, and when it wants to be woken.
+    /// Records the placer's public state and its next wake-up time.
     fn record_placer(&mut self) {
         let digest = &mut self.decisions;
         digest.byte(3);
@@ -295,60 +295,61 @@
             Message::Order(order) => self.order_arrives(order),
             Message::LateOrder(order) => self.late_order_arrives(&order),
             Message::Answer(id, instance, answer) if current => {
-                self.checks.settled(&instance, id.0);
+                self.checks.order_settled(&instance, id.0);
                 self.placer.order_answered(now, id, answer);
             }
             Message::Instance(instance) => {
-                // What was on its way when a cut began stands still, too.
+                // A heartbeat in flight when the partition begins is delayed, too.
                 let endpoint = self.endpoints.iter_mut().find(|endpoint| endpoint.id() == instance.id);
-                match endpoint.filter(|endpoint| endpoint.cut.is_some()) {
-                    Some(endpoint) => drop(endpoint.stalled.get_or_insert(*instance)),
-                    None => self.hear(&instance),
+                match endpoint.filter(|endpoint| endpoint.partition.is_some()) {
+                    Some(endpoint) => drop(endpoint.delayed_heartbeat.get_or_insert(*instance)),
+                    None => self.deliver_heartbeat(&instance),
                 }
             }
-            Message::StalledInstance(instance) => self.hear(&instance),
+            Message::DelayedInstance(instance) => self.deliver_heartbeat(&instance),
             Message::Removed(id) => {
                 self.checks.open.remove(&id);
                 self.list.remove(&id);
                 self.placer.removed(now, &id);
             }
             Message::Report(id, report) if current => self.placer.report(now, &id, &report),
-            Message::Question(address, id) => self.question_arrives(address, &id),
+            Message::ReportRequest(address, id) => self.report_request_arrives(address, &id),
             Message::Answer(..) | Message::Report(..) => {}
         }
         self.drain();
     }
 
-    fn hear(&mut self, instance: &Instance) {
+    fn deliver_heartbeat(&mut self, instance: &Instance) {
         if instance.state == InstanceState::Draining {
-            self.checks.told_leaving.insert(instance.id.clone());
+            self.checks.known_draining.insert(instance.id.clone());
         }
         let known = self.list.get(&instance.id);
         if known.is_none_or(|known| known.instance.sequence < instance.sequence) {
-            let listed = Listed { instance: instance.clone(), heard_ms: self.now_ms };
+            let listed = Listed { instance: instance.clone(), last_heartbeat_ms: self.now_ms };
             self.list.insert(instance.id.clone(), listed);
         }
         self.placer.instance(self.now(), instance);
     }
 
-    /// The list gives up who was not heard for long, up or not.
-    fn give_up_silent(&mut self) {
+    /// Removes endpoints without a heartbeat for too long, running or not.
+    fn remove_silent(&mut self) {
         let now_ms = self.now_ms;
-        let silent = self.list.iter().filter(|(_, listed)| listed.heard_ms + PATIENCE_MS < now_ms);
+        let silent =
+            self.list.iter().filter(|(_, listed)| listed.last_heartbeat_ms + REMOVAL_TIMEOUT_MS < now_ms);
         let silent: Vec<String> = silent.map(|(id, _)| id.clone()).collect();
         for id in silent {
             self.list.remove(&id);
             self.send(0, Message::Removed(id));
         }
-        if self.endpoints.iter().any(|endpoint| endpoint.cut.is_some()) {
-            self.checks.trouble_ms = self.checks.trouble_ms.max(now_ms);
+        if self.endpoints.iter().any(|endpoint| endpoint.partition.is_some()) {
+            self.checks.last_fault_ms = self.checks.last_fault_ms.max(now_ms);
         }
     }
 
     fn order_arrives(&mut self, order: Order) {
         let now_ms = self.now_ms;
-        if self.is_cut_off(order.address) {
-            // Whether the connection came up before the cut is chance.
+        if self.is_partitioned(order.address) {
+            // Whether the connection was established before the partition is random.
             let answer =
                 if self.random.unit() < 0.5 { OrderAnswer::Unavailable } else { OrderAnswer::Unknown };
             let answer = Message::Answer(order.id, order.instance.to_string(), answer);
@@ -364,7 +365,7 @@
         let status = self.endpoints[index].status_without_work(&order).unwrap_or(202);
         if status == 202 {
             self.checks.order_executed(now_ms, &order, &self.endpoints[index], &self.runtime);
-            self.take(index, &order);
+            self.accept_order(index, &order);
         }
         self.conflicts += u64::from(status == 409);
         let lost = self.random.unit() < self.loss;
@@ -373,13 +374,15 @@
         self.send(delay, Message::Answer(order.id, order.instance.to_string(), answer));
     }
 
-    fn is_cut_off(&self, address: SocketAddr) -> bool {
-        self.endpoints.iter().any(|endpoint| endpoint.address == address && endpoint.cut == Some(Cut::All))
+    fn is_partitioned(&self, address: SocketAddr) -> bool {
+        self.endpoints
+            .iter()
+            .any(|endpoint| endpoint.address == address && endpoint.partition == Some(Partition::All))
     }
 
-    /// An order arrives of which its sender gives up the answer, or has given it up.
+    /// An order arrives whose sender does not wait for the answer any more.
     fn late_order_arrives(&mut self, order: &Order) {
-        if self.is_cut_off(order.address) {
+        if self.is_partitioned(order.address) {
             return;
         }
         let found =
@@ -387,11 +390,11 @@
         let Some(index) = found else { return };
         if self.endpoints[index].status_without_work(order).is_none() {
             self.checks.order_executed(self.now_ms, order, &self.endpoints[index], &self.runtime);
-            self.take(index, order);
+            self.accept_order(index, order);
         }
     }
 
-    fn take(&mut self, index: usize, order: &Order) {
+    fn accept_order(&mut self, index: usize, order: &Order) {
         let chance = self.random.unit();
         let endpoint = &mut self.endpoints[index];
         let spec = self.runtime.models.iter().find(|model| *model.name == *order.model);
@@ -400,11 +403,11 @@
         let lasts = match (order.operation, order.adapter.is_some()) {
             (Operation::Load, false) => load_ms * disk * (1.0 + 0.5 * chance),
             (Operation::Load, true) => 20.0 + 60.0 * chance,
-            // Now and then long runs have to finish first.
+            // Sometimes long requests have to finish first.
             (Operation::Evict, _) if chance > 0.9 => 3_000.0 * chance,
             (Operation::Evict, _) => 10.0 + 400.0 * chance,
         };
-        endpoint.orders_taken += 1;
+        endpoint.revision += 1;
         endpoint.work = Some(Work {
             operation: order.operation,
             model: order.model.to_string(),
@@ -413,8 +416,8 @@
         });
     }
 
-    fn question_arrives(&mut self, address: SocketAddr, id: &str) {
-        let lost = self.random.unit() < self.loss || self.is_cut_off(address);
+    fn report_request_arrives(&mut self, address: SocketAddr, id: &str) {
+        let lost = self.random.unit() < self.loss || self.is_partitioned(address);
         let there = self.endpoints.iter().any(|e| e.up && e.address == address && e.id() == id);
         let as_of = self.now_ms.saturating_sub(REPORT_LAG_MS) / 100 * 100;
         let report = self.histories.get(&(as_of, id.to_string())).cloned();
@@ -432,14 +435,14 @@
         }
     }
 
-    fn beats(&mut self) {
+    fn heartbeats(&mut self) {
         for index in 0..self.endpoints.len() {
             let endpoint = &mut self.endpoints[index];
-            if !endpoint.up || self.now_ms < endpoint.next_beat_ms {
+            if !endpoint.up || self.now_ms < endpoint.next_heartbeat_ms {
                 continue;
             }
-            endpoint.next_beat_ms = self.now_ms + BEAT_MS;
-            endpoint.beats += 1;
+            endpoint.next_heartbeat_ms = self.now_ms + HEARTBEAT_MS;
+            endpoint.heartbeats += 1;
             let instance = endpoint.instance(BACKEND);
             let delay = 10 + self.random.below(self.lateness_ms / 10) * 10;
             if self.random.unit() >= self.loss {
@@ -450,23 +453,23 @@
 
     fn report_demand(&mut self, router: usize) {
         let mut models = Vec::new();
-        for asked in self.demand.clone() {
-            let requests = self.random.poisson(asked.rate / self.routers as f64);
+        for demanded in self.demand.clone() {
+            let requests = self.random.poisson(demanded.rate / self.routers as f64);
             if requests == 0 {
                 continue;
             }
-            let placed = self.copies(&asked.model, asked.adapter.as_deref()) > 0;
+            let placed = self.replicas(&demanded.model, demanded.adapter.as_deref()) > 0;
             let unplaced = if placed { 0 } else { requests };
             self.requests += u64::from(requests);
-            self.checks.asked(self.now_ms, &asked.model);
+            self.checks.demanded(self.now_ms, &demanded.model);
             if unplaced > 0 {
-                let name = format!("{}/{}", asked.model, asked.adapter.as_deref().unwrap_or(""));
+                let name = format!("{}/{}", demanded.model, demanded.adapter.as_deref().unwrap_or(""));
                 self.unplaced.push((self.now_ms, name, unplaced));
             }
             models.push(ModelDemand {
                 backend: BACKEND.into(),
-                model: asked.model,
-                adapter: asked.adapter,
+                model: demanded.model,
+                adapter: demanded.adapter,
                 requests,
                 tokens: u64::from(requests) * 3_000,
                 unplaced,
@@ -477,16 +480,18 @@
         self.drain();
     }
 
-    /// Endpoints that hold an item and take requests.
-    pub(crate) fn copies(&self, model: &str, adapter: Option<&str>) -> usize {
+    /// Ready endpoints that have an item resident.
+    pub(crate) fn replicas(&self, model: &str, adapter: Option<&str>) -> usize {
         let ready = self.endpoints.iter().filter(|endpoint| endpoint.up && endpoint.ready);
-        ready.filter(|endpoint| endpoint.holds(model, adapter)).count()
+        ready.filter(|endpoint| endpoint.is_resident(model, adapter)).count()
     }
 
     pub(crate) fn zones(&self, model: &str) -> usize {
         let ready = self.endpoints.iter().filter(|endpoint| endpoint.up && endpoint.ready);
-        let zones: BTreeSet<&str> =
-            ready.filter(|endpoint| endpoint.holds(model, None)).map(|endpoint| &*endpoint.zone).collect();
+        let zones: BTreeSet<&str> = ready
+            .filter(|endpoint| endpoint.is_resident(model, None))
+            .map(|endpoint| &*endpoint.zone)
+            .collect();
         zones.len()
     }
 
@@ -501,15 +506,15 @@
 
     /// Fills the endpoints as they begin: the models in demand on many, the rest on one each.
     pub(crate) fn fill(&mut self) {
-        let mut models: Vec<Asked> =
-            self.demand.iter().filter(|asked| asked.adapter.is_none()).cloned().collect();
+        let mut models: Vec<Demanded> =
+            self.demand.iter().filter(|demanded| demanded.adapter.is_none()).cloned().collect();
         models.sort_by(|a, b| b.rate.total_cmp(&a.rate));
-        let total: f64 = models.iter().map(|asked| asked.rate).sum();
+        let total: f64 = models.iter().map(|demanded| demanded.rate).sum();
         for copy in 1..=self.endpoints.len() {
-            for asked in &models {
-                let wanted = (asked.rate / total * self.endpoints.len() as f64).ceil();
+            for demanded in &models {
+                let wanted = (demanded.rate / total * self.endpoints.len() as f64).ceil();
                 if copy as f64 <= wanted {
-                    self.fill_one(&asked.model);
+                    self.fill_one(&demanded.model);
                 }
             }
         }
@@ -529,70 +534,72 @@
     }
 
     pub(crate) fn crash(&mut self, name: &str) {
-        self.checks.trouble_ms = self.now_ms;
+        self.checks.last_fault_ms = self.now_ms;
         let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.name == name) else { return };
         endpoint.up = false;
         endpoint.work = None;
         let id = endpoint.id();
-        self.send(SILENCE_MS, Message::Removed(id));
+        self.send(HEARTBEAT_TIMEOUT_MS, Message::Removed(id));
     }
 
     pub(crate) fn restart(&mut self, name: &str) {
-        self.checks.trouble_ms = self.now_ms;
+        self.checks.last_fault_ms = self.now_ms;
         let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.name == name) else { return };
         endpoint.up = true;
         endpoint.ready = true;
         endpoint.remaining_ms = None;
         endpoint.incarnation += 1;
         endpoint.models.clear();
-        endpoint.orders_taken = 0;
-        endpoint.beats = 0;
-        endpoint.next_beat_ms = self.now_ms;
+        endpoint.revision = 0;
+        endpoint.heartbeats = 0;
+        endpoint.next_heartbeat_ms = self.now_ms;
         endpoint.work = None;
     }
 
     pub(crate) fn drain_endpoint(&mut self, name: &str, remaining_ms: Option<f64>) {
-        self.checks.trouble_ms = self.now_ms;
+        self.checks.last_fault_ms = self.now_ms;
         let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.name == name) else { return };
         endpoint.ready = false;
         endpoint.remaining_ms = remaining_ms;
-        endpoint.next_beat_ms = self.now_ms;
+        endpoint.next_heartbeat_ms = self.now_ms;
     }
 
-    /// For a while nothing passes between an endpoint and the controllers; it goes on with what it was ordered to do.
-    pub(crate) fn cut(&mut self, name: &str, cut: Cut, lasts_ms: u64) {
+    /// Partitions an endpoint from the controllers for a while; it continues to execute its order.
+    pub(crate) fn partition(&mut self, name: &str, partition: Partition, duration_ms: u64) {
         let Some(endpoint) = self.endpoints.iter_mut().find(|endpoint| endpoint.name == name) else { return };
-        endpoint.cut = Some(cut);
-        endpoint.heal_ms = self.now_ms + lasts_ms;
+        endpoint.partition = Some(partition);
+        endpoint.partition_ends_ms = self.now_ms + duration_ms;
     }
 
-    /// Ends every cut.
-    pub(crate) fn heal_all(&mut self) {
+    /// Ends every partition.
+    pub(crate) fn end_all_partitions(&mut self) {
         let now_ms = self.now_ms;
-        self.endpoints.iter_mut().for_each(|endpoint| endpoint.heal_ms = endpoint.heal_ms.min(now_ms));
-        self.heal();
+        self.endpoints
+            .iter_mut()
+            .for_each(|endpoint| endpoint.partition_ends_ms = endpoint.partition_ends_ms.min(now_ms));
+        self.end_partitions();
     }
 
-    /// Where a cut is over, everything passes again, and the heartbeat that stood still may arrive.
-    fn heal(&mut self) {
+    /// Ends partitions that are over; a delayed heartbeat may arrive then.
+    fn end_partitions(&mut self) {
         for index in 0..self.endpoints.len() {
             let endpoint = &mut self.endpoints[index];
-            if endpoint.cut.is_none() || self.now_ms < endpoint.heal_ms {
+            if endpoint.partition.is_none() || self.now_ms < endpoint.partition_ends_ms {
                 continue;
             }
-            endpoint.cut = None;
-            let stalled = endpoint.stalled.take();
+            endpoint.partition = None;
+            let delayed_heartbeat = endpoint.delayed_heartbeat.take();
             let arrives = self.random.unit() < ARRIVE_LATE;
-            if let Some(instance) = stalled.filter(|_| arrives) {
+            if let Some(instance) = delayed_heartbeat.filter(|_| arrives) {
                 let delay = self.delay();
-                self.send(delay, Message::StalledInstance(Box::new(instance)));
+                self.send(delay, Message::DelayedInstance(Box::new(instance)));
             }
         }
     }
 
-    /// Another holder of the lease begins with nothing but the newest registrations.
+    /// A new lease holder starts with the newest registrations only.
     pub(crate) fn take_over(&mut self) {
-        self.checks.trouble_ms = self.now_ms;
+        self.checks.last_fault_ms = self.now_ms;
         self.generation += 1;
         self.checks.open.clear();
         let now = self.now();
@@ -622,12 +629,12 @@
         models: BTreeMap::new(),
         disk: BTreeSet::new(),
         work: None,
-        orders_taken: 0,
-        beats: 0,
-        next_beat_ms: random.below(120) * 10,
+        revision: 0,
+        heartbeats: 0,
+        next_heartbeat_ms: random.below(120) * 10,
         up: true,
-        cut: None,
-        heal_ms: 0,
-        stalled: None,
+        partition: None,
+        partition_ends_ms: 0,
+        delayed_heartbeat: None,
     }
 }
