--- a/crates/controller/src/controller/disk.rs
+++ b/crates/controller/src/controller/consensus/disk.rs
@@ -1,6 +1,6 @@
 //! The disk's own thread: a write or a sync that takes seconds holds up nothing else.
 
-use super::event::Event;
+use crate::controller::event::Event;
 use lanegate_coordination::register::{CodecError, Record};
 use lanegate_coordination::storage::{Folder, StoreError, VersionedStore};
 use parking_lot::Mutex;
--- a/crates/controller/src/controller/margin_test.rs
+++ b/crates/controller/src/controller/consensus/fault_tolerance_test.rs
@@ -1,6 +1,6 @@
 //! How many losses a group can bear, and when the operators are told.
 
-use super::margin::{MarginNews, Margins, MemberState, margin};
+use crate::controller::consensus::fault_tolerance::{MarginNews, Margins, MemberState, margin};
 use std::net::SocketAddr;
 
 fn node(number: u8) -> SocketAddr {
--- a/crates/controller/src/controller/trust.rs
+++ b/crates/controller/src/controller/consensus/freshness.rs
@@ -6,8 +6,9 @@
 //! Only from its answer on, and for as long as contact lasts unbroken, does the feed call this controller
 //! current.
 
-use super::operator::ANSWER_TIMEOUT;
-use super::{Asked, Controller, shards};
+use crate::controller::consensus::shards;
+use crate::controller::operator::pending_changes::ANSWER_TIMEOUT;
+use crate::controller::{Asked, Controller};
 use lanegate_coordination::register::{Input, Outcome};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -91,23 +92,23 @@
     }
 
     /// Whether a majority of the shard's group has answered a moment ago. The clock is read anew.
-    pub(super) fn has_contact(&self, shard: u8) -> bool {
+    pub(crate) fn has_contact(&self, shard: u8) -> bool {
         self.contact.reaches(self.now(), &self.groups(shard))
     }
 
     /// Whether this controller vouches for the configuration that it knows.
-    pub(super) fn is_current(&self) -> bool {
+    pub(crate) fn is_current(&self) -> bool {
         self.trust.is_current() && self.has_contact(shards::CONFIGURATION)
     }
 
     /// When contact ends, if nobody answers any more.
-    pub(super) fn contact_wake(&self) -> Option<Duration> {
+    pub(crate) fn contact_wake(&self) -> Option<Duration> {
         let watched = self.trust.is_in_contact();
         watched.then(|| self.contact.holds_until(&self.groups(shards::CONFIGURATION))).flatten()
     }
 
     /// Notices the beginning and the end of contact.
-    pub(super) fn watch_contact(&mut self) {
+    pub(crate) fn watch_contact(&mut self) {
         let reached: BTreeSet<u8> = shards::all().filter(|shard| self.has_contact(*shard)).collect();
         let watched = self.trust.watch(reached);
         if watched.begun {
@@ -133,7 +134,7 @@
     }
 
     /// The read that [`Trust`] waits for has ended; what it found has been learned already.
-    pub(super) fn barrier_read(&mut self, request: u64, outcome: &Outcome) {
+    pub(crate) fn barrier_read(&mut self, request: u64, outcome: &Outcome) {
         self.trust.read(request, matches!(outcome, Outcome::Value { .. }));
         self.watch_contact();
     }
--- a/crates/controller/src/controller/trust_test.rs
+++ b/crates/controller/src/controller/consensus/freshness_test.rs
@@ -1,7 +1,7 @@
 //! A controller vouches for its configuration only after a read that began in the contact that lasts.
 
-use super::shards::{self, CONFIGURATION};
-use super::trust::Trust;
+use crate::controller::consensus::freshness::Trust;
+use crate::controller::consensus::shards::{self, CONFIGURATION};
 use std::collections::BTreeSet;
 
 fn all() -> BTreeSet<u8> {
--- a/crates/controller/src/controller/contact_test.rs
+++ b/crates/controller/src/controller/consensus/quorum_contact_test.rs
@@ -1,6 +1,6 @@
 //! Contact: a majority's answers no older than stated, whatever links and processes do.
 
-use super::contact::{CONTACT_VALIDITY, Contact, ContactFault};
+use crate::controller::consensus::quorum_contact::{CONTACT_VALIDITY, Contact, ContactFault};
 use lanegate_coordination::membership::{Heartbeat, NodeId};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
--- a/crates/controller/src/controller/registers.rs
+++ b/crates/controller/src/controller/consensus/registers.rs
@@ -1,12 +1,12 @@
 //! The registers: what their replicas ask for, what was decided, and answers to requests.
 
-use super::counters::ChangeOutcome;
-use super::event::Answer;
-use super::groups::KnownGroups;
-use super::operator::Settled;
-use super::shards::{self, read_epoch};
-use super::unavailable::Unavailable;
-use super::{Asked, Controller, ControllerFault};
+use crate::controller::consensus::replica_groups::KnownGroups;
+use crate::controller::consensus::shards::{self, read_epoch};
+use crate::controller::counters::ChangeOutcome;
+use crate::controller::event::Answer;
+use crate::controller::operator::pending_changes::Settled;
+use crate::controller::operator::unavailable::Unavailable;
+use crate::controller::{Asked, Controller, ControllerFault};
 use crate::message::{Blob, Decided, Forwarded, Message, ShardMessage};
 use lanegate_config::control_state::{ControlState, Outcome as Taken};
 use lanegate_coordination::lease::Tenure;
@@ -17,7 +17,7 @@
 
 impl Controller {
     /// Does what a replica asks for.
-    pub(super) fn follow(&mut self, shard: u8, outputs: Vec<Output>) {
+    pub(crate) fn follow(&mut self, shard: u8, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send { to, message } => match message.encode() {
@@ -35,7 +35,7 @@
     }
 
     /// A newer decided value of a shard is known.
-    pub(super) fn learned(&mut self, shard: u8, value: &Value) {
+    pub(crate) fn learned(&mut self, shard: u8, value: &Value) {
         let now = self.now();
         let newest = self.newest_revisions.entry(shard).or_default();
         self.violations.check(Invariant::RevisionRises, value.revision >= *newest);
@@ -116,8 +116,11 @@
     }
 
     /// The outcome of a change is known: `answer` is an encoded outcome of the control state.
-    pub(super) fn change_settled(&mut self, change: u64, answer: &[u8]) {
-        match self.operator.settle(change, || super::calls::change_answer(answer)) {
+    pub(crate) fn change_settled(&mut self, change: u64, answer: &[u8]) {
+        match self
+            .operator
+            .settle(change, || crate::controller::operator::control_calls::change_answer(answer))
+        {
             Settled::Return { peer, request } => {
                 let body = Blob::from(answer.to_vec());
                 self.peers.send(peer, &Message::ChangeOutcome(Forwarded { request, body }));
@@ -128,12 +131,12 @@
     }
 
     /// Proposes a change of the operator at this controller's own replica.
-    pub(super) fn propose(&mut self, change: u64) {
+    pub(crate) fn propose(&mut self, change: u64) {
         let Some(command) = self.operator.command(change).map(<[u8]>::to_vec) else { return };
         let now = self.now();
         let request = self.request_number();
         self.asked.insert(request, Asked::Change(change));
-        let deadline = now + super::operator::ANSWER_TIMEOUT;
+        let deadline = now + crate::controller::operator::pending_changes::ANSWER_TIMEOUT;
         let outputs =
             self.shards.handle(now, shards::CONFIGURATION, Input::Propose { request, command, deadline });
         self.follow(shards::CONFIGURATION, outputs);
--- a/crates/controller/src/controller/groups_test.rs
+++ b/crates/controller/src/controller/consensus/replica_groups_test.rs
@@ -1,6 +1,6 @@
 //! Majorities of the groups in force, and how groups are told with a confirmation.
 
-use super::groups::KnownGroups;
+use crate::controller::consensus::replica_groups::KnownGroups;
 use crate::message::{Confirmation, GroupMembers};
 use lanegate_coordination::register::{Group, Node, Value};
 use std::net::{SocketAddr, SocketAddrV4};
--- a/crates/controller/src/controller/counters_test.rs
+++ b/crates/controller/src/controller/counters_test.rs
@@ -1,6 +1,6 @@
 //! What is counted for the metrics.
 
-use super::counters::{ChangeOutcome, Counters, OPERATIONS, OrderOutcome};
+use crate::controller::counters::{ChangeOutcome, Counters, OPERATIONS, OrderOutcome};
 use lanegate_config::control_state::Outcome;
 use lanegate_config::findings::Findings;
 use lanegate_placement::{Operation, OrderAnswer};
--- a/crates/controller/src/controller/housekeeping.rs
+++ b/crates/controller/src/controller/endpoints/expiry.rs
@@ -1,18 +1,18 @@
 //! What no event tells: silent endpoints and routers, peers that nobody names any more, a controller that
 //! has heard everyone.
 
-use super::shards::{self, shard_of};
-use super::{Controller, ControllerFault};
+use crate::controller::consensus::shards::{self, shard_of};
+use crate::controller::{Controller, ControllerFault};
 use crate::message::Message;
 use std::time::Duration;
 
 /// Time between looks at what no event tells: silent endpoints, members, settings.
-pub(super) const HOUSEKEEPING_PERIOD: Duration = Duration::from_millis(400);
+pub(crate) const HOUSEKEEPING_PERIOD: Duration = Duration::from_millis(400);
 /// Heartbeats of endpoints after which a controller that started alone has heard them all.
 const HEARTBEATS_TO_COMPLETE: f64 = 2.2;
 
 impl Controller {
-    pub(super) fn keep_house(&mut self, now: Duration) {
+    pub(crate) fn keep_house(&mut self, now: Duration) {
         if let Some(heard) = self.endpoints.take_heard() {
             self.peers.broadcast(&heard);
         }
@@ -45,7 +45,7 @@
     }
 
     /// Everyone that registers has been heard: readers may drop what they did not hear of.
-    pub(super) fn became_complete(&mut self) {
+    pub(crate) fn became_complete(&mut self) {
         if !self.complete {
             self.complete = true;
             self.readers.append(&Message::SnapshotEnd { complete: 1 });
--- a/crates/controller/src/controller/holdings_test.rs
+++ b/crates/controller/src/controller/endpoints/pending_loads_test.rs
@@ -1,6 +1,6 @@
 //! Loads that were accepted show to routers as soon as they can be used, and not before.
 
-use super::holdings::{Holdings, Step, holding};
+use crate::controller::endpoints::pending_loads::{Holdings, Step, holding};
 use lanegate_config::instance::ResidentModel;
 use lanegate_placement::{Operation, Order, OrderId};
 use std::net::SocketAddr;
--- a/crates/controller/src/controller/endpoints.rs
+++ b/crates/controller/src/controller/endpoints/registry.rs
@@ -1,8 +1,8 @@
 //! Registrations of endpoints at a controller: what is taken, told to the others, acknowledged.
 
-use super::event::Answer;
-use super::groups::KnownGroups;
-use super::unavailable::Unavailable;
+use crate::controller::consensus::replica_groups::KnownGroups;
+use crate::controller::event::Answer;
+use crate::controller::operator::unavailable::Unavailable;
 use crate::message::{Heard, HeardList, Holding, Message, Registered as RegisteredMessage, Removed};
 use crate::registration::Registered;
 use crate::view::registered_message;
--- a/crates/controller/src/controller/endpoints_test.rs
+++ b/crates/controller/src/controller/endpoints/registry_test.rs
@@ -1,9 +1,9 @@
 //! Registrations at one controller: what is acknowledged when, and what the others and the readers hear.
 
-use super::endpoints::{Changes, Endpoints, EndpointsFault, Merge, Merged};
-use super::event::Answer;
-use super::groups::KnownGroups;
-use super::holdings::holding;
+use crate::controller::consensus::replica_groups::KnownGroups;
+use crate::controller::endpoints::pending_loads::holding;
+use crate::controller::endpoints::registry::{Changes, Endpoints, EndpointsFault, Merge, Merged};
+use crate::controller::event::Answer;
 use crate::message::{Heard, HeardList, Holding, Message, Registered, Removed};
 use bytes::Bytes;
 use lanegate_coordination::registry::FINAL_SEQUENCE;
--- a/crates/controller/src/controller/environment.rs
+++ b/crates/controller/src/controller/environment.rs
@@ -1,9 +1,9 @@
 //! What a controller needs from the outside: a clock, links, a disk, calls to endpoints, its settings file.
 //!
-//! Everything else comes in as an [`Event`](super::event::Event). A process gives a controller the real
+//! Everything else comes in as an [`Event`](crate::controller::event::Event). A process gives a controller the real
 //! world; a simulation gives it one that runs on simulated time.
 
-use super::placement::ServiceAction;
+use crate::controller::placement::placers::ServiceAction;
 use lanegate_config::settings::{Settings, SettingsError};
 use lanegate_coordination::register::Record;
 use std::net::SocketAddr;
--- a/crates/controller/src/controller/event.rs
+++ b/crates/controller/src/controller/event.rs
@@ -1,6 +1,6 @@
 //! What happens to a controller: messages, calls, and ends of writes, one after the other.
 
-use super::unavailable::Unavailable;
+use crate::controller::operator::unavailable::Unavailable;
 use crate::link::Outbox;
 use crate::message::{Hello, Message};
 use bytes::Bytes;
--- a/crates/controller/src/controller/turn.rs
+++ b/crates/controller/src/controller/event_loop.rs
@@ -1,11 +1,11 @@
 //! One turn of a controller: what is due by now, and each event handed to the module that takes its kind.
 
-use super::Controller;
-use super::event::Event;
-use super::feed::BEAT_PERIOD;
-use super::handover::Handover;
-use super::housekeeping::HOUSEKEEPING_PERIOD;
-use super::shards;
+use crate::controller::Controller;
+use crate::controller::consensus::shards;
+use crate::controller::endpoints::expiry::HOUSEKEEPING_PERIOD;
+use crate::controller::event::Event;
+use crate::controller::feed::agents::BEAT_PERIOD;
+use crate::controller::membership::handover::Handover;
 use lanegate_coordination::register::{Input, Value};
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 
 impl Controller {
     /// Takes up what the disk holds, and dials the seeds.
-    pub(super) fn start(&mut self) {
+    pub(crate) fn start(&mut self) {
         let seeds = self.settings.seeds.clone();
         seeds.into_iter().for_each(|seed| self.know(seed));
         let decided: Vec<(u8, Value)> = self
--- a/crates/controller/src/controller/fault.rs
+++ b/crates/controller/src/controller/fault.rs
@@ -1,8 +1,8 @@
 //! Deliberate mistakes of a controller, each of which the simulation must find. A process makes none.
 
-use super::contact::ContactFault;
-use super::endpoints::EndpointsFault;
-use super::members::MembersFault;
+use crate::controller::consensus::quorum_contact::ContactFault;
+use crate::controller::endpoints::registry::EndpointsFault;
+use crate::controller::membership::replacement::MembersFault;
 use lanegate_coordination::register;
 
 /// A deliberate mistake of a controller.
@@ -98,7 +98,7 @@
     }
 
     /// The mistake that the registers make.
-    pub(super) fn of_register(self) -> Option<register::Fault> {
+    pub(crate) fn of_register(self) -> Option<register::Fault> {
         match self {
             ControllerFault::Register(fault) => Some(fault),
             _ => None,
@@ -106,7 +106,7 @@
     }
 
     /// The mistake in what counts as contact.
-    pub(super) fn of_contact(self) -> Option<ContactFault> {
+    pub(crate) fn of_contact(self) -> Option<ContactFault> {
         match self {
             ControllerFault::Contact(fault) => Some(fault),
             _ => None,
@@ -114,7 +114,7 @@
     }
 
     /// The mistake in the replacement of members.
-    pub(super) fn of_members(self) -> Option<MembersFault> {
+    pub(crate) fn of_members(self) -> Option<MembersFault> {
         match self {
             ControllerFault::Members(fault) => Some(fault),
             _ => None,
@@ -122,7 +122,7 @@
     }
 
     /// The mistake in what makes an acknowledgement safe.
-    pub(super) fn of_endpoints(self) -> Option<EndpointsFault> {
+    pub(crate) fn of_endpoints(self) -> Option<EndpointsFault> {
         match self {
             ControllerFault::Endpoints(fault) => Some(fault),
             _ => None,
--- a/crates/controller/src/controller/feed.rs
+++ b/crates/controller/src/controller/feed/agents.rs
@@ -1,15 +1,15 @@
 //! The feed to agents: a new reader, and the heartbeat that tells them of the quorum.
 
-use super::{Controller, ControllerFault};
+use crate::controller::{Controller, ControllerFault};
 use crate::link::Outbox;
 use crate::message::{Hello, Message};
 use std::time::Duration;
 
 /// Time between heartbeats of the feed.
-pub(super) const BEAT_PERIOD: Duration = Duration::from_millis(500);
+pub(crate) const BEAT_PERIOD: Duration = Duration::from_millis(500);
 
 impl Controller {
-    pub(super) fn beat(&mut self) {
+    pub(crate) fn beat(&mut self) {
         let (quorum, routers) = (self.is_trusted(), self.routers.count(self.now()));
         self.readers.beat(quorum, routers);
     }
@@ -20,7 +20,7 @@
         (self.is_current() || claims) && !self.is_leaving()
     }
 
-    pub(super) fn agent_up(&mut self, agent: u64, hello: &Hello, outbox: Outbox) {
+    pub(crate) fn agent_up(&mut self, agent: u64, hello: &Hello, outbox: Outbox) {
         let beat = (self.is_trusted(), self.routers.count(self.now()));
         let controllers = self.controllers_message();
         let (endpoints, complete) = (&self.endpoints, self.complete);
@@ -33,7 +33,7 @@
         self.readers.up(agent, hello, outbox, snapshot, beat);
     }
 
-    pub(super) fn agent_message(&mut self, agent: u64, message: Message) {
+    pub(crate) fn agent_message(&mut self, agent: u64, message: Message) {
         match message {
             Message::Demand(demand) => {
                 self.demand(&demand);
--- a/crates/controller/src/controller/routers_test.rs
+++ b/crates/controller/src/controller/feed/live_routers_test.rs
@@ -1,6 +1,6 @@
 //! The number of live routers is never told too low.
 
-use super::routers::LiveRouters;
+use crate::controller::feed::live_routers::LiveRouters;
 use std::time::Duration;
 
 fn s(n: u64) -> Duration {
--- a/crates/controller/src/controller/readers_storm_test.rs
+++ b/crates/controller/src/controller/feed/subscriber_storm_test.rs
@@ -1,7 +1,7 @@
 //! Readers of the feed under storms of changes: bytes, lag and the end state of each, in simulated time.
 
-use super::readers::Readers;
 use crate::configuration_feed::reader::Pace;
+use crate::controller::feed::subscribers::Readers;
 use crate::link::Outbox;
 use crate::message::{Decided, Hello, Message, Registered, Removed, Role};
 use crate::view::View;
--- a/crates/controller/src/controller/readers_test.rs
+++ b/crates/controller/src/controller/feed/subscribers_test.rs
@@ -1,6 +1,6 @@
 //! Readers of the feed go on where they stood, or begin with a snapshot.
 
-use super::readers::Readers;
+use crate::controller::feed::subscribers::Readers;
 use crate::link::Outbox;
 use crate::message::{FeedBeat, Hello, Message, Removed, Role};
 use bytes::Bytes;
--- a/crates/controller/src/controller/inspect.rs
+++ b/crates/controller/src/controller/inspect.rs
@@ -1,6 +1,7 @@
 //! What a simulation looks up in a controller.
 
-use super::{Controller, shards};
+use crate::controller::Controller;
+use crate::controller::consensus::shards;
 use bytes::Bytes;
 use lanegate_placement::InvariantViolations;
 use std::net::SocketAddr;
--- a/crates/controller/src/controller/handover_test.rs
+++ b/crates/controller/src/controller/membership/handover_test.rs
@@ -1,6 +1,6 @@
 //! What a controller waits for before it ends.
 
-use super::handover::{Handover, Place};
+use crate::controller::membership::handover::{Handover, Place};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/controller/src/controller/links.rs
+++ b/crates/controller/src/controller/membership/links.rs
@@ -1,6 +1,6 @@
 //! The links of a controller: those it dials to its peers, and those that peers and agents open.
 
-use super::event::Event;
+use crate::controller::event::Event;
 use crate::link::{self, Outbox, REDIAL_PAUSE, Reader};
 use crate::message::{Hello, Message, MessageError, Role};
 use std::net::SocketAddr;
--- a/crates/controller/src/controller/standing_test.rs
+++ b/crates/controller/src/controller/membership/member_status_test.rs
@@ -1,6 +1,6 @@
 //! What controllers say of themselves, and for how long it holds.
 
-use super::standing::Standings;
+use crate::controller::membership::member_status::Standings;
 use crate::message::Standing;
 use std::net::SocketAddr;
 
--- /dev/null
+++ b/crates/controller/src/controller/membership/mod.rs
@@ -0,0 +1,18 @@
+//! The other controllers: links to them, their messages and status, changes of replica groups, and the shutdown of
+//! this controller.
+
+pub(super) mod handover;
+#[cfg(test)]
+mod handover_test;
+pub(super) mod links;
+pub(super) mod member_status;
+#[cfg(test)]
+mod member_status_test;
+pub(super) mod peer_discovery;
+pub(super) mod peer_messages;
+pub(super) mod peers;
+pub(super) mod reconfiguration;
+pub(super) mod replacement;
+#[cfg(test)]
+mod replacement_test;
+pub(super) mod shutdown;
--- a/crates/controller/src/controller/peer_links.rs
+++ b/crates/controller/src/controller/membership/peer_discovery.rs
@@ -1,6 +1,7 @@
 //! The links to other controllers: who is known, and what each is told when its link comes up.
 
-use super::{Controller, ControllerFault, shards};
+use crate::controller::consensus::shards;
+use crate::controller::{Controller, ControllerFault};
 use crate::link::Outbox;
 use crate::message::{Controllers, Message};
 use lanegate_coordination::register::Input;
@@ -9,7 +10,7 @@
 
 impl Controller {
     /// Tells a peer whose link has come up all that this controller knows.
-    pub(super) fn greet(&self, outbox: &Outbox) {
+    pub(crate) fn greet(&self, outbox: &Outbox) {
         outbox.message(&self.controllers_message());
         outbox.message(&Message::Standing(self.standing()));
         for message in self.endpoints.full_snapshot() {
@@ -22,7 +23,7 @@
     }
 
     /// Notes that there is a controller at this address.
-    pub(super) fn know(&mut self, peer: SocketAddr) {
+    pub(crate) fn know(&mut self, peer: SocketAddr) {
         let now = self.now();
         if !self.peers.name(now, peer) {
             return;
@@ -33,7 +34,7 @@
     }
 
     /// Lets the replicas ask a controller again what it has not answered.
-    pub(super) fn contact(&mut self, peer: SocketAddr) {
+    pub(crate) fn contact(&mut self, peer: SocketAddr) {
         let now = self.now();
         let SocketAddr::V4(address) = peer else { return };
         for shard in shards::all() {
@@ -44,7 +45,7 @@
 
     /// Forgets peers that are gone for good. Seeds and members of any group are dialled for ever: a
     /// controller that was cut off for long is found again by them, or finds them.
-    pub(super) fn forget_peers(&mut self, now: Duration) {
+    pub(crate) fn forget_peers(&mut self, now: Duration) {
         let members = shards::all().flat_map(|shard| self.group(shard));
         let needed: Vec<SocketAddr> = members.chain(self.settings.seeds.iter().copied()).collect();
         if !self.has_fault(ControllerFault::ForgetMembers) {
@@ -68,7 +69,7 @@
         self.readers.append(&message);
     }
 
-    pub(super) fn controllers_message(&self) -> Message {
+    pub(crate) fn controllers_message(&self) -> Message {
         let addresses: Vec<String> = self.peers.addresses().iter().map(ToString::to_string).collect();
         Message::Controllers(Controllers { addresses: addresses.join(" ").as_str().into() })
     }
--- a/crates/controller/src/controller/peer_messages.rs
+++ b/crates/controller/src/controller/membership/peer_messages.rs
@@ -1,8 +1,9 @@
 //! Messages of other controllers.
 
-use super::endpoints::Merged;
-use super::groups::KnownGroups;
-use super::{Controller, ControllerFault, shards};
+use crate::controller::consensus::replica_groups::KnownGroups;
+use crate::controller::consensus::shards;
+use crate::controller::endpoints::registry::Merged;
+use crate::controller::{Controller, ControllerFault};
 use crate::message::{Confirmation, Holding, Message, ShardMessage, Token};
 use lanegate_coordination::lease::LeaseMessage;
 use lanegate_coordination::membership::Heartbeat;
@@ -10,7 +11,7 @@
 use std::net::SocketAddr;
 
 impl Controller {
-    pub(super) fn peer_message(&mut self, peer: SocketAddr, message: Message) {
+    pub(crate) fn peer_message(&mut self, peer: SocketAddr, message: Message) {
         let now = self.now();
         match message {
             Message::Heartbeat { body } => {
--- a/crates/controller/src/controller/membership.rs
+++ b/crates/controller/src/controller/membership/reconfiguration.rs
@@ -1,8 +1,9 @@
 //! Which controllers are live, and changes of the groups that follow from it.
 
-use super::margin::{MarginNews, MemberState, margin};
-use super::members::{GroupView, MemberChange};
-use super::{Asked, Controller, ControllerFault, shards};
+use crate::controller::consensus::fault_tolerance::{MarginNews, MemberState, margin};
+use crate::controller::consensus::shards;
+use crate::controller::membership::replacement::{GroupView, MemberChange};
+use crate::controller::{Asked, Controller, ControllerFault};
 use crate::message::{Message, Standing};
 use lanegate_coordination::membership::{Heartbeat, Output};
 use lanegate_coordination::register::{Input, Node};
@@ -18,7 +19,7 @@
 impl Controller {
     /// Sends the newest heartbeat once more to a peer whose link has just come up, here or there: after a start of
     /// all controllers, contact does not wait for the next one.
-    pub(super) fn repeat_heartbeat(&self, peer: SocketAddr) {
+    pub(crate) fn repeat_heartbeat(&self, peer: SocketAddr) {
         if let Some(heartbeat) = self.contact.newest() {
             self.send_heartbeat(peer, heartbeat);
         }
@@ -31,7 +32,7 @@
         }
     }
 
-    pub(super) fn membership_outputs(&mut self, outputs: Vec<Output>) {
+    pub(crate) fn membership_outputs(&mut self, outputs: Vec<Output>) {
         let changed = outputs.iter().any(|output| matches!(output, Output::StateChanged { .. }));
         for output in outputs {
             match output {
@@ -56,7 +57,7 @@
     }
 
     /// Lets groups grow, and replaces members that are gone or leave, in the shards that this controller owns.
-    pub(super) fn tend_members(&mut self, now: Duration) {
+    pub(crate) fn tend_members(&mut self, now: Duration) {
         let live: Vec<SocketAddr> =
             self.membership.live().filter(|member| self.is_reached(now, *member)).collect();
         let size = 2 * self.settings.fault_tolerance.machines as usize + 1;
@@ -94,13 +95,13 @@
     }
 
     /// What this controller says of itself.
-    pub(super) fn standing(&self) -> Standing {
+    pub(crate) fn standing(&self) -> Standing {
         let voting = self.shards.iter().filter(|(_, replica)| replica.can_vote()).map(|(shard, _)| shard);
         Standing::new(self.life, voting, self.is_leaving())
     }
 
     /// Tells the other controllers where this one stands, if that has changed.
-    pub(super) fn tell_standing(&mut self) {
+    pub(crate) fn tell_standing(&mut self) {
         let standing = self.standing();
         if self.standings.note(self.this, standing) {
             self.peers.broadcast(&Message::Standing(standing));
@@ -109,7 +110,7 @@
 
     /// Another controller says where it stands: a spare that can vote now, or a member that leaves, may be what
     /// a group waits for.
-    pub(super) fn stands(&mut self, peer: SocketAddr, mut standing: Standing) {
+    pub(crate) fn stands(&mut self, peer: SocketAddr, mut standing: Standing) {
         if self.has_fault(ControllerFault::ForgetLeaving) {
             standing.leaving = 0;
         }
@@ -131,14 +132,14 @@
     }
 
     /// The members of all groups of a shard in force, and what is known of each.
-    pub(super) fn member_states(&self, shard: u8) -> impl Iterator<Item = (String, String)> {
+    pub(crate) fn member_states(&self, shard: u8) -> impl Iterator<Item = (String, String)> {
         let members: BTreeSet<SocketAddr> = self.known_groups(shard).groups.into_iter().flatten().collect();
         let told = move |member| (format!("{member}"), format!("{:?}", self.member_state(shard, member)));
         members.into_iter().map(told)
     }
 
     /// Losses that the groups of a shard can still bear; `None` without a majority.
-    pub(super) fn margin(&self, shard: u8) -> Option<usize> {
+    pub(crate) fn margin(&self, shard: u8) -> Option<usize> {
         margin(&self.known_groups(shard).groups, |member| self.member_state(shard, member))
     }
 
--- a/crates/controller/src/controller/members.rs
+++ b/crates/controller/src/controller/membership/replacement.rs
@@ -4,8 +4,8 @@
 //! Every shard has a group of its own and is judged by itself: the owner of one may have replaced a member that
 //! the owner of another has not replaced yet.
 
-use super::groups::KnownGroups;
-use super::standing::Standings;
+use crate::controller::consensus::replica_groups::KnownGroups;
+use crate::controller::membership::member_status::Standings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/controller/src/controller/members_test.rs
+++ b/crates/controller/src/controller/membership/replacement_test.rs
@@ -1,7 +1,7 @@
 //! Growth of the replica groups, and the replacement of members that are gone or leave.
 
-use super::members::{GroupView, MemberChange, Members};
-use super::standing::Standings;
+use crate::controller::membership::member_status::Standings;
+use crate::controller::membership::replacement::{GroupView, MemberChange, Members};
 use crate::message::Standing;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/controller/src/controller/ending.rs
+++ b/crates/controller/src/controller/membership/shutdown.rs
@@ -1,7 +1,8 @@
 //! The end of the process: what it alone holds is handed over first.
 
-use super::handover::{Handover, Place};
-use super::{Controller, ControllerFault, shards};
+use crate::controller::consensus::shards;
+use crate::controller::membership::handover::{Handover, Place};
+use crate::controller::{Controller, ControllerFault};
 use crate::message::{Message, Token};
 use std::time::Duration;
 
@@ -24,7 +25,7 @@
     }
 
     /// Whether the process has been asked to end.
-    pub(super) fn is_leaving(&self) -> bool {
+    pub(crate) fn is_leaving(&self) -> bool {
         self.handover.is_some()
     }
 
@@ -34,7 +35,7 @@
     }
 
     /// Goes on with the handover, if one is under way.
-    pub(super) fn hand_over(&mut self, now: Duration) {
+    pub(crate) fn hand_over(&mut self, now: Duration) {
         let Some(handover) = &self.handover else { return };
         let at_once = self.has_fault(ControllerFault::LeaveWithoutHandover);
         let mut place = self.place_in_groups();
--- a/crates/controller/src/controller/metrics.rs
+++ b/crates/controller/src/controller/metrics.rs
@@ -1,9 +1,10 @@
 //! The figures of a controller, read from its state when they are asked for.
 
-use super::counters::{ChangeOutcome, OPERATIONS, OrderOutcome};
-use super::disk::DiskCounts;
-use super::unavailable::{Unavailable, UnavailableCounts};
-use super::{Controller, shards};
+use crate::controller::Controller;
+use crate::controller::consensus::disk::DiskCounts;
+use crate::controller::consensus::shards;
+use crate::controller::counters::{ChangeOutcome, OPERATIONS, OrderOutcome};
+use crate::controller::operator::unavailable::{Unavailable, UnavailableCounts};
 use lanegate_config::instance::InstanceState;
 use lanegate_coordination::register::Status;
 use lanegate_metrics::{Exposition, Metric};
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -1,121 +1,61 @@
 //! A controller: keeps the configuration and the list of endpoints with its peers, answers operators and
 //! endpoints, and feeds agents.
 
-#[cfg(test)]
-mod answers_test;
-#[cfg(test)]
-mod callers_test;
-mod calls;
-mod contact;
-#[cfg(test)]
-mod contact_test;
+mod consensus;
 mod counters;
 #[cfg(test)]
 mod counters_test;
-mod demand;
-#[cfg(test)]
-mod demand_test;
-mod disk;
-mod ending;
 mod endpoints;
-#[cfg(test)]
-mod endpoints_test;
 mod environment;
 mod event;
+mod event_loop;
 mod fault;
 mod feed;
-mod groups;
-#[cfg(test)]
-mod groups_test;
-mod handover;
-#[cfg(test)]
-mod handover_test;
-mod holdings;
-#[cfg(test)]
-mod holdings_test;
-mod housekeeping;
-mod http;
-#[cfg(test)]
-mod http_test;
 mod inspect;
-mod links;
-mod margin;
-#[cfg(test)]
-mod margin_test;
-mod members;
-#[cfg(test)]
-mod members_test;
 mod membership;
 mod metrics;
 mod operator;
-#[cfg(test)]
-mod operator_test;
-mod orders;
-#[cfg(test)]
-mod orders_test;
-mod peer_links;
-mod peer_messages;
-mod peers;
 mod placement;
-mod placing;
 mod process;
-mod readers;
-#[cfg(test)]
-mod readers_storm_test;
-#[cfg(test)]
-mod readers_test;
-mod registers;
-mod routers;
-#[cfg(test)]
-mod routers_test;
 mod setup;
-mod shards;
-mod standing;
-#[cfg(test)]
-mod standing_test;
-mod trust;
-#[cfg(test)]
-mod trust_test;
-mod turn;
-mod unavailable;
 
-pub use contact::ContactFault;
-pub use endpoints::EndpointsFault;
+pub use consensus::quorum_contact::ContactFault;
+pub use endpoints::registry::EndpointsFault;
 pub(crate) use environment::Environment;
 pub(crate) use event::{Answer, Call, Event, Method};
 pub use fault::ControllerFault;
-pub use members::MembersFault;
-pub(crate) use placement::ServiceAction;
+pub use membership::replacement::MembersFault;
+pub(crate) use placement::placers::ServiceAction;
 pub use setup::{ControllerError, run_controller};
 pub(crate) use setup::{Records, Start, Stores, open_stores};
 
 use crate::message::Decided;
-use contact::Contact;
+use consensus::fault_tolerance::Margins;
+use consensus::freshness::Trust;
+use consensus::quorum_contact::Contact;
+use consensus::replica_groups::KnownGroups;
+use consensus::shards::Shards;
 use counters::Counters;
-use demand::RecentDemand;
-use endpoints::Endpoints;
-use groups::KnownGroups;
-use handover::Handover;
-use holdings::Holdings;
+use endpoints::pending_loads::Holdings;
+use endpoints::registry::Endpoints;
+use feed::live_routers::LiveRouters;
+use feed::subscribers::Readers;
 use lanegate_config::configuration::Configuration;
 use lanegate_config::settings::Settings;
 use lanegate_coordination::lease::LeaseNode;
 use lanegate_coordination::membership::Membership;
 use lanegate_invariants::Violations;
-use margin::Margins;
-use members::Members;
-use operator::Operator;
-use peers::Peers;
-use placement::Placements;
-use readers::Readers;
-use routers::LiveRouters;
-use shards::Shards;
-use standing::Standings;
+use membership::handover::Handover;
+use membership::member_status::Standings;
+use membership::peers::Peers;
+use membership::replacement::Members;
+use operator::pending_changes::Operator;
+use placement::placers::Placements;
+use placement::recent_demand::RecentDemand;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use trust::Trust;
 
 /// One controller. All of its state belongs to one task; nothing in it waits, and its clock, links and disk
 /// are those of its [`Environment`].
--- a/crates/controller/src/controller/answers_test.rs
+++ b/crates/controller/src/controller/operator/answers_test.rs
@@ -1,8 +1,8 @@
 //! The bodies of the control interface's answers, byte for byte.
 
-use super::calls::change_answer;
-use super::event::Answer;
-use super::unavailable::Unavailable;
+use crate::controller::event::Answer;
+use crate::controller::operator::control_calls::change_answer;
+use crate::controller::operator::unavailable::Unavailable;
 use lanegate_config::control_state::Outcome;
 use lanegate_config::findings::Findings;
 
--- a/crates/controller/src/controller/calls.rs
+++ b/crates/controller/src/controller/operator/control_calls.rs
@@ -1,10 +1,11 @@
 //! Calls on the control interface.
 
-use super::event::{Answer, Call, Method};
-use super::groups::KnownGroups;
-use super::operator::ANSWER_TIMEOUT;
-use super::unavailable::Unavailable;
-use super::{Asked, Controller, ControllerFault, shards};
+use crate::controller::consensus::replica_groups::KnownGroups;
+use crate::controller::consensus::shards;
+use crate::controller::event::{Answer, Call, Method};
+use crate::controller::operator::pending_changes::ANSWER_TIMEOUT;
+use crate::controller::operator::unavailable::Unavailable;
+use crate::controller::{Asked, Controller, ControllerFault};
 use crate::message::{Forwarded, Message, Token};
 use lanegate_config::control_state::{Command, Method as ChangeMethod, Outcome, apply};
 use lanegate_config::findings::Findings;
@@ -20,7 +21,7 @@
 
 impl Controller {
     /// Answers a call, at once or later.
-    pub(super) fn call(&mut self, call: Call) {
+    pub(crate) fn call(&mut self, call: Call) {
         if self.is_leaving() && call.path != STATUS_PATH {
             return answer(call, Answer::unavailable(Unavailable::Leaving));
         }
@@ -111,7 +112,7 @@
         (!outcome.is_acknowledged()).then(|| change_answer(&outcome.encode()))
     }
 
-    pub(super) fn status(&self) -> Answer {
+    pub(crate) fn status(&self) -> Answer {
         let shards: Vec<serde_json::Value> = self
             .shards
             .iter()
@@ -160,7 +161,7 @@
 }
 
 /// What the operator gets for the encoded outcome of a change.
-pub(super) fn change_answer(encoded: &[u8]) -> Answer {
+pub(crate) fn change_answer(encoded: &[u8]) -> Answer {
     let outcome = match Outcome::decode(encoded) {
         Ok(outcome) => outcome,
         Err(error) => {
--- a/crates/controller/src/controller/http.rs
+++ b/crates/controller/src/controller/operator/http.rs
@@ -1,7 +1,7 @@
 //! The control interface: endpoints and operators over HTTP/1.1.
 
-use super::event::{Answer, Call, Event, Method};
-use super::unavailable::{Unavailable, UnavailableCounts};
+use crate::controller::event::{Answer, Call, Event, Method};
+use crate::controller::operator::unavailable::{Unavailable, UnavailableCounts};
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
--- a/crates/controller/src/controller/callers_test.rs
+++ b/crates/controller/src/controller/operator/http_callers_test.rs
@@ -1,7 +1,7 @@
 //! Every caller of the control interface gets the answer to its own call, and no other.
 
-use super::event::{Answer, Call, Event};
-use super::http::serve;
+use crate::controller::event::{Answer, Call, Event};
+use crate::controller::operator::http::serve;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/controller/src/controller/http_test.rs
+++ b/crates/controller/src/controller/operator/http_test.rs
@@ -1,7 +1,7 @@
 //! Calls that break off or are too long, over real connections.
 
-use super::event::{Answer, Event};
-use super::http;
+use crate::controller::event::{Answer, Event};
+use crate::controller::operator::http;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/controller/src/controller/operator.rs
+++ b/crates/controller/src/controller/operator/pending_changes.rs
@@ -4,8 +4,8 @@
 //! collide; when it does not answer, this controller proposes the same change itself. Taking a change twice
 //! is harmless: the second time it is found among those already taken.
 
-use super::event::Answer;
-use super::unavailable::Unavailable;
+use crate::controller::event::Answer;
+use crate::controller::operator::unavailable::Unavailable;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::sync::oneshot;
--- a/crates/controller/src/controller/operator_test.rs
+++ b/crates/controller/src/controller/operator/pending_changes_test.rs
@@ -1,7 +1,7 @@
 //! Changes of the operator: the owner first, then this controller, and an end in any case.
 
-use super::event::Answer;
-use super::operator::{ANSWER_TIMEOUT, OWNER_PATIENCE, Operator, Settled};
+use crate::controller::event::Answer;
+use crate::controller::operator::pending_changes::{ANSWER_TIMEOUT, OWNER_PATIENCE, Operator, Settled};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::oneshot::{self, Receiver};
--- a/crates/controller/src/controller/orders_test.rs
+++ b/crates/controller/src/controller/placement/endpoint_client_test.rs
@@ -1,4 +1,4 @@
-use super::orders::{ask_report, give};
+use crate::controller::placement::endpoint_client::{ask_report, give};
 use lanegate_placement::{Operation, Order, OrderAnswer, OrderId};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
--- a/crates/controller/src/controller/placing.rs
+++ b/crates/controller/src/controller/placement/placement_control.rs
@@ -1,10 +1,10 @@
 //! What a controller does for the services that it places: leases, news for the placers, orders.
 
-use super::holdings::{Step, holding};
-use super::orders::{CONNECT_TIMEOUT, ORDER_WIRE_TIME};
-use super::placement::{Placements, ServiceAction};
-use super::shards;
-use super::{Asked, Controller, ControllerFault};
+use crate::controller::consensus::shards;
+use crate::controller::endpoints::pending_loads::{Step, holding};
+use crate::controller::placement::endpoint_client::{CONNECT_TIMEOUT, ORDER_WIRE_TIME};
+use crate::controller::placement::placers::{Placements, ServiceAction};
+use crate::controller::{Asked, Controller, ControllerFault};
 use crate::message::{Holding, Message, RouterDemand, ShardMessage};
 use lanegate_config::demand::DemandReport;
 use lanegate_config::mechanism::Mechanism;
@@ -22,7 +22,7 @@
 
 impl Controller {
     /// Stands for the leases of the shards that have engines and that this controller owns.
-    pub(super) fn stand_for_leases(&mut self) {
+    pub(crate) fn stand_for_leases(&mut self) {
         let Some(configuration) = self.configuration.clone() else { return };
         let now = self.now();
         let wanted: BTreeSet<u8> = Placements::wanted_shards(&configuration).collect();
@@ -37,7 +37,7 @@
     }
 
     /// Does what the leases ask for.
-    pub(super) fn lease_outputs(&mut self, outputs: Vec<Output>) {
+    pub(crate) fn lease_outputs(&mut self, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send { to, message } => match message.encode() {
@@ -75,7 +75,7 @@
     }
 
     /// Tells the placers of the configuration; `epoch` is that of a tenure that has just begun, else 0.
-    pub(super) fn configure_placements(&mut self, epoch: u64) {
+    pub(crate) fn configure_placements(&mut self, epoch: u64) {
         let Some(configuration) = self.configuration.clone() else { return };
         let first = self.first_start && epoch == FIRST_EPOCH;
         let start = if first { Start::First } else { Start::Takeover };
@@ -86,7 +86,7 @@
     }
 
     /// A router told its demand.
-    pub(super) fn demand(&mut self, demand: &RouterDemand) {
+    pub(crate) fn demand(&mut self, demand: &RouterDemand) {
         let now = self.now();
         let router = demand.router.text();
         self.recent_demand.keep(now, demand);
@@ -101,7 +101,7 @@
     }
 
     /// Does what the placers want done.
-    pub(super) fn place(&mut self, now: Duration) {
+    pub(crate) fn place(&mut self, now: Duration) {
         for action in self.placements.due(now) {
             self.start_action(action);
         }
@@ -118,7 +118,7 @@
     }
 
     /// An order was answered, or not.
-    pub(super) fn order_answered(&mut self, service: &str, order: &Order, answer: OrderAnswer) {
+    pub(crate) fn order_answered(&mut self, service: &str, order: &Order, answer: OrderAnswer) {
         let now = self.now();
         self.counters.order_answered(order.operation, answer);
         if answer == OrderAnswer::Accepted {
@@ -137,7 +137,7 @@
     }
 
     /// Tells everyone what is known of a model at an endpoint.
-    pub(super) fn publish(&mut self, holding: Holding) {
+    pub(crate) fn publish(&mut self, holding: Holding) {
         if let Some(holding) = self.endpoints.publish(holding) {
             let message = Message::Holding(holding);
             self.readers.append(&message);
@@ -181,7 +181,7 @@
     }
 
     /// Tells the placers of an endpoint, as the registry has it now.
-    pub(super) fn tell_placers(&mut self, id: &str) {
+    pub(crate) fn tell_placers(&mut self, id: &str) {
         if !self.placements.is_active() {
             return;
         }
--- a/crates/controller/src/controller/placement.rs
+++ b/crates/controller/src/controller/placement/placers.rs
@@ -1,9 +1,9 @@
 //! Placement at a controller: a placer for each service whose lease this controller holds, and the orders
 //! that it gives.
 
-use super::demand::RecentDemand;
-use super::event::Event;
-use super::shards::shard_of;
+use crate::controller::consensus::shards::shard_of;
+use crate::controller::event::Event;
+use crate::controller::placement::recent_demand::RecentDemand;
 use crate::registration::Registered;
 use lanegate_config::configuration::Configuration;
 use lanegate_config::demand::DemandReport;
@@ -193,7 +193,13 @@
     let ServiceAction { service, action, .. } = action;
     let event = match action {
         Action::Order(order) => {
-            let answer = super::orders::give(&order, &tenure.owner, tenure.epoch, send_by.into()).await;
+            let answer = crate::controller::placement::endpoint_client::give(
+                &order,
+                &tenure.owner,
+                tenure.epoch,
+                send_by.into(),
+            )
+            .await;
             log::info!(
                 "{:?} {} {:?} at {}: {answer:?}",
                 order.operation,
@@ -204,7 +210,11 @@
             Event::OrderAnswered { service, order, answer }
         }
         Action::RequestReport { instance, address } => {
-            let Some(report) = super::orders::ask_report(&instance, address).await else { return };
+            let Some(report) =
+                crate::controller::placement::endpoint_client::ask_report(&instance, address).await
+            else {
+                return;
+            };
             Event::Reported { service, instance: instance.to_string(), report }
         }
     };
--- a/crates/controller/src/controller/demand_test.rs
+++ b/crates/controller/src/controller/placement/recent_demand_test.rs
@@ -1,6 +1,6 @@
 //! Demand of the last seconds is kept in order, once, and not for ever.
 
-use super::demand::RecentDemand;
+use crate::controller::placement::recent_demand::RecentDemand;
 use crate::message::{Message, RouterDemand};
 use std::time::Duration;
 
--- a/crates/controller/src/controller/process.rs
+++ b/crates/controller/src/controller/process.rs
@@ -1,10 +1,10 @@
 //! The outside of a controller that runs as a process of its own: sockets, a disk, the machine's clock.
 
-use super::disk::Disk;
-use super::environment::Environment;
-use super::event::Event;
-use super::links::keep_link;
-use super::placement::{ServiceAction, TenureOf, carry_out};
+use crate::controller::consensus::disk::Disk;
+use crate::controller::environment::Environment;
+use crate::controller::event::Event;
+use crate::controller::membership::links::keep_link;
+use crate::controller::placement::placers::{ServiceAction, TenureOf, carry_out};
 use crate::message::Hello;
 use lanegate_config::settings::{Settings, SettingsError};
 use lanegate_coordination::register::Record;
