--- a/crates/controller/src/agent/agent_test.rs
+++ b/crates/controller/src/agent/agent_test.rs
@@ -1,10 +1,10 @@
 //! An agent between two sources and its router, on simulated time and without sockets.
 
-use super::{Agent, Downstream, Environment};
+use super::{Agent, Environment, SubscriberEvent};
 use crate::feed_client::Client;
 use crate::link::Outbox;
-use crate::message::{ConfigurationVersion, Decided, FeedBeat, Hello, Message};
-use crate::subscription::News;
+use crate::message::{CommittedConfiguration, ConfigurationVersion, FeedHeartbeat, Hello, Message};
+use crate::subscription::SourceEvent;
 use bytes::Bytes;
 use lanegate_config::feed::FeedEvent;
 use lanegate_config::settings::{Settings, SettingsError};
@@ -78,9 +78,9 @@
         let (events_end, events) = unbounded_channel();
         let mut client = Client::new(settings(), 6, events_end);
         let (outbox, to_router) = Outbox::new();
-        agent.downstream(Downstream::Up { reader: ROUTER, outbox });
+        agent.downstream(SubscriberEvent::Up { reader: ROUTER, outbox });
         let (outbox, from_router) = Outbox::new();
-        client.heard(ms(0), News::Up { source: router_link(), outbox });
+        client.heard(ms(0), SourceEvent::Up { source: router_link(), outbox });
         let mut world = World { outside, agent, sent: Vec::new(), client, to_router, from_router, events };
         let sources: Vec<SocketAddr> =
             world.outside.dialled.borrow().iter().map(|dialled| dialled.0).collect();
@@ -90,7 +90,7 @@
 
     fn up(&mut self, source: SocketAddr) {
         let (outbox, frames) = Outbox::new();
-        self.agent.heard(News::Up { source, outbox });
+        self.agent.heard(SourceEvent::Up { source, outbox });
         self.sent.retain(|(known, _)| *known != source);
         self.sent.push((source, frames));
     }
@@ -100,7 +100,7 @@
     }
 
     fn hears(&mut self, source: SocketAddr, message: Message) {
-        self.agent.heard(News::Message { source, message });
+        self.agent.heard(SourceEvent::Message { source, message });
     }
 
     /// What the agent has sent to a source since the last call.
@@ -116,10 +116,10 @@
         self.client.fetch(now);
         for _ in 0..3 {
             for message in messages(&mut self.from_router) {
-                self.agent.downstream(Downstream::Message { reader: ROUTER, message });
+                self.agent.downstream(SubscriberEvent::Message { reader: ROUTER, message });
             }
             for message in messages(&mut self.to_router) {
-                self.client.heard(now, News::Message { source: router_link(), message });
+                self.client.heard(now, SourceEvent::Message { source: router_link(), message });
             }
             self.client.fetch(now);
         }
@@ -148,9 +148,9 @@
     SocketAddr::from(([127, 0, 0, 1], 2))
 }
 
-fn decided(revision: u64) -> Decided {
+fn decided(revision: u64) -> CommittedConfiguration {
     let document = format!(r#"{{"Version":{revision},"Routes":[],"Backends":[]}}"#);
-    Decided { revision, document: document.as_str().into() }
+    CommittedConfiguration { revision, document: document.as_str().into() }
 }
 
 fn announced(revision: u64) -> Message {
@@ -159,7 +159,7 @@
 }
 
 fn beat(quorum: u8, offset: u64) -> Message {
-    Message::FeedBeat(FeedBeat { quorum, source: SOURCE_LIFE, offset, routers: 1 })
+    Message::FeedHeartbeat(FeedHeartbeat { quorum, source: SOURCE_LIFE, offset, routers: 1 })
 }
 
 fn fetches(messages: &[Message]) -> usize {
@@ -173,7 +173,7 @@
     world.hears(source, Message::SnapshotBegin);
     world.hears(source, Message::SnapshotEnd { complete: 1 });
     world.hears(source, beat(1, 44));
-    world.agent.heard(News::Down { source });
+    world.agent.heard(SourceEvent::Down { source });
     world.outside.now.set(ms(500));
     world.agent.review();
     let dialled = world.outside.dialled.borrow();
@@ -190,10 +190,10 @@
         world.hears(source, announced(1));
     }
     world.at(ms(1));
-    let asked = fetches(&world.sent_to(one)) + fetches(&world.sent_to(two));
-    assert_eq!(asked, 1);
+    let in_flight = fetches(&world.sent_to(one)) + fetches(&world.sent_to(two));
+    assert_eq!(in_flight, 1);
     assert!(world.behind().last() == Some(&true), "the router knows of it before the agent has it");
-    world.hears(one, Message::Decided(decided(1)));
+    world.hears(one, Message::CommittedConfiguration(decided(1)));
     world.at(ms(2));
     let events: Vec<FeedEvent> = std::iter::from_fn(|| world.events.try_recv().ok()).collect();
     let place = |wanted: fn(&FeedEvent) -> bool| events.iter().position(wanted).expect("an event");
@@ -212,7 +212,7 @@
         if now % 20 == 0 && now < 1_500 {
             let revision = 1 + now / 20;
             world.hears(source, announced(revision));
-            world.hears(source, Message::Decided(decided(revision)));
+            world.hears(source, Message::CommittedConfiguration(decided(revision)));
         }
         world.at(ms(now));
         read.extend(world.read());
@@ -228,7 +228,7 @@
     let (one, two) = (world.source(0), world.source(1));
     world.hears(one, beat(1, 0));
     world.hears(two, beat(1, 0));
-    world.hears(one, Message::Decided(decided(1)));
+    world.hears(one, Message::CommittedConfiguration(decided(1)));
     world.at(ms(0));
     assert_eq!(world.behind().last(), Some(&false));
     world.hears(one, beat(0, 0));
@@ -248,12 +248,12 @@
     let (one, two) = (world.source(0), world.source(1));
     world.hears(one, beat(1, 0));
     world.hears(two, beat(1, 0));
-    world.hears(one, Message::Decided(decided(1)));
+    world.hears(one, Message::CommittedConfiguration(decided(1)));
     world.at(ms(1));
     assert_eq!(world.read(), [1]);
-    world.agent.heard(News::Down { source: one });
-    world.agent.heard(News::Down { source: two });
-    world.hears(one, Message::Decided(decided(3)));
+    world.agent.heard(SourceEvent::Down { source: one });
+    world.agent.heard(SourceEvent::Down { source: two });
+    world.hears(one, Message::CommittedConfiguration(decided(3)));
     world.hears(one, beat(1, 9));
     world.at(ms(200));
     let events: Vec<FeedEvent> = std::iter::from_fn(|| world.events.try_recv().ok()).collect();
@@ -268,7 +268,7 @@
     world.hears(source, announced(1));
     world.at(ms(1));
     assert_eq!(fetches(&world.sent_to(source)), 1);
-    world.hears(source, Message::Decided(decided(1)));
+    world.hears(source, Message::CommittedConfiguration(decided(1)));
     for now in (0..10_000).step_by(100) {
         world.at(ms(now));
     }
--- a/crates/controller/src/agent/metrics.rs
+++ b/crates/controller/src/agent/metrics.rs
@@ -47,7 +47,7 @@
 
 /// The newest heartbeat of one source's feed.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct LastBeat {
+pub(super) struct LastHeartbeat {
     pub at: Duration,
     pub offset: u64,
 }
--- a/crates/controller/src/agent/mod.rs
+++ b/crates/controller/src/agent/mod.rs
@@ -13,12 +13,12 @@
 
 use crate::configuration_feed::publisher::ConfigurationPublisher;
 use crate::link::Outbox;
-use crate::message::{ConfigurationVersion, FeedBeat, Hello, Message, Role};
-use crate::subscription::News;
+use crate::message::{ConfigurationVersion, FeedHeartbeat, Hello, Message, Role};
+use crate::subscription::SourceEvent;
 use crate::view::View;
 use lanegate_config::settings::Settings;
 use lanegate_invariants::Violations;
-use metrics::{Counters, LastBeat};
+use metrics::{Counters, LastHeartbeat};
 use sources::Sources;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -32,7 +32,7 @@
 /// A controller that says nothing for so long is given up; its heartbeat is several times as fast.
 pub(crate) const SOURCE_SILENCE: Duration = Duration::from_millis(1_800);
 /// Configurations kept as bases of differences: routers are some tenths of a second behind at most.
-const KEPT_CONFIGURATIONS: usize = 4;
+const RETAINED_CONFIGURATIONS: usize = 4;
 
 /// Address on which an agent feeds its router: the last port of the range, as the first is where controllers
 /// have their links. Agents with different last ports can share a machine.
@@ -47,7 +47,7 @@
 
 /// What reaches the agent from routers.
 #[derive(Debug)]
-pub(crate) enum Downstream {
+pub(crate) enum SubscriberEvent {
     Up { reader: u64, outbox: Outbox },
     Message { reader: u64, message: Message },
     Down { reader: u64 },
@@ -58,7 +58,7 @@
 pub(crate) struct Agent {
     settings: Settings,
     environment: Box<dyn Environment>,
-    life: u64,
+    incarnation: u64,
     view: View,
     sources: Sources,
     unconfirmed: Unconfirmed,
@@ -66,27 +66,27 @@
     readers: BTreeMap<u64, Outbox>,
     configurations: ConfigurationPublisher,
     /// What routers were told last of how much this agent may be trusted.
-    beat_told: Option<FeedBeat>,
+    beat_told: Option<FeedHeartbeat>,
     settings_read: Duration,
     /// The newest heartbeat of each source whose link is up.
-    beats: BTreeMap<SocketAddr, LastBeat>,
+    beats: BTreeMap<SocketAddr, LastHeartbeat>,
     counters: Counters,
     violations: Violations,
 }
 
 impl Agent {
-    /// An agent that follows nobody yet. `life` tells this start of the process from all others.
-    pub(crate) fn new(settings: Settings, life: u64, environment: Box<dyn Environment>) -> Self {
+    /// An agent that follows nobody yet. `incarnation` tells this start of the process from all others.
+    pub(crate) fn new(settings: Settings, incarnation: u64, environment: Box<dyn Environment>) -> Self {
         Agent {
             settings,
             environment,
-            life,
+            incarnation,
             view: View::default(),
             sources: Sources::default(),
             unconfirmed: Unconfirmed::default(),
             outboxes: BTreeMap::new(),
             readers: BTreeMap::new(),
-            configurations: ConfigurationPublisher::keeping(KEPT_CONFIGURATIONS),
+            configurations: ConfigurationPublisher::retaining(RETAINED_CONFIGURATIONS),
             beat_told: None,
             settings_read: Duration::ZERO,
             beats: BTreeMap::new(),
@@ -100,14 +100,14 @@
     }
 
     /// Takes news of a source.
-    pub(crate) fn heard(&mut self, news: News) {
+    pub(crate) fn heard(&mut self, news: SourceEvent) {
         match news {
-            News::Up { source, outbox } => {
+            SourceEvent::Up { source, outbox } => {
                 self.outboxes.insert(source, outbox);
                 self.counters.links_started += 1;
             }
-            News::Message { source, message } => self.message(source, message),
-            News::Down { source } => {
+            SourceEvent::Message { source, message } => self.message(source, message),
+            SourceEvent::Down { source } => {
                 self.counters.links_ended += 1;
                 self.beats.remove(&source);
                 self.outboxes.remove(&source);
@@ -127,8 +127,8 @@
             return;
         }
         let beat = match &message {
-            Message::FeedBeat(beat) => {
-                self.beats.insert(source, LastBeat { at: self.now(), offset: beat.offset });
+            Message::FeedHeartbeat(beat) => {
+                self.beats.insert(source, LastHeartbeat { at: self.now(), offset: beat.offset });
                 Some(beat.quorum == 1)
             }
             _ => None,
@@ -154,7 +154,7 @@
     /// A source vouches for the configuration that was held back.
     fn take_held(&mut self, source: SocketAddr) {
         if let Some(decided) = self.unconfirmed.take(source) {
-            self.message(source, Message::Decided(decided));
+            self.message(source, Message::CommittedConfiguration(decided));
         }
     }
 
@@ -162,7 +162,7 @@
     fn give_up_holding(&mut self) {
         if let Some((source, decided)) = self.unconfirmed.overdue(self.now()) {
             log::warn!("no controller is in contact with a majority: revision {} is used", decided.revision);
-            self.receive(source, Message::Decided(decided));
+            self.receive(source, Message::CommittedConfiguration(decided));
         }
     }
 
@@ -176,7 +176,7 @@
     /// Tells routers what is news here. Of a configuration they hear only that it is there.
     fn pass_down(&mut self, message: Message) {
         let message = match message {
-            Message::Decided(decided) => self.configurations.publish(decided),
+            Message::CommittedConfiguration(decided) => self.configurations.publish(decided),
             message => Some(message),
         };
         if let Some(message) = message {
@@ -211,13 +211,13 @@
         let beat = self.beat();
         if self.beat_told != Some(beat) {
             self.beat_told = Some(beat);
-            self.tell(&Message::FeedBeat(beat));
+            self.tell(&Message::FeedHeartbeat(beat));
         }
     }
 
-    fn beat(&self) -> FeedBeat {
+    fn beat(&self) -> FeedHeartbeat {
         let quorum = u8::from(!self.sources.none_trusted());
-        FeedBeat { quorum, source: self.life, offset: 0, routers: self.view.routers() }
+        FeedHeartbeat { quorum, source: self.incarnation, offset: 0, routers: self.view.routers() }
     }
 
     fn tell(&mut self, message: &Message) {
@@ -226,24 +226,24 @@
     }
 
     /// Takes what a router says.
-    pub(crate) fn downstream(&mut self, event: Downstream) {
+    pub(crate) fn downstream(&mut self, event: SubscriberEvent) {
         match event {
-            Downstream::Up { reader, outbox } => {
+            SubscriberEvent::Up { reader, outbox } => {
                 for message in self.view.snapshot() {
                     outbox.message(&message);
                 }
                 if let Some(announcement) = self.configurations.announcement() {
                     outbox.message(&announcement);
                 }
-                outbox.message(&Message::FeedBeat(self.beat()));
+                outbox.message(&Message::FeedHeartbeat(self.beat()));
                 self.readers.insert(reader, outbox);
             }
-            Downstream::Message { message: message @ Message::Demand(_), .. } => self.pass_up(&message),
-            Downstream::Message { reader, message: Message::ConfigurationFetch(base) } => {
+            SubscriberEvent::Message { message: message @ Message::Demand(_), .. } => self.pass_up(&message),
+            SubscriberEvent::Message { reader, message: Message::ConfigurationFetch(base) } => {
                 self.answer(reader, base);
             }
-            Downstream::Message { .. } => {}
-            Downstream::Down { reader } => {
+            SubscriberEvent::Message { .. } => {}
+            SubscriberEvent::Down { reader } => {
                 self.readers.remove(&reader);
             }
         }
@@ -305,7 +305,7 @@
             role: Role::Agent,
             name: self.settings.node_name.as_str().into(),
             control_address: "".into(),
-            life: self.life,
+            incarnation: self.incarnation,
             source: position.source,
             offset: position.offset,
         }
--- a/crates/controller/src/agent/process.rs
+++ b/crates/controller/src/agent/process.rs
@@ -1,10 +1,10 @@
 //! An agent that runs as a process of its own: sockets, signals, the machine's clock.
 
-use super::{Agent, Downstream, Environment, REVIEW_PERIOD, SOURCE_SILENCE, loopback_address};
-use crate::life::draw_life;
-use crate::link::{self, Outbox, Reader};
+use super::{Agent, Environment, REVIEW_PERIOD, SOURCE_SILENCE, SubscriberEvent, loopback_address};
+use crate::incarnation::draw_incarnation;
+use crate::link::{self, MessageReader, Outbox};
 use crate::message::Hello;
-use crate::subscription::{News, follow};
+use crate::subscription::{SourceEvent, follow};
 use lanegate_config::settings::{Settings, SettingsError};
 use lanegate_metrics::{MetricsAddress, Scrapes};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 /// The outside of an agent that is a process. Must be used inside a `LocalSet`.
 struct Process {
     started: Instant,
-    news: mpsc::UnboundedSender<News>,
+    news: mpsc::UnboundedSender<SourceEvent>,
     /// Links under way.
     links: BTreeMap<SocketAddr, AbortHandle>,
 }
@@ -56,7 +56,7 @@
     let (news, mut from_sources) = mpsc::unbounded_channel();
     let started = Instant::now();
     let process = Process { started, news, links: BTreeMap::new() };
-    let mut agent = Agent::new(settings, draw_life(), Box::new(process));
+    let mut agent = Agent::new(settings, draw_incarnation(), Box::new(process));
     agent.review();
     let mut scrapes = Scrapes::at(metrics);
     let mut review = tokio::time::interval(REVIEW_PERIOD);
@@ -76,7 +76,7 @@
     }
 }
 
-async fn accept(listener: tokio::net::TcpListener, owner: mpsc::UnboundedSender<Downstream>) {
+async fn accept(listener: tokio::net::TcpListener, owner: mpsc::UnboundedSender<SubscriberEvent>) {
     let mut reader = 0;
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -88,18 +88,18 @@
     }
 }
 
-async fn serve(stream: TcpStream, reader: u64, owner: mpsc::UnboundedSender<Downstream>) {
+async fn serve(stream: TcpStream, reader: u64, owner: mpsc::UnboundedSender<SubscriberEvent>) {
     if let Err(error) = link::set_options(&stream) {
         log::debug!("options of a reader's link: {error}");
     }
     let (read, write) = stream.into_split();
     let (outbox, frames) = Outbox::new();
     let writer = tokio::task::spawn_local(link::write_frames(write, frames));
-    let _ = owner.send(Downstream::Up { reader, outbox });
-    let mut messages = Reader::new(read);
+    let _ = owner.send(SubscriberEvent::Up { reader, outbox });
+    let mut messages = MessageReader::new(read);
     while let Ok(message) = messages.next().await {
-        let _ = owner.send(Downstream::Message { reader, message });
+        let _ = owner.send(SubscriberEvent::Message { reader, message });
     }
     writer.abort();
-    let _ = owner.send(Downstream::Down { reader });
+    let _ = owner.send(SubscriberEvent::Down { reader });
 }
--- a/crates/controller/src/agent/sources.rs
+++ b/crates/controller/src/agent/sources.rs
@@ -13,7 +13,7 @@
 const URGENT_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum SourceStatus {
     /// Being dialled, or up without a word on its quorum yet.
     Starting,
     /// Up, and in touch with more than half of its group.
@@ -25,7 +25,7 @@
 /// The sources in use and those that failed lately.
 #[derive(Debug, Default)]
 pub struct Sources {
-    followed: BTreeMap<SocketAddr, Standing>,
+    followed: BTreeMap<SocketAddr, SourceStatus>,
     retry_at: BTreeMap<SocketAddr, Duration>,
 }
 
@@ -50,14 +50,14 @@
 impl Sources {
     /// Notes what a source says of its quorum. True if that is new: the choice has to be looked at again.
     pub fn heard(&mut self, source: SocketAddr, quorum: bool) -> bool {
-        let Some(standing) = self.followed.get_mut(&source) else { return false };
-        let told = if quorum { Standing::Trusted } else { Standing::CutOff };
-        std::mem::replace(standing, told) != told
+        let Some(status) = self.followed.get_mut(&source) else { return false };
+        let told = if quorum { SourceStatus::Trusted } else { SourceStatus::CutOff };
+        std::mem::replace(status, told) != told
     }
 
     /// Whether a source has said last that it is in touch with a majority and knows what that knows.
     pub fn is_trusted(&self, source: SocketAddr) -> bool {
-        self.followed.get(&source) == Some(&Standing::Trusted)
+        self.followed.get(&source) == Some(&SourceStatus::Trusted)
     }
 
     /// Notes that a source's link has ended.
@@ -69,23 +69,23 @@
 
     /// The source to which this agent's own messages go.
     pub fn preferred(&self) -> Option<SocketAddr> {
-        let trusted = self.followed.iter().find(|(_, standing)| **standing == Standing::Trusted);
+        let trusted = self.followed.iter().find(|(_, status)| **status == SourceStatus::Trusted);
         trusted.or_else(|| self.followed.iter().next()).map(|(source, _)| *source)
     }
 
     /// Whether nobody who can be trusted is followed.
     pub fn none_trusted(&self) -> bool {
-        !self.followed.values().any(|standing| *standing == Standing::Trusted)
+        !self.followed.values().any(|status| *status == SourceStatus::Trusted)
     }
 
     /// Sources in use, by what they said last.
     pub fn counts(&self) -> SourceCounts {
         let mut counts = SourceCounts::default();
-        for standing in self.followed.values() {
-            match standing {
-                Standing::Starting => counts.starting += 1,
-                Standing::Trusted => counts.trusted += 1,
-                Standing::CutOff => counts.cut_off += 1,
+        for status in self.followed.values() {
+            match status {
+                SourceStatus::Starting => counts.starting += 1,
+                SourceStatus::Trusted => counts.trusted += 1,
+                SourceStatus::CutOff => counts.cut_off += 1,
             }
         }
         counts
@@ -95,7 +95,7 @@
     pub fn plan(&mut self, now: Duration, name: &str, known: &BTreeSet<SocketAddr>) -> Plan {
         self.retry_at.retain(|_, at| *at > now);
         let mut plan = Plan::default();
-        let mut useful = self.followed.values().filter(|standing| **standing != Standing::CutOff).count();
+        let mut useful = self.followed.values().filter(|status| **status != SourceStatus::CutOff).count();
         let all: Vec<SocketAddr> = known.iter().copied().collect();
         for source in rendezvous_order(name.as_bytes(), &all) {
             if useful >= WANTED {
@@ -104,13 +104,13 @@
             if self.followed.contains_key(&source) || self.retry_at.contains_key(&source) {
                 continue;
             }
-            self.followed.insert(source, Standing::Starting);
+            self.followed.insert(source, SourceStatus::Starting);
             plan.start.push(source);
             useful += 1;
         }
-        let trusted = self.followed.values().filter(|standing| **standing == Standing::Trusted).count();
+        let trusted = self.followed.values().filter(|status| **status == SourceStatus::Trusted).count();
         if trusted >= WANTED {
-            let cut_off = self.followed.iter().filter(|(_, standing)| **standing == Standing::CutOff);
+            let cut_off = self.followed.iter().filter(|(_, status)| **status == SourceStatus::CutOff);
             plan.stop = cut_off.map(|(source, _)| *source).collect();
             self.followed.retain(|source, _| !plan.stop.contains(source));
         }
--- a/crates/controller/src/agent/unconfirmed.rs
+++ b/crates/controller/src/agent/unconfirmed.rs
@@ -5,7 +5,7 @@
 //! source that answers is cut off from the majority. So what such a source tells is held back until that source
 //! is in contact, or another one vouches for what it tells.
 
-use crate::message::{Decided, Message};
+use crate::message::{CommittedConfiguration, Message};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 /// What is held back, by source.
 #[derive(Debug, Default)]
 pub struct Unconfirmed {
-    held: BTreeMap<SocketAddr, Decided>,
+    held: BTreeMap<SocketAddr, CommittedConfiguration>,
     /// When the first one was held back, while nothing has been taken since.
     since: Option<Duration>,
 }
@@ -33,12 +33,12 @@
         may_take: bool,
     ) -> Option<Message> {
         match message {
-            Message::Decided(decided) if !may_take => {
+            Message::CommittedConfiguration(decided) if !may_take => {
                 self.since.get_or_insert(now);
                 self.held.insert(source, decided);
                 None
             }
-            Message::Decided(_) => {
+            Message::CommittedConfiguration(_) => {
                 self.since = None;
                 self.held.clear();
                 Some(message)
@@ -48,7 +48,7 @@
     }
 
     /// What was held back of a source, which vouches for it now.
-    pub fn take(&mut self, source: SocketAddr) -> Option<Decided> {
+    pub fn take(&mut self, source: SocketAddr) -> Option<CommittedConfiguration> {
         self.held.remove(&source)
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// The newest configuration held back, if that has lasted too long.
-    pub fn overdue(&mut self, now: Duration) -> Option<(SocketAddr, Decided)> {
+    pub fn overdue(&mut self, now: Duration) -> Option<(SocketAddr, CommittedConfiguration)> {
         if self.since.is_none_or(|since| now < since + HOLD_LIMIT) {
             return None;
         }
--- a/crates/controller/src/configuration_feed/difference.rs
+++ b/crates/controller/src/configuration_feed/delta.rs
@@ -5,13 +5,13 @@
 //! older one. Nothing is parsed: the result is the newer document byte for byte, whatever it holds.
 
 use super::digest;
-use crate::message::{DifferencePart, MAX_FRAME_BYTES};
+use crate::message::{DeltaPart, MAX_FRAME_BYTES};
 use std::collections::HashMap;
 use std::ops::Range;
 
 /// Why a difference does not make a document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum DifferenceError {
+pub enum DeltaError {
     #[error("a part lies outside the older document")]
     OutsideBase,
     #[error("the document would be longer than a frame")]
@@ -21,7 +21,7 @@
 }
 
 /// The parts that make `newer` of `older`.
-pub fn between(older: &[u8], newer: &[u8]) -> Vec<DifferencePart> {
+pub fn between(older: &[u8], newer: &[u8]) -> Vec<DeltaPart> {
     let (old, new) = (pieces(older), pieces(newer));
     let mut places = None;
     let mut parts = Parts::default();
@@ -64,22 +64,22 @@
 }
 
 /// The document that `parts` make of `older`, if it has the digest `expected`.
-pub fn apply(older: &[u8], parts: &[DifferencePart], expected: u64) -> Result<Vec<u8>, DifferenceError> {
+pub fn apply(older: &[u8], parts: &[DeltaPart], expected: u64) -> Result<Vec<u8>, DeltaError> {
     let mut newer = Vec::with_capacity(older.len());
     for part in parts {
         match part {
-            DifferencePart::Kept { offset, length } => {
+            DeltaPart::Copied { offset, length } => {
                 let start = *offset as usize;
-                let end = start.checked_add(*length as usize).ok_or(DifferenceError::OutsideBase)?;
-                newer.extend_from_slice(older.get(start..end).ok_or(DifferenceError::OutsideBase)?);
+                let end = start.checked_add(*length as usize).ok_or(DeltaError::OutsideBase)?;
+                newer.extend_from_slice(older.get(start..end).ok_or(DeltaError::OutsideBase)?);
             }
-            DifferencePart::Inserted(text) => newer.extend_from_slice(&text.bytes),
+            DeltaPart::Inserted(text) => newer.extend_from_slice(&text.bytes),
         }
         if newer.len() > MAX_FRAME_BYTES {
-            return Err(DifferenceError::TooLong);
+            return Err(DeltaError::TooLong);
         }
     }
-    if digest(&newer) == expected { Ok(newer) } else { Err(DifferenceError::OtherDigest) }
+    if digest(&newer) == expected { Ok(newer) } else { Err(DeltaError::OtherDigest) }
 }
 
 fn pieces(document: &[u8]) -> Vec<Range<usize>> {
@@ -95,7 +95,7 @@
 /// Parts as they are found; neighbours are joined.
 #[derive(Default)]
 struct Parts {
-    parts: Vec<DifferencePart>,
+    parts: Vec<DeltaPart>,
     kept: Range<usize>,
     inserted: Vec<u8>,
 }
@@ -120,17 +120,17 @@
         let kept = std::mem::take(&mut self.kept);
         if !kept.is_empty() {
             let (offset, length) = (kept.start as u32, kept.len() as u32);
-            self.parts.push(DifferencePart::Kept { offset, length });
+            self.parts.push(DeltaPart::Copied { offset, length });
         }
     }
 
     fn end_inserted(&mut self) {
         if !self.inserted.is_empty() {
-            self.parts.push(DifferencePart::Inserted(std::mem::take(&mut self.inserted).into()));
+            self.parts.push(DeltaPart::Inserted(std::mem::take(&mut self.inserted).into()));
         }
     }
 
-    fn finish(mut self) -> Vec<DifferencePart> {
+    fn finish(mut self) -> Vec<DeltaPart> {
         self.end_kept();
         self.end_inserted();
         self.parts
--- a/crates/controller/src/configuration_feed/reader.rs
+++ b/crates/controller/src/configuration_feed/fetcher.rs
@@ -1,17 +1,17 @@
 //! The side of a configuration's reader: which version it has, which it knows of, and when it asks whom.
 
-use super::difference;
-use crate::message::{ConfigurationDifference, ConfigurationVersion, Decided, Message};
+use super::delta;
+use crate::message::{CommittedConfiguration, ConfigurationDelta, ConfigurationVersion, Message};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Longest wait for a difference before another source is asked.
-pub const DIFFERENCE_PATIENCE: Duration = Duration::from_millis(300);
+pub const DELTA_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest wait for a whole document before another source is asked.
-pub const DOCUMENT_PATIENCE: Duration = Duration::from_millis(900);
+pub const DOCUMENT_TIMEOUT: Duration = Duration::from_millis(900);
 /// A source that owes an answer is not asked again before this.
-pub const ASK_AGAIN: Duration = Duration::from_secs(2);
+pub const RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// How often a reader fetches.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -43,44 +43,44 @@
 
 /// A fetch that has no answer yet.
 #[derive(Debug, Clone, Copy)]
-struct Asked {
+struct InFlightRequest {
     at: Duration,
     patience: Duration,
 }
 
 /// The newest configuration that a reader has, and what its sources say of newer ones.
 #[derive(Debug)]
-pub struct ConfigurationReader {
+pub struct ConfigurationFetcher {
     pace: Pace,
-    held: Option<Decided>,
+    held: Option<CommittedConfiguration>,
     version: Option<ConfigurationVersion>,
     /// Newest version that anyone is known to have.
     known: Option<ConfigurationVersion>,
     /// What each source announced last.
     announced: BTreeMap<SocketAddr, ConfigurationVersion>,
-    asked: BTreeMap<SocketAddr, Asked>,
+    in_flight: BTreeMap<SocketAddr, InFlightRequest>,
     next_fetch: Duration,
     /// Whether a difference did not fit: the next answer is to be whole.
     wants_whole: bool,
 }
 
-impl ConfigurationReader {
+impl ConfigurationFetcher {
     /// A reader that has nothing.
     pub fn new(pace: Pace) -> Self {
-        ConfigurationReader {
+        ConfigurationFetcher {
             pace,
             held: None,
             version: None,
             known: None,
             announced: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             next_fetch: Duration::ZERO,
             wants_whole: false,
         }
     }
 
     /// The newest configuration.
-    pub fn held(&self) -> Option<&Decided> {
+    pub fn held(&self) -> Option<&CommittedConfiguration> {
         self.held.as_ref()
     }
 
@@ -108,44 +108,44 @@
     }
 
     /// `source` sent a whole configuration. True if it is newer than the one held.
-    pub fn decided(&mut self, now: Duration, source: SocketAddr, decided: &Decided) -> bool {
+    pub fn decided(&mut self, now: Duration, source: SocketAddr, decided: &CommittedConfiguration) -> bool {
         self.answered(now, source, decided.document.bytes.len());
         self.wants_whole = false;
         self.take(decided)
     }
 
     /// `source` sent a difference. Gives the configuration that it makes, if that is newer than the one held.
-    pub fn difference(
+    pub fn delta(
         &mut self,
         now: Duration,
         source: SocketAddr,
-        difference: &ConfigurationDifference,
-    ) -> Option<Decided> {
-        self.answered(now, source, difference.parts.size());
-        if !difference.version.is_news_to(self.version) {
+        delta: &ConfigurationDelta,
+    ) -> Option<CommittedConfiguration> {
+        self.answered(now, source, delta.parts.size());
+        if !delta.version.is_news_to(self.version) {
             return None;
         }
         let base = self.held.as_ref().zip(self.version);
-        let base = base.filter(|(_, version)| version.digest == difference.base);
-        let applied = base.map(|(held, _)| {
-            difference::apply(&held.document.bytes, &difference.parts.parts, difference.version.digest)
-        });
+        let base = base.filter(|(_, version)| version.digest == delta.base);
+        let applied = base
+            .map(|(held, _)| delta::apply(&held.document.bytes, &delta.parts.parts, delta.version.digest));
         match applied {
             Some(Ok(document)) => {
-                let decided = Decided { revision: difference.version.revision, document: document.into() };
+                let decided =
+                    CommittedConfiguration { revision: delta.version.revision, document: document.into() };
                 self.take(&decided).then_some(decided)
             }
             // Another source's answer came first, and the next fetch names it.
             None => None,
             Some(Err(error)) => {
-                log::warn!("configuration of revision {}: {error}", difference.version.revision);
+                log::warn!("configuration of revision {}: {error}", delta.version.revision);
                 self.wants_whole = true;
                 None
             }
         }
     }
 
-    fn take(&mut self, decided: &Decided) -> bool {
+    fn take(&mut self, decided: &CommittedConfiguration) -> bool {
         if self.version.is_some_and(|held| held.revision >= decided.revision) {
             return false;
         }
@@ -157,14 +157,14 @@
     }
 
     fn answered(&mut self, now: Duration, source: SocketAddr, bytes: usize) {
-        let asked_at = self.asked.remove(&source).map_or(now, |asked| asked.at);
-        self.next_fetch = self.next_fetch.max(asked_at + self.pace.interval(bytes));
+        let requested_at = self.in_flight.remove(&source).map_or(now, |in_flight| in_flight.at);
+        self.next_fetch = self.next_fetch.max(requested_at + self.pace.interval(bytes));
     }
 
     /// A source's link has ended.
     pub fn lost(&mut self, source: SocketAddr) {
         self.announced.remove(&source);
-        self.asked.remove(&source);
+        self.in_flight.remove(&source);
     }
 
     /// Whom to ask now, and what; `preferred` among those that have the newest. Never more than one, and none
@@ -179,24 +179,28 @@
         let sources: Vec<SocketAddr> = have_newest.map(|(source, _)| *source).collect();
         let source = preferred.filter(|preferred| sources.contains(preferred)).unwrap_or(sources[0]);
         let base = self.version.filter(|_| !self.wants_whole);
-        let patience = if base.is_some() { DIFFERENCE_PATIENCE } else { DOCUMENT_PATIENCE };
-        self.asked.insert(source, Asked { at: now, patience });
+        let patience = if base.is_some() { DELTA_TIMEOUT } else { DOCUMENT_TIMEOUT };
+        self.in_flight.insert(source, InFlightRequest { at: now, patience });
         self.next_fetch = now + self.pace.shortest;
         Some((source, Message::ConfigurationFetch(base.unwrap_or(ConfigurationVersion::NONE))))
     }
 
-    /// When [`ConfigurationReader::fetch`] is to be called next; `None` while there is nothing to fetch.
+    /// When [`ConfigurationFetcher::fetch`] is to be called next; `None` while there is nothing to fetch.
     pub fn next_wake(&self, now: Duration) -> Option<Duration> {
         let mut newer = self.newer().peekable();
         newer.peek()?;
-        let free = newer.map(|(source, _)| self.asked.get(&source).map_or(now, |asked| asked.at + ASK_AGAIN));
+        let free = newer.map(|(source, _)| {
+            self.in_flight.get(&source).map_or(now, |in_flight| in_flight.at + RETRY_DELAY)
+        });
         let free = free.min().unwrap_or(now);
-        let waited = self.asked.values().map(|asked| asked.at + asked.patience).max().unwrap_or(now);
+        let waited =
+            self.in_flight.values().map(|in_flight| in_flight.at + in_flight.patience).max().unwrap_or(now);
         Some(free.max(waited).max(self.next_fetch).max(now))
     }
 
     fn candidates(&self, now: Duration) -> Vec<(SocketAddr, ConfigurationVersion)> {
-        let is_free = |source: &SocketAddr| self.asked.get(source).is_none_or(|a| a.at + ASK_AGAIN <= now);
+        let is_free =
+            |source: &SocketAddr| self.in_flight.get(source).is_none_or(|a| a.at + RETRY_DELAY <= now);
         self.newer().filter(|(source, _)| is_free(source)).collect()
     }
 
--- a/crates/controller/src/configuration_feed/mod.rs
+++ b/crates/controller/src/configuration_feed/mod.rs
@@ -4,9 +4,9 @@
 //! at a time and names the configuration that it has; the source answers with the newest one, as the difference
 //! to that or whole. What was decided between two fetches is never sent, so that a reader that lags skips it.
 
-pub mod difference;
+pub mod delta;
+pub mod fetcher;
 pub mod publisher;
-pub mod reader;
 
 use crate::message::ConfigurationVersion;
 use lanegate_coordination::membership::stable_hash;
--- a/crates/controller/src/controller/consensus/fault_tolerance.rs
+++ b/crates/controller/src/controller/consensus/fault_tolerance.rs
@@ -29,7 +29,7 @@
 
 /// What the log has to say of a shard's margin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MarginNews {
+pub enum ToleranceChange {
     /// The next loss takes the majority, or it is gone already.
     Exhausted,
     /// A loss can be borne again.
@@ -38,18 +38,18 @@
 
 /// The margins that were told last.
 #[derive(Debug, Default)]
-pub struct Margins {
+pub struct ToleranceMonitor {
     exhausted: BTreeMap<u8, bool>,
 }
 
-impl Margins {
+impl ToleranceMonitor {
     /// Takes the margin of a shard. Tells it only when it has come to its end, or is back.
-    pub fn note(&mut self, shard: u8, margin: Option<usize>) -> Option<MarginNews> {
+    pub fn note(&mut self, shard: u8, margin: Option<usize>) -> Option<ToleranceChange> {
         let exhausted = margin.is_none_or(|margin| margin == 0);
         let before = self.exhausted.insert(shard, exhausted).unwrap_or(false);
         match (before, exhausted) {
-            (false, true) => Some(MarginNews::Exhausted),
-            (true, false) => Some(MarginNews::Restored),
+            (false, true) => Some(ToleranceChange::Exhausted),
+            (true, false) => Some(ToleranceChange::Restored),
             _ => None,
         }
     }
--- a/crates/controller/src/controller/consensus/fault_tolerance_test.rs
+++ b/crates/controller/src/controller/consensus/fault_tolerance_test.rs
@@ -1,6 +1,6 @@
 //! How many losses a group can bear, and when the operators are told.
 
-use crate::controller::consensus::fault_tolerance::{MarginNews, Margins, MemberState, margin};
+use crate::controller::consensus::fault_tolerance::{MemberState, ToleranceChange, ToleranceMonitor, margin};
 use std::net::SocketAddr;
 
 fn node(number: u8) -> SocketAddr {
@@ -41,12 +41,12 @@
 
 #[test]
 fn the_end_of_a_margin_is_told_once_and_so_is_its_return() {
-    let mut margins = Margins::default();
+    let mut margins = ToleranceMonitor::default();
     assert_eq!(margins.note(0, Some(1)), None);
-    assert_eq!(margins.note(0, Some(0)), Some(MarginNews::Exhausted));
+    assert_eq!(margins.note(0, Some(0)), Some(ToleranceChange::Exhausted));
     assert_eq!(margins.note(0, Some(0)), None);
     assert_eq!(margins.note(0, None), None);
-    assert_eq!(margins.note(1, None), Some(MarginNews::Exhausted), "each shard by itself");
-    assert_eq!(margins.note(0, Some(1)), Some(MarginNews::Restored));
+    assert_eq!(margins.note(1, None), Some(ToleranceChange::Exhausted), "each shard by itself");
+    assert_eq!(margins.note(0, Some(1)), Some(ToleranceChange::Restored));
     assert_eq!(margins.note(0, Some(2)), None);
 }
--- a/crates/controller/src/controller/consensus/freshness.rs
+++ b/crates/controller/src/controller/consensus/freshness.rs
@@ -8,7 +8,7 @@
 
 use crate::controller::consensus::shards;
 use crate::controller::operator::pending_changes::ANSWER_TIMEOUT;
-use crate::controller::{Asked, Controller};
+use crate::controller::{Controller, InFlightRequest};
 use lanegate_coordination::register::{Input, Outcome};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 
 /// What became of contact since it was last looked at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Watched {
+pub struct ContactChange {
     /// Contact with the group of some shard has begun.
     pub begun: bool,
     /// The register of the configuration is to be read.
@@ -39,16 +39,16 @@
 
 /// Contact with the groups as it was last looked at, and whether the configuration known here is current.
 #[derive(Debug, Default)]
-pub struct Trust {
+pub struct Freshness {
     in_contact: BTreeSet<u8>,
     knowledge: Knowledge,
     /// What readers of the feed were told last.
     told: bool,
 }
 
-impl Trust {
+impl Freshness {
     /// Compares contact with what it was; `reached` are the shards whose groups are in contact now.
-    pub fn watch(&mut self, reached: BTreeSet<u8>) -> Watched {
+    pub fn watch(&mut self, reached: BTreeSet<u8>) -> ContactChange {
         let begun = !reached.is_subset(&self.in_contact);
         self.in_contact = reached;
         if !self.in_contact.contains(&shards::CONFIGURATION) {
@@ -57,7 +57,7 @@
         let reached = self.in_contact.contains(&shards::CONFIGURATION);
         let tell = self.told != self.is_current();
         self.told = self.is_current();
-        Watched { begun, read: reached && self.knowledge == Knowledge::Unknown, tell }
+        ContactChange { begun, read: reached && self.knowledge == Knowledge::Unknown, tell }
     }
 
     /// The register is being read under `request`.
@@ -126,14 +126,14 @@
     fn read_barrier(&mut self) {
         let now = self.now();
         let request = self.request_number();
-        self.asked.insert(request, Asked::Barrier);
+        self.in_flight.insert(request, InFlightRequest::Barrier);
         self.trust.reading(request);
         let deadline = now + ANSWER_TIMEOUT;
         let outputs = self.shards.handle(now, shards::CONFIGURATION, Input::Read { request, deadline });
         self.follow(shards::CONFIGURATION, outputs);
     }
 
-    /// The read that [`Trust`] waits for has ended; what it found has been learned already.
+    /// The read that [`Freshness`] waits for has ended; what it found has been learned already.
     pub(crate) fn barrier_read(&mut self, request: u64, outcome: &Outcome) {
         self.trust.read(request, matches!(outcome, Outcome::Value { .. }));
         self.watch_contact();
--- a/crates/controller/src/controller/consensus/freshness_test.rs
+++ b/crates/controller/src/controller/consensus/freshness_test.rs
@@ -1,6 +1,6 @@
 //! A controller vouches for its configuration only after a read that began in the contact that lasts.
 
-use crate::controller::consensus::freshness::Trust;
+use crate::controller::consensus::freshness::Freshness;
 use crate::controller::consensus::shards::{self, CONFIGURATION};
 use std::collections::BTreeSet;
 
@@ -9,8 +9,8 @@
 }
 
 /// In contact, and current after read 1.
-fn current() -> Trust {
-    let mut trust = Trust::default();
+fn current() -> Freshness {
+    let mut trust = Freshness::default();
     assert!(trust.watch(all()).read);
     trust.reading(1);
     trust.read(1, true);
@@ -20,7 +20,7 @@
 
 #[test]
 fn contact_alone_is_not_enough() {
-    let mut trust = Trust::default();
+    let mut trust = Freshness::default();
     let watched = trust.watch(all());
     assert!(watched.begun && watched.read && !watched.tell);
     assert!(!trust.is_current());
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_read_that_contact_did_not_outlast_is_void() {
-    let mut trust = Trust::default();
+    let mut trust = Freshness::default();
     trust.watch(all());
     trust.reading(1);
     trust.watch(BTreeSet::new());
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_read_without_an_answer_is_begun_anew() {
-    let mut trust = Trust::default();
+    let mut trust = Freshness::default();
     trust.watch(all());
     trust.reading(1);
     trust.read(1, false);
@@ -76,7 +76,7 @@
 
 #[test]
 fn contact_of_other_shards_says_nothing_of_the_configuration() {
-    let mut trust = Trust::default();
+    let mut trust = Freshness::default();
     let services: BTreeSet<u8> = shards::all().filter(|shard| *shard != CONFIGURATION).collect();
     let watched = trust.watch(services.clone());
     assert!(watched.begun && !watched.read);
--- a/crates/controller/src/controller/consensus/quorum_contact.rs
+++ b/crates/controller/src/controller/consensus/quorum_contact.rs
@@ -32,13 +32,13 @@
     /// A majority is one less.
     SmallMajority,
     /// A peer that is heard counts as one that answers.
-    HeardCounts,
+    CountReceivedHeartbeats,
     /// Contact is judged by the time of the last message, not by the present one.
     StaleClock,
     /// While the members change, a majority of the new group is enough.
     NewGroupOnly,
     /// Echoes of an earlier life of this process count.
-    AnyLife,
+    AnyIncarnation,
 }
 
 /// A heartbeat of this process.
@@ -51,9 +51,9 @@
 
 /// What peers have answered.
 #[derive(Debug)]
-pub struct Contact {
+pub struct QuorumContact {
     this: SocketAddr,
-    life: u64,
+    incarnation: u64,
     /// The latest heartbeats, oldest first.
     sent: VecDeque<Sent>,
     /// For each peer, when the newest heartbeat that it has answered was sent.
@@ -62,12 +62,12 @@
     fault: Option<ContactFault>,
 }
 
-impl Contact {
-    /// Nobody has answered this `life` of the process at `this` yet.
-    pub fn new(this: SocketAddr, life: u64) -> Self {
-        Contact {
+impl QuorumContact {
+    /// Nobody has answered this `incarnation` of the process at `this` yet.
+    pub fn new(this: SocketAddr, incarnation: u64) -> Self {
+        QuorumContact {
             this,
-            life,
+            incarnation,
             sent: VecDeque::new(),
             answered: BTreeMap::new(),
             last_call: Duration::ZERO,
@@ -76,8 +76,8 @@
     }
 
     /// The same with a deliberate mistake.
-    pub fn with_fault(this: SocketAddr, life: u64, fault: Option<ContactFault>) -> Self {
-        Contact { fault, ..Contact::new(this, life) }
+    pub fn with_fault(this: SocketAddr, incarnation: u64, fault: Option<ContactFault>) -> Self {
+        QuorumContact { fault, ..QuorumContact::new(this, incarnation) }
     }
 
     /// Notes a heartbeat of this process; `now` was read before it leaves.
@@ -100,7 +100,7 @@
     /// A heartbeat of `peer` has come. It says nothing of contact, as the peer may not hear this process.
     pub fn heard(&mut self, now: Duration, peer: SocketAddr) {
         self.last_call = now;
-        if self.has(ContactFault::HeardCounts) {
+        if self.has(ContactFault::CountReceivedHeartbeats) {
             self.answered.insert(peer, now);
         }
     }
@@ -108,8 +108,8 @@
     /// `peer` has sent back `heartbeat`, one of this process. One that is not remembered is too old to count.
     pub fn echoed(&mut self, now: Duration, peer: SocketAddr, heartbeat: &Heartbeat) {
         self.last_call = now;
-        let own = heartbeat.sender.address() == self.this && heartbeat.sender.incarnation == self.life;
-        if !own && !self.has(ContactFault::AnyLife) {
+        let own = heartbeat.sender.address() == self.this && heartbeat.sender.incarnation == self.incarnation;
+        if !own && !self.has(ContactFault::AnyIncarnation) {
             return;
         }
         let Some(sent) = self.sent.iter().find(|sent| sent.heartbeat.sequence == heartbeat.sequence) else {
--- a/crates/controller/src/controller/consensus/quorum_contact_test.rs
+++ b/crates/controller/src/controller/consensus/quorum_contact_test.rs
@@ -1,6 +1,6 @@
 //! Contact: a majority's answers no older than stated, whatever links and processes do.
 
-use crate::controller::consensus::quorum_contact::{CONTACT_VALIDITY, Contact, ContactFault};
+use crate::controller::consensus::quorum_contact::{CONTACT_VALIDITY, ContactFault, QuorumContact};
 use lanegate_coordination::membership::{Heartbeat, NodeId};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -30,8 +30,8 @@
     indices.iter().map(|index| address(*index)).collect()
 }
 
-fn heartbeat(index: usize, life: u64, sequence: u64) -> Heartbeat {
-    Heartbeat { sender: NodeId::new(ipv4(index), life), sequence }
+fn heartbeat(index: usize, incarnation: u64, sequence: u64) -> Heartbeat {
+    Heartbeat { sender: NodeId::new(ipv4(index), incarnation), sequence }
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -49,7 +49,7 @@
 }
 
 struct Node {
-    contact: Contact,
+    contact: QuorumContact,
     next_heartbeat: Duration,
     sequence: u64,
     frozen: bool,
@@ -71,7 +71,7 @@
 impl World {
     fn new(size: usize, groups: Vec<Vec<SocketAddr>>, fault: Option<ContactFault>) -> Self {
         let node = |index| Node {
-            contact: Contact::with_fault(address(index), 1, fault),
+            contact: QuorumContact::with_fault(address(index), 1, fault),
             next_heartbeat: ms(7 * index as u64),
             sequence: 0,
             frozen: false,
@@ -330,7 +330,7 @@
 
 /// A late echo of the life before, with a sequence that this life has used too.
 fn echo_of_an_earlier_life(fault: Option<ContactFault>) -> Result<(), String> {
-    let mut contact = Contact::with_fault(address(0), 2, fault);
+    let mut contact = QuorumContact::with_fault(address(0), 2, fault);
     contact.sent(ms(100), &heartbeat(0, 2, 1));
     contact.echoed(ms(110), address(1), &heartbeat(0, 1, 1));
     contact.echoed(ms(110), address(1), &heartbeat(2, 2, 1));
@@ -380,7 +380,7 @@
 
 #[test]
 fn a_peer_that_is_only_heard_is_found() {
-    assert!(found_by(ContactFault::HeardCounts).contains(&"nothing leaves"));
+    assert!(found_by(ContactFault::CountReceivedHeartbeats).contains(&"nothing leaves"));
 }
 
 #[test]
@@ -395,26 +395,26 @@
 
 #[test]
 fn echoes_of_an_earlier_life_are_found() {
-    assert!(found_by(ContactFault::AnyLife).contains(&"echo of an earlier life"));
+    assert!(found_by(ContactFault::AnyIncarnation).contains(&"echo of an earlier life"));
 }
 
 #[test]
 fn a_group_that_is_not_known_gives_no_contact() {
-    let contact = Contact::new(address(0), 1);
+    let contact = QuorumContact::new(address(0), 1);
     assert!(!contact.reaches(ms(0), &[]));
     assert!(!contact.reaches(ms(0), &[Vec::new()]));
 }
 
 #[test]
 fn the_only_member_is_always_in_contact() {
-    let contact = Contact::new(address(0), 1);
+    let contact = QuorumContact::new(address(0), 1);
     assert!(contact.reaches(ms(1_000_000), &[group(&[0])]));
 }
 
 #[test]
 fn one_that_is_no_member_needs_a_majority_of_others() {
     let groups = [group(&[1, 2, 3])];
-    let mut contact = Contact::new(address(0), 1);
+    let mut contact = QuorumContact::new(address(0), 1);
     contact.sent(ms(0), &heartbeat(0, 1, 1));
     contact.echoed(ms(10), address(1), &heartbeat(0, 1, 1));
     assert!(!contact.reaches(ms(10), &groups));
@@ -425,7 +425,7 @@
 #[test]
 fn contact_ends_a_validity_after_the_question_that_the_majority_answered_last() {
     let groups = [group(&[0, 1, 2])];
-    let mut contact = Contact::new(address(0), 1);
+    let mut contact = QuorumContact::new(address(0), 1);
     contact.sent(ms(500), &heartbeat(0, 1, 1));
     contact.sent(ms(700), &heartbeat(0, 1, 2));
     contact.echoed(ms(720), address(1), &heartbeat(0, 1, 2));
@@ -438,14 +438,14 @@
 
 #[test]
 fn an_echo_of_a_heartbeat_that_is_not_remembered_counts_for_nothing() {
-    let mut contact = Contact::new(address(0), 1);
+    let mut contact = QuorumContact::new(address(0), 1);
     contact.echoed(ms(0), address(1), &heartbeat(0, 1, 9));
     assert!(!contact.reaches(ms(0), &[group(&[0, 1, 2])]));
 }
 
 #[test]
 fn the_answer_to_a_repeated_heartbeat_counts_from_when_the_heartbeat_left_first() {
-    let mut contact = Contact::new(address(0), 1);
+    let mut contact = QuorumContact::new(address(0), 1);
     assert_eq!(contact.newest(), None);
     contact.sent(ms(100), &heartbeat(0, 1, 1));
     contact.sent(ms(300), &heartbeat(0, 1, 2));
--- a/crates/controller/src/controller/consensus/registers.rs
+++ b/crates/controller/src/controller/consensus/registers.rs
@@ -4,10 +4,10 @@
 use crate::controller::consensus::shards::{self, read_epoch};
 use crate::controller::counters::ChangeOutcome;
 use crate::controller::event::Answer;
-use crate::controller::operator::pending_changes::Settled;
+use crate::controller::operator::pending_changes::Completion;
 use crate::controller::operator::unavailable::Unavailable;
-use crate::controller::{Asked, Controller, ControllerFault};
-use crate::message::{Blob, Decided, Forwarded, Message, ShardMessage};
+use crate::controller::{Controller, ControllerFault, InFlightRequest};
+use crate::message::{Blob, CommittedConfiguration, Forwarded, Message, ShardMessage};
 use lanegate_config::control_state::{ControlState, Outcome as Taken};
 use lanegate_coordination::lease::Tenure;
 use lanegate_coordination::register::{Input, Outcome, Output, Value};
@@ -61,7 +61,8 @@
                     return;
                 }
                 log::info!("configuration {} is in force (revision {})", state.version(), value.revision);
-                let decided = Decided { revision: value.revision, document: document.to_vec().into() };
+                let decided =
+                    CommittedConfiguration { revision: value.revision, document: document.to_vec().into() };
                 match serde_json::from_slice(document) {
                     Ok(configuration) => self.configuration = Some(Arc::new(configuration)),
                     Err(error) => log::error!("configuration {}: {error}", state.version()),
@@ -76,19 +77,19 @@
     }
 
     fn done(&mut self, request: u64, outcome: Outcome) {
-        match self.asked.remove(&request) {
-            Some(Asked::Read(reply)) => {
+        match self.in_flight.remove(&request) {
+            Some(InFlightRequest::Read(reply)) => {
                 let _ = reply.send(read_answer(&outcome));
             }
-            Some(Asked::Change(change)) => match outcome {
+            Some(InFlightRequest::Change(change)) => match outcome {
                 Outcome::Changed { answer, .. }
                 | Outcome::Unchanged { answer, .. }
                 | Outcome::Refused { answer, .. } => self.change_settled(change, &answer),
                 _ => {}
             },
-            Some(Asked::Epoch(shard, tenure)) => self.epoch_settled(shard, tenure, &outcome),
-            Some(Asked::Barrier) => self.barrier_read(request, &outcome),
-            Some(Asked::Members(shard)) => {
+            Some(InFlightRequest::Epoch(shard, tenure)) => self.epoch_settled(shard, tenure, &outcome),
+            Some(InFlightRequest::Barrier) => self.barrier_read(request, &outcome),
+            Some(InFlightRequest::MemberChange(shard)) => {
                 self.members.end(shard);
                 if matches!(outcome, Outcome::Changed { .. }) {
                     // Another member may have to be replaced.
@@ -118,24 +119,24 @@
     /// The outcome of a change is known: `answer` is an encoded outcome of the control state.
     pub(crate) fn change_settled(&mut self, change: u64, answer: &[u8]) {
         match self
-            .operator
+            .pending_changes
             .settle(change, || crate::controller::operator::control_calls::change_answer(answer))
         {
-            Settled::Return { peer, request } => {
+            Completion::Return { peer, request } => {
                 let body = Blob::from(answer.to_vec());
                 self.peers.send(peer, &Message::ChangeOutcome(Forwarded { request, body }));
             }
-            Settled::Answered => self.counters.change_ended(ChangeOutcome::of_encoded(answer)),
-            Settled::Unknown => {}
+            Completion::Answered => self.counters.change_ended(ChangeOutcome::of_encoded(answer)),
+            Completion::Unknown => {}
         }
     }
 
     /// Proposes a change of the operator at this controller's own replica.
     pub(crate) fn propose(&mut self, change: u64) {
-        let Some(command) = self.operator.command(change).map(<[u8]>::to_vec) else { return };
+        let Some(command) = self.pending_changes.command(change).map(<[u8]>::to_vec) else { return };
         let now = self.now();
         let request = self.request_number();
-        self.asked.insert(request, Asked::Change(change));
+        self.in_flight.insert(request, InFlightRequest::Change(change));
         let deadline = now + crate::controller::operator::pending_changes::ANSWER_TIMEOUT;
         let outputs =
             self.shards.handle(now, shards::CONFIGURATION, Input::Propose { request, command, deadline });
--- a/crates/controller/src/controller/endpoints/expiry.rs
+++ b/crates/controller/src/controller/endpoints/expiry.rs
@@ -13,7 +13,7 @@
 
 impl Controller {
     pub(crate) fn keep_house(&mut self, now: Duration) {
-        if let Some(heard) = self.endpoints.take_heard() {
+        if let Some(heard) = self.endpoints.take_heartbeat_batch() {
             self.peers.broadcast(&heard);
         }
         self.routers.forget(now);
--- a/crates/controller/src/controller/endpoints/pending_loads.rs
+++ b/crates/controller/src/controller/endpoints/pending_loads.rs
@@ -1,7 +1,7 @@
 //! When an accepted order shows: routers hear of a loaded model or adapter as soon as it can be used, and
 //! not with the endpoint's next heartbeat, which may be a second away.
 
-use crate::message::Holding;
+use crate::message::ResidencyUpdate;
 use lanegate_config::instance::ResidentModel;
 use lanegate_placement::{Operation, Order};
 use std::net::SocketAddr;
@@ -13,13 +13,13 @@
 /// By how much an endpoint's report on itself lags, beyond a load's usual time.
 const REPORT_LAG: Duration = Duration::from_millis(230);
 /// Pause before an endpoint that still loads is asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(300);
-/// Questions about one load, the last of which gets [`ASK_AGAIN`] for its answer; a heartbeat tells the rest.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Questions about one load, the last of which gets [`RETRY_DELAY`] for its answer; a heartbeat tells the rest.
 const MAX_QUESTIONS: u32 = 4;
 
 /// A load that an endpoint has accepted and does not show yet.
 #[derive(Debug)]
-struct Awaited {
+struct PendingLoad {
     service: String,
     instance: Arc<str>,
     address: SocketAddr,
@@ -31,27 +31,27 @@
 
 /// What is due.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum PendingLoadStep {
     /// Tell everyone.
-    Publish(Holding),
+    Publish(ResidencyUpdate),
     /// Ask the endpoint for its report.
     Ask { service: String, instance: Arc<str>, address: SocketAddr },
 }
 
 /// Accepted loads that do not show yet.
 #[derive(Debug, Default)]
-pub struct Holdings {
-    awaited: Vec<Awaited>,
+pub struct PendingLoads {
+    awaited: Vec<PendingLoad>,
 }
 
-impl Holdings {
+impl PendingLoads {
     /// An order was accepted; `load_time` is the usual time of a load of the model from the store.
     pub fn accepted(&mut self, now: Duration, service: &str, order: &Order, load_time: Duration) {
         if order.operation != Operation::Load {
             return;
         }
         let at = if order.adapter.is_some() { now + ADAPTER_TIME } else { now + load_time + REPORT_LAG };
-        self.awaited.push(Awaited {
+        self.awaited.push(PendingLoad {
             service: service.to_owned(),
             instance: order.instance.clone(),
             address: order.address,
@@ -63,16 +63,16 @@
     }
 
     /// What is due now.
-    pub fn due(&mut self, now: Duration) -> Vec<Step> {
+    pub fn due(&mut self, now: Duration) -> Vec<PendingLoadStep> {
         self.awaited.retain(|awaited| awaited.questions < MAX_QUESTIONS || awaited.at > now);
         let mut steps = Vec::new();
         for awaited in self.awaited.iter_mut().filter(|awaited| awaited.at <= now) {
             if awaited.adapter.is_some() {
-                steps.push(Step::Publish(awaited.holding()));
+                steps.push(PendingLoadStep::Publish(awaited.holding()));
             } else {
                 steps.push(awaited.ask());
                 awaited.questions += 1;
-                awaited.at = now + ASK_AGAIN;
+                awaited.at = now + RETRY_DELAY;
             }
         }
         self.awaited.retain(|awaited| awaited.at > now);
@@ -80,13 +80,14 @@
     }
 
     /// An endpoint reported what it holds. Tells which awaited models are among that.
-    pub fn reported(&mut self, instance: &str, models: &[ResidentModel]) -> Vec<Holding> {
-        let shown = |awaited: &Awaited| {
+    pub fn reported(&mut self, instance: &str, models: &[ResidentModel]) -> Vec<ResidencyUpdate> {
+        let shown = |awaited: &PendingLoad| {
             *awaited.instance == *instance
                 && awaited.adapter.is_none()
                 && models.iter().any(|held| *held.name == *awaited.model)
         };
-        let holdings = self.awaited.iter().filter(|awaited| shown(awaited)).map(Awaited::holding).collect();
+        let holdings =
+            self.awaited.iter().filter(|awaited| shown(awaited)).map(PendingLoad::holding).collect();
         self.awaited.retain(|awaited| !shown(awaited));
         holdings
     }
@@ -96,27 +97,27 @@
         self.awaited.clear();
     }
 
-    /// When [`Holdings::due`] is to be called next.
+    /// When [`PendingLoads::due`] is to be called next.
     pub fn next_wake(&self) -> Option<Duration> {
         self.awaited.iter().map(|awaited| awaited.at).min()
     }
 }
 
-impl Awaited {
-    fn holding(&self) -> Holding {
+impl PendingLoad {
+    fn holding(&self) -> ResidencyUpdate {
         holding(&self.instance, &self.model, self.adapter.as_deref(), true)
     }
 
-    fn ask(&self) -> Step {
+    fn ask(&self) -> PendingLoadStep {
         let service = self.service.clone();
-        Step::Ask { service, instance: self.instance.clone(), address: self.address }
+        PendingLoadStep::Ask { service, instance: self.instance.clone(), address: self.address }
     }
 }
 
 /// What is known of a model or adapter at an endpoint, as a message; its sequence and order come with its
 /// publication.
-pub fn holding(instance: &str, model: &str, adapter: Option<&str>, present: bool) -> Holding {
-    Holding {
+pub fn holding(instance: &str, model: &str, adapter: Option<&str>, present: bool) -> ResidencyUpdate {
+    ResidencyUpdate {
         id: instance.into(),
         model: model.into(),
         adapter: adapter.unwrap_or_default().into(),
--- a/crates/controller/src/controller/endpoints/pending_loads_test.rs
+++ b/crates/controller/src/controller/endpoints/pending_loads_test.rs
@@ -1,6 +1,6 @@
 //! Loads that were accepted show to routers as soon as they can be used, and not before.
 
-use crate::controller::endpoints::pending_loads::{Holdings, Step, holding};
+use crate::controller::endpoints::pending_loads::{PendingLoadStep, PendingLoads, holding};
 use lanegate_config::instance::ResidentModel;
 use lanegate_placement::{Operation, Order, OrderId};
 use std::net::SocketAddr;
@@ -30,8 +30,8 @@
     }
 }
 
-fn ask() -> Step {
-    Step::Ask { service: SERVICE.to_owned(), instance: "i-1".into(), address: address() }
+fn ask() -> PendingLoadStep {
+    PendingLoadStep::Ask { service: SERVICE.to_owned(), instance: "i-1".into(), address: address() }
 }
 
 fn held(name: &str) -> ResidentModel {
@@ -40,18 +40,18 @@
 
 #[test]
 fn an_accepted_adapter_is_told_once_it_can_be_used() {
-    let mut holdings = Holdings::default();
+    let mut holdings = PendingLoads::default();
     holdings.accepted(ms(0), SERVICE, &order(Operation::Load, "m", Some("a")), LOAD_TIME);
     assert_eq!(holdings.next_wake(), Some(ms(25)));
     assert_eq!(holdings.due(ms(24)), vec![]);
-    assert_eq!(holdings.due(ms(25)), vec![Step::Publish(holding("i-1", "m", Some("a"), true))]);
+    assert_eq!(holdings.due(ms(25)), vec![PendingLoadStep::Publish(holding("i-1", "m", Some("a"), true))]);
     assert_eq!(holdings.due(ms(26)), vec![]);
     assert_eq!(holdings.next_wake(), None);
 }
 
 #[test]
 fn a_model_is_asked_for_after_its_usual_time_and_told_once_the_endpoint_shows_it() {
-    let mut holdings = Holdings::default();
+    let mut holdings = PendingLoads::default();
     holdings.accepted(ms(0), SERVICE, &order(Operation::Load, "m", None), LOAD_TIME);
     assert_eq!(holdings.due(LOAD_SHOWS - ms(1)), vec![]);
     assert_eq!(holdings.due(LOAD_SHOWS), vec![ask()]);
@@ -63,7 +63,7 @@
 
 #[test]
 fn an_endpoint_that_does_not_show_the_model_is_asked_a_few_times_only() {
-    let mut holdings = Holdings::default();
+    let mut holdings = PendingLoads::default();
     holdings.accepted(ms(0), SERVICE, &order(Operation::Load, "m", None), LOAD_TIME);
     let mut steps = Vec::new();
     while let Some(at) = holdings.next_wake().filter(|_| steps.len() < 10) {
@@ -75,14 +75,14 @@
 
 #[test]
 fn an_eviction_is_nothing_to_wait_for() {
-    let mut holdings = Holdings::default();
+    let mut holdings = PendingLoads::default();
     holdings.accepted(ms(0), SERVICE, &order(Operation::Evict, "m", None), LOAD_TIME);
     assert_eq!(holdings.next_wake(), None);
 }
 
 #[test]
 fn the_end_of_a_tenure_ends_the_wait() {
-    let mut holdings = Holdings::default();
+    let mut holdings = PendingLoads::default();
     holdings.accepted(ms(0), SERVICE, &order(Operation::Load, "m", None), LOAD_TIME);
     holdings.clear();
     assert_eq!(holdings.due(LOAD_SHOWS), vec![]);
--- a/crates/controller/src/controller/endpoints/registry.rs
+++ b/crates/controller/src/controller/endpoints/registry.rs
@@ -3,7 +3,9 @@
 use crate::controller::consensus::replica_groups::KnownGroups;
 use crate::controller::event::Answer;
 use crate::controller::operator::unavailable::Unavailable;
-use crate::message::{Heard, HeardList, Holding, Message, Registered as RegisteredMessage, Removed};
+use crate::message::{
+    BatchedHeartbeat, HeartbeatBatch, Message, Registered as RegisteredMessage, Removed, ResidencyUpdate,
+};
 use crate::registration::Registered;
 use crate::view::registered_message;
 use bytes::Bytes;
@@ -25,7 +27,7 @@
 /// Deliberate mistakes: each must be found by a test.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndpointsFault {
+pub enum AcknowledgementFault {
     /// Confirmations of controllers that are no members count as those of members.
     CountNonMembers,
     /// What a peer confirmed counts after its restart.
@@ -38,7 +40,7 @@
 
 /// An acknowledgement that waits until a majority of every group in force has what it promises.
 #[derive(Debug)]
-struct Waiting {
+struct PendingAcknowledgement {
     reply: oneshot::Sender<Answer>,
     id: String,
     /// Controllers that have it, each with the groups that it knew when it said so.
@@ -46,18 +48,23 @@
     until: Duration,
 }
 
-impl Waiting {
+impl PendingAcknowledgement {
     /// Whether it may be acknowledged by the controller `this`, which knows of the groups `known`.
     ///
     /// A controller that confirmed may know of a change of members that `this` has not heard of. Whoever holds
     /// the newer group's majority must have the notice too, so that group counts beside those known here.
-    fn is_confirmed(&self, this: SocketAddr, known: &KnownGroups, fault: Option<EndpointsFault>) -> bool {
-        if fault == Some(EndpointsFault::CountNonMembers) {
+    fn is_confirmed(
+        &self,
+        this: SocketAddr,
+        known: &KnownGroups,
+        fault: Option<AcknowledgementFault>,
+    ) -> bool {
+        if fault == Some(AcknowledgementFault::CountNonMembers) {
             let majority = known.groups.iter().map(|group| group.len() / 2 + 1).max();
             return majority.is_some_and(|majority| self.confirmed_by.len() + 1 >= majority);
         }
         let counts = |node| node == this || self.confirmed_by.contains_key(&node);
-        if fault == Some(EndpointsFault::OwnGroupsOnly) {
+        if fault == Some(AcknowledgementFault::OwnGroupsOnly) {
             return known.have_majority(counts);
         }
         let newer = self.confirmed_by.values().filter(|told| told.revision > known.revision);
@@ -75,7 +82,7 @@
 
 /// What became of a registration that another controller told.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Merge {
+pub struct RegistrationMerge {
     /// What readers have to hear.
     pub news: Vec<Message>,
     /// Whether the other controllers have to hear it from here too: an endpoint that leaves may have been
@@ -85,7 +92,7 @@
 
 /// What became of a removal that another controller told.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Merged {
+pub enum RemovalMerge {
     /// The incarnation is gone here too; readers have to hear of it.
     Removed,
     /// Nothing is new.
@@ -97,7 +104,7 @@
 
 /// The registry, and the acknowledgements under way.
 #[derive(Debug)]
-pub struct Endpoints {
+pub struct EndpointRegistry {
     /// This controller, which counts among those that know of a notice.
     this: SocketAddr,
     registry: Registry<Registered>,
@@ -106,32 +113,32 @@
     heard: BTreeMap<String, u64>,
     /// Leaving incarnations of which a majority knows.
     confirmed: BTreeSet<String>,
-    waiting: BTreeMap<u64, Waiting>,
+    waiting: BTreeMap<u64, PendingAcknowledgement>,
     next_token: u64,
-    fault: Option<EndpointsFault>,
+    fault: Option<AcknowledgementFault>,
 }
 
-impl Endpoints {
+impl EndpointRegistry {
     /// An empty registry for endpoints that send a heartbeat every `heartbeat`, at the controller `this`. Flushes
-    /// are numbered from `life`, drawn anew at each start: an answer to an earlier life confirms nothing.
-    pub fn new(heartbeat: Duration, this: SocketAddr, life: u64) -> Self {
-        Endpoints {
+    /// are numbered from `incarnation`, drawn anew at each start: an answer to an earlier life confirms nothing.
+    pub fn new(heartbeat: Duration, this: SocketAddr, incarnation: u64) -> Self {
+        EndpointRegistry {
             this,
             registry: Registry::default(),
             silence: heartbeat.mul_f64(MISSED_HEARTBEATS),
             heard: BTreeMap::new(),
             confirmed: BTreeSet::new(),
             waiting: BTreeMap::new(),
-            next_token: life,
+            next_token: incarnation,
             fault: None,
         }
     }
 
     /// The same with a deliberate mistake, for tests.
-    pub fn with_fault(self, fault: Option<EndpointsFault>) -> Self {
-        let repeats = fault == Some(EndpointsFault::RepeatTokens);
+    pub fn with_fault(self, fault: Option<AcknowledgementFault>) -> Self {
+        let repeats = fault == Some(AcknowledgementFault::RepeatTokens);
         let next_token = if repeats { 1 } else { self.next_token };
-        Endpoints { next_token, fault, ..self }
+        EndpointRegistry { next_token, fault, ..self }
     }
 
     /// A heartbeat of `id`. A majority of the groups `known`, and of any newer ones, has to know of one that is
@@ -192,23 +199,23 @@
     }
 
     /// Another controller heard a registration.
-    pub fn merge(&mut self, now: Duration, message: &RegisteredMessage) -> Merge {
+    pub fn merge(&mut self, now: Duration, message: &RegisteredMessage) -> RegistrationMerge {
         let id = message.id.text();
         let Ok(registration) = Registered::parse(&id, message.body.bytes.clone().into()) else {
-            return Merge::default();
+            return RegistrationMerge::default();
         };
         let leaving = registration.instance.state == InstanceState::Draining;
         let registration = registration.following(self.registration(&id));
         match self.registry.merge(now, &id, message.sequence, registration) {
             RegistryUpdate::Changed { replaced } => {
-                Merge { news: self.changed(&id, replaced), relay: leaving }
+                RegistrationMerge { news: self.changed(&id, replaced), relay: leaving }
             }
-            RegistryUpdate::Refreshed | RegistryUpdate::Stale => Merge::default(),
+            RegistryUpdate::Refreshed | RegistryUpdate::Stale => RegistrationMerge::default(),
         }
     }
 
     /// The placer here knows of a model at an endpoint. Gives what everyone has to hear, if it is news.
-    pub fn publish(&mut self, mut holding: Holding) -> Option<Holding> {
+    pub fn publish(&mut self, mut holding: ResidencyUpdate) -> Option<ResidencyUpdate> {
         let entry = self.registry.get(&holding.id.text())?;
         holding.sequence = entry.latest;
         holding.order = entry.registration.as_ref()?.next_order();
@@ -216,27 +223,27 @@
     }
 
     /// A placer, here or elsewhere, knows of a model at an endpoint. True if it is news.
-    pub fn hold(&mut self, holding: &Holding) -> bool {
+    pub fn hold(&mut self, holding: &ResidencyUpdate) -> bool {
         let registration = self.registry.get_mut(&holding.id.text());
         registration.is_some_and(|registration| registration.hold(holding.clone()))
     }
 
     /// Whether a removal that another controller told has to be told to the others from here too, for the same
-    /// reason as in [`Merge::relay`]; to be asked before it is merged.
+    /// reason as in [`RegistrationMerge::relay`]; to be asked before it is merged.
     pub fn relays_removal(&self, removed: &Removed) -> bool {
         let known = self.registry.get(&removed.id.text());
         removed.sequence == FINAL_SEQUENCE && known.is_none_or(|entry| entry.sequence != FINAL_SEQUENCE)
     }
 
     /// Another controller removed an incarnation.
-    pub fn merge_removal(&mut self, now: Duration, removed: &Removed) -> Merged {
+    pub fn merge_removal(&mut self, now: Duration, removed: &Removed) -> RemovalMerge {
         let id = removed.id.text();
         if self.registry.remove(now, &id, removed.sequence) {
-            return Merged::Removed;
+            return RemovalMerge::Removed;
         }
         match self.revived(&id) {
-            Some(registered) => Merged::Contradicted(registered),
-            None => Merged::Known,
+            Some(registered) => RemovalMerge::Contradicted(registered),
+            None => RemovalMerge::Known,
         }
     }
 
@@ -247,21 +254,21 @@
     }
 
     /// Another controller heard these.
-    pub fn merge_heard(&mut self, now: Duration, list: &HeardList) {
-        for heard in &list.heard {
+    pub fn merge_heartbeats(&mut self, now: Duration, list: &HeartbeatBatch) {
+        for heard in &list.heartbeats {
             self.registry.refresh(now, &heard.id.text(), heard.sequence);
         }
     }
 
     /// What was heard here since the last call, for the other controllers.
-    pub fn take_heard(&mut self) -> Option<Message> {
+    pub fn take_heartbeat_batch(&mut self) -> Option<Message> {
         if self.heard.is_empty() {
             return None;
         }
         let heard = std::mem::take(&mut self.heard).into_iter();
-        let heard: Vec<Heard> =
-            heard.map(|(id, sequence)| Heard { id: id.as_str().into(), sequence }).collect();
-        Some(Message::HeardList(heard.into()))
+        let heard: Vec<BatchedHeartbeat> =
+            heard.map(|(id, sequence)| BatchedHeartbeat { id: id.as_str().into(), sequence }).collect();
+        Some(Message::HeartbeatBatch(heard.into()))
     }
 
     /// Removes what nobody has heard, in the services that this controller owns.
@@ -287,7 +294,7 @@
 
     /// A peer runs as another process than before: what the earlier one confirmed is lost with its memory.
     pub fn restarted(&mut self, peer: SocketAddr) {
-        if self.fault == Some(EndpointsFault::CountRestartedPeers) {
+        if self.fault == Some(AcknowledgementFault::CountRestartedPeers) {
             return;
         }
         for waiting in self.waiting.values_mut() {
@@ -298,7 +305,7 @@
     /// Acknowledges what is confirmed, now that confirmations or the groups `known` have changed.
     pub fn review(&mut self, known: &KnownGroups) {
         let (this, fault) = (self.this, self.fault);
-        let is_confirmed = |waiting: &Waiting| waiting.is_confirmed(this, known, fault);
+        let is_confirmed = |waiting: &PendingAcknowledgement| waiting.is_confirmed(this, known, fault);
         let confirmed = self.waiting.iter().filter(|(_, waiting)| is_confirmed(waiting));
         let confirmed: Vec<u64> = confirmed.map(|(token, _)| *token).collect();
         for token in confirmed {
@@ -334,7 +341,7 @@
         self.waiting.len()
     }
 
-    /// When [`Endpoints::give_up`] is to be called next.
+    /// When [`EndpointRegistry::give_up`] is to be called next.
     pub fn next_wake(&self) -> Option<Duration> {
         self.waiting.values().map(|waiting| waiting.until).min()
     }
@@ -345,7 +352,7 @@
             let registration = entry.registration.as_ref();
             let holdings = registration.into_iter().flat_map(Registered::holdings);
             let registered = registration.map(|r| registered_message(id, entry.sequence, r));
-            registered.into_iter().chain(holdings.cloned().map(Message::Holding))
+            registered.into_iter().chain(holdings.cloned().map(Message::ResidencyUpdate))
         })
     }
 
@@ -387,7 +394,8 @@
         reply: oneshot::Sender<Answer>,
     ) -> Option<u64> {
         let until = now + REPLICATION_TIMEOUT;
-        let waiting = Waiting { reply, id: id.to_owned(), confirmed_by: BTreeMap::new(), until };
+        let waiting =
+            PendingAcknowledgement { reply, id: id.to_owned(), confirmed_by: BTreeMap::new(), until };
         let token = self.next_token();
         self.waiting.insert(token, waiting);
         self.review(known);
--- a/crates/controller/src/controller/endpoints/registry_test.rs
+++ b/crates/controller/src/controller/endpoints/registry_test.rs
@@ -2,9 +2,11 @@
 
 use crate::controller::consensus::replica_groups::KnownGroups;
 use crate::controller::endpoints::pending_loads::holding;
-use crate::controller::endpoints::registry::{Changes, Endpoints, EndpointsFault, Merge, Merged};
+use crate::controller::endpoints::registry::{
+    AcknowledgementFault, Changes, EndpointRegistry, RegistrationMerge, RemovalMerge,
+};
 use crate::controller::event::Answer;
-use crate::message::{Heard, HeardList, Holding, Message, Registered, Removed};
+use crate::message::{BatchedHeartbeat, HeartbeatBatch, Message, Registered, Removed, ResidencyUpdate};
 use bytes::Bytes;
 use lanegate_coordination::registry::FINAL_SEQUENCE;
 use std::net::SocketAddr;
@@ -16,7 +18,7 @@
 const GIVEN_UP: Duration = Duration::from_millis(850);
 /// The controller of the tests.
 const THIS: u8 = 1;
-const LIFE: u64 = 700;
+const INCARNATION: u64 = 700;
 /// Members of the usual group, the controller of the tests included.
 const THREE: &[u8] = &[1, 2, 3];
 const FIVE: &[u8] = &[1, 2, 3, 4, 5];
@@ -30,8 +32,8 @@
 }
 
 /// An empty registry of the controller of the tests.
-fn endpoints() -> Endpoints {
-    Endpoints::new(HEARTBEAT, peer(THIS), LIFE)
+fn endpoints() -> EndpointRegistry {
+    EndpointRegistry::new(HEARTBEAT, peer(THIS), INCARNATION)
 }
 
 /// One group in force, as of `revision`.
@@ -45,7 +47,7 @@
 }
 
 /// A peer that knows of the same `group` as the controller of the tests confirms.
-fn confirm(endpoints: &mut Endpoints, token: u64, number: u8, group: &[u8]) {
+fn confirm(endpoints: &mut EndpointRegistry, token: u64, number: u8, group: &[u8]) {
     endpoints.flushed(token, peer(number), known(group), &known(group));
 }
 
@@ -57,7 +59,7 @@
 }
 
 fn put(
-    endpoints: &mut Endpoints,
+    endpoints: &mut EndpointRegistry,
     now: Duration,
     group: &[u8],
     sequence: u64,
@@ -68,7 +70,7 @@
 }
 
 /// A heartbeat of an engine that lists one model.
-fn put_holding(endpoints: &mut Endpoints, now: Duration, sequence: u64, model: &str) {
+fn put_holding(endpoints: &mut EndpointRegistry, now: Duration, sequence: u64, model: &str) {
     let mut body: serde_json::Value = serde_json::from_slice(&body(sequence, "ready")).unwrap();
     body["Models"] = serde_json::json!([{ "Name": model, "Version": 1, "Adapters": [] }]);
     let (reply, _answer) = oneshot::channel();
@@ -96,9 +98,9 @@
 
     let (changes, mut answer) = put(&mut endpoints, ms(1_000), THREE, 2, "ready");
     assert_eq!((changes.messages, status(&mut answer)), (vec![], Some(200)));
-    let heard = vec![Heard { id: "i-1".into(), sequence: 2 }];
-    assert_eq!(endpoints.take_heard(), Some(Message::HeardList(heard.into())));
-    assert_eq!(endpoints.take_heard(), None);
+    let heard = vec![BatchedHeartbeat { id: "i-1".into(), sequence: 2 }];
+    assert_eq!(endpoints.take_heartbeat_batch(), Some(Message::HeartbeatBatch(heard.into())));
+    assert_eq!(endpoints.take_heartbeat_batch(), None);
 }
 
 /// Taken and told, so that nothing is lost if the cut ends, but the endpoint has to call another controller.
@@ -112,7 +114,7 @@
         assert_eq!(changes.messages.len(), usize::from(sequence == 1));
     }
     assert!(endpoints.registration("i-1").is_some());
-    assert!(endpoints.take_heard().is_some());
+    assert!(endpoints.take_heartbeat_batch().is_some());
 }
 
 /// The confirmations of a majority say more than contact does.
@@ -238,7 +240,7 @@
 fn what_a_peer_heard_is_told_to_readers_once() {
     let mut endpoints = endpoints();
     let told = vec![Message::Registered(registered(4, "ready"))];
-    let news = |news| Merge { news, relay: false };
+    let news = |news| RegistrationMerge { news, relay: false };
     assert_eq!(endpoints.merge(ms(0), &registered(4, "ready")), news(told));
     assert_eq!(endpoints.merge(ms(1), &registered(4, "ready")), news(vec![]));
     assert_eq!(endpoints.merge(ms(1), &registered(3, "draining")), news(vec![]));
@@ -248,7 +250,7 @@
 fn an_endpoint_that_a_peer_hears_is_not_expired() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(1, "ready"));
-    endpoints.merge_heard(ms(3_000), &vec![Heard { id: "i-1".into(), sequence: 4 }].into());
+    endpoints.merge_heartbeats(ms(3_000), &vec![BatchedHeartbeat { id: "i-1".into(), sequence: 4 }].into());
     assert_eq!(endpoints.expire(ms(3_600), |_| true), vec![]);
     assert_eq!(endpoints.expire(ms(9_000), |_| false), vec![], "another controller owns it");
     assert_eq!(endpoints.expire(ms(6_501), |_| true), vec![Message::Removed(removed(4))]);
@@ -258,8 +260,8 @@
 fn a_change_that_comes_after_word_of_a_later_heartbeat_is_taken() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(5, "ready"));
-    let later: HeardList = vec![Heard { id: "i-1".into(), sequence: 7 }].into();
-    endpoints.merge_heard(ms(1), &later);
+    let later: HeartbeatBatch = vec![BatchedHeartbeat { id: "i-1".into(), sequence: 7 }].into();
+    endpoints.merge_heartbeats(ms(1), &later);
     let told = vec![Message::Registered(registered(6, "draining"))];
     assert_eq!(endpoints.merge(ms(2), &registered(6, "draining")).news, told);
 }
@@ -276,8 +278,8 @@
 fn a_removal_by_a_peer_is_told_to_readers_once() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(5, "ready"));
-    assert_eq!(endpoints.merge_removal(ms(1), &removed(5)), Merged::Removed);
-    assert_eq!(endpoints.merge_removal(ms(2), &removed(5)), Merged::Known);
+    assert_eq!(endpoints.merge_removal(ms(1), &removed(5)), RemovalMerge::Removed);
+    assert_eq!(endpoints.merge_removal(ms(2), &removed(5)), RemovalMerge::Known);
 }
 
 #[test]
@@ -290,7 +292,7 @@
     assert!(changes.messages.is_empty());
     assert_eq!(owner.expire(ms(3_600), |_| true), vec![Message::Removed(removed(5))]);
 
-    let Merged::Contradicted(told) = other.merge_removal(ms(3_601), &removed(5)) else {
+    let RemovalMerge::Contradicted(told) = other.merge_removal(ms(3_601), &removed(5)) else {
         panic!("the endpoint is live");
     };
     assert_eq!(told, Message::Registered(registered(6, "ready")));
@@ -301,11 +303,11 @@
 fn a_removal_that_crossed_word_of_a_heartbeat_is_contradicted_too() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(5, "ready"));
-    endpoints.merge_heard(ms(3_600), &vec![Heard { id: "i-1".into(), sequence: 6 }].into());
+    endpoints.merge_heartbeats(ms(3_600), &vec![BatchedHeartbeat { id: "i-1".into(), sequence: 6 }].into());
     let told = Registered { sequence: 6, ..registered(5, "ready") };
     assert_eq!(
         endpoints.merge_removal(ms(3_601), &removed(5)),
-        Merged::Contradicted(Message::Registered(told))
+        RemovalMerge::Contradicted(Message::Registered(told))
     );
 }
 
@@ -313,11 +315,11 @@
 fn an_end_for_good_is_never_contradicted() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(5, "ready"));
-    assert_eq!(endpoints.merge_removal(ms(1), &removed(FINAL_SEQUENCE)), Merged::Removed);
+    assert_eq!(endpoints.merge_removal(ms(1), &removed(FINAL_SEQUENCE)), RemovalMerge::Removed);
 }
 
 /// A registry at which an endpoint has said that it leaves, the number of the flush, and the call.
-fn leaving(group: &[u8]) -> (Endpoints, u64, Receiver<Answer>) {
+fn leaving(group: &[u8]) -> (EndpointRegistry, u64, Receiver<Answer>) {
     let mut endpoints = endpoints();
     let (changes, answer) = put(&mut endpoints, ms(0), group, 1, "draining");
     (endpoints, changes.flush.expect("the others are asked"), answer)
@@ -398,7 +400,7 @@
 #[test]
 fn a_confirmation_for_an_earlier_life_of_the_process_confirms_nothing() {
     let (_, earlier, _answer) = leaving(THREE);
-    let mut restarted = Endpoints::new(HEARTBEAT, peer(THIS), LIFE * 1_000);
+    let mut restarted = EndpointRegistry::new(HEARTBEAT, peer(THIS), INCARNATION * 1_000);
     let (changes, mut answer) = put(&mut restarted, ms(0), THREE, 1, "draining");
     assert_ne!(changes.flush, Some(earlier));
     confirm(&mut restarted, earlier, 2, THREE);
@@ -426,7 +428,7 @@
 }
 
 /// A registry that makes a mistake, and what it says to a drain once the peers that `told` names have confirmed.
-fn mistaken(fault: EndpointsFault, told: &[(u8, &KnownGroups)], known: &KnownGroups) -> Option<u16> {
+fn mistaken(fault: AcknowledgementFault, told: &[(u8, &KnownGroups)], known: &KnownGroups) -> Option<u16> {
     let mut endpoints = endpoints().with_fault(Some(fault));
     let (reply, mut answer) = oneshot::channel();
     let changes = endpoints.put(ms(0), "i-1", body(1, "draining"), known, true, reply);
@@ -440,18 +442,18 @@
 #[test]
 fn the_checks_find_confirmations_of_others_than_members() {
     let known = known(THREE);
-    assert_eq!(mistaken(EndpointsFault::CountNonMembers, &[(6, &known)], &known), Some(200));
+    assert_eq!(mistaken(AcknowledgementFault::CountNonMembers, &[(6, &known)], &known), Some(200));
 }
 
 #[test]
 fn the_checks_find_a_newer_group_that_does_not_count() {
     let (old, joint) = (known_at(1, &[&[1, 2, 3]]), known_at(2, &[&[1, 2, 3], &[2, 3, 4]]));
-    assert_eq!(mistaken(EndpointsFault::OwnGroupsOnly, &[(2, &joint)], &old), Some(200));
+    assert_eq!(mistaken(AcknowledgementFault::OwnGroupsOnly, &[(2, &joint)], &old), Some(200));
 }
 
 #[test]
 fn the_checks_find_a_confirmation_that_outlasts_its_process() {
-    let mut endpoints = endpoints().with_fault(Some(EndpointsFault::CountRestartedPeers));
+    let mut endpoints = endpoints().with_fault(Some(AcknowledgementFault::CountRestartedPeers));
     let (changes, mut answer) = put(&mut endpoints, ms(0), FIVE, 1, "draining");
     let token = changes.flush.expect("the others are asked");
     confirm(&mut endpoints, token, 2, FIVE);
@@ -462,10 +464,10 @@
 
 #[test]
 fn the_checks_find_flushes_that_are_numbered_alike_in_every_life() {
-    let fault = Some(EndpointsFault::RepeatTokens);
+    let fault = Some(AcknowledgementFault::RepeatTokens);
     let mut earlier = endpoints().with_fault(fault);
     let (first, _answer) = put(&mut earlier, ms(0), THREE, 1, "draining");
-    let mut restarted = Endpoints::new(HEARTBEAT, peer(THIS), LIFE * 1_000).with_fault(fault);
+    let mut restarted = EndpointRegistry::new(HEARTBEAT, peer(THIS), INCARNATION * 1_000).with_fault(fault);
     let (_, mut answer) = put(&mut restarted, ms(0), THREE, 1, "draining");
     confirm(&mut restarted, first.flush.expect("the others are asked"), 2, THREE);
     assert_eq!(status(&mut answer), Some(200));
@@ -477,7 +479,7 @@
     let loaded = holding("i-1", "m", None, true);
     assert_eq!(endpoints.publish(loaded.clone()), None, "the endpoint is not known");
     put(&mut endpoints, ms(0), THREE, 5, "ready");
-    endpoints.merge_heard(ms(100), &vec![Heard { id: "i-1".into(), sequence: 7 }].into());
+    endpoints.merge_heartbeats(ms(100), &vec![BatchedHeartbeat { id: "i-1".into(), sequence: 7 }].into());
     let first = endpoints.publish(loaded.clone()).expect("it is news");
     assert_eq!((first.sequence, first.order), (7, 1));
     let second = endpoints.publish(holding("i-1", "m", None, false)).expect("it is news");
@@ -490,18 +492,19 @@
     let mut endpoints = endpoints();
     put(&mut endpoints, ms(0), THREE, 5, "ready");
     put(&mut endpoints, ms(1_000), THREE, 6, "ready");
-    let published = Holding { sequence: 5, order: 1, ..holding("i-1", "m", None, true) };
+    let published = ResidencyUpdate { sequence: 5, order: 1, ..holding("i-1", "m", None, true) };
     assert!(endpoints.hold(&published), "its publisher had not heard of heartbeat 6 yet");
     put(&mut endpoints, ms(2_000), THREE, 7, "ready");
-    let late = Holding { sequence: 6, order: 1, ..published };
+    let late = ResidencyUpdate { sequence: 6, order: 1, ..published };
     assert!(!endpoints.hold(&late), "heartbeat 7 says that the model is not there");
 }
 
 #[test]
 fn what_is_about_to_go_can_be_hidden_again_after_each_heartbeat_that_lists_it() {
     let mut endpoints = endpoints();
-    let shows =
-        |endpoints: &Endpoints| endpoints.registration("i-1").is_some_and(|known| known.shows("m", None));
+    let shows = |endpoints: &EndpointRegistry| {
+        endpoints.registration("i-1").is_some_and(|known| known.shows("m", None))
+    };
     put_holding(&mut endpoints, ms(0), 5, "m");
     assert!(shows(&endpoints));
     endpoints.publish(holding("i-1", "m", None, false)).expect("it is news");
--- a/crates/controller/src/controller/event_loop.rs
+++ b/crates/controller/src/controller/event_loop.rs
@@ -38,9 +38,9 @@
             self.leases.next_wake(),
             self.members.next_wake(),
             self.shards.next_wake(),
-            self.operator.next_wake(),
+            self.pending_changes.next_wake(),
             self.endpoints.next_wake(),
-            self.placements.next_wake(),
+            self.placers.next_wake(),
             self.holdings.next_wake(),
             self.contact_wake(),
             self.handover.as_ref().and_then(Handover::next_wake),
@@ -73,7 +73,7 @@
         for (shard, outputs) in self.shards.due(now) {
             self.follow(shard, outputs);
         }
-        for request in self.operator.due(now) {
+        for request in self.pending_changes.due(now) {
             self.propose(request);
         }
         self.watch_contact();
@@ -116,7 +116,7 @@
                 for holding in self.holdings.reported(&instance, &report.models) {
                     self.publish(holding);
                 }
-                self.placements.reported(now, &service, &instance, &report);
+                self.placers.reported(now, &service, &instance, &report);
             }
             Event::AgentDown { agent } => self.readers.down(agent),
             Event::Call(call) => self.call(call),
--- a/crates/controller/src/controller/fault.rs
+++ b/crates/controller/src/controller/fault.rs
@@ -1,8 +1,8 @@
 //! Deliberate mistakes of a controller, each of which the simulation must find. A process makes none.
 
 use crate::controller::consensus::quorum_contact::ContactFault;
-use crate::controller::endpoints::registry::EndpointsFault;
-use crate::controller::membership::replacement::MembersFault;
+use crate::controller::endpoints::registry::AcknowledgementFault;
+use crate::controller::membership::replacement::ReplacementFault;
 use lanegate_coordination::register;
 
 /// A deliberate mistake of a controller.
@@ -14,9 +14,9 @@
     /// A mistake in what counts as contact with a majority.
     Contact(ContactFault),
     /// A mistake in the replacement of members.
-    Members(MembersFault),
+    Members(ReplacementFault),
     /// A mistake in what makes an acknowledgement safe.
-    Endpoints(EndpointsFault),
+    EndpointRegistry(AcknowledgementFault),
     /// `GET /config` answers from what this controller knows, without asking a majority.
     ReadLocally,
     /// A change is acknowledged once it is proposed.
@@ -44,11 +44,11 @@
     /// A drain that another controller tells of is not passed on to other controllers.
     KeepDrainsFromPeers,
     /// A controller that is told to end does not wait until its place is taken.
-    LeaveWithoutHandover,
+    ShutDownWithoutHandover,
     /// What controllers say of their end is ignored: they replace members, and own shards, until they are silent.
-    ForgetLeaving,
+    IgnoreDraining,
     /// A controller that is heard counts as one that acts, whether it hears anybody or not.
-    HeardActs,
+    CountUnreachedPeers,
     /// Agents are told that this controller is current whether it has contact or not.
     AlwaysCurrent,
 }
@@ -76,10 +76,10 @@
         let contact = [
             ContactFault::AgeFromReceipt,
             ContactFault::SmallMajority,
-            ContactFault::HeardCounts,
+            ContactFault::CountReceivedHeartbeats,
             ContactFault::StaleClock,
             ContactFault::NewGroupOnly,
-            ContactFault::AnyLife,
+            ContactFault::AnyIncarnation,
         ];
         let own = [
             Own::ReadLocally,
@@ -114,7 +114,7 @@
     }
 
     /// The mistake in the replacement of members.
-    pub(crate) fn of_members(self) -> Option<MembersFault> {
+    pub(crate) fn of_members(self) -> Option<ReplacementFault> {
         match self {
             ControllerFault::Members(fault) => Some(fault),
             _ => None,
@@ -122,9 +122,9 @@
     }
 
     /// The mistake in what makes an acknowledgement safe.
-    pub(crate) fn of_endpoints(self) -> Option<EndpointsFault> {
+    pub(crate) fn of_endpoints(self) -> Option<AcknowledgementFault> {
         match self {
-            ControllerFault::Endpoints(fault) => Some(fault),
+            ControllerFault::EndpointRegistry(fault) => Some(fault),
             _ => None,
         }
     }
--- a/crates/controller/src/controller/feed/subscriber_storm_test.rs
+++ b/crates/controller/src/controller/feed/subscriber_storm_test.rs
@@ -1,9 +1,9 @@
 //! Readers of the feed under storms of changes: bytes, lag and the end state of each, in simulated time.
 
-use crate::configuration_feed::reader::Pace;
-use crate::controller::feed::subscribers::Readers;
+use crate::configuration_feed::fetcher::Pace;
+use crate::controller::feed::subscribers::Subscribers;
 use crate::link::Outbox;
-use crate::message::{Decided, Hello, Message, Registered, Removed, Role};
+use crate::message::{CommittedConfiguration, Hello, Message, Registered, Removed, Role};
 use crate::view::View;
 use bytes::Bytes;
 use lanegate_coordination::feed::Position;
@@ -58,7 +58,7 @@
 }
 
 /// A reader behind a link of its own.
-struct Reader {
+struct MessageReader {
     view: View,
     links: Vec<Link>,
     fetches: VecDeque<(Duration, usize, Message)>,
@@ -66,7 +66,7 @@
     longest_lag: u64,
 }
 
-impl Reader {
+impl MessageReader {
     /// Takes as many bytes as the link lets through in a millisecond.
     fn receive(&mut self, now: Duration) {
         let mut room = LINK_BYTES_PER_MS;
@@ -98,8 +98,8 @@
 
 /// Two sources, their readers, and what was decided when.
 struct World {
-    sources: Vec<Readers>,
-    readers: Vec<Reader>,
+    sources: Vec<Subscribers>,
+    readers: Vec<MessageReader>,
     decided_at: Vec<u64>,
     /// Sources that read fetches and answer nothing.
     mute: Vec<usize>,
@@ -108,7 +108,7 @@
 
 impl World {
     fn new(count: usize) -> World {
-        let mut sources = vec![Readers::new(11), Readers::new(12)];
+        let mut sources = vec![Subscribers::new(11), Subscribers::new(12)];
         let mut reader = |number: usize| {
             let links = sources.iter_mut().map(|source| {
                 let (outbox, frames) = Outbox::new();
@@ -117,7 +117,7 @@
             });
             let links = links.collect();
             let view = View::new(Pace::LINK);
-            Reader { view, links, fetches: VecDeque::new(), bytes: 0, longest_lag: 0 }
+            MessageReader { view, links, fetches: VecDeque::new(), bytes: 0, longest_lag: 0 }
         };
         let readers = (0..count).map(&mut reader).collect();
         World { sources, readers, decided_at: Vec::new(), mute: Vec::new(), now: 0 }
@@ -131,7 +131,7 @@
             if now < begun + storm && (now - begun).is_multiple_of(CHANGE_PERIOD_MS) {
                 self.decided_at.push(now);
                 let revision = self.decided_at.len() as u64;
-                let decided = Decided { revision, document: document(revision).into() };
+                let decided = CommittedConfiguration { revision, document: document(revision).into() };
                 self.sources.iter_mut().for_each(|source| source.publish(decided.clone()));
             }
             if now.is_multiple_of(BEAT_PERIOD_MS) {
@@ -185,7 +185,7 @@
         role: Role::Agent,
         name: "edge-1".into(),
         control_address: "".into(),
-        life: 1,
+        incarnation: 1,
         source: position.source,
         offset: position.offset,
     }
@@ -241,14 +241,14 @@
 
 /// A registry as its publisher has it, with the feed's journal.
 struct Publisher {
-    readers: Readers,
+    readers: Subscribers,
     truth: View,
     offset: u64,
 }
 
 impl Publisher {
     fn new() -> Publisher {
-        Publisher { readers: Readers::new(11), truth: View::default(), offset: 0 }
+        Publisher { readers: Subscribers::new(11), truth: View::default(), offset: 0 }
     }
 
     /// Endpoint `number` changes; every seventh change takes it away, with its sequence.
@@ -362,11 +362,12 @@
     let mut view = View::default();
     let mut frames = publisher.join(Position::default());
     publisher.storm(100);
-    let decided = |revision| Decided { revision, document: one_route_changed(revision).into() };
+    let decided =
+        |revision| CommittedConfiguration { revision, document: one_route_changed(revision).into() };
     publisher.readers.publish(decided(1));
     publisher.readers.beat(true, 1);
     drain(&mut view, &mut frames);
-    view.receive(ms(0), source(0), Message::Decided(decided(1)), &mut Vec::new());
+    view.receive(ms(0), source(0), Message::CommittedConfiguration(decided(1)), &mut Vec::new());
     view.lost(ms(0), source(0));
     publisher.readers.down(1);
 
--- a/crates/controller/src/controller/feed/subscribers.rs
+++ b/crates/controller/src/controller/feed/subscribers.rs
@@ -2,7 +2,7 @@
 
 use crate::configuration_feed::publisher::ConfigurationPublisher;
 use crate::link::Outbox;
-use crate::message::{ConfigurationVersion, Decided, FeedBeat, Hello, Message};
+use crate::message::{CommittedConfiguration, ConfigurationVersion, FeedHeartbeat, Hello, Message};
 use bytes::Bytes;
 use lanegate_coordination::feed::{Journal, Position, Start};
 use std::collections::BTreeMap;
@@ -11,13 +11,13 @@
 /// Changes kept for readers that come back: some minutes of an uneasy day.
 const JOURNAL_CHANGES: usize = 2_048;
 /// Configurations kept as bases of differences: those of some seconds of a storm of changes.
-const KEPT_CONFIGURATIONS: usize = 32;
+const RETAINED_CONFIGURATIONS: usize = 32;
 /// Bytes of changes that a reader is sent without asking whether a snapshot were shorter.
 const SHORT_TAIL_BYTES: usize = 64 * 1024;
 
 /// The journal of the feed, and its readers. Configurations are not in the journal: readers fetch them.
 #[derive(Debug)]
-pub struct Readers {
+pub struct Subscribers {
     journal: Journal<Bytes>,
     configurations: ConfigurationPublisher,
     outboxes: BTreeMap<u64, Outbox>,
@@ -25,12 +25,12 @@
     snapshot: Option<(Position, Arc<[Bytes]>)>,
 }
 
-impl Readers {
-    /// A feed whose source is this `life` of the process.
-    pub fn new(life: u64) -> Self {
-        Readers {
-            journal: Journal::new(life, JOURNAL_CHANGES),
-            configurations: ConfigurationPublisher::keeping(KEPT_CONFIGURATIONS),
+impl Subscribers {
+    /// A feed whose source is this `incarnation` of the process.
+    pub fn new(incarnation: u64) -> Self {
+        Subscribers {
+            journal: Journal::new(incarnation, JOURNAL_CHANGES),
+            configurations: ConfigurationPublisher::retaining(RETAINED_CONFIGURATIONS),
             outboxes: BTreeMap::new(),
             snapshot: None,
         }
@@ -44,7 +44,7 @@
     }
 
     /// Announces a configuration to all readers.
-    pub fn publish(&mut self, decided: Decided) {
+    pub fn publish(&mut self, decided: CommittedConfiguration) {
         if let Some(announcement) = self.configurations.publish(decided) {
             self.send_all(announcement.frame());
         }
@@ -123,7 +123,7 @@
 
     fn beat_message(&self, quorum: bool, routers: u32) -> Message {
         let Position { source, offset } = self.journal.end();
-        Message::FeedBeat(FeedBeat { quorum: u8::from(quorum), source, offset, routers })
+        Message::FeedHeartbeat(FeedHeartbeat { quorum: u8::from(quorum), source, offset, routers })
     }
 
     fn send_all(&mut self, frame: Bytes) {
--- a/crates/controller/src/controller/feed/subscribers_test.rs
+++ b/crates/controller/src/controller/feed/subscribers_test.rs
@@ -1,15 +1,22 @@
 //! Readers of the feed go on where they stood, or begin with a snapshot.
 
-use crate::controller::feed::subscribers::Readers;
+use crate::controller::feed::subscribers::Subscribers;
 use crate::link::Outbox;
-use crate::message::{FeedBeat, Hello, Message, Removed, Role};
+use crate::message::{FeedHeartbeat, Hello, Message, Removed, Role};
 use bytes::Bytes;
 use tokio::sync::mpsc::Receiver;
 
-const LIFE: u64 = 77;
+const INCARNATION: u64 = 77;
 
 fn hello(source: u64, offset: u64) -> Hello {
-    Hello { role: Role::Agent, name: "edge-1".into(), control_address: "".into(), life: 1, source, offset }
+    Hello {
+        role: Role::Agent,
+        name: "edge-1".into(),
+        control_address: "".into(),
+        incarnation: 1,
+        source,
+        offset,
+    }
 }
 
 fn change(number: u64) -> Message {
@@ -17,7 +24,7 @@
 }
 
 fn beat(offset: u64) -> Message {
-    Message::FeedBeat(FeedBeat { quorum: 1, source: LIFE, offset, routers: 2 })
+    Message::FeedHeartbeat(FeedHeartbeat { quorum: 1, source: INCARNATION, offset, routers: 2 })
 }
 
 fn snapshot() -> Vec<Message> {
@@ -29,14 +36,14 @@
     frames.map(|frame| Message::decode(&frame[4..]).expect("a message")).collect()
 }
 
-fn joined(readers: &mut Readers, reader: u64, hello: &Hello) -> Receiver<Bytes> {
+fn joined(readers: &mut Subscribers, reader: u64, hello: &Hello) -> Receiver<Bytes> {
     let (outbox, frames) = Outbox::new();
     readers.up(reader, hello, outbox, snapshot, (true, 2));
     frames
 }
 
-fn readers_with(changes: u64) -> Readers {
-    let mut readers = Readers::new(LIFE);
+fn readers_with(changes: u64) -> Subscribers {
+    let mut readers = Subscribers::new(INCARNATION);
     (0..changes).for_each(|number| readers.append(&change(number)));
     readers
 }
@@ -53,20 +60,20 @@
 #[test]
 fn a_reader_that_comes_back_gets_what_it_lacks_and_no_snapshot() {
     let mut readers = readers_with(5);
-    let mut frames = joined(&mut readers, 1, &hello(LIFE, 3));
+    let mut frames = joined(&mut readers, 1, &hello(INCARNATION, 3));
     assert_eq!(received(&mut frames), vec![change(3), change(4), beat(5)]);
-    let mut frames = joined(&mut readers, 2, &hello(LIFE, 5));
+    let mut frames = joined(&mut readers, 2, &hello(INCARNATION, 5));
     assert_eq!(received(&mut frames), vec![beat(5)]);
 }
 
 #[test]
 fn a_reader_of_another_life_or_from_too_far_back_begins_anew() {
     let mut readers = readers_with(2_049);
-    for stale in [hello(LIFE + 1, 2_049), hello(LIFE, 0), hello(LIFE, 2_050)] {
+    for stale in [hello(INCARNATION + 1, 2_049), hello(INCARNATION, 0), hello(INCARNATION, 2_050)] {
         let mut frames = joined(&mut readers, 1, &stale);
         assert_eq!(received(&mut frames)[0], Message::SnapshotBegin, "{stale:?}");
     }
-    let mut frames = joined(&mut readers, 1, &hello(LIFE, 1));
+    let mut frames = joined(&mut readers, 1, &hello(INCARNATION, 1));
     assert_eq!(received(&mut frames).len(), 2_049);
 }
 
@@ -74,7 +81,7 @@
 fn every_reader_hears_changes_and_beats_until_it_goes() {
     let mut readers = readers_with(0);
     let (mut first, mut second) =
-        (joined(&mut readers, 1, &hello(LIFE, 0)), joined(&mut readers, 2, &hello(LIFE, 0)));
+        (joined(&mut readers, 1, &hello(INCARNATION, 0)), joined(&mut readers, 2, &hello(INCARNATION, 0)));
     readers.append(&change(0));
     readers.down(1);
     readers.beat(true, 2);
@@ -92,7 +99,7 @@
 }
 
 /// Starts a reader that is sent `snapshot`; tells whether that was made for it, and what it is sent.
-fn joined_with(readers: &mut Readers, snapshot: Vec<Message>) -> (bool, Vec<Message>) {
+fn joined_with(readers: &mut Subscribers, snapshot: Vec<Message>) -> (bool, Vec<Message>) {
     let (outbox, mut frames) = Outbox::new();
     let mut made = false;
     let make = || {
--- a/crates/controller/src/controller/inspect.rs
+++ b/crates/controller/src/controller/inspect.rs
@@ -25,7 +25,7 @@
 
     /// Orders that the placers here held back because they would have broken a limit.
     pub(crate) fn violations(&self) -> InvariantViolations {
-        self.placements.violations()
+        self.placers.violations()
     }
 
     /// Body of the answer to a status call, and the text of the metrics.
@@ -35,6 +35,6 @@
 
     /// Shards for which this controller acts.
     pub(crate) fn acting_shards(&self) -> usize {
-        shards::all().filter(|shard| self.placements.acts_for(*shard)).count()
+        shards::all().filter(|shard| self.placers.acts_for(*shard)).count()
     }
 }
--- a/crates/controller/src/controller/membership/handover.rs
+++ b/crates/controller/src/controller/membership/handover.rs
@@ -25,7 +25,7 @@
 
 /// Where the groups stand, as the leaving controller sees them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct GroupMembership {
     /// Some group in force has this controller as a member.
     pub is_member: bool,
     /// Some live controller could take its place.
@@ -45,9 +45,9 @@
     }
 
     /// Whether the replacement is over, or cannot be had: then [`Handover::flush`] is to be called.
-    pub fn is_replaced(&self, now: Duration, place: Place) -> bool {
+    pub fn is_replaced(&self, now: Duration, membership: GroupMembership) -> bool {
         match &self.stage {
-            Stage::Replacement { until } => !place.is_member || !place.has_spare || now >= *until,
+            Stage::Replacement { until } => !membership.is_member || !membership.has_spare || now >= *until,
             _ => false,
         }
     }
--- a/crates/controller/src/controller/membership/handover_test.rs
+++ b/crates/controller/src/controller/membership/handover_test.rs
@@ -1,14 +1,14 @@
 //! What a controller waits for before it ends.
 
-use crate::controller::membership::handover::{Handover, Place};
+use crate::controller::membership::handover::{GroupMembership, Handover};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Time until the process is killed.
 const GRACE: Duration = Duration::from_secs(8);
-const MEMBER: Place = Place { is_member: true, has_spare: true };
-const REPLACED: Place = Place { is_member: false, has_spare: true };
-const WITHOUT_SPARE: Place = Place { is_member: true, has_spare: false };
+const MEMBER: GroupMembership = GroupMembership { is_member: true, has_spare: true };
+const REPLACED: GroupMembership = GroupMembership { is_member: false, has_spare: true };
+const WITHOUT_SPARE: GroupMembership = GroupMembership { is_member: true, has_spare: false };
 const TOKEN: u64 = 40;
 
 fn ms(n: u64) -> Duration {
--- a/crates/controller/src/controller/membership/links.rs
+++ b/crates/controller/src/controller/membership/links.rs
@@ -1,7 +1,7 @@
 //! The links of a controller: those it dials to its peers, and those that peers and agents open.
 
 use crate::controller::event::Event;
-use crate::link::{self, Outbox, REDIAL_PAUSE, Reader};
+use crate::link::{self, MessageReader, Outbox, REDIAL_PAUSE};
 use crate::message::{Hello, Message, MessageError, Role};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -83,7 +83,7 @@
 ) -> Result<(), MessageError> {
     link::set_options(&stream)?;
     let (read, write) = stream.into_split();
-    let mut reader = Reader::new(read);
+    let mut reader = MessageReader::new(read);
     let first =
         tokio::time::timeout(HELLO_TIMEOUT, reader.next()).await.map_err(|_| MessageError::Silent)??;
     let Message::Hello(hello) = first else { return Ok(()) };
@@ -94,7 +94,7 @@
 }
 
 async fn peer_link(
-    mut reader: Reader,
+    mut reader: MessageReader,
     hello: Hello,
     events: &mpsc::UnboundedSender<Event>,
 ) -> Result<(), MessageError> {
@@ -107,7 +107,7 @@
 }
 
 async fn agent_link(
-    mut reader: Reader,
+    mut reader: MessageReader,
     write: tokio::net::tcp::OwnedWriteHalf,
     agent: u64,
     hello: Hello,
--- a/crates/controller/src/controller/membership/member_status.rs
+++ b/crates/controller/src/controller/membership/member_status.rs
@@ -1,14 +1,14 @@
 //! What controllers say of themselves: for which shards they can vote, and whether they are about to end.
 
-use crate::message::Standing;
+use crate::message::MemberStatus;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-impl Standing {
-    /// A controller in this `life` whose replicas of `voting` can vote.
-    pub fn new(life: u64, voting: impl IntoIterator<Item = u8>, leaving: bool) -> Self {
+impl MemberStatus {
+    /// A controller in this `incarnation` whose replicas of `voting` can vote.
+    pub fn new(incarnation: u64, voting: impl IntoIterator<Item = u8>, leaving: bool) -> Self {
         let voting = voting.into_iter().fold(0, |shards, shard| shards | shard_bit(shard));
-        Standing { life, voting, leaving: u8::from(leaving) }
+        MemberStatus { incarnation, voting, leaving: u8::from(leaving) }
     }
 
     /// Whether its replica of the shard can vote: it has not lost its disk, or has recovered since.
@@ -24,25 +24,25 @@
 
 /// The newest word of each controller, this one included.
 #[derive(Debug, Default)]
-pub struct Standings {
-    told: BTreeMap<SocketAddr, Standing>,
+pub struct MemberStatuses {
+    told: BTreeMap<SocketAddr, MemberStatus>,
 }
 
-impl Standings {
+impl MemberStatuses {
     /// Takes what the controller at `node` says. True if it is news.
-    pub fn note(&mut self, node: SocketAddr, standing: Standing) -> bool {
+    pub fn note(&mut self, node: SocketAddr, standing: MemberStatus) -> bool {
         self.told.insert(node, standing) != Some(standing)
     }
 
-    /// The controller at `node` runs as `life` now: what an earlier life said holds no more.
-    pub fn restarted(&mut self, node: SocketAddr, life: u64) {
-        if self.told.get(&node).is_some_and(|standing| standing.life != life) {
+    /// The controller at `node` runs as `incarnation` now: what an earlier life said holds no more.
+    pub fn restarted(&mut self, node: SocketAddr, incarnation: u64) {
+        if self.told.get(&node).is_some_and(|standing| standing.incarnation != incarnation) {
             self.told.remove(&node);
         }
     }
 
     /// What the controller at `node` said last.
-    pub fn get(&self, node: SocketAddr) -> Option<Standing> {
+    pub fn get(&self, node: SocketAddr) -> Option<MemberStatus> {
         self.told.get(&node).copied()
     }
 
--- a/crates/controller/src/controller/membership/peer_discovery.rs
+++ b/crates/controller/src/controller/membership/peer_discovery.rs
@@ -12,7 +12,7 @@
     /// Tells a peer whose link has come up all that this controller knows.
     pub(crate) fn greet(&self, outbox: &Outbox) {
         outbox.message(&self.controllers_message());
-        outbox.message(&Message::Standing(self.standing()));
+        outbox.message(&Message::MemberStatus(self.standing()));
         for message in self.endpoints.full_snapshot() {
             outbox.message(&message);
         }
--- a/crates/controller/src/controller/membership/peer_messages.rs
+++ b/crates/controller/src/controller/membership/peer_messages.rs
@@ -2,9 +2,9 @@
 
 use crate::controller::consensus::replica_groups::KnownGroups;
 use crate::controller::consensus::shards;
-use crate::controller::endpoints::registry::Merged;
+use crate::controller::endpoints::registry::RemovalMerge;
 use crate::controller::{Controller, ControllerFault};
-use crate::message::{Confirmation, Holding, Message, ShardMessage, Token};
+use crate::message::{Confirmation, Message, ResidencyUpdate, ShardMessage, Token};
 use lanegate_coordination::lease::LeaseMessage;
 use lanegate_coordination::membership::Heartbeat;
 use lanegate_coordination::register::{self, Input};
@@ -50,20 +50,20 @@
                     self.peers.broadcast(&Message::Removed(removed.clone()));
                 }
                 match self.endpoints.merge_removal(now, &removed) {
-                    Merged::Removed if self.has_fault(ControllerFault::KeepRemovalsFromAgents) => {}
-                    Merged::Removed => self.readers.append(&Message::Removed(removed.clone())),
-                    Merged::Contradicted(registered) => {
+                    RemovalMerge::Removed if self.has_fault(ControllerFault::KeepRemovalsFromAgents) => {}
+                    RemovalMerge::Removed => self.readers.append(&Message::Removed(removed.clone())),
+                    RemovalMerge::Contradicted(registered) => {
                         self.readers.append(&registered);
                         self.peers.broadcast(&registered);
                     }
-                    Merged::Known => {}
+                    RemovalMerge::Known => {}
                 }
                 self.tell_placers(&removed.id.text());
             }
-            Message::Holding(holding) => self.held_elsewhere(holding),
-            Message::HeardList(list) => {
-                self.endpoints.merge_heard(now, &list);
-                list.heard.iter().for_each(|heard| self.tell_placers(&heard.id.text()));
+            Message::ResidencyUpdate(holding) => self.held_elsewhere(holding),
+            Message::HeartbeatBatch(list) => {
+                self.endpoints.merge_heartbeats(now, &list);
+                list.heartbeats.iter().for_each(|heartbeat| self.tell_placers(&heartbeat.id.text()));
             }
             Message::SnapshotEnd { complete: 1 } => self.became_complete(),
             Message::Flush(Token { token }) => {
@@ -71,13 +71,13 @@
                 self.peers.send(peer, &Message::Flushed(known.confirmation(token)));
             }
             Message::Flushed(confirmation) => self.flushed(peer, &confirmation),
-            Message::Standing(standing) => self.stands(peer, standing),
+            Message::MemberStatus(standing) => self.stands(peer, standing),
             Message::Controllers(controllers) => {
                 let text = controllers.addresses.text();
                 text.split_whitespace().filter_map(|a| a.parse().ok()).for_each(|peer| self.know(peer));
             }
             Message::Change(change) => {
-                let request = self.operator.begin_for(now, peer, change.request, change.body.bytes);
+                let request = self.pending_changes.begin_for(now, peer, change.request, change.body.bytes);
                 self.propose(request);
             }
             Message::ChangeOutcome(outcome) => self.change_settled(outcome.request, &outcome.body.bytes),
@@ -97,9 +97,9 @@
     }
 
     /// Another controller's placer knows of a model at an endpoint.
-    fn held_elsewhere(&mut self, holding: Holding) {
+    fn held_elsewhere(&mut self, holding: ResidencyUpdate) {
         if self.endpoints.hold(&holding) {
-            self.readers.append(&Message::Holding(holding));
+            self.readers.append(&Message::ResidencyUpdate(holding));
         }
     }
 
--- a/crates/controller/src/controller/membership/reconfiguration.rs
+++ b/crates/controller/src/controller/membership/reconfiguration.rs
@@ -1,10 +1,10 @@
 //! Which controllers are live, and changes of the groups that follow from it.
 
-use crate::controller::consensus::fault_tolerance::{MarginNews, MemberState, margin};
+use crate::controller::consensus::fault_tolerance::{MemberState, ToleranceChange, margin};
 use crate::controller::consensus::shards;
 use crate::controller::membership::replacement::{GroupView, MemberChange};
-use crate::controller::{Asked, Controller, ControllerFault};
-use crate::message::{Message, Standing};
+use crate::controller::{Controller, ControllerFault, InFlightRequest};
+use crate::message::{MemberStatus, Message};
 use lanegate_coordination::membership::{Heartbeat, Output};
 use lanegate_coordination::register::{Input, Node};
 use std::collections::BTreeSet;
@@ -46,7 +46,7 @@
                     log::info!("controller {peer} is {state:?}");
                 }
                 Output::Restarted { peer, incarnation } => {
-                    self.standings.restarted(peer, incarnation);
+                    self.member_statuses.restarted(peer, incarnation);
                     self.endpoints.restarted(peer);
                 }
             }
@@ -67,7 +67,8 @@
             if !self.owns(shard) || !self.has_contact(shard) {
                 continue;
             }
-            let view = GroupView { shard, group: &group, live: &live, standings: &self.standings };
+            let view =
+                GroupView { shard, group: &group, live: &live, member_statuses: &self.member_statuses };
             if let Some(change) = self.members.plan(now, view, size) {
                 self.change_members(now, shard, &change);
             }
@@ -78,7 +79,7 @@
     fn change_members(&mut self, now: Duration, shard: u8, change: &MemberChange) {
         log::info!("shard {shard}: {:?} joins, {:?} leaves", change.add, change.remove);
         let request = self.request_number();
-        self.asked.insert(request, Asked::Members(shard));
+        self.in_flight.insert(request, InFlightRequest::MemberChange(shard));
         self.members.begin(shard);
         let node = |address: SocketAddr| match address {
             SocketAddr::V4(address) => Some(Node::from(address)),
@@ -95,26 +96,26 @@
     }
 
     /// What this controller says of itself.
-    pub(crate) fn standing(&self) -> Standing {
+    pub(crate) fn standing(&self) -> MemberStatus {
         let voting = self.shards.iter().filter(|(_, replica)| replica.can_vote()).map(|(shard, _)| shard);
-        Standing::new(self.life, voting, self.is_leaving())
+        MemberStatus::new(self.incarnation, voting, self.is_leaving())
     }
 
     /// Tells the other controllers where this one stands, if that has changed.
     pub(crate) fn tell_standing(&mut self) {
         let standing = self.standing();
-        if self.standings.note(self.this, standing) {
-            self.peers.broadcast(&Message::Standing(standing));
+        if self.member_statuses.note(self.this, standing) {
+            self.peers.broadcast(&Message::MemberStatus(standing));
         }
     }
 
     /// Another controller says where it stands: a spare that can vote now, or a member that leaves, may be what
     /// a group waits for.
-    pub(crate) fn stands(&mut self, peer: SocketAddr, mut standing: Standing) {
-        if self.has_fault(ControllerFault::ForgetLeaving) {
+    pub(crate) fn stands(&mut self, peer: SocketAddr, mut standing: MemberStatus) {
+        if self.has_fault(ControllerFault::IgnoreDraining) {
             standing.leaving = 0;
         }
-        if self.standings.note(peer, standing) {
+        if self.member_statuses.note(peer, standing) {
             self.tend_members(self.now());
         }
     }
@@ -124,7 +125,7 @@
         if !self.membership.is_live(member) {
             return MemberState::Suspected;
         }
-        match self.standings.get(member) {
+        match self.member_statuses.get(member) {
             Some(standing) if standing.votes(shard) => MemberState::Voting,
             Some(_) => MemberState::NotVoting,
             None => MemberState::Unknown,
@@ -150,11 +151,11 @@
         }
         for shard in shards::all() {
             match self.margins.note(shard, self.margin(shard)) {
-                Some(MarginNews::Exhausted) => {
+                Some(ToleranceChange::Exhausted) => {
                     let states: Vec<_> = self.member_states(shard).collect();
                     log::warn!("shard {shard}: the next loss takes its majority, or it has none: {states:?}");
                 }
-                Some(MarginNews::Restored) => log::info!("shard {shard}: a loss can be borne again"),
+                Some(ToleranceChange::Restored) => log::info!("shard {shard}: a loss can be borne again"),
                 None => {}
             }
         }
--- a/crates/controller/src/controller/membership/replacement.rs
+++ b/crates/controller/src/controller/membership/replacement.rs
@@ -5,7 +5,7 @@
 //! the owner of another has not replaced yet.
 
 use crate::controller::consensus::replica_groups::KnownGroups;
-use crate::controller::membership::member_status::Standings;
+use crate::controller::membership::member_status::MemberStatuses;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -33,26 +33,26 @@
     /// Controllers that the failure detector has nothing against.
     pub live: &'a [SocketAddr],
     /// What controllers said of themselves.
-    pub standings: &'a Standings,
+    pub member_statuses: &'a MemberStatuses,
 }
 
 /// Deliberate mistakes: each must be found by a test.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MembersFault {
+pub enum ReplacementFault {
     /// Silence is noted against the members of the first shard, and held against those of all shards.
-    SilenceOfOneShard,
+    ShareTimeouts,
     /// A change of the members of one shard holds up those of all others.
     OneChangeAtATime,
     /// A spare takes the place of a member before its replica can vote.
     JoinBeforeVoting,
     /// Silence before a pause of this process counts.
-    KeepSilenceInPause,
+    CountOwnPause,
 }
 
 /// Watches members and spares.
 #[derive(Debug, Default)]
-pub struct Members {
+pub struct ReplacementPlanner {
     /// For each shard, since when each silent member has been silent.
     silent_since: BTreeMap<u8, BTreeMap<SocketAddr, Duration>>,
     /// When the members were last looked at.
@@ -61,19 +61,19 @@
     changing: BTreeSet<u8>,
     /// The groups of each shard that were decided last.
     decided: BTreeMap<u8, Vec<Vec<SocketAddr>>>,
-    fault: Option<MembersFault>,
+    fault: Option<ReplacementFault>,
 }
 
-impl Members {
+impl ReplacementPlanner {
     /// Nobody is known to be silent yet. `fault` is a deliberate mistake, for tests.
-    pub fn new(fault: Option<MembersFault>) -> Self {
-        Members { fault, ..Members::default() }
+    pub fn new(fault: Option<ReplacementFault>) -> Self {
+        ReplacementPlanner { fault, ..ReplacementPlanner::default() }
     }
 
     /// Notes who is live among the members of a shard.
     pub fn observe(&mut self, now: Duration, shard: u8, group: &[SocketAddr], live: &[SocketAddr]) {
         self.looked = now;
-        if self.has(MembersFault::SilenceOfOneShard) && shard != FIRST_SHARD {
+        if self.has(ReplacementFault::ShareTimeouts) && shard != FIRST_SHARD {
             return;
         }
         let silent = self.silent_since.entry(shard).or_default();
@@ -91,7 +91,7 @@
 
     /// This process could not listen for a while: silence up to now says nothing of the others.
     pub fn excuse(&mut self) {
-        if !self.has(MembersFault::KeepSilenceInPause) {
+        if !self.has(ReplacementFault::CountOwnPause) {
             self.silent_since.clear();
         }
     }
@@ -127,32 +127,32 @@
     }
 
     fn is_changing(&self, shard: u8) -> bool {
-        let one_at_a_time = self.has(MembersFault::OneChangeAtATime);
+        let one_at_a_time = self.has(ReplacementFault::OneChangeAtATime);
         self.changing.contains(&shard) || (one_at_a_time && !self.changing.is_empty())
     }
 
     /// The spare that joins next. All owners choose alike, so that the shards keep the same members.
     fn next_spare(&self, view: GroupView<'_>) -> Option<SocketAddr> {
         let outside = view.live.iter().copied().filter(|node| !view.group.contains(node));
-        let early = self.has(MembersFault::JoinBeforeVoting);
-        outside.filter(|node| early || view.standings.can_join(*node, view.shard)).min()
+        let early = self.has(ReplacementFault::JoinBeforeVoting);
+        outside.filter(|node| early || view.member_statuses.can_join(*node, view.shard)).min()
     }
 
     /// The member that has been silent longest, beyond patience.
     fn gone(&self, now: Duration, view: GroupView<'_>) -> Option<SocketAddr> {
-        let one_record = self.has(MembersFault::SilenceOfOneShard);
+        let one_record = self.has(ReplacementFault::ShareTimeouts);
         let record = if one_record { FIRST_SHARD } else { view.shard };
         let silent = self.silent_since.get(&record)?.iter();
         let gone = silent.filter(|(_, since)| now >= **since + REPLACEMENT_PATIENCE);
         gone.min_by_key(|(_, since)| **since).map(|(member, _)| *member)
     }
 
-    fn has(&self, fault: MembersFault) -> bool {
+    fn has(&self, fault: ReplacementFault) -> bool {
         self.fault == Some(fault)
     }
 }
 
 /// A member that said that it leaves; it needs no patience.
 fn leaving(view: GroupView<'_>) -> Option<SocketAddr> {
-    view.group.iter().copied().filter(|member| view.standings.is_leaving(*member)).min()
+    view.group.iter().copied().filter(|member| view.member_statuses.is_leaving(*member)).min()
 }
--- a/crates/controller/src/controller/membership/replacement_test.rs
+++ b/crates/controller/src/controller/membership/replacement_test.rs
@@ -1,8 +1,8 @@
 //! Growth of the replica groups, and the replacement of members that are gone or leave.
 
-use crate::controller::membership::member_status::Standings;
-use crate::controller::membership::replacement::{GroupView, MemberChange, Members};
-use crate::message::Standing;
+use crate::controller::membership::member_status::MemberStatuses;
+use crate::controller::membership::replacement::{GroupView, MemberChange, ReplacementPlanner};
+use crate::message::MemberStatus;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -24,37 +24,43 @@
 }
 
 /// Controllers 1 to 9, all of them able to vote for every shard.
-fn able() -> Standings {
-    let mut standings = Standings::default();
+fn able() -> MemberStatuses {
+    let mut member_statuses = MemberStatuses::default();
     for number in 1..=9 {
-        standings.note(node(number), Standing::new(u64::from(number), 0..SHARDS, false));
+        member_statuses.note(node(number), MemberStatus::new(u64::from(number), 0..SHARDS, false));
     }
-    standings
+    member_statuses
 }
 
 /// What is planned for `shard` at `time`, without a further look.
 fn planned(
-    members: &Members,
+    members: &ReplacementPlanner,
     time: u64,
     shard: u8,
     (group, live): (&[u8], &[u8]),
     size: usize,
-    standings: &Standings,
+    member_statuses: &MemberStatuses,
 ) -> Option<MemberChange> {
     let (group, live) = (nodes(group), nodes(live));
-    let view = GroupView { shard, group: &group, live: &live, standings };
+    let view = GroupView { shard, group: &group, live: &live, member_statuses };
     members.plan(ms(time), view, size)
 }
 
 /// What is planned at `time` by one who has just looked.
-fn looked(members: &mut Members, time: u64, group: &[u8], live: &[u8], size: usize) -> Option<MemberChange> {
+fn looked(
+    members: &mut ReplacementPlanner,
+    time: u64,
+    group: &[u8],
+    live: &[u8],
+    size: usize,
+) -> Option<MemberChange> {
     members.observe(ms(time), SHARD, &nodes(group), &nodes(live));
     planned(members, time, SHARD, (group, live), size, &able())
 }
 
 #[test]
 fn a_group_grows_from_three_to_five_by_one_at_a_time() {
-    let mut members = Members::default();
+    let mut members = ReplacementPlanner::default();
     let live = [1, 2, 3, 4, 5, 6];
     let joins = |number| Some(MemberChange { remove: None, add: node(number) });
     assert_eq!(looked(&mut members, 0, &[1, 2, 3], &live, 5), joins(4));
@@ -64,21 +70,21 @@
 
 #[test]
 fn a_group_of_the_wanted_size_does_not_grow_nor_does_one_without_spares() {
-    let mut members = Members::default();
+    let mut members = ReplacementPlanner::default();
     assert_eq!(looked(&mut members, 0, &[1, 2, 3], &[1, 2, 3, 4], 3), None);
     assert_eq!(looked(&mut members, 0, &[1, 2, 3], &[1, 2, 3], 5), None);
 }
 
 #[test]
 fn a_group_that_is_not_known_is_not_changed() {
-    let mut members = Members::default();
+    let mut members = ReplacementPlanner::default();
     assert_eq!(looked(&mut members, 0, &[], &[1, 2, 3], 3), None);
     assert_eq!(looked(&mut members, 60_000, &[], &[1, 2, 3], 3), None);
 }
 
 #[test]
 fn a_silent_member_is_replaced_only_after_patience() {
-    let mut members = Members::default();
+    let mut members = ReplacementPlanner::default();
     assert_eq!(looked(&mut members, 1_000, &[1, 2, 3], &[1, 3, 4], 3), None);
     assert_eq!(looked(&mut members, 2_199, &[1, 2, 3], &[1, 3, 4], 3), None);
     let change = MemberChange { remove: Some(node(2)), add: node(4) };
@@ -87,7 +93,7 @@
 
 #[test]
 fn a_silent_member_is_replaced_only_by_a_spare() {
-    let mut members = Members::default();
+    let mut members = ReplacementPlanner::default();
     looked(&mut members, 0, &[1, 2, 3], &[1, 3], 3);
     assert_eq!(looked(&mut members, 60_000, &[1, 2, 3], &[1, 3], 3), None);
     let change = MemberChange { remove: Some(node(2)), add: node(4) };
@@ -96,7 +102,7 @@
 
 #[test]
 fn a_member_that_was_heard_again_has_its_patience_anew() {
-    let mut members = Members::default();
+    let mut members = ReplacementPlanner::default();
     looked(&mut members, 0, &[1, 2, 3], &[1, 3, 4], 3);
     looked(&mut members, 1_000, &[1, 2, 3], &[1, 2, 3, 4], 3);
     assert_eq!(looked(&mut members, 1_300, &[1, 2, 3], &[1, 3, 4], 3), None);
@@ -106,7 +112,7 @@
 
 #[test]
 fn silence_before_a_pause_of_this_process_is_not_held_against_members() {
-    let mut members = Members::default();
+    let mut members = ReplacementPlanner::default();
     looked(&mut members, 0, &[1, 2, 3], &[1, 3, 4], 3);
     members.excuse();
     assert_eq!(looked(&mut members, 9_000, &[1, 2, 3], &[1, 3, 4], 3), None);
@@ -115,7 +121,7 @@
 
 #[test]
 fn of_two_silent_members_the_one_silent_longest_goes_first() {
-    let mut members = Members::default();
+    let mut members = ReplacementPlanner::default();
     looked(&mut members, 0, &[1, 2, 3, 4, 5], &[1, 2, 4, 5, 6, 7], 5);
     looked(&mut members, 400, &[1, 2, 3, 4, 5], &[1, 4, 5, 6, 7], 5);
     let change = looked(&mut members, 2_000, &[1, 2, 3, 4, 5], &[1, 4, 5, 6, 7], 5);
@@ -126,7 +132,7 @@
 
 #[test]
 fn a_group_that_is_short_grows_before_it_replaces() {
-    let mut members = Members::default();
+    let mut members = ReplacementPlanner::default();
     looked(&mut members, 0, &[1, 2, 3], &[1, 3, 4], 5);
     let change = looked(&mut members, 5_000, &[1, 2, 3], &[1, 3, 4], 5);
     assert_eq!(change, Some(MemberChange { remove: None, add: node(4) }));
@@ -134,8 +140,8 @@
 
 #[test]
 fn a_member_that_one_shard_has_replaced_is_still_silent_for_the_others() {
-    let mut members = Members::default();
-    let standings = able();
+    let mut members = ReplacementPlanner::default();
+    let member_statuses = able();
     let live = [1, 3, 4];
     for time in [0, 1_200, 1_600, 2_000] {
         // The owner of shard 0 has replaced member 2 by 1,600; the others still have it.
@@ -147,80 +153,80 @@
     }
     let change = Some(MemberChange { remove: Some(node(2)), add: node(4) });
     for shard in 1..SHARDS {
-        let plan = planned(&members, 2_000, shard, (&[1, 2, 3], &live), 3, &standings);
+        let plan = planned(&members, 2_000, shard, (&[1, 2, 3], &live), 3, &member_statuses);
         assert_eq!(plan, change, "shard {shard}");
     }
-    assert_eq!(planned(&members, 2_000, 0, (&[1, 3, 4], &live), 3, &standings), None);
+    assert_eq!(planned(&members, 2_000, 0, (&[1, 3, 4], &live), 3, &member_statuses), None);
 }
 
 #[test]
 fn a_change_under_way_holds_up_its_own_shard_only() {
-    let mut members = Members::default();
-    let standings = able();
+    let mut members = ReplacementPlanner::default();
+    let member_statuses = able();
     let group: (&[u8], &[u8]) = (&[1, 2, 3], &[1, 3, 4]);
     for shard in [0, 1] {
         members.observe(ms(0), shard, &nodes(group.0), &nodes(group.1));
     }
     members.begin(0);
-    assert_eq!(planned(&members, 1_200, 0, group, 3, &standings), None);
-    assert!(planned(&members, 1_200, 1, group, 3, &standings).is_some());
+    assert_eq!(planned(&members, 1_200, 0, group, 3, &member_statuses), None);
+    assert!(planned(&members, 1_200, 1, group, 3, &member_statuses).is_some());
     members.end(0);
-    assert!(planned(&members, 1_200, 0, group, 3, &standings).is_some());
+    assert!(planned(&members, 1_200, 0, group, 3, &member_statuses).is_some());
 }
 
 #[test]
 fn a_member_that_leaves_is_replaced_at_once_and_only_by_a_spare() {
-    let members = Members::default();
-    let mut standings = able();
-    standings.note(node(2), Standing::new(2, 0..SHARDS, true));
-    assert_eq!(planned(&members, 0, SHARD, (&[1, 2, 3], &[1, 2, 3]), 3, &standings), None);
+    let members = ReplacementPlanner::default();
+    let mut member_statuses = able();
+    member_statuses.note(node(2), MemberStatus::new(2, 0..SHARDS, true));
+    assert_eq!(planned(&members, 0, SHARD, (&[1, 2, 3], &[1, 2, 3]), 3, &member_statuses), None);
     let change = MemberChange { remove: Some(node(2)), add: node(4) };
-    assert_eq!(planned(&members, 0, SHARD, (&[1, 2, 3], &[1, 2, 3, 4]), 3, &standings), Some(change));
+    assert_eq!(planned(&members, 0, SHARD, (&[1, 2, 3], &[1, 2, 3, 4]), 3, &member_statuses), Some(change));
 }
 
 #[test]
 fn a_spare_that_leaves_takes_no_place() {
-    let mut members = Members::default();
-    let mut standings = able();
+    let mut members = ReplacementPlanner::default();
+    let mut member_statuses = able();
     members.observe(ms(0), SHARD, &nodes(&[1, 2, 3]), &nodes(&[1, 3, 4, 5]));
-    standings.note(node(4), Standing::new(4, 0..SHARDS, true));
+    member_statuses.note(node(4), MemberStatus::new(4, 0..SHARDS, true));
     let change = MemberChange { remove: Some(node(2)), add: node(5) };
     let group: (&[u8], &[u8]) = (&[1, 2, 3], &[1, 3, 4, 5]);
-    assert_eq!(planned(&members, 1_200, SHARD, group, 3, &standings), Some(change));
+    assert_eq!(planned(&members, 1_200, SHARD, group, 3, &member_statuses), Some(change));
 }
 
 #[test]
 fn a_spare_takes_a_place_only_once_it_can_vote_for_that_shard() {
-    let mut members = Members::default();
-    let mut standings = able();
+    let mut members = ReplacementPlanner::default();
+    let mut member_statuses = able();
     let group: (&[u8], &[u8]) = (&[1, 2, 3], &[1, 3, 4]);
     for shard in [0, 1] {
         members.observe(ms(0), shard, &nodes(group.0), &nodes(group.1));
     }
-    standings.note(node(4), Standing::new(4, [1], false));
-    assert_eq!(planned(&members, 9_000, 0, group, 3, &standings), None, "it recovers there");
-    assert!(planned(&members, 9_000, 1, group, 3, &standings).is_some());
+    member_statuses.note(node(4), MemberStatus::new(4, [1], false));
+    assert_eq!(planned(&members, 9_000, 0, group, 3, &member_statuses), None, "it recovers there");
+    assert!(planned(&members, 9_000, 1, group, 3, &member_statuses).is_some());
 }
 
 #[test]
 fn a_spare_that_has_not_said_where_it_stands_takes_no_place() {
-    let mut members = Members::default();
+    let mut members = ReplacementPlanner::default();
     let group: (&[u8], &[u8]) = (&[1, 2, 3], &[1, 3, 4]);
     members.observe(ms(0), SHARD, &nodes(group.0), &nodes(group.1));
-    assert_eq!(planned(&members, 9_000, SHARD, group, 3, &Standings::default()), None);
+    assert_eq!(planned(&members, 9_000, SHARD, group, 3, &MemberStatuses::default()), None);
 }
 
 #[test]
 fn two_that_leave_at_once_give_their_places_to_different_spares_and_never_to_one_another() {
-    let members = Members::default();
-    let mut standings = able();
+    let members = ReplacementPlanner::default();
+    let mut member_statuses = able();
     for leaving in [2, 3] {
-        standings.note(node(leaving), Standing::new(u64::from(leaving), 0..SHARDS, true));
+        member_statuses.note(node(leaving), MemberStatus::new(u64::from(leaving), 0..SHARDS, true));
     }
     let live = [1, 2, 3, 4, 5];
-    let change = planned(&members, 0, SHARD, (&[1, 2, 3], &live), 3, &standings);
+    let change = planned(&members, 0, SHARD, (&[1, 2, 3], &live), 3, &member_statuses);
     assert_eq!(change, Some(MemberChange { remove: Some(node(2)), add: node(4) }));
-    let change = planned(&members, 1, SHARD, (&[1, 3, 4], &live), 3, &standings);
+    let change = planned(&members, 1, SHARD, (&[1, 3, 4], &live), 3, &member_statuses);
     assert_eq!(change, Some(MemberChange { remove: Some(node(3)), add: node(5) }));
-    assert_eq!(planned(&members, 2, SHARD, (&[1, 4, 5], &live), 3, &standings), None);
+    assert_eq!(planned(&members, 2, SHARD, (&[1, 4, 5], &live), 3, &member_statuses), None);
 }
--- a/crates/controller/src/controller/membership/shutdown.rs
+++ b/crates/controller/src/controller/membership/shutdown.rs
@@ -1,7 +1,7 @@
 //! The end of the process: what it alone holds is handed over first.
 
 use crate::controller::consensus::shards;
-use crate::controller::membership::handover::{Handover, Place};
+use crate::controller::membership::handover::{GroupMembership, Handover};
 use crate::controller::{Controller, ControllerFault};
 use crate::message::{Message, Token};
 use std::time::Duration;
@@ -37,10 +37,10 @@
     /// Goes on with the handover, if one is under way.
     pub(crate) fn hand_over(&mut self, now: Duration) {
         let Some(handover) = &self.handover else { return };
-        let at_once = self.has_fault(ControllerFault::LeaveWithoutHandover);
-        let mut place = self.place_in_groups();
-        place.has_spare &= !at_once;
-        if handover.is_replaced(now, place) {
+        let at_once = self.has_fault(ControllerFault::ShutDownWithoutHandover);
+        let mut membership = self.group_membership();
+        membership.has_spare &= !at_once;
+        if handover.is_replaced(now, membership) {
             self.flush_last(now);
         }
         let idle = self.is_idle();
@@ -50,18 +50,20 @@
     }
 
     /// Where this controller stands in the groups.
-    fn place_in_groups(&self) -> Place {
+    fn group_membership(&self) -> GroupMembership {
         let is_member = shards::all().any(|shard| self.known_groups(shard).contain(self.this));
         let could_join = |shard| {
             let group = self.group(shard);
-            self.membership.live().any(|node| !group.contains(&node) && !self.standings.is_leaving(node))
+            self.membership
+                .live()
+                .any(|node| !group.contains(&node) && !self.member_statuses.is_leaving(node))
         };
-        Place { is_member, has_spare: shards::all().any(could_join) }
+        GroupMembership { is_member, has_spare: shards::all().any(could_join) }
     }
 
     /// Sends what the others do not have yet, and asks them to confirm it.
     fn flush_last(&mut self, now: Duration) {
-        if let Some(heard) = self.endpoints.take_heard() {
+        if let Some(heard) = self.endpoints.take_heartbeat_batch() {
             self.peers.broadcast(&heard);
         }
         let token = self.endpoints.next_token();
@@ -74,8 +76,8 @@
 
     /// Whether nobody waits for an answer, and every lease is given back.
     fn is_idle(&self) -> bool {
-        self.asked.is_empty()
-            && self.operator.next_wake().is_none()
+        self.in_flight.is_empty()
+            && self.pending_changes.next_wake().is_none()
             && self.endpoints.next_wake().is_none()
             && self.leases.next_wake().is_none()
     }
--- a/crates/controller/src/controller/metrics.rs
+++ b/crates/controller/src/controller/metrics.rs
@@ -151,7 +151,7 @@
         exposition.set_labelled(&SHARD_CONTACT, &labels, self.has_contact(shard));
         let may_act = self.leases.may_act(self.now(), u32::from(shard), Duration::ZERO);
         exposition.set_labelled(&SHARD_LEASE, &labels, may_act.is_some());
-        exposition.set_labelled(&SHARD_EPOCH, &labels, self.placements.epoch(shard).unwrap_or_default());
+        exposition.set_labelled(&SHARD_EPOCH, &labels, self.placers.epoch(shard).unwrap_or_default());
     }
 
     fn add_standing(&self, exposition: &mut Exposition) {
@@ -189,11 +189,12 @@
         }
         exposition.set(&ORDERS_UNDER_WAY, self.counters.orders_under_way);
         for (outcome, name) in ChangeOutcome::ALL {
-            let given_up = if outcome == ChangeOutcome::Unclear { self.operator.given_up() } else { 0 };
+            let given_up =
+                if outcome == ChangeOutcome::Unclear { self.pending_changes.given_up() } else { 0 };
             let changes = self.counters.changes(outcome) + given_up;
             exposition.set_labelled(&CHANGES, &[("outcome", name)], changes);
         }
-        exposition.set(&CHANGES_UNDER_WAY, self.operator.under_way());
+        exposition.set(&CHANGES_UNDER_WAY, self.pending_changes.under_way());
     }
 }
 
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -20,37 +20,37 @@
 mod setup;
 
 pub use consensus::quorum_contact::ContactFault;
-pub use endpoints::registry::EndpointsFault;
+pub use endpoints::registry::AcknowledgementFault;
 pub(crate) use environment::Environment;
 pub(crate) use event::{Answer, Call, Event, Method};
 pub use fault::ControllerFault;
-pub use membership::replacement::MembersFault;
+pub use membership::replacement::ReplacementFault;
 pub(crate) use placement::placers::ServiceAction;
 pub use setup::{ControllerError, run_controller};
 pub(crate) use setup::{Records, Start, Stores, open_stores};
 
-use crate::message::Decided;
-use consensus::fault_tolerance::Margins;
-use consensus::freshness::Trust;
-use consensus::quorum_contact::Contact;
+use crate::message::CommittedConfiguration;
+use consensus::fault_tolerance::ToleranceMonitor;
+use consensus::freshness::Freshness;
+use consensus::quorum_contact::QuorumContact;
 use consensus::replica_groups::KnownGroups;
 use consensus::shards::Shards;
 use counters::Counters;
-use endpoints::pending_loads::Holdings;
-use endpoints::registry::Endpoints;
+use endpoints::pending_loads::PendingLoads;
+use endpoints::registry::EndpointRegistry;
 use feed::live_routers::LiveRouters;
-use feed::subscribers::Readers;
+use feed::subscribers::Subscribers;
 use lanegate_config::configuration::Configuration;
 use lanegate_config::settings::Settings;
 use lanegate_coordination::lease::LeaseNode;
 use lanegate_coordination::membership::Membership;
 use lanegate_invariants::Violations;
 use membership::handover::Handover;
-use membership::member_status::Standings;
+use membership::member_status::MemberStatuses;
 use membership::peers::Peers;
-use membership::replacement::Members;
-use operator::pending_changes::Operator;
-use placement::placers::Placements;
+use membership::replacement::ReplacementPlanner;
+use operator::pending_changes::PendingChanges;
+use placement::placers::Placers;
 use placement::recent_demand::RecentDemand;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -64,24 +64,24 @@
     /// Control address, which names this controller to its peers.
     this: SocketAddr,
     /// Drawn at each start of the process.
-    life: u64,
+    incarnation: u64,
     environment: Box<dyn Environment>,
     peers: Peers,
-    readers: Readers,
-    endpoints: Endpoints,
+    readers: Subscribers,
+    endpoints: EndpointRegistry,
     shards: Shards,
-    operator: Operator,
+    pending_changes: PendingChanges,
     membership: Membership,
-    contact: Contact,
-    trust: Trust,
-    members: Members,
-    standings: Standings,
-    margins: Margins,
+    contact: QuorumContact,
+    trust: Freshness,
+    members: ReplacementPlanner,
+    member_statuses: MemberStatuses,
+    margins: ToleranceMonitor,
     /// Under way once the process has been asked to end.
     handover: Option<Handover>,
     leases: LeaseNode,
-    placements: Placements,
-    holdings: Holdings,
+    placers: Placers,
+    holdings: PendingLoads,
     recent_demand: RecentDemand,
     /// The newest configuration, read.
     configuration: Option<Arc<Configuration>>,
@@ -90,9 +90,9 @@
     /// A deliberate mistake, in a simulation only.
     fault: Option<ControllerFault>,
     /// The newest decided configuration, as readers get it.
-    decided: Option<Decided>,
+    decided: Option<CommittedConfiguration>,
     /// Reads and changes of members under way, by the number of their request.
-    asked: BTreeMap<u64, Asked>,
+    in_flight: BTreeMap<u64, InFlightRequest>,
     next_request: u64,
     /// Whether everyone that registers with the system has been heard, here or by a peer.
     complete: bool,
@@ -110,13 +110,13 @@
 
 /// What a request to a register was for.
 #[derive(Debug)]
-enum Asked {
+enum InFlightRequest {
     /// The operator reads the configuration.
     Read(tokio::sync::oneshot::Sender<event::Answer>),
     /// A read that tells whether what is known of the configuration is current.
     Barrier,
     /// A change of the group of a shard.
-    Members(u8),
+    MemberChange(u8),
     /// A change of the operator, by its number there.
     Change(u64),
     /// An epoch for a lease.
@@ -158,7 +158,7 @@
         let now = self.now();
         let live: Vec<SocketAddr> =
             order.into_iter().filter(|member| self.is_reached(now, *member)).collect();
-        let staying = live.iter().find(|member| !self.standings.is_leaving(**member));
+        let staying = live.iter().find(|member| !self.member_statuses.is_leaving(**member));
         staying.or(live.first()).copied().unwrap_or(self.this)
     }
 
@@ -166,7 +166,8 @@
     /// nobody would keep its shards from being acted for.
     fn is_reached(&self, now: Duration, controller: SocketAddr) -> bool {
         let answers = self.contact.is_answered_by(now, controller);
-        self.membership.is_live(controller) && (answers || self.has_fault(ControllerFault::HeardActs))
+        self.membership.is_live(controller)
+            && (answers || self.has_fault(ControllerFault::CountUnreachedPeers))
     }
 
     /// Whether this controller acts for a shard, whose group it has to know for that.
--- a/crates/controller/src/controller/operator/control_calls.rs
+++ b/crates/controller/src/controller/operator/control_calls.rs
@@ -5,7 +5,7 @@
 use crate::controller::event::{Answer, Call, Method};
 use crate::controller::operator::pending_changes::ANSWER_TIMEOUT;
 use crate::controller::operator::unavailable::Unavailable;
-use crate::controller::{Asked, Controller, ControllerFault};
+use crate::controller::{Controller, ControllerFault, InFlightRequest};
 use crate::message::{Forwarded, Message, Token};
 use lanegate_config::control_state::{Command, Method as ChangeMethod, Outcome, apply};
 use lanegate_config::findings::Findings;
@@ -72,7 +72,7 @@
         }
         let now = self.now();
         let request = self.request_number();
-        self.asked.insert(request, Asked::Read(call.reply));
+        self.in_flight.insert(request, InFlightRequest::Read(call.reply));
         let deadline = now + ANSWER_TIMEOUT;
         let outputs = self.shards.handle(now, shards::CONFIGURATION, Input::Read { request, deadline });
         self.follow(shards::CONFIGURATION, outputs);
@@ -96,7 +96,9 @@
         let owner = self.owner(shards::CONFIGURATION, &[shards::CONFIGURATION]);
         let elsewhere = owner != self.this;
         let now = self.now();
-        let Some(request) = self.operator.begin(now, command.clone(), call.reply, elsewhere) else { return };
+        let Some(request) = self.pending_changes.begin(now, command.clone(), call.reply, elsewhere) else {
+            return;
+        };
         if elsewhere {
             self.peers.send(owner, &Message::Change(Forwarded { request, body: command.into() }));
         } else {
@@ -135,7 +137,7 @@
         let status = serde_json::json!({
             "Controller": self.this.to_string(),
             "Name": self.settings.node_name,
-            "Life": self.life,
+            "Life": self.incarnation,
             "UptimeS": self.now().as_secs(),
             "Quorum": self.has_contact(shards::CONFIGURATION),
             "Current": self.is_current(),
--- a/crates/controller/src/controller/operator/pending_changes.rs
+++ b/crates/controller/src/controller/operator/pending_changes.rs
@@ -36,7 +36,7 @@
 
 /// What is done with the outcome of a proposal.
 #[derive(Debug)]
-pub enum Settled {
+pub enum Completion {
     Answered,
     /// Send this outcome to the controller that asked.
     Return {
@@ -49,7 +49,7 @@
 
 /// Calls of the operator under way.
 #[derive(Debug, Default)]
-pub struct Operator {
+pub struct PendingChanges {
     pending: BTreeMap<u64, Pending>,
     /// Number of the newest change.
     newest: u64,
@@ -57,11 +57,11 @@
     given_up: u64,
 }
 
-impl Operator {
-    /// Nothing is under way. Numbers go on from `life`, drawn at each start of the process: an owner may answer
+impl PendingChanges {
+    /// Nothing is under way. Numbers go on from `incarnation`, drawn at each start of the process: an owner may answer
     /// a change of an earlier life, and that answer must not be taken for one to a change of this life.
-    pub fn new(life: u64) -> Self {
-        Operator { pending: BTreeMap::new(), newest: life, given_up: 0 }
+    pub fn new(incarnation: u64) -> Self {
+        PendingChanges { pending: BTreeMap::new(), newest: incarnation, given_up: 0 }
     }
 
     /// Takes a change. It is proposed here at once, unless `owner_live`: then the owner is asked first.
@@ -121,14 +121,14 @@
     }
 
     /// An outcome has come, here or from the owner; `answer` is what the operator gets.
-    pub fn settle(&mut self, request: u64, answer: impl FnOnce() -> Answer) -> Settled {
+    pub fn settle(&mut self, request: u64, answer: impl FnOnce() -> Answer) -> Completion {
         match self.pending.remove(&request).map(|pending| pending.caller) {
             Some(Caller::Operator(reply)) => {
                 let _ = reply.send(answer());
-                Settled::Answered
+                Completion::Answered
             }
-            Some(Caller::Peer(peer, request)) => Settled::Return { peer, request },
-            None => Settled::Unknown,
+            Some(Caller::Peer(peer, request)) => Completion::Return { peer, request },
+            None => Completion::Unknown,
         }
     }
 
@@ -137,8 +137,8 @@
         let late: Vec<u64> =
             self.pending.iter().filter(|(_, pending)| pending.until <= now).map(|(id, _)| *id).collect();
         for request in late {
-            let settled = self.settle(request, || Answer::unavailable(Unavailable::ChangeNotSettled));
-            self.given_up += u64::from(matches!(settled, Settled::Answered));
+            let settled = self.settle(request, || Answer::unavailable(Unavailable::ChangeNotCommitted));
+            self.given_up += u64::from(matches!(settled, Completion::Answered));
         }
         let mut due = Vec::new();
         for (request, pending) in &mut self.pending {
@@ -150,7 +150,7 @@
         due
     }
 
-    /// When [`Operator::due`] is to be called next.
+    /// When [`PendingChanges::due`] is to be called next.
     pub fn next_wake(&self) -> Option<Duration> {
         self.pending.values().map(|p| p.propose_at.map_or(p.until, |at| at.min(p.until))).min()
     }
--- a/crates/controller/src/controller/operator/pending_changes_test.rs
+++ b/crates/controller/src/controller/operator/pending_changes_test.rs
@@ -1,7 +1,9 @@
 //! Changes of the operator: the owner first, then this controller, and an end in any case.
 
 use crate::controller::event::Answer;
-use crate::controller::operator::pending_changes::{ANSWER_TIMEOUT, OWNER_PATIENCE, Operator, Settled};
+use crate::controller::operator::pending_changes::{
+    ANSWER_TIMEOUT, Completion, OWNER_PATIENCE, PendingChanges,
+};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::oneshot::{self, Receiver};
@@ -9,7 +11,7 @@
 const START: Duration = Duration::from_secs(7);
 const MILLISECOND: Duration = Duration::from_millis(1);
 
-fn begun(operator: &mut Operator, owner_live: bool) -> (u64, Receiver<Answer>) {
+fn begun(operator: &mut PendingChanges, owner_live: bool) -> (u64, Receiver<Answer>) {
     let (reply, answer) = oneshot::channel();
     let request = operator.begin(START, b"change".to_vec(), reply, owner_live);
     (request.expect("there is room"), answer)
@@ -21,18 +23,18 @@
 
 #[test]
 fn a_change_of_the_owner_itself_is_not_proposed_a_second_time() {
-    let mut operator = Operator::default();
+    let mut operator = PendingChanges::default();
     let (request, mut answer) = begun(&mut operator, false);
     assert_eq!(operator.command(request), Some(&b"change"[..]));
     assert_eq!(operator.due(START + OWNER_PATIENCE), Vec::<u64>::new());
-    assert!(matches!(operator.settle(request, taken), Settled::Answered));
+    assert!(matches!(operator.settle(request, taken), Completion::Answered));
     assert_eq!(answer.try_recv(), Ok(taken()));
     assert_eq!(operator.next_wake(), None);
 }
 
 #[test]
 fn the_owner_has_its_time_before_the_change_is_proposed_here_once() {
-    let mut operator = Operator::default();
+    let mut operator = PendingChanges::default();
     let (request, _answer) = begun(&mut operator, true);
     assert_eq!(operator.next_wake(), Some(START + OWNER_PATIENCE));
     assert_eq!(operator.due(START + OWNER_PATIENCE - MILLISECOND), Vec::<u64>::new());
@@ -43,7 +45,7 @@
 
 #[test]
 fn an_answer_of_the_owner_in_time_ends_the_matter() {
-    let mut operator = Operator::default();
+    let mut operator = PendingChanges::default();
     let (request, mut answer) = begun(&mut operator, true);
     operator.settle(request, taken);
     assert_eq!(answer.try_recv(), Ok(taken()));
@@ -53,12 +55,12 @@
 /// The owner was frozen with a change of this controller's earlier life before it, and answers now.
 #[test]
 fn an_outcome_for_an_earlier_life_answers_nobody() {
-    let mut earlier = Operator::new(0x5151_0000_0000);
-    let mut operator = Operator::new(0x7272_0000_0000);
+    let mut earlier = PendingChanges::new(0x5151_0000_0000);
+    let mut operator = PendingChanges::new(0x7272_0000_0000);
     let (old_request, _) = begun(&mut earlier, true);
     let (request, mut answer) = begun(&mut operator, true);
     assert_ne!(old_request, request);
-    assert!(matches!(operator.settle(old_request, taken), Settled::Unknown));
+    assert!(matches!(operator.settle(old_request, taken), Completion::Unknown));
     assert!(answer.try_recv().is_err());
     operator.settle(request, taken);
     assert_eq!(answer.try_recv(), Ok(taken()));
@@ -66,17 +68,17 @@
 
 #[test]
 fn the_first_of_two_outcomes_counts() {
-    let mut operator = Operator::default();
+    let mut operator = PendingChanges::default();
     let (request, mut answer) = begun(&mut operator, true);
     operator.due(START + OWNER_PATIENCE);
     operator.settle(request, taken);
-    assert!(matches!(operator.settle(request, || Answer::error(503, "late")), Settled::Unknown));
+    assert!(matches!(operator.settle(request, || Answer::error(503, "late")), Completion::Unknown));
     assert_eq!(answer.try_recv(), Ok(taken()));
 }
 
 #[test]
 fn a_change_without_an_outcome_ends_with_503() {
-    let mut operator = Operator::default();
+    let mut operator = PendingChanges::default();
     let (request, mut answer) = begun(&mut operator, true);
     assert_eq!(operator.due(START + ANSWER_TIMEOUT), Vec::<u64>::new(), "it is too late to propose it");
     assert_eq!(answer.try_recv().expect("it is answered").status, 503);
@@ -86,26 +88,26 @@
 
 #[test]
 fn the_outcome_of_a_forwarded_change_goes_back_under_the_number_of_the_asker() {
-    let mut operator = Operator::default();
+    let mut operator = PendingChanges::default();
     let peer: SocketAddr = "10.0.0.2:7000".parse().expect("an address");
     let request = operator.begin_for(START, peer, 41, b"change".to_vec());
     assert_eq!(operator.command(request), Some(&b"change"[..]));
     let settled = operator.settle(request, || unreachable!("no operator waits here"));
-    assert!(matches!(settled, Settled::Return { peer: to, request: 41 } if to == peer));
+    assert!(matches!(settled, Completion::Return { peer: to, request: 41 } if to == peer));
 }
 
 #[test]
 fn a_forwarded_change_is_forgotten_after_its_time() {
-    let mut operator = Operator::default();
+    let mut operator = PendingChanges::default();
     let peer: SocketAddr = "10.0.0.2:7000".parse().expect("an address");
     let request = operator.begin_for(START, peer, 41, b"change".to_vec());
     assert_eq!(operator.due(START + ANSWER_TIMEOUT), Vec::<u64>::new());
-    assert!(matches!(operator.settle(request, taken), Settled::Unknown));
+    assert!(matches!(operator.settle(request, taken), Completion::Unknown));
 }
 
 #[test]
 fn too_many_changes_at_once_are_refused() {
-    let mut operator = Operator::default();
+    let mut operator = PendingChanges::default();
     let _waiting: Vec<_> = (0..64).map(|_| begun(&mut operator, false)).collect();
     let (reply, mut answer) = oneshot::channel();
     assert_eq!(operator.begin(START, Vec::new(), reply, false), None);
--- a/crates/controller/src/controller/operator/unavailable.rs
+++ b/crates/controller/src/controller/operator/unavailable.rs
@@ -10,7 +10,7 @@
     /// Too many changes are under way here.
     TooManyChanges,
     /// A change was neither taken nor refused in time.
-    ChangeNotSettled,
+    ChangeNotCommitted,
     /// What became of a change cannot be told.
     ChangeUnclear,
     /// The configuration cannot be read without a majority.
@@ -26,7 +26,7 @@
     pub const ALL: [Unavailable; 7] = [
         Unavailable::Leaving,
         Unavailable::TooManyChanges,
-        Unavailable::ChangeNotSettled,
+        Unavailable::ChangeNotCommitted,
         Unavailable::ChangeUnclear,
         Unavailable::NoMajority,
         Unavailable::HeartbeatNotReplicated,
@@ -38,7 +38,7 @@
         match self {
             Unavailable::Leaving => "this controller is about to end",
             Unavailable::TooManyChanges => "too many calls are under way",
-            Unavailable::ChangeNotSettled => "no clear answer in time; send the same again",
+            Unavailable::ChangeNotCommitted => "no clear answer in time; send the same again",
             Unavailable::NoMajority => "no majority of the controllers can be reached",
             Unavailable::HeartbeatNotReplicated => "too few controllers can be reached",
             Unavailable::ChangeUnclear | Unavailable::Dropped => "no clear answer",
@@ -50,7 +50,7 @@
         match self {
             Unavailable::Leaving => "leaving",
             Unavailable::TooManyChanges => "too_many_changes",
-            Unavailable::ChangeNotSettled => "change_not_settled",
+            Unavailable::ChangeNotCommitted => "change_not_settled",
             Unavailable::ChangeUnclear => "change_unclear",
             Unavailable::NoMajority => "no_majority",
             Unavailable::HeartbeatNotReplicated => "heartbeat_not_replicated",
--- a/crates/controller/src/controller/placement/endpoint_client_test.rs
+++ b/crates/controller/src/controller/placement/endpoint_client_test.rs
@@ -154,13 +154,13 @@
             ("HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\n{\"Sequence\":4}", None),
         ] {
             let (listener, address) = endpoint().await;
-            let asked = spawn_local(async move { ask_report("i-1", address).await });
+            let in_flight = spawn_local(async move { ask_report("i-1", address).await });
             let (mut stream, _) = listener.accept().await.unwrap();
             let (head, _) = read_call(&mut stream).await;
             assert!(head.contains("expect-instance: i-1"), "{head}");
             stream.write_all(answer.as_bytes()).await.unwrap();
             drop(stream);
-            assert_eq!(asked.await.unwrap().map(|report| report.sequence), expected, "{answer}");
+            assert_eq!(in_flight.await.unwrap().map(|report| report.sequence), expected, "{answer}");
         }
     });
 }
--- a/crates/controller/src/controller/placement/placement_control.rs
+++ b/crates/controller/src/controller/placement/placement_control.rs
@@ -1,11 +1,11 @@
 //! What a controller does for the services that it places: leases, news for the placers, orders.
 
 use crate::controller::consensus::shards;
-use crate::controller::endpoints::pending_loads::{Step, holding};
+use crate::controller::endpoints::pending_loads::{PendingLoadStep, holding};
 use crate::controller::placement::endpoint_client::{CONNECT_TIMEOUT, ORDER_WIRE_TIME};
-use crate::controller::placement::placers::{Placements, ServiceAction};
-use crate::controller::{Asked, Controller, ControllerFault};
-use crate::message::{Holding, Message, RouterDemand, ShardMessage};
+use crate::controller::placement::placers::{Placers, ServiceAction};
+use crate::controller::{Controller, ControllerFault, InFlightRequest};
+use crate::message::{Message, ResidencyUpdate, RouterDemand, ShardMessage};
 use lanegate_config::demand::DemandReport;
 use lanegate_config::mechanism::Mechanism;
 use lanegate_coordination::lease::Output;
@@ -25,10 +25,10 @@
     pub(crate) fn stand_for_leases(&mut self) {
         let Some(configuration) = self.configuration.clone() else { return };
         let now = self.now();
-        let wanted: BTreeSet<u8> = Placements::wanted_shards(&configuration).collect();
+        let wanted: BTreeSet<u8> = Placers::wanted_shards(&configuration).collect();
         for shard in shards::all().filter(|shard| *shard != shards::CONFIGURATION) {
             // Who acts goes on while it can: handing over to the first in order costs a quiet period.
-            let acts = self.placements.acts_for(shard);
+            let acts = self.placers.acts_for(shard);
             let stands = wanted.contains(&shard) && (acts || self.owns(shard));
             let stands = stands && self.has_contact(shard) && !self.is_leaving();
             let outputs = self.leases.set_candidate(now, u32::from(shard), stands);
@@ -50,7 +50,7 @@
                 Output::AcquireEpoch { shard, tenure } => {
                     let now = self.now();
                     let request = self.request_number();
-                    self.asked.insert(request, Asked::Epoch(shard, tenure));
+                    self.in_flight.insert(request, InFlightRequest::Epoch(shard, tenure));
                     let input =
                         Input::Propose { request, command: Vec::new(), deadline: now + EPOCH_TIMEOUT };
                     let outputs = self.shards.handle(now, shard as u8, input);
@@ -61,13 +61,13 @@
                     self.counters.tenures += 1;
                     let newest = self.newest_epochs.insert(shard, epoch).unwrap_or_default();
                     self.violations.check(Invariant::EpochRises, epoch > newest);
-                    self.placements.began(shard as u8, epoch);
+                    self.placers.began(shard as u8, epoch);
                     self.configure_placements(epoch);
                 }
                 Output::Ended { .. } if self.has_fault(ControllerFault::OrderWithoutLease) => {}
                 Output::Ended { shard, .. } => {
                     log::info!("acts no more for shard {shard}");
-                    self.placements.ended(shard as u8);
+                    self.placers.ended(shard as u8);
                     self.holdings.clear();
                 }
             }
@@ -82,7 +82,7 @@
         let now = self.now();
         let instances = self.endpoints.live().map(|(_, registered)| registered);
         let demand = &self.recent_demand;
-        self.placements.configure(now, &configuration, &self.settings, start, instances, demand);
+        self.placers.configure(now, &configuration, &self.settings, start, instances, demand);
     }
 
     /// A router told its demand.
@@ -91,24 +91,24 @@
         let router = demand.router.text();
         self.recent_demand.keep(now, demand);
         self.routers.heard(now, router.clone());
-        if demand.age_ms > 0 || !self.placements.is_active() {
+        if demand.age_ms > 0 || !self.placers.is_active() {
             return;
         }
         match serde_json::from_slice::<DemandReport>(&demand.report.bytes) {
-            Ok(report) => self.placements.demand(now, &router, &report),
+            Ok(report) => self.placers.demand(now, &router, &report),
             Err(error) => log::warn!("demand of {router}: {error}"),
         }
     }
 
     /// Does what the placers want done.
     pub(crate) fn place(&mut self, now: Duration) {
-        for action in self.placements.due(now) {
+        for action in self.placers.due(now) {
             self.start_action(action);
         }
         for step in self.holdings.due(now) {
             match step {
-                Step::Publish(holding) => self.publish(holding),
-                Step::Ask { service, instance, address } => {
+                PendingLoadStep::Publish(holding) => self.publish(holding),
+                PendingLoadStep::Ask { service, instance, address } => {
                     let shard = shards::shard_of(&service);
                     let action = Action::RequestReport { instance, address };
                     self.start_action(ServiceAction { service, shard, action });
@@ -125,7 +125,7 @@
             let load_time = self.load_time(service, &order.model);
             self.holdings.accepted(now, service, order, load_time);
         }
-        self.placements.answered(now, service, order.id, answer);
+        self.placers.answered(now, service, order.id, answer);
     }
 
     fn load_time(&self, service: &str, model: &str) -> Duration {
@@ -137,9 +137,9 @@
     }
 
     /// Tells everyone what is known of a model at an endpoint.
-    pub(crate) fn publish(&mut self, holding: Holding) {
+    pub(crate) fn publish(&mut self, holding: ResidencyUpdate) {
         if let Some(holding) = self.endpoints.publish(holding) {
-            let message = Message::Holding(holding);
+            let message = Message::ResidencyUpdate(holding);
             self.readers.append(&message);
             self.peers.broadcast(&message);
         }
@@ -154,7 +154,7 @@
             Action::RequestReport { .. } => self.leases.may_act(now, shard, ORDER_WIRE_TIME),
         };
         let goes_on = self.has_fault(ControllerFault::OrderWithoutLease);
-        let epoch = if goes_on { self.placements.epoch(action.shard) } else { epoch };
+        let epoch = if goes_on { self.placers.epoch(action.shard) } else { epoch };
         match (epoch, &action.action) {
             (Some(epoch), action_kind) => {
                 if matches!(action_kind, Action::Order(_)) {
@@ -166,7 +166,7 @@
             (None, Action::Order(order)) => {
                 let id = order.id;
                 self.counters.order_withheld(order.operation);
-                self.placements.answered(now, &action.service, id, OrderAnswer::Unavailable);
+                self.placers.answered(now, &action.service, id, OrderAnswer::Unavailable);
             }
             (None, Action::RequestReport { .. }) => {}
         }
@@ -182,13 +182,13 @@
 
     /// Tells the placers of an endpoint, as the registry has it now.
     pub(crate) fn tell_placers(&mut self, id: &str) {
-        if !self.placements.is_active() {
+        if !self.placers.is_active() {
             return;
         }
         let now = self.now();
         match self.endpoints.registration(id) {
-            Some(registered) => self.placements.heard(now, registered),
-            None => self.placements.removed(now, id),
+            Some(registered) => self.placers.heard(now, registered),
+            None => self.placers.removed(now, id),
         }
         self.announce_leaving(id);
     }
@@ -200,7 +200,7 @@
             return;
         }
         let Some(registered) = self.endpoints.registration(id) else { return };
-        let Some(item) = self.placements.leaving(registered) else { return };
+        let Some(item) = self.placers.leaving(registered) else { return };
         if registered.shows(&item.model, item.adapter.as_deref()) {
             self.publish(holding(id, &item.model, item.adapter.as_deref(), false));
         }
--- a/crates/controller/src/controller/placement/placers.rs
+++ b/crates/controller/src/controller/placement/placers.rs
@@ -17,7 +17,7 @@
 
 /// The placers of the services whose shards this controller acts for.
 #[derive(Debug, Default)]
-pub struct Placements {
+pub struct Placers {
     placers: BTreeMap<String, Placer>,
     /// Epochs of the shards that this controller acts for.
     epochs: BTreeMap<u8, u64>,
@@ -33,7 +33,7 @@
     pub action: Action,
 }
 
-impl Placements {
+impl Placers {
     /// Shards of the services of `configuration` whose endpoints are engines.
     pub fn wanted_shards(configuration: &Configuration) -> impl Iterator<Item = u8> {
         let engines = configuration.backends.iter().filter(|backend| backend.runtime.is_some());
@@ -165,7 +165,7 @@
         actions
     }
 
-    /// When [`Placements::due`] is to be called next.
+    /// When [`Placers::due`] is to be called next.
     pub fn next_wake(&self) -> Option<Duration> {
         self.placers.values().filter_map(Placer::next_wake).min()
     }
@@ -178,7 +178,7 @@
 
 /// On whose behalf an endpoint is called.
 #[derive(Debug)]
-pub struct TenureOf {
+pub struct OrderTenure {
     pub owner: String,
     pub epoch: u64,
 }
@@ -186,7 +186,7 @@
 /// Carries out what a placer wants, and tells the end of it. An order is not sent after `send_by`.
 pub async fn carry_out(
     action: ServiceAction,
-    tenure: TenureOf,
+    tenure: OrderTenure,
     send_by: Instant,
     events: tokio::sync::mpsc::UnboundedSender<Event>,
 ) {
--- a/crates/controller/src/controller/placement/recent_demand.rs
+++ b/crates/controller/src/controller/placement/recent_demand.rs
@@ -13,7 +13,7 @@
 
 /// One report, and when the router told it.
 #[derive(Debug)]
-struct Told {
+struct ReceivedReport {
     at: Duration,
     demand: RouterDemand,
 }
@@ -21,7 +21,7 @@
 /// Reports of demand, the oldest first.
 #[derive(Debug, Default)]
 pub struct RecentDemand {
-    told: VecDeque<Told>,
+    told: VecDeque<ReceivedReport>,
 }
 
 impl RecentDemand {
@@ -29,11 +29,13 @@
     pub fn keep(&mut self, now: Duration, demand: &RouterDemand) {
         let at = now.saturating_sub(Duration::from_millis(demand.age_ms.into()));
         let place = self.told.partition_point(|told| told.at <= at);
-        let known = |told: &Told| told.demand.router == demand.router && told.demand.report == demand.report;
+        let known = |told: &ReceivedReport| {
+            told.demand.router == demand.router && told.demand.report == demand.report
+        };
         if demand.age_ms > 0 && self.told.iter().any(known) {
             return;
         }
-        self.told.insert(place, Told { at, demand: demand.clone() });
+        self.told.insert(place, ReceivedReport { at, demand: demand.clone() });
         while self.told.len() > MAX_REPORTS || self.told.front().is_some_and(|told| told.at + SPAN < now) {
             self.told.pop_front();
         }
@@ -41,7 +43,8 @@
 
     /// What is kept, read, with its times.
     pub fn reports(&self) -> Vec<(Duration, DemandReport)> {
-        let read = |told: &Told| Some((told.at, serde_json::from_slice(&told.demand.report.bytes).ok()?));
+        let read =
+            |told: &ReceivedReport| Some((told.at, serde_json::from_slice(&told.demand.report.bytes).ok()?));
         self.told.iter().filter_map(read).collect()
     }
 
--- a/crates/controller/src/controller/setup.rs
+++ b/crates/controller/src/controller/setup.rs
@@ -1,30 +1,30 @@
 //! Starting a controller and ending it.
 
 use crate::controller::consensus::disk::{Disk, DiskCounts};
-use crate::controller::consensus::fault_tolerance::Margins;
-use crate::controller::consensus::freshness::Trust;
-use crate::controller::consensus::quorum_contact::Contact;
+use crate::controller::consensus::fault_tolerance::ToleranceMonitor;
+use crate::controller::consensus::freshness::Freshness;
+use crate::controller::consensus::quorum_contact::QuorumContact;
 use crate::controller::consensus::shards::{self, ConfigurationMachine, EpochCounter, Shards};
 use crate::controller::counters::Counters;
-use crate::controller::endpoints::pending_loads::Holdings;
-use crate::controller::endpoints::registry::Endpoints;
+use crate::controller::endpoints::pending_loads::PendingLoads;
+use crate::controller::endpoints::registry::EndpointRegistry;
 use crate::controller::environment::Environment;
 use crate::controller::event::Event;
 use crate::controller::fault::ControllerFault;
 use crate::controller::feed::live_routers::LiveRouters;
-use crate::controller::feed::subscribers::Readers;
+use crate::controller::feed::subscribers::Subscribers;
 use crate::controller::membership::links;
-use crate::controller::membership::member_status::Standings;
+use crate::controller::membership::member_status::MemberStatuses;
 use crate::controller::membership::peers::Peers;
-use crate::controller::membership::replacement::Members;
+use crate::controller::membership::replacement::ReplacementPlanner;
 use crate::controller::operator::http;
-use crate::controller::operator::pending_changes::Operator;
+use crate::controller::operator::pending_changes::PendingChanges;
 use crate::controller::operator::unavailable::UnavailableCounts;
-use crate::controller::placement::placers::Placements;
+use crate::controller::placement::placers::Placers;
 use crate::controller::placement::recent_demand::RecentDemand;
 use crate::controller::process::Process;
 use crate::controller::{Controller, metrics};
-use crate::life::draw_life;
+use crate::incarnation::draw_incarnation;
 use crate::link;
 use crate::message::{Hello, Role};
 use lanegate_config::settings::Settings;
@@ -119,7 +119,7 @@
     /// Control address.
     pub control: SocketAddr,
     /// Tells this start of the process from all others.
-    pub life: u64,
+    pub incarnation: u64,
     /// What the disk holds.
     pub records: Records,
     /// A deliberate mistake, in a simulation only.
@@ -133,26 +133,26 @@
     events: mpsc::UnboundedSender<Event>,
     counts: Arc<DiskCounts>,
 ) -> Result<Controller, ControllerError> {
-    let life = draw_life();
+    let incarnation = draw_incarnation();
     let folder = settings.data_dir.clone().ok_or(ControllerError::Missing("DataDir"))?;
     let mut directory =
         Folder::open(&folder).map_err(|error| ControllerError::Folder { folder: folder.clone(), error })?;
     let (stores, records) = open_stores(&folder, &mut directory)?;
     let disk = Disk::start(directory, stores, events.clone(), counts)?;
-    let hello = hello(&settings, control, life);
+    let hello = hello(&settings, control, incarnation);
     let link_port = settings.port_range.0;
     let environment = Process { started, link_port, hello, disk, events, links: BTreeMap::new() };
-    let start = Start { settings, control, life, records, fault: None };
+    let start = Start { settings, control, incarnation, records, fault: None };
     Controller::new(start, Box::new(environment))
 }
 
 /// What the links that a controller opens begin with.
-fn hello(settings: &Settings, control: SocketAddr, life: u64) -> Hello {
+fn hello(settings: &Settings, control: SocketAddr, incarnation: u64) -> Hello {
     Hello {
         role: Role::Controller,
         name: settings.node_name.as_str().into(),
         control_address: control.to_string().as_str().into(),
-        life,
+        incarnation,
         source: 0,
         offset: 0,
     }
@@ -161,12 +161,12 @@
 impl Controller {
     /// Starts a controller.
     pub(crate) fn new(start: Start, environment: Box<dyn Environment>) -> Result<Self, ControllerError> {
-        let Start { settings, control, life, records, fault } = start;
+        let Start { settings, control, incarnation, records, fault } = start;
         let now = environment.now();
         let this = ipv4(control)?;
         let first = settings.bootstrap && records.is_empty();
-        let replicas = start_replicas(&settings, this, records, life, fault)?;
-        let node = NodeId::new(this, life);
+        let replicas = start_replicas(&settings, this, records, incarnation, fault)?;
+        let node = NodeId::new(this, incarnation);
         let skips = fault == Some(ControllerFault::SkipQuietPeriod);
         let quiet_ms = if skips { 1.0 } else { settings.bounds.lease_ms };
         let lease = lease_settings(Duration::from_secs_f64(quiet_ms / 1e3));
@@ -174,30 +174,34 @@
         let heartbeat = Duration::from_secs_f64(settings.heartbeat_ms / 1e3);
         let mut controller = Controller {
             this: control,
-            life,
+            incarnation,
             environment,
             peers: Peers::new(control),
-            readers: Readers::new(life),
-            endpoints: Endpoints::new(heartbeat, control, life)
+            readers: Subscribers::new(incarnation),
+            endpoints: EndpointRegistry::new(heartbeat, control, incarnation)
                 .with_fault(fault.and_then(ControllerFault::of_endpoints)),
             shards: Shards::new(replicas),
-            operator: Operator::new(life),
+            pending_changes: PendingChanges::new(incarnation),
             membership: Membership::new(MembershipSettings::new(HEARTBEAT_INTERVAL, MONITORS), node, now),
-            contact: Contact::with_fault(control, life, fault.and_then(ControllerFault::of_contact)),
-            trust: Trust::default(),
-            members: Members::new(fault.and_then(ControllerFault::of_members)),
-            standings: Standings::default(),
-            margins: Margins::default(),
+            contact: QuorumContact::with_fault(
+                control,
+                incarnation,
+                fault.and_then(ControllerFault::of_contact),
+            ),
+            trust: Freshness::default(),
+            members: ReplacementPlanner::new(fault.and_then(ControllerFault::of_members)),
+            member_statuses: MemberStatuses::default(),
+            margins: ToleranceMonitor::default(),
             handover: None,
             leases: LeaseNode::new(lease, node, start, now),
-            placements: Placements::default(),
-            holdings: Holdings::default(),
+            placers: Placers::default(),
+            holdings: PendingLoads::default(),
             recent_demand: RecentDemand::default(),
             configuration: None,
             first_start: first,
             fault,
             decided: None,
-            asked: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             next_request: 0,
             complete: first,
             routers: LiveRouters::default(),
@@ -260,7 +264,7 @@
     settings: &Settings,
     this: SocketAddrV4,
     mut records: Records,
-    life: u64,
+    incarnation: u64,
     fault: Option<ControllerFault>,
 ) -> Result<BTreeMap<u8, Replica>, ControllerError> {
     let seeds: Vec<SocketAddrV4> = settings.seeds.iter().map(|seed| ipv4(*seed)).collect::<Result<_, _>>()?;
@@ -274,7 +278,7 @@
         of_shard.bootstrap = settings.bootstrap;
         of_shard.seed = u64::from(shard);
         of_shard.fault = fault.and_then(ControllerFault::of_register);
-        let nonce = life.wrapping_add(u64::from(shard));
+        let nonce = incarnation.wrapping_add(u64::from(shard));
         let replica = Replica::new(of_shard, machine, records.remove(&shard), Duration::ZERO, nonce);
         (shard, replica)
     };
--- a/crates/controller/src/feed_client.rs
+++ b/crates/controller/src/feed_client.rs
@@ -1,11 +1,11 @@
 //! The router's side of its agent's feed: messages become events for the router.
 
 use crate::agent::loopback_address;
-use crate::configuration_feed::reader::Pace;
-use crate::life::draw_life;
+use crate::configuration_feed::fetcher::Pace;
+use crate::incarnation::draw_incarnation;
 use crate::link::Outbox;
 use crate::message::{Hello, Message, Role, RouterDemand};
-use crate::subscription::{News, follow};
+use crate::subscription::{SourceEvent, follow};
 use crate::view::View;
 use lanegate_config::configuration::Configuration;
 use lanegate_config::demand::DemandReport;
@@ -27,7 +27,7 @@
 ) {
     let (owner, mut news) = mpsc::unbounded_channel();
     let (started, agent) = (Instant::now(), loopback_address(&settings));
-    let mut client = Client::new(settings, draw_life(), events);
+    let mut client = Client::new(settings, draw_incarnation(), events);
     let dial = |client: &Client| tokio::task::spawn_local(follow(agent, client.hello(), None, owner.clone()));
     dial(&client);
     loop {
@@ -50,7 +50,7 @@
 /// What a router knows by its agent, and what it is told of it. Nothing in it waits or reads a clock.
 pub(crate) struct Client {
     settings: Settings,
-    life: u64,
+    incarnation: u64,
     view: View,
     outbox: Option<Outbox>,
     events: mpsc::UnboundedSender<FeedEvent>,
@@ -60,10 +60,14 @@
 }
 
 impl Client {
-    /// A router that knows nothing yet. `life` tells this start of the process from all others.
-    pub(crate) fn new(settings: Settings, life: u64, events: mpsc::UnboundedSender<FeedEvent>) -> Self {
+    /// A router that knows nothing yet. `incarnation` tells this start of the process from all others.
+    pub(crate) fn new(
+        settings: Settings,
+        incarnation: u64,
+        events: mpsc::UnboundedSender<FeedEvent>,
+    ) -> Self {
         let view = View::new(Pace::LOOPBACK);
-        Client { settings, life, view, outbox: None, events, synchronized: false, behind: false }
+        Client { settings, incarnation, view, outbox: None, events, synchronized: false, behind: false }
     }
 
     /// What its link to the agent begins with.
@@ -72,7 +76,7 @@
             role: Role::Router,
             name: self.settings.node_name.as_str().into(),
             control_address: "".into(),
-            life: self.life,
+            incarnation: self.incarnation,
             source: 0,
             offset: 0,
         }
@@ -93,7 +97,7 @@
     }
 
     /// Takes news of the link. True if it is down.
-    pub(crate) fn heard(&mut self, now: Duration, news: News) -> bool {
+    pub(crate) fn heard(&mut self, now: Duration, news: SourceEvent) -> bool {
         let is_down = self.take(now, news);
         let behind = self.view.may_be_behind();
         if behind != self.behind {
@@ -103,13 +107,13 @@
         is_down
     }
 
-    fn take(&mut self, now: Duration, news: News) -> bool {
+    fn take(&mut self, now: Duration, news: SourceEvent) -> bool {
         match news {
-            News::Up { outbox, .. } => {
+            SourceEvent::Up { outbox, .. } => {
                 self.outbox = Some(outbox);
                 self.send(FeedEvent::AgentLink { up: true });
             }
-            News::Message { source, message } => {
+            SourceEvent::Message { source, message } => {
                 let routers = self.view.routers();
                 let mut changes = Vec::new();
                 self.view.receive(now, source, message, &mut changes);
@@ -118,7 +122,7 @@
                     self.send(FeedEvent::Routers { live: self.view.routers() });
                 }
             }
-            News::Down { source } => {
+            SourceEvent::Down { source } => {
                 self.outbox = None;
                 self.send(FeedEvent::AgentLink { up: false });
                 self.view.lost(now, source);
@@ -130,14 +134,14 @@
 
     fn pass_on(&mut self, message: Message) {
         match message {
-            Message::Decided(decided) => {
+            Message::CommittedConfiguration(decided) => {
                 match serde_json::from_slice::<Configuration>(&decided.document.bytes) {
                     Ok(configuration) => self.send(FeedEvent::Configuration(Arc::new(configuration))),
                     Err(error) => log::error!("configuration of revision {}: {error}", decided.revision),
                 }
             }
             Message::Registered(message) => self.pass_on_instance(&message.id.text()),
-            Message::Holding(holding) => self.pass_on_instance(&holding.id.text()),
+            Message::ResidencyUpdate(holding) => self.pass_on_instance(&holding.id.text()),
             Message::Removed(removed) => self.send(FeedEvent::Removed { id: removed.id.text() }),
             Message::SnapshotEnd { .. } if !self.synchronized => {
                 self.synchronized = true;
--- a/crates/controller/src/life.rs
+++ b/crates/controller/src/incarnation.rs
@@ -4,6 +4,6 @@
 use rand::{Rng, SeedableRng};
 
 /// Draws a number for this life of the process; never 0.
-pub fn draw_life() -> u64 {
+pub fn draw_incarnation() -> u64 {
     SmallRng::from_os_rng().random_range(1..=u64::MAX)
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod configuration_feed;
 pub mod controller;
 pub mod feed_client;
-mod life;
+mod incarnation;
 pub mod link;
 pub mod message;
 pub mod registration;
--- a/crates/controller/src/link.rs
+++ b/crates/controller/src/link.rs
@@ -75,13 +75,13 @@
 }
 
 /// Reads messages off a link.
-pub struct Reader {
+pub struct MessageReader {
     stream: BufReader<OwnedReadHalf>,
 }
 
-impl Reader {
+impl MessageReader {
     pub fn new(half: OwnedReadHalf) -> Self {
-        Reader { stream: BufReader::new(half) }
+        MessageReader { stream: BufReader::new(half) }
     }
 
     /// The next message; an error once the link has ended.
--- a/crates/controller/src/message.rs
+++ b/crates/controller/src/message.rs
@@ -8,10 +8,10 @@
 
 /// Most heartbeats in one message. Room for a list is set aside by the length that stands before it, so
 /// damaged bytes must not name any length.
-pub const MAX_HEARD: u32 = 100_000;
+pub const MAX_BATCHED_HEARTBEATS: u32 = 100_000;
 
 /// Most parts of a difference, for the same reason.
-pub const MAX_PARTS: u32 = 1_000_000;
+pub const MAX_DELTA_PARTS: u32 = 1_000_000;
 
 /// Bytes, as many as a frame holds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, DekuRead, DekuWrite)]
@@ -64,7 +64,7 @@
     /// Control address (`ip:port`) of a controller; empty for others.
     pub control_address: Blob,
     /// Drawn at each start of the process.
-    pub life: u64,
+    pub incarnation: u64,
     /// Source of the feed that the reader has followed so far, 0 for none.
     pub source: u64,
     /// Offset from which it would go on.
@@ -100,7 +100,7 @@
 /// One heartbeat that changed nothing.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct Heard {
+pub struct BatchedHeartbeat {
     pub id: Blob,
     pub sequence: u64,
 }
@@ -108,23 +108,23 @@
 /// Heartbeats since the last such message that changed nothing.
 #[derive(Debug, Clone, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct HeardList {
-    #[deku(update = "self.heard.len()", assert = "*length <= MAX_HEARD")]
+pub struct HeartbeatBatch {
+    #[deku(update = "self.heartbeats.len()", assert = "*length <= MAX_BATCHED_HEARTBEATS")]
     length: u32,
     #[deku(count = "length")]
-    pub heard: Vec<Heard>,
+    pub heartbeats: Vec<BatchedHeartbeat>,
 }
 
-impl From<Vec<Heard>> for HeardList {
-    fn from(heard: Vec<Heard>) -> Self {
-        HeardList { length: heard.len() as u32, heard }
+impl From<Vec<BatchedHeartbeat>> for HeartbeatBatch {
+    fn from(heartbeats: Vec<BatchedHeartbeat>) -> Self {
+        HeartbeatBatch { length: heartbeats.len() as u32, heartbeats }
     }
 }
 
 /// A decided configuration.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct Decided {
+pub struct CommittedConfiguration {
     /// Revision of the register, which orders configurations.
     pub revision: u64,
     /// The configuration as JSON; empty while none was taken.
@@ -144,10 +144,10 @@
 /// A part of a document that is made of an older one.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub enum DifferencePart {
+pub enum DeltaPart {
     /// Bytes of the older document.
     #[deku(id = 1)]
-    Kept { offset: u32, length: u32 },
+    Copied { offset: u32, length: u32 },
     /// Bytes that the older document does not have here.
     #[deku(id = 2)]
     Inserted(Blob),
@@ -156,25 +156,25 @@
 /// The parts of a document, in their order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct DifferenceParts {
-    #[deku(update = "self.parts.len()", assert = "*length <= MAX_PARTS")]
+pub struct DeltaParts {
+    #[deku(update = "self.parts.len()", assert = "*length <= MAX_DELTA_PARTS")]
     length: u32,
     #[deku(count = "length")]
-    pub parts: Vec<DifferencePart>,
+    pub parts: Vec<DeltaPart>,
 }
 
-impl From<Vec<DifferencePart>> for DifferenceParts {
-    fn from(parts: Vec<DifferencePart>) -> Self {
-        DifferenceParts { length: parts.len() as u32, parts }
+impl From<Vec<DeltaPart>> for DeltaParts {
+    fn from(parts: Vec<DeltaPart>) -> Self {
+        DeltaParts { length: parts.len() as u32, parts }
     }
 }
 
-impl DifferenceParts {
+impl DeltaParts {
     /// Bytes of the parts on the wire.
     pub fn size(&self) -> usize {
-        let size = |part: &DifferencePart| match part {
-            DifferencePart::Kept { .. } => 9,
-            DifferencePart::Inserted(text) => 5 + text.bytes.len(),
+        let size = |part: &DeltaPart| match part {
+            DeltaPart::Copied { .. } => 9,
+            DeltaPart::Inserted(text) => 5 + text.bytes.len(),
         };
         4 + self.parts.iter().map(size).sum::<usize>()
     }
@@ -183,18 +183,18 @@
 /// A configuration as the difference to an older one.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct ConfigurationDifference {
+pub struct ConfigurationDelta {
     /// Digest of the older document.
     pub base: u64,
     /// What the parts make.
     pub version: ConfigurationVersion,
-    pub parts: DifferenceParts,
+    pub parts: DeltaParts,
 }
 
 /// A feed's heartbeat; says how much the sender may be trusted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct FeedBeat {
+pub struct FeedHeartbeat {
     /// 1 while the sender reaches more than half of its replica group.
     pub quorum: u8,
     /// Where the reader stands once it has applied all before.
@@ -258,9 +258,9 @@
 /// What a controller says of itself to the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct Standing {
+pub struct MemberStatus {
     /// Drawn at each start of the process.
-    pub life: u64,
+    pub incarnation: u64,
     /// A bit for each shard whose replica can vote.
     pub voting: u32,
     /// 1 once the process has been asked to end.
@@ -270,7 +270,7 @@
 /// What a placer knows of an endpoint's models before the endpoint's next heartbeat tells it.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct Holding {
+pub struct ResidencyUpdate {
     pub id: Blob,
     pub model: Blob,
     /// Empty for the model itself.
@@ -308,15 +308,15 @@
     #[deku(id = 3)]
     SnapshotEnd { complete: u8 },
     #[deku(id = 4)]
-    Decided(Decided),
+    CommittedConfiguration(CommittedConfiguration),
     #[deku(id = 5)]
     Registered(Registered),
     #[deku(id = 6)]
     Removed(Removed),
     #[deku(id = 7)]
-    HeardList(HeardList),
+    HeartbeatBatch(HeartbeatBatch),
     #[deku(id = 8)]
-    FeedBeat(FeedBeat),
+    FeedHeartbeat(FeedHeartbeat),
     #[deku(id = 9)]
     Controllers(Controllers),
     #[deku(id = 10)]
@@ -338,7 +338,7 @@
     #[deku(id = 17)]
     Heartbeat { body: Blob },
     #[deku(id = 18)]
-    Holding(Holding),
+    ResidencyUpdate(ResidencyUpdate),
     /// A heartbeat of the receiver, sent back by a controller that it reached.
     #[deku(id = 19)]
     HeartbeatEcho { body: Blob },
@@ -349,12 +349,12 @@
     #[deku(id = 21)]
     ConfigurationFetch(ConfigurationVersion),
     #[deku(id = 22)]
-    ConfigurationDifference(ConfigurationDifference),
+    ConfigurationDelta(ConfigurationDelta),
     /// A configuration that the sender has heard of and does not have yet.
     #[deku(id = 23)]
     ConfigurationKnown(ConfigurationVersion),
     #[deku(id = 24)]
-    Standing(Standing),
+    MemberStatus(MemberStatus),
 }
 
 impl Message {
--- a/crates/controller/src/registration.rs
+++ b/crates/controller/src/registration.rs
@@ -1,6 +1,6 @@
 //! How the registry sees the registration of an endpoint.
 
-use crate::message::Holding;
+use crate::message::ResidencyUpdate;
 use bytes::Bytes;
 use lanegate_config::instance::{self, Instance, ResidentModel};
 use lanegate_coordination::registry::Registration;
@@ -13,7 +13,7 @@
     /// The body of the heartbeat.
     pub body: Bytes,
     /// What the placer knows beyond it.
-    holdings: Vec<Holding>,
+    holdings: Vec<ResidencyUpdate>,
     /// Sequence of the first heartbeat that said what this one says.
     changed_at: u64,
 }
@@ -46,8 +46,8 @@
 
     /// Takes what a placer knows of the endpoint's models, unless it was published before this registration or
     /// before what is known of the same model. True if it is news.
-    pub fn hold(&mut self, holding: Holding) -> bool {
-        let same = |known: &Holding| known.model == holding.model && known.adapter == holding.adapter;
+    pub fn hold(&mut self, holding: ResidencyUpdate) -> bool {
+        let same = |known: &ResidencyUpdate| known.model == holding.model && known.adapter == holding.adapter;
         let known = self.holdings.iter().find(|known| same(known));
         if holding.sequence < self.changed_at || known.is_some_and(|known| rank(known) >= rank(&holding)) {
             return false;
@@ -59,7 +59,7 @@
     }
 
     /// What the placer knows beyond the newest heartbeat.
-    pub fn holdings(&self) -> &[Holding] {
+    pub fn holdings(&self) -> &[ResidencyUpdate] {
         &self.holdings
     }
 
@@ -83,11 +83,11 @@
 }
 
 /// What counts of two holdings of one model: the later one; of two published at once, that it is dropped.
-fn rank(holding: &Holding) -> (u64, u64, bool) {
+fn rank(holding: &ResidencyUpdate) -> (u64, u64, bool) {
     (holding.sequence, holding.order, holding.present == 0)
 }
 
-fn apply(models: &mut Vec<ResidentModel>, holding: &Holding) {
+fn apply(models: &mut Vec<ResidentModel>, holding: &ResidencyUpdate) {
     let (model, adapter) = (holding.model.text(), holding.adapter.text());
     let held = models.iter_mut().find(|held| held.name == model);
     match (held, holding.present == 1, adapter.is_empty()) {
