--- a/crates/controller/src/simulation/connections.rs
+++ b/crates/controller/src/simulation/connections.rs
@@ -3,11 +3,11 @@
 use super::connection::{Connection, Dial, End, Kind, Process};
 use super::place::Place;
 use super::world::{Happening, Notice, World};
-use crate::agent::{Downstream, SOURCE_SILENCE};
+use crate::agent::{SOURCE_SILENCE, SubscriberEvent};
 use crate::controller::Event;
 use crate::link::{CONNECT_TIMEOUT, REDIAL_PAUSE};
 use crate::message::Message;
-use crate::subscription::News;
+use crate::subscription::SourceEvent;
 use bytes::Bytes;
 use rand::Rng;
 use std::time::Duration;
@@ -81,12 +81,12 @@
             Kind::Feed => {
                 outbox.message(&Message::Hello(self.agent_hello(&dial)));
                 self.schedule(now + SOURCE_SILENCE, Happening::Silence { connection: number });
-                Notice::Source(News::Up { source: dial.address, outbox })
+                Notice::Source(SourceEvent::Up { source: dial.address, outbox })
             }
             Kind::Loopback => {
                 outbox.message(&Message::Hello(self.router_hello(dial.dialer)));
                 self.accept_router(number, listener);
-                Notice::Agent(News::Up { source: dial.address, outbox })
+                Notice::Agent(SourceEvent::Up { source: dial.address, outbox })
             }
         };
         self.tell(dial.dialer, notice);
@@ -98,7 +98,7 @@
         let connection = self.connections.get_mut(&number);
         let outbox = connection.and_then(|connection| connection.listener_outbox.take());
         if let Some(outbox) = outbox {
-            let notice = Notice::Downstream(Downstream::Up { reader: number, outbox });
+            let notice = Notice::SubscriberEvent(SubscriberEvent::Up { reader: number, outbox });
             self.tell(listener, notice);
         }
     }
@@ -108,7 +108,7 @@
         match dial.kind {
             Kind::Peer => self.schedule(at + REDIAL_PAUSE, Happening::Dial(dial)),
             Kind::Feed => {
-                let notice = Notice::Source(News::Down { source: dial.address });
+                let notice = Notice::Source(SourceEvent::Down { source: dial.address });
                 self.notify(at, dial.dialer, notice);
             }
             Kind::Loopback => self.schedule(at + LOOPBACK_PAUSE, Happening::Dial(dial)),
@@ -192,10 +192,10 @@
         let (dial, listener) = (connection.dial, connection.listener);
         let source = dial.address;
         let notice = match (dial.kind, end, message) {
-            (Kind::Feed, End::Dialer, message) => Notice::Source(News::Message { source, message }),
-            (Kind::Loopback, End::Dialer, message) => Notice::Agent(News::Message { source, message }),
+            (Kind::Feed, End::Dialer, message) => Notice::Source(SourceEvent::Message { source, message }),
+            (Kind::Loopback, End::Dialer, message) => Notice::Agent(SourceEvent::Message { source, message }),
             (Kind::Loopback, End::Listener, message) => {
-                Notice::Downstream(Downstream::Message { reader: number, message })
+                Notice::SubscriberEvent(SubscriberEvent::Message { reader: number, message })
             }
             (Kind::Peer, End::Listener, Message::Hello(hello)) => {
                 connection.peer = hello.control_address.text().parse().ok();
@@ -257,7 +257,7 @@
         let notice = match dial.kind {
             Kind::Peer => return,
             Kind::Feed => Notice::Controller(Event::AgentDown { agent: number }),
-            Kind::Loopback => Notice::Downstream(Downstream::Down { reader: number }),
+            Kind::Loopback => Notice::SubscriberEvent(SubscriberEvent::Down { reader: number }),
         };
         self.notify(self.now() + late, listener, notice);
     }
@@ -273,11 +273,11 @@
                 self.schedule(at + REDIAL_PAUSE, Happening::Dial(dial));
             }
             Kind::Feed => {
-                let notice = Notice::Source(News::Down { source: dial.address });
+                let notice = Notice::Source(SourceEvent::Down { source: dial.address });
                 self.notify(at, dial.dialer, notice);
             }
             Kind::Loopback => {
-                let notice = Notice::Agent(News::Down { source: dial.address });
+                let notice = Notice::Agent(SourceEvent::Down { source: dial.address });
                 self.notify(at, dial.dialer, notice);
                 self.schedule(at + LOOPBACK_PAUSE, Happening::Dial(dial));
             }
--- a/crates/controller/src/simulation/controller_machine.rs
+++ b/crates/controller/src/simulation/controller_machine.rs
@@ -23,7 +23,7 @@
 /// A process that runs.
 struct Running {
     process: Process,
-    life: u64,
+    incarnation: u64,
     controller: Controller,
     environment: ControllerEnvironment,
     /// Links that it wants, with the number of the wish.
@@ -104,7 +104,7 @@
             role: Role::Controller,
             name: place.node_name().as_str().into(),
             control_address: place.address().to_string().as_str().into(),
-            life: running.life,
+            incarnation: running.incarnation,
             source: 0,
             offset: 0,
         })
@@ -133,19 +133,26 @@
             requests: Rc::default(),
             settings: self.controllers[index].settings.clone(),
         };
-        let life = self.random.random_range(1..=u64::MAX);
+        let incarnation = self.random.random_range(1..=u64::MAX);
         let machine = &mut self.controllers[index];
         let Some(records) = machine.disk.open() else { return };
         // Only the first start of the whole system founds the group.
         machine.settings.borrow_mut().bootstrap = self.clock.get().is_zero();
         let settings = machine.settings.borrow().clone();
         machine.has_run = true;
-        let start = Start { settings, control: place.address(), life, records, fault: self.fault };
+        let start = Start { settings, control: place.address(), incarnation, records, fault: self.fault };
         let started = Controller::new(start, Box::new(environment.clone()));
         let controller = started.expect("simulated settings are complete");
         let links = BTreeMap::new();
-        machine.running =
-            Some(Running { process, life, controller, environment, links, wake_at: None, ending: false });
+        machine.running = Some(Running {
+            process,
+            incarnation,
+            controller,
+            environment,
+            links,
+            wake_at: None,
+            ending: false,
+        });
         self.after_controller(index);
         self.paths_changed();
     }
--- a/crates/controller/src/simulation/router_machine.rs
+++ b/crates/controller/src/simulation/router_machine.rs
@@ -124,9 +124,9 @@
             requests: Rc::default(),
             settings: settings.clone(),
         };
-        let life = self.random.random_range(1..=u64::MAX);
+        let incarnation = self.random.random_range(1..=u64::MAX);
         let own = settings.borrow().clone();
-        let agent = Agent::new(own.clone(), life, Box::new(environment.clone()));
+        let agent = Agent::new(own.clone(), incarnation, Box::new(environment.clone()));
         let (sender, events) = mpsc::unbounded_channel();
         let client = Client::new(own, self.random.random_range(1..=u64::MAX), sender);
         let follows = BTreeMap::new();
@@ -164,7 +164,7 @@
         let now = self.clock.get().saturating_sub(running.environment.started);
         match notice {
             Notice::Source(news) => running.agent.heard(news),
-            Notice::Downstream(event) => running.agent.downstream(event),
+            Notice::SubscriberEvent(event) => running.agent.downstream(event),
             Notice::Agent(news) => {
                 running.client.heard(now, news);
             }
--- a/crates/controller/src/simulation/world.rs
+++ b/crates/controller/src/simulation/world.rs
@@ -15,9 +15,9 @@
 use super::trace::Trace;
 use super::trouble::Troubles;
 use super::violation::Violation;
-use crate::agent::Downstream;
+use crate::agent::SubscriberEvent;
 use crate::controller::{ControllerFault, Event};
-use crate::subscription::News;
+use crate::subscription::SourceEvent;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use std::cell::Cell;
@@ -74,11 +74,11 @@
 pub(super) enum Notice {
     Controller(Event),
     /// The agent hears of a source.
-    Source(News),
+    Source(SourceEvent),
     /// The agent hears of its router.
-    Downstream(Downstream),
+    SubscriberEvent(SubscriberEvent),
     /// The router hears of its agent.
-    Agent(News),
+    Agent(SourceEvent),
     /// The process may send this now.
     Send(OrderCall),
 }
--- a/crates/controller/src/subscription.rs
+++ b/crates/controller/src/subscription.rs
@@ -1,6 +1,6 @@
 //! One reader's link to one source of a feed: dialled, greeted, read until it ends.
 
-use crate::link::{self, Outbox, Reader};
+use crate::link::{self, MessageReader, Outbox};
 use crate::message::{Hello, Message, MessageError};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 /// What a subscription tells its owner.
 #[derive(Debug)]
-pub enum News {
+pub enum SourceEvent {
     /// The link is up; messages for the source go here.
     Up { source: SocketAddr, outbox: Outbox },
     /// The source said something.
@@ -23,33 +23,33 @@
     source: SocketAddr,
     hello: Hello,
     silence: Option<Duration>,
-    owner: mpsc::UnboundedSender<News>,
+    owner: mpsc::UnboundedSender<SourceEvent>,
 ) {
     if let Err(error) = read(source, hello, silence, &owner).await {
         log::debug!("feed of {source} ended: {error}");
     }
-    let _ = owner.send(News::Down { source });
+    let _ = owner.send(SourceEvent::Down { source });
 }
 
 async fn read(
     source: SocketAddr,
     hello: Hello,
     silence: Option<Duration>,
-    owner: &mpsc::UnboundedSender<News>,
+    owner: &mpsc::UnboundedSender<SourceEvent>,
 ) -> Result<(), MessageError> {
     let stream = link::dial(source).await?;
     let (read, write) = stream.into_split();
     let (outbox, frames) = Outbox::new();
     let _writer = AbortOnDrop(tokio::task::spawn_local(link::write_frames(write, frames)));
     outbox.message(&Message::Hello(hello));
-    let _ = owner.send(News::Up { source, outbox });
-    let mut reader = Reader::new(read);
+    let _ = owner.send(SourceEvent::Up { source, outbox });
+    let mut reader = MessageReader::new(read);
     loop {
         let message = match silence {
             Some(silence) => timeout(silence, reader.next()).await.map_err(|_| MessageError::Silent)??,
             None => reader.next().await?,
         };
-        let _ = owner.send(News::Message { source, message });
+        let _ = owner.send(SourceEvent::Message { source, message });
     }
 }
 
--- a/crates/controller/src/view.rs
+++ b/crates/controller/src/view.rs
@@ -4,10 +4,10 @@
 //! another can never take the view back. What has vanished while a source was away shows at the end of that
 //! source's next snapshot.
 
-use crate::configuration_feed::reader::{ConfigurationReader, Pace};
+use crate::configuration_feed::fetcher::{ConfigurationFetcher, Pace};
 use crate::message::{
-    ConfigurationVersion, Controllers, Decided, FeedBeat, Holding, Message, Registered as RegisteredMessage,
-    Removed,
+    CommittedConfiguration, ConfigurationVersion, Controllers, FeedHeartbeat, Message,
+    Registered as RegisteredMessage, Removed, ResidencyUpdate,
 };
 use crate::registration::Registered;
 use lanegate_coordination::feed::Position;
@@ -56,7 +56,7 @@
 /// The merged view.
 #[derive(Debug)]
 pub struct View {
-    configuration: ConfigurationReader,
+    configuration: ConfigurationFetcher,
     registry: Registry<Registered>,
     sources: BTreeMap<SocketAddr, Source>,
     lost: BTreeMap<SocketAddr, LostSource>,
@@ -76,7 +76,7 @@
     /// An empty view that fetches configurations at this pace.
     pub fn new(pace: Pace) -> Self {
         View {
-            configuration: ConfigurationReader::new(pace),
+            configuration: ConfigurationFetcher::new(pace),
             registry: Registry::default(),
             sources: BTreeMap::new(),
             lost: BTreeMap::new(),
@@ -92,17 +92,17 @@
         match message {
             Message::SnapshotBegin => *self.source(source) = Source::default(),
             Message::SnapshotEnd { complete } => self.snapshot_ended(source, complete == 1, news),
-            Message::Decided(decided) => self.decided(now, source, decided, news),
-            Message::ConfigurationDifference(difference) => {
-                let decided = self.configuration.difference(now, source, &difference);
-                news.extend(decided.map(Message::Decided));
+            Message::CommittedConfiguration(decided) => self.decided(now, source, decided, news),
+            Message::ConfigurationDelta(delta) => {
+                let decided = self.configuration.delta(now, source, &delta);
+                news.extend(decided.map(Message::CommittedConfiguration));
             }
             Message::ConfigurationAnnounced(version) => self.announced(source, version, news),
             Message::ConfigurationKnown(version) => self.known(version, news),
             Message::Registered(registered) => self.registered(now, source, registered, news),
             Message::Removed(removed) => self.removed(now, source, removed, news),
-            Message::Holding(holding) => self.held(holding, news),
-            Message::FeedBeat(beat) => self.beat(now, source, beat, news),
+            Message::ResidencyUpdate(holding) => self.held(holding, news),
+            Message::FeedHeartbeat(beat) => self.beat(now, source, beat, news),
             Message::Controllers(controllers) => self.named(now, source, &controllers),
             _ => {}
         }
@@ -117,9 +117,15 @@
         }
     }
 
-    fn decided(&mut self, now: Duration, source: SocketAddr, decided: Decided, news: &mut Vec<Message>) {
+    fn decided(
+        &mut self,
+        now: Duration,
+        source: SocketAddr,
+        decided: CommittedConfiguration,
+        news: &mut Vec<Message>,
+    ) {
         if self.configuration.decided(now, source, &decided) {
-            news.push(Message::Decided(decided));
+            news.push(Message::CommittedConfiguration(decided));
         }
     }
 
@@ -135,14 +141,14 @@
         }
     }
 
-    fn held(&mut self, holding: Holding, news: &mut Vec<Message>) {
+    fn held(&mut self, holding: ResidencyUpdate, news: &mut Vec<Message>) {
         let registration = self.registry.get_mut(&holding.id.text());
         if registration.is_some_and(|registration| registration.hold(holding.clone())) {
-            news.push(Message::Holding(holding));
+            news.push(Message::ResidencyUpdate(holding));
         }
     }
 
-    fn beat(&mut self, now: Duration, source: SocketAddr, beat: FeedBeat, news: &mut Vec<Message>) {
+    fn beat(&mut self, now: Duration, source: SocketAddr, beat: FeedHeartbeat, news: &mut Vec<Message>) {
         let entry = self.source(source);
         entry.position = Position { source: beat.source, offset: beat.offset };
         entry.quorum = beat.quorum == 1;
@@ -231,18 +237,18 @@
     }
 
     /// The newest configuration.
-    pub fn configuration(&self) -> Option<&Decided> {
+    pub fn configuration(&self) -> Option<&CommittedConfiguration> {
         self.configuration.held()
     }
 
     /// Everything as messages, for a reader that begins.
     pub fn snapshot(&self) -> Vec<Message> {
         let mut messages = vec![Message::SnapshotBegin];
-        messages.extend(self.configuration().cloned().map(Message::Decided));
+        messages.extend(self.configuration().cloned().map(Message::CommittedConfiguration));
         for (id, entry) in self.registry.entries() {
             let Some(registration) = &entry.registration else { continue };
             messages.push(registered_message(id, entry.sequence, registration));
-            messages.extend(registration.holdings().iter().cloned().map(Message::Holding));
+            messages.extend(registration.holdings().iter().cloned().map(Message::ResidencyUpdate));
         }
         messages.push(Message::SnapshotEnd { complete: u8::from(self.is_complete()) });
         messages
@@ -259,7 +265,7 @@
     }
 
     /// The highest count of those who can know it; the last one stays while nobody does.
-    fn count_routers(&mut self, source: SocketAddr, beat: FeedBeat) {
+    fn count_routers(&mut self, source: SocketAddr, beat: FeedHeartbeat) {
         self.source(source).routers = if beat.quorum == 1 { beat.routers } else { 0 };
         let highest = self.sources.values().map(|source| source.routers).max().unwrap_or(0);
         if highest > 0 {
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Messages as controllers send them.
 
-use lanegate_controller::message::{Holding, Message, Registered, Removed};
+use lanegate_controller::message::{Message, Registered, Removed, ResidencyUpdate};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
 
 /// What was published in `order` of the registration with `sequence`.
 pub fn holding_of(id: &str, model: &str, present: bool, sequence: u64, order: u64) -> Message {
-    Message::Holding(Holding {
+    Message::ResidencyUpdate(ResidencyUpdate {
         id: id.into(),
         model: model.into(),
         adapter: "".into(),
--- a/crates/controller/tests/configuration_feed.rs
+++ b/crates/controller/tests/configuration_feed.rs
@@ -4,14 +4,14 @@
 mod common;
 
 use common::{controller, ms};
-use lanegate_controller::configuration_feed::difference::{self, DifferenceError};
+use lanegate_controller::configuration_feed::delta::{self, DeltaError};
 use lanegate_controller::configuration_feed::digest;
-use lanegate_controller::configuration_feed::publisher::ConfigurationPublisher;
-use lanegate_controller::configuration_feed::reader::{
-    ASK_AGAIN, ConfigurationReader, DIFFERENCE_PATIENCE, DOCUMENT_PATIENCE, Pace,
+use lanegate_controller::configuration_feed::fetcher::{
+    ConfigurationFetcher, DELTA_TIMEOUT, DOCUMENT_TIMEOUT, Pace, RETRY_DELAY,
 };
+use lanegate_controller::configuration_feed::publisher::ConfigurationPublisher;
 use lanegate_controller::message::{
-    ConfigurationDifference, ConfigurationVersion, Decided, DifferencePart, Message,
+    CommittedConfiguration, ConfigurationDelta, ConfigurationVersion, DeltaPart, Message,
 };
 use proptest::prelude::*;
 use std::net::SocketAddr;
@@ -29,11 +29,11 @@
     format!(r#"{{"Version":{version},"Routes":[{}],"Backends":[{{"Name":"b"}}]}}"#, routes.join(",")).into()
 }
 
-fn decided(revision: u64, document: Vec<u8>) -> Decided {
-    Decided { revision, document: document.into() }
+fn decided(revision: u64, document: Vec<u8>) -> CommittedConfiguration {
+    CommittedConfiguration { revision, document: document.into() }
 }
 
-fn version(decided: &Decided) -> ConfigurationVersion {
+fn version(decided: &CommittedConfiguration) -> ConfigurationVersion {
     ConfigurationVersion::of(decided.revision, &decided.document.bytes)
 }
 
@@ -46,40 +46,38 @@
     publisher.answer(base).map(|frame| message(&frame))
 }
 
-fn publisher_of(configurations: &[Decided]) -> ConfigurationPublisher {
-    let mut publisher = ConfigurationPublisher::keeping(8);
+fn publisher_of(configurations: &[CommittedConfiguration]) -> ConfigurationPublisher {
+    let mut publisher = ConfigurationPublisher::retaining(8);
     configurations.iter().for_each(|decided| assert!(publisher.publish(decided.clone()).is_some()));
     publisher
 }
 
 /// Hands an answer of `source` to the reader. True if it was news.
 fn hand(
-    reader: &mut ConfigurationReader,
+    reader: &mut ConfigurationFetcher,
     now: Duration,
     source: SocketAddr,
     answer: Option<Message>,
 ) -> bool {
     match answer {
-        Some(Message::Decided(decided)) => reader.decided(now, source, &decided),
-        Some(Message::ConfigurationDifference(difference)) => {
-            reader.difference(now, source, &difference).is_some()
-        }
+        Some(Message::CommittedConfiguration(decided)) => reader.decided(now, source, &decided),
+        Some(Message::ConfigurationDelta(delta)) => reader.delta(now, source, &delta).is_some(),
         other => panic!("no configuration: {other:?}"),
     }
 }
 
-fn revision(reader: &ConfigurationReader) -> Option<u64> {
+fn revision(reader: &ConfigurationFetcher) -> Option<u64> {
     reader.held().map(|decided| decided.revision)
 }
 
 #[test]
 fn a_change_of_one_field_takes_some_bytes_of_a_large_document() {
     let (older, newer) = (document(1, 1_000, 5_000), document(2, 1_000, 7_000));
-    let parts = difference::between(&older, &newer);
-    assert_eq!(difference::apply(&older, &parts, digest(&newer)).as_deref(), Ok(&newer[..]));
+    let parts = delta::between(&older, &newer);
+    assert_eq!(delta::apply(&older, &parts, digest(&newer)).as_deref(), Ok(&newer[..]));
     let inserted = parts.iter().map(|part| match part {
-        DifferencePart::Kept { .. } => 0,
-        DifferencePart::Inserted(text) => text.bytes.len(),
+        DeltaPart::Copied { .. } => 0,
+        DeltaPart::Inserted(text) => text.bytes.len(),
     });
     assert!(parts.len() <= 4 && inserted.sum::<usize>() < 60, "{parts:?}");
 }
@@ -108,11 +106,11 @@
     };
     let older = all(&[1, 2, 3, 4, 5, 6, 7, 8]);
     let newer = all(&[5, 1, 2, 9, 4, 6, 7]);
-    let parts = difference::between(&older, &newer);
-    assert_eq!(difference::apply(&older, &parts, digest(&newer)).as_deref(), Ok(&newer[..]));
+    let parts = delta::between(&older, &newer);
+    assert_eq!(delta::apply(&older, &parts, digest(&newer)).as_deref(), Ok(&newer[..]));
     let inserted: usize = parts
         .iter()
-        .map(|part| if let DifferencePart::Inserted(text) = part { text.bytes.len() } else { 0 })
+        .map(|part| if let DeltaPart::Inserted(text) = part { text.bytes.len() } else { 0 })
         .sum();
     assert!(inserted < 2 * route(9).len(), "{parts:?}");
 }
@@ -120,13 +118,13 @@
 #[test]
 fn a_difference_on_another_base_is_refused_by_its_digest() {
     let (older, newer) = (document(1, 10, 5_000), document(2, 10, 7_000));
-    let parts = difference::between(&older, &newer);
+    let parts = delta::between(&older, &newer);
     let other = String::from_utf8(older.clone()).unwrap().replace("h3.example", "x3.example").into_bytes();
-    assert_eq!(difference::apply(&other, &parts, digest(&newer)), Err(DifferenceError::OtherDigest));
-    let outside = [DifferencePart::Kept { offset: 1, length: u32::MAX }];
-    assert_eq!(difference::apply(&older, &outside, 0), Err(DifferenceError::OutsideBase));
-    let many = vec![DifferencePart::Kept { offset: 0, length: older.len() as u32 }; 17_000_000 / older.len()];
-    assert_eq!(difference::apply(&older, &many, 0), Err(DifferenceError::TooLong));
+    assert_eq!(delta::apply(&other, &parts, digest(&newer)), Err(DeltaError::OtherDigest));
+    let outside = [DeltaPart::Copied { offset: 1, length: u32::MAX }];
+    assert_eq!(delta::apply(&older, &outside, 0), Err(DeltaError::OutsideBase));
+    let many = vec![DeltaPart::Copied { offset: 0, length: older.len() as u32 }; 17_000_000 / older.len()];
+    assert_eq!(delta::apply(&older, &many, 0), Err(DeltaError::TooLong));
 }
 
 proptest! {
@@ -135,8 +133,8 @@
         older in "[a-c,}]{0,60}",
         newer in "[a-c,}]{0,60}",
     ) {
-        let parts = difference::between(older.as_bytes(), newer.as_bytes());
-        let made = difference::apply(older.as_bytes(), &parts, digest(newer.as_bytes()));
+        let parts = delta::between(older.as_bytes(), newer.as_bytes());
+        let made = delta::apply(older.as_bytes(), &parts, digest(newer.as_bytes()));
         prop_assert_eq!(made.as_deref(), Ok(newer.as_bytes()));
     }
 
@@ -145,38 +143,38 @@
         older in prop::collection::vec(any::<u8>(), 0..60),
         ranges in prop::collection::vec((any::<u32>(), any::<u32>()), 0..4),
     ) {
-        let parts: Vec<DifferencePart> =
-            ranges.iter().map(|(offset, length)| DifferencePart::Kept { offset: *offset, length: *length }).collect();
-        let _ = difference::apply(&older, &parts, 0);
+        let parts: Vec<DeltaPart> =
+            ranges.iter().map(|(offset, length)| DeltaPart::Copied { offset: *offset, length: *length }).collect();
+        let _ = delta::apply(&older, &parts, 0);
     }
 }
 
 #[test]
 fn a_publisher_sends_the_newest_only_as_a_difference_to_what_the_reader_has() {
-    let versions: Vec<Decided> =
+    let versions: Vec<CommittedConfiguration> =
         (1..=5).map(|number| decided(number, document(number, 400, 5_000 + number))).collect();
     let mut publisher = publisher_of(&versions);
     let newest = version(&versions[4]);
     assert_eq!(publisher.announcement(), Some(Message::ConfigurationAnnounced(newest)));
-    let Some(Message::ConfigurationDifference(sent)) = answer(&mut publisher, version(&versions[1])) else {
+    let Some(Message::ConfigurationDelta(sent)) = answer(&mut publisher, version(&versions[1])) else {
         panic!("the base is kept")
     };
     assert_eq!((sent.base, sent.version), (version(&versions[1]).digest, newest));
     assert!(sent.parts.size() < 100);
-    let made = difference::apply(&versions[1].document.bytes, &sent.parts.parts, newest.digest);
+    let made = delta::apply(&versions[1].document.bytes, &sent.parts.parts, newest.digest);
     assert_eq!(made.unwrap(), versions[4].document.bytes);
 }
 
 #[test]
 fn an_answer_that_was_made_once_is_not_given_for_a_newer_version() {
-    let versions: Vec<Decided> =
+    let versions: Vec<CommittedConfiguration> =
         (1..=3).map(|number| decided(number, document(number, 50, 5_000 + number))).collect();
     let mut publisher = publisher_of(&versions[..2]);
     let base = version(&versions[0]);
     let first = answer(&mut publisher, base);
     assert_eq!(answer(&mut publisher, base), first, "all readers that have the base share it");
     publisher.publish(versions[2].clone());
-    let Some(Message::ConfigurationDifference(second)) = answer(&mut publisher, base) else {
+    let Some(Message::ConfigurationDelta(second)) = answer(&mut publisher, base) else {
         panic!("the base is kept")
     };
     assert_eq!(second.version, version(&versions[2]));
@@ -188,19 +186,22 @@
     let mut publisher = publisher_of(std::slice::from_ref(&newest));
     let unknown = ConfigurationVersion { revision: 3, digest: 77 };
     for base in [ConfigurationVersion::NONE, unknown] {
-        assert_eq!(answer(&mut publisher, base), Some(Message::Decided(newest.clone())));
+        assert_eq!(answer(&mut publisher, base), Some(Message::CommittedConfiguration(newest.clone())));
     }
     assert_eq!(answer(&mut publisher, version(&newest)), None, "nothing is newer");
 }
 
 #[test]
 fn a_publisher_forgets_old_bases_and_never_goes_back() {
-    let versions: Vec<Decided> =
+    let versions: Vec<CommittedConfiguration> =
         (1..=10).map(|number| decided(number, document(number, 50, 5_000 + number))).collect();
     let mut publisher = publisher_of(&versions);
-    assert!(matches!(answer(&mut publisher, version(&versions[1])), Some(Message::Decided(_))), "8 are kept");
+    assert!(
+        matches!(answer(&mut publisher, version(&versions[1])), Some(Message::CommittedConfiguration(_))),
+        "8 are kept"
+    );
     let third = answer(&mut publisher, version(&versions[2]));
-    assert!(matches!(third, Some(Message::ConfigurationDifference(_))));
+    assert!(matches!(third, Some(Message::ConfigurationDelta(_))));
     assert_eq!(publisher.publish(versions[3].clone()), None, "an older one is no news");
     assert_eq!(publisher.announcement(), Some(Message::ConfigurationAnnounced(version(&versions[9]))));
 }
@@ -209,15 +210,15 @@
 fn a_document_that_has_nothing_in_common_is_sent_whole() {
     let (first, second) = (decided(1, vec![b'a'; 500]), decided(2, vec![b'b'; 400]));
     let mut publisher = publisher_of(&[first.clone(), second.clone()]);
-    assert_eq!(answer(&mut publisher, version(&first)), Some(Message::Decided(second)));
+    assert_eq!(answer(&mut publisher, version(&first)), Some(Message::CommittedConfiguration(second)));
 }
 
 #[test]
 fn a_reader_asks_one_source_and_skips_what_was_decided_meanwhile() {
-    let versions: Vec<Decided> =
+    let versions: Vec<CommittedConfiguration> =
         (1..=9).map(|number| decided(number, document(number, 400, 5_000 + number))).collect();
     let mut publisher = publisher_of(&versions[..1]);
-    let mut reader = ConfigurationReader::new(Pace::LINK);
+    let mut reader = ConfigurationFetcher::new(Pace::LINK);
     let (one, two) = (controller(1), controller(2));
     assert!(reader.announced(one, version(&versions[0])));
     assert!(!reader.announced(two, version(&versions[0])), "it is known");
@@ -247,8 +248,8 @@
     let first = decided(1, document(1, 50, 5_000));
     let second = decided(2, document(2, 50, 6_000));
     let (one, two) = (controller(1), controller(2));
-    for (held, patience) in [(None, DOCUMENT_PATIENCE), (Some(&first), DIFFERENCE_PATIENCE)] {
-        let mut reader = ConfigurationReader::new(Pace::LINK);
+    for (held, patience) in [(None, DOCUMENT_TIMEOUT), (Some(&first), DELTA_TIMEOUT)] {
+        let mut reader = ConfigurationFetcher::new(Pace::LINK);
         if let Some(held) = held {
             reader.decided(ms(0), one, held);
         }
@@ -259,7 +260,7 @@
         assert_eq!(reader.next_wake(begun), Some(begun + patience));
         assert_eq!(reader.fetch(begun + patience - ms(1), Some(one)), None);
         assert_eq!(reader.fetch(begun + patience, Some(one)).map(|(source, _)| source), Some(two));
-        let again = begun + ASK_AGAIN;
+        let again = begun + RETRY_DELAY;
         assert_eq!(reader.fetch(again - ms(1), Some(one)), None, "both owe an answer");
         assert_eq!(reader.fetch(again, Some(one)).map(|(source, _)| source), Some(one));
     }
@@ -269,7 +270,7 @@
 fn a_lost_source_owes_nothing_and_is_not_asked() {
     let newest = decided(2, document(2, 50, 5_000));
     let (one, two) = (controller(1), controller(2));
-    let mut reader = ConfigurationReader::new(Pace::LINK);
+    let mut reader = ConfigurationFetcher::new(Pace::LINK);
     reader.announced(one, version(&newest));
     assert!(reader.fetch(ms(0), Some(one)).is_some());
     reader.lost(one);
@@ -283,7 +284,7 @@
 fn the_source_that_has_the_newest_is_asked() {
     let (older, newer) = (decided(4, document(4, 50, 5_000)), decided(5, document(5, 50, 5_500)));
     let (one, two) = (controller(1), controller(2));
-    let mut reader = ConfigurationReader::new(Pace::LINK);
+    let mut reader = ConfigurationFetcher::new(Pace::LINK);
     reader.announced(one, version(&older));
     reader.announced(two, version(&newer));
     assert_eq!(reader.fetch(ms(0), Some(one)).map(|(source, _)| source), Some(two));
@@ -292,7 +293,7 @@
 #[test]
 fn an_answer_that_lags_takes_nothing_back() {
     let (older, newer) = (decided(4, document(4, 50, 5_000)), decided(5, document(5, 50, 5_500)));
-    let mut reader = ConfigurationReader::new(Pace::LINK);
+    let mut reader = ConfigurationFetcher::new(Pace::LINK);
     assert!(reader.decided(ms(0), controller(1), &newer));
     assert!(!reader.decided(ms(1), controller(2), &older));
     let mut publisher = publisher_of(&[decided(3, document(3, 50, 1)), older]);
@@ -304,15 +305,15 @@
 #[test]
 fn a_difference_that_does_not_fit_is_followed_by_the_whole() {
     let (first, second) = (decided(1, document(1, 50, 5_000)), decided(2, document(2, 50, 6_000)));
-    let mut reader = ConfigurationReader::new(Pace::LINK);
+    let mut reader = ConfigurationFetcher::new(Pace::LINK);
     reader.decided(ms(0), controller(1), &first);
     reader.announced(controller(1), version(&second));
-    let damaged = ConfigurationDifference {
+    let damaged = ConfigurationDelta {
         base: version(&first).digest,
         version: version(&second),
-        parts: vec![DifferencePart::Kept { offset: 0, length: 10 }].into(),
+        parts: vec![DeltaPart::Copied { offset: 0, length: 10 }].into(),
     };
-    assert_eq!(reader.difference(ms(1_000), controller(1), &damaged), None);
+    assert_eq!(reader.delta(ms(1_000), controller(1), &damaged), None);
     let fetch = reader.fetch(ms(2_000), None);
     assert_eq!(fetch, Some((controller(1), Message::ConfigurationFetch(ConfigurationVersion::NONE))));
     assert!(reader.decided(ms(2_010), controller(1), &second));
@@ -326,7 +327,7 @@
 fn a_difference_to_something_else_than_what_is_held_changes_nothing() {
     let (first, second, third) =
         (decided(1, document(1, 50, 1)), decided(2, document(2, 50, 2)), decided(3, document(3, 50, 3)));
-    let mut reader = ConfigurationReader::new(Pace::LINK);
+    let mut reader = ConfigurationFetcher::new(Pace::LINK);
     reader.decided(ms(0), controller(1), &second);
     reader.announced(controller(2), version(&third));
     let mut publisher = publisher_of(&[first.clone(), third.clone()]);
@@ -340,7 +341,7 @@
 fn the_same_bytes_decided_again_are_not_fetched() {
     let first = decided(1, document(1, 50, 5_000));
     let again = decided(7, document(1, 50, 5_000));
-    let mut reader = ConfigurationReader::new(Pace::LINK);
+    let mut reader = ConfigurationFetcher::new(Pace::LINK);
     reader.decided(ms(0), controller(1), &first);
     assert!(reader.announced(controller(2), version(&again)));
     assert!(!reader.is_behind());
--- a/crates/controller/tests/controller_faults.rs
+++ b/crates/controller/tests/controller_faults.rs
@@ -57,7 +57,7 @@
     a_cut_off_controller_that_calls_itself_current:
         ControllerFault::AlwaysCurrent, "agents-at-two-cut-off-controllers";
     a_controller_that_hears_nobody_acts:
-        ControllerFault::HeardActs, "owner-that-hears-nobody";
+        ControllerFault::CountUnreachedPeers, "owner-that-hears-nobody";
     contact_with_less_than_a_majority:
         ControllerFault::Contact(ContactFault::SmallMajority), "cut-of-everyone";
     a_majority_that_is_too_small:
--- a/crates/controller/tests/golden_messages.rs
+++ b/crates/controller/tests/golden_messages.rs
@@ -25,20 +25,23 @@
         role,
         name: "edge-1".into(),
         control_address: "10.0.0.1:8146".into(),
-        life: 9,
+        incarnation: 9,
         source: 3,
         offset: 12,
     })
 }
 
-fn heard() -> HeardList {
-    vec![Heard { id: "i-1".into(), sequence: 4 }, Heard { id: "i-2".into(), sequence: 5 }].into()
+fn heard() -> HeartbeatBatch {
+    vec![
+        BatchedHeartbeat { id: "i-1".into(), sequence: 4 },
+        BatchedHeartbeat { id: "i-2".into(), sequence: 5 },
+    ]
+    .into()
 }
 
-fn difference() -> ConfigurationDifference {
-    let parts =
-        vec![DifferencePart::Kept { offset: 5, length: 6 }, DifferencePart::Inserted(vec![1, 2].into())];
-    ConfigurationDifference { base: 3, version: version(), parts: parts.into() }
+fn difference() -> ConfigurationDelta {
+    let parts = vec![DeltaPart::Copied { offset: 5, length: 6 }, DeltaPart::Inserted(vec![1, 2].into())];
+    ConfigurationDelta { base: 3, version: version(), parts: parts.into() }
 }
 
 fn confirmation() -> Confirmation {
@@ -46,8 +49,15 @@
     Confirmation::new(1, 4, vec![group("10.0.0.1:1 10.0.0.2:1"), group("10.0.0.3:1")])
 }
 
-fn holding() -> Holding {
-    Holding { id: "i-1".into(), model: "m".into(), adapter: "a1".into(), present: 1, sequence: 7, order: 2 }
+fn holding() -> ResidencyUpdate {
+    ResidencyUpdate {
+        id: "i-1".into(),
+        model: "m".into(),
+        adapter: "a1".into(),
+        present: 1,
+        sequence: 7,
+        order: 2,
+    }
 }
 
 fn demand() -> RouterDemand {
@@ -62,11 +72,14 @@
         ("01-router", hello(Role::Router)),
         ("02", Message::SnapshotBegin),
         ("03", Message::SnapshotEnd { complete: 1 }),
-        ("04", Message::Decided(Decided { revision: 8, document: "{}".into() })),
+        (
+            "04",
+            Message::CommittedConfiguration(CommittedConfiguration { revision: 8, document: "{}".into() }),
+        ),
         ("05", Message::Registered(Registered { id: "i-1".into(), sequence: 6, body: "{}".into() })),
         ("06", Message::Removed(Removed { id: "i-1".into(), sequence: u64::MAX })),
-        ("07", Message::HeardList(heard())),
-        ("08", Message::FeedBeat(FeedBeat { quorum: 1, source: 4, offset: 5, routers: 9 })),
+        ("07", Message::HeartbeatBatch(heard())),
+        ("08", Message::FeedHeartbeat(FeedHeartbeat { quorum: 1, source: 4, offset: 5, routers: 9 })),
         ("09", Message::Controllers(Controllers { addresses: "10.0.0.1:1 10.0.0.2:1".into() })),
         ("10", Message::Register(shard_message())),
         ("11", Message::Lease(shard_message())),
@@ -76,14 +89,14 @@
         ("15", Message::Flushed(confirmation())),
         ("16", Message::Demand(demand())),
         ("17", Message::Heartbeat { body: vec![7; 5].into() }),
-        ("18", Message::Holding(holding())),
+        ("18", Message::ResidencyUpdate(holding())),
         ("19", Message::HeartbeatEcho { body: vec![6; 4].into() }),
         ("20", Message::ConfigurationAnnounced(version())),
         ("21-some", Message::ConfigurationFetch(version())),
         ("21-none", Message::ConfigurationFetch(ConfigurationVersion::NONE)),
-        ("22", Message::ConfigurationDifference(difference())),
+        ("22", Message::ConfigurationDelta(difference())),
         ("23", Message::ConfigurationKnown(version())),
-        ("24", Message::Standing(Standing { life: 8, voting: 31, leaving: 1 })),
+        ("24", Message::MemberStatus(MemberStatus { incarnation: 8, voting: 31, leaving: 1 })),
     ]
 }
 
--- a/crates/controller/tests/link.rs
+++ b/crates/controller/tests/link.rs
@@ -1,6 +1,6 @@
 //! What waits for a link arrives whole and in order, however much it is.
 
-use lanegate_controller::link::{Outbox, Reader, write_frames};
+use lanegate_controller::link::{MessageReader, Outbox, write_frames};
 use lanegate_controller::message::{Forwarded, Message};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -26,7 +26,7 @@
     assert!((0..MESSAGES).all(|request| outbox.message(&message(request))));
     drop(outbox);
     let receive = async {
-        let mut reader = Reader::new(read);
+        let mut reader = MessageReader::new(read);
         for request in 0..MESSAGES {
             assert_eq!(reader.next().await.expect("a message"), message(request));
         }
--- a/crates/controller/tests/message.rs
+++ b/crates/controller/tests/message.rs
@@ -8,7 +8,7 @@
         role: Role::Agent,
         name: "edge-1".into(),
         control_address: "".into(),
-        life: 9,
+        incarnation: 9,
         source: 3,
         offset: 12,
     })
@@ -20,20 +20,26 @@
 
 #[test]
 fn messages_come_back_as_they_were_written() {
-    let heard = vec![Heard { id: "i-1".into(), sequence: 4 }, Heard { id: "i-2".into(), sequence: 5 }];
+    let heartbeats = vec![
+        BatchedHeartbeat { id: "i-1".into(), sequence: 4 },
+        BatchedHeartbeat { id: "i-2".into(), sequence: 5 },
+    ];
     let messages = [
         hello(),
         Message::SnapshotBegin,
         Message::SnapshotEnd { complete: 1 },
-        Message::Decided(Decided { revision: 8, document: vec![1, 2, 3].into() }),
-        Message::HeardList(heard.into()),
+        Message::CommittedConfiguration(CommittedConfiguration {
+            revision: 8,
+            document: vec![1, 2, 3].into(),
+        }),
+        Message::HeartbeatBatch(heartbeats.into()),
         Message::Removed(Removed { id: "i-1".into(), sequence: u64::MAX }),
-        Message::FeedBeat(FeedBeat { quorum: 1, source: 4, offset: 5, routers: 9 }),
+        Message::FeedHeartbeat(FeedHeartbeat { quorum: 1, source: 4, offset: 5, routers: 9 }),
         Message::Flush(Token { token: 1 }),
         Message::Flushed(Confirmation::new(1, 4, vec![])),
         Message::Flushed(Confirmation::new(1, 4, vec![group("10.0.0.1:1 10.0.0.2:1"), group("10.0.0.3:1")])),
-        Message::Standing(Standing { life: 8, voting: 31, leaving: 1 }),
-        Message::Holding(Holding {
+        Message::MemberStatus(MemberStatus { incarnation: 8, voting: 31, leaving: 1 }),
+        Message::ResidencyUpdate(ResidencyUpdate {
             id: "i-1".into(),
             model: "m".into(),
             adapter: "a1".into(),
@@ -44,14 +50,11 @@
         Message::ConfigurationAnnounced(ConfigurationVersion { revision: 4, digest: 9 }),
         Message::ConfigurationFetch(ConfigurationVersion::NONE),
         Message::ConfigurationKnown(ConfigurationVersion { revision: 5, digest: u64::MAX }),
-        Message::ConfigurationDifference(ConfigurationDifference {
+        Message::ConfigurationDelta(ConfigurationDelta {
             base: 3,
             version: ConfigurationVersion { revision: 4, digest: 9 },
-            parts: vec![
-                DifferencePart::Kept { offset: 5, length: 6 },
-                DifferencePart::Inserted(vec![1, 2].into()),
-            ]
-            .into(),
+            parts: vec![DeltaPart::Copied { offset: 5, length: 6 }, DeltaPart::Inserted(vec![1, 2].into())]
+                .into(),
         }),
         Message::Heartbeat { body: vec![7; 20].into() },
     ];
--- a/crates/controller/tests/repair_faults.rs
+++ b/crates/controller/tests/repair_faults.rs
@@ -4,7 +4,7 @@
 #[path = "common/scenarios.rs"]
 mod scenarios;
 
-use lanegate_controller::controller::{ControllerFault, EndpointsFault, MembersFault};
+use lanegate_controller::controller::{AcknowledgementFault, ControllerFault, ReplacementFault};
 use lanegate_controller::simulation::{Scenario, World};
 use scenarios::scenario;
 
@@ -39,19 +39,19 @@
 
 found! {
     silence_of_one_shard_held_against_all:
-        ControllerFault::Members(MembersFault::SilenceOfOneShard), "replaced-by-different-owners";
+        ControllerFault::Members(ReplacementFault::ShareTimeouts), "replaced-by-different-owners";
     a_spare_that_joins_before_it_can_vote:
-        ControllerFault::Members(MembersFault::JoinBeforeVoting), "spare-joins-once-it-votes";
+        ControllerFault::Members(ReplacementFault::JoinBeforeVoting), "spare-joins-once-it-votes";
     silence_before_a_pause_of_the_process:
-        ControllerFault::Members(MembersFault::KeepSilenceInPause), "owner-frozen";
+        ControllerFault::Members(ReplacementFault::CountOwnPause), "owner-frozen";
     one_change_of_members_at_a_time:
-        ControllerFault::Members(MembersFault::OneChangeAtATime), "shards-changed-together";
+        ControllerFault::Members(ReplacementFault::OneChangeAtATime), "shards-changed-together";
     a_member_that_ends_without_handing_over:
-        ControllerFault::LeaveWithoutHandover, "leaving-while-another-is-down";
+        ControllerFault::ShutDownWithoutHandover, "leaving-while-another-is-down";
     an_end_that_others_ignore:
-        ControllerFault::ForgetLeaving, "leaving-member-hands-over";
+        ControllerFault::IgnoreDraining, "leaving-member-hands-over";
     confirmations_of_controllers_that_are_no_members:
-        ControllerFault::Endpoints(EndpointsFault::CountNonMembers), "drain-at-one-with-spares-only";
+        ControllerFault::EndpointRegistry(AcknowledgementFault::CountNonMembers), "drain-at-one-with-spares-only";
     a_drain_that_is_not_passed_on:
         ControllerFault::KeepDrainsFromPeers, "drain-passed-on";
 }
--- a/crates/controller/tests/unconfirmed.rs
+++ b/crates/controller/tests/unconfirmed.rs
@@ -5,15 +5,15 @@
 
 use common::{controller, ms};
 use lanegate_controller::agent::unconfirmed::{HOLD_LIMIT, Unconfirmed};
-use lanegate_controller::message::{Decided, Message};
+use lanegate_controller::message::{CommittedConfiguration, Message};
 
-fn decided(revision: u64) -> Decided {
-    Decided { revision, document: "{}".into() }
+fn decided(revision: u64) -> CommittedConfiguration {
+    CommittedConfiguration { revision, document: "{}".into() }
 }
 
 /// Tells whether the configuration is passed on.
 fn told(unconfirmed: &mut Unconfirmed, source: u8, revision: u64, may_take: bool) -> bool {
-    let message = Message::Decided(decided(revision));
+    let message = Message::CommittedConfiguration(decided(revision));
     unconfirmed.pass(ms(0), controller(source), message, may_take).is_some()
 }
 
--- a/crates/controller/tests/view.rs
+++ b/crates/controller/tests/view.rs
@@ -3,15 +3,17 @@
 mod common;
 
 use common::{controller, holding, holding_of, ms, registered, removed};
-use lanegate_controller::configuration_feed::reader::Pace;
-use lanegate_controller::message::{ConfigurationVersion, Controllers, Decided, FeedBeat, Message};
+use lanegate_controller::configuration_feed::fetcher::Pace;
+use lanegate_controller::message::{
+    CommittedConfiguration, ConfigurationVersion, Controllers, FeedHeartbeat, Message,
+};
 use lanegate_controller::view::View;
 use lanegate_coordination::feed::Position;
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
 fn decided(revision: u64, document: &str) -> Message {
-    Message::Decided(Decided { revision, document: document.into() })
+    Message::CommittedConfiguration(CommittedConfiguration { revision, document: document.into() })
 }
 
 fn end(complete: bool) -> Message {
@@ -209,15 +211,15 @@
     let addresses = "10.0.0.1:7000 10.0.0.2:7000 nonsense".into();
     tell(&mut view, controller(1), &[Message::Controllers(Controllers { addresses })]);
     assert!(view.controllers().iter().eq(&[controller(1), controller(2)]));
-    let beat = FeedBeat { quorum: 1, source: 5, offset: 9, routers: 3 };
-    tell(&mut view, controller(1), &[Message::FeedBeat(beat)]);
+    let beat = FeedHeartbeat { quorum: 1, source: 5, offset: 9, routers: 3 };
+    tell(&mut view, controller(1), &[Message::FeedHeartbeat(beat)]);
     assert_eq!(view.routers(), 3);
 }
 
 #[test]
 fn a_removal_is_forgotten_after_a_minute() {
     let mut view = View::default();
-    let beat = Message::FeedBeat(FeedBeat { quorum: 1, source: 5, offset: 9, routers: 0 });
+    let beat = Message::FeedHeartbeat(FeedHeartbeat { quorum: 1, source: 5, offset: 9, routers: 0 });
     tell(&mut view, controller(1), &[registered("i-1", 80, 1, &[]), removed("i-1", 5)]);
     tell_at(&mut view, 59_000, controller(1), std::slice::from_ref(&beat));
     assert_eq!(tell_at(&mut view, 59_001, controller(1), &[registered("i-1", 80, 2, &[])]), vec![]);
@@ -286,7 +288,7 @@
 }
 
 fn beat(quorum: u8, routers: u32) -> Message {
-    Message::FeedBeat(FeedBeat { quorum, source: 1, offset: 0, routers })
+    Message::FeedHeartbeat(FeedHeartbeat { quorum, source: 1, offset: 0, routers })
 }
 
 #[test]
@@ -346,7 +348,7 @@
 }
 
 fn beat_at(source: u64, offset: u64) -> Message {
-    Message::FeedBeat(FeedBeat { quorum: 1, source, offset, routers: 1 })
+    Message::FeedHeartbeat(FeedHeartbeat { quorum: 1, source, offset, routers: 1 })
 }
 
 #[test]
