--- a/crates/controller/src/agent/agent_test.rs
+++ b/crates/controller/src/agent/agent_test.rs
@@ -74,13 +74,13 @@
     fn new() -> World {
         let outside = Outside::default();
         let mut agent = Agent::new(settings(), 5, Box::new(outside.clone()));
-        agent.review();
+        agent.review_sources();
         let (events_end, events) = unbounded_channel();
         let mut client = Client::new(settings(), 6, events_end);
         let (outbox, to_router) = Outbox::new();
-        agent.downstream(SubscriberEvent::Up { reader: ROUTER, outbox });
+        agent.on_subscriber_event(SubscriberEvent::Up { subscriber: ROUTER, outbox });
         let (outbox, from_router) = Outbox::new();
-        client.heard(ms(0), SourceEvent::Up { source: router_link(), outbox });
+        client.on_agent_event(ms(0), SourceEvent::Up { source: router_link(), outbox });
         let mut world = World { outside, agent, sent: Vec::new(), client, to_router, from_router, events };
         let sources: Vec<SocketAddr> =
             world.outside.dialled.borrow().iter().map(|dialled| dialled.0).collect();
@@ -90,7 +90,7 @@
 
     fn up(&mut self, source: SocketAddr) {
         let (outbox, frames) = Outbox::new();
-        self.agent.heard(SourceEvent::Up { source, outbox });
+        self.agent.on_source_event(SourceEvent::Up { source, outbox });
         self.sent.retain(|(known, _)| *known != source);
         self.sent.push((source, frames));
     }
@@ -100,7 +100,7 @@
     }
 
     fn hears(&mut self, source: SocketAddr, message: Message) {
-        self.agent.heard(SourceEvent::Message { source, message });
+        self.agent.on_source_event(SourceEvent::Message { source, message });
     }
 
     /// What the agent has sent to a source since the last call.
@@ -116,10 +116,10 @@
         self.client.fetch(now);
         for _ in 0..3 {
             for message in messages(&mut self.from_router) {
-                self.agent.downstream(SubscriberEvent::Message { reader: ROUTER, message });
+                self.agent.on_subscriber_event(SubscriberEvent::Message { subscriber: ROUTER, message });
             }
             for message in messages(&mut self.to_router) {
-                self.client.heard(now, SourceEvent::Message { source: router_link(), message });
+                self.client.on_agent_event(now, SourceEvent::Message { source: router_link(), message });
             }
             self.client.fetch(now);
         }
@@ -158,7 +158,7 @@
     Message::ConfigurationAnnounced(ConfigurationVersion::of(revision, &decided.document.bytes))
 }
 
-fn beat(quorum: u8, offset: u64) -> Message {
+fn heartbeat(quorum: u8, offset: u64) -> Message {
     Message::FeedHeartbeat(FeedHeartbeat { quorum, source: SOURCE_LIFE, offset, routers: 1 })
 }
 
@@ -172,10 +172,10 @@
     let source = world.source(0);
     world.hears(source, Message::SnapshotBegin);
     world.hears(source, Message::SnapshotEnd { complete: 1 });
-    world.hears(source, beat(1, 44));
-    world.agent.heard(SourceEvent::Down { source });
+    world.hears(source, heartbeat(1, 44));
+    world.agent.on_source_event(SourceEvent::Down { source });
     world.outside.now.set(ms(500));
-    world.agent.review();
+    world.agent.review_sources();
     let dialled = world.outside.dialled.borrow();
     let (again, hello) = dialled.last().expect("it is dialled");
     assert_eq!((*again, hello.source, hello.offset), (source, SOURCE_LIFE, 44));
@@ -186,7 +186,7 @@
     let mut world = World::new();
     let (one, two) = (world.source(0), world.source(1));
     for source in [one, two] {
-        world.hears(source, beat(1, 0));
+        world.hears(source, heartbeat(1, 0));
         world.hears(source, announced(1));
     }
     world.at(ms(1));
@@ -205,7 +205,7 @@
 fn a_router_reads_a_few_of_many_versions_and_ends_with_the_newest() {
     let mut world = World::new();
     let source = world.source(0);
-    world.hears(source, beat(1, 0));
+    world.hears(source, heartbeat(1, 0));
     world.at(ms(0));
     let mut read = Vec::new();
     for now in 0..2_000 {
@@ -226,18 +226,18 @@
 fn a_router_is_told_when_no_source_is_in_contact_with_a_majority() {
     let mut world = World::new();
     let (one, two) = (world.source(0), world.source(1));
-    world.hears(one, beat(1, 0));
-    world.hears(two, beat(1, 0));
+    world.hears(one, heartbeat(1, 0));
+    world.hears(two, heartbeat(1, 0));
     world.hears(one, Message::CommittedConfiguration(decided(1)));
     world.at(ms(0));
     assert_eq!(world.behind().last(), Some(&false));
-    world.hears(one, beat(0, 0));
+    world.hears(one, heartbeat(0, 0));
     world.at(ms(1));
     assert!(world.behind().is_empty(), "the other one is");
-    world.hears(two, beat(0, 0));
+    world.hears(two, heartbeat(0, 0));
     world.at(ms(2));
     assert_eq!(world.behind(), [true]);
-    world.hears(one, beat(1, 0));
+    world.hears(one, heartbeat(1, 0));
     world.at(ms(3));
     assert_eq!(world.behind(), [false]);
 }
@@ -246,15 +246,15 @@
 fn a_message_of_a_link_that_was_given_up_changes_nothing() {
     let mut world = World::new();
     let (one, two) = (world.source(0), world.source(1));
-    world.hears(one, beat(1, 0));
-    world.hears(two, beat(1, 0));
+    world.hears(one, heartbeat(1, 0));
+    world.hears(two, heartbeat(1, 0));
     world.hears(one, Message::CommittedConfiguration(decided(1)));
     world.at(ms(1));
     assert_eq!(world.read(), [1]);
-    world.agent.heard(SourceEvent::Down { source: one });
-    world.agent.heard(SourceEvent::Down { source: two });
+    world.agent.on_source_event(SourceEvent::Down { source: one });
+    world.agent.on_source_event(SourceEvent::Down { source: two });
     world.hears(one, Message::CommittedConfiguration(decided(3)));
-    world.hears(one, beat(1, 9));
+    world.hears(one, heartbeat(1, 9));
     world.at(ms(200));
     let events: Vec<FeedEvent> = std::iter::from_fn(|| world.events.try_recv().ok()).collect();
     assert!(matches!(events[..], [FeedEvent::Behind { behind: true }]), "{events:?}");
@@ -264,7 +264,7 @@
 fn an_agent_without_a_configuration_asks_a_source_out_of_contact_once() {
     let mut world = World::new();
     let source = world.source(0);
-    world.hears(source, beat(0, 0));
+    world.hears(source, heartbeat(0, 0));
     world.hears(source, announced(1));
     world.at(ms(1));
     assert_eq!(fetches(&world.sent_to(source)), 1);
@@ -274,7 +274,7 @@
     }
     assert_eq!(fetches(&world.sent_to(source)), 0, "what it has is held back");
     assert!(world.read().is_empty());
-    world.hears(source, beat(1, 0));
+    world.hears(source, heartbeat(1, 0));
     world.at(ms(10_001));
     assert_eq!(world.read(), [1]);
 }
--- a/crates/controller/src/agent/environment.rs
+++ b/crates/controller/src/agent/environment.rs
@@ -12,7 +12,7 @@
     fn now(&self) -> Duration;
 
     /// Dials the controller whose links are at `source`, and follows its feed until the link fails, is
-    /// silent for [`SOURCE_SILENCE`](super::SOURCE_SILENCE), or [`Environment::unfollow`] ends it.
+    /// silent for [`SOURCE_TIMEOUT`](super::SOURCE_TIMEOUT), or [`Environment::unfollow`] ends it.
     fn follow(&mut self, source: SocketAddr, hello: Hello);
 
     /// Ends the link to `source`, if there is one.
--- a/crates/controller/src/agent/metrics.rs
+++ b/crates/controller/src/agent/metrics.rs
@@ -13,7 +13,7 @@
     "lanegate_agent_source_offset",
     "Changes that a followed controller's feed held at its last heartbeat",
 );
-const SOURCE_SILENCE: Metric = Metric::gauge(
+const SOURCE_IDLE_TIME: Metric = Metric::gauge(
     "lanegate_agent_source_silence_seconds",
     "Time since the last heartbeat of a followed controller's feed",
 );
@@ -40,7 +40,7 @@
     "lanegate_agent_configuration_behind",
     "1 while a newer configuration is known to exist, or nobody is heard who would know",
 );
-const CONFIGURATION_HELD: Metric = Metric::gauge(
+const CONFIGURATION_WITHHELD: Metric = Metric::gauge(
     "lanegate_agent_configuration_held",
     "1 while a configuration waits for a controller that vouches for it",
 );
@@ -65,35 +65,35 @@
         let mut exposition = Exposition::default();
         let sources = self.sources.counts();
         for (standing, count) in
-            [("starting", sources.starting), ("trusted", sources.trusted), ("cut_off", sources.cut_off)]
+            [("starting", sources.starting), ("trusted", sources.trusted), ("cut_off", sources.partitioned)]
         {
             exposition.set_labelled(&SOURCES, &[("standing", standing)], count);
         }
-        self.add_beats(&mut exposition);
+        self.add_heartbeats(&mut exposition);
         exposition.set(&LINKS_STARTED, self.counters.links_started);
         exposition.set(&LINKS_ENDED, self.counters.links_ended);
         exposition.set(&KNOWN_CONTROLLERS, self.known_controllers().len());
-        exposition.set(&ROUTER_LINKS, self.readers.len());
+        exposition.set(&ROUTER_LINKS, self.subscribers.len());
         exposition.set(&LIVE_ROUTERS, self.view.routers());
         exposition.set(&ENDPOINTS, self.view.endpoints());
         let revision = self.view.configuration().map_or(0, |decided| decided.revision);
         exposition.set(&CONFIGURATION_REVISION, revision);
         exposition.set(&CONFIGURATION_BEHIND, self.view.may_be_behind());
-        exposition.set(&CONFIGURATION_HELD, self.unconfirmed.holds_any());
+        exposition.set(&CONFIGURATION_WITHHELD, self.unconfirmed.withholds_any());
         exposition.set_violations(&self.violations);
         exposition
     }
 
-    fn add_beats(&self, exposition: &mut Exposition) {
+    fn add_heartbeats(&self, exposition: &mut Exposition) {
         exposition.declare(&SOURCE_OFFSET);
-        exposition.declare(&SOURCE_SILENCE);
+        exposition.declare(&SOURCE_IDLE_TIME);
         let now = self.now();
-        for (source, beat) in &self.beats {
+        for (source, heartbeat) in &self.heartbeats {
             let source: &SocketAddr = source;
             let name = source.to_string();
             let labels = [("source", name.as_str())];
-            exposition.set_labelled(&SOURCE_OFFSET, &labels, beat.offset);
-            exposition.set_labelled(&SOURCE_SILENCE, &labels, now.saturating_sub(beat.at));
+            exposition.set_labelled(&SOURCE_OFFSET, &labels, heartbeat.offset);
+            exposition.set_labelled(&SOURCE_IDLE_TIME, &labels, now.saturating_sub(heartbeat.at));
         }
     }
 }
--- a/crates/controller/src/agent/mod.rs
+++ b/crates/controller/src/agent/mod.rs
@@ -26,11 +26,11 @@
 use unconfirmed::Unconfirmed;
 
 /// How often the choice of sources is looked at when nothing else happens.
-pub(crate) const REVIEW_PERIOD: Duration = Duration::from_millis(500);
+pub(crate) const SOURCE_REVIEW_PERIOD: Duration = Duration::from_millis(500);
 /// How often the settings file is read again while no controller can be trusted.
 const SETTINGS_PERIOD: Duration = Duration::from_millis(1_000);
 /// A controller that says nothing for so long is given up; its heartbeat is several times as fast.
-pub(crate) const SOURCE_SILENCE: Duration = Duration::from_millis(1_800);
+pub(crate) const SOURCE_TIMEOUT: Duration = Duration::from_millis(1_800);
 /// Configurations kept as bases of differences: routers are some tenths of a second behind at most.
 const RETAINED_CONFIGURATIONS: usize = 4;
 
@@ -48,9 +48,9 @@
 /// What reaches the agent from routers.
 #[derive(Debug)]
 pub(crate) enum SubscriberEvent {
-    Up { reader: u64, outbox: Outbox },
-    Message { reader: u64, message: Message },
-    Down { reader: u64 },
+    Up { subscriber: u64, outbox: Outbox },
+    Message { subscriber: u64, message: Message },
+    Down { subscriber: u64 },
 }
 
 /// One agent. All of its state belongs to one task; nothing in it waits, and its clock and links are those of
@@ -63,13 +63,13 @@
     sources: Sources,
     unconfirmed: Unconfirmed,
     outboxes: BTreeMap<SocketAddr, Outbox>,
-    readers: BTreeMap<u64, Outbox>,
+    subscribers: BTreeMap<u64, Outbox>,
     configurations: ConfigurationPublisher,
     /// What routers were told last of how much this agent may be trusted.
-    beat_told: Option<FeedHeartbeat>,
+    notified_heartbeat: Option<FeedHeartbeat>,
     settings_read: Duration,
     /// The newest heartbeat of each source whose link is up.
-    beats: BTreeMap<SocketAddr, LastHeartbeat>,
+    heartbeats: BTreeMap<SocketAddr, LastHeartbeat>,
     counters: Counters,
     violations: Violations,
 }
@@ -85,11 +85,11 @@
             sources: Sources::default(),
             unconfirmed: Unconfirmed::default(),
             outboxes: BTreeMap::new(),
-            readers: BTreeMap::new(),
+            subscribers: BTreeMap::new(),
             configurations: ConfigurationPublisher::retaining(RETAINED_CONFIGURATIONS),
-            beat_told: None,
+            notified_heartbeat: None,
             settings_read: Duration::ZERO,
-            beats: BTreeMap::new(),
+            heartbeats: BTreeMap::new(),
             counters: Counters::default(),
             violations: Violations::default(),
         }
@@ -100,66 +100,66 @@
     }
 
     /// Takes news of a source.
-    pub(crate) fn heard(&mut self, news: SourceEvent) {
+    pub(crate) fn on_source_event(&mut self, news: SourceEvent) {
         match news {
             SourceEvent::Up { source, outbox } => {
                 self.outboxes.insert(source, outbox);
                 self.counters.links_started += 1;
             }
-            SourceEvent::Message { source, message } => self.message(source, message),
+            SourceEvent::Message { source, message } => self.on_source_message(source, message),
             SourceEvent::Down { source } => {
                 self.counters.links_ended += 1;
-                self.beats.remove(&source);
+                self.heartbeats.remove(&source);
                 self.outboxes.remove(&source);
                 self.environment.unfollow(source);
                 self.view.lost(self.now(), source);
                 self.unconfirmed.lost(source);
-                self.sources.ended(self.now(), source);
-                self.review();
-                self.tell_beat();
+                self.sources.link_down(self.now(), source);
+                self.review_sources();
+                self.notify_heartbeat();
             }
         }
     }
 
-    fn message(&mut self, source: SocketAddr, message: Message) {
+    fn on_source_message(&mut self, source: SocketAddr, message: Message) {
         if !self.outboxes.contains_key(&source) {
             // Left over from a link that was given up.
             return;
         }
-        let beat = match &message {
-            Message::FeedHeartbeat(beat) => {
-                self.beats.insert(source, LastHeartbeat { at: self.now(), offset: beat.offset });
-                Some(beat.quorum == 1)
+        let heartbeat = match &message {
+            Message::FeedHeartbeat(heartbeat) => {
+                self.heartbeats.insert(source, LastHeartbeat { at: self.now(), offset: heartbeat.offset });
+                Some(heartbeat.quorum == 1)
             }
             _ => None,
         };
         let trusted = self.sources.is_trusted(source);
         let known = self.view.configuration().is_some();
-        let Some(message) = self.unconfirmed.pass(self.now(), source, message, trusted || known) else {
+        let Some(message) = self.unconfirmed.filter(self.now(), source, message, trusted || known) else {
             return;
         };
         self.receive(source, message);
-        if let Some(quorum) = beat {
-            let changed = self.sources.heard(source, quorum);
-            self.tell_beat();
+        if let Some(quorum) = heartbeat {
+            let changed = self.sources.report_quorum(source, quorum);
+            self.notify_heartbeat();
             if quorum {
-                self.take_held(source);
+                self.take_withheld(source);
             }
             if changed {
-                self.review();
+                self.review_sources();
             }
         }
     }
 
     /// A source vouches for the configuration that was held back.
-    fn take_held(&mut self, source: SocketAddr) {
+    fn take_withheld(&mut self, source: SocketAddr) {
         if let Some(decided) = self.unconfirmed.take(source) {
-            self.message(source, Message::CommittedConfiguration(decided));
+            self.on_source_message(source, Message::CommittedConfiguration(decided));
         }
     }
 
     /// Goes on with what there is, once no source has vouched for anything for too long.
-    fn give_up_holding(&mut self) {
+    fn release_withheld(&mut self) {
         if let Some((source, decided)) = self.unconfirmed.overdue(self.now()) {
             log::warn!("no controller is in contact with a majority: revision {} is used", decided.revision);
             self.receive(source, Message::CommittedConfiguration(decided));
@@ -170,28 +170,28 @@
     fn receive(&mut self, source: SocketAddr, message: Message) {
         let mut news = Vec::new();
         self.view.receive(self.now(), source, message, &mut news);
-        news.into_iter().for_each(|message| self.pass_down(message));
+        news.into_iter().for_each(|message| self.publish(message));
     }
 
     /// Tells routers what is news here. Of a configuration they hear only that it is there.
-    fn pass_down(&mut self, message: Message) {
+    fn publish(&mut self, message: Message) {
         let message = match message {
             Message::CommittedConfiguration(decided) => self.configurations.publish(decided),
             message => Some(message),
         };
         if let Some(message) = message {
-            self.tell(&message);
+            self.broadcast(&message);
         }
     }
 
     /// When [`Agent::fetch`] is to be called next; `None` while there is nothing to fetch.
     pub(crate) fn next_fetch(&self) -> Option<Duration> {
-        if self.waits_for_contact() { None } else { self.view.next_wake(self.now()) }
+        if self.awaits_trusted_source() { None } else { self.view.next_wake(self.now()) }
     }
 
     /// Fetches a newer configuration, if there is one and it is time.
     pub(crate) fn fetch(&mut self) {
-        if self.waits_for_contact() {
+        if self.awaits_trusted_source() {
             return;
         }
         let Some((source, fetch)) = self.view.fetch(self.now(), self.sources.preferred()) else { return };
@@ -201,62 +201,66 @@
     }
 
     /// Whether another configuration would only be held back.
-    fn waits_for_contact(&self) -> bool {
-        self.view.configuration().is_none() && self.sources.none_trusted() && self.unconfirmed.holds_any()
+    fn awaits_trusted_source(&self) -> bool {
+        self.view.configuration().is_none()
+            && self.sources.has_no_trusted()
+            && self.unconfirmed.withholds_any()
     }
 
     /// Tells how many routers are live, and whether any source is in contact with a majority, when that has
     /// changed.
-    fn tell_beat(&mut self) {
-        let beat = self.beat();
-        if self.beat_told != Some(beat) {
-            self.beat_told = Some(beat);
-            self.tell(&Message::FeedHeartbeat(beat));
+    fn notify_heartbeat(&mut self) {
+        let heartbeat = self.heartbeat();
+        if self.notified_heartbeat != Some(heartbeat) {
+            self.notified_heartbeat = Some(heartbeat);
+            self.broadcast(&Message::FeedHeartbeat(heartbeat));
         }
     }
 
-    fn beat(&self) -> FeedHeartbeat {
-        let quorum = u8::from(!self.sources.none_trusted());
+    fn heartbeat(&self) -> FeedHeartbeat {
+        let quorum = u8::from(!self.sources.has_no_trusted());
         FeedHeartbeat { quorum, source: self.incarnation, offset: 0, routers: self.view.routers() }
     }
 
-    fn tell(&mut self, message: &Message) {
+    fn broadcast(&mut self, message: &Message) {
         let frame = message.frame();
-        self.readers.retain(|_, outbox| outbox.send(frame.clone()));
+        self.subscribers.retain(|_, outbox| outbox.send(frame.clone()));
     }
 
     /// Takes what a router says.
-    pub(crate) fn downstream(&mut self, event: SubscriberEvent) {
+    pub(crate) fn on_subscriber_event(&mut self, event: SubscriberEvent) {
         match event {
-            SubscriberEvent::Up { reader, outbox } => {
+            SubscriberEvent::Up { subscriber, outbox } => {
                 for message in self.view.snapshot() {
                     outbox.message(&message);
                 }
                 if let Some(announcement) = self.configurations.announcement() {
                     outbox.message(&announcement);
                 }
-                outbox.message(&Message::FeedHeartbeat(self.beat()));
-                self.readers.insert(reader, outbox);
+                outbox.message(&Message::FeedHeartbeat(self.heartbeat()));
+                self.subscribers.insert(subscriber, outbox);
             }
-            SubscriberEvent::Message { message: message @ Message::Demand(_), .. } => self.pass_up(&message),
-            SubscriberEvent::Message { reader, message: Message::ConfigurationFetch(base) } => {
-                self.answer(reader, base);
+            SubscriberEvent::Message { message: message @ Message::Demand(_), .. } => {
+                self.forward_demand(&message)
+            }
+            SubscriberEvent::Message { subscriber, message: Message::ConfigurationFetch(base) } => {
+                self.answer(subscriber, base);
             }
             SubscriberEvent::Message { .. } => {}
-            SubscriberEvent::Down { reader } => {
-                self.readers.remove(&reader);
+            SubscriberEvent::Down { subscriber } => {
+                self.subscribers.remove(&subscriber);
             }
         }
     }
 
-    fn answer(&mut self, reader: u64, base: ConfigurationVersion) {
+    fn answer(&mut self, subscriber: u64, base: ConfigurationVersion) {
         let Some(frame) = self.configurations.answer(base) else { return };
-        if let Some(outbox) = self.readers.get(&reader) {
+        if let Some(outbox) = self.subscribers.get(&subscriber) {
             outbox.send(frame);
         }
     }
 
-    fn pass_up(&self, message: &Message) {
+    fn forward_demand(&self, message: &Message) {
         let outbox = self.sources.preferred().and_then(|source| self.outboxes.get(&source));
         if let Some(outbox) = outbox {
             outbox.message(message);
@@ -264,10 +268,10 @@
     }
 
     /// Begins and ends links to controllers as needed.
-    pub(crate) fn review(&mut self) {
+    pub(crate) fn review_sources(&mut self) {
         let now = self.now();
-        self.give_up_holding();
-        if self.sources.none_trusted() && now > self.settings_read + SETTINGS_PERIOD {
+        self.release_withheld();
+        if self.sources.has_no_trusted() && now > self.settings_read + SETTINGS_PERIOD {
             self.read_settings();
         }
         let known: BTreeSet<SocketAddr> = self.known_controllers();
@@ -277,7 +281,7 @@
             self.environment.follow(source, hello);
         }
         for source in plan.stop {
-            self.beats.remove(&source);
+            self.heartbeats.remove(&source);
             self.outboxes.remove(&source);
             self.view.lost(now, source);
             self.unconfirmed.lost(source);
--- a/crates/controller/src/agent/process.rs
+++ b/crates/controller/src/agent/process.rs
@@ -1,6 +1,6 @@
 //! An agent that runs as a process of its own: sockets, signals, the machine's clock.
 
-use super::{Agent, Environment, REVIEW_PERIOD, SOURCE_SILENCE, SubscriberEvent, loopback_address};
+use super::{Agent, Environment, SOURCE_REVIEW_PERIOD, SOURCE_TIMEOUT, SubscriberEvent, loopback_address};
 use crate::incarnation::draw_incarnation;
 use crate::link::{self, MessageReader, Outbox};
 use crate::message::Hello;
@@ -30,7 +30,7 @@
     }
 
     fn follow(&mut self, source: SocketAddr, hello: Hello) {
-        let task = follow(source, hello, Some(SOURCE_SILENCE), self.news.clone());
+        let task = follow(source, hello, Some(SOURCE_TIMEOUT), self.news.clone());
         let handle = tokio::task::spawn_local(task).abort_handle();
         self.links.insert(source, handle);
     }
@@ -51,23 +51,23 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut reload = signal(SignalKind::hangup())?;
     let listener = link::listen(loopback_address(&settings))?;
-    let (downstream, mut from_readers) = mpsc::unbounded_channel();
-    tokio::task::spawn_local(accept(listener, downstream));
+    let (subscriber_events, mut from_subscribers) = mpsc::unbounded_channel();
+    tokio::task::spawn_local(accept(listener, subscriber_events));
     let (news, mut from_sources) = mpsc::unbounded_channel();
     let started = Instant::now();
     let process = Process { started, news, links: BTreeMap::new() };
     let mut agent = Agent::new(settings, draw_incarnation(), Box::new(process));
-    agent.review();
+    agent.review_sources();
     let mut scrapes = Scrapes::at(metrics);
-    let mut review = tokio::time::interval(REVIEW_PERIOD);
+    let mut review = tokio::time::interval(SOURCE_REVIEW_PERIOD);
     review.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         let fetch = agent.next_fetch().map(|at| started + at);
         tokio::select! {
-            Some(news) = from_sources.recv() => agent.heard(news),
-            Some(event) = from_readers.recv() => agent.downstream(event),
+            Some(news) = from_sources.recv() => agent.on_source_event(news),
+            Some(event) = from_subscribers.recv() => agent.on_subscriber_event(event),
             Some(scrape) = scrapes.next() => scrape.answer(agent.metrics()),
-            _ = review.tick() => agent.review(),
+            _ = review.tick() => agent.review_sources(),
             _ = reload.recv() => agent.read_settings(),
             _ = terminate.recv() => return Ok(()),
             () = sleep_until(fetch.unwrap_or(started).into()), if fetch.is_some() => {}
@@ -77,29 +77,29 @@
 }
 
 async fn accept(listener: tokio::net::TcpListener, owner: mpsc::UnboundedSender<SubscriberEvent>) {
-    let mut reader = 0;
+    let mut subscriber = 0;
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(link::REDIAL_PAUSE).await;
+            tokio::time::sleep(link::REDIAL_DELAY).await;
             continue;
         };
-        reader += 1;
-        tokio::task::spawn_local(serve(stream, reader, owner.clone()));
+        subscriber += 1;
+        tokio::task::spawn_local(serve(stream, subscriber, owner.clone()));
     }
 }
 
-async fn serve(stream: TcpStream, reader: u64, owner: mpsc::UnboundedSender<SubscriberEvent>) {
+async fn serve(stream: TcpStream, subscriber: u64, owner: mpsc::UnboundedSender<SubscriberEvent>) {
     if let Err(error) = link::set_options(&stream) {
         log::debug!("options of a reader's link: {error}");
     }
     let (read, write) = stream.into_split();
     let (outbox, frames) = Outbox::new();
     let writer = tokio::task::spawn_local(link::write_frames(write, frames));
-    let _ = owner.send(SubscriberEvent::Up { reader, outbox });
+    let _ = owner.send(SubscriberEvent::Up { subscriber, outbox });
     let mut messages = MessageReader::new(read);
     while let Ok(message) = messages.next().await {
-        let _ = owner.send(SubscriberEvent::Message { reader, message });
+        let _ = owner.send(SubscriberEvent::Message { subscriber, message });
     }
     writer.abort();
-    let _ = owner.send(SubscriberEvent::Down { reader });
+    let _ = owner.send(SubscriberEvent::Down { subscriber });
 }
--- a/crates/controller/src/agent/sources.rs
+++ b/crates/controller/src/agent/sources.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 /// Sources followed at a time: one may fail, lag or be cut off unnoticed, and news still arrive at once.
-const WANTED: usize = 2;
+const WANTED_SOURCES: usize = 2;
 /// Pause before a source whose link failed is dialled again.
-const RETRY_PAUSE: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 /// The same while no source is in touch with a majority, as after a start of everything at once.
-const URGENT_RETRY_PAUSE: Duration = Duration::from_millis(100);
+const URGENT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SourceStatus {
@@ -19,7 +19,7 @@
     /// Up, and in touch with more than half of its group.
     Trusted,
     /// Up, but cut off from its group.
-    CutOff,
+    Partitioned,
 }
 
 /// The sources in use and those that failed lately.
@@ -37,7 +37,7 @@
     /// In touch with a majority.
     pub trusted: usize,
     /// Up, but not in touch with a majority.
-    pub cut_off: usize,
+    pub partitioned: usize,
 }
 
 /// What to change.
@@ -49,10 +49,10 @@
 
 impl Sources {
     /// Notes what a source says of its quorum. True if that is new: the choice has to be looked at again.
-    pub fn heard(&mut self, source: SocketAddr, quorum: bool) -> bool {
+    pub fn report_quorum(&mut self, source: SocketAddr, quorum: bool) -> bool {
         let Some(status) = self.followed.get_mut(&source) else { return false };
-        let told = if quorum { SourceStatus::Trusted } else { SourceStatus::CutOff };
-        std::mem::replace(status, told) != told
+        let reported = if quorum { SourceStatus::Trusted } else { SourceStatus::Partitioned };
+        std::mem::replace(status, reported) != reported
     }
 
     /// Whether a source has said last that it is in touch with a majority and knows what that knows.
@@ -61,10 +61,10 @@
     }
 
     /// Notes that a source's link has ended.
-    pub fn ended(&mut self, now: Duration, source: SocketAddr) {
+    pub fn link_down(&mut self, now: Duration, source: SocketAddr) {
         self.followed.remove(&source);
-        let pause = if self.none_trusted() { URGENT_RETRY_PAUSE } else { RETRY_PAUSE };
-        self.retry_at.insert(source, now + pause);
+        let delay = if self.has_no_trusted() { URGENT_RETRY_DELAY } else { RETRY_DELAY };
+        self.retry_at.insert(source, now + delay);
     }
 
     /// The source to which this agent's own messages go.
@@ -74,7 +74,7 @@
     }
 
     /// Whether nobody who can be trusted is followed.
-    pub fn none_trusted(&self) -> bool {
+    pub fn has_no_trusted(&self) -> bool {
         !self.followed.values().any(|status| *status == SourceStatus::Trusted)
     }
 
@@ -85,7 +85,7 @@
             match status {
                 SourceStatus::Starting => counts.starting += 1,
                 SourceStatus::Trusted => counts.trusted += 1,
-                SourceStatus::CutOff => counts.cut_off += 1,
+                SourceStatus::Partitioned => counts.partitioned += 1,
             }
         }
         counts
@@ -95,10 +95,11 @@
     pub fn plan(&mut self, now: Duration, name: &str, known: &BTreeSet<SocketAddr>) -> Plan {
         self.retry_at.retain(|_, at| *at > now);
         let mut plan = Plan::default();
-        let mut useful = self.followed.values().filter(|status| **status != SourceStatus::CutOff).count();
+        let mut useful =
+            self.followed.values().filter(|status| **status != SourceStatus::Partitioned).count();
         let all: Vec<SocketAddr> = known.iter().copied().collect();
         for source in rendezvous_order(name.as_bytes(), &all) {
-            if useful >= WANTED {
+            if useful >= WANTED_SOURCES {
                 break;
             }
             if self.followed.contains_key(&source) || self.retry_at.contains_key(&source) {
@@ -109,9 +110,10 @@
             useful += 1;
         }
         let trusted = self.followed.values().filter(|status| **status == SourceStatus::Trusted).count();
-        if trusted >= WANTED {
-            let cut_off = self.followed.iter().filter(|(_, status)| **status == SourceStatus::CutOff);
-            plan.stop = cut_off.map(|(source, _)| *source).collect();
+        if trusted >= WANTED_SOURCES {
+            let partitioned =
+                self.followed.iter().filter(|(_, status)| **status == SourceStatus::Partitioned);
+            plan.stop = partitioned.map(|(source, _)| *source).collect();
             self.followed.retain(|source, _| !plan.stop.contains(source));
         }
         plan
--- a/crates/controller/src/agent/unconfirmed.rs
+++ b/crates/controller/src/agent/unconfirmed.rs
@@ -13,19 +13,19 @@
 /// How long a configuration is held back at most. Beyond a cut of this length a majority is taken to be lost
 /// for long, and an old configuration serves most requests where none serves nothing. No change can be
 /// acknowledged meanwhile by the controllers that this agent reaches.
-pub const HOLD_LIMIT: Duration = Duration::from_secs(25);
+pub const WITHHOLD_LIMIT: Duration = Duration::from_secs(25);
 
 /// What is held back, by source.
 #[derive(Debug, Default)]
 pub struct Unconfirmed {
-    held: BTreeMap<SocketAddr, CommittedConfiguration>,
+    withheld: BTreeMap<SocketAddr, CommittedConfiguration>,
     /// When the first one was held back, while nothing has been taken since.
     since: Option<Duration>,
 }
 
 impl Unconfirmed {
     /// Passes a message on, unless it is a configuration that may not be taken yet: that is held back.
-    pub fn pass(
+    pub fn filter(
         &mut self,
         now: Duration,
         source: SocketAddr,
@@ -35,12 +35,12 @@
         match message {
             Message::CommittedConfiguration(decided) if !may_take => {
                 self.since.get_or_insert(now);
-                self.held.insert(source, decided);
+                self.withheld.insert(source, decided);
                 None
             }
             Message::CommittedConfiguration(_) => {
                 self.since = None;
-                self.held.clear();
+                self.withheld.clear();
                 Some(message)
             }
             other => Some(other),
@@ -49,29 +49,29 @@
 
     /// What was held back of a source, which vouches for it now.
     pub fn take(&mut self, source: SocketAddr) -> Option<CommittedConfiguration> {
-        self.held.remove(&source)
+        self.withheld.remove(&source)
     }
 
     /// Whether a configuration is held back.
-    pub fn holds_any(&self) -> bool {
-        !self.held.is_empty()
+    pub fn withholds_any(&self) -> bool {
+        !self.withheld.is_empty()
     }
 
     /// A source is not followed any more. Its last word is kept for [`Unconfirmed::overdue`] only if nobody
     /// else has told anything.
     pub fn lost(&mut self, source: SocketAddr) {
-        if self.held.len() > 1 {
-            self.held.remove(&source);
+        if self.withheld.len() > 1 {
+            self.withheld.remove(&source);
         }
     }
 
     /// The newest configuration held back, if that has lasted too long.
     pub fn overdue(&mut self, now: Duration) -> Option<(SocketAddr, CommittedConfiguration)> {
-        if self.since.is_none_or(|since| now < since + HOLD_LIMIT) {
+        if self.since.is_none_or(|since| now < since + WITHHOLD_LIMIT) {
             return None;
         }
         self.since = None;
-        let held = std::mem::take(&mut self.held);
-        held.into_iter().max_by_key(|(_, decided)| decided.revision)
+        let withheld = std::mem::take(&mut self.withheld);
+        withheld.into_iter().max_by_key(|(_, decided)| decided.revision)
     }
 }
--- a/crates/controller/src/configuration_feed/delta.rs
+++ b/crates/controller/src/configuration_feed/delta.rs
@@ -22,31 +22,31 @@
 
 /// The parts that make `newer` of `older`.
 pub fn between(older: &[u8], newer: &[u8]) -> Vec<DeltaPart> {
-    let (old, new) = (pieces(older), pieces(newer));
-    let mut places = None;
+    let (old, new) = (chunks(older), chunks(newer));
+    let mut positions = None;
     let mut parts = Parts::default();
     let mut expected = 0;
-    for (index, piece) in new.iter().enumerate() {
-        let same = |place: usize, index: usize| {
-            let (old, new) = (old.get(place), new.get(index));
+    for (index, chunk) in new.iter().enumerate() {
+        let same = |position: usize, index: usize| {
+            let (old, new) = (old.get(position), new.get(index));
             old.zip(new).is_some_and(|(old, new)| older[old.clone()] == newer[new.clone()])
         };
-        let place = if same(expected, index) {
+        let position = if same(expected, index) {
             Some(expected)
         } else if same(expected + 1, index + 1) {
             // One piece stands in the place of another; nothing has moved.
             None
         } else {
-            let places = places.get_or_insert_with(|| places_of(older, &old));
-            places.get(&newer[piece.clone()]).copied()
+            let positions = positions.get_or_insert_with(|| positions_of(older, &old));
+            positions.get(&newer[chunk.clone()]).copied()
         };
-        match place {
-            Some(place) => {
-                parts.keep(old[place].clone());
-                expected = place + 1;
+        match position {
+            Some(position) => {
+                parts.copy(old[position].clone());
+                expected = position + 1;
             }
             None => {
-                parts.insert(&newer[piece.clone()]);
+                parts.insert(&newer[chunk.clone()]);
                 expected += 1;
             }
         }
@@ -55,12 +55,12 @@
 }
 
 /// Where each piece stands first.
-fn places_of<'a>(document: &'a [u8], pieces: &[Range<usize>]) -> HashMap<&'a [u8], usize> {
-    let mut places = HashMap::with_capacity(pieces.len());
-    for (place, piece) in pieces.iter().enumerate() {
-        places.entry(&document[piece.clone()]).or_insert(place);
+fn positions_of<'a>(document: &'a [u8], chunks: &[Range<usize>]) -> HashMap<&'a [u8], usize> {
+    let mut positions = HashMap::with_capacity(chunks.len());
+    for (position, chunk) in chunks.iter().enumerate() {
+        positions.entry(&document[chunk.clone()]).or_insert(position);
     }
-    places
+    positions
 }
 
 /// The document that `parts` make of `older`, if it has the digest `expected`.
@@ -82,44 +82,44 @@
     if digest(&newer) == expected { Ok(newer) } else { Err(DeltaError::OtherDigest) }
 }
 
-fn pieces(document: &[u8]) -> Vec<Range<usize>> {
-    let mut pieces = Vec::new();
+fn chunks(document: &[u8]) -> Vec<Range<usize>> {
+    let mut chunks = Vec::new();
     let mut start = 0;
-    for piece in document.split_inclusive(|byte| matches!(byte, b',' | b'}' | b']')) {
-        pieces.push(start..start + piece.len());
-        start += piece.len();
+    for chunk in document.split_inclusive(|byte| matches!(byte, b',' | b'}' | b']')) {
+        chunks.push(start..start + chunk.len());
+        start += chunk.len();
     }
-    pieces
+    chunks
 }
 
 /// Parts as they are found; neighbours are joined.
 #[derive(Default)]
 struct Parts {
     parts: Vec<DeltaPart>,
-    kept: Range<usize>,
+    copied: Range<usize>,
     inserted: Vec<u8>,
 }
 
 impl Parts {
-    fn keep(&mut self, range: Range<usize>) {
+    fn copy(&mut self, range: Range<usize>) {
         self.end_inserted();
-        if self.kept.end == range.start && !self.kept.is_empty() {
-            self.kept.end = range.end;
+        if self.copied.end == range.start && !self.copied.is_empty() {
+            self.copied.end = range.end;
             return;
         }
-        self.end_kept();
-        self.kept = range;
+        self.end_copied();
+        self.copied = range;
     }
 
     fn insert(&mut self, text: &[u8]) {
-        self.end_kept();
+        self.end_copied();
         self.inserted.extend_from_slice(text);
     }
 
-    fn end_kept(&mut self) {
-        let kept = std::mem::take(&mut self.kept);
-        if !kept.is_empty() {
-            let (offset, length) = (kept.start as u32, kept.len() as u32);
+    fn end_copied(&mut self) {
+        let copied = std::mem::take(&mut self.copied);
+        if !copied.is_empty() {
+            let (offset, length) = (copied.start as u32, copied.len() as u32);
             self.parts.push(DeltaPart::Copied { offset, length });
         }
     }
@@ -131,7 +131,7 @@
     }
 
     fn finish(mut self) -> Vec<DeltaPart> {
-        self.end_kept();
+        self.end_copied();
         self.end_inserted();
         self.parts
     }
--- a/crates/controller/src/configuration_feed/fetcher.rs
+++ b/crates/controller/src/configuration_feed/fetcher.rs
@@ -43,25 +43,25 @@
 
 /// A fetch that has no answer yet.
 #[derive(Debug, Clone, Copy)]
-struct InFlightRequest {
+struct InFlightFetch {
     at: Duration,
-    patience: Duration,
+    timeout: Duration,
 }
 
 /// The newest configuration that a reader has, and what its sources say of newer ones.
 #[derive(Debug)]
 pub struct ConfigurationFetcher {
     pace: Pace,
-    held: Option<CommittedConfiguration>,
+    current: Option<CommittedConfiguration>,
     version: Option<ConfigurationVersion>,
     /// Newest version that anyone is known to have.
     known: Option<ConfigurationVersion>,
     /// What each source announced last.
     announced: BTreeMap<SocketAddr, ConfigurationVersion>,
-    in_flight: BTreeMap<SocketAddr, InFlightRequest>,
+    in_flight: BTreeMap<SocketAddr, InFlightFetch>,
     next_fetch: Duration,
     /// Whether a difference did not fit: the next answer is to be whole.
-    wants_whole: bool,
+    wants_complete: bool,
 }
 
 impl ConfigurationFetcher {
@@ -69,24 +69,24 @@
     pub fn new(pace: Pace) -> Self {
         ConfigurationFetcher {
             pace,
-            held: None,
+            current: None,
             version: None,
             known: None,
             announced: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             next_fetch: Duration::ZERO,
-            wants_whole: false,
+            wants_complete: false,
         }
     }
 
     /// The newest configuration.
-    pub fn held(&self) -> Option<&CommittedConfiguration> {
-        self.held.as_ref()
+    pub fn current(&self) -> Option<&CommittedConfiguration> {
+        self.current.as_ref()
     }
 
     /// Whether a newer configuration is known to exist than the one held.
     pub fn is_behind(&self) -> bool {
-        self.known.is_some_and(|known| known.is_news_to(self.version))
+        self.known.is_some_and(|known| known.is_newer_than(self.version))
     }
 
     /// `source` has this version. True if nobody was known to have one as new.
@@ -97,20 +97,20 @@
 
     /// Someone has this version. True if that is news.
     pub fn known(&mut self, version: ConfigurationVersion) -> bool {
-        if let Some(held) = self.version.as_mut().filter(|held| held.digest == version.digest) {
-            held.revision = held.revision.max(version.revision);
+        if let Some(current) = self.version.as_mut().filter(|current| current.digest == version.digest) {
+            current.revision = current.revision.max(version.revision);
         }
-        let news = self.known.is_none_or(|known| version.revision > known.revision);
-        if news {
+        let newer = self.known.is_none_or(|known| version.revision > known.revision);
+        if newer {
             self.known = Some(version);
         }
-        news
+        newer
     }
 
     /// `source` sent a whole configuration. True if it is newer than the one held.
     pub fn decided(&mut self, now: Duration, source: SocketAddr, decided: &CommittedConfiguration) -> bool {
         self.answered(now, source, decided.document.bytes.len());
-        self.wants_whole = false;
+        self.wants_complete = false;
         self.take(decided)
     }
 
@@ -122,13 +122,14 @@
         delta: &ConfigurationDelta,
     ) -> Option<CommittedConfiguration> {
         self.answered(now, source, delta.parts.size());
-        if !delta.version.is_news_to(self.version) {
+        if !delta.version.is_newer_than(self.version) {
             return None;
         }
-        let base = self.held.as_ref().zip(self.version);
+        let base = self.current.as_ref().zip(self.version);
         let base = base.filter(|(_, version)| version.digest == delta.base);
-        let applied = base
-            .map(|(held, _)| delta::apply(&held.document.bytes, &delta.parts.parts, delta.version.digest));
+        let applied = base.map(|(current, _)| {
+            delta::apply(&current.document.bytes, &delta.parts.parts, delta.version.digest)
+        });
         match applied {
             Some(Ok(document)) => {
                 let decided =
@@ -139,20 +140,20 @@
             None => None,
             Some(Err(error)) => {
                 log::warn!("configuration of revision {}: {error}", delta.version.revision);
-                self.wants_whole = true;
+                self.wants_complete = true;
                 None
             }
         }
     }
 
     fn take(&mut self, decided: &CommittedConfiguration) -> bool {
-        if self.version.is_some_and(|held| held.revision >= decided.revision) {
+        if self.version.is_some_and(|current| current.revision >= decided.revision) {
             return false;
         }
         let version = ConfigurationVersion::of(decided.revision, &decided.document.bytes);
         self.known(version);
         self.version = Some(version);
-        self.held = Some(decided.clone());
+        self.current = Some(decided.clone());
         true
     }
 
@@ -178,9 +179,9 @@
         let have_newest = candidates.iter().filter(|(_, version)| version.revision == newest);
         let sources: Vec<SocketAddr> = have_newest.map(|(source, _)| *source).collect();
         let source = preferred.filter(|preferred| sources.contains(preferred)).unwrap_or(sources[0]);
-        let base = self.version.filter(|_| !self.wants_whole);
-        let patience = if base.is_some() { DELTA_TIMEOUT } else { DOCUMENT_TIMEOUT };
-        self.in_flight.insert(source, InFlightRequest { at: now, patience });
+        let base = self.version.filter(|_| !self.wants_complete);
+        let timeout = if base.is_some() { DELTA_TIMEOUT } else { DOCUMENT_TIMEOUT };
+        self.in_flight.insert(source, InFlightFetch { at: now, timeout });
         self.next_fetch = now + self.pace.shortest;
         Some((source, Message::ConfigurationFetch(base.unwrap_or(ConfigurationVersion::NONE))))
     }
@@ -194,7 +195,7 @@
         });
         let free = free.min().unwrap_or(now);
         let waited =
-            self.in_flight.values().map(|in_flight| in_flight.at + in_flight.patience).max().unwrap_or(now);
+            self.in_flight.values().map(|in_flight| in_flight.at + in_flight.timeout).max().unwrap_or(now);
         Some(free.max(waited).max(self.next_fetch).max(now))
     }
 
@@ -207,6 +208,6 @@
     /// Sources that have a newer configuration than the one held.
     fn newer(&self) -> impl Iterator<Item = (SocketAddr, ConfigurationVersion)> {
         let announced = self.announced.iter().map(|(source, version)| (*source, *version));
-        announced.filter(|(_, version)| version.is_news_to(self.version))
+        announced.filter(|(_, version)| version.is_newer_than(self.version))
     }
 }
--- a/crates/controller/src/configuration_feed/mod.rs
+++ b/crates/controller/src/configuration_feed/mod.rs
@@ -38,8 +38,8 @@
         ConfigurationVersion { revision, digest: digest(document) }
     }
 
-    /// Whether this is news for a reader that has `held`. The same bytes decided again are not.
-    pub fn is_news_to(&self, held: Option<ConfigurationVersion>) -> bool {
-        held.is_none_or(|held| self.revision > held.revision && self.digest != held.digest)
+    /// Whether this is news for a reader that has `current`. The same bytes decided again are not.
+    pub fn is_newer_than(&self, current: Option<ConfigurationVersion>) -> bool {
+        current.is_none_or(|current| self.revision > current.revision && self.digest != current.digest)
     }
 }
--- a/crates/controller/src/configuration_feed/publisher.rs
+++ b/crates/controller/src/configuration_feed/publisher.rs
@@ -59,10 +59,10 @@
         if let Some(frame) = self.answers.get(&base.digest) {
             return Some(frame.clone());
         }
-        let whole = whole(newest);
+        let complete_frame = complete_frame(newest);
         let retained = self.versions.iter().find(|retained| retained.version.digest == base.digest);
         let delta = retained.map(|retained| delta(retained, newest));
-        let frame = delta.filter(|frame| frame.len() < whole.len()).unwrap_or(whole);
+        let frame = delta.filter(|frame| frame.len() < complete_frame.len()).unwrap_or(complete_frame);
         self.answers.insert(base.digest, frame.clone());
         Some(frame)
     }
@@ -77,7 +77,7 @@
     }
 }
 
-fn whole(retained: &RetainedConfiguration) -> Bytes {
+fn complete_frame(retained: &RetainedConfiguration) -> Bytes {
     let document = retained.document.clone().into();
     Message::CommittedConfiguration(CommittedConfiguration { revision: retained.version.revision, document })
         .frame()
--- a/crates/controller/src/controller/consensus/fault_tolerance.rs
+++ b/crates/controller/src/controller/consensus/fault_tolerance.rs
@@ -18,7 +18,10 @@
 
 /// Losses that every one of `groups` (two while members change) can still bear and keep a majority; `None` if
 /// one of them has none now, or no group is known.
-pub fn margin(groups: &[Vec<SocketAddr>], state: impl Fn(SocketAddr) -> MemberState) -> Option<usize> {
+pub fn tolerable_failures(
+    groups: &[Vec<SocketAddr>],
+    state: impl Fn(SocketAddr) -> MemberState,
+) -> Option<usize> {
     let spare_votes = |group: &Vec<SocketAddr>| {
         let voting = group.iter().filter(|member| state(**member) == MemberState::Voting).count();
         voting.checked_sub(group.len() / 2 + 1)
@@ -44,8 +47,8 @@
 
 impl ToleranceMonitor {
     /// Takes the margin of a shard. Tells it only when it has come to its end, or is back.
-    pub fn note(&mut self, shard: u8, margin: Option<usize>) -> Option<ToleranceChange> {
-        let exhausted = margin.is_none_or(|margin| margin == 0);
+    pub fn observe(&mut self, shard: u8, tolerable_failures: Option<usize>) -> Option<ToleranceChange> {
+        let exhausted = tolerable_failures.is_none_or(|tolerable_failures| tolerable_failures == 0);
         let before = self.exhausted.insert(shard, exhausted).unwrap_or(false);
         match (before, exhausted) {
             (false, true) => Some(ToleranceChange::Exhausted),
--- a/crates/controller/src/controller/consensus/fault_tolerance_test.rs
+++ b/crates/controller/src/controller/consensus/fault_tolerance_test.rs
@@ -1,6 +1,8 @@
 //! How many losses a group can bear, and when the operators are told.
 
-use crate::controller::consensus::fault_tolerance::{MemberState, ToleranceChange, ToleranceMonitor, margin};
+use crate::controller::consensus::fault_tolerance::{
+    MemberState, ToleranceChange, ToleranceMonitor, tolerable_failures,
+};
 use std::net::SocketAddr;
 
 fn node(number: u8) -> SocketAddr {
@@ -14,7 +16,10 @@
 /// The margin of `groups` if `lost` are in the state `state` and all others vote.
 fn with(groups: &[&[u8]], lost: &[u8], state: MemberState) -> Option<usize> {
     let groups: Vec<Vec<SocketAddr>> = groups.iter().map(|numbers| group(numbers)).collect();
-    margin(&groups, |member| if group(lost).contains(&member) { state } else { MemberState::Voting })
+    tolerable_failures(
+        &groups,
+        |member| if group(lost).contains(&member) { state } else { MemberState::Voting },
+    )
 }
 
 #[test]
@@ -42,11 +47,11 @@
 #[test]
 fn the_end_of_a_margin_is_told_once_and_so_is_its_return() {
     let mut margins = ToleranceMonitor::default();
-    assert_eq!(margins.note(0, Some(1)), None);
-    assert_eq!(margins.note(0, Some(0)), Some(ToleranceChange::Exhausted));
-    assert_eq!(margins.note(0, Some(0)), None);
-    assert_eq!(margins.note(0, None), None);
-    assert_eq!(margins.note(1, None), Some(ToleranceChange::Exhausted), "each shard by itself");
-    assert_eq!(margins.note(0, Some(1)), Some(ToleranceChange::Restored));
-    assert_eq!(margins.note(0, Some(2)), None);
+    assert_eq!(margins.observe(0, Some(1)), None);
+    assert_eq!(margins.observe(0, Some(0)), Some(ToleranceChange::Exhausted));
+    assert_eq!(margins.observe(0, Some(0)), None);
+    assert_eq!(margins.observe(0, None), None);
+    assert_eq!(margins.observe(1, None), Some(ToleranceChange::Exhausted), "each shard by itself");
+    assert_eq!(margins.observe(0, Some(1)), Some(ToleranceChange::Restored));
+    assert_eq!(margins.observe(0, Some(2)), None);
 }
--- a/crates/controller/src/controller/consensus/freshness.rs
+++ b/crates/controller/src/controller/consensus/freshness.rs
@@ -30,11 +30,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ContactChange {
     /// Contact with the group of some shard has begun.
-    pub begun: bool,
+    pub contact_begun: bool,
     /// The register of the configuration is to be read.
     pub read: bool,
     /// Readers of the feed have been told something else.
-    pub tell: bool,
+    pub notify: bool,
 }
 
 /// Contact with the groups as it was last looked at, and whether the configuration known here is current.
@@ -43,30 +43,30 @@
     in_contact: BTreeSet<u8>,
     knowledge: Knowledge,
     /// What readers of the feed were told last.
-    told: bool,
+    advertised: bool,
 }
 
 impl Freshness {
     /// Compares contact with what it was; `reached` are the shards whose groups are in contact now.
-    pub fn watch(&mut self, reached: BTreeSet<u8>) -> ContactChange {
-        let begun = !reached.is_subset(&self.in_contact);
+    pub fn observe_contact(&mut self, reached: BTreeSet<u8>) -> ContactChange {
+        let contact_begun = !reached.is_subset(&self.in_contact);
         self.in_contact = reached;
         if !self.in_contact.contains(&shards::CONFIGURATION) {
             self.knowledge = Knowledge::Unknown;
         }
         let reached = self.in_contact.contains(&shards::CONFIGURATION);
-        let tell = self.told != self.is_current();
-        self.told = self.is_current();
-        ContactChange { begun, read: reached && self.knowledge == Knowledge::Unknown, tell }
+        let notify = self.advertised != self.is_current();
+        self.advertised = self.is_current();
+        ContactChange { contact_begun, read: reached && self.knowledge == Knowledge::Unknown, notify }
     }
 
     /// The register is being read under `request`.
-    pub fn reading(&mut self, request: u64) {
+    pub fn read_started(&mut self, request: u64) {
         self.knowledge = Knowledge::Reading(request);
     }
 
     /// The read `request` has ended, with the value or without. One that contact did not outlast is void.
-    pub fn read(&mut self, request: u64, known: bool) {
+    pub fn read_ended(&mut self, request: u64, known: bool) {
         if self.knowledge == Knowledge::Reading(request) {
             self.knowledge = if known { Knowledge::Current } else { Knowledge::Unknown };
         }
@@ -93,33 +93,33 @@
 
     /// Whether a majority of the shard's group has answered a moment ago. The clock is read anew.
     pub(crate) fn has_contact(&self, shard: u8) -> bool {
-        self.contact.reaches(self.now(), &self.groups(shard))
+        self.quorum_contact.reaches(self.now(), &self.groups(shard))
     }
 
     /// Whether this controller vouches for the configuration that it knows.
     pub(crate) fn is_current(&self) -> bool {
-        self.trust.is_current() && self.has_contact(shards::CONFIGURATION)
+        self.freshness.is_current() && self.has_contact(shards::CONFIGURATION)
     }
 
     /// When contact ends, if nobody answers any more.
-    pub(crate) fn contact_wake(&self) -> Option<Duration> {
-        let watched = self.trust.is_in_contact();
-        watched.then(|| self.contact.holds_until(&self.groups(shards::CONFIGURATION))).flatten()
+    pub(crate) fn contact_expiry(&self) -> Option<Duration> {
+        let watched = self.freshness.is_in_contact();
+        watched.then(|| self.quorum_contact.valid_until(&self.groups(shards::CONFIGURATION))).flatten()
     }
 
     /// Notices the beginning and the end of contact.
-    pub(crate) fn watch_contact(&mut self) {
+    pub(crate) fn update_contact(&mut self) {
         let reached: BTreeSet<u8> = shards::all().filter(|shard| self.has_contact(*shard)).collect();
-        let watched = self.trust.watch(reached);
-        if watched.begun {
+        let watched = self.freshness.observe_contact(reached);
+        if watched.contact_begun {
             // Heartbeats that others took meanwhile are still on their way here.
-            self.endpoints.excuse(self.now());
+            self.endpoints.excuse_silence(self.now());
         }
         if watched.read {
             self.read_barrier();
         }
-        if watched.tell {
-            self.beat();
+        if watched.notify {
+            self.send_feed_heartbeat();
         }
     }
 
@@ -127,15 +127,15 @@
         let now = self.now();
         let request = self.request_number();
         self.in_flight.insert(request, InFlightRequest::Barrier);
-        self.trust.reading(request);
+        self.freshness.read_started(request);
         let deadline = now + ANSWER_TIMEOUT;
         let outputs = self.shards.handle(now, shards::CONFIGURATION, Input::Read { request, deadline });
-        self.follow(shards::CONFIGURATION, outputs);
+        self.execute_outputs(shards::CONFIGURATION, outputs);
     }
 
     /// The read that [`Freshness`] waits for has ended; what it found has been learned already.
-    pub(crate) fn barrier_read(&mut self, request: u64, outcome: &Outcome) {
-        self.trust.read(request, matches!(outcome, Outcome::Value { .. }));
-        self.watch_contact();
+    pub(crate) fn on_barrier_read(&mut self, request: u64, outcome: &Outcome) {
+        self.freshness.read_ended(request, matches!(outcome, Outcome::Value { .. }));
+        self.update_contact();
     }
 }
--- a/crates/controller/src/controller/consensus/quorum_contact.rs
+++ b/crates/controller/src/controller/consensus/quorum_contact.rs
@@ -81,7 +81,7 @@
     }
 
     /// Notes a heartbeat of this process; `now` was read before it leaves.
-    pub fn sent(&mut self, now: Duration, heartbeat: &Heartbeat) {
+    pub fn heartbeat_sent(&mut self, now: Duration, heartbeat: &Heartbeat) {
         self.last_call = now;
         if self.sent.back().is_some_and(|last| last.heartbeat.sequence >= heartbeat.sequence) {
             return;
@@ -98,7 +98,7 @@
     }
 
     /// A heartbeat of `peer` has come. It says nothing of contact, as the peer may not hear this process.
-    pub fn heard(&mut self, now: Duration, peer: SocketAddr) {
+    pub fn heartbeat_received(&mut self, now: Duration, peer: SocketAddr) {
         self.last_call = now;
         if self.has(ContactFault::CountReceivedHeartbeats) {
             self.answered.insert(peer, now);
@@ -106,7 +106,7 @@
     }
 
     /// `peer` has sent back `heartbeat`, one of this process. One that is not remembered is too old to count.
-    pub fn echoed(&mut self, now: Duration, peer: SocketAddr, heartbeat: &Heartbeat) {
+    pub fn echo_received(&mut self, now: Duration, peer: SocketAddr, heartbeat: &Heartbeat) {
         self.last_call = now;
         let own = heartbeat.sender.address() == self.this && heartbeat.sender.incarnation == self.incarnation;
         if !own && !self.has(ContactFault::AnyIncarnation) {
@@ -124,29 +124,30 @@
     /// [`CONTACT_VALIDITY`]. `now` has to be read for this question: the process may have stood still.
     pub fn reaches(&self, now: Duration, groups: &[Vec<SocketAddr>]) -> bool {
         let now = if self.has(ContactFault::StaleClock) { self.last_call } else { now };
-        self.holds_until(groups).is_some_and(|end| now < end)
+        self.valid_until(groups).is_some_and(|end| now < end)
     }
 
     /// Whether `peer` has answered within [`CONTACT_VALIDITY`]; this process always answers itself.
     pub fn is_answered_by(&self, now: Duration, peer: SocketAddr) -> bool {
-        self.counts_until(peer).is_some_and(|end| now < end)
+        self.answer_valid_until(peer).is_some_and(|end| now < end)
     }
 
     /// When contact with `groups` ends if nobody answers any more; `None` if there was none.
-    pub fn holds_until(&self, groups: &[Vec<SocketAddr>]) -> Option<Duration> {
+    pub fn valid_until(&self, groups: &[Vec<SocketAddr>]) -> Option<Duration> {
         let counted = if self.has(ContactFault::NewGroupOnly) {
             &groups[groups.len().saturating_sub(1)..]
         } else {
             groups
         };
-        let ends: Option<Vec<Duration>> = counted.iter().map(|group| self.group_holds_until(group)).collect();
+        let ends: Option<Vec<Duration>> = counted.iter().map(|group| self.group_valid_until(group)).collect();
         ends?.into_iter().min()
     }
 
     /// The time up to which a majority of one group counts: that of its weakest necessary member.
-    fn group_holds_until(&self, group: &[SocketAddr]) -> Option<Duration> {
+    fn group_valid_until(&self, group: &[SocketAddr]) -> Option<Duration> {
         let majority = group.len() / 2 + 1 - usize::from(self.has(ContactFault::SmallMajority));
-        let mut ends: Vec<Duration> = group.iter().filter_map(|member| self.counts_until(*member)).collect();
+        let mut ends: Vec<Duration> =
+            group.iter().filter_map(|member| self.answer_valid_until(*member)).collect();
         if group.is_empty() || ends.len() < majority.max(1) {
             return None;
         }
@@ -154,7 +155,7 @@
         Some(ends[ends.len() - majority.max(1)])
     }
 
-    fn counts_until(&self, member: SocketAddr) -> Option<Duration> {
+    fn answer_valid_until(&self, member: SocketAddr) -> Option<Duration> {
         if member == self.this {
             return Some(Duration::MAX);
         }
--- a/crates/controller/src/controller/consensus/quorum_contact_test.rs
+++ b/crates/controller/src/controller/consensus/quorum_contact_test.rs
@@ -153,7 +153,7 @@
         node.next_heartbeat = self.now + HEARTBEAT;
         node.sequence += 1;
         let heartbeat = heartbeat(index, 1, node.sequence);
-        node.contact.sent(self.now, &heartbeat);
+        node.contact.heartbeat_sent(self.now, &heartbeat);
         for to in (0..self.nodes.len()).filter(|to| *to != index) {
             self.send(index, to, Word::Heartbeat(heartbeat));
         }
@@ -178,10 +178,10 @@
             let contact = &mut self.nodes[parcel.to].contact;
             match parcel.word {
                 Word::Heartbeat(heartbeat) => {
-                    contact.heard(now, address(parcel.from));
+                    contact.heartbeat_received(now, address(parcel.from));
                     self.send(parcel.to, parcel.from, Word::Echo(heartbeat));
                 }
-                Word::Echo(heartbeat) => contact.echoed(now, address(parcel.from), &heartbeat),
+                Word::Echo(heartbeat) => contact.echo_received(now, address(parcel.from), &heartbeat),
             }
         }
     }
@@ -278,7 +278,7 @@
         std::mem::take(&mut world.parcels).into_iter().filter(|parcel| parcel.to == 0).collect();
     for parcel in buffered {
         if let Word::Echo(heartbeat) = parcel.word {
-            world.nodes[0].contact.echoed(world.now, address(parcel.from), &heartbeat);
+            world.nodes[0].contact.echo_received(world.now, address(parcel.from), &heartbeat);
         }
     }
     if world.has_contact(0) {
@@ -331,9 +331,9 @@
 /// A late echo of the life before, with a sequence that this life has used too.
 fn echo_of_an_earlier_life(fault: Option<ContactFault>) -> Result<(), String> {
     let mut contact = QuorumContact::with_fault(address(0), 2, fault);
-    contact.sent(ms(100), &heartbeat(0, 2, 1));
-    contact.echoed(ms(110), address(1), &heartbeat(0, 1, 1));
-    contact.echoed(ms(110), address(1), &heartbeat(2, 2, 1));
+    contact.heartbeat_sent(ms(100), &heartbeat(0, 2, 1));
+    contact.echo_received(ms(110), address(1), &heartbeat(0, 1, 1));
+    contact.echo_received(ms(110), address(1), &heartbeat(2, 2, 1));
     if contact.reaches(ms(120), &[group(&[0, 1, 2])]) {
         return Err("an echo of another life counts".to_owned());
     }
@@ -415,10 +415,10 @@
 fn one_that_is_no_member_needs_a_majority_of_others() {
     let groups = [group(&[1, 2, 3])];
     let mut contact = QuorumContact::new(address(0), 1);
-    contact.sent(ms(0), &heartbeat(0, 1, 1));
-    contact.echoed(ms(10), address(1), &heartbeat(0, 1, 1));
+    contact.heartbeat_sent(ms(0), &heartbeat(0, 1, 1));
+    contact.echo_received(ms(10), address(1), &heartbeat(0, 1, 1));
     assert!(!contact.reaches(ms(10), &groups));
-    contact.echoed(ms(10), address(2), &heartbeat(0, 1, 1));
+    contact.echo_received(ms(10), address(2), &heartbeat(0, 1, 1));
     assert!(contact.reaches(ms(10), &groups));
 }
 
@@ -426,12 +426,12 @@
 fn contact_ends_a_validity_after_the_question_that_the_majority_answered_last() {
     let groups = [group(&[0, 1, 2])];
     let mut contact = QuorumContact::new(address(0), 1);
-    contact.sent(ms(500), &heartbeat(0, 1, 1));
-    contact.sent(ms(700), &heartbeat(0, 1, 2));
-    contact.echoed(ms(720), address(1), &heartbeat(0, 1, 2));
-    contact.echoed(ms(900), address(1), &heartbeat(0, 1, 1));
+    contact.heartbeat_sent(ms(500), &heartbeat(0, 1, 1));
+    contact.heartbeat_sent(ms(700), &heartbeat(0, 1, 2));
+    contact.echo_received(ms(720), address(1), &heartbeat(0, 1, 2));
+    contact.echo_received(ms(900), address(1), &heartbeat(0, 1, 1));
     let end = ms(700) + CONTACT_VALIDITY;
-    assert_eq!(contact.holds_until(&groups), Some(end), "a late echo takes nothing back");
+    assert_eq!(contact.valid_until(&groups), Some(end), "a late echo takes nothing back");
     assert!(contact.reaches(end - ms(1), &groups));
     assert!(!contact.reaches(end, &groups));
 }
@@ -439,7 +439,7 @@
 #[test]
 fn an_echo_of_a_heartbeat_that_is_not_remembered_counts_for_nothing() {
     let mut contact = QuorumContact::new(address(0), 1);
-    contact.echoed(ms(0), address(1), &heartbeat(0, 1, 9));
+    contact.echo_received(ms(0), address(1), &heartbeat(0, 1, 9));
     assert!(!contact.reaches(ms(0), &[group(&[0, 1, 2])]));
 }
 
@@ -447,11 +447,11 @@
 fn the_answer_to_a_repeated_heartbeat_counts_from_when_the_heartbeat_left_first() {
     let mut contact = QuorumContact::new(address(0), 1);
     assert_eq!(contact.newest(), None);
-    contact.sent(ms(100), &heartbeat(0, 1, 1));
-    contact.sent(ms(300), &heartbeat(0, 1, 2));
+    contact.heartbeat_sent(ms(100), &heartbeat(0, 1, 1));
+    contact.heartbeat_sent(ms(300), &heartbeat(0, 1, 2));
     let repeated = *contact.newest().expect("one has left");
     assert_eq!(repeated, heartbeat(0, 1, 2));
-    contact.echoed(ms(450), address(1), &repeated);
+    contact.echo_received(ms(450), address(1), &repeated);
     let groups = [group(&[0, 1, 2])];
     assert!(contact.reaches(ms(300) + CONTACT_VALIDITY - ms(1), &groups));
     assert!(!contact.reaches(ms(300) + CONTACT_VALIDITY, &groups), "not from 450 ms");
--- a/crates/controller/src/controller/consensus/registers.rs
+++ b/crates/controller/src/controller/consensus/registers.rs
@@ -17,7 +17,7 @@
 
 impl Controller {
     /// Does what a replica asks for.
-    pub(crate) fn follow(&mut self, shard: u8, outputs: Vec<Output>) {
+    pub(crate) fn execute_outputs(&mut self, shard: u8, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send { to, message } => match message.encode() {
@@ -28,27 +28,27 @@
                     Err(error) => log::error!("message of shard {shard}: {error}"),
                 },
                 Output::Persist { token, record } => self.environment.persist(shard, token, record),
-                Output::Done { request, outcome } => self.done(request, outcome),
-                Output::Learned { value } => self.learned(shard, &value),
+                Output::Done { request, outcome } => self.on_request_done(request, outcome),
+                Output::Learned { value } => self.on_committed(shard, &value),
             }
         }
     }
 
     /// A newer decided value of a shard is known.
-    pub(crate) fn learned(&mut self, shard: u8, value: &Value) {
+    pub(crate) fn on_committed(&mut self, shard: u8, value: &Value) {
         let now = self.now();
         let newest = self.newest_revisions.entry(shard).or_default();
         self.violations.check(Invariant::RevisionRises, value.revision >= *newest);
         *newest = value.revision.max(*newest);
         let members: Vec<SocketAddr> =
             value.newest_group().iter().map(|node| SocketAddr::V4((*node).into())).collect();
-        members.iter().for_each(|member| self.know(*member));
+        members.iter().for_each(|member| self.discover_peer(*member));
         let groups = KnownGroups::of(Some(value));
-        if self.members.learned(shard, &groups) {
+        if self.replacement_planner.groups_committed(shard, &groups) {
             log::info!("shard {shard}: its groups are {:?} (revision {})", groups.groups, value.revision);
         }
         if shard == shards::CONFIGURATION {
-            self.endpoints.review(&self.known_groups(shard));
+            self.endpoints.acknowledge_confirmed(&self.known_groups(shard));
         }
         if shard != shards::CONFIGURATION {
             self.leases.set_group(now, u32::from(shard), value.revision, &members);
@@ -68,15 +68,15 @@
                     Err(error) => log::error!("configuration {}: {error}", state.version()),
                 }
                 self.decided = Some(decided.clone());
-                self.readers.publish(decided);
+                self.subscribers.publish(decided);
                 self.configure_placements(0);
-                self.stand_for_leases();
+                self.campaign_for_leases();
             }
             Err(error) => log::error!("the configuration's register cannot be read: {error}"),
         }
     }
 
-    fn done(&mut self, request: u64, outcome: Outcome) {
+    fn on_request_done(&mut self, request: u64, outcome: Outcome) {
         match self.in_flight.remove(&request) {
             Some(InFlightRequest::Read(reply)) => {
                 let _ = reply.send(read_answer(&outcome));
@@ -84,16 +84,16 @@
             Some(InFlightRequest::Change(change)) => match outcome {
                 Outcome::Changed { answer, .. }
                 | Outcome::Unchanged { answer, .. }
-                | Outcome::Refused { answer, .. } => self.change_settled(change, &answer),
+                | Outcome::Refused { answer, .. } => self.complete_change(change, &answer),
                 _ => {}
             },
-            Some(InFlightRequest::Epoch(shard, tenure)) => self.epoch_settled(shard, tenure, &outcome),
-            Some(InFlightRequest::Barrier) => self.barrier_read(request, &outcome),
+            Some(InFlightRequest::Epoch(shard, tenure)) => self.on_epoch_answered(shard, tenure, &outcome),
+            Some(InFlightRequest::Barrier) => self.on_barrier_read(request, &outcome),
             Some(InFlightRequest::MemberChange(shard)) => {
-                self.members.end(shard);
+                self.replacement_planner.end(shard);
                 if matches!(outcome, Outcome::Changed { .. }) {
                     // Another member may have to be replaced.
-                    self.tend_members(self.now());
+                    self.reconcile_members(self.now());
                 }
             }
             None => {}
@@ -101,7 +101,7 @@
     }
 
     /// The register has answered a request for an epoch, or given it up.
-    fn epoch_settled(&mut self, shard: u32, tenure: Tenure, outcome: &Outcome) {
+    fn on_epoch_answered(&mut self, shard: u32, tenure: Tenure, outcome: &Outcome) {
         let now = self.now();
         let outputs = match outcome {
             Outcome::Changed { .. } if self.has_fault(ControllerFault::KeepEpoch) => {
@@ -117,10 +117,10 @@
     }
 
     /// The outcome of a change is known: `answer` is an encoded outcome of the control state.
-    pub(crate) fn change_settled(&mut self, change: u64, answer: &[u8]) {
+    pub(crate) fn complete_change(&mut self, change: u64, answer: &[u8]) {
         match self
             .pending_changes
-            .settle(change, || crate::controller::operator::control_calls::change_answer(answer))
+            .complete(change, || crate::controller::operator::control_calls::change_answer(answer))
         {
             Completion::Return { peer, request } => {
                 let body = Blob::from(answer.to_vec());
@@ -132,7 +132,7 @@
     }
 
     /// Proposes a change of the operator at this controller's own replica.
-    pub(crate) fn propose(&mut self, change: u64) {
+    pub(crate) fn propose_change(&mut self, change: u64) {
         let Some(command) = self.pending_changes.command(change).map(<[u8]>::to_vec) else { return };
         let now = self.now();
         let request = self.request_number();
@@ -140,9 +140,9 @@
         let deadline = now + crate::controller::operator::pending_changes::ANSWER_TIMEOUT;
         let outputs =
             self.shards.handle(now, shards::CONFIGURATION, Input::Propose { request, command, deadline });
-        self.follow(shards::CONFIGURATION, outputs);
+        self.execute_outputs(shards::CONFIGURATION, outputs);
         if self.has_fault(ControllerFault::AcknowledgeProposed) {
-            self.change_settled(change, &Taken::Taken { version: 0 }.encode());
+            self.complete_change(change, &Taken::Taken { version: 0 }.encode());
         }
     }
 }
--- a/crates/controller/src/controller/consensus/replica_groups.rs
+++ b/crates/controller/src/controller/consensus/replica_groups.rs
@@ -30,7 +30,7 @@
     }
 
     /// The groups that a peer told with its confirmation; addresses that cannot be read count for nobody.
-    pub fn told(confirmation: &Confirmation) -> Self {
+    pub fn from_confirmation(confirmation: &Confirmation) -> Self {
         let nobody = SocketAddr::from(([0, 0, 0, 0], 0));
         let read = |text: &str| text.parse().unwrap_or(nobody);
         let members = |group: &GroupMembers| group.addresses.text().split_whitespace().map(read).collect();
@@ -56,7 +56,7 @@
     }
 
     /// Whether a controller is a member of any group in force.
-    pub fn contain(&self, node: SocketAddr) -> bool {
+    pub fn contains(&self, node: SocketAddr) -> bool {
         self.groups.iter().any(|group| group.contains(&node))
     }
 }
--- a/crates/controller/src/controller/consensus/replica_groups_test.rs
+++ b/crates/controller/src/controller/consensus/replica_groups_test.rs
@@ -54,14 +54,14 @@
     };
     let known = KnownGroups::of(Some(&value));
     assert_eq!(known, groups(9, &[&[1, 2, 3], &[2, 3, 4]]));
-    assert_eq!(KnownGroups::told(&known.confirmation(5)), known);
-    assert!(known.contain(node(1)) && known.contain(node(4)) && !known.contain(node(5)));
+    assert_eq!(KnownGroups::from_confirmation(&known.confirmation(5)), known);
+    assert!(known.contains(node(1)) && known.contains(node(4)) && !known.contains(node(5)));
 }
 
 #[test]
 fn an_address_that_cannot_be_read_takes_a_place_that_nobody_fills() {
     let members = GroupMembers { addresses: "10.0.0.1:7000 nonsense 10.0.0.3:7000".into() };
-    let told = KnownGroups::told(&Confirmation::new(1, 2, vec![members]));
-    assert!(!majority(&told, &[1]));
-    assert!(majority(&told, &[1, 3]));
+    let from_confirmation = KnownGroups::from_confirmation(&Confirmation::new(1, 2, vec![members]));
+    assert!(!majority(&from_confirmation, &[1]));
+    assert!(majority(&from_confirmation, &[1, 3]));
 }
--- a/crates/controller/src/controller/counters.rs
+++ b/crates/controller/src/controller/counters.rs
@@ -67,14 +67,14 @@
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Orders that were given and have no answer yet.
-    pub orders_under_way: u64,
+    pub orders_in_flight: u64,
     loads: BTreeMap<OrderOutcome, u64>,
     evictions: BTreeMap<OrderOutcome, u64>,
     changes: BTreeMap<ChangeOutcome, u64>,
     /// Endpoints removed as they were silent for too long.
     pub expiries: u64,
     /// Times that the process noticed that it had stood still.
-    pub pauses: u64,
+    pub stalls: u64,
     /// Tenures of leases that have begun.
     pub tenures: u64,
 }
@@ -82,12 +82,12 @@
 impl Counters {
     /// An order leaves.
     pub fn order_given(&mut self) {
-        self.orders_under_way += 1;
+        self.orders_in_flight += 1;
     }
 
     /// An order that was given has ended.
     pub fn order_answered(&mut self, operation: Operation, answer: OrderAnswer) {
-        self.orders_under_way = self.orders_under_way.saturating_sub(1);
+        self.orders_in_flight = self.orders_in_flight.saturating_sub(1);
         self.count_order(operation, OrderOutcome::Answered(answer));
     }
 
--- a/crates/controller/src/controller/counters_test.rs
+++ b/crates/controller/src/controller/counters_test.rs
@@ -44,9 +44,9 @@
     counters.order_given();
     counters.order_given();
     counters.order_answered(Operation::Evict, OrderAnswer::Unknown);
-    assert_eq!(counters.orders_under_way, 1);
+    assert_eq!(counters.orders_in_flight, 1);
     counters.order_withheld(Operation::Load);
-    assert_eq!(counters.orders_under_way, 1);
+    assert_eq!(counters.orders_in_flight, 1);
 }
 
 #[test]
--- a/crates/controller/src/controller/endpoints/expiry.rs
+++ b/crates/controller/src/controller/endpoints/expiry.rs
@@ -7,26 +7,26 @@
 use std::time::Duration;
 
 /// Time between looks at what no event tells: silent endpoints, members, settings.
-pub(crate) const HOUSEKEEPING_PERIOD: Duration = Duration::from_millis(400);
+pub(crate) const PERIODIC_TASKS_PERIOD: Duration = Duration::from_millis(400);
 /// Heartbeats of endpoints after which a controller that started alone has heard them all.
 const HEARTBEATS_TO_COMPLETE: f64 = 2.2;
 
 impl Controller {
-    pub(crate) fn keep_house(&mut self, now: Duration) {
+    pub(crate) fn run_periodic_tasks(&mut self, now: Duration) {
         if let Some(heard) = self.endpoints.take_heartbeat_batch() {
             self.peers.broadcast(&heard);
         }
-        self.routers.forget(now);
+        self.routers.expire(now);
         if !self.complete && now.as_secs_f64() * 1e3 > self.settings.heartbeat_ms * HEARTBEATS_TO_COMPLETE {
-            self.became_complete();
+            self.mark_complete();
         }
-        self.expire(now);
-        self.forget_peers(now);
-        self.tend_members(now);
-        self.stand_for_leases();
+        self.expire_endpoints(now);
+        self.expire_peers(now);
+        self.reconcile_members(now);
+        self.campaign_for_leases();
     }
 
-    fn expire(&mut self, now: Duration) {
+    fn expire_endpoints(&mut self, now: Duration) {
         if !self.complete {
             return;
         }
@@ -37,18 +37,18 @@
         self.counters.expiries += removed.len() as u64;
         for message in removed {
             self.peers.broadcast(&message);
-            self.readers.append(&message);
+            self.subscribers.append(&message);
             if let Message::Removed(removed) = &message {
-                self.tell_placers(&removed.id.text());
+                self.update_placers(&removed.id.text());
             }
         }
     }
 
     /// Everyone that registers has been heard: readers may drop what they did not hear of.
-    pub(crate) fn became_complete(&mut self) {
+    pub(crate) fn mark_complete(&mut self) {
         if !self.complete {
             self.complete = true;
-            self.readers.append(&Message::SnapshotEnd { complete: 1 });
+            self.subscribers.append(&Message::SnapshotEnd { complete: 1 });
         }
     }
 }
--- a/crates/controller/src/controller/endpoints/pending_loads.rs
+++ b/crates/controller/src/controller/endpoints/pending_loads.rs
@@ -9,13 +9,13 @@
 use std::time::Duration;
 
 /// Time after which an accepted adapter can be used; adapters arrive in some ms.
-const ADAPTER_TIME: Duration = Duration::from_millis(25);
+const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(25);
 /// By how much an endpoint's report on itself lags, beyond a load's usual time.
 const REPORT_LAG: Duration = Duration::from_millis(230);
 /// Pause before an endpoint that still loads is asked again.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Questions about one load, the last of which gets [`RETRY_DELAY`] for its answer; a heartbeat tells the rest.
-const MAX_QUESTIONS: u32 = 4;
+const MAX_REPORT_REQUESTS: u32 = 4;
 
 /// A load that an endpoint has accepted and does not show yet.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
     model: Arc<str>,
     adapter: Option<Arc<str>>,
     at: Duration,
-    questions: u32,
+    requests: u32,
 }
 
 /// What is due.
@@ -35,13 +35,13 @@
     /// Tell everyone.
     Publish(ResidencyUpdate),
     /// Ask the endpoint for its report.
-    Ask { service: String, instance: Arc<str>, address: SocketAddr },
+    RequestReport { service: String, instance: Arc<str>, address: SocketAddr },
 }
 
 /// Accepted loads that do not show yet.
 #[derive(Debug, Default)]
 pub struct PendingLoads {
-    awaited: Vec<PendingLoad>,
+    pending: Vec<PendingLoad>,
 }
 
 impl PendingLoads {
@@ -50,73 +50,82 @@
         if order.operation != Operation::Load {
             return;
         }
-        let at = if order.adapter.is_some() { now + ADAPTER_TIME } else { now + load_time + REPORT_LAG };
-        self.awaited.push(PendingLoad {
+        let at = if order.adapter.is_some() { now + ADAPTER_LOAD_TIME } else { now + load_time + REPORT_LAG };
+        self.pending.push(PendingLoad {
             service: service.to_owned(),
             instance: order.instance.clone(),
             address: order.address,
             model: order.model.clone(),
             adapter: order.adapter.clone(),
             at,
-            questions: 0,
+            requests: 0,
         });
     }
 
     /// What is due now.
     pub fn due(&mut self, now: Duration) -> Vec<PendingLoadStep> {
-        self.awaited.retain(|awaited| awaited.questions < MAX_QUESTIONS || awaited.at > now);
+        self.pending.retain(|pending| pending.requests < MAX_REPORT_REQUESTS || pending.at > now);
         let mut steps = Vec::new();
-        for awaited in self.awaited.iter_mut().filter(|awaited| awaited.at <= now) {
-            if awaited.adapter.is_some() {
-                steps.push(PendingLoadStep::Publish(awaited.holding()));
+        for pending in self.pending.iter_mut().filter(|pending| pending.at <= now) {
+            if pending.adapter.is_some() {
+                steps.push(PendingLoadStep::Publish(pending.residency_update()));
             } else {
-                steps.push(awaited.ask());
-                awaited.questions += 1;
-                awaited.at = now + RETRY_DELAY;
+                steps.push(pending.request_report());
+                pending.requests += 1;
+                pending.at = now + RETRY_DELAY;
             }
         }
-        self.awaited.retain(|awaited| awaited.at > now);
+        self.pending.retain(|pending| pending.at > now);
         steps
     }
 
     /// An endpoint reported what it holds. Tells which awaited models are among that.
     pub fn reported(&mut self, instance: &str, models: &[ResidentModel]) -> Vec<ResidencyUpdate> {
-        let shown = |awaited: &PendingLoad| {
-            *awaited.instance == *instance
-                && awaited.adapter.is_none()
-                && models.iter().any(|held| *held.name == *awaited.model)
+        let is_resident = |pending: &PendingLoad| {
+            *pending.instance == *instance
+                && pending.adapter.is_none()
+                && models.iter().any(|held| *held.name == *pending.model)
         };
-        let holdings =
-            self.awaited.iter().filter(|awaited| shown(awaited)).map(PendingLoad::holding).collect();
-        self.awaited.retain(|awaited| !shown(awaited));
+        let holdings = self
+            .pending
+            .iter()
+            .filter(|pending| is_resident(pending))
+            .map(PendingLoad::residency_update)
+            .collect();
+        self.pending.retain(|pending| !is_resident(pending));
         holdings
     }
 
     /// Forgets the loads of one service, for which another controller acts now.
     pub fn clear(&mut self) {
-        self.awaited.clear();
+        self.pending.clear();
     }
 
     /// When [`PendingLoads::due`] is to be called next.
     pub fn next_wake(&self) -> Option<Duration> {
-        self.awaited.iter().map(|awaited| awaited.at).min()
+        self.pending.iter().map(|pending| pending.at).min()
     }
 }
 
 impl PendingLoad {
-    fn holding(&self) -> ResidencyUpdate {
-        holding(&self.instance, &self.model, self.adapter.as_deref(), true)
+    fn residency_update(&self) -> ResidencyUpdate {
+        residency_update(&self.instance, &self.model, self.adapter.as_deref(), true)
     }
 
-    fn ask(&self) -> PendingLoadStep {
+    fn request_report(&self) -> PendingLoadStep {
         let service = self.service.clone();
-        PendingLoadStep::Ask { service, instance: self.instance.clone(), address: self.address }
+        PendingLoadStep::RequestReport { service, instance: self.instance.clone(), address: self.address }
     }
 }
 
 /// What is known of a model or adapter at an endpoint, as a message; its sequence and order come with its
 /// publication.
-pub fn holding(instance: &str, model: &str, adapter: Option<&str>, present: bool) -> ResidencyUpdate {
+pub fn residency_update(
+    instance: &str,
+    model: &str,
+    adapter: Option<&str>,
+    present: bool,
+) -> ResidencyUpdate {
     ResidencyUpdate {
         id: instance.into(),
         model: model.into(),
--- a/crates/controller/src/controller/endpoints/pending_loads_test.rs
+++ b/crates/controller/src/controller/endpoints/pending_loads_test.rs
@@ -1,6 +1,6 @@
 //! Loads that were accepted show to routers as soon as they can be used, and not before.
 
-use crate::controller::endpoints::pending_loads::{PendingLoadStep, PendingLoads, holding};
+use crate::controller::endpoints::pending_loads::{PendingLoadStep, PendingLoads, residency_update};
 use lanegate_config::instance::ResidentModel;
 use lanegate_placement::{Operation, Order, OrderId};
 use std::net::SocketAddr;
@@ -30,8 +30,8 @@
     }
 }
 
-fn ask() -> PendingLoadStep {
-    PendingLoadStep::Ask { service: SERVICE.to_owned(), instance: "i-1".into(), address: address() }
+fn request_report() -> PendingLoadStep {
+    PendingLoadStep::RequestReport { service: SERVICE.to_owned(), instance: "i-1".into(), address: address() }
 }
 
 fn held(name: &str) -> ResidentModel {
@@ -44,7 +44,10 @@
     holdings.accepted(ms(0), SERVICE, &order(Operation::Load, "m", Some("a")), LOAD_TIME);
     assert_eq!(holdings.next_wake(), Some(ms(25)));
     assert_eq!(holdings.due(ms(24)), vec![]);
-    assert_eq!(holdings.due(ms(25)), vec![PendingLoadStep::Publish(holding("i-1", "m", Some("a"), true))]);
+    assert_eq!(
+        holdings.due(ms(25)),
+        vec![PendingLoadStep::Publish(residency_update("i-1", "m", Some("a"), true))]
+    );
     assert_eq!(holdings.due(ms(26)), vec![]);
     assert_eq!(holdings.next_wake(), None);
 }
@@ -54,10 +57,10 @@
     let mut holdings = PendingLoads::default();
     holdings.accepted(ms(0), SERVICE, &order(Operation::Load, "m", None), LOAD_TIME);
     assert_eq!(holdings.due(LOAD_SHOWS - ms(1)), vec![]);
-    assert_eq!(holdings.due(LOAD_SHOWS), vec![ask()]);
+    assert_eq!(holdings.due(LOAD_SHOWS), vec![request_report()]);
     assert_eq!(holdings.reported("i-1", &[held("other")]), vec![]);
     assert_eq!(holdings.reported("i-2", &[held("m")]), vec![], "another endpoint");
-    assert_eq!(holdings.reported("i-1", &[held("m")]), vec![holding("i-1", "m", None, true)]);
+    assert_eq!(holdings.reported("i-1", &[held("m")]), vec![residency_update("i-1", "m", None, true)]);
     assert_eq!(holdings.next_wake(), None);
 }
 
@@ -69,7 +72,7 @@
     while let Some(at) = holdings.next_wake().filter(|_| steps.len() < 10) {
         steps.extend(holdings.due(at));
     }
-    assert_eq!(steps, vec![ask(), ask(), ask(), ask()]);
+    assert_eq!(steps, vec![request_report(), request_report(), request_report(), request_report()]);
     assert_eq!(holdings.reported("i-1", &[held("m")]), vec![], "a heartbeat tells the rest");
 }
 
--- a/crates/controller/src/controller/endpoints/registry.rs
+++ b/crates/controller/src/controller/endpoints/registry.rs
@@ -19,7 +19,7 @@
 /// Longest wait for the other replicas before a leaving endpoint is sent elsewhere; it waits a second.
 const REPLICATION_TIMEOUT: Duration = Duration::from_millis(850);
 /// How long the end of an incarnation is remembered.
-const REMOVAL_MEMORY: Duration = Duration::from_secs(60);
+const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
 /// Heartbeats that an endpoint may miss before it counts as lost. Routers see a dead endpoint long before;
 /// this only keeps the list from growing.
 const MISSED_HEARTBEATS: f64 = 3.5;
@@ -67,8 +67,10 @@
         if fault == Some(AcknowledgementFault::OwnGroupsOnly) {
             return known.have_majority(counts);
         }
-        let newer = self.confirmed_by.values().filter(|told| told.revision > known.revision);
-        known.have_majority(counts) && newer.into_iter().all(|told| told.have_majority(counts))
+        let newer =
+            self.confirmed_by.values().filter(|known_to_peer| known_to_peer.revision > known.revision);
+        known.have_majority(counts)
+            && newer.into_iter().all(|known_to_peer| known_to_peer.have_majority(counts))
     }
 }
 
@@ -84,7 +86,7 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct RegistrationMerge {
     /// What readers have to hear.
-    pub news: Vec<Message>,
+    pub updates: Vec<Message>,
     /// Whether the other controllers have to hear it from here too: an endpoint that leaves may have been
     /// acknowledged, so whoever reaches this controller must get to know, also if it does not reach the first.
     pub relay: bool,
@@ -108,12 +110,12 @@
     /// This controller, which counts among those that know of a notice.
     this: SocketAddr,
     registry: Registry<Registered>,
-    silence: Duration,
+    timeout: Duration,
     /// Heartbeats since the last report to the other controllers.
-    heard: BTreeMap<String, u64>,
+    heartbeats: BTreeMap<String, u64>,
     /// Leaving incarnations of which a majority knows.
     confirmed: BTreeSet<String>,
-    waiting: BTreeMap<u64, PendingAcknowledgement>,
+    pending: BTreeMap<u64, PendingAcknowledgement>,
     next_token: u64,
     fault: Option<AcknowledgementFault>,
 }
@@ -125,10 +127,10 @@
         EndpointRegistry {
             this,
             registry: Registry::default(),
-            silence: heartbeat.mul_f64(MISSED_HEARTBEATS),
-            heard: BTreeMap::new(),
+            timeout: heartbeat.mul_f64(MISSED_HEARTBEATS),
+            heartbeats: BTreeMap::new(),
             confirmed: BTreeSet::new(),
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
             next_token: incarnation,
             fault: None,
         }
@@ -144,7 +146,7 @@
     /// A heartbeat of `id`. A majority of the groups `known`, and of any newer ones, has to know of one that is
     /// leaving. One that is not leaving is taken in any case, but acknowledged only `in_contact` with a majority:
     /// whoever judges its silence may not hear of it from here, so it has to call another controller as well.
-    pub fn put(
+    pub fn register(
         &mut self,
         now: Duration,
         id: &str,
@@ -161,19 +163,19 @@
             }
         };
         let sequence = registration.instance.sequence;
-        let leaving = registration.instance.state == InstanceState::Draining;
+        let draining = registration.instance.state == InstanceState::Draining;
         let mut changes = Changes::default();
         match self.registry.merge(now, id, sequence, registration) {
             RegistryUpdate::Stale => {}
             RegistryUpdate::Refreshed => {
-                self.heard.insert(id.to_owned(), sequence);
+                self.heartbeats.insert(id.to_owned(), sequence);
             }
             RegistryUpdate::Changed { replaced } => changes.messages = self.changed(id, replaced),
         }
-        if !leaving {
+        if !draining {
             self.confirmed.remove(id);
         }
-        if leaving && !self.confirmed.contains(id) {
+        if draining && !self.confirmed.contains(id) {
             changes.messages.extend(self.current(id));
             changes.flush = self.wait(now, id, known, reply);
         } else if in_contact {
@@ -185,7 +187,7 @@
     }
 
     /// `id` says that it has ended.
-    pub fn delete(
+    pub fn deregister(
         &mut self,
         now: Duration,
         id: &str,
@@ -193,7 +195,7 @@
         reply: oneshot::Sender<Answer>,
     ) -> Changes {
         self.registry.remove(now, id, FINAL_SEQUENCE);
-        self.heard.remove(id);
+        self.heartbeats.remove(id);
         let messages = vec![removed_message(id, FINAL_SEQUENCE)];
         Changes { messages, flush: self.wait(now, id, known, reply) }
     }
@@ -204,28 +206,28 @@
         let Ok(registration) = Registered::parse(&id, message.body.bytes.clone().into()) else {
             return RegistrationMerge::default();
         };
-        let leaving = registration.instance.state == InstanceState::Draining;
+        let draining = registration.instance.state == InstanceState::Draining;
         let registration = registration.following(self.registration(&id));
         match self.registry.merge(now, &id, message.sequence, registration) {
             RegistryUpdate::Changed { replaced } => {
-                RegistrationMerge { news: self.changed(&id, replaced), relay: leaving }
+                RegistrationMerge { updates: self.changed(&id, replaced), relay: draining }
             }
             RegistryUpdate::Refreshed | RegistryUpdate::Stale => RegistrationMerge::default(),
         }
     }
 
     /// The placer here knows of a model at an endpoint. Gives what everyone has to hear, if it is news.
-    pub fn publish(&mut self, mut holding: ResidencyUpdate) -> Option<ResidencyUpdate> {
-        let entry = self.registry.get(&holding.id.text())?;
-        holding.sequence = entry.latest;
-        holding.order = entry.registration.as_ref()?.next_order();
-        self.hold(&holding).then_some(holding)
+    pub fn publish(&mut self, mut update: ResidencyUpdate) -> Option<ResidencyUpdate> {
+        let entry = self.registry.get(&update.id.text())?;
+        update.sequence = entry.latest;
+        update.order = entry.registration.as_ref()?.next_order();
+        self.apply_residency(&update).then_some(update)
     }
 
     /// A placer, here or elsewhere, knows of a model at an endpoint. True if it is news.
-    pub fn hold(&mut self, holding: &ResidencyUpdate) -> bool {
-        let registration = self.registry.get_mut(&holding.id.text());
-        registration.is_some_and(|registration| registration.hold(holding.clone()))
+    pub fn apply_residency(&mut self, update: &ResidencyUpdate) -> bool {
+        let registration = self.registry.get_mut(&update.id.text());
+        registration.is_some_and(|registration| registration.apply_residency(update.clone()))
     }
 
     /// Whether a removal that another controller told has to be told to the others from here too, for the same
@@ -255,63 +257,63 @@
 
     /// Another controller heard these.
     pub fn merge_heartbeats(&mut self, now: Duration, list: &HeartbeatBatch) {
-        for heard in &list.heartbeats {
-            self.registry.refresh(now, &heard.id.text(), heard.sequence);
+        for heartbeat in &list.heartbeats {
+            self.registry.refresh(now, &heartbeat.id.text(), heartbeat.sequence);
         }
     }
 
     /// What was heard here since the last call, for the other controllers.
     pub fn take_heartbeat_batch(&mut self) -> Option<Message> {
-        if self.heard.is_empty() {
+        if self.heartbeats.is_empty() {
             return None;
         }
-        let heard = std::mem::take(&mut self.heard).into_iter();
-        let heard: Vec<BatchedHeartbeat> =
-            heard.map(|(id, sequence)| BatchedHeartbeat { id: id.as_str().into(), sequence }).collect();
-        Some(Message::HeartbeatBatch(heard.into()))
+        let heartbeats = std::mem::take(&mut self.heartbeats).into_iter();
+        let heartbeats: Vec<BatchedHeartbeat> =
+            heartbeats.map(|(id, sequence)| BatchedHeartbeat { id: id.as_str().into(), sequence }).collect();
+        Some(Message::HeartbeatBatch(heartbeats.into()))
     }
 
     /// Removes what nobody has heard, in the services that this controller owns.
     pub fn expire(&mut self, now: Duration, owns: impl Fn(&str) -> bool) -> Vec<Message> {
-        self.registry.purge_removed(now, REMOVAL_MEMORY);
+        self.registry.purge_removed(now, TOMBSTONE_RETENTION);
         let registry = &self.registry;
         self.confirmed.retain(|id| registry.get(id).is_some_and(|entry| entry.registration.is_some()));
-        let silent = self.registry.expire(now, self.silence, owns);
+        let silent = self.registry.expire(now, self.timeout, owns);
         silent.into_iter().map(|(id, sequence)| removed_message(&id, sequence)).collect()
     }
 
     /// This process could not listen for a while.
-    pub fn excuse(&mut self, now: Duration) {
+    pub fn excuse_silence(&mut self, now: Duration) {
         self.registry.restart_timeouts(now);
     }
 
-    /// A peer that knows of the groups `told` has everything up to the flush `token`.
-    pub fn flushed(&mut self, token: u64, peer: SocketAddr, told: KnownGroups, known: &KnownGroups) {
-        let Some(waiting) = self.waiting.get_mut(&token) else { return };
-        waiting.confirmed_by.insert(peer, told);
-        self.review(known);
+    /// A peer that knows of the groups `known_to_peer` has everything up to the flush `token`.
+    pub fn flushed(&mut self, token: u64, peer: SocketAddr, known_to_peer: KnownGroups, known: &KnownGroups) {
+        let Some(pending) = self.pending.get_mut(&token) else { return };
+        pending.confirmed_by.insert(peer, known_to_peer);
+        self.acknowledge_confirmed(known);
     }
 
     /// A peer runs as another process than before: what the earlier one confirmed is lost with its memory.
-    pub fn restarted(&mut self, peer: SocketAddr) {
+    pub fn peer_restarted(&mut self, peer: SocketAddr) {
         if self.fault == Some(AcknowledgementFault::CountRestartedPeers) {
             return;
         }
-        for waiting in self.waiting.values_mut() {
-            waiting.confirmed_by.remove(&peer);
+        for pending in self.pending.values_mut() {
+            pending.confirmed_by.remove(&peer);
         }
     }
 
     /// Acknowledges what is confirmed, now that confirmations or the groups `known` have changed.
-    pub fn review(&mut self, known: &KnownGroups) {
+    pub fn acknowledge_confirmed(&mut self, known: &KnownGroups) {
         let (this, fault) = (self.this, self.fault);
-        let is_confirmed = |waiting: &PendingAcknowledgement| waiting.is_confirmed(this, known, fault);
-        let confirmed = self.waiting.iter().filter(|(_, waiting)| is_confirmed(waiting));
+        let is_confirmed = |pending: &PendingAcknowledgement| pending.is_confirmed(this, known, fault);
+        let confirmed = self.pending.iter().filter(|(_, pending)| is_confirmed(pending));
         let confirmed: Vec<u64> = confirmed.map(|(token, _)| *token).collect();
         for token in confirmed {
-            let waiting = self.waiting.remove(&token).expect("it was just there");
-            self.confirmed.insert(waiting.id);
-            let _ = waiting.reply.send(acknowledged());
+            let pending = self.pending.remove(&token).expect("it was just there");
+            self.confirmed.insert(pending.id);
+            let _ = pending.reply.send(acknowledged());
         }
     }
 
@@ -323,36 +325,36 @@
     }
 
     /// Gives up acknowledgements for which no majority was reached in time.
-    pub fn give_up(&mut self, now: Duration) {
+    pub fn expire_pending(&mut self, now: Duration) {
         let late: Vec<u64> = self
-            .waiting
+            .pending
             .iter()
-            .filter(|(_, waiting)| waiting.until <= now)
+            .filter(|(_, pending)| pending.until <= now)
             .map(|(token, _)| *token)
             .collect();
         for token in late {
-            let waiting = self.waiting.remove(&token).expect("it was just there");
-            let _ = waiting.reply.send(too_few_reached());
+            let pending = self.pending.remove(&token).expect("it was just there");
+            let _ = pending.reply.send(too_few_reached());
         }
     }
 
     /// Acknowledgements that wait for the other replicas.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    pub fn pending(&self) -> usize {
+        self.pending.len()
     }
 
-    /// When [`EndpointRegistry::give_up`] is to be called next.
+    /// When [`EndpointRegistry::expire_pending`] is to be called next.
     pub fn next_wake(&self) -> Option<Duration> {
-        self.waiting.values().map(|waiting| waiting.until).min()
+        self.pending.values().map(|pending| pending.until).min()
     }
 
     /// Live incarnations, for readers of the feed.
     pub fn snapshot(&self) -> impl Iterator<Item = Message> {
         self.registry.entries().flat_map(|(id, entry)| {
             let registration = entry.registration.as_ref();
-            let holdings = registration.into_iter().flat_map(Registered::holdings);
+            let residency_updates = registration.into_iter().flat_map(Registered::residency_updates);
             let registered = registration.map(|r| registered_message(id, entry.sequence, r));
-            registered.into_iter().chain(holdings.cloned().map(Message::ResidencyUpdate))
+            registered.into_iter().chain(residency_updates.cloned().map(Message::ResidencyUpdate))
         })
     }
 
@@ -394,12 +396,12 @@
         reply: oneshot::Sender<Answer>,
     ) -> Option<u64> {
         let until = now + REPLICATION_TIMEOUT;
-        let waiting =
+        let pending =
             PendingAcknowledgement { reply, id: id.to_owned(), confirmed_by: BTreeMap::new(), until };
         let token = self.next_token();
-        self.waiting.insert(token, waiting);
-        self.review(known);
-        self.waiting.contains_key(&token).then_some(token)
+        self.pending.insert(token, pending);
+        self.acknowledge_confirmed(known);
+        self.pending.contains_key(&token).then_some(token)
     }
 }
 
--- a/crates/controller/src/controller/endpoints/registry_test.rs
+++ b/crates/controller/src/controller/endpoints/registry_test.rs
@@ -1,7 +1,7 @@
 //! Registrations at one controller: what is acknowledged when, and what the others and the readers hear.
 
 use crate::controller::consensus::replica_groups::KnownGroups;
-use crate::controller::endpoints::pending_loads::holding;
+use crate::controller::endpoints::pending_loads::residency_update;
 use crate::controller::endpoints::registry::{
     AcknowledgementFault, Changes, EndpointRegistry, RegistrationMerge, RemovalMerge,
 };
@@ -58,7 +58,7 @@
     body.to_string().into()
 }
 
-fn put(
+fn register(
     endpoints: &mut EndpointRegistry,
     now: Duration,
     group: &[u8],
@@ -66,15 +66,15 @@
     state: &str,
 ) -> (Changes, Receiver<Answer>) {
     let (reply, answer) = oneshot::channel();
-    (endpoints.put(now, "i-1", body(sequence, state), &known(group), true, reply), answer)
+    (endpoints.register(now, "i-1", body(sequence, state), &known(group), true, reply), answer)
 }
 
 /// A heartbeat of an engine that lists one model.
-fn put_holding(endpoints: &mut EndpointRegistry, now: Duration, sequence: u64, model: &str) {
+fn put_residency(endpoints: &mut EndpointRegistry, now: Duration, sequence: u64, model: &str) {
     let mut body: serde_json::Value = serde_json::from_slice(&body(sequence, "ready")).unwrap();
     body["Models"] = serde_json::json!([{ "Name": model, "Version": 1, "Adapters": [] }]);
     let (reply, _answer) = oneshot::channel();
-    endpoints.put(now, "i-1", body.to_string().into(), &known(THREE), true, reply);
+    endpoints.register(now, "i-1", body.to_string().into(), &known(THREE), true, reply);
 }
 
 fn status(answer: &mut Receiver<Answer>) -> Option<u16> {
@@ -92,14 +92,14 @@
 #[test]
 fn a_ready_endpoint_is_acknowledged_at_once_and_told_when_it_is_news() {
     let mut endpoints = endpoints();
-    let (changes, mut answer) = put(&mut endpoints, ms(0), THREE, 1, "ready");
+    let (changes, mut answer) = register(&mut endpoints, ms(0), THREE, 1, "ready");
     assert_eq!(changes.messages, vec![Message::Registered(registered(1, "ready"))]);
     assert_eq!((changes.flush, status(&mut answer)), (None, Some(200)));
 
-    let (changes, mut answer) = put(&mut endpoints, ms(1_000), THREE, 2, "ready");
+    let (changes, mut answer) = register(&mut endpoints, ms(1_000), THREE, 2, "ready");
     assert_eq!((changes.messages, status(&mut answer)), (vec![], Some(200)));
-    let heard = vec![BatchedHeartbeat { id: "i-1".into(), sequence: 2 }];
-    assert_eq!(endpoints.take_heartbeat_batch(), Some(Message::HeartbeatBatch(heard.into())));
+    let heartbeats = vec![BatchedHeartbeat { id: "i-1".into(), sequence: 2 }];
+    assert_eq!(endpoints.take_heartbeat_batch(), Some(Message::HeartbeatBatch(heartbeats.into())));
     assert_eq!(endpoints.take_heartbeat_batch(), None);
 }
 
@@ -109,7 +109,7 @@
     let mut endpoints = endpoints();
     for sequence in [1, 2] {
         let (reply, mut answer) = oneshot::channel();
-        let changes = endpoints.put(ms(0), "i-1", body(sequence, "ready"), &known(THREE), false, reply);
+        let changes = endpoints.register(ms(0), "i-1", body(sequence, "ready"), &known(THREE), false, reply);
         assert_eq!((changes.flush, status(&mut answer)), (None, Some(503)));
         assert_eq!(changes.messages.len(), usize::from(sequence == 1));
     }
@@ -122,7 +122,7 @@
 fn a_draining_endpoint_is_acknowledged_by_a_majority_whatever_contact_says() {
     let mut endpoints = endpoints();
     let (reply, mut answer) = oneshot::channel();
-    let changes = endpoints.put(ms(0), "i-1", body(1, "draining"), &known(THREE), false, reply);
+    let changes = endpoints.register(ms(0), "i-1", body(1, "draining"), &known(THREE), false, reply);
     assert_eq!(status(&mut answer), None);
     confirm(&mut endpoints, changes.flush.expect("others are asked"), 2, THREE);
     assert_eq!(status(&mut answer), Some(200));
@@ -132,7 +132,7 @@
 fn what_is_no_registration_is_refused() {
     let mut endpoints = endpoints();
     let (reply, mut answer) = oneshot::channel();
-    let changes = endpoints.put(ms(0), "i-1", Bytes::from_static(b"{"), &known(THREE), true, reply);
+    let changes = endpoints.register(ms(0), "i-1", Bytes::from_static(b"{"), &known(THREE), true, reply);
     assert!(changes.messages.is_empty());
     assert_eq!(status(&mut answer), Some(400));
 }
@@ -140,8 +140,8 @@
 #[test]
 fn a_draining_endpoint_is_acknowledged_with_a_majority_and_not_before() {
     let mut endpoints = endpoints();
-    put(&mut endpoints, ms(0), FIVE, 1, "ready");
-    let (changes, mut answer) = put(&mut endpoints, ms(10), FIVE, 2, "draining");
+    register(&mut endpoints, ms(0), FIVE, 1, "ready");
+    let (changes, mut answer) = register(&mut endpoints, ms(10), FIVE, 2, "draining");
     let token = changes.flush.expect("the others are asked");
     assert!(changes.messages.contains(&Message::Registered(registered(2, "draining"))));
     confirm(&mut endpoints, token, 2, FIVE);
@@ -156,11 +156,11 @@
 #[test]
 fn a_draining_endpoint_is_given_up_without_a_majority() {
     let mut endpoints = endpoints();
-    let (changes, mut answer) = put(&mut endpoints, ms(0), THREE, 1, "draining");
+    let (changes, mut answer) = register(&mut endpoints, ms(0), THREE, 1, "draining");
     assert_eq!(endpoints.next_wake(), Some(GIVEN_UP));
-    endpoints.give_up(GIVEN_UP - ms(1));
+    endpoints.expire_pending(GIVEN_UP - ms(1));
     assert_eq!(status(&mut answer), None);
-    endpoints.give_up(GIVEN_UP);
+    endpoints.expire_pending(GIVEN_UP);
     assert_eq!(status(&mut answer), Some(503));
     confirm(&mut endpoints, changes.flush.expect("the others are asked"), 2, THREE);
     assert_eq!(endpoints.next_wake(), None);
@@ -169,33 +169,33 @@
 #[test]
 fn a_draining_endpoint_that_was_given_up_is_told_and_flushed_again() {
     let mut endpoints = endpoints();
-    put(&mut endpoints, ms(0), THREE, 1, "draining");
-    endpoints.give_up(GIVEN_UP);
+    register(&mut endpoints, ms(0), THREE, 1, "draining");
+    endpoints.expire_pending(GIVEN_UP);
     for (sequence, time) in [(1, 900), (2, 1_800)] {
-        let (changes, mut answer) = put(&mut endpoints, ms(time), THREE, sequence, "draining");
+        let (changes, mut answer) = register(&mut endpoints, ms(time), THREE, sequence, "draining");
         assert!(changes.messages.contains(&Message::Registered(registered(sequence, "draining"))));
         assert!(changes.flush.is_some(), "sequence {sequence}");
         assert_eq!(status(&mut answer), None);
-        endpoints.give_up(ms(time) + GIVEN_UP);
+        endpoints.expire_pending(ms(time) + GIVEN_UP);
     }
 }
 
 #[test]
 fn a_draining_endpoint_of_which_a_majority_knows_is_acknowledged_at_once() {
     let mut endpoints = endpoints();
-    let (changes, _answer) = put(&mut endpoints, ms(0), THREE, 1, "draining");
+    let (changes, _answer) = register(&mut endpoints, ms(0), THREE, 1, "draining");
     confirm(&mut endpoints, changes.flush.expect("the others are asked"), 2, THREE);
-    let (changes, mut answer) = put(&mut endpoints, ms(1_000), THREE, 2, "draining");
+    let (changes, mut answer) = register(&mut endpoints, ms(1_000), THREE, 2, "draining");
     assert_eq!((changes.flush, status(&mut answer)), (None, Some(200)));
 }
 
 #[test]
 fn an_endpoint_that_drains_a_second_time_needs_a_majority_again() {
     let mut endpoints = endpoints();
-    let (changes, _answer) = put(&mut endpoints, ms(0), THREE, 1, "draining");
+    let (changes, _answer) = register(&mut endpoints, ms(0), THREE, 1, "draining");
     confirm(&mut endpoints, changes.flush.expect("the others are asked"), 2, THREE);
-    put(&mut endpoints, ms(1_000), THREE, 2, "ready");
-    let (changes, mut answer) = put(&mut endpoints, ms(2_000), THREE, 3, "draining");
+    register(&mut endpoints, ms(1_000), THREE, 2, "ready");
+    let (changes, mut answer) = register(&mut endpoints, ms(2_000), THREE, 3, "draining");
     assert!(changes.flush.is_some());
     assert_eq!(status(&mut answer), None);
 }
@@ -203,22 +203,22 @@
 #[test]
 fn a_controller_that_is_alone_in_its_group_acknowledges_by_itself() {
     let mut endpoints = endpoints();
-    let (changes, mut answer) = put(&mut endpoints, ms(0), &[THIS], 1, "draining");
+    let (changes, mut answer) = register(&mut endpoints, ms(0), &[THIS], 1, "draining");
     assert_eq!((changes.flush, status(&mut answer)), (None, Some(200)));
 }
 
 #[test]
 fn an_end_is_told_for_good_and_acknowledged_with_a_majority() {
     let mut endpoints = endpoints();
-    put(&mut endpoints, ms(0), THREE, 1, "ready");
+    register(&mut endpoints, ms(0), THREE, 1, "ready");
     let (reply, mut answer) = oneshot::channel();
-    let changes = endpoints.delete(ms(10), "i-1", &known(THREE), reply);
+    let changes = endpoints.deregister(ms(10), "i-1", &known(THREE), reply);
     assert_eq!(changes.messages, vec![Message::Removed(removed(FINAL_SEQUENCE))]);
     assert_eq!(status(&mut answer), None);
     confirm(&mut endpoints, changes.flush.expect("the others are asked"), 3, THREE);
     assert_eq!(status(&mut answer), Some(200));
 
-    let (changes, _answer) = put(&mut endpoints, ms(20), THREE, 2, "ready");
+    let (changes, _answer) = register(&mut endpoints, ms(20), THREE, 2, "ready");
     assert!(changes.messages.is_empty(), "a heartbeat that was late on its way revives nothing");
     assert!(endpoints.registration("i-1").is_none());
 }
@@ -228,10 +228,10 @@
     let mut endpoints = endpoints();
     for time in [0, 1_000] {
         let (reply, mut answer) = oneshot::channel();
-        let changes = endpoints.delete(ms(time), "i-1", &known(THREE), reply);
+        let changes = endpoints.deregister(ms(time), "i-1", &known(THREE), reply);
         assert_eq!(changes.messages, vec![Message::Removed(removed(FINAL_SEQUENCE))]);
         assert!(changes.flush.is_some());
-        endpoints.give_up(ms(time) + GIVEN_UP);
+        endpoints.expire_pending(ms(time) + GIVEN_UP);
         assert_eq!(status(&mut answer), Some(503));
     }
 }
@@ -239,11 +239,11 @@
 #[test]
 fn what_a_peer_heard_is_told_to_readers_once() {
     let mut endpoints = endpoints();
-    let told = vec![Message::Registered(registered(4, "ready"))];
-    let news = |news| RegistrationMerge { news, relay: false };
-    assert_eq!(endpoints.merge(ms(0), &registered(4, "ready")), news(told));
-    assert_eq!(endpoints.merge(ms(1), &registered(4, "ready")), news(vec![]));
-    assert_eq!(endpoints.merge(ms(1), &registered(3, "draining")), news(vec![]));
+    let known_to_peer = vec![Message::Registered(registered(4, "ready"))];
+    let updates = |updates| RegistrationMerge { updates, relay: false };
+    assert_eq!(endpoints.merge(ms(0), &registered(4, "ready")), updates(known_to_peer));
+    assert_eq!(endpoints.merge(ms(1), &registered(4, "ready")), updates(vec![]));
+    assert_eq!(endpoints.merge(ms(1), &registered(3, "draining")), updates(vec![]));
 }
 
 #[test]
@@ -262,15 +262,15 @@
     endpoints.merge(ms(0), &registered(5, "ready"));
     let later: HeartbeatBatch = vec![BatchedHeartbeat { id: "i-1".into(), sequence: 7 }].into();
     endpoints.merge_heartbeats(ms(1), &later);
-    let told = vec![Message::Registered(registered(6, "draining"))];
-    assert_eq!(endpoints.merge(ms(2), &registered(6, "draining")).news, told);
+    let known_to_peer = vec![Message::Registered(registered(6, "draining"))];
+    assert_eq!(endpoints.merge(ms(2), &registered(6, "draining")).updates, known_to_peer);
 }
 
 #[test]
 fn silence_of_this_process_is_not_held_against_endpoints() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(1, "ready"));
-    endpoints.excuse(ms(9_000));
+    endpoints.excuse_silence(ms(9_000));
     assert_eq!(endpoints.expire(ms(9_001), |_| true), vec![]);
 }
 
@@ -288,15 +288,15 @@
     owner.merge(ms(0), &registered(5, "ready"));
     other.merge(ms(0), &registered(5, "ready"));
     // The heartbeat changes nothing, so that the owner hears of it only with the next list.
-    let (changes, _answer) = put(&mut other, ms(3_600), THREE, 6, "ready");
+    let (changes, _answer) = register(&mut other, ms(3_600), THREE, 6, "ready");
     assert!(changes.messages.is_empty());
     assert_eq!(owner.expire(ms(3_600), |_| true), vec![Message::Removed(removed(5))]);
 
-    let RemovalMerge::Contradicted(told) = other.merge_removal(ms(3_601), &removed(5)) else {
+    let RemovalMerge::Contradicted(known_to_peer) = other.merge_removal(ms(3_601), &removed(5)) else {
         panic!("the endpoint is live");
     };
-    assert_eq!(told, Message::Registered(registered(6, "ready")));
-    assert_eq!(owner.merge(ms(3_602), &registered(6, "ready")).news, vec![told]);
+    assert_eq!(known_to_peer, Message::Registered(registered(6, "ready")));
+    assert_eq!(owner.merge(ms(3_602), &registered(6, "ready")).updates, vec![known_to_peer]);
 }
 
 #[test]
@@ -304,10 +304,10 @@
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(5, "ready"));
     endpoints.merge_heartbeats(ms(3_600), &vec![BatchedHeartbeat { id: "i-1".into(), sequence: 6 }].into());
-    let told = Registered { sequence: 6, ..registered(5, "ready") };
+    let known_to_peer = Registered { sequence: 6, ..registered(5, "ready") };
     assert_eq!(
         endpoints.merge_removal(ms(3_601), &removed(5)),
-        RemovalMerge::Contradicted(Message::Registered(told))
+        RemovalMerge::Contradicted(Message::Registered(known_to_peer))
     );
 }
 
@@ -319,15 +319,15 @@
 }
 
 /// A registry at which an endpoint has said that it leaves, the number of the flush, and the call.
-fn leaving(group: &[u8]) -> (EndpointRegistry, u64, Receiver<Answer>) {
+fn draining(group: &[u8]) -> (EndpointRegistry, u64, Receiver<Answer>) {
     let mut endpoints = endpoints();
-    let (changes, answer) = put(&mut endpoints, ms(0), group, 1, "draining");
+    let (changes, answer) = register(&mut endpoints, ms(0), group, 1, "draining");
     (endpoints, changes.flush.expect("the others are asked"), answer)
 }
 
 #[test]
 fn controllers_that_are_no_members_confirm_nothing() {
-    let (mut endpoints, token, mut answer) = leaving(THREE);
+    let (mut endpoints, token, mut answer) = draining(THREE);
     for spare in [4, 5, 6] {
         confirm(&mut endpoints, token, spare, THREE);
     }
@@ -338,7 +338,7 @@
 
 #[test]
 fn a_controller_that_is_no_member_does_not_count_itself() {
-    let (mut endpoints, token, mut answer) = leaving(&[2, 3, 4]);
+    let (mut endpoints, token, mut answer) = draining(&[2, 3, 4]);
     confirm(&mut endpoints, token, 3, &[2, 3, 4]);
     assert_eq!(status(&mut answer), None);
     confirm(&mut endpoints, token, 4, &[2, 3, 4]);
@@ -348,7 +348,7 @@
 #[test]
 fn while_members_change_a_majority_of_both_groups_confirms() {
     let joint = known_at(2, &[&[1, 2, 3], &[3, 4, 5]]);
-    let (mut endpoints, token, mut answer) = leaving(THREE);
+    let (mut endpoints, token, mut answer) = draining(THREE);
     endpoints.flushed(token, peer(2), joint.clone(), &joint);
     assert_eq!(status(&mut answer), None, "of the new group nobody has it");
     endpoints.flushed(token, peer(4), joint.clone(), &joint);
@@ -360,7 +360,7 @@
 #[test]
 fn a_newer_group_that_a_peer_knows_counts_too() {
     let (old, joint) = (known_at(1, &[&[1, 2, 3]]), known_at(2, &[&[1, 2, 3], &[2, 3, 4]]));
-    let (mut endpoints, token, mut answer) = leaving(THREE);
+    let (mut endpoints, token, mut answer) = draining(THREE);
     endpoints.flushed(token, peer(2), joint, &old);
     assert_eq!(status(&mut answer), None, "this one and 2 are no majority of the group to come");
     endpoints.flushed(token, peer(4), old.clone(), &old);
@@ -370,27 +370,27 @@
 #[test]
 fn an_older_group_that_a_peer_knows_does_not_count() {
     let (old, new) = (known_at(1, &[&[6, 7, 8]]), known_at(2, &[&[1, 2, 3]]));
-    let (mut endpoints, token, mut answer) = leaving(THREE);
+    let (mut endpoints, token, mut answer) = draining(THREE);
     endpoints.flushed(token, peer(2), old, &new);
     assert_eq!(status(&mut answer), Some(200));
 }
 
 #[test]
 fn a_group_that_becomes_known_meanwhile_decides() {
-    let (mut endpoints, token, mut answer) = leaving(&[]);
+    let (mut endpoints, token, mut answer) = draining(&[]);
     for number in [2, 3] {
         confirm(&mut endpoints, token, number, &[]);
     }
     assert_eq!(status(&mut answer), None, "nobody is a member of a group that is not known");
-    endpoints.review(&known(THREE));
+    endpoints.acknowledge_confirmed(&known(THREE));
     assert_eq!(status(&mut answer), Some(200));
 }
 
 #[test]
 fn a_peer_that_restarted_since_it_confirmed_does_not_count() {
-    let (mut endpoints, token, mut answer) = leaving(FIVE);
+    let (mut endpoints, token, mut answer) = draining(FIVE);
     confirm(&mut endpoints, token, 2, FIVE);
-    endpoints.restarted(peer(2));
+    endpoints.peer_restarted(peer(2));
     confirm(&mut endpoints, token, 3, FIVE);
     assert_eq!(status(&mut answer), None);
     confirm(&mut endpoints, token, 2, FIVE);
@@ -399,9 +399,9 @@
 
 #[test]
 fn a_confirmation_for_an_earlier_life_of_the_process_confirms_nothing() {
-    let (_, earlier, _answer) = leaving(THREE);
+    let (_, earlier, _answer) = draining(THREE);
     let mut restarted = EndpointRegistry::new(HEARTBEAT, peer(THIS), INCARNATION * 1_000);
-    let (changes, mut answer) = put(&mut restarted, ms(0), THREE, 1, "draining");
+    let (changes, mut answer) = register(&mut restarted, ms(0), THREE, 1, "draining");
     assert_ne!(changes.flush, Some(earlier));
     confirm(&mut restarted, earlier, 2, THREE);
     assert_eq!(status(&mut answer), None);
@@ -427,14 +427,18 @@
     assert!(!endpoints.relays_removal(&removed(FINAL_SEQUENCE)));
 }
 
-/// A registry that makes a mistake, and what it says to a drain once the peers that `told` names have confirmed.
-fn mistaken(fault: AcknowledgementFault, told: &[(u8, &KnownGroups)], known: &KnownGroups) -> Option<u16> {
+/// A registry that makes a mistake, and what it says to a drain once the peers that `known_to_peer` names have confirmed.
+fn mistaken(
+    fault: AcknowledgementFault,
+    known_to_peer: &[(u8, &KnownGroups)],
+    known: &KnownGroups,
+) -> Option<u16> {
     let mut endpoints = endpoints().with_fault(Some(fault));
     let (reply, mut answer) = oneshot::channel();
-    let changes = endpoints.put(ms(0), "i-1", body(1, "draining"), known, true, reply);
+    let changes = endpoints.register(ms(0), "i-1", body(1, "draining"), known, true, reply);
     let token = changes.flush.expect("the others are asked");
-    for (number, told) in told {
-        endpoints.flushed(token, peer(*number), (*told).clone(), known);
+    for (number, known_to_peer) in known_to_peer {
+        endpoints.flushed(token, peer(*number), (*known_to_peer).clone(), known);
     }
     status(&mut answer)
 }
@@ -454,10 +458,10 @@
 #[test]
 fn the_checks_find_a_confirmation_that_outlasts_its_process() {
     let mut endpoints = endpoints().with_fault(Some(AcknowledgementFault::CountRestartedPeers));
-    let (changes, mut answer) = put(&mut endpoints, ms(0), FIVE, 1, "draining");
+    let (changes, mut answer) = register(&mut endpoints, ms(0), FIVE, 1, "draining");
     let token = changes.flush.expect("the others are asked");
     confirm(&mut endpoints, token, 2, FIVE);
-    endpoints.restarted(peer(2));
+    endpoints.peer_restarted(peer(2));
     confirm(&mut endpoints, token, 3, FIVE);
     assert_eq!(status(&mut answer), Some(200));
 }
@@ -466,9 +470,9 @@
 fn the_checks_find_flushes_that_are_numbered_alike_in_every_life() {
     let fault = Some(AcknowledgementFault::RepeatTokens);
     let mut earlier = endpoints().with_fault(fault);
-    let (first, _answer) = put(&mut earlier, ms(0), THREE, 1, "draining");
+    let (first, _answer) = register(&mut earlier, ms(0), THREE, 1, "draining");
     let mut restarted = EndpointRegistry::new(HEARTBEAT, peer(THIS), INCARNATION * 1_000).with_fault(fault);
-    let (_, mut answer) = put(&mut restarted, ms(0), THREE, 1, "draining");
+    let (_, mut answer) = register(&mut restarted, ms(0), THREE, 1, "draining");
     confirm(&mut restarted, first.flush.expect("the others are asked"), 2, THREE);
     assert_eq!(status(&mut answer), Some(200));
 }
@@ -476,43 +480,43 @@
 #[test]
 fn what_is_published_names_the_newest_heartbeat_and_its_place_in_order() {
     let mut endpoints = endpoints();
-    let loaded = holding("i-1", "m", None, true);
+    let loaded = residency_update("i-1", "m", None, true);
     assert_eq!(endpoints.publish(loaded.clone()), None, "the endpoint is not known");
-    put(&mut endpoints, ms(0), THREE, 5, "ready");
+    register(&mut endpoints, ms(0), THREE, 5, "ready");
     endpoints.merge_heartbeats(ms(100), &vec![BatchedHeartbeat { id: "i-1".into(), sequence: 7 }].into());
     let first = endpoints.publish(loaded.clone()).expect("it is news");
     assert_eq!((first.sequence, first.order), (7, 1));
-    let second = endpoints.publish(holding("i-1", "m", None, false)).expect("it is news");
+    let second = endpoints.publish(residency_update("i-1", "m", None, false)).expect("it is news");
     assert_eq!((second.sequence, second.order), (7, 2));
-    assert!(!endpoints.hold(&first), "it comes back late from another controller");
+    assert!(!endpoints.apply_residency(&first), "it comes back late from another controller");
 }
 
 #[test]
 fn a_heartbeat_that_changes_nothing_refuses_no_holding_of_the_one_before() {
     let mut endpoints = endpoints();
-    put(&mut endpoints, ms(0), THREE, 5, "ready");
-    put(&mut endpoints, ms(1_000), THREE, 6, "ready");
-    let published = ResidencyUpdate { sequence: 5, order: 1, ..holding("i-1", "m", None, true) };
-    assert!(endpoints.hold(&published), "its publisher had not heard of heartbeat 6 yet");
-    put(&mut endpoints, ms(2_000), THREE, 7, "ready");
+    register(&mut endpoints, ms(0), THREE, 5, "ready");
+    register(&mut endpoints, ms(1_000), THREE, 6, "ready");
+    let published = ResidencyUpdate { sequence: 5, order: 1, ..residency_update("i-1", "m", None, true) };
+    assert!(endpoints.apply_residency(&published), "its publisher had not heard of heartbeat 6 yet");
+    register(&mut endpoints, ms(2_000), THREE, 7, "ready");
     let late = ResidencyUpdate { sequence: 6, order: 1, ..published };
-    assert!(!endpoints.hold(&late), "heartbeat 7 says that the model is not there");
+    assert!(!endpoints.apply_residency(&late), "heartbeat 7 says that the model is not there");
 }
 
 #[test]
 fn what_is_about_to_go_can_be_hidden_again_after_each_heartbeat_that_lists_it() {
     let mut endpoints = endpoints();
     let shows = |endpoints: &EndpointRegistry| {
-        endpoints.registration("i-1").is_some_and(|known| known.shows("m", None))
+        endpoints.registration("i-1").is_some_and(|known| known.has_resident("m", None))
     };
-    put_holding(&mut endpoints, ms(0), 5, "m");
+    put_residency(&mut endpoints, ms(0), 5, "m");
     assert!(shows(&endpoints));
-    endpoints.publish(holding("i-1", "m", None, false)).expect("it is news");
+    endpoints.publish(residency_update("i-1", "m", None, false)).expect("it is news");
     assert!(!shows(&endpoints));
-    put_holding(&mut endpoints, ms(1_000), 6, "m");
+    put_residency(&mut endpoints, ms(1_000), 6, "m");
     assert!(shows(&endpoints), "a heartbeat is newer than what was published before it");
-    endpoints.publish(holding("i-1", "m", None, false)).expect("it is news again");
+    endpoints.publish(residency_update("i-1", "m", None, false)).expect("it is news again");
     assert!(!shows(&endpoints));
-    put(&mut endpoints, ms(2_000), THREE, 7, "ready");
+    register(&mut endpoints, ms(2_000), THREE, 7, "ready");
     assert!(!shows(&endpoints), "it has gone");
 }
--- a/crates/controller/src/controller/environment.rs
+++ b/crates/controller/src/controller/environment.rs
@@ -25,7 +25,7 @@
 
     /// Calls an endpoint on behalf of `owner`, whose tenure has the epoch `epoch`. An order that has not begun
     /// to be sent at `send_by` (a reading of [`Environment::now`]) is not sent.
-    fn carry_out(&mut self, action: ServiceAction, owner: &str, epoch: u64, send_by: Duration);
+    fn execute_action(&mut self, action: ServiceAction, owner: &str, epoch: u64, send_by: Duration);
 
     /// Reads the settings file again.
     fn read_settings(&mut self) -> Result<Settings, SettingsError>;
--- a/crates/controller/src/controller/event_loop.rs
+++ b/crates/controller/src/controller/event_loop.rs
@@ -2,32 +2,32 @@
 
 use crate::controller::Controller;
 use crate::controller::consensus::shards;
-use crate::controller::endpoints::expiry::HOUSEKEEPING_PERIOD;
+use crate::controller::endpoints::expiry::PERIODIC_TASKS_PERIOD;
 use crate::controller::event::Event;
-use crate::controller::feed::agents::BEAT_PERIOD;
+use crate::controller::feed::agents::FEED_HEARTBEAT_PERIOD;
 use crate::controller::membership::handover::Handover;
 use lanegate_coordination::register::{Input, Value};
 use std::time::Duration;
 
 /// A gap between turns from which on this process takes itself to have stood still.
-const PAUSE_THRESHOLD: Duration = Duration::from_millis(1_200);
+const STALL_THRESHOLD: Duration = Duration::from_millis(1_200);
 
 impl Controller {
     /// Takes up what the disk holds, and dials the seeds.
     pub(crate) fn start(&mut self) {
         let seeds = self.settings.seeds.clone();
-        seeds.into_iter().for_each(|seed| self.know(seed));
+        seeds.into_iter().for_each(|seed| self.discover_peer(seed));
         let decided: Vec<(u8, Value)> = self
             .shards
             .iter()
             .filter_map(|(shard, replica)| Some((shard, replica.decided()?.clone())))
             .collect();
         for (shard, value) in decided {
-            self.learned(shard, &value);
+            self.on_committed(shard, &value);
         }
         for shard in shards::all() {
             let outputs = self.shards.handle(self.now(), shard, Input::Tick);
-            self.follow(shard, outputs);
+            self.execute_outputs(shard, outputs);
         }
     }
 
@@ -36,29 +36,29 @@
         let wakes = [
             Some(self.membership.next_wake()),
             self.leases.next_wake(),
-            self.members.next_wake(),
+            self.replacement_planner.next_wake(),
             self.shards.next_wake(),
             self.pending_changes.next_wake(),
             self.endpoints.next_wake(),
             self.placers.next_wake(),
-            self.holdings.next_wake(),
-            self.contact_wake(),
+            self.pending_loads.next_wake(),
+            self.contact_expiry(),
             self.handover.as_ref().and_then(Handover::next_wake),
-            Some(self.next_beat),
-            Some(self.next_housekeeping),
+            Some(self.next_feed_heartbeat),
+            Some(self.next_periodic_tasks),
         ];
-        wakes.into_iter().flatten().min().unwrap_or(self.next_beat)
+        wakes.into_iter().flatten().min().unwrap_or(self.next_feed_heartbeat)
     }
 
     /// Does what is due.
-    pub(crate) fn turn(&mut self) {
+    pub(crate) fn tick(&mut self) {
         let now = self.now();
-        if now > self.last_turn + PAUSE_THRESHOLD {
-            self.counters.pauses += 1;
-            self.endpoints.excuse(now);
-            self.members.excuse();
+        if now > self.last_tick + STALL_THRESHOLD {
+            self.counters.stalls += 1;
+            self.endpoints.excuse_silence(now);
+            self.replacement_planner.excuse_silence();
         }
-        self.last_turn = now;
+        self.last_tick = now;
         if self.membership.next_wake() <= now {
             let outputs = self.membership.on_time(now);
             self.membership_outputs(outputs);
@@ -67,44 +67,44 @@
             let outputs = self.leases.on_time(now);
             self.lease_outputs(outputs);
         }
-        if self.members.next_wake().is_some_and(|at| at <= now) {
-            self.tend_members(now);
+        if self.replacement_planner.next_wake().is_some_and(|at| at <= now) {
+            self.reconcile_members(now);
         }
         for (shard, outputs) in self.shards.due(now) {
-            self.follow(shard, outputs);
+            self.execute_outputs(shard, outputs);
         }
         for request in self.pending_changes.due(now) {
-            self.propose(request);
+            self.propose_change(request);
         }
-        self.watch_contact();
-        self.endpoints.give_up(now);
-        self.place(now);
-        if self.next_beat <= now {
-            self.next_beat = now + BEAT_PERIOD;
-            self.beat();
+        self.update_contact();
+        self.endpoints.expire_pending(now);
+        self.run_placers(now);
+        if self.next_feed_heartbeat <= now {
+            self.next_feed_heartbeat = now + FEED_HEARTBEAT_PERIOD;
+            self.send_feed_heartbeat();
         }
-        if self.next_housekeeping <= now {
-            self.next_housekeeping = now + HOUSEKEEPING_PERIOD;
-            self.keep_house(now);
+        if self.next_periodic_tasks <= now {
+            self.next_periodic_tasks = now + PERIODIC_TASKS_PERIOD;
+            self.run_periodic_tasks(now);
         }
-        self.tell_standing();
-        self.hand_over(now);
+        self.broadcast_status();
+        self.advance_handover(now);
     }
 
     /// Takes one event.
-    pub(crate) fn take(&mut self, event: Event) {
+    pub(crate) fn handle_event(&mut self, event: Event) {
         let now = self.now();
         match event {
             Event::PeerUp { peer, outbox } => {
-                self.greet(&outbox);
+                self.send_greeting(&outbox);
                 self.peers.up(peer, outbox);
                 self.repeat_heartbeat(peer);
-                self.contact(peer);
+                self.retry_replicas(peer);
             }
             Event::PeerDown { peer } => self.peers.down(peer),
             Event::PeerHello { hello } => {
                 if let Ok(peer) = hello.control_address.text().parse() {
-                    self.know(peer);
+                    self.discover_peer(peer);
                     self.repeat_heartbeat(peer);
                 }
             }
@@ -113,17 +113,17 @@
             Event::AgentMessage { agent, message } => self.agent_message(agent, message),
             Event::OrderAnswered { service, order, answer } => self.order_answered(&service, &order, answer),
             Event::Reported { service, instance, report } => {
-                for holding in self.holdings.reported(&instance, &report.models) {
+                for holding in self.pending_loads.reported(&instance, &report.models) {
                     self.publish(holding);
                 }
                 self.placers.reported(now, &service, &instance, &report);
             }
-            Event::AgentDown { agent } => self.readers.down(agent),
+            Event::AgentDown { agent } => self.subscribers.down(agent),
             Event::Call(call) => self.call(call),
             Event::Written { shard, token, durable } => {
                 let input = if durable { Input::Persisted { token } } else { Input::PersistFailed { token } };
                 let outputs = self.shards.handle(now, shard, input);
-                self.follow(shard, outputs);
+                self.execute_outputs(shard, outputs);
             }
         }
     }
--- a/crates/controller/src/controller/feed/agents.rs
+++ b/crates/controller/src/controller/feed/agents.rs
@@ -6,22 +6,22 @@
 use std::time::Duration;
 
 /// Time between heartbeats of the feed.
-pub(crate) const BEAT_PERIOD: Duration = Duration::from_millis(500);
+pub(crate) const FEED_HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
 
 impl Controller {
-    pub(crate) fn beat(&mut self) {
+    pub(crate) fn send_feed_heartbeat(&mut self) {
         let (quorum, routers) = (self.is_trusted(), self.routers.count(self.now()));
-        self.readers.beat(quorum, routers);
+        self.subscribers.heartbeat(quorum, routers);
     }
 
     /// Whether agents may rely on this controller: what it knows is current, and it is not about to end.
     fn is_trusted(&self) -> bool {
         let claims = self.has_fault(ControllerFault::AlwaysCurrent);
-        (self.is_current() || claims) && !self.is_leaving()
+        (self.is_current() || claims) && !self.is_draining()
     }
 
     pub(crate) fn agent_up(&mut self, agent: u64, hello: &Hello, outbox: Outbox) {
-        let beat = (self.is_trusted(), self.routers.count(self.now()));
+        let send_feed_heartbeat = (self.is_trusted(), self.routers.count(self.now()));
         let controllers = self.controllers_message();
         let (endpoints, complete) = (&self.endpoints, self.complete);
         let snapshot = || {
@@ -30,16 +30,16 @@
             messages.push(Message::SnapshotEnd { complete: u8::from(complete) });
             messages
         };
-        self.readers.up(agent, hello, outbox, snapshot, beat);
+        self.subscribers.up(agent, hello, outbox, snapshot, send_feed_heartbeat);
     }
 
     pub(crate) fn agent_message(&mut self, agent: u64, message: Message) {
         match message {
             Message::Demand(demand) => {
-                self.demand(&demand);
+                self.on_demand(&demand);
                 self.peers.broadcast(&Message::Demand(demand));
             }
-            Message::ConfigurationFetch(base) => self.readers.fetch(agent, base),
+            Message::ConfigurationFetch(base) => self.subscribers.fetch(agent, base),
             _ => {}
         }
     }
--- a/crates/controller/src/controller/feed/live_routers.rs
+++ b/crates/controller/src/controller/feed/live_routers.rs
@@ -5,29 +5,29 @@
 
 /// A router that has told nothing for so long is gone. Until then its part of the budgets is kept: it may
 /// have used it, and it may be cut off from here alone.
-const SILENCE: Duration = Duration::from_secs(30);
+const ROUTER_TIMEOUT: Duration = Duration::from_secs(30);
 /// Before a controller has listened for so long it tells no number: every router tells its demand each second.
-const LISTENING: Duration = Duration::from_secs(5);
+const WARMUP: Duration = Duration::from_secs(5);
 
 /// Routers by name, and when each told its demand last.
 #[derive(Debug, Default)]
 pub struct LiveRouters {
-    told: BTreeMap<String, Duration>,
+    last_report: BTreeMap<String, Duration>,
 }
 
 impl LiveRouters {
     /// A router told its demand.
-    pub fn heard(&mut self, now: Duration, router: String) {
-        self.told.insert(router, now);
+    pub fn record_report(&mut self, now: Duration, router: String) {
+        self.last_report.insert(router, now);
     }
 
     /// Forgets those that are gone.
-    pub fn forget(&mut self, now: Duration) {
-        self.told.retain(|_, told| now < *told + SILENCE);
+    pub fn expire(&mut self, now: Duration) {
+        self.last_report.retain(|_, last_report| now < *last_report + ROUTER_TIMEOUT);
     }
 
     /// The number of live routers, `uptime` after the start of this process; 0 while it is not known.
     pub fn count(&self, uptime: Duration) -> u32 {
-        if uptime < LISTENING { 0 } else { self.told.len() as u32 }
+        if uptime < WARMUP { 0 } else { self.last_report.len() as u32 }
     }
 }
--- a/crates/controller/src/controller/feed/live_routers_test.rs
+++ b/crates/controller/src/controller/feed/live_routers_test.rs
@@ -10,7 +10,7 @@
 #[test]
 fn a_controller_that_has_just_started_tells_no_number() {
     let mut routers = LiveRouters::default();
-    routers.heard(s(1), "edge-1".to_owned());
+    routers.record_report(s(1), "edge-1".to_owned());
     assert_eq!(routers.count(s(1)), 0);
     assert_eq!(routers.count(s(5)), 1);
 }
@@ -18,10 +18,10 @@
 #[test]
 fn a_silent_router_keeps_its_part_for_a_while() {
     let mut routers = LiveRouters::default();
-    routers.heard(s(6), "edge-1".to_owned());
-    routers.heard(s(30), "edge-2".to_owned());
-    routers.forget(s(35));
+    routers.record_report(s(6), "edge-1".to_owned());
+    routers.record_report(s(30), "edge-2".to_owned());
+    routers.expire(s(35));
     assert_eq!(routers.count(s(35)), 2);
-    routers.forget(s(36));
+    routers.expire(s(36));
     assert_eq!(routers.count(s(36)), 1);
 }
--- a/crates/controller/src/controller/feed/subscriber_storm_test.rs
+++ b/crates/controller/src/controller/feed/subscriber_storm_test.rs
@@ -16,7 +16,7 @@
 const LINK_BYTES_PER_MS: usize = 1_250;
 /// Twelve changes a second and a half.
 const CHANGE_PERIOD_MS: u64 = 80;
-const BEAT_PERIOD_MS: u64 = 500;
+const FEED_HEARTBEAT_PERIOD_MS: u64 = 500;
 /// `ConfigApplyMs`, less what is left for the loopback hop and the router.
 const LAG_BOUND_MS: u64 = 1_600;
 
@@ -99,7 +99,7 @@
 /// Two sources, their readers, and what was decided when.
 struct World {
     sources: Vec<Subscribers>,
-    readers: Vec<MessageReader>,
+    subscribers: Vec<MessageReader>,
     decided_at: Vec<u64>,
     /// Sources that read fetches and answer nothing.
     mute: Vec<usize>,
@@ -109,7 +109,7 @@
 impl World {
     fn new(count: usize) -> World {
         let mut sources = vec![Subscribers::new(11), Subscribers::new(12)];
-        let mut reader = |number: usize| {
+        let mut subscriber = |number: usize| {
             let links = sources.iter_mut().map(|source| {
                 let (outbox, frames) = Outbox::new();
                 source.up(number as u64, &hello(Position::default()), outbox, snapshot, (true, 1));
@@ -119,8 +119,8 @@
             let view = View::new(Pace::LINK);
             MessageReader { view, links, fetches: VecDeque::new(), bytes: 0, longest_lag: 0 }
         };
-        let readers = (0..count).map(&mut reader).collect();
-        World { sources, readers, decided_at: Vec::new(), mute: Vec::new(), now: 0 }
+        let subscribers = (0..count).map(&mut subscriber).collect();
+        World { sources, subscribers, decided_at: Vec::new(), mute: Vec::new(), now: 0 }
     }
 
     /// Plays `length` ms more; in the first `storm` of them a configuration is decided every
@@ -134,8 +134,8 @@
                 let decided = CommittedConfiguration { revision, document: document(revision).into() };
                 self.sources.iter_mut().for_each(|source| source.publish(decided.clone()));
             }
-            if now.is_multiple_of(BEAT_PERIOD_MS) {
-                self.sources.iter_mut().for_each(|source| source.beat(true, 1));
+            if now.is_multiple_of(FEED_HEARTBEAT_PERIOD_MS) {
+                self.sources.iter_mut().for_each(|source| source.heartbeat(true, 1));
             }
             self.step(now);
         }
@@ -145,36 +145,36 @@
     /// Lets every reader get its first configuration, which is a whole document; lags count from then on.
     fn begin(&mut self, document: impl Fn(u64) -> Vec<u8>) {
         self.play(1_200, 1, document);
-        self.readers.iter_mut().for_each(|reader| reader.longest_lag = 0);
+        self.subscribers.iter_mut().for_each(|subscriber| subscriber.longest_lag = 0);
     }
 
     fn step(&mut self, now: u64) {
-        for (number, reader) in self.readers.iter_mut().enumerate() {
-            reader.receive(ms(now));
-            while reader.fetches.front().is_some_and(|(at, ..)| *at <= ms(now)) {
-                let Some((_, to, fetch)) = reader.fetches.pop_front() else { break };
+        for (number, subscriber) in self.subscribers.iter_mut().enumerate() {
+            subscriber.receive(ms(now));
+            while subscriber.fetches.front().is_some_and(|(at, ..)| *at <= ms(now)) {
+                let Some((_, to, fetch)) = subscriber.fetches.pop_front() else { break };
                 let Message::ConfigurationFetch(base) = fetch else { panic!("{fetch:?}") };
                 if !self.mute.contains(&to) {
                     self.sources[to].fetch(number as u64, base);
                 }
             }
-            let missing = self.decided_at.get(reader.revision() as usize);
+            let missing = self.decided_at.get(subscriber.revision() as usize);
             let lag = missing.map_or(0, |decided_at| now - decided_at);
-            reader.longest_lag = reader.longest_lag.max(lag);
+            subscriber.longest_lag = subscriber.longest_lag.max(lag);
         }
     }
 
     fn most_bytes(&self) -> usize {
-        self.readers.iter().map(|reader| reader.bytes).max().unwrap_or(0)
+        self.subscribers.iter().map(|subscriber| subscriber.bytes).max().unwrap_or(0)
     }
 
     fn longest_lag(&self) -> u64 {
-        self.readers.iter().map(|reader| reader.longest_lag).max().unwrap_or(0)
+        self.subscribers.iter().map(|subscriber| subscriber.longest_lag).max().unwrap_or(0)
     }
 
     fn assert_all_have(&self, document: &[u8]) {
-        for reader in &self.readers {
-            let held = reader.view.configuration().expect("a configuration");
+        for subscriber in &self.subscribers {
+            let held = subscriber.view.configuration().expect("a configuration");
             assert!(held.document.bytes == document, "revision {}", held.revision);
         }
     }
@@ -241,14 +241,14 @@
 
 /// A registry as its publisher has it, with the feed's journal.
 struct Publisher {
-    readers: Subscribers,
+    subscribers: Subscribers,
     truth: View,
     offset: u64,
 }
 
 impl Publisher {
     fn new() -> Publisher {
-        Publisher { readers: Subscribers::new(11), truth: View::default(), offset: 0 }
+        Publisher { subscribers: Subscribers::new(11), truth: View::default(), offset: 0 }
     }
 
     /// Endpoint `number` changes; every seventh change takes it away, with its sequence.
@@ -263,7 +263,7 @@
             Message::Registered(Registered { id: id.as_str().into(), sequence, body: body.as_str().into() })
         };
         self.truth.receive(ms(0), source(0), message.clone(), &mut Vec::new());
-        self.readers.append(&message);
+        self.subscribers.append(&message);
         self.offset += 1;
     }
 
@@ -283,7 +283,7 @@
             messages.push(Message::SnapshotEnd { complete: 1 });
             messages
         };
-        self.readers.up(1, &hello(position), outbox, snapshot, (true, 1));
+        self.subscribers.up(1, &hello(position), outbox, snapshot, (true, 1));
         frames
     }
 }
@@ -312,10 +312,10 @@
     let mut view = View::default();
     let mut frames = publisher.join(Position::default());
     publisher.storm(500);
-    publisher.readers.beat(true, 1);
+    publisher.subscribers.heartbeat(true, 1);
     drain(&mut view, &mut frames);
     view.lost(ms(0), source(0));
-    publisher.readers.down(1);
+    publisher.subscribers.down(1);
 
     let position = view.position(source(0));
     assert_eq!(position, Position { source: 11, offset: 500 });
@@ -340,10 +340,10 @@
     let mut publisher = Publisher::new();
     let mut view = View::default();
     let mut frames = publisher.join(Position::default());
-    publisher.readers.beat(true, 1);
+    publisher.subscribers.heartbeat(true, 1);
     drain(&mut view, &mut frames);
     publisher.storm(10_000);
-    assert_eq!(publisher.readers.count(), 0, "nothing is sent to it any more");
+    assert_eq!(publisher.subscribers.count(), 0, "nothing is sent to it any more");
     drain(&mut view, &mut frames);
     assert!(frames.is_closed(), "its link ends");
     assert_ne!(registrations(&view), registrations(&publisher.truth));
@@ -364,21 +364,21 @@
     publisher.storm(100);
     let decided =
         |revision| CommittedConfiguration { revision, document: one_route_changed(revision).into() };
-    publisher.readers.publish(decided(1));
-    publisher.readers.beat(true, 1);
+    publisher.subscribers.publish(decided(1));
+    publisher.subscribers.heartbeat(true, 1);
     drain(&mut view, &mut frames);
     view.receive(ms(0), source(0), Message::CommittedConfiguration(decided(1)), &mut Vec::new());
     view.lost(ms(0), source(0));
-    publisher.readers.down(1);
+    publisher.subscribers.down(1);
 
     publisher.storm(missed);
     // Only the versions that are kept as bases are built: older ones leave no trace.
     let newest = 1 + missed;
-    (newest.saturating_sub(40).max(2)..=newest).for_each(|n| publisher.readers.publish(decided(n)));
+    (newest.saturating_sub(40).max(2)..=newest).for_each(|n| publisher.subscribers.publish(decided(n)));
     let mut frames = publisher.join(view.position(source(0)));
     let (mut bytes, _) = drain(&mut view, &mut frames);
     let Some((_, Message::ConfigurationFetch(base))) = view.fetch(ms(1_000), None) else { panic!("a fetch") };
-    publisher.readers.fetch(1, base);
+    publisher.subscribers.fetch(1, base);
     bytes += drain(&mut view, &mut frames).0;
     assert_eq!(registrations(&view), registrations(&publisher.truth));
     assert!(view.configuration().is_some_and(|held| held.revision == newest));
--- a/crates/controller/src/controller/feed/subscribers.rs
+++ b/crates/controller/src/controller/feed/subscribers.rs
@@ -51,27 +51,27 @@
     }
 
     /// A reader that has `base` asks for the newest configuration.
-    pub fn fetch(&mut self, reader: u64, base: ConfigurationVersion) {
+    pub fn fetch(&mut self, subscriber: u64, base: ConfigurationVersion) {
         let Some(frame) = self.configurations.answer(base) else { return };
-        if let Some(outbox) = self.outboxes.get(&reader) {
+        if let Some(outbox) = self.outboxes.get(&subscriber) {
             outbox.send(frame);
         }
     }
 
     /// Sends what is no change: heartbeats.
-    pub fn beat(&mut self, quorum: bool, routers: u32) {
-        let frame = self.beat_message(quorum, routers).frame();
+    pub fn heartbeat(&mut self, quorum: bool, routers: u32) {
+        let frame = self.heartbeat_message(quorum, routers).frame();
         self.send_all(frame);
     }
 
     /// Starts a reader: the changes that it lacks, or all of `snapshot`.
     pub fn up(
         &mut self,
-        reader: u64,
+        subscriber: u64,
         hello: &Hello,
         outbox: Outbox,
         snapshot: impl FnOnce() -> Vec<Message>,
-        beat: (bool, u32),
+        heartbeat: (bool, u32),
     ) {
         let position = Position { source: hello.source, offset: hello.offset };
         for frame in self.start(position, snapshot) {
@@ -80,8 +80,8 @@
         if let Some(announcement) = self.configurations.announcement() {
             outbox.message(&announcement);
         }
-        outbox.message(&self.beat_message(beat.0, beat.1));
-        self.outboxes.insert(reader, outbox);
+        outbox.message(&self.heartbeat_message(heartbeat.0, heartbeat.1));
+        self.outboxes.insert(subscriber, outbox);
     }
 
     /// What brings a reader at `position` up to date: the changes since, or a snapshot where that is shorter.
@@ -112,8 +112,8 @@
     }
 
     /// A reader has gone.
-    pub fn down(&mut self, reader: u64) {
-        self.outboxes.remove(&reader);
+    pub fn down(&mut self, subscriber: u64) {
+        self.outboxes.remove(&subscriber);
     }
 
     /// Readers now.
@@ -121,7 +121,7 @@
         self.outboxes.len()
     }
 
-    fn beat_message(&self, quorum: bool, routers: u32) -> Message {
+    fn heartbeat_message(&self, quorum: bool, routers: u32) -> Message {
         let Position { source, offset } = self.journal.end();
         Message::FeedHeartbeat(FeedHeartbeat { quorum: u8::from(quorum), source, offset, routers })
     }
--- a/crates/controller/src/controller/feed/subscribers_test.rs
+++ b/crates/controller/src/controller/feed/subscribers_test.rs
@@ -23,7 +23,7 @@
     Message::Removed(Removed { id: "i-1".into(), sequence: number })
 }
 
-fn beat(offset: u64) -> Message {
+fn heartbeat(offset: u64) -> Message {
     Message::FeedHeartbeat(FeedHeartbeat { quorum: 1, source: INCARNATION, offset, routers: 2 })
 }
 
@@ -36,98 +36,100 @@
     frames.map(|frame| Message::decode(&frame[4..]).expect("a message")).collect()
 }
 
-fn joined(readers: &mut Subscribers, reader: u64, hello: &Hello) -> Receiver<Bytes> {
+fn joined(subscribers: &mut Subscribers, subscriber: u64, hello: &Hello) -> Receiver<Bytes> {
     let (outbox, frames) = Outbox::new();
-    readers.up(reader, hello, outbox, snapshot, (true, 2));
+    subscribers.up(subscriber, hello, outbox, snapshot, (true, 2));
     frames
 }
 
 fn readers_with(changes: u64) -> Subscribers {
-    let mut readers = Subscribers::new(INCARNATION);
-    (0..changes).for_each(|number| readers.append(&change(number)));
-    readers
+    let mut subscribers = Subscribers::new(INCARNATION);
+    (0..changes).for_each(|number| subscribers.append(&change(number)));
+    subscribers
 }
 
 #[test]
 fn a_new_reader_begins_with_a_snapshot_and_is_told_where_it_stands() {
-    let mut readers = readers_with(3);
-    let mut frames = joined(&mut readers, 1, &hello(0, 0));
+    let mut subscribers = readers_with(3);
+    let mut frames = joined(&mut subscribers, 1, &hello(0, 0));
     let mut expected = snapshot();
-    expected.push(beat(3));
+    expected.push(heartbeat(3));
     assert_eq!(received(&mut frames), expected);
 }
 
 #[test]
 fn a_reader_that_comes_back_gets_what_it_lacks_and_no_snapshot() {
-    let mut readers = readers_with(5);
-    let mut frames = joined(&mut readers, 1, &hello(INCARNATION, 3));
-    assert_eq!(received(&mut frames), vec![change(3), change(4), beat(5)]);
-    let mut frames = joined(&mut readers, 2, &hello(INCARNATION, 5));
-    assert_eq!(received(&mut frames), vec![beat(5)]);
+    let mut subscribers = readers_with(5);
+    let mut frames = joined(&mut subscribers, 1, &hello(INCARNATION, 3));
+    assert_eq!(received(&mut frames), vec![change(3), change(4), heartbeat(5)]);
+    let mut frames = joined(&mut subscribers, 2, &hello(INCARNATION, 5));
+    assert_eq!(received(&mut frames), vec![heartbeat(5)]);
 }
 
 #[test]
 fn a_reader_of_another_life_or_from_too_far_back_begins_anew() {
-    let mut readers = readers_with(2_049);
+    let mut subscribers = readers_with(2_049);
     for stale in [hello(INCARNATION + 1, 2_049), hello(INCARNATION, 0), hello(INCARNATION, 2_050)] {
-        let mut frames = joined(&mut readers, 1, &stale);
+        let mut frames = joined(&mut subscribers, 1, &stale);
         assert_eq!(received(&mut frames)[0], Message::SnapshotBegin, "{stale:?}");
     }
-    let mut frames = joined(&mut readers, 1, &hello(INCARNATION, 1));
+    let mut frames = joined(&mut subscribers, 1, &hello(INCARNATION, 1));
     assert_eq!(received(&mut frames).len(), 2_049);
 }
 
 #[test]
 fn every_reader_hears_changes_and_beats_until_it_goes() {
-    let mut readers = readers_with(0);
-    let (mut first, mut second) =
-        (joined(&mut readers, 1, &hello(INCARNATION, 0)), joined(&mut readers, 2, &hello(INCARNATION, 0)));
-    readers.append(&change(0));
-    readers.down(1);
-    readers.beat(true, 2);
-    assert_eq!(received(&mut first), vec![beat(0), change(0)]);
-    assert_eq!(received(&mut second), vec![beat(0), change(0), beat(1)]);
-    assert_eq!(readers.count(), 1);
+    let mut subscribers = readers_with(0);
+    let (mut first, mut second) = (
+        joined(&mut subscribers, 1, &hello(INCARNATION, 0)),
+        joined(&mut subscribers, 2, &hello(INCARNATION, 0)),
+    );
+    subscribers.append(&change(0));
+    subscribers.down(1);
+    subscribers.heartbeat(true, 2);
+    assert_eq!(received(&mut first), vec![heartbeat(0), change(0)]);
+    assert_eq!(received(&mut second), vec![heartbeat(0), change(0), heartbeat(1)]);
+    assert_eq!(subscribers.count(), 1);
 }
 
 #[test]
 fn a_reader_whose_link_has_ended_is_dropped_with_the_next_message() {
-    let mut readers = readers_with(0);
-    drop(joined(&mut readers, 1, &hello(0, 0)));
-    readers.append(&change(0));
-    assert_eq!(readers.count(), 0);
+    let mut subscribers = readers_with(0);
+    drop(joined(&mut subscribers, 1, &hello(0, 0)));
+    subscribers.append(&change(0));
+    assert_eq!(subscribers.count(), 0);
 }
 
 /// Starts a reader that is sent `snapshot`; tells whether that was made for it, and what it is sent.
-fn joined_with(readers: &mut Subscribers, snapshot: Vec<Message>) -> (bool, Vec<Message>) {
+fn joined_with(subscribers: &mut Subscribers, snapshot: Vec<Message>) -> (bool, Vec<Message>) {
     let (outbox, mut frames) = Outbox::new();
     let mut made = false;
     let make = || {
         made = true;
         snapshot
     };
-    readers.up(1, &hello(0, 0), outbox, make, (true, 2));
+    subscribers.up(1, &hello(0, 0), outbox, make, (true, 2));
     (made, received(&mut frames))
 }
 
 #[test]
 fn readers_that_come_between_two_changes_share_a_snapshot() {
-    let mut readers = readers_with(3);
-    let (made, first) = joined_with(&mut readers, snapshot());
+    let mut subscribers = readers_with(3);
+    let (made, first) = joined_with(&mut subscribers, snapshot());
     assert!(made);
-    readers.beat(true, 2);
-    let (made, second) = joined_with(&mut readers, vec![]);
+    subscribers.heartbeat(true, 2);
+    let (made, second) = joined_with(&mut subscribers, vec![]);
     assert!(!made, "a heartbeat is no change");
     assert_eq!(first, second);
 }
 
 #[test]
 fn after_a_change_a_snapshot_is_made_anew() {
-    let mut readers = readers_with(3);
-    joined_with(&mut readers, snapshot());
-    readers.append(&change(3));
+    let mut subscribers = readers_with(3);
+    joined_with(&mut subscribers, snapshot());
+    subscribers.append(&change(3));
     let changed = vec![Message::SnapshotBegin, change(3), Message::SnapshotEnd { complete: 1 }];
-    let (made, sent) = joined_with(&mut readers, changed.clone());
+    let (made, sent) = joined_with(&mut subscribers, changed.clone());
     assert!(made);
-    assert_eq!(sent, [changed, vec![beat(4)]].concat());
+    assert_eq!(sent, [changed, vec![heartbeat(4)]].concat());
 }
--- a/crates/controller/src/controller/inspect.rs
+++ b/crates/controller/src/controller/inspect.rs
@@ -18,8 +18,8 @@
 
     /// The least margin of all shards, in losses that can be borne; `None` if one has no majority, or while this
     /// controller is no member of all groups.
-    pub(crate) fn least_margin(&self) -> Option<usize> {
-        let margins: Option<Vec<usize>> = shards::all().map(|shard| self.margin(shard)).collect();
+    pub(crate) fn least_fault_tolerance(&self) -> Option<usize> {
+        let margins: Option<Vec<usize>> = shards::all().map(|shard| self.fault_tolerance(shard)).collect();
         margins?.into_iter().min()
     }
 
--- a/crates/controller/src/controller/membership/handover.rs
+++ b/crates/controller/src/controller/membership/handover.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 /// Longest wait for the answers of the other controllers to the last messages, and for leases to be given back.
-const FLUSH_PATIENCE: Duration = Duration::from_millis(300);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 /// Share of the time until the process is killed that a replacement may take.
-const REPLACEMENT_SHARE: f64 = 0.5;
+const REPLACEMENT_FRACTION: f64 = 0.5;
 
 /// What a leaving controller waits for.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 impl Handover {
     /// Begins at `now`, by a controller that is killed `grace` later.
     pub fn begin(now: Duration, grace: Duration) -> Self {
-        Handover { stage: Stage::Replacement { until: now + grace.mul_f64(REPLACEMENT_SHARE) } }
+        Handover { stage: Stage::Replacement { until: now + grace.mul_f64(REPLACEMENT_FRACTION) } }
     }
 
     /// Whether the replacement is over, or cannot be had: then [`Handover::flush`] is to be called.
@@ -55,7 +55,7 @@
     /// All is sent, the flush `token` last: waits for those of `peers`.
     pub fn flush(&mut self, now: Duration, token: u64, peers: impl IntoIterator<Item = SocketAddr>) {
         let missing = peers.into_iter().collect();
-        self.stage = Stage::Flush { token, missing, until: now + FLUSH_PATIENCE };
+        self.stage = Stage::Flush { token, missing, until: now + FLUSH_TIMEOUT };
     }
 
     /// A peer has everything up to the flush `token`.
--- a/crates/controller/src/controller/membership/links.rs
+++ b/crates/controller/src/controller/membership/links.rs
@@ -1,7 +1,7 @@
 //! The links of a controller: those it dials to its peers, and those that peers and agents open.
 
 use crate::controller::event::Event;
-use crate::link::{self, MessageReader, Outbox, REDIAL_PAUSE};
+use crate::link::{self, MessageReader, Outbox, REDIAL_DELAY};
 use crate::message::{Hello, Message, MessageError, Role};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,7 +25,7 @@
             if let Err(error) = speak(peer, address, &hello, &events).await {
                 log::debug!("link to {peer}: {error}");
             }
-            tokio::time::sleep(REDIAL_PAUSE).await;
+            tokio::time::sleep(REDIAL_DELAY).await;
         }
     };
     tokio::task::spawn_local(task).abort_handle()
@@ -63,7 +63,7 @@
     let mut opened = 0;
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(REDIAL_PAUSE).await;
+            tokio::time::sleep(REDIAL_DELAY).await;
             continue;
         };
         opened += 1;
@@ -85,7 +85,7 @@
     let (read, write) = stream.into_split();
     let mut reader = MessageReader::new(read);
     let first =
-        tokio::time::timeout(HELLO_TIMEOUT, reader.next()).await.map_err(|_| MessageError::Silent)??;
+        tokio::time::timeout(HELLO_TIMEOUT, reader.next()).await.map_err(|_| MessageError::Timeout)??;
     let Message::Hello(hello) = first else { return Ok(()) };
     match hello.role {
         Role::Controller => peer_link(reader, hello, events).await,
--- a/crates/controller/src/controller/membership/member_status.rs
+++ b/crates/controller/src/controller/membership/member_status.rs
@@ -6,13 +6,13 @@
 
 impl MemberStatus {
     /// A controller in this `incarnation` whose replicas of `voting` can vote.
-    pub fn new(incarnation: u64, voting: impl IntoIterator<Item = u8>, leaving: bool) -> Self {
+    pub fn new(incarnation: u64, voting: impl IntoIterator<Item = u8>, draining: bool) -> Self {
         let voting = voting.into_iter().fold(0, |shards, shard| shards | shard_bit(shard));
-        MemberStatus { incarnation, voting, leaving: u8::from(leaving) }
+        MemberStatus { incarnation, voting, draining: u8::from(draining) }
     }
 
     /// Whether its replica of the shard can vote: it has not lost its disk, or has recovered since.
-    pub fn votes(&self, shard: u8) -> bool {
+    pub fn can_vote(&self, shard: u8) -> bool {
         self.voting & shard_bit(shard) != 0
     }
 }
@@ -25,40 +25,40 @@
 /// The newest word of each controller, this one included.
 #[derive(Debug, Default)]
 pub struct MemberStatuses {
-    told: BTreeMap<SocketAddr, MemberStatus>,
+    statuses: BTreeMap<SocketAddr, MemberStatus>,
 }
 
 impl MemberStatuses {
     /// Takes what the controller at `node` says. True if it is news.
-    pub fn note(&mut self, node: SocketAddr, standing: MemberStatus) -> bool {
-        self.told.insert(node, standing) != Some(standing)
+    pub fn record(&mut self, node: SocketAddr, status: MemberStatus) -> bool {
+        self.statuses.insert(node, status) != Some(status)
     }
 
     /// The controller at `node` runs as `incarnation` now: what an earlier life said holds no more.
     pub fn restarted(&mut self, node: SocketAddr, incarnation: u64) {
-        if self.told.get(&node).is_some_and(|standing| standing.incarnation != incarnation) {
-            self.told.remove(&node);
+        if self.statuses.get(&node).is_some_and(|status| status.incarnation != incarnation) {
+            self.statuses.remove(&node);
         }
     }
 
     /// What the controller at `node` said last.
     pub fn get(&self, node: SocketAddr) -> Option<MemberStatus> {
-        self.told.get(&node).copied()
+        self.statuses.get(&node).copied()
     }
 
     /// Whether the controller can vote for a shard, as far as it has said.
-    pub fn votes(&self, node: SocketAddr, shard: u8) -> bool {
-        self.told.get(&node).is_some_and(|standing| standing.votes(shard))
+    pub fn can_vote(&self, node: SocketAddr, shard: u8) -> bool {
+        self.statuses.get(&node).is_some_and(|status| status.can_vote(shard))
     }
 
     /// Whether the controller is about to end.
-    pub fn is_leaving(&self, node: SocketAddr) -> bool {
-        self.told.get(&node).is_some_and(|standing| standing.leaving == 1)
+    pub fn is_draining(&self, node: SocketAddr) -> bool {
+        self.statuses.get(&node).is_some_and(|status| status.draining == 1)
     }
 
     /// Whether the controller may be made a member of the group of a shard: a vote less would be a loss that is
     /// borne from the start.
     pub fn can_join(&self, node: SocketAddr, shard: u8) -> bool {
-        self.votes(node, shard) && !self.is_leaving(node)
+        self.can_vote(node, shard) && !self.is_draining(node)
     }
 }
--- a/crates/controller/src/controller/membership/member_status_test.rs
+++ b/crates/controller/src/controller/membership/member_status_test.rs
@@ -10,38 +10,38 @@
 
 #[test]
 fn a_replica_votes_for_the_shards_that_its_controller_names() {
-    let standing = MemberStatus::new(1, [0, 4], false);
-    let votes: Vec<bool> = (0..6).map(|shard| standing.votes(shard)).collect();
-    assert_eq!(votes, [true, false, false, false, true, false]);
-    assert!(!standing.votes(200));
+    let status = MemberStatus::new(1, [0, 4], false);
+    let can_vote: Vec<bool> = (0..6).map(|shard| status.can_vote(shard)).collect();
+    assert_eq!(can_vote, [true, false, false, false, true, false]);
+    assert!(!status.can_vote(200));
 }
 
 #[test]
 fn the_newest_word_counts_and_is_news_once() {
     let mut member_statuses = MemberStatuses::default();
-    assert!(!member_statuses.votes(node(1), 0));
-    assert!(member_statuses.note(node(1), MemberStatus::new(7, [0], false)));
-    assert!(!member_statuses.note(node(1), MemberStatus::new(7, [0], false)));
+    assert!(!member_statuses.can_vote(node(1), 0));
+    assert!(member_statuses.record(node(1), MemberStatus::new(7, [0], false)));
+    assert!(!member_statuses.record(node(1), MemberStatus::new(7, [0], false)));
     assert!(member_statuses.can_join(node(1), 0));
-    assert!(member_statuses.note(node(1), MemberStatus::new(7, [0], true)));
-    assert!(member_statuses.is_leaving(node(1)) && !member_statuses.can_join(node(1), 0));
+    assert!(member_statuses.record(node(1), MemberStatus::new(7, [0], true)));
+    assert!(member_statuses.is_draining(node(1)) && !member_statuses.can_join(node(1), 0));
 }
 
 #[test]
 fn a_restart_makes_the_word_of_the_earlier_life_void() {
     let mut member_statuses = MemberStatuses::default();
-    member_statuses.note(node(1), MemberStatus::new(7, [0], true));
+    member_statuses.record(node(1), MemberStatus::new(7, [0], true));
     member_statuses.restarted(node(1), 7);
-    assert!(member_statuses.is_leaving(node(1)), "the same life");
+    assert!(member_statuses.is_draining(node(1)), "the same life");
     member_statuses.restarted(node(1), 8);
-    assert!(!member_statuses.is_leaving(node(1)) && !member_statuses.votes(node(1), 0));
+    assert!(!member_statuses.is_draining(node(1)) && !member_statuses.can_vote(node(1), 0));
 }
 
 #[test]
 fn the_word_of_the_new_life_outlasts_the_news_of_its_start() {
     let mut member_statuses = MemberStatuses::default();
-    member_statuses.note(node(1), MemberStatus::new(7, [0], true));
-    member_statuses.note(node(1), MemberStatus::new(8, [0], false));
+    member_statuses.record(node(1), MemberStatus::new(7, [0], true));
+    member_statuses.record(node(1), MemberStatus::new(8, [0], false));
     member_statuses.restarted(node(1), 8);
     assert!(member_statuses.can_join(node(1), 0));
 }
--- a/crates/controller/src/controller/membership/peer_discovery.rs
+++ b/crates/controller/src/controller/membership/peer_discovery.rs
@@ -10,9 +10,9 @@
 
 impl Controller {
     /// Tells a peer whose link has come up all that this controller knows.
-    pub(crate) fn greet(&self, outbox: &Outbox) {
+    pub(crate) fn send_greeting(&self, outbox: &Outbox) {
         outbox.message(&self.controllers_message());
-        outbox.message(&Message::MemberStatus(self.standing()));
+        outbox.message(&Message::MemberStatus(self.own_status()));
         for message in self.endpoints.full_snapshot() {
             outbox.message(&message);
         }
@@ -23,39 +23,39 @@
     }
 
     /// Notes that there is a controller at this address.
-    pub(crate) fn know(&mut self, peer: SocketAddr) {
+    pub(crate) fn discover_peer(&mut self, peer: SocketAddr) {
         let now = self.now();
-        if !self.peers.name(now, peer) {
+        if !self.peers.observe(now, peer) {
             return;
         }
         self.environment.open_link(peer);
         self.controllers_changed();
-        self.contact(peer);
+        self.retry_replicas(peer);
     }
 
     /// Lets the replicas ask a controller again what it has not answered.
-    pub(crate) fn contact(&mut self, peer: SocketAddr) {
+    pub(crate) fn retry_replicas(&mut self, peer: SocketAddr) {
         let now = self.now();
         let SocketAddr::V4(address) = peer else { return };
         for shard in shards::all() {
             let outputs = self.shards.handle(now, shard, Input::Contact { node: address.into() });
-            self.follow(shard, outputs);
+            self.execute_outputs(shard, outputs);
         }
     }
 
     /// Forgets peers that are gone for good. Seeds and members of any group are dialled for ever: a
     /// controller that was cut off for long is found again by them, or finds them.
-    pub(crate) fn forget_peers(&mut self, now: Duration) {
+    pub(crate) fn expire_peers(&mut self, now: Duration) {
         let members = shards::all().flat_map(|shard| self.group(shard));
         let needed: Vec<SocketAddr> = members.chain(self.settings.seeds.iter().copied()).collect();
         if !self.has_fault(ControllerFault::ForgetMembers) {
-            needed.into_iter().for_each(|peer| self.know(peer));
+            needed.into_iter().for_each(|peer| self.discover_peer(peer));
         }
-        let gone = self.peers.forget(now);
-        if gone.is_empty() {
+        let expired = self.peers.expire(now);
+        if expired.is_empty() {
             return;
         }
-        for peer in gone {
+        for peer in expired {
             self.environment.close_link(peer);
         }
         self.controllers_changed();
@@ -66,7 +66,7 @@
         self.membership.set_nodes(now, &self.peers.addresses());
         let message = self.controllers_message();
         self.peers.broadcast(&message);
-        self.readers.append(&message);
+        self.subscribers.append(&message);
     }
 
     pub(crate) fn controllers_message(&self) -> Message {
@@ -80,7 +80,7 @@
             Ok(settings) => {
                 self.settings.seeds = settings.seeds;
                 let seeds = self.settings.seeds.clone();
-                seeds.into_iter().for_each(|seed| self.know(seed));
+                seeds.into_iter().for_each(|seed| self.discover_peer(seed));
             }
             Err(findings) => log::warn!("settings not read again: {findings}"),
         }
--- a/crates/controller/src/controller/membership/peer_messages.rs
+++ b/crates/controller/src/controller/membership/peer_messages.rs
@@ -17,14 +17,14 @@
             Message::Heartbeat { body } => {
                 if let Ok(heartbeat) = Heartbeat::decode(&body.bytes) {
                     self.peers.send(peer, &Message::HeartbeatEcho { body });
-                    self.contact.heard(now, peer);
+                    self.quorum_contact.heartbeat_received(now, peer);
                     let outputs = self.membership.on_heartbeat(now, &heartbeat);
                     self.membership_outputs(outputs);
                 }
             }
             Message::HeartbeatEcho { body } => {
                 if let Ok(heartbeat) = Heartbeat::decode(&body.bytes) {
-                    self.contact.echoed(now, peer, &heartbeat);
+                    self.quorum_contact.echo_received(now, peer, &heartbeat);
                 }
             }
             Message::Register(message) => self.register_message(peer, &message),
@@ -36,13 +36,13 @@
             }
             Message::Registered(registered) => {
                 let merge = self.endpoints.merge(now, &registered);
-                for message in &merge.news {
-                    self.readers.append(message);
+                for message in &merge.updates {
+                    self.subscribers.append(message);
                 }
                 if merge.relay && !self.has_fault(ControllerFault::KeepDrainsFromPeers) {
-                    merge.news.iter().for_each(|message| self.peers.broadcast(message));
+                    merge.updates.iter().for_each(|message| self.peers.broadcast(message));
                 }
-                self.tell_placers(&registered.id.text());
+                self.update_placers(&registered.id.text());
             }
             Message::Removed(removed) => {
                 let relays = self.endpoints.relays_removal(&removed);
@@ -51,37 +51,40 @@
                 }
                 match self.endpoints.merge_removal(now, &removed) {
                     RemovalMerge::Removed if self.has_fault(ControllerFault::KeepRemovalsFromAgents) => {}
-                    RemovalMerge::Removed => self.readers.append(&Message::Removed(removed.clone())),
+                    RemovalMerge::Removed => self.subscribers.append(&Message::Removed(removed.clone())),
                     RemovalMerge::Contradicted(registered) => {
-                        self.readers.append(&registered);
+                        self.subscribers.append(&registered);
                         self.peers.broadcast(&registered);
                     }
                     RemovalMerge::Known => {}
                 }
-                self.tell_placers(&removed.id.text());
+                self.update_placers(&removed.id.text());
             }
-            Message::ResidencyUpdate(holding) => self.held_elsewhere(holding),
+            Message::ResidencyUpdate(holding) => self.apply_peer_residency(holding),
             Message::HeartbeatBatch(list) => {
                 self.endpoints.merge_heartbeats(now, &list);
-                list.heartbeats.iter().for_each(|heartbeat| self.tell_placers(&heartbeat.id.text()));
+                list.heartbeats.iter().for_each(|heartbeat| self.update_placers(&heartbeat.id.text()));
             }
-            Message::SnapshotEnd { complete: 1 } => self.became_complete(),
+            Message::SnapshotEnd { complete: 1 } => self.mark_complete(),
             Message::Flush(Token { token }) => {
                 let known = self.known_groups(shards::CONFIGURATION);
                 self.peers.send(peer, &Message::Flushed(known.confirmation(token)));
             }
             Message::Flushed(confirmation) => self.flushed(peer, &confirmation),
-            Message::MemberStatus(standing) => self.stands(peer, standing),
+            Message::MemberStatus(standing) => self.record_status(peer, standing),
             Message::Controllers(controllers) => {
                 let text = controllers.addresses.text();
-                text.split_whitespace().filter_map(|a| a.parse().ok()).for_each(|peer| self.know(peer));
+                text.split_whitespace()
+                    .filter_map(|a| a.parse().ok())
+                    .for_each(|peer| self.discover_peer(peer));
             }
             Message::Change(change) => {
-                let request = self.pending_changes.begin_for(now, peer, change.request, change.body.bytes);
-                self.propose(request);
+                let request =
+                    self.pending_changes.begin_forwarded(now, peer, change.request, change.body.bytes);
+                self.propose_change(request);
             }
-            Message::ChangeOutcome(outcome) => self.change_settled(outcome.request, &outcome.body.bytes),
-            Message::Demand(demand) => self.demand(&demand),
+            Message::ChangeOutcome(outcome) => self.complete_change(outcome.request, &outcome.body.bytes),
+            Message::Demand(demand) => self.on_demand(&demand),
             _ => {}
         }
     }
@@ -89,17 +92,17 @@
     /// A peer has all that was sent to it before a flush.
     fn flushed(&mut self, peer: SocketAddr, confirmation: &Confirmation) {
         let known = self.known_groups(shards::CONFIGURATION);
-        let told = KnownGroups::told(confirmation);
-        self.endpoints.flushed(confirmation.token, peer, told, &known);
+        let known_to_peer = KnownGroups::from_confirmation(confirmation);
+        self.endpoints.flushed(confirmation.token, peer, known_to_peer, &known);
         if let Some(handover) = &mut self.handover {
             handover.flushed(confirmation.token, peer);
         }
     }
 
     /// Another controller's placer knows of a model at an endpoint.
-    fn held_elsewhere(&mut self, holding: ResidencyUpdate) {
-        if self.endpoints.hold(&holding) {
-            self.readers.append(&Message::ResidencyUpdate(holding));
+    fn apply_peer_residency(&mut self, holding: ResidencyUpdate) {
+        if self.endpoints.apply_residency(&holding) {
+            self.subscribers.append(&Message::ResidencyUpdate(holding));
         }
     }
 
@@ -109,7 +112,7 @@
             Ok(decoded) => {
                 let input = Input::Message { from: from.into(), message: decoded };
                 let outputs = self.shards.handle(self.now(), message.shard, input);
-                self.follow(message.shard, outputs);
+                self.execute_outputs(message.shard, outputs);
             }
             Err(error) => log::warn!("message of {peer} for shard {}: {error}", message.shard),
         }
--- a/crates/controller/src/controller/membership/peers.rs
+++ b/crates/controller/src/controller/membership/peers.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 /// How long a peer that nobody names any more is still dialled.
-const UNNAMED_PATIENCE: Duration = Duration::from_secs(15);
+const UNNAMED_PEER_RETENTION: Duration = Duration::from_secs(15);
 
 #[derive(Debug)]
 struct Peer {
     outbox: Option<Outbox>,
     /// When the settings, the replica group or the peer itself named it last.
-    named: Duration,
+    last_named: Duration,
 }
 
 /// The other controllers.
@@ -30,27 +30,27 @@
     }
 
     /// Notes that `peer` is a controller. True if it was not known; it needs a link then.
-    pub fn name(&mut self, now: Duration, peer: SocketAddr) -> bool {
+    pub fn observe(&mut self, now: Duration, peer: SocketAddr) -> bool {
         if peer == self.this {
             return false;
         }
         if let Some(known) = self.peers.get_mut(&peer) {
-            known.named = now;
+            known.last_named = now;
             return false;
         }
-        self.peers.insert(peer, Peer { outbox: None, named: now });
+        self.peers.insert(peer, Peer { outbox: None, last_named: now });
         true
     }
 
     /// Forgets peers whose link is down and that nobody has named for long, and tells which.
-    pub fn forget(&mut self, now: Duration) -> Vec<SocketAddr> {
-        let is_gone = |peer: &Peer| peer.outbox.is_none() && now >= peer.named + UNNAMED_PATIENCE;
-        let gone: Vec<SocketAddr> =
+    pub fn expire(&mut self, now: Duration) -> Vec<SocketAddr> {
+        let is_gone = |peer: &Peer| peer.outbox.is_none() && now >= peer.last_named + UNNAMED_PEER_RETENTION;
+        let expired: Vec<SocketAddr> =
             self.peers.iter().filter(|(_, peer)| is_gone(peer)).map(|(address, _)| *address).collect();
-        for peer in &gone {
+        for peer in &expired {
             self.peers.remove(peer);
         }
-        gone
+        expired
     }
 
     /// The link to `peer` is up.
--- a/crates/controller/src/controller/membership/reconfiguration.rs
+++ b/crates/controller/src/controller/membership/reconfiguration.rs
@@ -1,6 +1,6 @@
 //! Which controllers are live, and changes of the groups that follow from it.
 
-use crate::controller::consensus::fault_tolerance::{MemberState, ToleranceChange, margin};
+use crate::controller::consensus::fault_tolerance::{MemberState, ToleranceChange, tolerable_failures};
 use crate::controller::consensus::shards;
 use crate::controller::membership::replacement::{GroupView, MemberChange};
 use crate::controller::{Controller, ControllerFault, InFlightRequest};
@@ -14,13 +14,13 @@
 /// Longest wait for a change of members.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time after the start of the process in which the others have said where they stand.
-const MARGIN_GRACE: Duration = Duration::from_secs(2);
+const FAULT_TOLERANCE_GRACE: Duration = Duration::from_secs(2);
 
 impl Controller {
     /// Sends the newest heartbeat once more to a peer whose link has just come up, here or there: after a start of
     /// all controllers, contact does not wait for the next one.
     pub(crate) fn repeat_heartbeat(&self, peer: SocketAddr) {
-        if let Some(heartbeat) = self.contact.newest() {
+        if let Some(heartbeat) = self.quorum_contact.newest() {
             self.send_heartbeat(peer, heartbeat);
         }
     }
@@ -39,7 +39,7 @@
                 Output::Send { to, heartbeat } => {
                     // Read before the heartbeat leaves: the age of its answer counts from here.
                     let now = self.now();
-                    self.contact.sent(now, &heartbeat);
+                    self.quorum_contact.heartbeat_sent(now, &heartbeat);
                     self.send_heartbeat(to, &heartbeat);
                 }
                 Output::StateChanged { peer, state } => {
@@ -47,40 +47,40 @@
                 }
                 Output::Restarted { peer, incarnation } => {
                     self.member_statuses.restarted(peer, incarnation);
-                    self.endpoints.restarted(peer);
+                    self.endpoints.peer_restarted(peer);
                 }
             }
         }
         if changed {
-            self.tend_members(self.now());
+            self.reconcile_members(self.now());
         }
     }
 
     /// Lets groups grow, and replaces members that are gone or leave, in the shards that this controller owns.
-    pub(crate) fn tend_members(&mut self, now: Duration) {
+    pub(crate) fn reconcile_members(&mut self, now: Duration) {
         let live: Vec<SocketAddr> =
             self.membership.live().filter(|member| self.is_reached(now, *member)).collect();
         let size = 2 * self.settings.fault_tolerance.machines as usize + 1;
         for shard in shards::all() {
             let group = self.group(shard);
-            self.members.observe(now, shard, &group, &live);
+            self.replacement_planner.observe(now, shard, &group, &live);
             if !self.owns(shard) || !self.has_contact(shard) {
                 continue;
             }
             let view =
                 GroupView { shard, group: &group, live: &live, member_statuses: &self.member_statuses };
-            if let Some(change) = self.members.plan(now, view, size) {
+            if let Some(change) = self.replacement_planner.plan(now, view, size) {
                 self.change_members(now, shard, &change);
             }
         }
-        self.review_margins(now);
+        self.report_fault_tolerance(now);
     }
 
     fn change_members(&mut self, now: Duration, shard: u8, change: &MemberChange) {
         log::info!("shard {shard}: {:?} joins, {:?} leaves", change.add, change.remove);
         let request = self.request_number();
         self.in_flight.insert(request, InFlightRequest::MemberChange(shard));
-        self.members.begin(shard);
+        self.replacement_planner.begin(shard);
         let node = |address: SocketAddr| match address {
             SocketAddr::V4(address) => Some(Node::from(address)),
             SocketAddr::V6(_) => None,
@@ -92,31 +92,31 @@
             deadline: now + CHANGE_TIMEOUT,
         };
         let outputs = self.shards.handle(now, shard, input);
-        self.follow(shard, outputs);
+        self.execute_outputs(shard, outputs);
     }
 
     /// What this controller says of itself.
-    pub(crate) fn standing(&self) -> MemberStatus {
+    pub(crate) fn own_status(&self) -> MemberStatus {
         let voting = self.shards.iter().filter(|(_, replica)| replica.can_vote()).map(|(shard, _)| shard);
-        MemberStatus::new(self.incarnation, voting, self.is_leaving())
+        MemberStatus::new(self.incarnation, voting, self.is_draining())
     }
 
     /// Tells the other controllers where this one stands, if that has changed.
-    pub(crate) fn tell_standing(&mut self) {
-        let standing = self.standing();
-        if self.member_statuses.note(self.this, standing) {
-            self.peers.broadcast(&Message::MemberStatus(standing));
+    pub(crate) fn broadcast_status(&mut self) {
+        let status = self.own_status();
+        if self.member_statuses.record(self.this, status) {
+            self.peers.broadcast(&Message::MemberStatus(status));
         }
     }
 
     /// Another controller says where it stands: a spare that can vote now, or a member that leaves, may be what
     /// a group waits for.
-    pub(crate) fn stands(&mut self, peer: SocketAddr, mut standing: MemberStatus) {
+    pub(crate) fn record_status(&mut self, peer: SocketAddr, mut status: MemberStatus) {
         if self.has_fault(ControllerFault::IgnoreDraining) {
-            standing.leaving = 0;
+            status.draining = 0;
         }
-        if self.member_statuses.note(peer, standing) {
-            self.tend_members(self.now());
+        if self.member_statuses.record(peer, status) {
+            self.reconcile_members(self.now());
         }
     }
 
@@ -126,7 +126,7 @@
             return MemberState::Suspected;
         }
         match self.member_statuses.get(member) {
-            Some(standing) if standing.votes(shard) => MemberState::Voting,
+            Some(status) if status.can_vote(shard) => MemberState::Voting,
             Some(_) => MemberState::NotVoting,
             None => MemberState::Unknown,
         }
@@ -135,22 +135,22 @@
     /// The members of all groups of a shard in force, and what is known of each.
     pub(crate) fn member_states(&self, shard: u8) -> impl Iterator<Item = (String, String)> {
         let members: BTreeSet<SocketAddr> = self.known_groups(shard).groups.into_iter().flatten().collect();
-        let told = move |member| (format!("{member}"), format!("{:?}", self.member_state(shard, member)));
-        members.into_iter().map(told)
+        let describe = move |member| (format!("{member}"), format!("{:?}", self.member_state(shard, member)));
+        members.into_iter().map(describe)
     }
 
     /// Losses that the groups of a shard can still bear; `None` without a majority.
-    pub(crate) fn margin(&self, shard: u8) -> Option<usize> {
-        margin(&self.known_groups(shard).groups, |member| self.member_state(shard, member))
+    pub(crate) fn fault_tolerance(&self, shard: u8) -> Option<usize> {
+        tolerable_failures(&self.known_groups(shard).groups, |member| self.member_state(shard, member))
     }
 
     /// Tells the operators of shards that cannot bear another loss, and of those that can again.
-    fn review_margins(&mut self, now: Duration) {
-        if now < MARGIN_GRACE || self.settings.fault_tolerance.machines == 0 {
+    fn report_fault_tolerance(&mut self, now: Duration) {
+        if now < FAULT_TOLERANCE_GRACE || self.settings.fault_tolerance.machines == 0 {
             return;
         }
         for shard in shards::all() {
-            match self.margins.note(shard, self.margin(shard)) {
+            match self.tolerance_monitor.observe(shard, self.fault_tolerance(shard)) {
                 Some(ToleranceChange::Exhausted) => {
                     let states: Vec<_> = self.member_states(shard).collect();
                     log::warn!("shard {shard}: the next loss takes its majority, or it has none: {states:?}");
--- a/crates/controller/src/controller/membership/replacement.rs
+++ b/crates/controller/src/controller/membership/replacement.rs
@@ -12,7 +12,7 @@
 
 /// How long a member has to be silent, after it was first suspected, before a spare takes its place. A
 /// spare has to count within the time that a new machine is given to catch up, which is some seconds.
-pub const REPLACEMENT_PATIENCE: Duration = Duration::from_millis(1_200);
+pub const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// The shard whose silence a deliberate mistake holds against all.
 const FIRST_SHARD: u8 = 0;
@@ -54,13 +54,13 @@
 #[derive(Debug, Default)]
 pub struct ReplacementPlanner {
     /// For each shard, since when each silent member has been silent.
-    silent_since: BTreeMap<u8, BTreeMap<SocketAddr, Duration>>,
+    suspected_since: BTreeMap<u8, BTreeMap<SocketAddr, Duration>>,
     /// When the members were last looked at.
-    looked: Duration,
+    observed_at: Duration,
     /// Shards of which a change is under way.
     changing: BTreeSet<u8>,
     /// The groups of each shard that were decided last.
-    decided: BTreeMap<u8, Vec<Vec<SocketAddr>>>,
+    committed_groups: BTreeMap<u8, Vec<Vec<SocketAddr>>>,
     fault: Option<ReplacementFault>,
 }
 
@@ -72,35 +72,35 @@
 
     /// Notes who is live among the members of a shard.
     pub fn observe(&mut self, now: Duration, shard: u8, group: &[SocketAddr], live: &[SocketAddr]) {
-        self.looked = now;
+        self.observed_at = now;
         if self.has(ReplacementFault::ShareTimeouts) && shard != FIRST_SHARD {
             return;
         }
-        let silent = self.silent_since.entry(shard).or_default();
-        silent.retain(|member, _| group.contains(member) && !live.contains(member));
+        let suspected = self.suspected_since.entry(shard).or_default();
+        suspected.retain(|member, _| group.contains(member) && !live.contains(member));
         for member in group.iter().filter(|member| !live.contains(member)) {
-            silent.entry(*member).or_insert(now);
+            suspected.entry(*member).or_insert(now);
         }
     }
 
     /// Notes the groups of a shard that a decided value names. True if they differ from those before.
-    pub fn learned(&mut self, shard: u8, groups: &KnownGroups) -> bool {
-        let before = self.decided.insert(shard, groups.groups.clone());
+    pub fn groups_committed(&mut self, shard: u8, groups: &KnownGroups) -> bool {
+        let before = self.committed_groups.insert(shard, groups.groups.clone());
         before.is_none_or(|before| before != groups.groups)
     }
 
     /// This process could not listen for a while: silence up to now says nothing of the others.
-    pub fn excuse(&mut self) {
+    pub fn excuse_silence(&mut self) {
         if !self.has(ReplacementFault::CountOwnPause) {
-            self.silent_since.clear();
+            self.suspected_since.clear();
         }
     }
 
     /// When a member's patience ends next. Patience that ended before the last look needs none: what was due
     /// has been proposed, or waits for a spare to be told of.
     pub fn next_wake(&self) -> Option<Duration> {
-        let silent = self.silent_since.values().flat_map(BTreeMap::values);
-        silent.map(|since| *since + REPLACEMENT_PATIENCE).filter(|end| *end > self.looked).min()
+        let suspected = self.suspected_since.values().flat_map(BTreeMap::values);
+        suspected.map(|since| *since + REPLACEMENT_TIMEOUT).filter(|end| *end > self.observed_at).min()
     }
 
     /// A change of the members of `shard` has been proposed.
@@ -122,7 +122,7 @@
         if view.group.len() < size {
             return Some(MemberChange { remove: None, add });
         }
-        let remove = self.gone(now, view).or_else(|| leaving(view))?;
+        let remove = self.longest_suspected(now, view).or_else(|| draining_member(view))?;
         Some(MemberChange { remove: Some(remove), add })
     }
 
@@ -139,12 +139,12 @@
     }
 
     /// The member that has been silent longest, beyond patience.
-    fn gone(&self, now: Duration, view: GroupView<'_>) -> Option<SocketAddr> {
+    fn longest_suspected(&self, now: Duration, view: GroupView<'_>) -> Option<SocketAddr> {
         let one_record = self.has(ReplacementFault::ShareTimeouts);
         let record = if one_record { FIRST_SHARD } else { view.shard };
-        let silent = self.silent_since.get(&record)?.iter();
-        let gone = silent.filter(|(_, since)| now >= **since + REPLACEMENT_PATIENCE);
-        gone.min_by_key(|(_, since)| **since).map(|(member, _)| *member)
+        let suspected = self.suspected_since.get(&record)?.iter();
+        let longest_suspected = suspected.filter(|(_, since)| now >= **since + REPLACEMENT_TIMEOUT);
+        longest_suspected.min_by_key(|(_, since)| **since).map(|(member, _)| *member)
     }
 
     fn has(&self, fault: ReplacementFault) -> bool {
@@ -153,6 +153,6 @@
 }
 
 /// A member that said that it leaves; it needs no patience.
-fn leaving(view: GroupView<'_>) -> Option<SocketAddr> {
-    view.group.iter().copied().filter(|member| view.member_statuses.is_leaving(*member)).min()
+fn draining_member(view: GroupView<'_>) -> Option<SocketAddr> {
+    view.group.iter().copied().filter(|member| view.member_statuses.is_draining(*member)).min()
 }
