--- a/crates/controller/src/controller/membership/replacement_test.rs
+++ b/crates/controller/src/controller/membership/replacement_test.rs
@@ -27,7 +27,7 @@
 fn able() -> MemberStatuses {
     let mut member_statuses = MemberStatuses::default();
     for number in 1..=9 {
-        member_statuses.note(node(number), MemberStatus::new(u64::from(number), 0..SHARDS, false));
+        member_statuses.record(node(number), MemberStatus::new(u64::from(number), 0..SHARDS, false));
     }
     member_statuses
 }
@@ -47,7 +47,7 @@
 }
 
 /// What is planned at `time` by one who has just looked.
-fn looked(
+fn observed_at(
     members: &mut ReplacementPlanner,
     time: u64,
     group: &[u8],
@@ -63,78 +63,78 @@
     let mut members = ReplacementPlanner::default();
     let live = [1, 2, 3, 4, 5, 6];
     let joins = |number| Some(MemberChange { remove: None, add: node(number) });
-    assert_eq!(looked(&mut members, 0, &[1, 2, 3], &live, 5), joins(4));
-    assert_eq!(looked(&mut members, 1, &[1, 2, 3, 4], &live, 5), joins(5));
-    assert_eq!(looked(&mut members, 2, &[1, 2, 3, 4, 5], &live, 5), None);
+    assert_eq!(observed_at(&mut members, 0, &[1, 2, 3], &live, 5), joins(4));
+    assert_eq!(observed_at(&mut members, 1, &[1, 2, 3, 4], &live, 5), joins(5));
+    assert_eq!(observed_at(&mut members, 2, &[1, 2, 3, 4, 5], &live, 5), None);
 }
 
 #[test]
 fn a_group_of_the_wanted_size_does_not_grow_nor_does_one_without_spares() {
     let mut members = ReplacementPlanner::default();
-    assert_eq!(looked(&mut members, 0, &[1, 2, 3], &[1, 2, 3, 4], 3), None);
-    assert_eq!(looked(&mut members, 0, &[1, 2, 3], &[1, 2, 3], 5), None);
+    assert_eq!(observed_at(&mut members, 0, &[1, 2, 3], &[1, 2, 3, 4], 3), None);
+    assert_eq!(observed_at(&mut members, 0, &[1, 2, 3], &[1, 2, 3], 5), None);
 }
 
 #[test]
 fn a_group_that_is_not_known_is_not_changed() {
     let mut members = ReplacementPlanner::default();
-    assert_eq!(looked(&mut members, 0, &[], &[1, 2, 3], 3), None);
-    assert_eq!(looked(&mut members, 60_000, &[], &[1, 2, 3], 3), None);
+    assert_eq!(observed_at(&mut members, 0, &[], &[1, 2, 3], 3), None);
+    assert_eq!(observed_at(&mut members, 60_000, &[], &[1, 2, 3], 3), None);
 }
 
 #[test]
 fn a_silent_member_is_replaced_only_after_patience() {
     let mut members = ReplacementPlanner::default();
-    assert_eq!(looked(&mut members, 1_000, &[1, 2, 3], &[1, 3, 4], 3), None);
-    assert_eq!(looked(&mut members, 2_199, &[1, 2, 3], &[1, 3, 4], 3), None);
+    assert_eq!(observed_at(&mut members, 1_000, &[1, 2, 3], &[1, 3, 4], 3), None);
+    assert_eq!(observed_at(&mut members, 2_199, &[1, 2, 3], &[1, 3, 4], 3), None);
     let change = MemberChange { remove: Some(node(2)), add: node(4) };
-    assert_eq!(looked(&mut members, 2_200, &[1, 2, 3], &[1, 3, 4], 3), Some(change));
+    assert_eq!(observed_at(&mut members, 2_200, &[1, 2, 3], &[1, 3, 4], 3), Some(change));
 }
 
 #[test]
 fn a_silent_member_is_replaced_only_by_a_spare() {
     let mut members = ReplacementPlanner::default();
-    looked(&mut members, 0, &[1, 2, 3], &[1, 3], 3);
-    assert_eq!(looked(&mut members, 60_000, &[1, 2, 3], &[1, 3], 3), None);
+    observed_at(&mut members, 0, &[1, 2, 3], &[1, 3], 3);
+    assert_eq!(observed_at(&mut members, 60_000, &[1, 2, 3], &[1, 3], 3), None);
     let change = MemberChange { remove: Some(node(2)), add: node(4) };
-    assert_eq!(looked(&mut members, 60_001, &[1, 2, 3], &[1, 3, 4], 3), Some(change));
+    assert_eq!(observed_at(&mut members, 60_001, &[1, 2, 3], &[1, 3, 4], 3), Some(change));
 }
 
 #[test]
 fn a_member_that_was_heard_again_has_its_patience_anew() {
     let mut members = ReplacementPlanner::default();
-    looked(&mut members, 0, &[1, 2, 3], &[1, 3, 4], 3);
-    looked(&mut members, 1_000, &[1, 2, 3], &[1, 2, 3, 4], 3);
-    assert_eq!(looked(&mut members, 1_300, &[1, 2, 3], &[1, 3, 4], 3), None);
-    assert_eq!(looked(&mut members, 2_499, &[1, 2, 3], &[1, 3, 4], 3), None);
-    assert!(looked(&mut members, 2_500, &[1, 2, 3], &[1, 3, 4], 3).is_some());
+    observed_at(&mut members, 0, &[1, 2, 3], &[1, 3, 4], 3);
+    observed_at(&mut members, 1_000, &[1, 2, 3], &[1, 2, 3, 4], 3);
+    assert_eq!(observed_at(&mut members, 1_300, &[1, 2, 3], &[1, 3, 4], 3), None);
+    assert_eq!(observed_at(&mut members, 2_499, &[1, 2, 3], &[1, 3, 4], 3), None);
+    assert!(observed_at(&mut members, 2_500, &[1, 2, 3], &[1, 3, 4], 3).is_some());
 }
 
 #[test]
 fn silence_before_a_pause_of_this_process_is_not_held_against_members() {
     let mut members = ReplacementPlanner::default();
-    looked(&mut members, 0, &[1, 2, 3], &[1, 3, 4], 3);
-    members.excuse();
-    assert_eq!(looked(&mut members, 9_000, &[1, 2, 3], &[1, 3, 4], 3), None);
-    assert!(looked(&mut members, 10_200, &[1, 2, 3], &[1, 3, 4], 3).is_some());
+    observed_at(&mut members, 0, &[1, 2, 3], &[1, 3, 4], 3);
+    members.excuse_silence();
+    assert_eq!(observed_at(&mut members, 9_000, &[1, 2, 3], &[1, 3, 4], 3), None);
+    assert!(observed_at(&mut members, 10_200, &[1, 2, 3], &[1, 3, 4], 3).is_some());
 }
 
 #[test]
 fn of_two_silent_members_the_one_silent_longest_goes_first() {
     let mut members = ReplacementPlanner::default();
-    looked(&mut members, 0, &[1, 2, 3, 4, 5], &[1, 2, 4, 5, 6, 7], 5);
-    looked(&mut members, 400, &[1, 2, 3, 4, 5], &[1, 4, 5, 6, 7], 5);
-    let change = looked(&mut members, 2_000, &[1, 2, 3, 4, 5], &[1, 4, 5, 6, 7], 5);
+    observed_at(&mut members, 0, &[1, 2, 3, 4, 5], &[1, 2, 4, 5, 6, 7], 5);
+    observed_at(&mut members, 400, &[1, 2, 3, 4, 5], &[1, 4, 5, 6, 7], 5);
+    let change = observed_at(&mut members, 2_000, &[1, 2, 3, 4, 5], &[1, 4, 5, 6, 7], 5);
     assert_eq!(change, Some(MemberChange { remove: Some(node(3)), add: node(6) }));
-    let change = looked(&mut members, 2_001, &[1, 2, 4, 5, 6], &[1, 4, 5, 6, 7], 5);
+    let change = observed_at(&mut members, 2_001, &[1, 2, 4, 5, 6], &[1, 4, 5, 6, 7], 5);
     assert_eq!(change, Some(MemberChange { remove: Some(node(2)), add: node(7) }));
 }
 
 #[test]
 fn a_group_that_is_short_grows_before_it_replaces() {
     let mut members = ReplacementPlanner::default();
-    looked(&mut members, 0, &[1, 2, 3], &[1, 3, 4], 5);
-    let change = looked(&mut members, 5_000, &[1, 2, 3], &[1, 3, 4], 5);
+    observed_at(&mut members, 0, &[1, 2, 3], &[1, 3, 4], 5);
+    let change = observed_at(&mut members, 5_000, &[1, 2, 3], &[1, 3, 4], 5);
     assert_eq!(change, Some(MemberChange { remove: None, add: node(4) }));
 }
 
@@ -178,7 +178,7 @@
 fn a_member_that_leaves_is_replaced_at_once_and_only_by_a_spare() {
     let members = ReplacementPlanner::default();
     let mut member_statuses = able();
-    member_statuses.note(node(2), MemberStatus::new(2, 0..SHARDS, true));
+    member_statuses.record(node(2), MemberStatus::new(2, 0..SHARDS, true));
     assert_eq!(planned(&members, 0, SHARD, (&[1, 2, 3], &[1, 2, 3]), 3, &member_statuses), None);
     let change = MemberChange { remove: Some(node(2)), add: node(4) };
     assert_eq!(planned(&members, 0, SHARD, (&[1, 2, 3], &[1, 2, 3, 4]), 3, &member_statuses), Some(change));
@@ -189,7 +189,7 @@
     let mut members = ReplacementPlanner::default();
     let mut member_statuses = able();
     members.observe(ms(0), SHARD, &nodes(&[1, 2, 3]), &nodes(&[1, 3, 4, 5]));
-    member_statuses.note(node(4), MemberStatus::new(4, 0..SHARDS, true));
+    member_statuses.record(node(4), MemberStatus::new(4, 0..SHARDS, true));
     let change = MemberChange { remove: Some(node(2)), add: node(5) };
     let group: (&[u8], &[u8]) = (&[1, 2, 3], &[1, 3, 4, 5]);
     assert_eq!(planned(&members, 1_200, SHARD, group, 3, &member_statuses), Some(change));
@@ -203,7 +203,7 @@
     for shard in [0, 1] {
         members.observe(ms(0), shard, &nodes(group.0), &nodes(group.1));
     }
-    member_statuses.note(node(4), MemberStatus::new(4, [1], false));
+    member_statuses.record(node(4), MemberStatus::new(4, [1], false));
     assert_eq!(planned(&members, 9_000, 0, group, 3, &member_statuses), None, "it recovers there");
     assert!(planned(&members, 9_000, 1, group, 3, &member_statuses).is_some());
 }
@@ -220,8 +220,8 @@
 fn two_that_leave_at_once_give_their_places_to_different_spares_and_never_to_one_another() {
     let members = ReplacementPlanner::default();
     let mut member_statuses = able();
-    for leaving in [2, 3] {
-        member_statuses.note(node(leaving), MemberStatus::new(u64::from(leaving), 0..SHARDS, true));
+    for draining in [2, 3] {
+        member_statuses.record(node(draining), MemberStatus::new(u64::from(draining), 0..SHARDS, true));
     }
     let live = [1, 2, 3, 4, 5];
     let change = planned(&members, 0, SHARD, (&[1, 2, 3], &live), 3, &member_statuses);
--- a/crates/controller/src/controller/membership/shutdown.rs
+++ b/crates/controller/src/controller/membership/shutdown.rs
@@ -9,8 +9,8 @@
 impl Controller {
     /// The process has been asked to end. It acts for nothing any more, takes no more calls, tells agents to
     /// turn elsewhere, and tells the other controllers, which give its place to a spare if there is one.
-    pub(crate) fn leave(&mut self) {
-        if self.is_leaving() {
+    pub(crate) fn begin_shutdown(&mut self) {
+        if self.is_draining() {
             return;
         }
         let now = self.now();
@@ -20,22 +20,22 @@
             let outputs = self.leases.set_candidate(now, u32::from(shard), false);
             self.lease_outputs(outputs);
         }
-        self.tell_standing();
-        self.beat();
+        self.broadcast_status();
+        self.send_feed_heartbeat();
     }
 
     /// Whether the process has been asked to end.
-    pub(crate) fn is_leaving(&self) -> bool {
+    pub(crate) fn is_draining(&self) -> bool {
         self.handover.is_some()
     }
 
     /// Whether the process may end.
-    pub(crate) fn has_left(&self) -> bool {
+    pub(crate) fn has_shut_down(&self) -> bool {
         self.handover.as_ref().is_some_and(Handover::is_done)
     }
 
     /// Goes on with the handover, if one is under way.
-    pub(crate) fn hand_over(&mut self, now: Duration) {
+    pub(crate) fn advance_handover(&mut self, now: Duration) {
         let Some(handover) = &self.handover else { return };
         let at_once = self.has_fault(ControllerFault::ShutDownWithoutHandover);
         let mut membership = self.group_membership();
@@ -51,12 +51,12 @@
 
     /// Where this controller stands in the groups.
     fn group_membership(&self) -> GroupMembership {
-        let is_member = shards::all().any(|shard| self.known_groups(shard).contain(self.this));
+        let is_member = shards::all().any(|shard| self.known_groups(shard).contains(self.this));
         let could_join = |shard| {
             let group = self.group(shard);
             self.membership
                 .live()
-                .any(|node| !group.contains(&node) && !self.member_statuses.is_leaving(node))
+                .any(|node| !group.contains(&node) && !self.member_statuses.is_draining(node))
         };
         GroupMembership { is_member, has_spare: shards::all().any(could_join) }
     }
--- a/crates/controller/src/controller/metrics.rs
+++ b/crates/controller/src/controller/metrics.rs
@@ -20,7 +20,7 @@
 );
 const SHARD_MEMBERS: Metric =
     Metric::gauge("lanegate_controller_shard_members", "Members of the shard's newest group known here");
-const SHARD_MARGIN: Metric = Metric::gauge(
+const SHARD_FAULT_TOLERANCE: Metric = Metric::gauge(
     "lanegate_controller_shard_margin",
     "Further losses that the shard can bear; without a sample while it has no majority",
 );
@@ -54,13 +54,13 @@
     "lanegate_controller_complete",
     "1 once everyone that registers with the system has been heard",
 );
-const LEAVING: Metric = Metric::gauge("lanegate_controller_leaving", "1 once the process was asked to end");
+const DRAINING: Metric = Metric::gauge("lanegate_controller_leaving", "1 once the process was asked to end");
 const LIVE_CONTROLLERS: Metric =
     Metric::gauge("lanegate_controller_live_controllers", "Controllers that are heard, this one included");
 const LINKED_PEERS: Metric =
     Metric::gauge("lanegate_controller_linked_peers", "Other controllers to which a link is up");
 const ROUTERS: Metric = Metric::gauge("lanegate_controller_routers", "Routers that are live");
-const READERS: Metric =
+const SUBSCRIBERS: Metric =
     Metric::gauge("lanegate_controller_readers", "Agents that follow this controller's feed");
 const REGISTRATIONS: Metric =
     Metric::gauge("lanegate_controller_registrations", "Live registrations of endpoints, by their state");
@@ -76,7 +76,7 @@
     "lanegate_controller_orders_total",
     "Orders to endpoints that have ended, by operation and outcome",
 );
-const ORDERS_UNDER_WAY: Metric =
+const ORDERS_IN_FLIGHT: Metric =
     Metric::gauge("lanegate_controller_orders_under_way", "Orders that were given and have no answer yet");
 const CHANGES: Metric = Metric::counter(
     "lanegate_controller_changes_total",
@@ -125,7 +125,7 @@
         for shard in shards::all() {
             self.add_shard(&mut exposition, shard);
         }
-        self.add_standing(&mut exposition);
+        self.add_status(&mut exposition);
         self.add_endpoints(&mut exposition);
         self.add_counts(&mut exposition);
         exposition.set_violations(&self.violations);
@@ -143,9 +143,9 @@
         let revision = replica.decided().map_or(0, |value| value.revision);
         exposition.set_labelled(&SHARD_REVISION, &labels, revision);
         exposition.set_labelled(&SHARD_MEMBERS, &labels, self.group(shard).len());
-        exposition.declare(&SHARD_MARGIN);
-        if let Some(margin) = self.margin(shard) {
-            exposition.set_labelled(&SHARD_MARGIN, &labels, margin);
+        exposition.declare(&SHARD_FAULT_TOLERANCE);
+        if let Some(margin) = self.fault_tolerance(shard) {
+            exposition.set_labelled(&SHARD_FAULT_TOLERANCE, &labels, margin);
         }
         exposition.set_labelled(&SHARD_OWNER, &labels, self.owns(shard));
         exposition.set_labelled(&SHARD_CONTACT, &labels, self.has_contact(shard));
@@ -154,20 +154,20 @@
         exposition.set_labelled(&SHARD_EPOCH, &labels, self.placers.epoch(shard).unwrap_or_default());
     }
 
-    fn add_standing(&self, exposition: &mut Exposition) {
+    fn add_status(&self, exposition: &mut Exposition) {
         exposition.set(&QUORUM, self.has_contact(shards::CONFIGURATION));
         exposition.set(&CURRENT, self.is_current());
         exposition.set(&COMPLETE, self.complete);
-        exposition.set(&LEAVING, self.is_leaving());
+        exposition.set(&DRAINING, self.is_draining());
         exposition.set(&LIVE_CONTROLLERS, self.membership.live().count());
         exposition.set(&LINKED_PEERS, self.peers.linked().count());
         exposition.set(&ROUTERS, self.routers.count(self.now()));
-        exposition.set(&READERS, self.readers.count());
+        exposition.set(&SUBSCRIBERS, self.subscribers.count());
         let version = self.configuration.as_ref().map_or(0, |configuration| configuration.version);
         exposition.set(&CONFIGURATION_VERSION, version);
         let revision = self.decided.as_ref().map_or(0, |decided| decided.revision);
         exposition.set(&CONFIGURATION_REVISION, revision);
-        exposition.set(&PAUSES, self.counters.pauses);
+        exposition.set(&PAUSES, self.counters.stalls);
         exposition.set(&TENURES, self.counters.tenures);
     }
 
@@ -176,7 +176,7 @@
         for (state, name) in [(InstanceState::Ready, "ready"), (InstanceState::Draining, "draining")] {
             exposition.set_labelled(&REGISTRATIONS, &[("state", name)], in_state(state));
         }
-        exposition.set(&ACKNOWLEDGEMENTS_WAITING, self.endpoints.waiting());
+        exposition.set(&ACKNOWLEDGEMENTS_WAITING, self.endpoints.pending());
         exposition.set(&EXPIRIES, self.counters.expiries);
     }
 
@@ -187,14 +187,14 @@
                 exposition.set_labelled(&ORDERS, &labels, self.counters.orders(operation, outcome));
             }
         }
-        exposition.set(&ORDERS_UNDER_WAY, self.counters.orders_under_way);
+        exposition.set(&ORDERS_IN_FLIGHT, self.counters.orders_in_flight);
         for (outcome, name) in ChangeOutcome::ALL {
             let given_up =
-                if outcome == ChangeOutcome::Unclear { self.pending_changes.given_up() } else { 0 };
+                if outcome == ChangeOutcome::Unclear { self.pending_changes.timed_out() } else { 0 };
             let changes = self.counters.changes(outcome) + given_up;
             exposition.set_labelled(&CHANGES, &[("outcome", name)], changes);
         }
-        exposition.set(&CHANGES_UNDER_WAY, self.pending_changes.under_way());
+        exposition.set(&CHANGES_UNDER_WAY, self.pending_changes.in_flight());
     }
 }
 
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -67,21 +67,21 @@
     incarnation: u64,
     environment: Box<dyn Environment>,
     peers: Peers,
-    readers: Subscribers,
+    subscribers: Subscribers,
     endpoints: EndpointRegistry,
     shards: Shards,
     pending_changes: PendingChanges,
     membership: Membership,
-    contact: QuorumContact,
-    trust: Freshness,
-    members: ReplacementPlanner,
+    quorum_contact: QuorumContact,
+    freshness: Freshness,
+    replacement_planner: ReplacementPlanner,
     member_statuses: MemberStatuses,
-    margins: ToleranceMonitor,
+    tolerance_monitor: ToleranceMonitor,
     /// Under way once the process has been asked to end.
     handover: Option<Handover>,
     leases: LeaseNode,
     placers: Placers,
-    holdings: PendingLoads,
+    pending_loads: PendingLoads,
     recent_demand: RecentDemand,
     /// The newest configuration, read.
     configuration: Option<Arc<Configuration>>,
@@ -97,9 +97,9 @@
     /// Whether everyone that registers with the system has been heard, here or by a peer.
     complete: bool,
     routers: LiveRouters,
-    next_housekeeping: Duration,
-    next_beat: Duration,
-    last_turn: Duration,
+    next_periodic_tasks: Duration,
+    next_feed_heartbeat: Duration,
+    last_tick: Duration,
     counters: Counters,
     violations: Violations,
     /// Newest revision learned of each shard.
@@ -158,14 +158,14 @@
         let now = self.now();
         let live: Vec<SocketAddr> =
             order.into_iter().filter(|member| self.is_reached(now, *member)).collect();
-        let staying = live.iter().find(|member| !self.member_statuses.is_leaving(**member));
+        let staying = live.iter().find(|member| !self.member_statuses.is_draining(**member));
         staying.or(live.first()).copied().unwrap_or(self.this)
     }
 
     /// Whether a controller may be counted on: it is heard, and it hears this one. One that is heard and hears
     /// nobody would keep its shards from being acted for.
     fn is_reached(&self, now: Duration, controller: SocketAddr) -> bool {
-        let answers = self.contact.is_answered_by(now, controller);
+        let answers = self.quorum_contact.is_answered_by(now, controller);
         self.membership.is_live(controller)
             && (answers || self.has_fault(ControllerFault::CountUnreachedPeers))
     }
--- a/crates/controller/src/controller/operator/control_calls.rs
+++ b/crates/controller/src/controller/operator/control_calls.rs
@@ -22,8 +22,8 @@
 impl Controller {
     /// Answers a call, at once or later.
     pub(crate) fn call(&mut self, call: Call) {
-        if self.is_leaving() && call.path != STATUS_PATH {
-            return answer(call, Answer::unavailable(Unavailable::Leaving));
+        if self.is_draining() && call.path != STATUS_PATH {
+            return answer(call, Answer::unavailable(Unavailable::Draining));
         }
         if let Some(id) = call.path.strip_prefix(INSTANCES_PATH) {
             let id = id.to_owned();
@@ -50,15 +50,15 @@
         let alone = self.has_fault(ControllerFault::AcknowledgeHeartbeatAlone);
         let in_contact = alone || self.has_contact(shards::CONFIGURATION);
         let changes = match call.method {
-            Method::Put => self.endpoints.put(now, id, call.body, &known, in_contact, call.reply),
-            Method::Delete => self.endpoints.delete(now, id, &known, call.reply),
+            Method::Put => self.endpoints.register(now, id, call.body, &known, in_contact, call.reply),
+            Method::Delete => self.endpoints.deregister(now, id, &known, call.reply),
             _ => return answer(call, Answer::error(405, "no such method here")),
         };
         for message in &changes.messages {
-            self.readers.append(message);
+            self.subscribers.append(message);
             self.peers.broadcast(message);
         }
-        self.tell_placers(id);
+        self.update_placers(id);
         if let Some(token) = changes.flush {
             self.peers.broadcast(&Message::Flush(Token { token }));
         }
@@ -75,7 +75,7 @@
         self.in_flight.insert(request, InFlightRequest::Read(call.reply));
         let deadline = now + ANSWER_TIMEOUT;
         let outputs = self.shards.handle(now, shards::CONFIGURATION, Input::Read { request, deadline });
-        self.follow(shards::CONFIGURATION, outputs);
+        self.execute_outputs(shards::CONFIGURATION, outputs);
     }
 
     fn change_configuration(&mut self, method: ChangeMethod, call: Call) {
@@ -102,7 +102,7 @@
         if elsewhere {
             self.peers.send(owner, &Message::Change(Forwarded { request, body: command.into() }));
         } else {
-            self.propose(request);
+            self.propose_change(request);
         }
     }
 
@@ -127,7 +127,7 @@
                     "Revision": replica.decided().map(|value| value.revision),
                     "Members": members,
                     "MemberStates": states,
-                    "Margin": self.margin(shard),
+                    "Margin": self.fault_tolerance(shard),
                     "Owner": self.owner(shard, &[shard]).to_string(),
                     "Contact": self.has_contact(shard),
                 })
@@ -142,10 +142,10 @@
             "Quorum": self.has_contact(shards::CONFIGURATION),
             "Current": self.is_current(),
             "Complete": self.complete,
-            "Leaving": self.is_leaving(),
+            "Leaving": self.is_draining(),
             "LiveControllers": live,
             "Instances": self.endpoints.live().count(),
-            "Readers": self.readers.count(),
+            "Readers": self.subscribers.count(),
             "Routers": self.routers.count(self.now()),
             "Shards": shards,
         });
--- a/crates/controller/src/controller/operator/http.rs
+++ b/crates/controller/src/controller/operator/http.rs
@@ -22,7 +22,7 @@
 /// Longest wait for the head of a call, and for its body.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause after a connection that could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Serves calls on `listener` for the life of the process. Must run inside a `LocalSet`.
 pub async fn serve(
@@ -37,7 +37,7 @@
             }
             Err(error) => {
                 log::warn!("control interface: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -87,25 +87,25 @@
     let mut bytes = BytesMut::new();
     let mut length = 0;
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|error| broken_off(&error))?;
+        let frame = frame.map_err(|error| incomplete_body(&error))?;
         let Ok(data) = frame.into_data() else { continue };
         length += data.len();
         if length <= MAX_BODY_BYTES {
             bytes.extend_from_slice(&data);
         } else if length > MAX_BODY_BYTES + MAX_DROPPED_BYTES {
-            return Err(too_long());
+            return Err(body_too_long());
         }
     }
-    if length > MAX_BODY_BYTES { Err(too_long()) } else { Ok(bytes.freeze()) }
+    if length > MAX_BODY_BYTES { Err(body_too_long()) } else { Ok(bytes.freeze()) }
 }
 
-fn too_long() -> Answer {
+fn body_too_long() -> Answer {
     Answer::error(413, &format!("the body is longer than {MAX_BODY_BYTES} bytes"))
 }
 
 /// The answer to a call whose body broke off. It says nothing about the change that it is part of, which may have been
 /// taken before, so it is no refusal.
-fn broken_off(error: &hyper::Error) -> Answer {
+fn incomplete_body(error: &hyper::Error) -> Answer {
     Answer::error(408, &format!("the body did not come whole: {error}"))
 }
 
--- a/crates/controller/src/controller/operator/pending_changes.rs
+++ b/crates/controller/src/controller/operator/pending_changes.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 
 /// How long the owner of the shard has before this controller proposes a change itself.
-pub const OWNER_PATIENCE: Duration = Duration::from_millis(350);
+pub const OWNER_TIMEOUT: Duration = Duration::from_millis(350);
 /// Longest wait for a clear answer. The operator asks another controller after a second.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(950);
 /// Calls of the operator under way at a time.
@@ -54,14 +54,14 @@
     /// Number of the newest change.
     newest: u64,
     /// Changes whose operator was told that there is no clear answer in time.
-    given_up: u64,
+    timed_out: u64,
 }
 
 impl PendingChanges {
     /// Nothing is under way. Numbers go on from `incarnation`, drawn at each start of the process: an owner may answer
     /// a change of an earlier life, and that answer must not be taken for one to a change of this life.
     pub fn new(incarnation: u64) -> Self {
-        PendingChanges { pending: BTreeMap::new(), newest: incarnation, given_up: 0 }
+        PendingChanges { pending: BTreeMap::new(), newest: incarnation, timed_out: 0 }
     }
 
     /// Takes a change. It is proposed here at once, unless `owner_live`: then the owner is asked first.
@@ -77,12 +77,12 @@
             let _ = reply.send(Answer::unavailable(Unavailable::TooManyChanges));
             return None;
         }
-        let propose_at = owner_live.then_some(now + OWNER_PATIENCE);
+        let propose_at = owner_live.then_some(now + OWNER_TIMEOUT);
         Some(self.insert(now, Caller::Operator(reply), command, propose_at))
     }
 
     /// Takes a change that another controller handed over; it is proposed here at once.
-    pub fn begin_for(
+    pub fn begin_forwarded(
         &mut self,
         now: Duration,
         peer: std::net::SocketAddr,
@@ -106,13 +106,13 @@
     }
 
     /// Changes under way, those that another controller handed over too.
-    pub fn under_way(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.pending.len()
     }
 
     /// Changes whose operator was told that there is no clear answer in time.
-    pub fn given_up(&self) -> u64 {
-        self.given_up
+    pub fn timed_out(&self) -> u64 {
+        self.timed_out
     }
 
     /// The command of a change under way.
@@ -121,7 +121,7 @@
     }
 
     /// An outcome has come, here or from the owner; `answer` is what the operator gets.
-    pub fn settle(&mut self, request: u64, answer: impl FnOnce() -> Answer) -> Completion {
+    pub fn complete(&mut self, request: u64, answer: impl FnOnce() -> Answer) -> Completion {
         match self.pending.remove(&request).map(|pending| pending.caller) {
             Some(Caller::Operator(reply)) => {
                 let _ = reply.send(answer());
@@ -137,8 +137,8 @@
         let late: Vec<u64> =
             self.pending.iter().filter(|(_, pending)| pending.until <= now).map(|(id, _)| *id).collect();
         for request in late {
-            let settled = self.settle(request, || Answer::unavailable(Unavailable::ChangeNotCommitted));
-            self.given_up += u64::from(matches!(settled, Completion::Answered));
+            let completion = self.complete(request, || Answer::unavailable(Unavailable::ChangeNotCommitted));
+            self.timed_out += u64::from(matches!(completion, Completion::Answered));
         }
         let mut due = Vec::new();
         for (request, pending) in &mut self.pending {
--- a/crates/controller/src/controller/operator/pending_changes_test.rs
+++ b/crates/controller/src/controller/operator/pending_changes_test.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::event::Answer;
 use crate::controller::operator::pending_changes::{
-    ANSWER_TIMEOUT, Completion, OWNER_PATIENCE, PendingChanges,
+    ANSWER_TIMEOUT, Completion, OWNER_TIMEOUT, PendingChanges,
 };
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,8 +26,8 @@
     let mut operator = PendingChanges::default();
     let (request, mut answer) = begun(&mut operator, false);
     assert_eq!(operator.command(request), Some(&b"change"[..]));
-    assert_eq!(operator.due(START + OWNER_PATIENCE), Vec::<u64>::new());
-    assert!(matches!(operator.settle(request, taken), Completion::Answered));
+    assert_eq!(operator.due(START + OWNER_TIMEOUT), Vec::<u64>::new());
+    assert!(matches!(operator.complete(request, taken), Completion::Answered));
     assert_eq!(answer.try_recv(), Ok(taken()));
     assert_eq!(operator.next_wake(), None);
 }
@@ -36,10 +36,10 @@
 fn the_owner_has_its_time_before_the_change_is_proposed_here_once() {
     let mut operator = PendingChanges::default();
     let (request, _answer) = begun(&mut operator, true);
-    assert_eq!(operator.next_wake(), Some(START + OWNER_PATIENCE));
-    assert_eq!(operator.due(START + OWNER_PATIENCE - MILLISECOND), Vec::<u64>::new());
-    assert_eq!(operator.due(START + OWNER_PATIENCE), vec![request]);
-    assert_eq!(operator.due(START + OWNER_PATIENCE + MILLISECOND), Vec::<u64>::new());
+    assert_eq!(operator.next_wake(), Some(START + OWNER_TIMEOUT));
+    assert_eq!(operator.due(START + OWNER_TIMEOUT - MILLISECOND), Vec::<u64>::new());
+    assert_eq!(operator.due(START + OWNER_TIMEOUT), vec![request]);
+    assert_eq!(operator.due(START + OWNER_TIMEOUT + MILLISECOND), Vec::<u64>::new());
     assert_eq!(operator.next_wake(), Some(START + ANSWER_TIMEOUT));
 }
 
@@ -47,7 +47,7 @@
 fn an_answer_of_the_owner_in_time_ends_the_matter() {
     let mut operator = PendingChanges::default();
     let (request, mut answer) = begun(&mut operator, true);
-    operator.settle(request, taken);
+    operator.complete(request, taken);
     assert_eq!(answer.try_recv(), Ok(taken()));
     assert_eq!(operator.due(START + ANSWER_TIMEOUT), Vec::<u64>::new());
 }
@@ -60,9 +60,9 @@
     let (old_request, _) = begun(&mut earlier, true);
     let (request, mut answer) = begun(&mut operator, true);
     assert_ne!(old_request, request);
-    assert!(matches!(operator.settle(old_request, taken), Completion::Unknown));
+    assert!(matches!(operator.complete(old_request, taken), Completion::Unknown));
     assert!(answer.try_recv().is_err());
-    operator.settle(request, taken);
+    operator.complete(request, taken);
     assert_eq!(answer.try_recv(), Ok(taken()));
 }
 
@@ -70,9 +70,9 @@
 fn the_first_of_two_outcomes_counts() {
     let mut operator = PendingChanges::default();
     let (request, mut answer) = begun(&mut operator, true);
-    operator.due(START + OWNER_PATIENCE);
-    operator.settle(request, taken);
-    assert!(matches!(operator.settle(request, || Answer::error(503, "late")), Completion::Unknown));
+    operator.due(START + OWNER_TIMEOUT);
+    operator.complete(request, taken);
+    assert!(matches!(operator.complete(request, || Answer::error(503, "late")), Completion::Unknown));
     assert_eq!(answer.try_recv(), Ok(taken()));
 }
 
@@ -90,19 +90,19 @@
 fn the_outcome_of_a_forwarded_change_goes_back_under_the_number_of_the_asker() {
     let mut operator = PendingChanges::default();
     let peer: SocketAddr = "10.0.0.2:7000".parse().expect("an address");
-    let request = operator.begin_for(START, peer, 41, b"change".to_vec());
+    let request = operator.begin_forwarded(START, peer, 41, b"change".to_vec());
     assert_eq!(operator.command(request), Some(&b"change"[..]));
-    let settled = operator.settle(request, || unreachable!("no operator waits here"));
-    assert!(matches!(settled, Completion::Return { peer: to, request: 41 } if to == peer));
+    let completion = operator.complete(request, || unreachable!("no operator waits here"));
+    assert!(matches!(completion, Completion::Return { peer: to, request: 41 } if to == peer));
 }
 
 #[test]
 fn a_forwarded_change_is_forgotten_after_its_time() {
     let mut operator = PendingChanges::default();
     let peer: SocketAddr = "10.0.0.2:7000".parse().expect("an address");
-    let request = operator.begin_for(START, peer, 41, b"change".to_vec());
+    let request = operator.begin_forwarded(START, peer, 41, b"change".to_vec());
     assert_eq!(operator.due(START + ANSWER_TIMEOUT), Vec::<u64>::new());
-    assert!(matches!(operator.settle(request, taken), Completion::Unknown));
+    assert!(matches!(operator.complete(request, taken), Completion::Unknown));
 }
 
 #[test]
--- a/crates/controller/src/controller/operator/unavailable.rs
+++ b/crates/controller/src/controller/operator/unavailable.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unavailable {
     /// This controller is about to end.
-    Leaving,
+    Draining,
     /// Too many changes are under way here.
     TooManyChanges,
     /// A change was neither taken nor refused in time.
@@ -24,7 +24,7 @@
 impl Unavailable {
     /// All reasons, in the order of their numbers.
     pub const ALL: [Unavailable; 7] = [
-        Unavailable::Leaving,
+        Unavailable::Draining,
         Unavailable::TooManyChanges,
         Unavailable::ChangeNotCommitted,
         Unavailable::ChangeUnclear,
@@ -36,7 +36,7 @@
     /// What the caller is told.
     pub fn text(self) -> &'static str {
         match self {
-            Unavailable::Leaving => "this controller is about to end",
+            Unavailable::Draining => "this controller is about to end",
             Unavailable::TooManyChanges => "too many calls are under way",
             Unavailable::ChangeNotCommitted => "no clear answer in time; send the same again",
             Unavailable::NoMajority => "no majority of the controllers can be reached",
@@ -48,7 +48,7 @@
     /// Its name as a label.
     pub fn name(self) -> &'static str {
         match self {
-            Unavailable::Leaving => "leaving",
+            Unavailable::Draining => "leaving",
             Unavailable::TooManyChanges => "too_many_changes",
             Unavailable::ChangeNotCommitted => "change_not_settled",
             Unavailable::ChangeUnclear => "change_unclear",
--- a/crates/controller/src/controller/placement/endpoint_client.rs
+++ b/crates/controller/src/controller/placement/endpoint_client.rs
@@ -72,7 +72,7 @@
 }
 
 /// Gives an order under the epoch `epoch`, unless it cannot be sent before `send_by`.
-pub async fn give(order: &Order, owner: &str, epoch: u64, send_by: Instant) -> OrderAnswer {
+pub async fn send_order(order: &Order, owner: &str, epoch: u64, send_by: Instant) -> OrderAnswer {
     let body = OrderBody {
         operation: order.operation,
         model: &order.model,
@@ -102,7 +102,7 @@
 }
 
 /// Asks an endpoint for its report on itself; `None` where another incarnation answers.
-pub async fn ask_report(instance: &str, address: SocketAddr) -> Option<EndpointReport> {
+pub async fn request_report(instance: &str, address: SocketAddr) -> Option<EndpointReport> {
     let request = addressed(Method::GET, "/report", address, instance).body(Full::new(Bytes::new())).ok()?;
     let response = call(address, request, Instant::now() + CONNECT_TIMEOUT).await.ok()?;
     let is_other = response.instance.is_some_and(|id| id.as_bytes() != instance.as_bytes());
--- a/crates/controller/src/controller/placement/endpoint_client_test.rs
+++ b/crates/controller/src/controller/placement/endpoint_client_test.rs
@@ -1,4 +1,4 @@
-use crate::controller::placement::endpoint_client::{ask_report, give};
+use crate::controller::placement::endpoint_client::{request_report, send_order};
 use lanegate_placement::{Operation, Order, OrderAnswer, OrderId};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -65,7 +65,7 @@
         read_call(&mut stream).await;
         stream.write_all(bytes.as_bytes()).await.unwrap();
     });
-    give(&order(address, 0), "core-1", 7, soon()).await
+    send_order(&order(address, 0), "core-1", 7, soon()).await
 }
 
 #[test]
@@ -74,7 +74,9 @@
         for if_revision in [0, 3] {
             let (listener, address) = endpoint().await;
             let given =
-                spawn_local(async move { give(&order(address, if_revision), "core-1", 7, soon()).await });
+                spawn_local(
+                    async move { send_order(&order(address, if_revision), "core-1", 7, soon()).await },
+                );
             let (mut stream, _) = listener.accept().await.unwrap();
             let (head, body) = read_call(&mut stream).await;
             assert!(head.starts_with("POST /order HTTP/1.1\r\n"), "{head}");
@@ -125,7 +127,7 @@
     play(async {
         let (listener, address) = endpoint().await;
         drop(listener);
-        assert_eq!(give(&order(address, 0), "core-1", 7, soon()).await, OrderAnswer::Unavailable);
+        assert_eq!(send_order(&order(address, 0), "core-1", 7, soon()).await, OrderAnswer::Unavailable);
     });
 }
 
@@ -133,7 +135,7 @@
 fn an_order_without_an_answer_is_sent_once_and_its_connection_reset() {
     play(async {
         let (listener, address) = endpoint().await;
-        let given = spawn_local(async move { give(&order(address, 0), "core-1", 7, soon()).await });
+        let given = spawn_local(async move { send_order(&order(address, 0), "core-1", 7, soon()).await });
         let (mut stream, _) = listener.accept().await.unwrap();
         read_call(&mut stream).await;
         assert_eq!(given.await.unwrap(), OrderAnswer::Unknown);
@@ -154,7 +156,7 @@
             ("HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\n{\"Sequence\":4}", None),
         ] {
             let (listener, address) = endpoint().await;
-            let in_flight = spawn_local(async move { ask_report("i-1", address).await });
+            let in_flight = spawn_local(async move { request_report("i-1", address).await });
             let (mut stream, _) = listener.accept().await.unwrap();
             let (head, _) = read_call(&mut stream).await;
             assert!(head.contains("expect-instance: i-1"), "{head}");
@@ -171,7 +173,7 @@
     play(async {
         let (listener, address) = endpoint().await;
         let late = Instant::now() - Duration::from_millis(1);
-        assert_eq!(give(&order(address, 0), "core-1", 7, late).await, OrderAnswer::Unavailable);
+        assert_eq!(send_order(&order(address, 0), "core-1", 7, late).await, OrderAnswer::Unavailable);
         let accepted = timeout(A_WHILE, listener.accept()).await;
         if let Ok(Ok((mut stream, _))) = accepted {
             let mut byte = [0];
--- a/crates/controller/src/controller/placement/placement_control.rs
+++ b/crates/controller/src/controller/placement/placement_control.rs
@@ -1,7 +1,7 @@
 //! What a controller does for the services that it places: leases, news for the placers, orders.
 
 use crate::controller::consensus::shards;
-use crate::controller::endpoints::pending_loads::{PendingLoadStep, holding};
+use crate::controller::endpoints::pending_loads::{PendingLoadStep, residency_update};
 use crate::controller::placement::endpoint_client::{CONNECT_TIMEOUT, ORDER_WIRE_TIME};
 use crate::controller::placement::placers::{Placers, ServiceAction};
 use crate::controller::{Controller, ControllerFault, InFlightRequest};
@@ -22,7 +22,7 @@
 
 impl Controller {
     /// Stands for the leases of the shards that have engines and that this controller owns.
-    pub(crate) fn stand_for_leases(&mut self) {
+    pub(crate) fn campaign_for_leases(&mut self) {
         let Some(configuration) = self.configuration.clone() else { return };
         let now = self.now();
         let wanted: BTreeSet<u8> = Placers::wanted_shards(&configuration).collect();
@@ -30,7 +30,7 @@
             // Who acts goes on while it can: handing over to the first in order costs a quiet period.
             let acts = self.placers.acts_for(shard);
             let stands = wanted.contains(&shard) && (acts || self.owns(shard));
-            let stands = stands && self.has_contact(shard) && !self.is_leaving();
+            let stands = stands && self.has_contact(shard) && !self.is_draining();
             let outputs = self.leases.set_candidate(now, u32::from(shard), stands);
             self.lease_outputs(outputs);
         }
@@ -54,21 +54,21 @@
                     let input =
                         Input::Propose { request, command: Vec::new(), deadline: now + EPOCH_TIMEOUT };
                     let outputs = self.shards.handle(now, shard as u8, input);
-                    self.follow(shard as u8, outputs);
+                    self.execute_outputs(shard as u8, outputs);
                 }
                 Output::Began { shard, epoch, .. } => {
                     log::info!("acts for shard {shard}, epoch {epoch}");
                     self.counters.tenures += 1;
                     let newest = self.newest_epochs.insert(shard, epoch).unwrap_or_default();
                     self.violations.check(Invariant::EpochRises, epoch > newest);
-                    self.placers.began(shard as u8, epoch);
+                    self.placers.tenure_began(shard as u8, epoch);
                     self.configure_placements(epoch);
                 }
                 Output::Ended { .. } if self.has_fault(ControllerFault::OrderWithoutLease) => {}
                 Output::Ended { shard, .. } => {
                     log::info!("acts no more for shard {shard}");
-                    self.placers.ended(shard as u8);
-                    self.holdings.clear();
+                    self.placers.tenure_ended(shard as u8);
+                    self.pending_loads.clear();
                 }
             }
         }
@@ -86,11 +86,11 @@
     }
 
     /// A router told its demand.
-    pub(crate) fn demand(&mut self, demand: &RouterDemand) {
+    pub(crate) fn on_demand(&mut self, demand: &RouterDemand) {
         let now = self.now();
         let router = demand.router.text();
-        self.recent_demand.keep(now, demand);
-        self.routers.heard(now, router.clone());
+        self.recent_demand.record(now, demand);
+        self.routers.record_report(now, router.clone());
         if demand.age_ms > 0 || !self.placers.is_active() {
             return;
         }
@@ -101,14 +101,14 @@
     }
 
     /// Does what the placers want done.
-    pub(crate) fn place(&mut self, now: Duration) {
+    pub(crate) fn run_placers(&mut self, now: Duration) {
         for action in self.placers.due(now) {
             self.start_action(action);
         }
-        for step in self.holdings.due(now) {
+        for step in self.pending_loads.due(now) {
             match step {
-                PendingLoadStep::Publish(holding) => self.publish(holding),
-                PendingLoadStep::Ask { service, instance, address } => {
+                PendingLoadStep::Publish(residency_update) => self.publish(residency_update),
+                PendingLoadStep::RequestReport { service, instance, address } => {
                     let shard = shards::shard_of(&service);
                     let action = Action::RequestReport { instance, address };
                     self.start_action(ServiceAction { service, shard, action });
@@ -123,7 +123,7 @@
         self.counters.order_answered(order.operation, answer);
         if answer == OrderAnswer::Accepted {
             let load_time = self.load_time(service, &order.model);
-            self.holdings.accepted(now, service, order, load_time);
+            self.pending_loads.accepted(now, service, order, load_time);
         }
         self.placers.answered(now, service, order.id, answer);
     }
@@ -137,10 +137,10 @@
     }
 
     /// Tells everyone what is known of a model at an endpoint.
-    pub(crate) fn publish(&mut self, holding: ResidencyUpdate) {
-        if let Some(holding) = self.endpoints.publish(holding) {
-            let message = Message::ResidencyUpdate(holding);
-            self.readers.append(&message);
+    pub(crate) fn publish(&mut self, residency_update: ResidencyUpdate) {
+        if let Some(residency_update) = self.endpoints.publish(residency_update) {
+            let message = Message::ResidencyUpdate(residency_update);
+            self.subscribers.append(&message);
             self.peers.broadcast(&message);
         }
     }
@@ -153,15 +153,20 @@
             Action::Order(_) => self.leases.authorize(now, shard, ORDER_WIRE_TIME),
             Action::RequestReport { .. } => self.leases.may_act(now, shard, ORDER_WIRE_TIME),
         };
-        let goes_on = self.has_fault(ControllerFault::OrderWithoutLease);
-        let epoch = if goes_on { self.placers.epoch(action.shard) } else { epoch };
+        let ignores_lease = self.has_fault(ControllerFault::OrderWithoutLease);
+        let epoch = if ignores_lease { self.placers.epoch(action.shard) } else { epoch };
         match (epoch, &action.action) {
             (Some(epoch), action_kind) => {
                 if matches!(action_kind, Action::Order(_)) {
                     self.counters.order_given();
                 }
                 self.announce_eviction(&action.action);
-                self.environment.carry_out(action, &self.settings.node_name, epoch, now + CONNECT_TIMEOUT);
+                self.environment.execute_action(
+                    action,
+                    &self.settings.node_name,
+                    epoch,
+                    now + CONNECT_TIMEOUT,
+                );
             }
             (None, Action::Order(order)) => {
                 let id = order.id;
@@ -176,33 +181,33 @@
     fn announce_eviction(&mut self, action: &Action) {
         let Action::Order(order) = action else { return };
         if order.operation == Operation::Evict {
-            self.publish(holding(&order.instance, &order.model, order.adapter.as_deref(), false));
+            self.publish(residency_update(&order.instance, &order.model, order.adapter.as_deref(), false));
         }
     }
 
     /// Tells the placers of an endpoint, as the registry has it now.
-    pub(crate) fn tell_placers(&mut self, id: &str) {
+    pub(crate) fn update_placers(&mut self, id: &str) {
         if !self.placers.is_active() {
             return;
         }
         let now = self.now();
         match self.endpoints.registration(id) {
-            Some(registered) => self.placers.heard(now, registered),
+            Some(registered) => self.placers.update_instance(now, registered),
             None => self.placers.removed(now, id),
         }
-        self.announce_leaving(id);
+        self.republish_evictions(id);
     }
 
     /// An endpoint lists what it was ordered to drop until the last run with it has ended, and refuses requests for
     /// it all that time. Its heartbeats meanwhile do not bring routers back.
-    fn announce_leaving(&mut self, id: &str) {
+    fn republish_evictions(&mut self, id: &str) {
         if !self.settings.switched_off.leaves(Mechanism::EvictionHiding) {
             return;
         }
         let Some(registered) = self.endpoints.registration(id) else { return };
         let Some(item) = self.placers.leaving(registered) else { return };
-        if registered.shows(&item.model, item.adapter.as_deref()) {
-            self.publish(holding(id, &item.model, item.adapter.as_deref(), false));
+        if registered.has_resident(&item.model, item.adapter.as_deref()) {
+            self.publish(residency_update(id, &item.model, item.adapter.as_deref(), false));
         }
     }
 }
--- a/crates/controller/src/controller/placement/placers.rs
+++ b/crates/controller/src/controller/placement/placers.rs
@@ -22,7 +22,7 @@
     /// Epochs of the shards that this controller acts for.
     epochs: BTreeMap<u8, u64>,
     /// What was counted by placers that have ended.
-    ended: InvariantViolations,
+    ended_violations: InvariantViolations,
 }
 
 /// An action of the placer of `service`.
@@ -41,7 +41,7 @@
     }
 
     /// This controller acts for `shard` from now on.
-    pub fn began(&mut self, shard: u8, epoch: u64) {
+    pub fn tenure_began(&mut self, shard: u8, epoch: u64) {
         self.epochs.insert(shard, epoch);
     }
 
@@ -56,9 +56,9 @@
     }
 
     /// This controller acts for `shard` no more.
-    pub fn ended(&mut self, shard: u8) {
+    pub fn tenure_ended(&mut self, shard: u8) {
         self.epochs.remove(&shard);
-        self.keep_placers(|service| shard_of(service) != shard);
+        self.retain_placers(|service| shard_of(service) != shard);
     }
 
     /// Makes the placers that are missing, drops those whose service is gone, and tells all of them the
@@ -76,7 +76,7 @@
             let backend = configuration.backends.iter().find(|backend| backend.name == service)?;
             backend.runtime.as_ref()
         };
-        self.keep_placers(|service| runtime(service).is_some());
+        self.retain_placers(|service| runtime(service).is_some());
         for backend in &configuration.backends {
             let shard = shard_of(&backend.name);
             let (Some(runtime), Some(epoch)) = (&backend.runtime, self.epochs.get(&shard)) else { continue };
@@ -100,21 +100,21 @@
         }
     }
 
-    fn keep_placers(&mut self, keep: impl Fn(&str) -> bool) {
+    fn retain_placers(&mut self, keep: impl Fn(&str) -> bool) {
         let ended = self.placers.iter().filter(|(service, _)| !keep(service));
-        ended.for_each(|(_, placer)| self.ended += placer.violations());
+        ended.for_each(|(_, placer)| self.ended_violations += placer.violations());
         self.placers.retain(|service, _| keep(service));
     }
 
     /// Orders that placers of this process held back because they would have broken a limit.
     pub fn violations(&self) -> InvariantViolations {
-        let mut sum = self.ended;
+        let mut sum = self.ended_violations;
         self.placers.values().for_each(|placer| sum += placer.violations());
         sum
     }
 
     /// A registration was heard.
-    pub fn heard(&mut self, now: Duration, registered: &Registered) {
+    pub fn update_instance(&mut self, now: Duration, registered: &Registered) {
         if let Some(placer) = self.placers.get_mut(&registered.instance.backend) {
             placer.instance(now, &registered.instance);
         }
@@ -184,7 +184,7 @@
 }
 
 /// Carries out what a placer wants, and tells the end of it. An order is not sent after `send_by`.
-pub async fn carry_out(
+pub async fn execute_action(
     action: ServiceAction,
     tenure: OrderTenure,
     send_by: Instant,
@@ -193,7 +193,7 @@
     let ServiceAction { service, action, .. } = action;
     let event = match action {
         Action::Order(order) => {
-            let answer = crate::controller::placement::endpoint_client::give(
+            let answer = crate::controller::placement::endpoint_client::send_order(
                 &order,
                 &tenure.owner,
                 tenure.epoch,
@@ -211,7 +211,7 @@
         }
         Action::RequestReport { instance, address } => {
             let Some(report) =
-                crate::controller::placement::endpoint_client::ask_report(&instance, address).await
+                crate::controller::placement::endpoint_client::request_report(&instance, address).await
             else {
                 return;
             };
--- a/crates/controller/src/controller/placement/recent_demand.rs
+++ b/crates/controller/src/controller/placement/recent_demand.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// How far back demand is kept: what is older hardly counts in any rate.
-const SPAN: Duration = Duration::from_secs(20);
+const RETENTION: Duration = Duration::from_secs(20);
 /// Most reports kept: ten seconds of some hundred routers.
 const MAX_REPORTS: usize = 4_096;
 
@@ -21,39 +21,42 @@
 /// Reports of demand, the oldest first.
 #[derive(Debug, Default)]
 pub struct RecentDemand {
-    told: VecDeque<ReceivedReport>,
+    reports: VecDeque<ReceivedReport>,
 }
 
 impl RecentDemand {
     /// Keeps a report. One that is as old as what is known already comes twice and is left out.
-    pub fn keep(&mut self, now: Duration, demand: &RouterDemand) {
+    pub fn record(&mut self, now: Duration, demand: &RouterDemand) {
         let at = now.saturating_sub(Duration::from_millis(demand.age_ms.into()));
-        let place = self.told.partition_point(|told| told.at <= at);
-        let known = |told: &ReceivedReport| {
-            told.demand.router == demand.router && told.demand.report == demand.report
+        let position = self.reports.partition_point(|report| report.at <= at);
+        let known = |report: &ReceivedReport| {
+            report.demand.router == demand.router && report.demand.report == demand.report
         };
-        if demand.age_ms > 0 && self.told.iter().any(known) {
+        if demand.age_ms > 0 && self.reports.iter().any(known) {
             return;
         }
-        self.told.insert(place, ReceivedReport { at, demand: demand.clone() });
-        while self.told.len() > MAX_REPORTS || self.told.front().is_some_and(|told| told.at + SPAN < now) {
-            self.told.pop_front();
+        self.reports.insert(position, ReceivedReport { at, demand: demand.clone() });
+        while self.reports.len() > MAX_REPORTS
+            || self.reports.front().is_some_and(|report| report.at + RETENTION < now)
+        {
+            self.reports.pop_front();
         }
     }
 
     /// What is kept, read, with its times.
     pub fn reports(&self) -> Vec<(Duration, DemandReport)> {
-        let read =
-            |told: &ReceivedReport| Some((told.at, serde_json::from_slice(&told.demand.report.bytes).ok()?));
-        self.told.iter().filter_map(read).collect()
+        let read = |report: &ReceivedReport| {
+            Some((report.at, serde_json::from_slice(&report.demand.report.bytes).ok()?))
+        };
+        self.reports.iter().filter_map(read).collect()
     }
 
     /// What is kept as messages for a peer.
     pub fn messages(&self, now: Duration) -> impl Iterator<Item = Message> {
-        self.told.iter().map(move |told| {
-            let age = now.saturating_sub(told.at).as_millis().max(1);
+        self.reports.iter().map(move |report| {
+            let age = now.saturating_sub(report.at).as_millis().max(1);
             let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
-            Message::Demand(RouterDemand { age_ms, ..told.demand.clone() })
+            Message::Demand(RouterDemand { age_ms, ..report.demand.clone() })
         })
     }
 }
--- a/crates/controller/src/controller/placement/recent_demand_test.rs
+++ b/crates/controller/src/controller/placement/recent_demand_test.rs
@@ -21,31 +21,31 @@
 #[test]
 fn reports_of_a_peer_take_their_place_among_those_heard_here() {
     let mut demand = RecentDemand::default();
-    demand.keep(ms(5_000), &told("edge-1", 1, 0));
-    demand.keep(ms(6_000), &told("edge-1", 2, 3_000));
+    demand.record(ms(5_000), &told("edge-1", 1, 0));
+    demand.record(ms(6_000), &told("edge-1", 2, 3_000));
     assert_eq!(periods(&demand), vec![(3_000, 2), (5_000, 1)]);
 }
 
 #[test]
 fn a_report_that_a_peer_repeats_counts_once() {
     let mut demand = RecentDemand::default();
-    demand.keep(ms(5_000), &told("edge-1", 1, 0));
-    demand.keep(ms(6_000), &told("edge-1", 1, 1_010));
+    demand.record(ms(5_000), &told("edge-1", 1, 0));
+    demand.record(ms(6_000), &told("edge-1", 1, 1_010));
     assert_eq!(periods(&demand), vec![(5_000, 1)]);
 }
 
 #[test]
 fn old_reports_are_forgotten() {
     let mut demand = RecentDemand::default();
-    demand.keep(ms(1_000), &told("edge-1", 1, 0));
-    demand.keep(ms(30_000), &told("edge-1", 2, 0));
+    demand.record(ms(1_000), &told("edge-1", 1, 0));
+    demand.record(ms(30_000), &told("edge-1", 2, 0));
     assert_eq!(periods(&demand), vec![(30_000, 2)]);
 }
 
 #[test]
 fn messages_for_a_peer_tell_the_age() {
     let mut demand = RecentDemand::default();
-    demand.keep(ms(1_000), &told("edge-1", 1, 0));
+    demand.record(ms(1_000), &told("edge-1", 1, 0));
     let messages: Vec<Message> = demand.messages(ms(3_500)).collect();
     assert_eq!(messages, vec![Message::Demand(told("edge-1", 1, 2_500))]);
 }
--- a/crates/controller/src/controller/process.rs
+++ b/crates/controller/src/controller/process.rs
@@ -4,7 +4,7 @@
 use crate::controller::environment::Environment;
 use crate::controller::event::Event;
 use crate::controller::membership::links::keep_link;
-use crate::controller::placement::placers::{OrderTenure, ServiceAction, carry_out};
+use crate::controller::placement::placers::{OrderTenure, ServiceAction, execute_action};
 use crate::message::Hello;
 use lanegate_config::settings::{Settings, SettingsError};
 use lanegate_coordination::register::Record;
@@ -50,10 +50,10 @@
         self.disk.write(shard, token, record);
     }
 
-    fn carry_out(&mut self, action: ServiceAction, owner: &str, epoch: u64, send_by: Duration) {
+    fn execute_action(&mut self, action: ServiceAction, owner: &str, epoch: u64, send_by: Duration) {
         let tenure = OrderTenure { owner: owner.to_owned(), epoch };
         let send_by = self.started + send_by;
-        tokio::task::spawn_local(carry_out(action, tenure, send_by, self.events.clone()));
+        tokio::task::spawn_local(execute_action(action, tenure, send_by, self.events.clone()));
     }
 
     fn read_settings(&mut self) -> Result<Settings, SettingsError> {
--- a/crates/controller/src/controller/setup.rs
+++ b/crates/controller/src/controller/setup.rs
@@ -88,16 +88,16 @@
     tokio::task::spawn_local(http::serve(calls, events.clone(), unavailable.clone()));
     tokio::task::spawn_local(links::accept(peer_links, events));
     let mut scrapes = Scrapes::at(metrics_at);
-    while !controller.has_left() {
+    while !controller.has_shut_down() {
         let wake = controller.next_wake();
         tokio::select! {
             biased;
-            _ = terminate.recv() => controller.leave(),
+            _ = terminate.recv() => controller.begin_shutdown(),
             _ = reload.recv() => controller.read_settings(),
             Some(event) = queue.recv() => {
-                controller.take(event);
+                controller.handle_event(event);
                 while let Ok(event) = queue.try_recv() {
-                    controller.take(event);
+                    controller.handle_event(event);
                 }
             }
             Some(scrape) = scrapes.next() => {
@@ -107,7 +107,7 @@
             }
             () = tokio::time::sleep_until((started + wake).into()) => {}
         }
-        controller.turn();
+        controller.tick();
     }
     tokio::time::sleep(LAST_WRITES).await;
     Ok(())
@@ -177,25 +177,25 @@
             incarnation,
             environment,
             peers: Peers::new(control),
-            readers: Subscribers::new(incarnation),
+            subscribers: Subscribers::new(incarnation),
             endpoints: EndpointRegistry::new(heartbeat, control, incarnation)
                 .with_fault(fault.and_then(ControllerFault::of_endpoints)),
             shards: Shards::new(replicas),
             pending_changes: PendingChanges::new(incarnation),
             membership: Membership::new(MembershipSettings::new(HEARTBEAT_INTERVAL, MONITORS), node, now),
-            contact: QuorumContact::with_fault(
+            quorum_contact: QuorumContact::with_fault(
                 control,
                 incarnation,
                 fault.and_then(ControllerFault::of_contact),
             ),
-            trust: Freshness::default(),
-            members: ReplacementPlanner::new(fault.and_then(ControllerFault::of_members)),
+            freshness: Freshness::default(),
+            replacement_planner: ReplacementPlanner::new(fault.and_then(ControllerFault::of_members)),
             member_statuses: MemberStatuses::default(),
-            margins: ToleranceMonitor::default(),
+            tolerance_monitor: ToleranceMonitor::default(),
             handover: None,
             leases: LeaseNode::new(lease, node, start, now),
             placers: Placers::default(),
-            holdings: PendingLoads::default(),
+            pending_loads: PendingLoads::default(),
             recent_demand: RecentDemand::default(),
             configuration: None,
             first_start: first,
@@ -205,9 +205,9 @@
             next_request: 0,
             complete: first,
             routers: LiveRouters::default(),
-            next_housekeeping: now,
-            next_beat: now,
-            last_turn: now,
+            next_periodic_tasks: now,
+            next_feed_heartbeat: now,
+            last_tick: now,
             counters: Counters::default(),
             violations: Violations::default(),
             newest_revisions: BTreeMap::new(),
--- a/crates/controller/src/feed_client.rs
+++ b/crates/controller/src/feed_client.rs
@@ -17,7 +17,7 @@
 use tokio::time::sleep_until;
 
 /// Pause before the agent is dialled again, which may just be starting.
-const REDIAL_PAUSE: Duration = Duration::from_millis(100);
+const REDIAL_DELAY: Duration = Duration::from_millis(100);
 
 /// Follows the agent for the life of the process. Must run inside a `LocalSet`.
 pub async fn feed_client(
@@ -34,8 +34,8 @@
         let fetch = client.next_fetch(started.elapsed()).map(|at| started + at);
         tokio::select! {
             Some(news) = news.recv() => {
-                if client.heard(started.elapsed(), news) {
-                    tokio::time::sleep(REDIAL_PAUSE).await;
+                if client.on_agent_event(started.elapsed(), news) {
+                    tokio::time::sleep(REDIAL_DELAY).await;
                     dial(&client);
                 }
             }
@@ -97,8 +97,8 @@
     }
 
     /// Takes news of the link. True if it is down.
-    pub(crate) fn heard(&mut self, now: Duration, news: SourceEvent) -> bool {
-        let is_down = self.take(now, news);
+    pub(crate) fn on_agent_event(&mut self, now: Duration, news: SourceEvent) -> bool {
+        let is_down = self.apply_event(now, news);
         let behind = self.view.may_be_behind();
         if behind != self.behind {
             self.behind = behind;
@@ -107,7 +107,7 @@
         is_down
     }
 
-    fn take(&mut self, now: Duration, news: SourceEvent) -> bool {
+    fn apply_event(&mut self, now: Duration, news: SourceEvent) -> bool {
         match news {
             SourceEvent::Up { outbox, .. } => {
                 self.outbox = Some(outbox);
--- a/crates/controller/src/link.rs
+++ b/crates/controller/src/link.rs
@@ -16,7 +16,7 @@
 /// How long sent bytes may stay unacknowledged before the link counts as dead.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Pause before a link that failed is dialled again.
-pub const REDIAL_PAUSE: Duration = Duration::from_millis(150);
+pub const REDIAL_DELAY: Duration = Duration::from_millis(150);
 /// Messages that may wait for a slow reader; one more ends the link, and the next one begins anew.
 const OUTBOX_MESSAGES: usize = 8_192;
 /// Most bytes of small frames that are written together; every link keeps room for so many, and a controller
--- a/crates/controller/src/message.rs
+++ b/crates/controller/src/message.rs
@@ -264,7 +264,7 @@
     /// A bit for each shard whose replica can vote.
     pub voting: u32,
     /// 1 once the process has been asked to end.
-    pub leaving: u8,
+    pub draining: u8,
 }
 
 /// What a placer knows of an endpoint's models before the endpoint's next heartbeat tells it.
@@ -384,7 +384,7 @@
     #[error("a frame of {0} bytes")]
     TooLong(usize),
     #[error("silent for too long")]
-    Silent,
+    Timeout,
     #[error(transparent)]
     Link(#[from] std::io::Error),
 }
--- a/crates/controller/src/registration.rs
+++ b/crates/controller/src/registration.rs
@@ -13,7 +13,7 @@
     /// The body of the heartbeat.
     pub body: Bytes,
     /// What the placer knows beyond it.
-    holdings: Vec<ResidencyUpdate>,
+    residency_updates: Vec<ResidencyUpdate>,
     /// Sequence of the first heartbeat that said what this one says.
     changed_at: u64,
 }
@@ -24,15 +24,15 @@
         let mut instance: Instance = serde_json::from_slice(&body)?;
         id.clone_into(&mut instance.id);
         let changed_at = instance.sequence;
-        Ok(Registered { instance, body, holdings: Vec::new(), changed_at })
+        Ok(Registered { instance, body, residency_updates: Vec::new(), changed_at })
     }
 
     /// This registration after `previous`: it keeps what was published of this heartbeat or a later one.
     pub fn following(mut self, previous: Option<&Registered>) -> Self {
         let Some(previous) = previous else { return self };
         let sequence = self.instance.sequence;
-        let newer = previous.holdings.iter().filter(|holding| holding.sequence >= sequence);
-        self.holdings = newer.cloned().collect();
+        let newer = previous.residency_updates.iter().filter(|update| update.sequence >= sequence);
+        self.residency_updates = newer.cloned().collect();
         if !previous.differs(&self) {
             self.changed_at = previous.changed_at;
         }
@@ -41,26 +41,26 @@
 
     /// The order of what is published next of this registration.
     pub fn next_order(&self) -> u64 {
-        self.holdings.iter().map(|holding| holding.order + 1).max().unwrap_or(1)
+        self.residency_updates.iter().map(|update| update.order + 1).max().unwrap_or(1)
     }
 
     /// Takes what a placer knows of the endpoint's models, unless it was published before this registration or
     /// before what is known of the same model. True if it is news.
-    pub fn hold(&mut self, holding: ResidencyUpdate) -> bool {
-        let same = |known: &ResidencyUpdate| known.model == holding.model && known.adapter == holding.adapter;
-        let known = self.holdings.iter().find(|known| same(known));
-        if holding.sequence < self.changed_at || known.is_some_and(|known| rank(known) >= rank(&holding)) {
+    pub fn apply_residency(&mut self, update: ResidencyUpdate) -> bool {
+        let same = |known: &ResidencyUpdate| known.model == update.model && known.adapter == update.adapter;
+        let known = self.residency_updates.iter().find(|known| same(known));
+        if update.sequence < self.changed_at || known.is_some_and(|known| rank(known) >= rank(&update)) {
             return false;
         }
         let old = self.current_models();
-        self.holdings.retain(|known| !same(known));
-        self.holdings.push(holding);
+        self.residency_updates.retain(|known| !same(known));
+        self.residency_updates.push(update);
         self.current_models() != old
     }
 
     /// What the placer knows beyond the newest heartbeat.
-    pub fn holdings(&self) -> &[ResidencyUpdate] {
-        &self.holdings
+    pub fn residency_updates(&self) -> &[ResidencyUpdate] {
+        &self.residency_updates
     }
 
     /// The instance with what the placer knows of its models.
@@ -69,32 +69,34 @@
     }
 
     /// Whether it holds a model, or an adapter of it, by what is known now.
-    pub fn shows(&self, model: &str, adapter: Option<&str>) -> bool {
+    pub fn has_resident(&self, model: &str, adapter: Option<&str>) -> bool {
         instance::is_resident(&self.current_models(), model, adapter)
     }
 
     fn current_models(&self) -> Vec<ResidentModel> {
         let mut models = self.instance.models.clone();
-        for holding in &self.holdings {
-            apply(&mut models, holding);
+        for update in &self.residency_updates {
+            apply(&mut models, update);
         }
         models
     }
 }
 
 /// What counts of two holdings of one model: the later one; of two published at once, that it is dropped.
-fn rank(holding: &ResidencyUpdate) -> (u64, u64, bool) {
-    (holding.sequence, holding.order, holding.present == 0)
+fn rank(update: &ResidencyUpdate) -> (u64, u64, bool) {
+    (update.sequence, update.order, update.present == 0)
 }
 
-fn apply(models: &mut Vec<ResidentModel>, holding: &ResidencyUpdate) {
-    let (model, adapter) = (holding.model.text(), holding.adapter.text());
-    let held = models.iter_mut().find(|held| held.name == model);
-    match (held, holding.present == 1, adapter.is_empty()) {
+fn apply(models: &mut Vec<ResidentModel>, update: &ResidencyUpdate) {
+    let (model, adapter) = (update.model.text(), update.adapter.text());
+    let resident = models.iter_mut().find(|resident| resident.name == model);
+    match (resident, update.present == 1, adapter.is_empty()) {
         (None, true, true) => models.push(ResidentModel { name: model, version: 0, adapters: Vec::new() }),
-        (Some(held), true, false) if !held.adapters.contains(&adapter) => held.adapters.push(adapter),
-        (Some(_), false, true) => models.retain(|held| held.name != model),
-        (Some(held), false, false) => held.adapters.retain(|held| *held != adapter),
+        (Some(resident), true, false) if !resident.adapters.contains(&adapter) => {
+            resident.adapters.push(adapter)
+        }
+        (Some(_), false, true) => models.retain(|resident| resident.name != model),
+        (Some(resident), false, false) => resident.adapters.retain(|resident| *resident != adapter),
         _ => {}
     }
 }
--- a/crates/controller/src/simulation/connections.rs
+++ b/crates/controller/src/simulation/connections.rs
@@ -3,9 +3,9 @@
 use super::connection::{Connection, Dial, End, Kind, Process};
 use super::place::Place;
 use super::world::{Happening, Notice, World};
-use crate::agent::{SOURCE_SILENCE, SubscriberEvent};
+use crate::agent::{SOURCE_TIMEOUT, SubscriberEvent};
 use crate::controller::Event;
-use crate::link::{CONNECT_TIMEOUT, REDIAL_PAUSE};
+use crate::link::{CONNECT_TIMEOUT, REDIAL_DELAY};
 use crate::message::Message;
 use crate::subscription::SourceEvent;
 use bytes::Bytes;
@@ -80,7 +80,7 @@
             }
             Kind::Feed => {
                 outbox.message(&Message::Hello(self.agent_hello(&dial)));
-                self.schedule(now + SOURCE_SILENCE, Happening::Silence { connection: number });
+                self.schedule(now + SOURCE_TIMEOUT, Happening::Silence { connection: number });
                 Notice::Source(SourceEvent::Up { source: dial.address, outbox })
             }
             Kind::Loopback => {
@@ -98,7 +98,7 @@
         let connection = self.connections.get_mut(&number);
         let outbox = connection.and_then(|connection| connection.listener_outbox.take());
         if let Some(outbox) = outbox {
-            let notice = Notice::SubscriberEvent(SubscriberEvent::Up { reader: number, outbox });
+            let notice = Notice::SubscriberEvent(SubscriberEvent::Up { subscriber: number, outbox });
             self.tell(listener, notice);
         }
     }
@@ -106,7 +106,7 @@
     fn dial_failed(&mut self, dial: Dial, after: Duration) {
         let at = self.now() + after;
         match dial.kind {
-            Kind::Peer => self.schedule(at + REDIAL_PAUSE, Happening::Dial(dial)),
+            Kind::Peer => self.schedule(at + REDIAL_DELAY, Happening::Dial(dial)),
             Kind::Feed => {
                 let notice = Notice::Source(SourceEvent::Down { source: dial.address });
                 self.notify(at, dial.dialer, notice);
@@ -195,7 +195,7 @@
             (Kind::Feed, End::Dialer, message) => Notice::Source(SourceEvent::Message { source, message }),
             (Kind::Loopback, End::Dialer, message) => Notice::Agent(SourceEvent::Message { source, message }),
             (Kind::Loopback, End::Listener, message) => {
-                Notice::SubscriberEvent(SubscriberEvent::Message { reader: number, message })
+                Notice::SubscriberEvent(SubscriberEvent::Message { subscriber: number, message })
             }
             (Kind::Peer, End::Listener, Message::Hello(hello)) => {
                 connection.peer = hello.control_address.text().parse().ok();
@@ -257,7 +257,7 @@
         let notice = match dial.kind {
             Kind::Peer => return,
             Kind::Feed => Notice::Controller(Event::AgentDown { agent: number }),
-            Kind::Loopback => Notice::SubscriberEvent(SubscriberEvent::Down { reader: number }),
+            Kind::Loopback => Notice::SubscriberEvent(SubscriberEvent::Down { subscriber: number }),
         };
         self.notify(self.now() + late, listener, notice);
     }
@@ -270,7 +270,7 @@
             Kind::Peer => {
                 let notice = Notice::Controller(Event::PeerDown { peer: dial.address });
                 self.notify(at, dial.dialer, notice);
-                self.schedule(at + REDIAL_PAUSE, Happening::Dial(dial));
+                self.schedule(at + REDIAL_DELAY, Happening::Dial(dial));
             }
             Kind::Feed => {
                 let notice = Notice::Source(SourceEvent::Down { source: dial.address });
@@ -349,7 +349,7 @@
     pub(super) fn look_for_silence(&mut self, number: u64) {
         let now = self.now();
         let Some(connection) = self.connections.get(&number) else { return };
-        let (dialer, quiet_at) = (connection.dial.dialer, connection.heard_at + SOURCE_SILENCE);
+        let (dialer, quiet_at) = (connection.dial.dialer, connection.heard_at + SOURCE_TIMEOUT);
         if self.is_frozen(dialer.place) {
             return self.schedule(now + FROZEN_PAUSE, Happening::Silence { connection: number });
         }
--- a/crates/controller/src/simulation/controller_environment.rs
+++ b/crates/controller/src/simulation/controller_environment.rs
@@ -15,7 +15,7 @@
     OpenLink(SocketAddr),
     CloseLink(SocketAddr),
     Write(Write),
-    CarryOut { action: ServiceAction, epoch: u64, send_by: Duration },
+    ExecuteAction { action: ServiceAction, epoch: u64, send_by: Duration },
 }
 
 /// What a controller and the world share.
@@ -47,9 +47,9 @@
         self.requests.borrow_mut().push(Request::Write(Write { shard, token, record }));
     }
 
-    fn carry_out(&mut self, action: ServiceAction, _owner: &str, epoch: u64, send_by: Duration) {
+    fn execute_action(&mut self, action: ServiceAction, _owner: &str, epoch: u64, send_by: Duration) {
         let send_by = self.started + send_by;
-        self.requests.borrow_mut().push(Request::CarryOut { action, epoch, send_by });
+        self.requests.borrow_mut().push(Request::ExecuteAction { action, epoch, send_by });
     }
 
     fn read_settings(&mut self) -> Result<Settings, SettingsError> {
--- a/crates/controller/src/simulation/controller_machine.rs
+++ b/crates/controller/src/simulation/controller_machine.rs
@@ -168,17 +168,17 @@
             return;
         }
         match notice {
-            Notice::Controller(event) => running.controller.take(event),
+            Notice::Controller(event) => running.controller.handle_event(event),
             Notice::Send(call) => return self.send_order(call),
             _ => return,
         }
-        self.turn_controller(index);
+        self.tick_controller(index);
     }
 
-    fn turn_controller(&mut self, index: usize) {
+    fn tick_controller(&mut self, index: usize) {
         let Some(running) = self.controllers[index].running.as_mut() else { return };
-        running.controller.turn();
-        let has_ended = running.controller.has_left();
+        running.controller.tick();
+        let has_ended = running.controller.has_shut_down();
         self.after_controller(index);
         if has_ended {
             self.end_controller(index);
@@ -197,7 +197,7 @@
         }
         running.wake_at = None;
         if !machine.frozen {
-            self.turn_controller(index);
+            self.tick_controller(index);
         }
     }
 
@@ -209,7 +209,7 @@
             None => return,
         };
         for request in requests {
-            self.carry_out(index, process, request);
+            self.execute_request(index, process, request);
         }
         self.start_write(index);
         self.pump_all(process);
@@ -217,7 +217,7 @@
         self.set_timer(index);
     }
 
-    fn carry_out(&mut self, index: usize, process: Process, request: Request) {
+    fn execute_request(&mut self, index: usize, process: Process, request: Request) {
         match request {
             Request::OpenLink(peer) => self.open_link(index, process, peer),
             Request::CloseLink(peer) => {
@@ -228,7 +228,7 @@
                 self.end_connections(|connection| is_link(&connection.dial), Some(process));
             }
             Request::Write(write) => self.queue_write(index, write),
-            Request::CarryOut { action, epoch, send_by } => {
+            Request::ExecuteAction { action, epoch, send_by } => {
                 self.trace.service_action(self.clock.get(), index, &action, epoch, send_by);
                 let call = OrderCall { sender: process, action, epoch, send_by };
                 let connected = self.delay() + self.delay();
@@ -306,12 +306,12 @@
         let backlog = std::mem::take(&mut machine.backlog);
         for notice in backlog {
             match (notice, &mut self.controllers[index].running) {
-                (Notice::Controller(event), Some(running)) => running.controller.take(event),
+                (Notice::Controller(event), Some(running)) => running.controller.handle_event(event),
                 (Notice::Send(call), _) => self.send_order(call),
                 _ => {}
             }
         }
-        self.turn_controller(index);
+        self.tick_controller(index);
     }
 
     /// The process dies; what it has sent still arrives.
@@ -344,10 +344,10 @@
     pub(super) fn stop_controller(&mut self, index: usize) {
         let Some(running) = self.controllers[index].running.as_mut() else { return };
         running.ending = true;
-        running.controller.leave();
+        running.controller.begin_shutdown();
         let process = running.process;
         self.schedule(self.now() + GRACE, Happening::GraceOver { process });
-        self.turn_controller(index);
+        self.tick_controller(index);
     }
 
     /// The time that a process gets to end is over.
@@ -372,7 +372,7 @@
             if let Some(running) = self.controllers[index].running.as_mut() {
                 running.controller.read_settings();
             }
-            self.turn_controller(index);
+            self.tick_controller(index);
         }
     }
 }
--- a/crates/controller/src/simulation/expectation.rs
+++ b/crates/controller/src/simulation/expectation.rs
@@ -210,7 +210,7 @@
         let awake = self.controllers.iter().filter(|machine| machine.is_awake() && !machine.is_ending());
         let told = awake.filter_map(|machine| {
             let place = Place::Controller(machine.index);
-            Some((place, machine.controller().filter(|_| is_member(&place))?.least_margin()))
+            Some((place, machine.controller().filter(|_| is_member(&place))?.least_fault_tolerance()))
         });
         told.collect()
     }
--- a/crates/controller/src/simulation/router_machine.rs
+++ b/crates/controller/src/simulation/router_machine.rs
@@ -5,7 +5,7 @@
 use super::place::{Place, controller_at};
 use super::settings::{seed_addresses, settings};
 use super::world::{Happening, Notice, World};
-use crate::agent::{Agent, REVIEW_PERIOD};
+use crate::agent::{Agent, SOURCE_REVIEW_PERIOD};
 use crate::feed_client::Client;
 use crate::message::Hello;
 use lanegate_config::configuration::Configuration;
@@ -163,10 +163,10 @@
         }
         let now = self.clock.get().saturating_sub(running.environment.started);
         match notice {
-            Notice::Source(news) => running.agent.heard(news),
-            Notice::SubscriberEvent(event) => running.agent.downstream(event),
+            Notice::Source(news) => running.agent.on_source_event(news),
+            Notice::SubscriberEvent(event) => running.agent.on_subscriber_event(event),
             Notice::Agent(news) => {
-                running.client.heard(now, news);
+                running.client.on_agent_event(now, news);
             }
             Notice::Controller(_) | Notice::Send(_) => return,
         }
@@ -179,13 +179,13 @@
         if self.routers[index].process() != Some(process) {
             return;
         }
-        self.schedule(self.now() + REVIEW_PERIOD, Happening::Review { process });
+        self.schedule(self.now() + SOURCE_REVIEW_PERIOD, Happening::Review { process });
         if self.routers[index].frozen {
             return;
         }
         let report = self.routers[index].demand();
         if let Some(running) = self.routers[index].running.as_mut() {
-            running.agent.review();
+            running.agent.review_sources();
             running.client.send_demand(&report);
         }
         self.after_router(index);
@@ -325,7 +325,7 @@
                 unplaced: 0,
             }));
         }
-        DemandReport { period_ms: REVIEW_PERIOD.as_millis() as u32, models }
+        DemandReport { period_ms: SOURCE_REVIEW_PERIOD.as_millis() as u32, models }
     }
 
     /// Text of the agent's metrics, while it runs.
--- a/crates/controller/src/subscription.rs
+++ b/crates/controller/src/subscription.rs
@@ -18,14 +18,14 @@
     Down { source: SocketAddr },
 }
 
-/// Follows `source` until the link fails or is silent for `silence`, and tells `owner`.
+/// Follows `source` until the link fails or is silent for `receive_timeout`, and tells `owner`.
 pub async fn follow(
     source: SocketAddr,
     hello: Hello,
-    silence: Option<Duration>,
+    receive_timeout: Option<Duration>,
     owner: mpsc::UnboundedSender<SourceEvent>,
 ) {
-    if let Err(error) = read(source, hello, silence, &owner).await {
+    if let Err(error) = read(source, hello, receive_timeout, &owner).await {
         log::debug!("feed of {source} ended: {error}");
     }
     let _ = owner.send(SourceEvent::Down { source });
@@ -34,7 +34,7 @@
 async fn read(
     source: SocketAddr,
     hello: Hello,
-    silence: Option<Duration>,
+    receive_timeout: Option<Duration>,
     owner: &mpsc::UnboundedSender<SourceEvent>,
 ) -> Result<(), MessageError> {
     let stream = link::dial(source).await?;
@@ -45,8 +45,10 @@
     let _ = owner.send(SourceEvent::Up { source, outbox });
     let mut reader = MessageReader::new(read);
     loop {
-        let message = match silence {
-            Some(silence) => timeout(silence, reader.next()).await.map_err(|_| MessageError::Silent)??,
+        let message = match receive_timeout {
+            Some(receive_timeout) => {
+                timeout(receive_timeout, reader.next()).await.map_err(|_| MessageError::Timeout)??
+            }
             None => reader.next().await?,
         };
         let _ = owner.send(SourceEvent::Message { source, message });
--- a/crates/controller/src/view.rs
+++ b/crates/controller/src/view.rs
@@ -17,15 +17,15 @@
 use std::time::Duration;
 
 /// How long a removal is remembered, so that a late registration does not undo it.
-const REMOVAL_MEMORY: Duration = Duration::from_secs(60);
+const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
 /// How long what a lost source had listed is kept, so that its feed can go on where it stood. Shorter than
 /// removals are remembered, as a replayed registration must not outlive them.
-const LOST_SOURCE_MEMORY: Duration = Duration::from_secs(30);
+const LOST_SOURCE_RETENTION: Duration = Duration::from_secs(30);
 /// How long after the end of a source's link what it alone had listed still counts. It may have been ahead of the
 /// others, who hear of a registration within tenths of a second; or it was behind, and would not tell of its end.
-const LOST_SOURCE_COUNTS: Duration = Duration::from_millis(1_000);
+const LOST_SOURCE_GRACE: Duration = Duration::from_millis(1_000);
 /// How long a controller is remembered that no source names any more.
-const CONTROLLER_MEMORY: Duration = Duration::from_secs(30);
+const CONTROLLER_RETENTION: Duration = Duration::from_secs(30);
 
 /// What one source has told.
 #[derive(Debug, Default)]
@@ -50,7 +50,7 @@
     since: Duration,
     source: Source,
     /// Whether what it alone had listed has been dropped.
-    settled: bool,
+    expired: bool,
 }
 
 /// The merged view.
@@ -86,30 +86,38 @@
         }
     }
 
-    /// Takes a message of `source`, and appends what is news to `news`.
-    pub fn receive(&mut self, now: Duration, source: SocketAddr, message: Message, news: &mut Vec<Message>) {
-        self.found(source, &message);
+    /// Takes a message of `source`, and appends what is news to `updates`.
+    pub fn receive(
+        &mut self,
+        now: Duration,
+        source: SocketAddr,
+        message: Message,
+        updates: &mut Vec<Message>,
+    ) {
+        self.restore_source(source, &message);
         match message {
             Message::SnapshotBegin => *self.source(source) = Source::default(),
-            Message::SnapshotEnd { complete } => self.snapshot_ended(source, complete == 1, news),
-            Message::CommittedConfiguration(decided) => self.decided(now, source, decided, news),
+            Message::SnapshotEnd { complete } => self.snapshot_ended(source, complete == 1, updates),
+            Message::CommittedConfiguration(decided) => {
+                self.apply_configuration(now, source, decided, updates)
+            }
             Message::ConfigurationDelta(delta) => {
                 let decided = self.configuration.delta(now, source, &delta);
-                news.extend(decided.map(Message::CommittedConfiguration));
+                updates.extend(decided.map(Message::CommittedConfiguration));
             }
-            Message::ConfigurationAnnounced(version) => self.announced(source, version, news),
-            Message::ConfigurationKnown(version) => self.known(version, news),
-            Message::Registered(registered) => self.registered(now, source, registered, news),
-            Message::Removed(removed) => self.removed(now, source, removed, news),
-            Message::ResidencyUpdate(holding) => self.held(holding, news),
-            Message::FeedHeartbeat(beat) => self.beat(now, source, beat, news),
-            Message::Controllers(controllers) => self.named(now, source, &controllers),
+            Message::ConfigurationAnnounced(version) => self.apply_announcement(source, version, updates),
+            Message::ConfigurationKnown(version) => self.apply_known_version(version, updates),
+            Message::Registered(registered) => self.apply_registration(now, source, registered, updates),
+            Message::Removed(removed) => self.apply_removal(now, source, removed, updates),
+            Message::ResidencyUpdate(update) => self.apply_residency(update, updates),
+            Message::FeedHeartbeat(heartbeat) => self.heartbeat(now, source, heartbeat, updates),
+            Message::Controllers(controllers) => self.apply_controllers(now, source, &controllers),
             _ => {}
         }
     }
 
     /// A source whose link is up again goes on with what it had listed, unless it begins anew.
-    fn found(&mut self, source: SocketAddr, message: &Message) {
+    fn restore_source(&mut self, source: SocketAddr, message: &Message) {
         if let Some(lost) = self.lost.remove(&source)
             && *message != Message::SnapshotBegin
         {
@@ -117,63 +125,73 @@
         }
     }
 
-    fn decided(
+    fn apply_configuration(
         &mut self,
         now: Duration,
         source: SocketAddr,
         decided: CommittedConfiguration,
-        news: &mut Vec<Message>,
+        updates: &mut Vec<Message>,
     ) {
         if self.configuration.decided(now, source, &decided) {
-            news.push(Message::CommittedConfiguration(decided));
+            updates.push(Message::CommittedConfiguration(decided));
         }
     }
 
-    fn announced(&mut self, source: SocketAddr, version: ConfigurationVersion, news: &mut Vec<Message>) {
+    fn apply_announcement(
+        &mut self,
+        source: SocketAddr,
+        version: ConfigurationVersion,
+        updates: &mut Vec<Message>,
+    ) {
         if self.configuration.announced(source, version) {
-            news.push(Message::ConfigurationKnown(version));
+            updates.push(Message::ConfigurationKnown(version));
         }
     }
 
-    fn known(&mut self, version: ConfigurationVersion, news: &mut Vec<Message>) {
+    fn apply_known_version(&mut self, version: ConfigurationVersion, updates: &mut Vec<Message>) {
         if self.configuration.known(version) {
-            news.push(Message::ConfigurationKnown(version));
+            updates.push(Message::ConfigurationKnown(version));
         }
     }
 
-    fn held(&mut self, holding: ResidencyUpdate, news: &mut Vec<Message>) {
-        let registration = self.registry.get_mut(&holding.id.text());
-        if registration.is_some_and(|registration| registration.hold(holding.clone())) {
-            news.push(Message::ResidencyUpdate(holding));
+    fn apply_residency(&mut self, update: ResidencyUpdate, updates: &mut Vec<Message>) {
+        let registration = self.registry.get_mut(&update.id.text());
+        if registration.is_some_and(|registration| registration.apply_residency(update.clone())) {
+            updates.push(Message::ResidencyUpdate(update));
         }
     }
 
-    fn beat(&mut self, now: Duration, source: SocketAddr, beat: FeedHeartbeat, news: &mut Vec<Message>) {
+    fn heartbeat(
+        &mut self,
+        now: Duration,
+        source: SocketAddr,
+        heartbeat: FeedHeartbeat,
+        updates: &mut Vec<Message>,
+    ) {
         let entry = self.source(source);
-        entry.position = Position { source: beat.source, offset: beat.offset };
-        entry.quorum = beat.quorum == 1;
-        self.count_routers(source, beat);
-        self.registry.purge_removed(now, REMOVAL_MEMORY);
-        self.lost.retain(|_, lost| now.saturating_sub(lost.since) <= LOST_SOURCE_MEMORY);
-        self.settle_lost(now, news);
+        entry.position = Position { source: heartbeat.source, offset: heartbeat.offset };
+        entry.quorum = heartbeat.quorum == 1;
+        self.count_routers(source, heartbeat);
+        self.registry.purge_removed(now, TOMBSTONE_RETENTION);
+        self.lost.retain(|_, lost| now.saturating_sub(lost.since) <= LOST_SOURCE_RETENTION);
+        self.expire_lost_sources(now, updates);
         self.refresh_controllers(now);
     }
 
     /// Drops what only sources had listed whose links ended a while ago, once somebody else has told everything.
-    fn settle_lost(&mut self, now: Duration, news: &mut Vec<Message>) {
+    fn expire_lost_sources(&mut self, now: Duration, updates: &mut Vec<Message>) {
         if !self.is_complete() {
             return;
         }
-        let is_due =
-            |lost: &LostSource| !lost.settled && now.saturating_sub(lost.since) >= LOST_SOURCE_COUNTS;
+        let is_due = |lost: &LostSource| !lost.expired && now.saturating_sub(lost.since) >= LOST_SOURCE_GRACE;
         if !self.lost.values().any(is_due) {
             return;
         }
-        self.lost.values_mut().filter(|lost| is_due(lost)).for_each(|lost| lost.settled = true);
-        self.drop_unlisted(news);
+        self.lost.values_mut().filter(|lost| is_due(lost)).for_each(|lost| lost.expired = true);
+        self.drop_unlisted(updates);
     }
 
-    fn named(&mut self, now: Duration, source: SocketAddr, controllers: &Controllers) {
+    fn apply_controllers(&mut self, now: Duration, source: SocketAddr, controllers: &Controllers) {
         let text = controllers.addresses.text();
         self.source(source).controllers =
             text.split_whitespace().filter_map(|address| address.parse().ok()).collect();
@@ -184,7 +202,7 @@
     fn refresh_controllers(&mut self, now: Duration) {
         let named = self.sources.values().flat_map(|source| &source.controllers);
         self.named.extend(named.map(|controller| (*controller, now)));
-        self.named.retain(|_, at| now.saturating_sub(*at) <= CONTROLLER_MEMORY);
+        self.named.retain(|_, at| now.saturating_sub(*at) <= CONTROLLER_RETENTION);
         self.controllers = self.named.keys().copied().collect();
     }
 
@@ -212,7 +230,7 @@
     pub fn lost(&mut self, now: Duration, source: SocketAddr) {
         self.configuration.lost(source);
         if let Some(lost) = self.sources.remove(&source) {
-            self.lost.insert(source, LostSource { since: now, source: lost, settled: false });
+            self.lost.insert(source, LostSource { since: now, source: lost, expired: false });
         }
     }
 
@@ -222,7 +240,7 @@
     }
 
     /// Whether this source has told everything.
-    pub fn has_all_of(&self, source: SocketAddr) -> bool {
+    pub fn is_complete_from(&self, source: SocketAddr) -> bool {
         self.sources.get(&source).is_some_and(|source| source.complete)
     }
 
@@ -238,7 +256,7 @@
 
     /// The newest configuration.
     pub fn configuration(&self) -> Option<&CommittedConfiguration> {
-        self.configuration.held()
+        self.configuration.current()
     }
 
     /// Everything as messages, for a reader that begins.
@@ -248,7 +266,7 @@
         for (id, entry) in self.registry.entries() {
             let Some(registration) = &entry.registration else { continue };
             messages.push(registered_message(id, entry.sequence, registration));
-            messages.extend(registration.holdings().iter().cloned().map(Message::ResidencyUpdate));
+            messages.extend(registration.residency_updates().iter().cloned().map(Message::ResidencyUpdate));
         }
         messages.push(Message::SnapshotEnd { complete: u8::from(self.is_complete()) });
         messages
@@ -265,8 +283,8 @@
     }
 
     /// The highest count of those who can know it; the last one stays while nobody does.
-    fn count_routers(&mut self, source: SocketAddr, beat: FeedHeartbeat) {
-        self.source(source).routers = if beat.quorum == 1 { beat.routers } else { 0 };
+    fn count_routers(&mut self, source: SocketAddr, heartbeat: FeedHeartbeat) {
+        self.source(source).routers = if heartbeat.quorum == 1 { heartbeat.routers } else { 0 };
         let highest = self.sources.values().map(|source| source.routers).max().unwrap_or(0);
         if highest > 0 {
             self.routers = highest;
@@ -277,12 +295,12 @@
         self.sources.entry(source).or_default()
     }
 
-    fn registered(
+    fn apply_registration(
         &mut self,
         now: Duration,
         source: SocketAddr,
         message: RegisteredMessage,
-        news: &mut Vec<Message>,
+        updates: &mut Vec<Message>,
     ) {
         let id = message.id.text();
         self.source(source).listed.insert(id.clone());
@@ -294,42 +312,48 @@
         else {
             return;
         };
-        news.push(Message::Registered(message));
-        let gone = |id: String| Removed { id: id.as_str().into(), sequence: u64::MAX };
-        news.extend(replaced.into_iter().map(|id| Message::Removed(gone(id))));
+        updates.push(Message::Registered(message));
+        let tombstone = |id: String| Removed { id: id.as_str().into(), sequence: u64::MAX };
+        updates.extend(replaced.into_iter().map(|id| Message::Removed(tombstone(id))));
     }
 
-    fn removed(&mut self, now: Duration, source: SocketAddr, removed: Removed, news: &mut Vec<Message>) {
+    fn apply_removal(
+        &mut self,
+        now: Duration,
+        source: SocketAddr,
+        removed: Removed,
+        updates: &mut Vec<Message>,
+    ) {
         let id = removed.id.text();
         self.source(source).listed.remove(&id);
         if self.registry.remove(now, &id, removed.sequence) {
-            news.push(Message::Removed(removed));
+            updates.push(Message::Removed(removed));
         }
     }
 
-    fn snapshot_ended(&mut self, source: SocketAddr, complete: bool, news: &mut Vec<Message>) {
+    fn snapshot_ended(&mut self, source: SocketAddr, complete: bool, updates: &mut Vec<Message>) {
         let was_complete = self.is_complete();
         self.source(source).complete = complete;
         if !complete {
             return;
         }
-        self.drop_unlisted(news);
+        self.drop_unlisted(updates);
         if !was_complete {
-            news.push(Message::SnapshotEnd { complete: 1 });
+            updates.push(Message::SnapshotEnd { complete: 1 });
         }
     }
 
     /// Drops what no complete source lists.
-    fn drop_unlisted(&mut self, news: &mut Vec<Message>) {
-        let told = |id: &str| self.sources.values().any(|s| s.complete && s.listed.contains(id));
+    fn drop_unlisted(&mut self, updates: &mut Vec<Message>) {
+        let is_listed = |id: &str| self.sources.values().any(|s| s.complete && s.listed.contains(id));
         let live = self.registry.entries().filter(|(_, entry)| entry.registration.is_some());
         let vanished: Vec<(String, u64)> =
-            live.filter(|(id, _)| !told(id)).map(|(id, entry)| (id.clone(), entry.sequence)).collect();
+            live.filter(|(id, _)| !is_listed(id)).map(|(id, entry)| (id.clone(), entry.sequence)).collect();
         for (id, sequence) in vanished {
             self.registry.drop_entry(&id);
             // A lost source that lists it would not tell it again.
             self.lost.retain(|_, lost| !lost.source.listed.contains(&id));
-            news.push(Message::Removed(Removed { id: id.as_str().into(), sequence }));
+            updates.push(Message::Removed(Removed { id: id.as_str().into(), sequence }));
         }
     }
 }
--- a/crates/controller/tests/configuration_feed.rs
+++ b/crates/controller/tests/configuration_feed.rs
@@ -67,7 +67,7 @@
 }
 
 fn revision(reader: &ConfigurationFetcher) -> Option<u64> {
-    reader.held().map(|decided| decided.revision)
+    reader.current().map(|committed| committed.revision)
 }
 
 #[test]
@@ -248,7 +248,7 @@
     let first = decided(1, document(1, 50, 5_000));
     let second = decided(2, document(2, 50, 6_000));
     let (one, two) = (controller(1), controller(2));
-    for (held, patience) in [(None, DOCUMENT_TIMEOUT), (Some(&first), DELTA_TIMEOUT)] {
+    for (held, timeout) in [(None, DOCUMENT_TIMEOUT), (Some(&first), DELTA_TIMEOUT)] {
         let mut reader = ConfigurationFetcher::new(Pace::LINK);
         if let Some(held) = held {
             reader.decided(ms(0), one, held);
@@ -257,9 +257,9 @@
         reader.announced(two, version(&second));
         let begun = ms(1_000);
         assert_eq!(reader.fetch(begun, Some(one)).map(|(source, _)| source), Some(one));
-        assert_eq!(reader.next_wake(begun), Some(begun + patience));
-        assert_eq!(reader.fetch(begun + patience - ms(1), Some(one)), None);
-        assert_eq!(reader.fetch(begun + patience, Some(one)).map(|(source, _)| source), Some(two));
+        assert_eq!(reader.next_wake(begun), Some(begun + timeout));
+        assert_eq!(reader.fetch(begun + timeout - ms(1), Some(one)), None);
+        assert_eq!(reader.fetch(begun + timeout, Some(one)).map(|(source, _)| source), Some(two));
         let again = begun + RETRY_DELAY;
         assert_eq!(reader.fetch(again - ms(1), Some(one)), None, "both owe an answer");
         assert_eq!(reader.fetch(again, Some(one)).map(|(source, _)| source), Some(one));
--- a/crates/controller/tests/golden_messages.rs
+++ b/crates/controller/tests/golden_messages.rs
@@ -96,7 +96,7 @@
         ("21-none", Message::ConfigurationFetch(ConfigurationVersion::NONE)),
         ("22", Message::ConfigurationDelta(difference())),
         ("23", Message::ConfigurationKnown(version())),
-        ("24", Message::MemberStatus(MemberStatus { incarnation: 8, voting: 31, leaving: 1 })),
+        ("24", Message::MemberStatus(MemberStatus { incarnation: 8, voting: 31, draining: 1 })),
     ]
 }
 
--- a/crates/controller/tests/message.rs
+++ b/crates/controller/tests/message.rs
@@ -38,7 +38,7 @@
         Message::Flush(Token { token: 1 }),
         Message::Flushed(Confirmation::new(1, 4, vec![])),
         Message::Flushed(Confirmation::new(1, 4, vec![group("10.0.0.1:1 10.0.0.2:1"), group("10.0.0.3:1")])),
-        Message::MemberStatus(MemberStatus { incarnation: 8, voting: 31, leaving: 1 }),
+        Message::MemberStatus(MemberStatus { incarnation: 8, voting: 31, draining: 1 }),
         Message::ResidencyUpdate(ResidencyUpdate {
             id: "i-1".into(),
             model: "m".into(),
--- a/crates/controller/tests/sources.rs
+++ b/crates/controller/tests/sources.rs
@@ -19,8 +19,8 @@
     let mut sources = Sources::default();
     let plan = sources.plan(ms(0), AGENT, &known(count));
     let [first, second] = plan.start[..] else { panic!("two are begun: {plan:?}") };
-    sources.heard(first, true);
-    sources.heard(second, true);
+    sources.report_quorum(first, true);
+    sources.report_quorum(second, true);
     (sources, first, second)
 }
 
@@ -41,12 +41,12 @@
 #[test]
 fn a_source_that_is_cut_off_is_replaced_and_kept_until_two_others_are_trusted() {
     let (mut sources, first, second) = settled(4);
-    sources.heard(first, false);
+    sources.report_quorum(first, false);
     let plan = sources.plan(ms(1), AGENT, &known(4));
     assert_eq!((plan.start.len(), plan.stop.len()), (1, 0), "{plan:?}");
     let third = plan.start[0];
     assert_eq!(sources.plan(ms(2), AGENT, &known(4)), Plan::default(), "the new one has not spoken yet");
-    sources.heard(third, true);
+    sources.report_quorum(third, true);
     let plan = sources.plan(ms(3), AGENT, &known(4));
     assert_eq!(plan, Plan { start: vec![], stop: vec![first] });
     assert_eq!(sources.preferred(), Some(second.min(third)));
@@ -55,21 +55,21 @@
 #[test]
 fn a_source_that_is_trusted_again_before_it_was_replaced_stays() {
     let (mut sources, first, _) = settled(2);
-    sources.heard(first, false);
+    sources.report_quorum(first, false);
     assert_eq!(sources.plan(ms(1), AGENT, &known(2)), Plan::default(), "there is no third");
-    sources.heard(first, true);
+    sources.report_quorum(first, true);
     assert_eq!(sources.plan(ms(2), AGENT, &known(2)), Plan::default());
 }
 
 #[test]
 fn with_every_source_cut_off_all_are_tried_and_none_is_dropped() {
     let (mut sources, first, second) = settled(3);
-    sources.heard(first, false);
-    sources.heard(second, false);
-    assert!(sources.none_trusted());
+    sources.report_quorum(first, false);
+    sources.report_quorum(second, false);
+    assert!(sources.has_no_trusted());
     let plan = sources.plan(ms(1), AGENT, &known(3));
     assert_eq!((plan.start.len(), plan.stop.len()), (1, 0));
-    sources.heard(plan.start[0], false);
+    sources.report_quorum(plan.start[0], false);
     assert_eq!(sources.plan(ms(2), AGENT, &known(3)), Plan::default());
     assert!(sources.preferred().is_some(), "one that is cut off is better than none");
 }
@@ -77,13 +77,13 @@
 #[test]
 fn a_source_that_fails_is_replaced_at_once_and_dialled_again_after_a_pause() {
     let (mut sources, first, _) = settled(3);
-    sources.ended(ms(1_000), first);
+    sources.link_down(ms(1_000), first);
     let plan = sources.plan(ms(1_000), AGENT, &known(3));
     assert_eq!(plan.start.len(), 1);
     assert_ne!(plan.start[0], first);
 
     let (mut sources, first, _) = settled(2);
-    sources.ended(ms(1_000), first);
+    sources.link_down(ms(1_000), first);
     assert_eq!(sources.plan(ms(1_000), AGENT, &known(2)), Plan::default());
     assert_eq!(sources.plan(ms(1_399), AGENT, &known(2)), Plan::default());
     assert_eq!(sources.plan(ms(1_400), AGENT, &known(2)).start, vec![first]);
@@ -92,18 +92,18 @@
 #[test]
 fn own_messages_go_to_a_trusted_source() {
     let (mut sources, first, second) = settled(2);
-    sources.heard(first.min(second), false);
+    sources.report_quorum(first.min(second), false);
     assert_eq!(sources.preferred(), Some(first.max(second)));
-    assert!(!sources.none_trusted());
+    assert!(!sources.has_no_trusted());
 }
 
 #[test]
 fn a_word_of_a_source_that_is_not_followed_any_more_changes_nothing() {
     let (mut sources, first, second) = settled(2);
-    sources.ended(ms(0), first);
-    sources.heard(first, true);
-    sources.heard(second, false);
-    assert!(sources.none_trusted());
+    sources.link_down(ms(0), first);
+    sources.report_quorum(first, true);
+    sources.report_quorum(second, false);
+    assert!(sources.has_no_trusted());
 }
 
 /// After a start of everything at once, the first sources that are dialled may not be up yet.
@@ -111,15 +111,15 @@
 fn while_none_is_trusted_a_source_that_fails_is_dialled_again_soon() {
     let mut sources = Sources::default();
     let plan = sources.plan(ms(0), AGENT, &known(3));
-    plan.start.iter().for_each(|source| sources.ended(ms(300), *source));
+    plan.start.iter().for_each(|source| sources.link_down(ms(300), *source));
     assert_eq!(sources.plan(ms(300), AGENT, &known(3)).start.len(), 1, "the one that was not tried yet");
     let again = sources.plan(ms(400), AGENT, &known(3));
     assert_eq!(again.start.len(), 1, "two at a time: {again:?}");
 
     let (mut sources, first, second) = settled(2);
-    sources.ended(ms(1_000), first);
+    sources.link_down(ms(1_000), first);
     assert_eq!(sources.plan(ms(1_100), AGENT, &known(2)), Plan::default(), "the other one is enough for now");
-    sources.ended(ms(1_100), second);
+    sources.link_down(ms(1_100), second);
     assert_eq!(sources.plan(ms(1_200), AGENT, &known(2)).start, [second]);
     assert_eq!(sources.plan(ms(1_400), AGENT, &known(2)).start, [first]);
 }
--- a/crates/controller/tests/unconfirmed.rs
+++ b/crates/controller/tests/unconfirmed.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{controller, ms};
-use lanegate_controller::agent::unconfirmed::{HOLD_LIMIT, Unconfirmed};
+use lanegate_controller::agent::unconfirmed::{Unconfirmed, WITHHOLD_LIMIT};
 use lanegate_controller::message::{CommittedConfiguration, Message};
 
 fn decided(revision: u64) -> CommittedConfiguration {
@@ -14,7 +14,7 @@
 /// Tells whether the configuration is passed on.
 fn told(unconfirmed: &mut Unconfirmed, source: u8, revision: u64, may_take: bool) -> bool {
     let message = Message::CommittedConfiguration(decided(revision));
-    unconfirmed.pass(ms(0), controller(source), message, may_take).is_some()
+    unconfirmed.filter(ms(0), controller(source), message, may_take).is_some()
 }
 
 #[test]
@@ -32,7 +32,7 @@
     assert!(!told(&mut unconfirmed, 1, 7, false));
     assert!(told(&mut unconfirmed, 2, 9, true));
     assert_eq!(unconfirmed.take(controller(1)), None);
-    assert_eq!(unconfirmed.overdue(HOLD_LIMIT * 2), None);
+    assert_eq!(unconfirmed.overdue(WITHHOLD_LIMIT * 2), None);
 }
 
 #[test]
@@ -40,9 +40,9 @@
     let mut unconfirmed = Unconfirmed::default();
     told(&mut unconfirmed, 1, 9, false);
     told(&mut unconfirmed, 2, 7, false);
-    assert_eq!(unconfirmed.overdue(HOLD_LIMIT - ms(1)), None);
-    assert_eq!(unconfirmed.overdue(HOLD_LIMIT), Some((controller(1), decided(9))));
-    assert_eq!(unconfirmed.overdue(HOLD_LIMIT * 2), None);
+    assert_eq!(unconfirmed.overdue(WITHHOLD_LIMIT - ms(1)), None);
+    assert_eq!(unconfirmed.overdue(WITHHOLD_LIMIT), Some((controller(1), decided(9))));
+    assert_eq!(unconfirmed.overdue(WITHHOLD_LIMIT * 2), None);
 }
 
 #[test]
@@ -50,12 +50,12 @@
     let mut unconfirmed = Unconfirmed::default();
     told(&mut unconfirmed, 1, 7, false);
     unconfirmed.lost(controller(1));
-    assert_eq!(unconfirmed.overdue(HOLD_LIMIT), Some((controller(1), decided(7))));
+    assert_eq!(unconfirmed.overdue(WITHHOLD_LIMIT), Some((controller(1), decided(7))));
 }
 
 #[test]
 fn other_messages_pass() {
     let mut unconfirmed = Unconfirmed::default();
     let message = Message::SnapshotEnd { complete: 1 };
-    assert_eq!(unconfirmed.pass(ms(0), controller(1), message.clone(), false), Some(message));
+    assert_eq!(unconfirmed.filter(ms(0), controller(1), message.clone(), false), Some(message));
 }
