--- a/crates/controller/src/controller/margin.rs
+++ b/crates/controller/src/controller/consensus/fault_tolerance.rs
@@ -18,7 +18,10 @@
 
 /// Losses that every one of `groups` (two while members change) can still bear and keep a majority; `None` if
 /// one of them has none now, or no group is known.
-pub fn margin(groups: &[Vec<SocketAddr>], state: impl Fn(SocketAddr) -> MemberState) -> Option<usize> {
+pub fn tolerable_failures(
+    groups: &[Vec<SocketAddr>],
+    state: impl Fn(SocketAddr) -> MemberState,
+) -> Option<usize> {
     let spare_votes = |group: &Vec<SocketAddr>| {
         let voting = group.iter().filter(|member| state(**member) == MemberState::Voting).count();
         voting.checked_sub(group.len() / 2 + 1)
@@ -29,7 +32,7 @@
 
 /// What the log has to say of a shard's margin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MarginNews {
+pub enum ToleranceChange {
     /// The next loss takes the majority, or it is gone already.
     Exhausted,
     /// A loss can be borne again.
@@ -38,18 +41,18 @@
 
 /// The margins that were told last.
 #[derive(Debug, Default)]
-pub struct Margins {
+pub struct ToleranceMonitor {
     exhausted: BTreeMap<u8, bool>,
 }
 
-impl Margins {
+impl ToleranceMonitor {
     /// Takes the margin of a shard. Tells it only when it has come to its end, or is back.
-    pub fn note(&mut self, shard: u8, margin: Option<usize>) -> Option<MarginNews> {
-        let exhausted = margin.is_none_or(|margin| margin == 0);
+    pub fn observe(&mut self, shard: u8, tolerable_failures: Option<usize>) -> Option<ToleranceChange> {
+        let exhausted = tolerable_failures.is_none_or(|tolerable_failures| tolerable_failures == 0);
         let before = self.exhausted.insert(shard, exhausted).unwrap_or(false);
         match (before, exhausted) {
-            (false, true) => Some(MarginNews::Exhausted),
-            (true, false) => Some(MarginNews::Restored),
+            (false, true) => Some(ToleranceChange::Exhausted),
+            (true, false) => Some(ToleranceChange::Restored),
             _ => None,
         }
     }
--- a/crates/controller/src/controller/counters_test.rs
+++ b/crates/controller/src/controller/counters_test.rs
@@ -1,6 +1,6 @@
 //! What is counted for the metrics.
 
-use super::counters::{ChangeOutcome, Counters, OPERATIONS, OrderOutcome};
+use crate::controller::counters::{ChangeOutcome, Counters, OPERATIONS, OrderOutcome};
 use lanegate_config::control_state::Outcome;
 use lanegate_config::findings::Findings;
 use lanegate_placement::{Operation, OrderAnswer};
@@ -44,9 +44,9 @@
     counters.order_given();
     counters.order_given();
     counters.order_answered(Operation::Evict, OrderAnswer::Unknown);
-    assert_eq!(counters.orders_under_way, 1);
+    assert_eq!(counters.orders_in_flight, 1);
     counters.order_withheld(Operation::Load);
-    assert_eq!(counters.orders_under_way, 1);
+    assert_eq!(counters.orders_in_flight, 1);
 }
 
 #[test]
--- a/crates/controller/src/controller/endpoints.rs
+++ b/crates/controller/src/controller/endpoints/registry.rs
@@ -1,9 +1,11 @@
 //! Registrations of endpoints at a controller: what is taken, told to the others, acknowledged.
 
-use super::event::Answer;
-use super::groups::KnownGroups;
-use super::unavailable::Unavailable;
-use crate::message::{Heard, HeardList, Holding, Message, Registered as RegisteredMessage, Removed};
+use crate::controller::consensus::replica_groups::KnownGroups;
+use crate::controller::event::Answer;
+use crate::controller::operator::unavailable::Unavailable;
+use crate::message::{
+    BatchedHeartbeat, HeartbeatBatch, Message, Registered as RegisteredMessage, Removed, ResidencyUpdate,
+};
 use crate::registration::Registered;
 use crate::view::registered_message;
 use bytes::Bytes;
@@ -17,7 +19,7 @@
 /// Longest wait for the other replicas before a leaving endpoint is sent elsewhere; it waits a second.
 const REPLICATION_TIMEOUT: Duration = Duration::from_millis(850);
 /// How long the end of an incarnation is remembered.
-const REMOVAL_MEMORY: Duration = Duration::from_secs(60);
+const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
 /// Heartbeats that an endpoint may miss before it counts as lost. Routers see a dead endpoint long before;
 /// this only keeps the list from growing.
 const MISSED_HEARTBEATS: f64 = 3.5;
@@ -25,7 +27,7 @@
 /// Deliberate mistakes: each must be found by a test.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndpointsFault {
+pub enum AcknowledgementFault {
     /// Confirmations of controllers that are no members count as those of members.
     CountNonMembers,
     /// What a peer confirmed counts after its restart.
@@ -38,7 +40,7 @@
 
 /// An acknowledgement that waits until a majority of every group in force has what it promises.
 #[derive(Debug)]
-struct Waiting {
+struct PendingAcknowledgement {
     reply: oneshot::Sender<Answer>,
     id: String,
     /// Controllers that have it, each with the groups that it knew when it said so.
@@ -46,22 +48,29 @@
     until: Duration,
 }
 
-impl Waiting {
+impl PendingAcknowledgement {
     /// Whether it may be acknowledged by the controller `this`, which knows of the groups `known`.
     ///
     /// A controller that confirmed may know of a change of members that `this` has not heard of. Whoever holds
     /// the newer group's majority must have the notice too, so that group counts beside those known here.
-    fn is_confirmed(&self, this: SocketAddr, known: &KnownGroups, fault: Option<EndpointsFault>) -> bool {
-        if fault == Some(EndpointsFault::CountNonMembers) {
+    fn is_confirmed(
+        &self,
+        this: SocketAddr,
+        known: &KnownGroups,
+        fault: Option<AcknowledgementFault>,
+    ) -> bool {
+        if fault == Some(AcknowledgementFault::CountNonMembers) {
             let majority = known.groups.iter().map(|group| group.len() / 2 + 1).max();
             return majority.is_some_and(|majority| self.confirmed_by.len() + 1 >= majority);
         }
         let counts = |node| node == this || self.confirmed_by.contains_key(&node);
-        if fault == Some(EndpointsFault::OwnGroupsOnly) {
+        if fault == Some(AcknowledgementFault::OwnGroupsOnly) {
             return known.have_majority(counts);
         }
-        let newer = self.confirmed_by.values().filter(|told| told.revision > known.revision);
-        known.have_majority(counts) && newer.into_iter().all(|told| told.have_majority(counts))
+        let newer =
+            self.confirmed_by.values().filter(|known_to_peer| known_to_peer.revision > known.revision);
+        known.have_majority(counts)
+            && newer.into_iter().all(|known_to_peer| known_to_peer.have_majority(counts))
     }
 }
 
@@ -75,9 +84,9 @@
 
 /// What became of a registration that another controller told.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Merge {
+pub struct RegistrationMerge {
     /// What readers have to hear.
-    pub news: Vec<Message>,
+    pub updates: Vec<Message>,
     /// Whether the other controllers have to hear it from here too: an endpoint that leaves may have been
     /// acknowledged, so whoever reaches this controller must get to know, also if it does not reach the first.
     pub relay: bool,
@@ -85,7 +94,7 @@
 
 /// What became of a removal that another controller told.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Merged {
+pub enum RemovalMerge {
     /// The incarnation is gone here too; readers have to hear of it.
     Removed,
     /// Nothing is new.
@@ -97,47 +106,47 @@
 
 /// The registry, and the acknowledgements under way.
 #[derive(Debug)]
-pub struct Endpoints {
+pub struct EndpointRegistry {
     /// This controller, which counts among those that know of a notice.
     this: SocketAddr,
     registry: Registry<Registered>,
-    silence: Duration,
+    timeout: Duration,
     /// Heartbeats since the last report to the other controllers.
-    heard: BTreeMap<String, u64>,
+    heartbeats: BTreeMap<String, u64>,
     /// Leaving incarnations of which a majority knows.
     confirmed: BTreeSet<String>,
-    waiting: BTreeMap<u64, Waiting>,
+    pending: BTreeMap<u64, PendingAcknowledgement>,
     next_token: u64,
-    fault: Option<EndpointsFault>,
+    fault: Option<AcknowledgementFault>,
 }
 
-impl Endpoints {
+impl EndpointRegistry {
     /// An empty registry for endpoints that send a heartbeat every `heartbeat`, at the controller `this`. Flushes
-    /// are numbered from `life`, drawn anew at each start: an answer to an earlier life confirms nothing.
-    pub fn new(heartbeat: Duration, this: SocketAddr, life: u64) -> Self {
-        Endpoints {
+    /// are numbered from `incarnation`, drawn anew at each start: an answer to an earlier life confirms nothing.
+    pub fn new(heartbeat: Duration, this: SocketAddr, incarnation: u64) -> Self {
+        EndpointRegistry {
             this,
             registry: Registry::default(),
-            silence: heartbeat.mul_f64(MISSED_HEARTBEATS),
-            heard: BTreeMap::new(),
+            timeout: heartbeat.mul_f64(MISSED_HEARTBEATS),
+            heartbeats: BTreeMap::new(),
             confirmed: BTreeSet::new(),
-            waiting: BTreeMap::new(),
-            next_token: life,
+            pending: BTreeMap::new(),
+            next_token: incarnation,
             fault: None,
         }
     }
 
     /// The same with a deliberate mistake, for tests.
-    pub fn with_fault(self, fault: Option<EndpointsFault>) -> Self {
-        let repeats = fault == Some(EndpointsFault::RepeatTokens);
+    pub fn with_fault(self, fault: Option<AcknowledgementFault>) -> Self {
+        let repeats = fault == Some(AcknowledgementFault::RepeatTokens);
         let next_token = if repeats { 1 } else { self.next_token };
-        Endpoints { next_token, fault, ..self }
+        EndpointRegistry { next_token, fault, ..self }
     }
 
     /// A heartbeat of `id`. A majority of the groups `known`, and of any newer ones, has to know of one that is
     /// leaving. One that is not leaving is taken in any case, but acknowledged only `in_contact` with a majority:
     /// whoever judges its silence may not hear of it from here, so it has to call another controller as well.
-    pub fn put(
+    pub fn register(
         &mut self,
         now: Duration,
         id: &str,
@@ -154,19 +163,19 @@
             }
         };
         let sequence = registration.instance.sequence;
-        let leaving = registration.instance.state == InstanceState::Draining;
+        let draining = registration.instance.state == InstanceState::Draining;
         let mut changes = Changes::default();
         match self.registry.merge(now, id, sequence, registration) {
             RegistryUpdate::Stale => {}
             RegistryUpdate::Refreshed => {
-                self.heard.insert(id.to_owned(), sequence);
+                self.heartbeats.insert(id.to_owned(), sequence);
             }
             RegistryUpdate::Changed { replaced } => changes.messages = self.changed(id, replaced),
         }
-        if !leaving {
+        if !draining {
             self.confirmed.remove(id);
         }
-        if leaving && !self.confirmed.contains(id) {
+        if draining && !self.confirmed.contains(id) {
             changes.messages.extend(self.current(id));
             changes.flush = self.wait(now, id, known, reply);
         } else if in_contact {
@@ -178,7 +187,7 @@
     }
 
     /// `id` says that it has ended.
-    pub fn delete(
+    pub fn deregister(
         &mut self,
         now: Duration,
         id: &str,
@@ -186,57 +195,57 @@
         reply: oneshot::Sender<Answer>,
     ) -> Changes {
         self.registry.remove(now, id, FINAL_SEQUENCE);
-        self.heard.remove(id);
+        self.heartbeats.remove(id);
         let messages = vec![removed_message(id, FINAL_SEQUENCE)];
         Changes { messages, flush: self.wait(now, id, known, reply) }
     }
 
     /// Another controller heard a registration.
-    pub fn merge(&mut self, now: Duration, message: &RegisteredMessage) -> Merge {
+    pub fn merge(&mut self, now: Duration, message: &RegisteredMessage) -> RegistrationMerge {
         let id = message.id.text();
         let Ok(registration) = Registered::parse(&id, message.body.bytes.clone().into()) else {
-            return Merge::default();
+            return RegistrationMerge::default();
         };
-        let leaving = registration.instance.state == InstanceState::Draining;
+        let draining = registration.instance.state == InstanceState::Draining;
         let registration = registration.following(self.registration(&id));
         match self.registry.merge(now, &id, message.sequence, registration) {
             RegistryUpdate::Changed { replaced } => {
-                Merge { news: self.changed(&id, replaced), relay: leaving }
+                RegistrationMerge { updates: self.changed(&id, replaced), relay: draining }
             }
-            RegistryUpdate::Refreshed | RegistryUpdate::Stale => Merge::default(),
+            RegistryUpdate::Refreshed | RegistryUpdate::Stale => RegistrationMerge::default(),
         }
     }
 
     /// The placer here knows of a model at an endpoint. Gives what everyone has to hear, if it is news.
-    pub fn publish(&mut self, mut holding: Holding) -> Option<Holding> {
-        let entry = self.registry.get(&holding.id.text())?;
-        holding.sequence = entry.latest;
-        holding.order = entry.registration.as_ref()?.next_order();
-        self.hold(&holding).then_some(holding)
+    pub fn publish(&mut self, mut update: ResidencyUpdate) -> Option<ResidencyUpdate> {
+        let entry = self.registry.get(&update.id.text())?;
+        update.sequence = entry.latest;
+        update.order = entry.registration.as_ref()?.next_order();
+        self.apply_residency(&update).then_some(update)
     }
 
     /// A placer, here or elsewhere, knows of a model at an endpoint. True if it is news.
-    pub fn hold(&mut self, holding: &Holding) -> bool {
-        let registration = self.registry.get_mut(&holding.id.text());
-        registration.is_some_and(|registration| registration.hold(holding.clone()))
+    pub fn apply_residency(&mut self, update: &ResidencyUpdate) -> bool {
+        let registration = self.registry.get_mut(&update.id.text());
+        registration.is_some_and(|registration| registration.apply_residency(update.clone()))
     }
 
     /// Whether a removal that another controller told has to be told to the others from here too, for the same
-    /// reason as in [`Merge::relay`]; to be asked before it is merged.
+    /// reason as in [`RegistrationMerge::relay`]; to be asked before it is merged.
     pub fn relays_removal(&self, removed: &Removed) -> bool {
         let known = self.registry.get(&removed.id.text());
         removed.sequence == FINAL_SEQUENCE && known.is_none_or(|entry| entry.sequence != FINAL_SEQUENCE)
     }
 
     /// Another controller removed an incarnation.
-    pub fn merge_removal(&mut self, now: Duration, removed: &Removed) -> Merged {
+    pub fn merge_removal(&mut self, now: Duration, removed: &Removed) -> RemovalMerge {
         let id = removed.id.text();
         if self.registry.remove(now, &id, removed.sequence) {
-            return Merged::Removed;
+            return RemovalMerge::Removed;
         }
         match self.revived(&id) {
-            Some(registered) => Merged::Contradicted(registered),
-            None => Merged::Known,
+            Some(registered) => RemovalMerge::Contradicted(registered),
+            None => RemovalMerge::Known,
         }
     }
 
@@ -247,64 +256,64 @@
     }
 
     /// Another controller heard these.
-    pub fn merge_heard(&mut self, now: Duration, list: &HeardList) {
-        for heard in &list.heard {
-            self.registry.refresh(now, &heard.id.text(), heard.sequence);
+    pub fn merge_heartbeats(&mut self, now: Duration, list: &HeartbeatBatch) {
+        for heartbeat in &list.heartbeats {
+            self.registry.refresh(now, &heartbeat.id.text(), heartbeat.sequence);
         }
     }
 
     /// What was heard here since the last call, for the other controllers.
-    pub fn take_heard(&mut self) -> Option<Message> {
-        if self.heard.is_empty() {
+    pub fn take_heartbeat_batch(&mut self) -> Option<Message> {
+        if self.heartbeats.is_empty() {
             return None;
         }
-        let heard = std::mem::take(&mut self.heard).into_iter();
-        let heard: Vec<Heard> =
-            heard.map(|(id, sequence)| Heard { id: id.as_str().into(), sequence }).collect();
-        Some(Message::HeardList(heard.into()))
+        let heartbeats = std::mem::take(&mut self.heartbeats).into_iter();
+        let heartbeats: Vec<BatchedHeartbeat> =
+            heartbeats.map(|(id, sequence)| BatchedHeartbeat { id: id.as_str().into(), sequence }).collect();
+        Some(Message::HeartbeatBatch(heartbeats.into()))
     }
 
     /// Removes what nobody has heard, in the services that this controller owns.
     pub fn expire(&mut self, now: Duration, owns: impl Fn(&str) -> bool) -> Vec<Message> {
-        self.registry.purge_removed(now, REMOVAL_MEMORY);
+        self.registry.purge_removed(now, TOMBSTONE_RETENTION);
         let registry = &self.registry;
         self.confirmed.retain(|id| registry.get(id).is_some_and(|entry| entry.registration.is_some()));
-        let silent = self.registry.expire(now, self.silence, owns);
+        let silent = self.registry.expire(now, self.timeout, owns);
         silent.into_iter().map(|(id, sequence)| removed_message(&id, sequence)).collect()
     }
 
     /// This process could not listen for a while.
-    pub fn excuse(&mut self, now: Duration) {
+    pub fn excuse_silence(&mut self, now: Duration) {
         self.registry.restart_timeouts(now);
     }
 
-    /// A peer that knows of the groups `told` has everything up to the flush `token`.
-    pub fn flushed(&mut self, token: u64, peer: SocketAddr, told: KnownGroups, known: &KnownGroups) {
-        let Some(waiting) = self.waiting.get_mut(&token) else { return };
-        waiting.confirmed_by.insert(peer, told);
-        self.review(known);
+    /// A peer that knows of the groups `known_to_peer` has everything up to the flush `token`.
+    pub fn flushed(&mut self, token: u64, peer: SocketAddr, known_to_peer: KnownGroups, known: &KnownGroups) {
+        let Some(pending) = self.pending.get_mut(&token) else { return };
+        pending.confirmed_by.insert(peer, known_to_peer);
+        self.acknowledge_confirmed(known);
     }
 
     /// A peer runs as another process than before: what the earlier one confirmed is lost with its memory.
-    pub fn restarted(&mut self, peer: SocketAddr) {
-        if self.fault == Some(EndpointsFault::CountRestartedPeers) {
+    pub fn peer_restarted(&mut self, peer: SocketAddr) {
+        if self.fault == Some(AcknowledgementFault::CountRestartedPeers) {
             return;
         }
-        for waiting in self.waiting.values_mut() {
-            waiting.confirmed_by.remove(&peer);
+        for pending in self.pending.values_mut() {
+            pending.confirmed_by.remove(&peer);
         }
     }
 
     /// Acknowledges what is confirmed, now that confirmations or the groups `known` have changed.
-    pub fn review(&mut self, known: &KnownGroups) {
+    pub fn acknowledge_confirmed(&mut self, known: &KnownGroups) {
         let (this, fault) = (self.this, self.fault);
-        let is_confirmed = |waiting: &Waiting| waiting.is_confirmed(this, known, fault);
-        let confirmed = self.waiting.iter().filter(|(_, waiting)| is_confirmed(waiting));
+        let is_confirmed = |pending: &PendingAcknowledgement| pending.is_confirmed(this, known, fault);
+        let confirmed = self.pending.iter().filter(|(_, pending)| is_confirmed(pending));
         let confirmed: Vec<u64> = confirmed.map(|(token, _)| *token).collect();
         for token in confirmed {
-            let waiting = self.waiting.remove(&token).expect("it was just there");
-            self.confirmed.insert(waiting.id);
-            let _ = waiting.reply.send(acknowledged());
+            let pending = self.pending.remove(&token).expect("it was just there");
+            self.confirmed.insert(pending.id);
+            let _ = pending.reply.send(acknowledged());
         }
     }
 
@@ -316,36 +325,36 @@
     }
 
     /// Gives up acknowledgements for which no majority was reached in time.
-    pub fn give_up(&mut self, now: Duration) {
+    pub fn expire_pending(&mut self, now: Duration) {
         let late: Vec<u64> = self
-            .waiting
+            .pending
             .iter()
-            .filter(|(_, waiting)| waiting.until <= now)
+            .filter(|(_, pending)| pending.until <= now)
             .map(|(token, _)| *token)
             .collect();
         for token in late {
-            let waiting = self.waiting.remove(&token).expect("it was just there");
-            let _ = waiting.reply.send(too_few_reached());
+            let pending = self.pending.remove(&token).expect("it was just there");
+            let _ = pending.reply.send(too_few_reached());
         }
     }
 
     /// Acknowledgements that wait for the other replicas.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    pub fn pending(&self) -> usize {
+        self.pending.len()
     }
 
-    /// When [`Endpoints::give_up`] is to be called next.
+    /// When [`EndpointRegistry::expire_pending`] is to be called next.
     pub fn next_wake(&self) -> Option<Duration> {
-        self.waiting.values().map(|waiting| waiting.until).min()
+        self.pending.values().map(|pending| pending.until).min()
     }
 
     /// Live incarnations, for readers of the feed.
     pub fn snapshot(&self) -> impl Iterator<Item = Message> {
         self.registry.entries().flat_map(|(id, entry)| {
             let registration = entry.registration.as_ref();
-            let holdings = registration.into_iter().flat_map(Registered::holdings);
+            let residency_updates = registration.into_iter().flat_map(Registered::residency_updates);
             let registered = registration.map(|r| registered_message(id, entry.sequence, r));
-            registered.into_iter().chain(holdings.cloned().map(Message::Holding))
+            registered.into_iter().chain(residency_updates.cloned().map(Message::ResidencyUpdate))
         })
     }
 
@@ -387,11 +396,12 @@
         reply: oneshot::Sender<Answer>,
     ) -> Option<u64> {
         let until = now + REPLICATION_TIMEOUT;
-        let waiting = Waiting { reply, id: id.to_owned(), confirmed_by: BTreeMap::new(), until };
+        let pending =
+            PendingAcknowledgement { reply, id: id.to_owned(), confirmed_by: BTreeMap::new(), until };
         let token = self.next_token();
-        self.waiting.insert(token, waiting);
-        self.review(known);
-        self.waiting.contains_key(&token).then_some(token)
+        self.pending.insert(token, pending);
+        self.acknowledge_confirmed(known);
+        self.pending.contains_key(&token).then_some(token)
     }
 }
 
--- a/crates/controller/src/controller/inspect.rs
+++ b/crates/controller/src/controller/inspect.rs
@@ -1,6 +1,7 @@
 //! What a simulation looks up in a controller.
 
-use super::{Controller, shards};
+use crate::controller::Controller;
+use crate::controller::consensus::shards;
 use bytes::Bytes;
 use lanegate_placement::InvariantViolations;
 use std::net::SocketAddr;
@@ -17,14 +18,14 @@
 
     /// The least margin of all shards, in losses that can be borne; `None` if one has no majority, or while this
     /// controller is no member of all groups.
-    pub(crate) fn least_margin(&self) -> Option<usize> {
-        let margins: Option<Vec<usize>> = shards::all().map(|shard| self.margin(shard)).collect();
+    pub(crate) fn least_fault_tolerance(&self) -> Option<usize> {
+        let margins: Option<Vec<usize>> = shards::all().map(|shard| self.fault_tolerance(shard)).collect();
         margins?.into_iter().min()
     }
 
     /// Orders that the placers here held back because they would have broken a limit.
     pub(crate) fn violations(&self) -> InvariantViolations {
-        self.placements.violations()
+        self.placers.violations()
     }
 
     /// Body of the answer to a status call, and the text of the metrics.
@@ -34,6 +35,6 @@
 
     /// Shards for which this controller acts.
     pub(crate) fn acting_shards(&self) -> usize {
-        shards::all().filter(|shard| self.placements.acts_for(*shard)).count()
+        shards::all().filter(|shard| self.placers.acts_for(*shard)).count()
     }
 }
--- a/crates/controller/src/controller/operator.rs
+++ b/crates/controller/src/controller/operator/pending_changes.rs
@@ -4,14 +4,14 @@
 //! collide; when it does not answer, this controller proposes the same change itself. Taking a change twice
 //! is harmless: the second time it is found among those already taken.
 
-use super::event::Answer;
-use super::unavailable::Unavailable;
+use crate::controller::event::Answer;
+use crate::controller::operator::unavailable::Unavailable;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::sync::oneshot;
 
 /// How long the owner of the shard has before this controller proposes a change itself.
-pub const OWNER_PATIENCE: Duration = Duration::from_millis(350);
+pub const OWNER_TIMEOUT: Duration = Duration::from_millis(350);
 /// Longest wait for a clear answer. The operator asks another controller after a second.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(950);
 /// Calls of the operator under way at a time.
@@ -36,7 +36,7 @@
 
 /// What is done with the outcome of a proposal.
 #[derive(Debug)]
-pub enum Settled {
+pub enum Completion {
     Answered,
     /// Send this outcome to the controller that asked.
     Return {
@@ -49,19 +49,19 @@
 
 /// Calls of the operator under way.
 #[derive(Debug, Default)]
-pub struct Operator {
+pub struct PendingChanges {
     pending: BTreeMap<u64, Pending>,
     /// Number of the newest change.
     newest: u64,
     /// Changes whose operator was told that there is no clear answer in time.
-    given_up: u64,
+    timed_out: u64,
 }
 
-impl Operator {
-    /// Nothing is under way. Numbers go on from `life`, drawn at each start of the process: an owner may answer
+impl PendingChanges {
+    /// Nothing is under way. Numbers go on from `incarnation`, drawn at each start of the process: an owner may answer
     /// a change of an earlier life, and that answer must not be taken for one to a change of this life.
-    pub fn new(life: u64) -> Self {
-        Operator { pending: BTreeMap::new(), newest: life, given_up: 0 }
+    pub fn new(incarnation: u64) -> Self {
+        PendingChanges { pending: BTreeMap::new(), newest: incarnation, timed_out: 0 }
     }
 
     /// Takes a change. It is proposed here at once, unless `owner_live`: then the owner is asked first.
@@ -77,12 +77,12 @@
             let _ = reply.send(Answer::unavailable(Unavailable::TooManyChanges));
             return None;
         }
-        let propose_at = owner_live.then_some(now + OWNER_PATIENCE);
+        let propose_at = owner_live.then_some(now + OWNER_TIMEOUT);
         Some(self.insert(now, Caller::Operator(reply), command, propose_at))
     }
 
     /// Takes a change that another controller handed over; it is proposed here at once.
-    pub fn begin_for(
+    pub fn begin_forwarded(
         &mut self,
         now: Duration,
         peer: std::net::SocketAddr,
@@ -106,13 +106,13 @@
     }
 
     /// Changes under way, those that another controller handed over too.
-    pub fn under_way(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.pending.len()
     }
 
     /// Changes whose operator was told that there is no clear answer in time.
-    pub fn given_up(&self) -> u64 {
-        self.given_up
+    pub fn timed_out(&self) -> u64 {
+        self.timed_out
     }
 
     /// The command of a change under way.
@@ -121,14 +121,14 @@
     }
 
     /// An outcome has come, here or from the owner; `answer` is what the operator gets.
-    pub fn settle(&mut self, request: u64, answer: impl FnOnce() -> Answer) -> Settled {
+    pub fn complete(&mut self, request: u64, answer: impl FnOnce() -> Answer) -> Completion {
         match self.pending.remove(&request).map(|pending| pending.caller) {
             Some(Caller::Operator(reply)) => {
                 let _ = reply.send(answer());
-                Settled::Answered
+                Completion::Answered
             }
-            Some(Caller::Peer(peer, request)) => Settled::Return { peer, request },
-            None => Settled::Unknown,
+            Some(Caller::Peer(peer, request)) => Completion::Return { peer, request },
+            None => Completion::Unknown,
         }
     }
 
@@ -137,8 +137,8 @@
         let late: Vec<u64> =
             self.pending.iter().filter(|(_, pending)| pending.until <= now).map(|(id, _)| *id).collect();
         for request in late {
-            let settled = self.settle(request, || Answer::unavailable(Unavailable::ChangeNotSettled));
-            self.given_up += u64::from(matches!(settled, Settled::Answered));
+            let completion = self.complete(request, || Answer::unavailable(Unavailable::ChangeNotCommitted));
+            self.timed_out += u64::from(matches!(completion, Completion::Answered));
         }
         let mut due = Vec::new();
         for (request, pending) in &mut self.pending {
@@ -150,7 +150,7 @@
         due
     }
 
-    /// When [`Operator::due`] is to be called next.
+    /// When [`PendingChanges::due`] is to be called next.
     pub fn next_wake(&self) -> Option<Duration> {
         self.pending.values().map(|p| p.propose_at.map_or(p.until, |at| at.min(p.until))).min()
     }
--- a/crates/controller/src/controller/unavailable.rs
+++ b/crates/controller/src/controller/operator/unavailable.rs
@@ -6,11 +6,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unavailable {
     /// This controller is about to end.
-    Leaving,
+    Draining,
     /// Too many changes are under way here.
     TooManyChanges,
     /// A change was neither taken nor refused in time.
-    ChangeNotSettled,
+    ChangeNotCommitted,
     /// What became of a change cannot be told.
     ChangeUnclear,
     /// The configuration cannot be read without a majority.
@@ -24,9 +24,9 @@
 impl Unavailable {
     /// All reasons, in the order of their numbers.
     pub const ALL: [Unavailable; 7] = [
-        Unavailable::Leaving,
+        Unavailable::Draining,
         Unavailable::TooManyChanges,
-        Unavailable::ChangeNotSettled,
+        Unavailable::ChangeNotCommitted,
         Unavailable::ChangeUnclear,
         Unavailable::NoMajority,
         Unavailable::HeartbeatNotReplicated,
@@ -36,9 +36,9 @@
     /// What the caller is told.
     pub fn text(self) -> &'static str {
         match self {
-            Unavailable::Leaving => "this controller is about to end",
+            Unavailable::Draining => "this controller is about to end",
             Unavailable::TooManyChanges => "too many calls are under way",
-            Unavailable::ChangeNotSettled => "no clear answer in time; send the same again",
+            Unavailable::ChangeNotCommitted => "no clear answer in time; send the same again",
             Unavailable::NoMajority => "no majority of the controllers can be reached",
             Unavailable::HeartbeatNotReplicated => "too few controllers can be reached",
             Unavailable::ChangeUnclear | Unavailable::Dropped => "no clear answer",
@@ -48,9 +48,9 @@
     /// Its name as a label.
     pub fn name(self) -> &'static str {
         match self {
-            Unavailable::Leaving => "leaving",
+            Unavailable::Draining => "leaving",
             Unavailable::TooManyChanges => "too_many_changes",
-            Unavailable::ChangeNotSettled => "change_not_settled",
+            Unavailable::ChangeNotCommitted => "change_not_settled",
             Unavailable::ChangeUnclear => "change_unclear",
             Unavailable::NoMajority => "no_majority",
             Unavailable::HeartbeatNotReplicated => "heartbeat_not_replicated",
--- a/crates/controller/src/controller/placement.rs
+++ b/crates/controller/src/controller/placement/placers.rs
@@ -1,9 +1,9 @@
 //! Placement at a controller: a placer for each service whose lease this controller holds, and the orders
 //! that it gives.
 
-use super::demand::RecentDemand;
-use super::event::Event;
-use super::shards::shard_of;
+use crate::controller::consensus::shards::shard_of;
+use crate::controller::event::Event;
+use crate::controller::placement::recent_demand::RecentDemand;
 use crate::registration::Registered;
 use lanegate_config::configuration::Configuration;
 use lanegate_config::demand::DemandReport;
@@ -17,12 +17,12 @@
 
 /// The placers of the services whose shards this controller acts for.
 #[derive(Debug, Default)]
-pub struct Placements {
+pub struct Placers {
     placers: BTreeMap<String, Placer>,
     /// Epochs of the shards that this controller acts for.
     epochs: BTreeMap<u8, u64>,
     /// What was counted by placers that have ended.
-    ended: InvariantViolations,
+    ended_violations: InvariantViolations,
 }
 
 /// An action of the placer of `service`.
@@ -33,7 +33,7 @@
     pub action: Action,
 }
 
-impl Placements {
+impl Placers {
     /// Shards of the services of `configuration` whose endpoints are engines.
     pub fn wanted_shards(configuration: &Configuration) -> impl Iterator<Item = u8> {
         let engines = configuration.backends.iter().filter(|backend| backend.runtime.is_some());
@@ -41,7 +41,7 @@
     }
 
     /// This controller acts for `shard` from now on.
-    pub fn began(&mut self, shard: u8, epoch: u64) {
+    pub fn tenure_began(&mut self, shard: u8, epoch: u64) {
         self.epochs.insert(shard, epoch);
     }
 
@@ -56,9 +56,9 @@
     }
 
     /// This controller acts for `shard` no more.
-    pub fn ended(&mut self, shard: u8) {
+    pub fn tenure_ended(&mut self, shard: u8) {
         self.epochs.remove(&shard);
-        self.keep_placers(|service| shard_of(service) != shard);
+        self.retain_placers(|service| shard_of(service) != shard);
     }
 
     /// Makes the placers that are missing, drops those whose service is gone, and tells all of them the
@@ -76,7 +76,7 @@
             let backend = configuration.backends.iter().find(|backend| backend.name == service)?;
             backend.runtime.as_ref()
         };
-        self.keep_placers(|service| runtime(service).is_some());
+        self.retain_placers(|service| runtime(service).is_some());
         for backend in &configuration.backends {
             let shard = shard_of(&backend.name);
             let (Some(runtime), Some(epoch)) = (&backend.runtime, self.epochs.get(&shard)) else { continue };
@@ -100,21 +100,21 @@
         }
     }
 
-    fn keep_placers(&mut self, keep: impl Fn(&str) -> bool) {
+    fn retain_placers(&mut self, keep: impl Fn(&str) -> bool) {
         let ended = self.placers.iter().filter(|(service, _)| !keep(service));
-        ended.for_each(|(_, placer)| self.ended += placer.violations());
+        ended.for_each(|(_, placer)| self.ended_violations += placer.violations());
         self.placers.retain(|service, _| keep(service));
     }
 
     /// Orders that placers of this process held back because they would have broken a limit.
     pub fn violations(&self) -> InvariantViolations {
-        let mut sum = self.ended;
+        let mut sum = self.ended_violations;
         self.placers.values().for_each(|placer| sum += placer.violations());
         sum
     }
 
     /// A registration was heard.
-    pub fn heard(&mut self, now: Duration, registered: &Registered) {
+    pub fn update_instance(&mut self, now: Duration, registered: &Registered) {
         if let Some(placer) = self.placers.get_mut(&registered.instance.backend) {
             placer.instance(now, &registered.instance);
         }
@@ -165,7 +165,7 @@
         actions
     }
 
-    /// When [`Placements::due`] is to be called next.
+    /// When [`Placers::due`] is to be called next.
     pub fn next_wake(&self) -> Option<Duration> {
         self.placers.values().filter_map(Placer::next_wake).min()
     }
@@ -178,22 +178,28 @@
 
 /// On whose behalf an endpoint is called.
 #[derive(Debug)]
-pub struct TenureOf {
+pub struct OrderTenure {
     pub owner: String,
     pub epoch: u64,
 }
 
 /// Carries out what a placer wants, and tells the end of it. An order is not sent after `send_by`.
-pub async fn carry_out(
+pub async fn execute_action(
     action: ServiceAction,
-    tenure: TenureOf,
+    tenure: OrderTenure,
     send_by: Instant,
     events: tokio::sync::mpsc::UnboundedSender<Event>,
 ) {
     let ServiceAction { service, action, .. } = action;
     let event = match action {
         Action::Order(order) => {
-            let answer = super::orders::give(&order, &tenure.owner, tenure.epoch, send_by.into()).await;
+            let answer = crate::controller::placement::endpoint_client::send_order(
+                &order,
+                &tenure.owner,
+                tenure.epoch,
+                send_by.into(),
+            )
+            .await;
             log::info!(
                 "{:?} {} {:?} at {}: {answer:?}",
                 order.operation,
@@ -204,7 +210,11 @@
             Event::OrderAnswered { service, order, answer }
         }
         Action::RequestReport { instance, address } => {
-            let Some(report) = super::orders::ask_report(&instance, address).await else { return };
+            let Some(report) =
+                crate::controller::placement::endpoint_client::request_report(&instance, address).await
+            else {
+                return;
+            };
             Event::Reported { service, instance: instance.to_string(), report }
         }
     };
--- a/crates/controller/src/controller/setup.rs
+++ b/crates/controller/src/controller/setup.rs
@@ -1,28 +1,30 @@
 //! Starting a controller and ending it.
 
-use super::contact::Contact;
-use super::counters::Counters;
-use super::demand::RecentDemand;
-use super::disk::{Disk, DiskCounts};
-use super::endpoints::Endpoints;
-use super::environment::Environment;
-use super::event::Event;
-use super::fault::ControllerFault;
-use super::holdings::Holdings;
-use super::margin::Margins;
-use super::members::Members;
-use super::operator::Operator;
-use super::peers::Peers;
-use super::placement::Placements;
-use super::process::Process;
-use super::readers::Readers;
-use super::routers::LiveRouters;
-use super::shards::{self, ConfigurationMachine, EpochCounter, Shards};
-use super::standing::Standings;
-use super::trust::Trust;
-use super::unavailable::UnavailableCounts;
-use super::{Controller, http, links, metrics};
-use crate::life::draw_life;
+use crate::controller::consensus::disk::{Disk, DiskCounts};
+use crate::controller::consensus::fault_tolerance::ToleranceMonitor;
+use crate::controller::consensus::freshness::Freshness;
+use crate::controller::consensus::quorum_contact::QuorumContact;
+use crate::controller::consensus::shards::{self, ConfigurationMachine, EpochCounter, Shards};
+use crate::controller::counters::Counters;
+use crate::controller::endpoints::pending_loads::PendingLoads;
+use crate::controller::endpoints::registry::EndpointRegistry;
+use crate::controller::environment::Environment;
+use crate::controller::event::Event;
+use crate::controller::fault::ControllerFault;
+use crate::controller::feed::live_routers::LiveRouters;
+use crate::controller::feed::subscribers::Subscribers;
+use crate::controller::membership::links;
+use crate::controller::membership::member_status::MemberStatuses;
+use crate::controller::membership::peers::Peers;
+use crate::controller::membership::replacement::ReplacementPlanner;
+use crate::controller::operator::http;
+use crate::controller::operator::pending_changes::PendingChanges;
+use crate::controller::operator::unavailable::UnavailableCounts;
+use crate::controller::placement::placers::Placers;
+use crate::controller::placement::recent_demand::RecentDemand;
+use crate::controller::process::Process;
+use crate::controller::{Controller, metrics};
+use crate::incarnation::draw_incarnation;
 use crate::link;
 use crate::message::{Hello, Role};
 use lanegate_config::settings::Settings;
@@ -86,16 +88,16 @@
     tokio::task::spawn_local(http::serve(calls, events.clone(), unavailable.clone()));
     tokio::task::spawn_local(links::accept(peer_links, events));
     let mut scrapes = Scrapes::at(metrics_at);
-    while !controller.has_left() {
+    while !controller.has_shut_down() {
         let wake = controller.next_wake();
         tokio::select! {
             biased;
-            _ = terminate.recv() => controller.leave(),
+            _ = terminate.recv() => controller.begin_shutdown(),
             _ = reload.recv() => controller.read_settings(),
             Some(event) = queue.recv() => {
-                controller.take(event);
+                controller.handle_event(event);
                 while let Ok(event) = queue.try_recv() {
-                    controller.take(event);
+                    controller.handle_event(event);
                 }
             }
             Some(scrape) = scrapes.next() => {
@@ -105,7 +107,7 @@
             }
             () = tokio::time::sleep_until((started + wake).into()) => {}
         }
-        controller.turn();
+        controller.tick();
     }
     tokio::time::sleep(LAST_WRITES).await;
     Ok(())
@@ -117,7 +119,7 @@
     /// Control address.
     pub control: SocketAddr,
     /// Tells this start of the process from all others.
-    pub life: u64,
+    pub incarnation: u64,
     /// What the disk holds.
     pub records: Records,
     /// A deliberate mistake, in a simulation only.
@@ -131,26 +133,26 @@
     events: mpsc::UnboundedSender<Event>,
     counts: Arc<DiskCounts>,
 ) -> Result<Controller, ControllerError> {
-    let life = draw_life();
+    let incarnation = draw_incarnation();
     let folder = settings.data_dir.clone().ok_or(ControllerError::Missing("DataDir"))?;
     let mut directory = FileDirectory::open(&folder)
         .map_err(|error| ControllerError::Folder { folder: folder.clone(), error })?;
     let (stores, records) = open_stores(&folder, &mut directory)?;
     let disk = Disk::start(directory, stores, events.clone(), counts)?;
-    let hello = hello(&settings, control, life);
+    let hello = hello(&settings, control, incarnation);
     let link_port = settings.port_range.0;
     let environment = Process { started, link_port, hello, disk, events, links: BTreeMap::new() };
-    let start = Start { settings, control, life, records, fault: None };
+    let start = Start { settings, control, incarnation, records, fault: None };
     Controller::new(start, Box::new(environment))
 }
 
 /// What the links that a controller opens begin with.
-fn hello(settings: &Settings, control: SocketAddr, life: u64) -> Hello {
+fn hello(settings: &Settings, control: SocketAddr, incarnation: u64) -> Hello {
     Hello {
         role: Role::Controller,
         name: settings.node_name.as_str().into(),
         control_address: control.to_string().as_str().into(),
-        life,
+        incarnation,
         source: 0,
         offset: 0,
     }
@@ -159,12 +161,12 @@
 impl Controller {
     /// Starts a controller.
     pub(crate) fn new(start: Start, environment: Box<dyn Environment>) -> Result<Self, ControllerError> {
-        let Start { settings, control, life, records, fault } = start;
+        let Start { settings, control, incarnation, records, fault } = start;
         let now = environment.now();
         let this = ipv4(control)?;
         let first = settings.bootstrap && records.is_empty();
-        let replicas = start_replicas(&settings, this, records, life, fault)?;
-        let node = NodeId::new(this, life);
+        let replicas = start_replicas(&settings, this, records, incarnation, fault)?;
+        let node = NodeId::new(this, incarnation);
         let skips = fault == Some(ControllerFault::SkipQuietPeriod);
         let quiet_ms = if skips { 1.0 } else { settings.bounds.lease_ms };
         let lease = lease_settings(Duration::from_secs_f64(quiet_ms / 1e3));
@@ -172,40 +174,44 @@
         let heartbeat = Duration::from_secs_f64(settings.heartbeat_ms / 1e3);
         let mut controller = Controller {
             this: control,
-            life,
+            incarnation,
             environment,
             peers: Peers::new(control),
-            readers: Readers::new(life),
-            endpoints: Endpoints::new(heartbeat, control, life)
+            subscribers: Subscribers::new(incarnation),
+            endpoints: EndpointRegistry::new(heartbeat, control, incarnation)
                 .with_fault(fault.and_then(ControllerFault::of_endpoints)),
             shards: Shards::new(replicas),
-            operator: Operator::new(life),
+            pending_changes: PendingChanges::new(incarnation),
             membership: FailureDetector::new(
                 MembershipSettings::new(HEARTBEAT_INTERVAL, MONITORS),
                 node,
                 now,
             ),
-            contact: Contact::with_fault(control, life, fault.and_then(ControllerFault::of_contact)),
-            trust: Trust::default(),
-            members: Members::new(fault.and_then(ControllerFault::of_members)),
-            standings: Standings::default(),
-            margins: Margins::default(),
+            quorum_contact: QuorumContact::with_fault(
+                control,
+                incarnation,
+                fault.and_then(ControllerFault::of_contact),
+            ),
+            freshness: Freshness::default(),
+            replacement_planner: ReplacementPlanner::new(fault.and_then(ControllerFault::of_members)),
+            member_statuses: MemberStatuses::default(),
+            tolerance_monitor: ToleranceMonitor::default(),
             handover: None,
             leases: LeaseNode::new(lease, node, start, now),
-            placements: Placements::default(),
-            holdings: Holdings::default(),
+            placers: Placers::default(),
+            pending_loads: PendingLoads::default(),
             recent_demand: RecentDemand::default(),
             configuration: None,
             first_start: first,
             fault,
             decided: None,
-            asked: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             next_request: 0,
             complete: first,
             routers: LiveRouters::default(),
-            next_housekeeping: now,
-            next_beat: now,
-            last_turn: now,
+            next_periodic_tasks: now,
+            next_feed_heartbeat: now,
+            last_tick: now,
             counters: Counters::default(),
             violations: Violations::default(),
             newest_revisions: BTreeMap::new(),
@@ -262,7 +268,7 @@
     settings: &Settings,
     this: SocketAddrV4,
     mut records: Records,
-    life: u64,
+    incarnation: u64,
     fault: Option<ControllerFault>,
 ) -> Result<BTreeMap<u8, Replica>, ControllerError> {
     let seeds: Vec<SocketAddrV4> = settings.seeds.iter().map(|seed| ipv4(*seed)).collect::<Result<_, _>>()?;
@@ -276,7 +282,7 @@
         of_shard.bootstrap = settings.bootstrap;
         of_shard.seed = u64::from(shard);
         of_shard.fault = fault.and_then(ControllerFault::of_register);
-        let nonce = life.wrapping_add(u64::from(shard));
+        let nonce = incarnation.wrapping_add(u64::from(shard));
         let replica = Replica::new(of_shard, machine, records.remove(&shard), Duration::ZERO, nonce);
         (shard, replica)
     };
--- a/crates/controller/src/link.rs
+++ b/crates/controller/src/link.rs
@@ -16,7 +16,7 @@
 /// How long sent bytes may stay unacknowledged before the link counts as dead.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Pause before a link that failed is dialled again.
-pub const REDIAL_PAUSE: Duration = Duration::from_millis(150);
+pub const REDIAL_DELAY: Duration = Duration::from_millis(150);
 /// Messages that may wait for a slow reader; one more ends the link, and the next one begins anew.
 const OUTBOX_MESSAGES: usize = 8_192;
 /// Most bytes of small frames that are written together; every link keeps room for so many, and a controller
@@ -75,13 +75,13 @@
 }
 
 /// Reads messages off a link.
-pub struct Reader {
+pub struct MessageReader {
     stream: BufReader<OwnedReadHalf>,
 }
 
-impl Reader {
+impl MessageReader {
     pub fn new(half: OwnedReadHalf) -> Self {
-        Reader { stream: BufReader::new(half) }
+        MessageReader { stream: BufReader::new(half) }
     }
 
     /// The next message; an error once the link has ended.
