--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,7 +1,7 @@
 //! A courier in miniature: one destination with one endpoint, one message, answered at once.
 
-use lanegate_courier::brain::Brain;
 use lanegate_courier::interface::*;
+use lanegate_courier::scheduler::Scheduler;
 use std::time::Duration;
 
 fn main() -> Result<(), String> {
@@ -39,7 +39,7 @@
         fall_span: Duration::from_secs(3),
         order_pause: Duration::ZERO,
     };
-    let mut brain = Brain::new(settings, 7)?;
+    let mut scheduler = Scheduler::new(settings, 7)?;
     let (endpoint, destination) = (EndpointId(0), DestinationId(0));
     let entry = Entry { endpoint, destination, zone: 0, kind: 0, standing: Standing::Ready, weight: 0.0 };
     let mut events = vec![
@@ -58,7 +58,7 @@
     let mut now = Duration::ZERO;
     while !events.is_empty() {
         let mut actions = Vec::new();
-        brain.handle(now, &events, &mut actions);
+        scheduler.handle(now, &events, &mut actions);
         events.clear();
         now += Duration::from_millis(30);
         for action in actions {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,5 +1,5 @@
 //! The vocabulary of the decision module: settings, events, actions and the ids they use.
-//! Plain data without behaviour of its own; every decision is in [`crate::brain`].
+//! Plain data without behaviour of its own; every decision is in [`crate::scheduler`].
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
--- a/src/node/channel.rs
+++ b/src/node/channel.rs
@@ -46,7 +46,8 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub struct State {
     /// The module, packed by itself: another version may not be able to read it.
-    pub brain: Vec<u8>,
+    #[serde(rename = "brain")]
+    pub scheduler: Vec<u8>,
     /// What its clock shows, and the Unix time of that moment.
     pub clock: Duration,
     pub at: Duration,
--- a/src/node/commit_test.rs
+++ b/src/node/commit_test.rs
@@ -1,7 +1,6 @@
 //! A courier whose commits end when the test says so: nothing that depends on one comes before it.
 
 use super::*;
-use crate::brain::Brain;
 use crate::node::calls::Calls;
 use crate::node::config::{Config, Limits};
 use crate::node::discovery::{Health, Host, List};
@@ -10,6 +9,7 @@
 use crate::node::news::News;
 use crate::node::options::Options;
 use crate::node::register::Register;
+use crate::scheduler::Scheduler;
 use crate::settings::Conf;
 use crate::store::Durability;
 use crate::store::segments::{Batch, Status};
@@ -88,8 +88,8 @@
         let calls = Calls::new(CONNECT_TIMEOUT, Duration::from_secs(5), 16, register.clone());
         let standing = Rc::new(Standing::new(register.clone()));
         let (news, mut inbox) = tokio::sync::mpsc::channel(64);
-        let brain = Brain::new(config.settings.clone(), 5).expect("a module");
-        let mut courier = Courier::new(config, brain, journal, 0, calls, standing.clone(), news.clone());
+        let scheduler = Scheduler::new(config.settings.clone(), 5).expect("a module");
+        let mut courier = Courier::new(config, scheduler, journal, 0, calls, standing.clone(), news.clone());
         courier.begin();
         let mut changes = register.serve();
         spawn_local(async move {
--- a/src/node/courier/mod.rs
+++ b/src/node/courier/mod.rs
@@ -24,8 +24,8 @@
 use super::journal::{Journal, Letter};
 use super::news::News;
 use super::outcomes::{Notice, Platform};
-use crate::brain::Brain;
 use crate::interface::{EndpointId, Event};
+use crate::scheduler::Scheduler;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -82,7 +82,7 @@
 /// The courier's state.
 pub struct Courier {
     pub(super) config: Config,
-    pub(super) brain: Brain,
+    pub(super) scheduler: Scheduler,
     pub(super) journal: Journal,
     pub(super) calls: Calls,
     platform: Platform,
@@ -122,7 +122,7 @@
     /// A courier without messages; `last` is the last number that a message on record has had.
     pub fn new(
         config: Config,
-        brain: Brain,
+        scheduler: Scheduler,
         journal: Journal,
         last: u64,
         calls: Calls,
@@ -132,7 +132,7 @@
         let platform = Platform::new(config.discovery);
         Courier {
             config,
-            brain,
+            scheduler,
             journal,
             calls,
             platform,
--- a/src/node/courier/turn.rs
+++ b/src/node/courier/turn.rs
@@ -27,7 +27,7 @@
         self.drop_deserted();
         let events = std::mem::take(&mut self.events);
         let mut actions = Vec::new();
-        self.brain.handle(now.duration_since(self.origin), &events, &mut actions);
+        self.scheduler.handle(now.duration_since(self.origin), &events, &mut actions);
         let mut decisions = Decisions::default();
         for action in actions {
             self.act(action, now, &mut decisions);
--- a/src/node/golden_test.rs
+++ b/src/node/golden_test.rs
@@ -127,7 +127,7 @@
         listed: true,
     };
     let state = State {
-        brain: vec![1, 2, 3],
+        scheduler: vec![1, 2, 3],
         clock: Duration::from_secs(5),
         at: micros(6),
         endpoints: vec![known(Some("10.0.0.1:80"), true), known(None, false)],
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -9,8 +9,8 @@
 use super::log::say;
 use super::news::News;
 use super::register::{Forward, Register};
-use crate::brain::Brain;
 use crate::interface::{EndpointId, Event, MessageId, Outcome, Settings};
+use crate::scheduler::Scheduler;
 use crate::store::lock::Lock;
 use std::collections::HashMap;
 use std::fs::{self, File};
@@ -78,7 +78,7 @@
 /// What the process before has left to this one.
 pub struct Estate {
     /// The module as it was, and all that goes with it; none if it cannot be read.
-    state: Option<(Brain, Box<State>)>,
+    state: Option<(Scheduler, Box<State>)>,
     mouth: Mouth,
     ear: Ear,
 }
@@ -127,12 +127,12 @@
     let (Word::State(state), _) = timeout(WORD_TIME, ear.hear()).await?? else {
         return Err(io::ErrorKind::InvalidData.into());
     };
-    let brain = Brain::unpack(&state.brain, set.clone(), seed);
-    let brain =
-        brain.inspect_err(|e| say!("handover: starting from the journal, the state is of no use: {e}"));
-    mouth.say(&Word::Ready { whole: brain.is_ok() }, None).await?;
+    let scheduler = Scheduler::unpack(&state.scheduler, set.clone(), seed);
+    let scheduler =
+        scheduler.inspect_err(|e| say!("handover: starting from the journal, the state is of no use: {e}"));
+    mouth.say(&Word::Ready { whole: scheduler.is_ok() }, None).await?;
     match timeout(WORD_TIME, ear.hear()).await?? {
-        (Word::Go, _) => Ok(Estate { state: brain.ok().map(|b| (b, state)), mouth, ear }),
+        (Word::Go, _) => Ok(Estate { state: scheduler.ok().map(|b| (b, state)), mouth, ear }),
         _ => Err(io::ErrorKind::InvalidData.into()),
     }
 }
@@ -143,9 +143,9 @@
         let Estate { state, mouth, ear } = self;
         let mut out = HashMap::new();
         match state {
-            Some((brain, state)) => {
+            Some((scheduler, state)) => {
                 out.extend(state.out.iter().map(|o| (o.message, (o.attempt, o.endpoint))));
-                courier.inherit(brain, *state, &mouth);
+                courier.inherit(scheduler, *state, &mouth);
             }
             None => courier.begin(),
         }
@@ -216,7 +216,7 @@
             Some(Out { message: *message, endpoint, attempt, age: sent.elapsed() })
         });
         Ok(State {
-            brain: self.brain.pack()?,
+            scheduler: self.scheduler.pack()?,
             clock: self.origin.elapsed(),
             at: unix(),
             endpoints: endpoints.collect(),
@@ -229,10 +229,10 @@
     }
 
     /// Goes on in another's place: with its module, on its clock, under its numbers.
-    fn inherit(&mut self, brain: Brain, state: State, mouth: &Mouth) {
+    fn inherit(&mut self, scheduler: Scheduler, state: State, mouth: &Mouth) {
         let clock = state.clock + unix().saturating_sub(state.at);
         self.origin = Instant::now().checked_sub(clock).unwrap_or(self.origin);
-        self.brain = brain;
+        self.scheduler = scheduler;
         for known in state.endpoints {
             let (zone, address) = (self.zone(&known.zone), known.dial.and_then(|d| d.parse().ok()));
             let Known { id, host, ready, listed, .. } = known;
@@ -248,7 +248,7 @@
         let mut out: HashMap<u64, Out> = state.out.into_iter().map(|o| (o.message, o)).collect();
         let live: Vec<_> = self.journal.live().map(|(n, m)| (n, m.clone())).collect();
         for (message, m) in live {
-            if !self.brain.knows(MessageId(message)) {
+            if !self.scheduler.knows(MessageId(message)) {
                 self.resume(message);
                 continue;
             }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -23,7 +23,7 @@
 mod outcomes;
 mod register;
 
-use crate::brain::Brain;
+use crate::scheduler::Scheduler;
 use calls::Calls;
 use config::{Config, Fault};
 use courier::{Courier, End, STOP_CLOSING, STOP_LISTENING};
@@ -137,8 +137,8 @@
     let keep = config.settings.keepalive.mul_f64(KEEP_SHARE);
     // The module reckons with the connections that are kept here.
     config.settings.keepalive = keep;
-    let brain = Brain::new(config.settings.clone(), config.seed);
-    let brain = brain.map_err(|e| Fault::Bad("LB_CONFIG", e))?;
+    let scheduler = Scheduler::new(config.settings.clone(), config.seed);
+    let scheduler = scheduler.map_err(|e| Fault::Bad("LB_CONFIG", e))?;
     // Before anything is asked of the process that serves: one that could not listen must not replace it.
     let listener = listen(&config).map_err(|e| Fault::Bad("LB_LISTEN", e.to_string()))?;
     let at = listener.local_addr().map_err(|e| Fault::Bad("LB_LISTEN", e.to_string()))?;
@@ -178,7 +178,7 @@
     let folder = config.state.clone();
     tokio::task::spawn_local(reload(hangup, config.file.clone(), news.clone()));
     let mut courier =
-        Courier::new(config, brain, journal, recovery.last, calls, standing.clone(), news.clone());
+        Courier::new(config, scheduler, journal, recovery.last, calls, standing.clone(), news.clone());
     match estate {
         Some(estate) => estate.enter(&mut courier, intake.clone(), register.clone()),
         None => courier.begin(),
--- a/src/brain/calls.rs
+++ b/src/scheduler/calls.rs
@@ -22,7 +22,7 @@
 /// one that is shut tells more.
 const SHUT_WAIT: f64 = 2.5;
 
-impl Brain {
+impl Scheduler {
     /// Sends a held message, in a call that others of this reply share where there is room.
     pub(super) fn send(
         &mut self,
--- a/src/brain/choice.rs
+++ b/src/scheduler/choice.rs
@@ -16,7 +16,7 @@
 /// Failure ratio too doubtful for a message that may run only once.
 const ONCE_DOUBT: f64 = 0.2;
 
-impl Brain {
+impl Scheduler {
     /// Sends what may go now, by earliest deadline over the destinations with news.
     pub(super) fn release(&mut self, touched: &BTreeSet<DestinationId>, out: &mut Vec<Action>) {
         let held: BTreeSet<_> =
--- a/src/brain/connections.rs
+++ b/src/scheduler/connections.rs
@@ -9,7 +9,7 @@
 const REUSE_LEAST: f64 = 5.0;
 const TIGHT_SPANS: f64 = 6.0;
 
-impl Brain {
+impl Scheduler {
     /// Where no connection was to be had (the endpoint's limit, or that of what lies between), new ones are
     /// tried one at a time and ever more seldom; the kept ones serve on.
     pub(super) fn record_connection(&mut self, id: EndpointId, sent: Ns, opens: bool, outcome: Outcome) {
--- a/src/brain/health.rs
+++ b/src/scheduler/health.rs
@@ -26,7 +26,7 @@
 const HANG_LATENCIES: f64 = 6.0;
 const HANG_LEAST: f64 = 0.8;
 
-impl Brain {
+impl Scheduler {
     pub(super) fn doubt(&self, endpoint: &Endpoint) -> f64 {
         endpoint.doubt * 0.5f64.powf(secs(self.now - endpoint.doubt_at) / DOUBT_HALVES)
     }
--- a/src/brain/mod.rs
+++ b/src/scheduler/mod.rs
@@ -5,27 +5,27 @@
 //! Times are in s, and stand here only where the settings tell none. Deadlines, windows, graces, limits and
 //! costs come from these alone; what acts on load is a share of them, or of what was measured there.
 
-mod agenda;
 mod calls;
 mod choice;
 mod connections;
 mod health;
-mod hold;
 mod pace;
+mod queue;
+mod timers;
 
 use crate::interface::*;
-pub use crate::state::Brain;
+pub use crate::state::Scheduler;
 use crate::state::*;
 pub(crate) use calls::DEST_LATENCY;
 
 /// Held messages past this share of the room: the longest chart sheds.
 const ROOM_SHARE: f64 = 0.9;
 
-impl Brain {
+impl Scheduler {
     /// Starts a courier's module without any state; `seed` feeds its jitter.
     pub fn new(set: Settings, seed: u64) -> Result<Self, String> {
         set.check()?;
-        Ok(Brain { ask_pause: LIST_RETRY, ..Brain::blank(set, seed) })
+        Ok(Scheduler { ask_pause: LIST_RETRY, ..Scheduler::blank(set, seed) })
     }
 
     /// Takes the news of one moment and appends what is to be done.
--- a/src/brain/pace.rs
+++ b/src/scheduler/pace.rs
@@ -25,7 +25,7 @@
 const RATE_SPAN: f64 = 2.0;
 const FLOW_SPAN: f64 = 10.0;
 
-impl Brain {
+impl Scheduler {
     /// This courier's part, in calls a second: an even share of the limit, or more where it has had more.
     pub(super) fn own_share(&self, id: EndpointId) -> f64 {
         let pool_id = self.pool_id(id);
--- a/src/brain/hold.rs
+++ b/src/scheduler/queue.rs
@@ -14,7 +14,7 @@
 const LAST_ATTEMPTS: u32 = 2;
 const RETRY_SHARE: f64 = 0.06;
 
-impl Brain {
+impl Scheduler {
     /// When a message is answered at the latest: held ones while the usual latency is still left.
     pub(super) fn answer_by(&self, message: &Message) -> Ns {
         let need = if message.is_waiting() { sec(self.dests[&message.dest].latency.seconds()) } else { 0 };
--- a/src/brain/agenda.rs
+++ b/src/scheduler/timers.rs
@@ -3,7 +3,7 @@
 use crate::interface::*;
 use crate::state::*;
 
-impl Brain {
+impl Scheduler {
     /// Puts the destination on the agenda for the next moment at which anything there can change.
     pub(super) fn schedule(&mut self, dest: DestinationId) {
         let destination = &self.dests[&dest];
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
 //! What the decision module remembers, as plain data. Nothing here decides anything: each figure is
-//! set and read in [`crate::brain`].
+//! set and read in [`crate::scheduler`].
 
 mod destination;
 mod endpoint;
@@ -21,7 +21,7 @@
 
 /// The decisions of one courier.
 #[derive(Serialize, Deserialize)]
-pub struct Brain {
+pub struct Scheduler {
     pub(crate) set: Settings,
     #[serde(skip, default = "unseeded")]
     pub(crate) rng: SmallRng,
@@ -65,7 +65,7 @@
     SmallRng::seed_from_u64(0)
 }
 
-impl Brain {
+impl Scheduler {
     /// All that it remembers, for the process that goes on in its place.
     pub fn pack(&self) -> Result<Vec<u8>, String> {
         let mut bytes = Vec::new();
@@ -77,7 +77,7 @@
     /// and the settings are its own.
     pub fn unpack(bytes: &[u8], set: Settings, seed: u64) -> Result<Self, String> {
         set.check()?;
-        let old: Brain = ciborium::from_reader(bytes).map_err(|e| e.to_string())?;
+        let old: Scheduler = ciborium::from_reader(bytes).map_err(|e| e.to_string())?;
         // Its tables are made for these: with others it starts anew.
         let frame = |set: &Settings| {
             let routes: Vec<_> = set.kinds.iter().map(|k| k.separate_routes).collect();
@@ -86,10 +86,10 @@
         if frame(&set) != frame(&old.set) {
             return Err("it was made for other classes, tenants or kinds".to_owned());
         }
-        let Brain { set, rng, .. } = Brain::blank(set, seed);
-        let mut brain = Brain { set, rng, wake: None, ..old };
-        brain.endpoints.values_mut().for_each(|endpoint| endpoint.idle.clear());
-        Ok(brain)
+        let Scheduler { set, rng, .. } = Scheduler::blank(set, seed);
+        let mut scheduler = Scheduler { set, rng, wake: None, ..old };
+        scheduler.endpoints.values_mut().for_each(|endpoint| endpoint.idle.clear());
+        Ok(scheduler)
     }
 
     /// The messages that it is to end yet, or whose call is out.
@@ -99,7 +99,7 @@
 
     pub(crate) fn blank(set: Settings, seed: u64) -> Self {
         let groups = if set.tenants > 0 { set.tenants } else { set.classes.len() };
-        Brain {
+        Scheduler {
             rng: SmallRng::seed_from_u64(seed),
             origin: None,
             now: 0,
--- a/src/state/tables.rs
+++ b/src/state/tables.rs
@@ -1,13 +1,13 @@
 //! The rows of endpoints, pools and destinations: made and changed as the list and operators tell, and dropped.
 
 use super::*;
-use crate::brain::DEST_LATENCY;
+use crate::scheduler::DEST_LATENCY;
 use rand::Rng;
 
 /// Retry of a failed list call, s, before it doubles.
 pub(crate) const LIST_RETRY: f64 = 1.0;
 
-impl Brain {
+impl Scheduler {
     pub(crate) fn update_list(&mut self, whole: bool, entries: &[Entry], out: &mut Vec<Action>) {
         // The cached list of the start comes before anything was asked for; later news are answers.
         if self.now > 0 {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,7 +1,7 @@
 //! Translates the line protocol of the bench to and from [`crate::interface`]. It decides nothing.
 
-use crate::brain::Brain;
 use crate::interface::*;
+use crate::scheduler::Scheduler;
 use crate::settings::Conf;
 use base64::{Engine, engine::general_purpose::STANDARD};
 use serde::{Deserialize, Serialize};
@@ -181,7 +181,7 @@
 
 /// One courier: its module and the numbers given to the endpoint addresses it has heard of.
 struct Instance {
-    brain: Option<Brain>,
+    scheduler: Option<Scheduler>,
     classes: usize,
     names: Vec<String>,
     numbers: HashMap<String, EndpointId>,
@@ -267,14 +267,15 @@
                 self.tables.insert(buffer, elements);
             }
             News::NewInstance { courier_id, salt, conf } => {
-                let made = conf.settings().and_then(|s| Brain::new(s, salt).map_err(|e| e.to_string()));
-                let (brain, fault) = match made {
-                    Ok(brain) => (Some(brain), None),
+                let made = conf.settings().and_then(|s| Scheduler::new(s, salt).map_err(|e| e.to_string()));
+                let (scheduler, fault) = match made {
+                    Ok(scheduler) => (Some(scheduler), None),
                     Err(fault) => (None, Some(fault)),
                 };
                 let classes = conf.class_names().count();
                 let (names, numbers, news) = (Vec::new(), HashMap::new(), Vec::new());
-                self.instances.insert(courier_id, Instance { brain, classes, names, numbers, news, fault });
+                self.instances
+                    .insert(courier_id, Instance { scheduler, classes, names, numbers, news, fault });
                 self.known(courier_id)?;
             }
             News::Exit { courier_id } => {
@@ -375,14 +376,14 @@
             let Some(instance) = self.instances.get_mut(&id) else { continue };
             let news = std::mem::take(&mut instance.news);
             actions.clear();
-            if let Some(brain) = &mut instance.brain {
+            if let Some(scheduler) = &mut instance.scheduler {
                 let now = self.now;
-                let run = catch_unwind(AssertUnwindSafe(|| brain.handle(now, &news, &mut actions)));
+                let run = catch_unwind(AssertUnwindSafe(|| scheduler.handle(now, &news, &mut actions)));
                 if let Err(panic) = run {
                     let text = panic.downcast_ref::<String>().map(String::as_str);
                     let text = text.or(panic.downcast_ref::<&str>().copied());
                     instance.fault = Some(text.unwrap_or("panic in the module").to_owned());
-                    instance.brain = None;
+                    instance.scheduler = None;
                 }
             }
             for action in &actions {
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -38,7 +38,7 @@
     }
 }
 
-impl Brain {
+impl Scheduler {
     /// Takes note of how a call ended for the zone of its endpoint. A full one is there, and well.
     pub(crate) fn zone_heard(&mut self, id: EndpointId, outcome: Outcome) {
         let ill = match outcome {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,8 +2,8 @@
 //! what happens, and reads what the module asks for.
 #![allow(dead_code)]
 
-use lanegate_courier::brain::Brain;
 use lanegate_courier::interface::*;
+use lanegate_courier::scheduler::Scheduler;
 use std::time::Duration;
 
 pub const MS: Duration = Duration::from_millis(1);
@@ -97,7 +97,7 @@
 
 /// A module and its clock; remembers every action with its time.
 pub struct Drive {
-    pub brain: Brain,
+    pub scheduler: Scheduler,
     pub now: Duration,
     pub log: Vec<(Duration, Action)>,
     wakes: Vec<(Duration, u64)>,
@@ -109,8 +109,8 @@
     }
 
     pub fn seeded(settings: Settings, entries: Vec<Entry>, seed: u64) -> Self {
-        let brain = Brain::new(settings, seed).expect("workable settings");
-        let mut drive = Drive { brain, now: MS * 1000, log: Vec::new(), wakes: Vec::new() };
+        let scheduler = Scheduler::new(settings, seed).expect("workable settings");
+        let mut drive = Drive { scheduler, now: MS * 1000, log: Vec::new(), wakes: Vec::new() };
         drive.feed(&[Event::Listed { whole: true, entries }]);
         drive
     }
@@ -118,7 +118,7 @@
     /// Hands in events now; returns the actions they led to.
     pub fn feed(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.brain.handle(self.now, events, &mut actions);
+        self.scheduler.handle(self.now, events, &mut actions);
         for action in &actions {
             if let Action::Wake { token, after } = action {
                 self.wakes.push((self.now + *after, *token));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -3,8 +3,8 @@
 
 mod common;
 use common::*;
-use lanegate_courier::brain::Brain;
 use lanegate_courier::interface::*;
+use lanegate_courier::scheduler::Scheduler;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -150,7 +150,7 @@
     set.classes[1].ordered = seed.is_multiple_of(2);
     set.slots = if seed.is_multiple_of(3) { 3 } else { 12 };
     set.may_probe = !seed.is_multiple_of(5);
-    let mut brain = Brain::new(set.clone(), seed).expect("workable settings");
+    let mut scheduler = Scheduler::new(set.clone(), seed).expect("workable settings");
     let mut list = BTreeMap::new();
     for (n, (dest, zone, kind)) in
         [(0, 0, 0), (0, 1, 0), (1, 0, 1), (1, 1, 1), (2, 0, 2), (2, 0, 2)].into_iter().enumerate()
@@ -212,7 +212,7 @@
         }
         events.iter().for_each(|e| world.learn(e));
         let mut actions = Vec::new();
-        brain.handle(now, &events, &mut actions);
+        scheduler.handle(now, &events, &mut actions);
         for action in actions {
             match action {
                 Action::Send { message, endpoint, timeout } => world.sent(message.0, endpoint.0, timeout),
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
-use lanegate_courier::brain::Brain;
 use lanegate_courier::interface::*;
+use lanegate_courier::scheduler::Scheduler;
 use std::time::Duration;
 
 /// Answers every send with `outcome` after `ms`, for `rounds` messages of a class.
@@ -33,7 +33,7 @@
     let no_slots = Settings { slots: 0, ..settings() };
     let no_classes = Settings { classes: Vec::new(), ..settings() };
     let nonsense = Settings { fall_multiple: f64::NAN, ..settings() };
-    assert!([no_slots, no_classes, nonsense].into_iter().all(|s| Brain::new(s, 1).is_err()));
+    assert!([no_slots, no_classes, nonsense].into_iter().all(|s| Scheduler::new(s, 1).is_err()));
 }
 
 #[test]
@@ -188,18 +188,22 @@
     assert_eq!(sends(&d.feed(&[taken(1, 0, 2, MS * 20_000)])), [(1, 1)]);
     assert_eq!(sends(&d.feed(&[taken(2, 0, 1, MS * 20_000)])), [(2, 0)]);
     d.feed(&[ended(2, 0, Outcome::Full { wait: Some(MS * 2000) }, 10)]);
-    let packed = d.brain.pack().expect("packed");
+    let packed = d.scheduler.pack().expect("packed");
     let mut other = settings();
     other.tenants += 1;
-    assert!(Brain::unpack(&packed, other, 5).is_err(), "made for other tenants");
-    assert!(Brain::unpack(&packed[..packed.len() / 2], settings(), 5).is_err());
-    d.brain = Brain::unpack(&packed, settings(), 5).expect("unpacked");
-    assert!(d.brain.knows(MessageId(1)) && d.brain.knows(MessageId(2)) && !d.brain.knows(MessageId(3)));
+    assert!(Scheduler::unpack(&packed, other, 5).is_err(), "made for other tenants");
+    assert!(Scheduler::unpack(&packed[..packed.len() / 2], settings(), 5).is_err());
+    d.scheduler = Scheduler::unpack(&packed, settings(), 5).expect("unpacked");
+    assert!(
+        d.scheduler.knows(MessageId(1))
+            && d.scheduler.knows(MessageId(2))
+            && !d.scheduler.knows(MessageId(3))
+    );
     let mut actions = d.feed(&[Event::Woken { token: 0 }]);
     actions.extend(d.pass(MS * 1900));
     assert!(sends(&actions).is_empty(), "neither the one that is out, nor into the wait");
     d.feed(&[ended(1, 1, Outcome::Delivered, 50)]);
-    assert!(!d.brain.knows(MessageId(1)));
+    assert!(!d.scheduler.knows(MessageId(1)));
     assert_eq!(sends(&d.pass(MS * 1000)), [(2, 0)]);
 }
 
--- a/tests/state_form.rs
+++ b/tests/state_form.rs
@@ -6,8 +6,8 @@
 mod golden;
 
 use common::*;
-use lanegate_courier::brain::Brain;
 use lanegate_courier::interface::*;
+use lanegate_courier::scheduler::Scheduler;
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::time::Duration;
@@ -68,10 +68,10 @@
 fn a_state_from_before_the_split_is_taken_on_and_decides_alike() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let before = std::fs::read(root.join(STATE)).expect("the fixture");
-    let now = rush().0.brain.pack().expect("packed");
+    let now = rush().0.scheduler.pack().expect("packed");
     let go_on = |bytes: &[u8]| {
         let (mut drive, mut ends) = rush();
-        drive.brain = Brain::unpack(bytes, settings(), 3).expect("a state that can be read");
+        drive.scheduler = Scheduler::unpack(bytes, settings(), 3).expect("a state that can be read");
         play(&mut drive, &mut ends, 120, 240)
     };
     let from_now = go_on(&now);
@@ -83,8 +83,8 @@
 
 #[test]
 fn a_state_is_packed_as_before() {
-    let packed = rush().0.brain.pack().expect("packed");
-    let again = Brain::unpack(&packed, settings(), 3).expect("a state that can be read");
+    let packed = rush().0.scheduler.pack().expect("packed");
+    let again = Scheduler::unpack(&packed, settings(), 3).expect("a state that can be read");
     let again = again.pack().expect("packed");
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(PACKED);
     golden::compare(&file, &[("rush", packed), ("taken-on", again)]);
