--- a/crates/coordination/src/membership/detector.rs
+++ b/crates/coordination/src/membership/detector.rs
@@ -79,7 +79,7 @@
 
     /// Replaces the known nodes. This process belongs to them in any case; the state of peers that stay is retained.
     pub fn set_nodes(&mut self, now: Duration, nodes: &[SocketAddr]) {
-        self.detect_local_pause(now);
+        self.detect_suspension(now);
         let this = self.this.address();
         self.nodes = nodes.to_vec();
         self.nodes.push(this);
@@ -95,7 +95,7 @@
 
     /// Processes a heartbeat. One from a node that is not monitored is ignored.
     pub fn on_heartbeat(&mut self, now: Duration, heartbeat: &Heartbeat) -> Vec<Output> {
-        self.detect_local_pause(now);
+        self.detect_suspension(now);
         let address = heartbeat.sender.address();
         let Some(peer) = self.peers.get_mut(&address) else { return Vec::new() };
         let Some(effect) = peer.on_heartbeat(now, heartbeat) else { return Vec::new() };
@@ -112,7 +112,7 @@
     /// Sends heartbeats that are due and updates the state of each peer. To be called at
     /// [`FailureDetector::next_wake`].
     pub fn on_tick(&mut self, now: Duration) -> Vec<Output> {
-        self.detect_local_pause(now);
+        self.detect_suspension(now);
         let mut outputs = self.due_heartbeats(now);
         for (address, peer) in &mut self.peers {
             if let Some(state) = peer.on_tick(now, &self.settings) {
@@ -156,10 +156,10 @@
     }
 
     /// If this process itself was suspended, missing heartbeats say nothing about the peers: their timeouts restart.
-    fn detect_local_pause(&mut self, now: Duration) {
-        let paused = now.saturating_sub(self.last_call) > self.settings.local_pause_threshold;
+    fn detect_suspension(&mut self, now: Duration) {
+        let was_suspended = now.saturating_sub(self.last_call) > self.settings.suspension_threshold;
         self.last_call = self.last_call.max(now);
-        if !paused {
+        if !was_suspended {
             return;
         }
         for peer in self.peers.values_mut() {
--- a/crates/coordination/src/membership/settings.rs
+++ b/crates/coordination/src/membership/settings.rs
@@ -18,7 +18,7 @@
     /// Further idle time, in timeouts, after which a suspected peer is dead.
     pub dead_after_timeouts: u32,
     /// Time without any call after which this process assumes that it was itself suspended.
-    pub local_pause_threshold: Duration,
+    pub suspension_threshold: Duration,
 }
 
 /// Heartbeats missed in a row before a peer with regular heartbeats is suspected.
@@ -38,7 +38,7 @@
             max_timeout: heartbeat_interval * MAX_MISSED_HEARTBEATS,
             deviation_factor: DEVIATION_FACTOR,
             dead_after_timeouts: 2,
-            local_pause_threshold: heartbeat_interval * 2,
+            suspension_threshold: heartbeat_interval * 2,
         }
     }
 }
--- a/crates/coordination/src/simulation/history.rs
+++ b/crates/coordination/src/simulation/history.rs
@@ -47,10 +47,10 @@
 
     pub(super) fn record_answer(&mut self, request: u64, outcome: Outcome) -> Result<(), Violation> {
         let index = usize::try_from(request).map_err(|_| Violation::UnexpectedAnswer(request))?;
-        let asked = self.requests.get_mut(index).filter(|asked| asked.outcome.is_none());
-        let asked = asked.ok_or(Violation::UnexpectedAnswer(request))?;
-        asked.outcome = Some(outcome.clone());
-        let (command, newest_answered) = (asked.command, asked.newest_answered);
+        let entry = self.requests.get_mut(index).filter(|entry| entry.outcome.is_none());
+        let entry = entry.ok_or(Violation::UnexpectedAnswer(request))?;
+        entry.outcome = Some(outcome.clone());
+        let (command, newest_answered) = (entry.command, entry.newest_answered);
         match outcome {
             Outcome::Changed { revision, .. } | Outcome::Unchanged { revision, .. } => {
                 if let Some(command) = command {
@@ -139,6 +139,6 @@
 
 fn check_applied_once(state: &[u8]) -> Result<(), Violation> {
     let mut seen = BTreeSet::new();
-    let doubled = entries(state).into_iter().find(|entry| !seen.insert(*entry));
-    doubled.map_or(Ok(()), |entry| Err(Violation::AppliedTwice(entry)))
+    let duplicate = entries(state).into_iter().find(|entry| !seen.insert(*entry));
+    duplicate.map_or(Ok(()), |entry| Err(Violation::AppliedTwice(entry)))
 }
--- a/crates/coordination/src/simulation/scenario.rs
+++ b/crates/coordination/src/simulation/scenario.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Scenario {
     /// Number of bootstrap members.
-    pub founders: usize,
+    pub bootstrap_members: usize,
     /// Number of machines that may join later.
     pub spares: usize,
     /// Seed of all random choices during the run.
@@ -33,7 +33,7 @@
 
 impl fmt::Display for Scenario {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(formatter, "founders {} spares {} seed {}", self.founders, self.spares, self.seed)?;
+        writeln!(formatter, "founders {} spares {} seed {}", self.bootstrap_members, self.spares, self.seed)?;
         self.steps.iter().try_for_each(|step| writeln!(formatter, "{step}"))
     }
 }
@@ -59,12 +59,12 @@
 
 fn parse_header(line: &str) -> Option<Scenario> {
     let words: Vec<&str> = line.split_whitespace().collect();
-    let ["founders", founders, "spares", spares, "seed", seed] = *words.as_slice() else {
+    let ["founders", bootstrap_members, "spares", spares, "seed", seed] = *words.as_slice() else {
         return None;
     };
     let steps = Vec::new();
     Some(Scenario {
-        founders: founders.parse().ok()?,
+        bootstrap_members: bootstrap_members.parse().ok()?,
         spares: spares.parse().ok()?,
         seed: seed.parse().ok()?,
         steps,
--- a/crates/coordination/src/simulation/schedule.rs
+++ b/crates/coordination/src/simulation/schedule.rs
@@ -67,23 +67,23 @@
 pub fn random_scenario(seed: u64) -> Scenario {
     let mut random = SmallRng::seed_from_u64(seed);
     let mix = FaultMix::of(seed);
-    let founders = if mix != FaultMix::Any || random.random_bool(0.6) { 3 } else { 5 };
+    let bootstrap_members = if mix != FaultMix::Any || random.random_bool(0.6) { 3 } else { 5 };
     let fewest_spares = usize::from(matches!(mix, FaultMix::Members | FaultMix::SecondLoss));
     let spares = random.random_range(fewest_spares..=2);
-    let count = founders + spares;
+    let count = bootstrap_members + spares;
     let participants = Participants { mix, count, favourite: random.random_range(0..count) };
     let mut steps = vec![Step::Wait(FIRST_DELAY)];
     while steps.len() < STEPS {
         match mix {
-            FaultMix::Any => add_steps(&mut steps, &mut random, founders, count),
+            FaultMix::Any => add_steps(&mut steps, &mut random, bootstrap_members, count),
             _ => add_round(&mut steps, &mut random, &participants),
         }
     }
     steps.push(Step::Quiesce);
-    Scenario { founders, spares, seed, steps }
+    Scenario { bootstrap_members, spares, seed, steps }
 }
 
-fn add_steps(steps: &mut Vec<Step>, random: &mut SmallRng, founders: usize, count: usize) {
+fn add_steps(steps: &mut Vec<Step>, random: &mut SmallRng, bootstrap_members: usize, count: usize) {
     let at = random.random_range(0..count);
     match random.random_range(0..100) {
         0..45 => add_request(steps, random, at),
@@ -91,21 +91,21 @@
         70..86 => add_process_fault(steps, random, at),
         86..94 => add_network_fault(steps, random, at, count),
         94..98 => add_disk_fault(steps, random, at),
-        _ => add_membership_change(steps, random, founders, count),
+        _ => add_membership_change(steps, random, bootstrap_members, count),
     }
 }
 
 /// A round of few kinds of steps close together, so that their orders are tried more thoroughly: what one side
 /// of a parted network does, something that is easily lost on the way, and what the other side then sees.
 fn add_round(steps: &mut Vec<Step>, random: &mut SmallRng, participants: &Participants) {
-    let asked = if random.random_bool(FAVOURITE_PROBABILITY) {
+    let proposer = if random.random_bool(FAVOURITE_PROBABILITY) {
         participants.favourite
     } else {
         random.random_range(0..participants.count)
     };
     let any = |random: &mut SmallRng| random.random_range(0..participants.count);
     let mut round =
-        vec![partition(random, participants.count), Step::Append(asked), Step::Wait(short_delay(random))];
+        vec![partition(random, participants.count), Step::Append(proposer), Step::Wait(short_delay(random))];
     add_focus(&mut round, random, participants);
     round.extend([
         Step::Wait(short_delay(random)),
@@ -122,7 +122,7 @@
     match participants.mix {
         FaultMix::Any => {}
         FaultMix::Wipes => {
-            steps.extend([Step::Wipe(at), partition(random, participants.count), Step::Start(at)])
+            steps.extend([Step::WipeDisk(at), partition(random, participants.count), Step::Start(at)])
         }
         FaultMix::Restarts => {
             // A proposer that starts again proposes again, while what it sent before may still be on its way.
@@ -147,7 +147,7 @@
             });
             steps.extend([
                 Step::Wait(short_delay(random)),
-                Step::Wipe(lost),
+                Step::WipeDisk(lost),
                 Step::Wait(short_delay(random)),
             ]);
             steps.push(if random.random_bool(0.5) { Step::Start(lost) } else { Step::Retire(lost) });
@@ -187,11 +187,11 @@
         2..4 => steps.push(Step::Thaw(at)),
         4..6 => steps.push(Step::Start(at)),
         6 => steps.extend([Step::Kill(at), Step::Wait(random_delay(random)), Step::Start(at)]),
-        7 => steps.extend([Step::Power(at), Step::Wait(random_delay(random)), Step::Start(at)]),
+        7 => steps.extend([Step::LosePower(at), Step::Wait(random_delay(random)), Step::Start(at)]),
         8 => steps.push(Step::Kill(at)),
-        9 => steps.push(Step::Power(at)),
-        10 => steps.extend([Step::Wipe(at), Step::Start(at)]),
-        _ => steps.extend([Step::Wipe(at), Step::Wait(random_delay(random)), Step::Start(at)]),
+        9 => steps.push(Step::LosePower(at)),
+        10 => steps.extend([Step::WipeDisk(at), Step::Start(at)]),
+        _ => steps.extend([Step::WipeDisk(at), Step::Wait(random_delay(random)), Step::Start(at)]),
     }
 }
 
@@ -199,8 +199,8 @@
     let other = random.random_range(0..count);
     match random.random_range(0..10) {
         0..3 => steps.push(Step::Heal),
-        3 => steps.push(Step::Cut(at, other)),
-        4 => steps.extend([Step::Cut(at, other), Step::Cut(other, at)]),
+        3 => steps.push(Step::BlockLink(at, other)),
+        4 => steps.extend([Step::BlockLink(at, other), Step::BlockLink(other, at)]),
         5 => steps.push(Step::Isolate(at)),
         6 => steps.push(partition(random, count)),
         7 => steps.push(Step::Loss(random.random_range(0..30))),
@@ -211,19 +211,24 @@
 
 fn add_disk_fault(steps: &mut Vec<Step>, random: &mut SmallRng, at: MachineIndex) {
     steps.push(match random.random_range(0..6) {
-        0 => Step::Stall(at),
-        1 => Step::Full(at),
-        2 => Step::Slow(at, random_delay(random)),
-        _ => Step::Work(at),
+        0 => Step::StallDisk(at),
+        1 => Step::FillDisk(at),
+        2 => Step::SlowDisk(at, random_delay(random)),
+        _ => Step::RepairDisk(at),
     });
 }
 
-fn add_membership_change(steps: &mut Vec<Step>, random: &mut SmallRng, founders: usize, count: usize) {
+fn add_membership_change(
+    steps: &mut Vec<Step>,
+    random: &mut SmallRng,
+    bootstrap_members: usize,
+    count: usize,
+) {
     let (old, via) = (random.random_range(0..count), random.random_range(0..count));
-    if founders == count || random.random_range(0..5) == 0 {
+    if bootstrap_members == count || random.random_range(0..5) == 0 {
         return steps.push(Step::Leave { old, via });
     }
-    let new = random.random_range(founders..count);
+    let new = random.random_range(bootstrap_members..count);
     match random.random_range(0..4) {
         0 => steps.push(Step::Grow { new, via }),
         1 => steps.extend([Step::Retire(old), Step::Replace { old, new, via }]),
--- a/crates/coordination/src/simulation/step/mod.rs
+++ b/crates/coordination/src/simulation/step/mod.rs
@@ -109,9 +109,9 @@
     /// The process is killed.
     Kill(MachineIndex),
     /// The machine loses power.
-    Power(MachineIndex),
+    LosePower(MachineIndex),
     /// The machine loses its disk.
-    Wipe(MachineIndex),
+    WipeDisk(MachineIndex),
     /// The machine is lost for good.
     Retire(MachineIndex),
     /// The process starts.
@@ -121,7 +121,7 @@
     /// The machine resumes.
     Thaw(MachineIndex),
     /// Messages from one machine to another are lost.
-    Cut(MachineIndex, MachineIndex),
+    BlockLink(MachineIndex, MachineIndex),
     /// All messages from and to a machine are lost.
     Isolate(MachineIndex),
     /// A partition: the machines of a set and the others no longer reach each other.
@@ -135,13 +135,13 @@
     /// Messages take up to this many milliseconds.
     Delay(u64),
     /// A write takes up to this many milliseconds.
-    Slow(MachineIndex, u64),
+    SlowDisk(MachineIndex, u64),
     /// Writes do not complete.
-    Stall(MachineIndex),
+    StallDisk(MachineIndex),
     /// The disk refuses writes.
-    Full(MachineIndex),
+    FillDisk(MachineIndex),
     /// The disk works again.
-    Work(MachineIndex),
+    RepairDisk(MachineIndex),
     /// All faults end and all processes start; all machines that are left must then serve.
     Quiesce,
     /// Something is expected of a machine.
--- a/crates/coordination/src/simulation/world/mod.rs
+++ b/crates/coordination/src/simulation/world/mod.rs
@@ -41,7 +41,7 @@
     random: SmallRng,
     events: EventQueue,
     machines: Vec<Machine>,
-    founders: usize,
+    bootstrap_members: usize,
     network: Network,
     history: History,
     /// Membership changes that were requested.
@@ -72,7 +72,7 @@
 
     fn play_steps(&mut self, scenario: &Scenario) -> Result<(), Violation> {
         for index in 0..self.machines.len() {
-            self.start(index, index < scenario.founders)?;
+            self.start(index, index < scenario.bootstrap_members)?;
         }
         for (index, step) in scenario.steps.iter().enumerate() {
             self.step(index + 1, *step)?;
@@ -81,13 +81,13 @@
     }
 
     fn new(scenario: &Scenario, fault: Option<Fault>) -> Self {
-        let count = scenario.founders + scenario.spares;
+        let count = scenario.bootstrap_members + scenario.spares;
         Self {
             now: Duration::ZERO,
             random: SmallRng::seed_from_u64(scenario.seed),
             events: EventQueue::default(),
             machines: (0..count).map(Machine::new).collect(),
-            founders: scenario.founders,
+            bootstrap_members: scenario.bootstrap_members,
             network: Network::new(),
             history: History::default(),
             changes: Vec::new(),
--- a/crates/coordination/src/simulation/world/steps.rs
+++ b/crates/coordination/src/simulation/world/steps.rs
@@ -40,7 +40,7 @@
             Step::Wait(time) => self.run(Duration::from_millis(time)),
             Step::Start(at) => self.start(at, false),
             Step::Thaw(at) => self.thaw(at),
-            Step::Work(at) => self.repair_disk(at),
+            Step::RepairDisk(at) => self.repair_disk(at),
             Step::Quiesce => self.quiesce(),
             Step::Expect(at, expected) => self.expect(number, at, expected),
             _ => {
@@ -54,14 +54,14 @@
     fn apply_fault(&mut self, step: Step) {
         match step {
             Step::Kill(at) => self.machines[at].kill(&mut self.random),
-            Step::Power(at) => self.machines[at].lose_power(&mut self.random),
-            Step::Wipe(at) if self.can_lose_disk(at) => self.machines[at].lose_disk(&mut self.random),
+            Step::LosePower(at) => self.machines[at].lose_power(&mut self.random),
+            Step::WipeDisk(at) if self.can_lose_disk(at) => self.machines[at].lose_disk(&mut self.random),
             Step::Retire(at) if self.can_lose_disk(at) => {
                 self.machines[at].lose_disk(&mut self.random);
                 self.machines[at].retired = true;
             }
             Step::Freeze(at) => self.machines[at].frozen = self.machines[at].replica.is_some(),
-            Step::Cut(from, to) => self.network.block_link(from, to),
+            Step::BlockLink(from, to) => self.network.block_link(from, to),
             Step::Isolate(at) => {
                 for other in 0..self.machines.len() {
                     self.network.block_link(at, other);
@@ -73,9 +73,9 @@
             Step::Loss(percent) => self.network.loss_percent = percent,
             Step::Duplicate(percent) => self.network.duplicate_percent = percent,
             Step::Delay(time) => self.network.longest_delay = Duration::from_millis(time),
-            Step::Slow(at, time) => self.machines[at].disk.longest_write = Duration::from_millis(time),
-            Step::Stall(at) => self.machines[at].disk.stalled = true,
-            Step::Full(at) => self.machines[at].disk.directory.rejects_writes = true,
+            Step::SlowDisk(at, time) => self.machines[at].disk.longest_write = Duration::from_millis(time),
+            Step::StallDisk(at) => self.machines[at].disk.stalled = true,
+            Step::FillDisk(at) => self.machines[at].disk.directory.rejects_writes = true,
             _ => {}
         }
     }
@@ -92,7 +92,7 @@
 
     /// Starts a process; peers that run are told that it is reachable.
     pub(super) fn start(&mut self, at: MachineIndex, bootstrap: bool) -> Result<(), Violation> {
-        let seeds = (0..self.founders).map(node_of).collect();
+        let seeds = (0..self.bootstrap_members).map(node_of).collect();
         let settings = Settings { bootstrap, fault: self.fault, ..Settings::new(node_of(at), seeds) };
         let nonce = self.random.random();
         self.machines[at].start(settings, self.now, nonce)?;
--- a/crates/coordination/tests/cluster/member.rs
+++ b/crates/coordination/tests/cluster/member.rs
@@ -18,7 +18,7 @@
     /// Members of one side reach each other.
     pub side: u8,
     /// The newest revision learned in this life.
-    pub learned: Option<u64>,
+    pub newest_committed: Option<u64>,
     pub traffic: Traffic,
     pub written: u64,
 }
--- a/crates/coordination/tests/cluster/mod.rs
+++ b/crates/coordination/tests/cluster/mod.rs
@@ -50,42 +50,42 @@
 pub(crate) struct Cluster {
     pub now: Duration,
     members: Vec<Member>,
-    founders: usize,
+    bootstrap_members: usize,
     queue: VecDeque<Envelope>,
     machine: MachineMaker,
     fault: Option<Fault>,
     starts: u64,
     requests: u64,
     answers: BTreeMap<u64, Outcome>,
-    decided: BTreeMap<u64, Bytes>,
+    committed: BTreeMap<u64, Bytes>,
 }
 
 impl Cluster {
-    /// Members of which the first `founders` make the group.
-    pub(crate) fn new(founders: usize, spares: usize, machine: MachineMaker) -> Self {
-        Self::with_fault(founders, spares, machine, None)
+    /// Members of which the first `bootstrap_members` make the group.
+    pub(crate) fn new(bootstrap_members: usize, spares: usize, machine: MachineMaker) -> Self {
+        Self::with_fault(bootstrap_members, spares, machine, None)
     }
 
     /// As [`Cluster::new`], with a deliberate mistake.
     pub(crate) fn with_fault(
-        founders: usize,
+        bootstrap_members: usize,
         spares: usize,
         machine: MachineMaker,
         fault: Option<Fault>,
     ) -> Self {
         let mut cluster = Self {
             now: Duration::ZERO,
-            members: (0..founders + spares).map(|_| Member::default()).collect(),
-            founders,
+            members: (0..bootstrap_members + spares).map(|_| Member::default()).collect(),
+            bootstrap_members,
             queue: VecDeque::new(),
             machine,
             fault,
             starts: 0,
             requests: 0,
             answers: BTreeMap::new(),
-            decided: BTreeMap::new(),
+            committed: BTreeMap::new(),
         };
-        (0..founders + spares).for_each(|at| cluster.start(at));
+        (0..bootstrap_members + spares).for_each(|at| cluster.start(at));
         cluster.run(Duration::from_secs(1));
         cluster
     }
@@ -94,9 +94,9 @@
     pub(crate) fn start(&mut self, at: usize) {
         let first = self.starts < self.members.len() as u64;
         self.starts += 1;
-        let seeds = (0..self.founders).map(node).collect();
+        let seeds = (0..self.bootstrap_members).map(node).collect();
         let settings = Settings {
-            bootstrap: first && at < self.founders,
+            bootstrap: first && at < self.bootstrap_members,
             fault: self.fault,
             seed: at as u64,
             ..Settings::new(node(at), seeds)
@@ -104,7 +104,7 @@
         let stored = self.members[at].stored();
         self.members[at].replica =
             Some(Replica::new(settings, (self.machine)(), stored, self.now, self.starts));
-        self.members[at].learned = None;
+        self.members[at].newest_committed = None;
         self.flush(at);
         self.connect(at);
     }
@@ -151,7 +151,7 @@
     }
 
     /// Cuts the members of a set off from all others.
-    pub(crate) fn part(&mut self, set: &[usize]) {
+    pub(crate) fn partition(&mut self, set: &[usize]) {
         for at in 0..self.members.len() {
             self.members[at].side = u8::from(set.contains(&at));
         }
@@ -160,13 +160,13 @@
     /// All cuts end; links that were cut come up anew.
     pub(crate) fn heal(&mut self) {
         let apart: Vec<usize> = (0..self.members.len()).filter(|at| self.members[*at].side == 1).collect();
-        self.part(&[]);
+        self.partition(&[]);
         apart.into_iter().for_each(|at| self.connect(at));
     }
 
     /// All cuts end, and nobody notices.
     pub(crate) fn heal_silently(&mut self) {
-        self.part(&[]);
+        self.partition(&[]);
     }
 
     fn reach(&self, from: usize, to: usize) -> bool {
@@ -213,18 +213,21 @@
     }
 
     /// The newest revision that a member has learned in this life.
-    pub(crate) fn learned(&self, at: usize) -> Option<u64> {
-        self.members[at].learned
+    pub(crate) fn newest_committed(&self, at: usize) -> Option<u64> {
+        self.members[at].newest_committed
     }
 
     /// The newest revision that anyone has learned.
     pub(crate) fn newest(&self) -> u64 {
-        self.decided.last_key_value().map_or(0, |(revision, _)| *revision)
+        self.committed.last_key_value().map_or(0, |(revision, _)| *revision)
     }
 
     /// The state of the newest revision that a member has learned.
     pub(crate) fn state(&self, at: usize) -> Bytes {
-        self.members[at].learned.and_then(|revision| self.decided.get(&revision).cloned()).unwrap_or_default()
+        self.members[at]
+            .newest_committed
+            .and_then(|revision| self.committed.get(&revision).cloned())
+            .unwrap_or_default()
     }
 
     pub(crate) fn status(&self, at: usize) -> Option<Status> {
@@ -256,7 +259,7 @@
     /// Lets time pass until a member has learned the newest revision; tells how long, at most `longest`.
     pub(crate) fn time_to_catch_up(&mut self, at: usize, longest: Duration) -> Option<Duration> {
         let start = self.now;
-        while self.learned(at) != Some(self.newest()) {
+        while self.newest_committed(at) != Some(self.newest()) {
             if !self.advance(start + longest) {
                 return None;
             }
@@ -325,7 +328,7 @@
                 Output::Done { request, outcome } => {
                     self.answers.insert(request, outcome);
                 }
-                Output::Committed { value } => self.learn(at, value.revision, value.state),
+                Output::Committed { value } => self.record_committed(at, value.revision, value.state),
             }
         }
     }
@@ -337,10 +340,10 @@
         }
     }
 
-    fn learn(&mut self, at: usize, revision: u64, state: Bytes) {
-        let before = self.members[at].learned.replace(revision);
-        assert!(before < Some(revision), "member {at} learned revision {revision} after {before:?}");
-        let known = self.decided.entry(revision).or_insert_with(|| state.clone());
+    fn record_committed(&mut self, at: usize, revision: u64, state: Bytes) {
+        let before = self.members[at].newest_committed.replace(revision);
+        assert!(before < Some(revision), "member {at} newest_committed revision {revision} after {before:?}");
+        let known = self.committed.entry(revision).or_insert_with(|| state.clone());
         assert!(*known == state, "revision {revision} has two values");
     }
 }
--- a/crates/coordination/tests/feed.rs
+++ b/crates/coordination/tests/feed.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_reader_within_the_journal_tails_it() {
+fn a_subscriber_within_the_journal_resumes_from_its_offset() {
     let journal = journal();
     let start = journal.start(Position { source: 7, offset: 3 });
     assert_eq!(start, Start::Tail { from: 3 });
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn a_reader_that_has_everything_needs_nothing() {
+fn a_subscriber_at_the_end_needs_no_changes() {
     let journal = journal();
     assert_eq!(journal.start(journal.end()), Start::Tail { from: 5 });
     assert_eq!(journal.tail(5).count(), 0);
 }
 
 #[test]
-fn a_reader_of_another_life_behind_or_ahead_starts_with_a_snapshot() {
+fn a_subscriber_of_another_incarnation_or_outside_the_journal_gets_a_snapshot() {
     let journal = journal();
     for position in [(6, 3), (7, 1), (7, 6), (0, 0)] {
         let position = Position { source: position.0, offset: position.1 };
--- a/crates/coordination/tests/lease_digests.rs
+++ b/crates/coordination/tests/lease_digests.rs
@@ -6,7 +6,7 @@
 
 use lanegate_coordination::lease::Output;
 use lease_world::schedule::random_schedule;
-use lease_world::{Chance, World};
+use lease_world::{TestRandom, World};
 use support::digest::{Digest, check};
 
 /// Schedules of which the digest is committed.
@@ -17,9 +17,9 @@
 
 /// As many processes as the seed says, each with a clock of its own rate.
 fn clock_rates(seed: u64) -> Vec<i64> {
-    let mut chance = Chance::new(seed ^ 0xc10c);
+    let mut random = TestRandom::new(seed ^ 0xc10c);
     let count = [1, 3, 5][(seed % 3) as usize];
-    (0..count).map(|_| chance.below(2 * DRIFT_PPM as u64 + 1) as i64 - DRIFT_PPM).collect()
+    (0..count).map(|_| random.below(2 * DRIFT_PPM as u64 + 1) as i64 - DRIFT_PPM).collect()
 }
 
 fn add_output(digest: &mut Digest, output: &Output) {
@@ -55,11 +55,11 @@
         digest.number(observation.process as u64);
         add_output(&mut digest, &observation.output);
     }
-    for act in &world.acts {
-        digest.time(act.arrival);
-        digest.bytes(act.holder.address().to_string().as_bytes());
-        digest.number(act.holder.incarnation);
-        digest.number(act.epoch);
+    for action in &world.actions {
+        digest.time(action.arrival);
+        digest.bytes(action.holder.address().to_string().as_bytes());
+        digest.number(action.holder.incarnation);
+        digest.number(action.epoch);
     }
     digest.value()
 }
--- a/crates/coordination/tests/lease_model.rs
+++ b/crates/coordination/tests/lease_model.rs
@@ -19,21 +19,21 @@
 /// A holder acts at the tick of its round and at the next.
 const VALIDITY: Duration = Duration::from_millis(101);
 /// Just below two ticks, so that what a grantor adds for drift costs no further tick.
-const QUIET: Duration = Duration::from_millis(198);
+const QUIET_PERIOD: Duration = Duration::from_millis(198);
 const QUIET_TICKS: u32 = 2;
 /// How far the schedules go.
 const HORIZON_TICKS: u32 = 4;
 /// Rounds that a schedule holds of each process: one holder with a renewal, one candidate that waits for its end.
-const MOST_ROUNDS: [u8; MEMBERS as usize] = [1, 1, 0];
+const MAX_ROUNDS: [u8; MEMBERS as usize] = [1, 1, 0];
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Parcel {
+enum Delivery {
     Message { from: u8, to: u8, bytes: Vec<u8> },
     Epoch { to: u8, incarnation: u64, tenure: Tenure, epoch: u64 },
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Act {
+struct LastAction {
     tick: u32,
     holder: NodeId,
     epoch: u64,
@@ -47,9 +47,9 @@
     links: &'static [(u8, u8)],
     incarnations: Vec<u64>,
     rounds: Vec<u8>,
-    network: BTreeSet<Arc<Parcel>>,
+    network: BTreeSet<Arc<Delivery>>,
     register: u64,
-    last_act: Option<Act>,
+    last_action: Option<LastAction>,
     changed: bool,
     handed_over: bool,
     violated: bool,
@@ -60,7 +60,7 @@
     Tick,
     Wake(u8),
     Act(u8),
-    Deliver(Arc<Parcel>),
+    Deliver(Arc<Delivery>),
     /// Is no candidate any more.
     Retire(u8),
     Restart(u8),
@@ -100,10 +100,10 @@
     fn may_wake(&self, index: u8) -> bool {
         let place = usize::from(index);
         let due = self.nodes[place].next_wake().is_some_and(|wake| wake <= self.now());
-        due && self.rounds[place] < MOST_ROUNDS[place]
+        due && self.rounds[place] < MAX_ROUNDS[place]
     }
 
-    fn current_epoch(&self, index: u8) -> bool {
+    fn may_act(&self, index: u8) -> bool {
         self.nodes[usize::from(index)].current_epoch(self.now(), SHARD, Duration::ZERO).is_some()
     }
 
@@ -114,30 +114,30 @@
                     let bytes = message.encode().expect("an encodable message");
                     let to = index_of(to);
                     if self.links.contains(&(from.min(to), from.max(to))) {
-                        self.network.insert(Arc::new(Parcel::Message { from, to, bytes }));
+                        self.network.insert(Arc::new(Delivery::Message { from, to, bytes }));
                     }
                 }
                 Output::AcquireEpoch { tenure, .. } => {
                     self.register += 1;
                     let incarnation = self.incarnations[usize::from(from)];
                     let epoch = self.register;
-                    self.network.insert(Arc::new(Parcel::Epoch { to: from, incarnation, tenure, epoch }));
+                    self.network.insert(Arc::new(Delivery::Epoch { to: from, incarnation, tenure, epoch }));
                 }
                 Output::Began { .. } | Output::Ended { .. } => {}
             }
         }
     }
 
-    fn deliver(&mut self, parcel: &Parcel) {
+    fn deliver(&mut self, delivery: &Delivery) {
         let now = self.now();
-        match parcel {
-            Parcel::Message { from, to, bytes } => {
+        match delivery {
+            Delivery::Message { from, to, bytes } => {
                 let message = LeaseMessage::decode(bytes).expect("the message that was encoded");
                 let from = address(*from).into();
                 let outputs = self.node(*to).on_message(now, from, &message);
                 self.send(*to, outputs);
             }
-            Parcel::Epoch { to, incarnation, tenure, epoch } => {
+            Delivery::Epoch { to, incarnation, tenure, epoch } => {
                 if self.incarnations[usize::from(*to)] == *incarnation {
                     let outputs = self.node(*to).epoch_acquired(now, SHARD, *tenure, *epoch);
                     self.send(*to, outputs);
@@ -150,15 +150,15 @@
     fn act(&mut self, index: u8) {
         let now = self.now();
         let Some(epoch) = self.node(index).authorize(now, SHARD, Duration::ZERO) else { return };
-        let act = Act { tick: self.tick, holder: self.id(index), epoch };
-        if let Some(last) = &self.last_act {
+        let act = LastAction { tick: self.tick, holder: self.id(index), epoch };
+        if let Some(last) = &self.last_action {
             let other = last.holder != act.holder;
             let early = other && act.tick - last.tick < QUIET_TICKS;
             let shared = other && act.epoch <= last.epoch;
             self.violated |= early || shared || act.epoch < last.epoch;
             self.handed_over |= other;
         }
-        self.last_act = Some(act);
+        self.last_action = Some(act);
     }
 }
 
@@ -166,7 +166,7 @@
     fn new(links: &'static [(u8, u8)], changes: &'static [Action]) -> Self {
         let settings = LeaseSettings {
             validity: VALIDITY,
-            quiet_period: QUIET,
+            quiet_period: QUIET_PERIOD,
             round_interval: TICK / 2,
             margin: Duration::ZERO,
             clock_drift_ppm: 0,
@@ -206,7 +206,7 @@
             rounds: vec![0; usize::from(MEMBERS)],
             network: BTreeSet::new(),
             register: 0,
-            last_act: None,
+            last_action: None,
             changed: false,
             handed_over: false,
             violated: false,
@@ -222,7 +222,7 @@
         actions.push(Action::Tick);
         for index in 0..MEMBERS {
             actions.extend(state.may_wake(index).then_some(Action::Wake(index)));
-            actions.extend(state.current_epoch(index).then_some(Action::Act(index)));
+            actions.extend(state.may_act(index).then_some(Action::Act(index)));
         }
         actions.extend(state.network.iter().cloned().map(Action::Deliver));
         if !state.changed {
@@ -241,7 +241,7 @@
                 state.send(index, outputs);
             }
             Action::Act(index) => state.act(index),
-            Action::Deliver(parcel) => state.deliver(&parcel),
+            Action::Deliver(delivery) => state.deliver(&delivery),
             Action::Retire(index) => {
                 state.changed = true;
                 let outputs = state.node(index).set_candidate(now, SHARD, false);
--- a/crates/coordination/tests/lease_parts.rs
+++ b/crates/coordination/tests/lease_parts.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 const SHARD: u32 = 3;
-const WIRE: Duration = Duration::from_millis(20);
+const DELIVERY_TIME: Duration = Duration::from_millis(20);
 
 fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_renewal_prolongs_the_wait_of_others() {
+fn a_renewal_extends_the_wait_of_other_candidates() {
     let mut grantor = grantor();
     assert!(grants(&mut grantor, 100, &request(1, 1, 0)));
     assert!(grants(&mut grantor, 400, &request(1, 2, 0)));
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn late_and_doubled_requests_have_no_answer() {
+fn late_and_duplicate_requests_get_no_reply() {
     let mut grantor = grantor();
     assert!(grants(&mut grantor, 100, &request(1, 2, 0)));
     assert_eq!(grantor.on_request(at(200), &request(1, 2, 0)), None);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_release_leaves_what_is_left_of_the_quiet_period() {
+fn a_release_leaves_the_rest_of_the_quiet_period() {
     let mut grantor = grantor();
     assert!(grants(&mut grantor, 100, &request(1, 1, 0)));
     grantor.on_release(at(200), &release(1, 1, 1_000));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_restarted_grantor_grants_nothing_until_forgotten_grants_ran_out() {
+fn a_restarted_grantor_grants_nothing_until_earlier_grants_have_expired() {
     let mut grantor = LeaseGrantor::new(settings(), GrantorStart::Restarted, at(0));
     assert!(!grants(&mut grantor, 4_080, &request(1, 1, 0)));
     assert!(grants(&mut grantor, 4_082, &request(1, 2, 0)));
@@ -147,32 +147,32 @@
 }
 
 #[test]
-fn a_holder_acts_until_its_validity_less_the_margin_has_passed_since_it_asked() {
+fn a_holder_acts_until_validity_less_margin_after_its_request() {
     let mut holder = acting();
-    assert_eq!(holder.authorize(at(1_879), WIRE), Some(10));
-    assert_eq!(holder.authorize(at(1_880), WIRE), None);
-    assert_eq!(holder.authorize(at(60_000), WIRE), None);
+    assert_eq!(holder.authorize(at(1_879), DELIVERY_TIME), Some(10));
+    assert_eq!(holder.authorize(at(1_880), DELIVERY_TIME), None);
+    assert_eq!(holder.authorize(at(60_000), DELIVERY_TIME), None);
 }
 
 #[test]
-fn a_late_answer_prolongs_from_the_time_of_the_request() {
+fn a_late_reply_extends_the_lease_from_the_time_of_the_request() {
     let mut holder = acting();
     assert_eq!(holder.on_tick(at(1_334)).len(), 3);
     answer(&mut holder, 1_850, 1, 2, true);
     answer(&mut holder, 1_850, 2, 2, true);
-    assert_eq!(holder.current_epoch(at(2_213), WIRE), Some(10));
-    assert_eq!(holder.current_epoch(at(2_214), WIRE), None);
+    assert_eq!(holder.current_epoch(at(2_213), DELIVERY_TIME), Some(10));
+    assert_eq!(holder.current_epoch(at(2_214), DELIVERY_TIME), None);
 }
 
 #[test]
-fn one_grantor_that_answers_twice_is_no_majority() {
+fn two_replies_of_one_grantor_count_once() {
     let mut holder = candidate();
     assert_eq!(answer(&mut holder, 1_010, 2, 1, true), vec![]);
     assert_eq!(answer(&mut holder, 1_020, 2, 1, true), vec![]);
 }
 
 #[test]
-fn a_stranger_is_no_part_of_a_majority() {
+fn a_grant_of_a_non_member_does_not_count() {
     let mut holder = candidate();
     assert_eq!(answer(&mut holder, 1_010, 2, 1, true), vec![]);
     assert_eq!(answer(&mut holder, 1_020, 9, 1, true), vec![]);
@@ -183,11 +183,11 @@
     let mut holder = candidate();
     answer(&mut holder, 1_010, 1, 1, true);
     answer(&mut holder, 1_010, 2, 1, true);
-    assert_eq!(holder.authorize(at(1_020), WIRE), None);
+    assert_eq!(holder.authorize(at(1_020), DELIVERY_TIME), None);
 }
 
 #[test]
-fn the_epoch_of_a_tenure_that_is_over_is_dropped() {
+fn the_epoch_of_an_ended_tenure_is_dropped() {
     let mut holder = candidate();
     answer(&mut holder, 1_010, 1, 1, true);
     answer(&mut holder, 1_010, 2, 1, true);
@@ -196,11 +196,11 @@
     let tenure = Tenure(2);
     assert_eq!(answer(&mut holder, 2_010, 2, 2, true), vec![HolderOutput::AcquireEpoch { tenure }]);
     assert_eq!(holder.epoch_acquired(at(2_020), Tenure(1), 10), vec![]);
-    assert_eq!(holder.current_epoch(at(2_030), WIRE), None);
+    assert_eq!(holder.current_epoch(at(2_030), DELIVERY_TIME), None);
 }
 
 #[test]
-fn an_epoch_that_does_not_rise_is_asked_for_again() {
+fn an_epoch_that_is_not_higher_is_acquired_again() {
     let mut holder = acting();
     holder.on_tick(at(2_000));
     answer(&mut holder, 2_010, 1, 2, true);
@@ -208,11 +208,11 @@
     let tenure = Tenure(2);
     let again = HolderOutput::AcquireEpoch { tenure };
     assert_eq!(holder.epoch_acquired(at(2_020), tenure, 10), vec![again]);
-    assert_eq!(holder.current_epoch(at(2_030), WIRE), None);
+    assert_eq!(holder.current_epoch(at(2_030), DELIVERY_TIME), None);
 }
 
 #[test]
-fn an_epoch_that_the_register_did_not_give_is_asked_for_again_while_the_tenure_lasts() {
+fn an_unavailable_epoch_is_acquired_again_during_the_tenure() {
     let mut holder = candidate();
     answer(&mut holder, 1_010, 1, 1, true);
     let tenure = Tenure(1);
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_lost_round_gives_its_grants_back() {
+fn a_lost_round_releases_its_grants() {
     let mut holder = candidate();
     answer(&mut holder, 1_010, 1, 1, true);
     answer(&mut holder, 1_010, 2, 1, false);
@@ -237,9 +237,9 @@
 }
 
 #[test]
-fn a_release_waits_until_the_last_act_has_arrived() {
+fn a_release_waits_for_the_arrival_of_the_last_action() {
     let mut holder = acting();
-    holder.authorize(at(1_100), WIRE);
+    holder.authorize(at(1_100), DELIVERY_TIME);
     assert_eq!(holder.set_candidate(at(1_110), false), vec![HolderOutput::Ended { tenure: Tenure(1) }]);
     assert_eq!(holder.next_wake(), Some(at(1_120)));
     let outputs = holder.on_tick(at(1_150));
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn a_process_that_is_no_candidate_takes_no_grants() {
+fn a_process_that_is_not_a_candidate_ignores_grants() {
     let mut holder = candidate();
     holder.set_candidate(at(1_005), false);
     assert_eq!(answer(&mut holder, 1_010, 1, 1, true), vec![]);
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn a_changed_group_needs_both_majorities_until_old_grants_ran_out() {
+fn a_changed_group_needs_both_majorities_until_old_grants_have_expired() {
     let mut holder = LeaseHolder::new(settings(), SHARD, node(2));
     holder.set_group(at(1_000), 1, &members(&[1, 2, 3]));
     holder.set_group(at(1_000), 2, &members(&[2, 4, 5]));
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn messages_survive_the_wire_and_nothing_else_is_taken_for_one() {
+fn messages_round_trip_and_other_bytes_are_rejected() {
     let reply = LeaseReply { shard: SHARD, candidate: node(1), round: 9, granted: true, wait_ms: 0 };
     let messages = [
         LeaseMessage::Request(request(1, 9, 4)),
--- a/crates/coordination/tests/lease_properties.rs
+++ b/crates/coordination/tests/lease_properties.rs
@@ -31,7 +31,7 @@
         let world = random_schedule(seed, &rates);
         prop_assert_eq!(world.violation(), None);
         let now = world.now;
-        let recent = world.acts.last().is_some_and(|act| now.saturating_sub(act.arrival) < Duration::from_millis(100));
+        let recent = world.actions.last().is_some_and(|action| now.saturating_sub(action.arrival) < Duration::from_millis(100));
         prop_assert!(recent, "no holder in calm");
         prop_assert_eq!(world.last_holder(), Some(world.id(0)));
     }
--- a/crates/coordination/tests/lease_with_membership.rs
+++ b/crates/coordination/tests/lease_with_membership.rs
@@ -4,7 +4,7 @@
 mod lease_world;
 
 use lanegate_coordination::membership::{FailureDetector, MembershipSettings, Output};
-use lease_world::{QUIET, World};
+use lease_world::{QUIET_PERIOD, World};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -59,16 +59,16 @@
     }
 
     fn choose_candidate(&mut self, index: usize, address: SocketAddr) {
-        let wanted = self.detectors[index].first_live(KEY) == address;
-        if wanted != self.candidates[index] {
-            self.candidates[index] = wanted;
-            self.world.want(index, wanted);
+        let is_candidate = self.detectors[index].first_live(KEY) == address;
+        if is_candidate != self.candidates[index] {
+            self.candidates[index] = is_candidate;
+            self.world.set_candidate(index, is_candidate);
         }
     }
 
     fn restart(&mut self, index: usize) {
         self.candidates[index] = false;
-        self.world.want(index, false);
+        self.world.set_candidate(index, false);
         self.world.restart(index);
         self.detectors[index] = detector(&self.world, index);
     }
@@ -81,8 +81,10 @@
 
     /// Time from `failure` to the first act of another life than the one that acted before it.
     fn takeover(&self, failure: Duration) -> Duration {
-        let before = self.world.acts.iter().rfind(|act| act.arrival <= failure).expect("a holder").holder;
-        let next = self.world.acts.iter().find(|act| act.arrival > failure && act.holder != before);
+        let before =
+            self.world.actions.iter().rfind(|action| action.arrival <= failure).expect("a holder").holder;
+        let next =
+            self.world.actions.iter().find(|action| action.arrival > failure && action.holder != before);
         next.expect("a new holder").arrival - failure
     }
 }
@@ -95,7 +97,7 @@
 }
 
 #[test]
-fn a_crash_is_followed_within_four_and_a_half_seconds_whenever_it_comes() {
+fn a_crashed_holder_is_replaced_within_four_and_a_half_seconds_at_any_time() {
     for phase in 0..7 {
         let mut cluster = Cluster::new(3);
         cluster.run_for(Duration::from_millis(phase * 50));
@@ -104,14 +106,14 @@
         cluster.world.crash(holder);
         cluster.run_for(Duration::from_secs(10));
         let takeover = cluster.takeover(failure);
-        assert!(takeover >= QUIET, "{takeover:?}");
+        assert!(takeover >= QUIET_PERIOD, "{takeover:?}");
         assert!(takeover < Duration::from_millis(4_500), "{takeover:?}");
         assert_eq!(cluster.world.violation(), None);
     }
 }
 
 #[test]
-fn a_holder_that_restarts_at_once_holds_again() {
+fn a_holder_that_restarts_immediately_gets_the_lease_again() {
     let mut cluster = Cluster::new(3);
     let holder = cluster.holder();
     let failure = cluster.world.now;
@@ -125,7 +127,7 @@
 }
 
 #[test]
-fn a_frozen_holder_is_followed_and_takes_the_lease_back_after_its_thaw() {
+fn a_suspended_holder_is_replaced_and_gets_the_lease_back_after_it_resumes() {
     let mut cluster = Cluster::new(3);
     let holder = cluster.holder();
     cluster.world.freeze(holder);
@@ -138,7 +140,7 @@
 }
 
 #[test]
-fn freezes_of_others_leave_the_holder_alone() {
+fn suspended_candidates_do_not_affect_the_holder() {
     let mut cluster = Cluster::new(5);
     let holder = cluster.holder();
     let others: Vec<usize> = (0..5).filter(|index| *index != holder).take(2).collect();
@@ -150,5 +152,5 @@
         cluster.world.thaw(*index);
     }
     cluster.run_for(Duration::from_secs(10));
-    assert!(cluster.world.acts.iter().all(|act| act.epoch == 1));
+    assert!(cluster.world.actions.iter().all(|action| action.epoch == 1));
 }
--- a/crates/coordination/tests/lease_world/mod.rs
+++ b/crates/coordination/tests/lease_world/mod.rs
@@ -12,19 +12,19 @@
 /// Resolution of the simulated time.
 pub(crate) const STEP: Duration = Duration::from_millis(5);
 /// Time that an act may take on the wire.
-pub(crate) const WIRE: Duration = Duration::from_millis(40);
+pub(crate) const DELIVERY_TIME: Duration = Duration::from_millis(40);
 /// The quiet period of these tests.
-pub(crate) const QUIET: Duration = Duration::from_secs(3);
+pub(crate) const QUIET_PERIOD: Duration = Duration::from_secs(3);
 /// True time at which every world starts; clocks of processes must be able to lag behind it.
 const START: Duration = Duration::from_secs(100);
 const MILLION: i64 = 1_000_000;
 
 /// Small generator of chance, so that a schedule is a function of its seed.
-pub(crate) struct Chance(u64);
+pub(crate) struct TestRandom(u64);
 
-impl Chance {
+impl TestRandom {
     pub(crate) fn new(seed: u64) -> Self {
-        Chance(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
+        TestRandom(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1)
     }
 
     pub(crate) fn below(&mut self, bound: u64) -> u64 {
@@ -41,7 +41,7 @@
 
 /// An act as its endpoint saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Act {
+pub(crate) struct Action {
     pub arrival: Duration,
     pub holder: NodeId,
     pub epoch: u64,
@@ -55,17 +55,17 @@
     /// One in so many messages is lost; 0 for none.
     pub lost_one_in: u64,
     /// One in so many messages comes twice; 0 for none.
-    pub doubled_one_in: u64,
+    pub duplicated_one_in: u64,
 }
 
-pub(crate) const CALM: Network = Network {
+pub(crate) const HEALTHY_NETWORK: Network = Network {
     shortest_delay: Duration::from_millis(1),
     longest_delay: Duration::from_millis(6),
     lost_one_in: 0,
-    doubled_one_in: 0,
+    duplicated_one_in: 0,
 };
 
-enum Parcel {
+enum Delivery {
     Message { from: SocketAddr, message: LeaseMessage },
     Epoch { incarnation: u64, tenure: Tenure, epoch: u64 },
 }
@@ -73,7 +73,7 @@
 struct InFlight {
     due: Duration,
     to: usize,
-    parcel: Parcel,
+    delivery: Delivery,
 }
 
 struct Process {
@@ -82,7 +82,7 @@
     rate_ppm: i64,
     up: bool,
     frozen: bool,
-    wanted: bool,
+    is_candidate: bool,
     node: LeaseNode,
 }
 
@@ -96,7 +96,7 @@
 pub(crate) struct World {
     pub now: Duration,
     pub network: Network,
-    pub acts: Vec<Act>,
+    pub actions: Vec<Action>,
     settings: LeaseSettings,
     processes: Vec<Process>,
     side: Vec<bool>,
@@ -104,7 +104,7 @@
     /// All that the processes put out.
     pub observations: Vec<Observation>,
     register: u64,
-    chance: Chance,
+    random: TestRandom,
 }
 
 fn address(index: usize) -> SocketAddrV4 {
@@ -114,22 +114,22 @@
 impl World {
     /// A first start of as many processes as there are clock rates (ppm from true time).
     pub(crate) fn new(seed: u64, rates_ppm: &[i64]) -> Self {
-        World::with_settings(seed, rates_ppm, LeaseSettings::for_quiet_period(QUIET))
+        World::with_settings(seed, rates_ppm, LeaseSettings::for_quiet_period(QUIET_PERIOD))
     }
 
     pub(crate) fn with_settings(seed: u64, rates_ppm: &[i64], settings: LeaseSettings) -> Self {
         settings.check().expect("settings that fit together");
         let mut world = World {
             now: START,
-            network: CALM,
-            acts: Vec::new(),
+            network: HEALTHY_NETWORK,
+            actions: Vec::new(),
             settings,
             processes: Vec::new(),
             side: vec![false; rates_ppm.len()],
             in_flight: Vec::new(),
             observations: Vec::new(),
             register: 0,
-            chance: Chance::new(seed),
+            random: TestRandom::new(seed),
         };
         for (index, rate_ppm) in rates_ppm.iter().enumerate() {
             let node = world.start(index, 1, *rate_ppm, GrantorStart::First);
@@ -140,7 +140,7 @@
                 rate_ppm: *rate_ppm,
                 up: true,
                 frozen: false,
-                wanted: false,
+                is_candidate: false,
                 node,
             });
         }
@@ -167,10 +167,10 @@
         node
     }
 
-    pub(crate) fn want(&mut self, index: usize, wanted: bool) {
-        self.processes[index].wanted = wanted;
+    pub(crate) fn set_candidate(&mut self, index: usize, is_candidate: bool) {
+        self.processes[index].is_candidate = is_candidate;
         if self.runs(index) {
-            self.apply_wanted(index);
+            self.apply_candidate(index);
         }
     }
 
@@ -182,7 +182,7 @@
     pub(crate) fn thaw(&mut self, index: usize) {
         self.processes[index].frozen = false;
         self.act(index);
-        self.apply_wanted(index);
+        self.apply_candidate(index);
     }
 
     pub(crate) fn crash(&mut self, index: usize) {
@@ -197,11 +197,11 @@
         process.node = node;
         process.up = true;
         process.frozen = false;
-        self.apply_wanted(index);
+        self.apply_candidate(index);
     }
 
     /// Moves a process to one side of a cut; messages pass within a side only.
-    pub(crate) fn set_side(&mut self, index: usize, side: bool) {
+    pub(crate) fn set_partition_side(&mut self, index: usize, side: bool) {
         self.side[index] = side;
     }
 
@@ -231,7 +231,7 @@
     pub(crate) fn step(&mut self) {
         self.now += STEP;
         for index in 0..self.processes.len() {
-            if self.chance.one_in(2) {
+            if self.random.one_in(2) {
                 self.act(index);
             }
         }
@@ -244,20 +244,20 @@
 
     /// The one that acted last.
     pub(crate) fn last_holder(&self) -> Option<NodeId> {
-        self.acts.last().map(|act| act.holder)
+        self.actions.last().map(|action| action.holder)
     }
 
-    pub(crate) fn acts_of(&self, holder: NodeId) -> Vec<Act> {
-        self.acts.iter().copied().filter(|act| act.holder == holder).collect()
+    pub(crate) fn actions_of(&self, holder: NodeId) -> Vec<Action> {
+        self.actions.iter().copied().filter(|action| action.holder == holder).collect()
     }
 
     /// Whether two holders acted within the quiet period, or an epoch did not rise from holder to holder.
-    pub(crate) fn violation(&self) -> Option<(Act, Act)> {
-        let mut acts = self.acts.clone();
-        acts.sort_by_key(|act| act.arrival);
-        acts.windows(2).map(|pair| (pair[0], pair[1])).find(|(one, next)| {
+    pub(crate) fn violation(&self) -> Option<(Action, Action)> {
+        let mut actions = self.actions.clone();
+        actions.sort_by_key(|action| action.arrival);
+        actions.windows(2).map(|pair| (pair[0], pair[1])).find(|(one, next)| {
             let other = one.holder != next.holder;
-            let early = other && next.arrival - one.arrival < QUIET;
+            let early = other && next.arrival - one.arrival < QUIET_PERIOD;
             let shared = other && next.epoch <= one.epoch;
             early || shared || next.epoch < one.epoch
         })
@@ -267,10 +267,10 @@
         local_time(self.now, self.processes[index].rate_ppm)
     }
 
-    fn apply_wanted(&mut self, index: usize) {
+    fn apply_candidate(&mut self, index: usize) {
         let now = self.local(index);
-        let wanted = self.processes[index].wanted;
-        let outputs = self.processes[index].node.set_candidate(now, SHARD, wanted);
+        let is_candidate = self.processes[index].is_candidate;
+        let outputs = self.processes[index].node.set_candidate(now, SHARD, is_candidate);
         self.send(index, outputs);
     }
 
@@ -288,36 +288,36 @@
             return;
         }
         let now = self.local(index);
-        let Some(epoch) = self.processes[index].node.authorize(now, SHARD, WIRE) else { return };
-        let delay = Duration::from_millis(self.chance.below(WIRE.as_millis() as u64 - 1));
-        let act = Act { arrival: self.now + delay, holder: self.id(index), epoch };
-        self.acts.push(act);
+        let Some(epoch) = self.processes[index].node.authorize(now, SHARD, DELIVERY_TIME) else { return };
+        let delay = Duration::from_millis(self.random.below(DELIVERY_TIME.as_millis() as u64 - 1));
+        let action = Action { arrival: self.now + delay, holder: self.id(index), epoch };
+        self.actions.push(action);
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let mut due: Vec<_> = self.in_flight.extract_if(.., |parcel| parcel.due <= now).collect();
-        due.sort_by_key(|parcel| parcel.due);
-        for parcel in due {
-            self.deliver_one(parcel);
+        let mut due: Vec<_> = self.in_flight.extract_if(.., |delivery| delivery.due <= now).collect();
+        due.sort_by_key(|delivery| delivery.due);
+        for delivery in due {
+            self.deliver_one(delivery);
         }
     }
 
-    fn deliver_one(&mut self, parcel: InFlight) {
-        let index = parcel.to;
+    fn deliver_one(&mut self, delivery: InFlight) {
+        let index = delivery.to;
         if !self.processes[index].up {
             return;
         }
         if self.processes[index].frozen {
-            self.in_flight.push(parcel);
+            self.in_flight.push(delivery);
             return;
         }
         let now = self.local(index);
         let process = &mut self.processes[index];
-        let outputs = match parcel.parcel {
-            Parcel::Message { from, message } => process.node.on_message(now, from, &message),
-            Parcel::Epoch { incarnation, .. } if incarnation != process.incarnation => return,
-            Parcel::Epoch { tenure, epoch, .. } => process.node.epoch_acquired(now, SHARD, tenure, epoch),
+        let outputs = match delivery.delivery {
+            Delivery::Message { from, message } => process.node.on_message(now, from, &message),
+            Delivery::Epoch { incarnation, .. } if incarnation != process.incarnation => return,
+            Delivery::Epoch { tenure, epoch, .. } => process.node.epoch_acquired(now, SHARD, tenure, epoch),
         };
         self.send(index, outputs);
     }
@@ -337,9 +337,9 @@
     fn acquire_epoch(&mut self, index: usize, tenure: Tenure) {
         self.register += 1;
         let incarnation = self.processes[index].incarnation;
-        let parcel = Parcel::Epoch { incarnation, tenure, epoch: self.register };
+        let delivery = Delivery::Epoch { incarnation, tenure, epoch: self.register };
         let due = self.now + self.delay();
-        self.in_flight.push(InFlight { due, to: index, parcel });
+        self.in_flight.push(InFlight { due, to: index, delivery });
     }
 
     fn send_message(&mut self, from: usize, to: SocketAddr, message: LeaseMessage) {
@@ -347,21 +347,22 @@
         let message = LeaseMessage::decode(&bytes).expect("the message that was encoded");
         let to = self.processes.iter().position(|process| SocketAddr::from(process.address) == to);
         let to = to.expect("a known process");
-        let lost = self.network.lost_one_in > 0 && self.chance.one_in(self.network.lost_one_in);
-        if lost || self.side[from] != self.side[to] {
+        let is_lost = self.network.lost_one_in > 0 && self.random.one_in(self.network.lost_one_in);
+        if is_lost || self.side[from] != self.side[to] {
             return;
         }
-        let doubled = self.network.doubled_one_in > 0 && self.chance.one_in(self.network.doubled_one_in);
-        for _ in 0..=usize::from(doubled) {
+        let is_duplicated =
+            self.network.duplicated_one_in > 0 && self.random.one_in(self.network.duplicated_one_in);
+        for _ in 0..=usize::from(is_duplicated) {
             let due = self.now + self.delay();
-            let parcel = Parcel::Message { from: self.processes[from].address.into(), message };
-            self.in_flight.push(InFlight { due, to, parcel });
+            let delivery = Delivery::Message { from: self.processes[from].address.into(), message };
+            self.in_flight.push(InFlight { due, to, delivery });
         }
     }
 
     fn delay(&mut self) -> Duration {
         let span = self.network.longest_delay - self.network.shortest_delay;
-        let extra = self.chance.below(span.as_millis() as u64 + 1);
+        let extra = self.random.below(span.as_millis() as u64 + 1);
         self.network.shortest_delay + Duration::from_millis(extra)
     }
 }
--- a/crates/coordination/tests/lease_world/schedule.rs
+++ b/crates/coordination/tests/lease_world/schedule.rs
@@ -1,34 +1,34 @@
 //! Random schedules of troubles that end in calm.
 
-use super::{CALM, Chance, Network, QUIET, World};
+use super::{HEALTHY_NETWORK, Network, QUIET_PERIOD, TestRandom, World};
 use lanegate_coordination::lease::LeaseSettings;
 use std::time::Duration;
 
-fn disturb(world: &mut World, chance: &mut Chance, members: usize) {
-    let index = chance.below(members as u64) as usize;
-    match chance.below(8) {
-        0 => world.want(index, true),
-        1 => world.want(index, false),
+fn inject_fault(world: &mut World, random: &mut TestRandom, members: usize) {
+    let index = random.below(members as u64) as usize;
+    match random.below(8) {
+        0 => world.set_candidate(index, true),
+        1 => world.set_candidate(index, false),
         2 if world.is_up(index) => world.freeze(index),
         3 if world.is_up(index) && world.is_frozen(index) => world.thaw(index),
         4 => world.crash(index),
         5 => world.restart(index),
-        6 => world.set_side(index, chance.one_in(2)),
+        6 => world.set_partition_side(index, random.one_in(2)),
         _ => world.heal(),
     }
 }
 
-fn network(chance: &mut Chance) -> Network {
+fn network(random: &mut TestRandom) -> Network {
     Network {
         shortest_delay: Duration::ZERO,
-        longest_delay: Duration::from_millis(1 + chance.below(1_500)),
-        lost_one_in: chance.below(6),
-        doubled_one_in: chance.below(4),
+        longest_delay: Duration::from_millis(1 + random.below(1_500)),
+        lost_one_in: random.below(6),
+        duplicated_one_in: random.below(4),
     }
 }
 
-fn calm_down(world: &mut World, members: usize) {
-    world.network = CALM;
+fn end_faults(world: &mut World, members: usize) {
+    world.network = HEALTHY_NETWORK;
     world.heal();
     for index in 0..members {
         if !world.is_up(index) {
@@ -36,27 +36,27 @@
         } else if world.is_frozen(index) {
             world.thaw(index);
         }
-        world.want(index, index == 0);
+        world.set_candidate(index, index == 0);
     }
     world.run_for(Duration::from_secs(12));
 }
 
 /// Settings without a margin, so that nothing but the rules themselves keeps holders apart.
 fn tight_settings() -> LeaseSettings {
-    LeaseSettings { margin: Duration::ZERO, ..LeaseSettings::for_quiet_period(QUIET) }
+    LeaseSettings { margin: Duration::ZERO, ..LeaseSettings::for_quiet_period(QUIET_PERIOD) }
 }
 
 /// Plays the schedule of `seed` on processes with these clock rates (ppm from true time).
 pub(crate) fn random_schedule(seed: u64, rates: &[i64]) -> World {
-    let mut chance = Chance::new(seed);
+    let mut random = TestRandom::new(seed);
     let mut world = World::with_settings(seed ^ 1, rates, tight_settings());
     for _ in 0..80 {
-        disturb(&mut world, &mut chance, rates.len());
-        if chance.one_in(5) {
-            world.network = network(&mut chance);
+        inject_fault(&mut world, &mut random, rates.len());
+        if random.one_in(5) {
+            world.network = network(&mut random);
         }
-        world.run_for(Duration::from_millis(chance.below(900)));
+        world.run_for(Duration::from_millis(random.below(900)));
     }
-    calm_down(&mut world, rates.len());
+    end_faults(&mut world, rates.len());
     world
 }
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -32,18 +32,18 @@
     Heartbeat { sender: NodeId::new(address(index), incarnation), sequence }
 }
 
-/// Wakes the membership every 100 ms and lets the peers `heard` send every 300 ms, up to `end`.
+/// Wakes the membership every 100 ms and lets the peers `live_peers` send every 300 ms, up to `end`.
 fn run(
     membership: &mut FailureDetector,
     from: u64,
     end: u64,
-    heard: &[u16],
+    live_peers: &[u16],
 ) -> Vec<(u64, SocketAddr, PeerState)> {
     let mut changes = Vec::new();
     for now in (from..end).step_by(100) {
         let mut outputs = membership.on_tick(at(now));
         if now % 300 == 0 {
-            let beats = heard.iter().map(|index| heartbeat(*index, 1, now / 300 + 1));
+            let beats = live_peers.iter().map(|index| heartbeat(*index, 1, now / 300 + 1));
             outputs
                 .extend(beats.flat_map(|beat| membership.on_heartbeat(at(now), &beat)).collect::<Vec<_>>());
         }
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn an_order_does_not_depend_on_how_the_nodes_are_listed() {
+fn rendezvous_order_does_not_depend_on_the_order_of_the_list() {
     let mut listed = nodes(20);
     let order = rendezvous_order(b"shard-3", &listed);
     listed.reverse();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn an_order_keeps_the_others_in_place_when_a_node_goes() {
+fn removing_a_node_does_not_reorder_the_others() {
     let listed = nodes(20);
     let order = rendezvous_order(b"shard-3", &listed);
     let fewer: Vec<_> = listed.into_iter().filter(|node| *node != order[4]).collect();
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn every_one_of_four_hundred_nodes_has_its_monitors() {
+fn each_of_four_hundred_nodes_has_its_monitors() {
     let listed = nodes(400);
     let mut monitors = vec![0; listed.len()];
     let mut heaviest = 0;
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_small_set_of_nodes_monitors_itself_whole() {
+fn in_a_small_set_every_node_monitors_every_other() {
     let listed = nodes(3);
     for node in &listed {
         assert_eq!(monitored_peers(*node, &listed, 7).len(), 2);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_silent_peer_is_suspected_and_then_dead() {
+fn a_peer_without_heartbeats_is_suspected_and_then_dead() {
     let mut membership = member(3);
     run(&mut membership, 0, 6_000, &[1, 2]);
     let changes = run(&mut membership, 6_000, 10_000, &[2]);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_peer_that_is_heard_again_is_live_again() {
+fn a_peer_is_live_again_with_its_next_heartbeat() {
     let mut membership = member(3);
     run(&mut membership, 0, 6_000, &[1, 2]);
     run(&mut membership, 6_000, 12_000, &[2]);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_process_that_was_frozen_itself_suspects_nobody() {
+fn a_suspended_process_suspects_no_peer_when_it_resumes() {
     let mut membership = member(3);
     run(&mut membership, 0, 6_000, &[1, 2]);
     let changes = run(&mut membership, 60_000, 60_300, &[]);
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_peer_that_died_during_the_own_freeze_is_noticed_after_the_grace() {
+fn a_peer_that_died_while_this_process_was_suspended_is_noticed_later() {
     let mut membership = member(3);
     run(&mut membership, 0, 6_000, &[1, 2]);
     let changes = run(&mut membership, 60_000, 64_000, &[2]);
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_new_life_is_told_and_the_old_one_is_not_heard_again() {
+fn a_new_incarnation_is_reported_and_heartbeats_of_the_old_one_are_ignored() {
     let mut membership = member(2);
     let peer = address(1).into();
     membership.on_heartbeat(at(100), &heartbeat(1, 5, 9));
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn late_and_doubled_heartbeats_do_not_prolong_a_life() {
+fn late_and_duplicate_heartbeats_do_not_keep_a_peer_live() {
     let mut membership = member(2);
     membership.on_heartbeat(at(100), &heartbeat(1, 5, 9));
     let mut changes = Vec::new();
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn heartbeats_go_to_the_monitors_and_the_next_wake_is_theirs() {
+fn heartbeats_go_to_the_monitors_and_set_the_next_wake() {
     let mut membership = member(3);
     let outputs = membership.on_tick(at(0));
     let targets: Vec<_> = outputs
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_heartbeat_survives_the_wire_and_nothing_else_is_taken_for_one() {
+fn a_heartbeat_round_trips_and_other_bytes_are_rejected() {
     let sent = heartbeat(3, 77, 12);
     let bytes = sent.encode().expect("an encodable heartbeat");
     assert_eq!(Heartbeat::decode(&bytes).expect("a heartbeat"), sent);
--- a/crates/coordination/tests/modelled_register/mod.rs
+++ b/crates/coordination/tests/modelled_register/mod.rs
@@ -45,15 +45,15 @@
 
 /// What a founder suffers that proposes nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Trouble {
+pub(crate) enum FaultStep {
     Wipe(usize),
     Restart(usize),
 }
 
-impl Trouble {
+impl FaultStep {
     fn victim(self) -> usize {
         match self {
-            Trouble::Wipe(victim) | Trouble::Restart(victim) => victim,
+            FaultStep::Wipe(victim) | FaultStep::Restart(victim) => victim,
         }
     }
 }
@@ -73,7 +73,7 @@
         let (request, deadline) = (proposer as u64, Duration::MAX);
         let members = |add| Input::ChangeMembers { request, remove: vec![node(A)], add, deadline };
         match self {
-            Change::Command => Input::Propose { request, command: vec![letter(proposer)], deadline },
+            Change::Command => Input::Propose { request, command: vec![command_of(proposer)], deadline },
             Change::Leave => members(Vec::new()),
             Change::Replace => members(vec![node(D)]),
         }
@@ -81,7 +81,7 @@
 }
 
 /// The command of a proposer.
-fn letter(proposer: usize) -> u8 {
+fn command_of(proposer: usize) -> u8 {
     b'a' + proposer as u8
 }
 
@@ -89,7 +89,7 @@
 pub(crate) enum Action {
     Deliver(Envelope),
     Propose(usize),
-    Trouble,
+    FaultStep,
 }
 
 #[derive(Clone)]
@@ -101,7 +101,7 @@
     /// Proposers of changes that were acknowledged, and the revisions they were told.
     acknowledged: BTreeMap<usize, u64>,
     /// Troubles so far.
-    troubles: usize,
+    faults: usize,
     values: BTreeMap<u64, Vec<u8>>,
     /// Members of the newest decided value.
     members: Vec<Node>,
@@ -119,7 +119,7 @@
         for replica in &self.replicas {
             replica.hash(hasher);
         }
-        (&self.network, &self.proposed, &self.acknowledged, self.troubles).hash(hasher);
+        (&self.network, &self.proposed, &self.acknowledged, self.faults).hash(hasher);
         (&self.values, &self.members, self.broken).hash(hasher);
     }
 }
@@ -171,9 +171,9 @@
     /// Reads, refusals and news of decisions are left out: they change no vote.
     fn send(&mut self, from: usize, to: usize, message: &Message) {
         let reads = matches!(message, Message::ReadQuery { .. } | Message::ReadReply { .. });
-        let news = matches!(message, Message::PollCommitted { .. } | Message::Committed { .. });
-        let left_out = reads || news || matches!(message, Message::Rejected { .. });
-        if !left_out {
+        let is_announcement = matches!(message, Message::PollCommitted { .. } | Message::Committed { .. });
+        let is_omitted = reads || is_announcement || matches!(message, Message::Rejected { .. });
+        if !is_omitted {
             self.network.insert(Envelope { from, to, bytes: message.encode().unwrap() });
         }
     }
@@ -199,7 +199,7 @@
 pub(crate) struct Register {
     pub change: Change,
     /// One after the other, each at any time.
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<FaultStep>,
     pub fault: Option<Fault>,
 }
 
@@ -222,7 +222,7 @@
             network: BTreeSet::new(),
             proposed: Vec::new(),
             acknowledged: BTreeMap::new(),
-            troubles: 0,
+            faults: 0,
             values: BTreeMap::new(),
             members: founders(),
             broken: false,
@@ -239,8 +239,8 @@
         actions.extend(state.network.iter().cloned().map(Action::Deliver));
         let idle = PROPOSERS.into_iter().filter(|index| !state.proposed.contains(index));
         actions.extend(idle.map(Action::Propose));
-        if state.troubles < self.troubles.len() {
-            actions.push(Action::Trouble);
+        if state.faults < self.faults.len() {
+            actions.push(Action::FaultStep);
         }
     }
 
@@ -264,13 +264,14 @@
                 state.input(index, change.input(index));
                 Some(state)
             }
-            Action::Trouble => {
-                let trouble = self.troubles[state.troubles];
-                state.troubles += 1;
-                let victim = trouble.victim();
-                let stored = state.disks[victim].take().filter(|_| matches!(trouble, Trouble::Restart(_)));
+            Action::FaultStep => {
+                let fault_step = self.faults[state.faults];
+                state.faults += 1;
+                let victim = fault_step.victim();
+                let stored =
+                    state.disks[victim].take().filter(|_| matches!(fault_step, FaultStep::Restart(_)));
                 state.disks[victim].clone_from(&stored);
-                let nonce = 1 + state.troubles as u64;
+                let nonce = 1 + state.faults as u64;
                 state.replicas[victim] = Arc::new(self.replica(victim, false, stored, nonce));
                 state.flush(victim);
                 Some(state)
@@ -285,7 +286,10 @@
                 state.acknowledged.iter().all(|(proposer, revision)| {
                     let is_command = *proposer != PROPOSERS[0] || model.change == Change::Command;
                     !is_command
-                        || state.values.get(revision).is_some_and(|v| v.last() == Some(&letter(*proposer)))
+                        || state
+                            .values
+                            .get(revision)
+                            .is_some_and(|v| v.last() == Some(&command_of(*proposer)))
                 })
             }),
             Property::sometimes("both changes are acknowledged", |_, state: &State| {
--- a/crates/coordination/tests/register_catch_up.rs
+++ b/crates/coordination/tests/register_catch_up.rs
@@ -18,16 +18,16 @@
 /// Changes before the member goes; with these the value has reached its full size.
 const CHANGES_BEFORE: u64 = 1_100;
 /// Longest time from the return of a member until it knows the newest value, while everybody else is well.
-const LONGEST_CATCH_UP: Duration = Duration::from_millis(100);
+const MAX_CATCH_UP: Duration = Duration::from_millis(100);
 /// A replica asks one other for news after at most so long; a change that reaches it is sooner.
-const LONGEST_UNTIL_NEWS: Duration = Duration::from_secs(3);
+const MAX_POLL_DELAY: Duration = Duration::from_secs(3);
 /// The same for a replica that is no member, which no change reaches.
-const LONGEST_UNTIL_NEWS_FOR_SPARES: Duration = Duration::from_millis(800);
+const MAX_POLL_DELAY_OF_SPARES: Duration = Duration::from_millis(800);
 /// Values that a member takes in at most when it returns: from each of the two others an answer to its question
 /// when the link comes up, to its own read at the start and to the caller's; and one to what it hears last.
-const MOST_VALUES: f64 = 7.1;
+const MAX_VALUES: f64 = 7.1;
 /// The same for what is sent to it while it stands still: the change that was under way.
-const MOST_VALUES_WHILE_FROZEN: f64 = 1.0;
+const MAX_VALUES_WHILE_FROZEN: f64 = 1.0;
 /// The largest message without a value, in bytes.
 const SMALL_MESSAGE_BYTES: u64 = 100;
 
@@ -36,7 +36,7 @@
     Killed,
     Wiped,
     Frozen,
-    Cut,
+    Partitioned,
     DiskFull,
 }
 
@@ -46,7 +46,7 @@
             Self::Killed => cluster.kill(AWAY),
             Self::Wiped => cluster.wipe(AWAY),
             Self::Frozen => cluster.freeze(AWAY),
-            Self::Cut => cluster.part(&[AWAY]),
+            Self::Partitioned => cluster.partition(&[AWAY]),
             Self::DiskFull => cluster.fill_disk(AWAY),
         }
     }
@@ -55,7 +55,7 @@
         match self {
             Self::Killed | Self::Wiped => cluster.start(AWAY),
             Self::Frozen => cluster.thaw(AWAY),
-            Self::Cut => cluster.heal(),
+            Self::Partitioned => cluster.heal(),
             Self::DiskFull => cluster.clear_disk(AWAY),
         }
     }
@@ -67,14 +67,14 @@
 
 /// Makes `count` changes on top of version `base`, spread over `time`.
 fn make_changes(cluster: &mut Cluster, base: u64, count: u64, time: Duration) {
-    let pause = time / u32::try_from(count).expect("a small number");
+    let interval = time / u32::try_from(count).expect("a small number");
     let mut requests = Vec::new();
     for base in base..base + count {
         let next = base + 1;
         let change = route(next as usize % ROUTES, next);
         let body = format!(r#"{{"Version":{next},"Upsert":{{"Routes":[{change}]}}}}"#);
         requests.push(cluster.propose(PROPOSER, patch(base, body).encode()));
-        cluster.run(pause);
+        cluster.run(interval);
     }
     for request in requests {
         let answer = outcome(cluster.answer(request));
@@ -111,7 +111,7 @@
     absence.end(&mut cluster);
     let newest = cluster.newest();
     let read = cluster.read(AWAY);
-    let time = cluster.time_to_catch_up(AWAY, LONGEST_UNTIL_NEWS).expect("it catches up");
+    let time = cluster.time_to_catch_up(AWAY, MAX_POLL_DELAY).expect("it catches up");
     check_read(cluster.answer(read), newest);
     cluster.run(Duration::from_millis(500));
     let after = cluster.take_traffic(AWAY);
@@ -134,33 +134,33 @@
     for (changes, seconds) in [(1_000, 1), (1_000, 10), (1_000, 60), (10, 10)] {
         let caught_up = come_back(absence, changes, Duration::from_secs(seconds), None);
         println!("{absence:?}, {changes} changes in {seconds} s: {caught_up:?}");
-        assert!(caught_up.time <= LONGEST_CATCH_UP, "{caught_up:?}");
-        assert!(caught_up.after <= MOST_VALUES, "{caught_up:?}");
+        assert!(caught_up.time <= MAX_CATCH_UP, "{caught_up:?}");
+        assert!(caught_up.after <= MAX_VALUES, "{caught_up:?}");
         // One whose disk is full is not away: it votes no more, but learns every change.
         if absence != Absence::DiskFull {
-            assert!(caught_up.while_away <= MOST_VALUES_WHILE_FROZEN, "{caught_up:?}");
+            assert!(caught_up.while_away <= MAX_VALUES_WHILE_FROZEN, "{caught_up:?}");
         }
     }
 }
 
 /// What a member takes in grows with what it missed under these deliberate mistakes.
 #[test]
-fn values_sent_ahead_to_a_frozen_member_show() {
+fn values_sent_ahead_to_a_frozen_member_are_found() {
     let caught_up = come_back(Absence::Frozen, 1_000, Duration::from_secs(10), Some(Fault::SendAhead));
     println!("{caught_up:?}");
-    assert!(caught_up.while_away > 10.0 * MOST_VALUES_WHILE_FROZEN, "{caught_up:?}");
+    assert!(caught_up.while_away > 10.0 * MAX_VALUES_WHILE_FROZEN, "{caught_up:?}");
 }
 
 #[test]
-fn a_question_for_each_decision_shows() {
+fn a_request_for_each_announced_commit_is_found() {
     let caught_up = come_back(Absence::Frozen, 1_000, Duration::from_secs(10), Some(Fault::AskForEach));
     println!("{caught_up:?}");
-    assert!(caught_up.after > 10.0 * MOST_VALUES, "{caught_up:?}");
+    assert!(caught_up.after > 10.0 * MAX_VALUES, "{caught_up:?}");
 }
 
 #[test]
 fn a_change_through_a_member_that_has_just_returned_builds_on_the_newest() {
-    for absence in [Absence::Killed, Absence::Wiped, Absence::Frozen, Absence::Cut] {
+    for absence in [Absence::Killed, Absence::Wiped, Absence::Frozen, Absence::Partitioned] {
         let mut cluster = old_cluster(None);
         absence.begin(&mut cluster);
         make_changes(&mut cluster, CHANGES_BEFORE + 1, 1_000, Duration::from_secs(10));
@@ -195,8 +195,8 @@
 }
 
 #[test]
-fn a_member_that_was_cut_off_catches_up() {
-    check(Absence::Cut);
+fn a_partitioned_member_catches_up() {
+    check(Absence::Partitioned);
 }
 
 #[test]
@@ -206,17 +206,17 @@
 
 /// A member that nothing tells of what it missed asks one other after the other.
 #[test]
-fn a_member_that_nobody_tells_asks_all_others_in_turn() {
+fn a_member_without_announcements_polls_all_others_in_turn() {
     for dead in [None, Some(3)] {
         let mut cluster = Cluster::new(5, 0, machine);
-        cluster.part(&[AWAY]);
+        cluster.partition(&[AWAY]);
         let first = cluster.propose(PROPOSER, put(0, document(1, 1)).encode());
         assert!(outcome(cluster.answer(first)).is_some());
         cluster.run(Duration::from_secs(1));
         dead.into_iter().for_each(|at| cluster.kill(at));
         cluster.heal_silently();
         let asked = 1 + u32::from(dead.is_some());
-        let longest = LONGEST_UNTIL_NEWS * asked + LONGEST_CATCH_UP;
+        let longest = MAX_POLL_DELAY * asked + MAX_CATCH_UP;
         let time = cluster.time_to_catch_up(AWAY, longest);
         println!("{dead:?} dead: {time:?}");
         assert!(time.is_some(), "not within {longest:?}");
@@ -224,14 +224,14 @@
 }
 
 #[test]
-fn a_spare_hears_of_changes_well_within_a_second() {
+fn a_spare_learns_of_changes_well_within_a_second() {
     let spare = MEMBERS;
     let mut cluster = Cluster::new(MEMBERS, 1, machine);
     let mut longest = Duration::ZERO;
     for base in 0..20 {
         let change = cluster.propose(PROPOSER, put(base, document(base + 1, 1)).encode());
         assert!(outcome(cluster.answer(change)).is_some());
-        let time = cluster.time_to_catch_up(spare, LONGEST_UNTIL_NEWS_FOR_SPARES);
+        let time = cluster.time_to_catch_up(spare, MAX_POLL_DELAY_OF_SPARES);
         longest = longest.max(time.expect("it hears of the change"));
         cluster.run(Duration::from_millis(100 + 37 * base));
     }
--- a/crates/coordination/tests/register_codec.rs
+++ b/crates/coordination/tests/register_codec.rs
@@ -136,14 +136,14 @@
     }
 
     #[test]
-    fn cut_messages_are_refused(message in message(), cut in 0.0..1.0_f64) {
+    fn truncated_messages_are_rejected(message in message(), cut in 0.0..1.0_f64) {
         let bytes = message.encode().unwrap();
         let kept = ((bytes.len() as f64) * cut) as usize;
         prop_assert!(Message::decode(&bytes[..kept]).is_err());
     }
 
     #[test]
-    fn bytes_after_a_message_are_refused(message in message(), extra in vec(any::<u8>(), 1..4)) {
+    fn bytes_after_a_message_are_rejected(message in message(), extra in vec(any::<u8>(), 1..4)) {
         let mut bytes = message.encode().unwrap();
         bytes.extend(extra);
         prop_assert!(Message::decode(&bytes).is_err());
--- a/crates/coordination/tests/register_model.rs
+++ b/crates/coordination/tests/register_model.rs
@@ -10,7 +10,7 @@
 mod modelled_register;
 
 use lanegate_coordination::register::Fault;
-use modelled_register::{A, B, Change, Register, Trouble};
+use modelled_register::{A, B, Change, FaultStep, Register};
 use stateright::{Checker, HasDiscoveries, Model};
 
 /// States that a bounded search comes to, each as often as there are ways to it.
@@ -21,19 +21,19 @@
 const THREADS: usize = 3;
 
 impl Register {
-    fn new(change: Change, troubles: &[Trouble]) -> Self {
-        Register { change, troubles: troubles.to_vec(), fault: None }
+    fn new(change: Change, faults: &[FaultStep]) -> Self {
+        Register { change, faults: faults.to_vec(), fault: None }
     }
 
-    fn told(&self, states: usize, started: std::time::Instant) {
-        println!("{:?}, {:?}: {states} states, {:?}", self.change, self.troubles, started.elapsed());
+    fn print_states(&self, states: usize, started: std::time::Instant) {
+        println!("{:?}, {:?}: {states} states, {:?}", self.change, self.faults, started.elapsed());
     }
 
     /// Looks at every state.
     fn check(self) {
         let started = std::time::Instant::now();
         let checker = self.clone().checker().threads(THREADS).spawn_dfs().join();
-        self.told(checker.unique_state_count(), started);
+        self.print_states(checker.unique_state_count(), started);
         checker.assert_properties();
     }
 
@@ -41,7 +41,7 @@
     fn search(self, threads: usize, bound: usize) {
         let started = std::time::Instant::now();
         let checker = self.clone().checker().threads(threads).target_state_count(bound).spawn_dfs().join();
-        self.told(checker.unique_state_count(), started);
+        self.print_states(checker.unique_state_count(), started);
         println!("{} steps at most, all states: {}", checker.max_depth(), checker.state_count() < bound);
         checker.assert_no_discovery("one value for each revision");
         checker.assert_no_discovery("an acknowledged change is there");
@@ -58,29 +58,29 @@
 }
 
 #[test]
-fn an_accepted_value_not_taken_over_shows() {
+fn ignoring_an_accepted_value_is_found() {
     Register::new(Change::Command, &[]).finds(Fault::IgnoreAccepted);
 }
 
 #[test]
-fn a_majority_that_is_too_small_shows() {
+fn a_majority_that_is_too_small_is_found() {
     Register::new(Change::Command, &[]).finds(Fault::SmallMajority);
 }
 
 #[test]
-fn a_vote_right_after_a_wipe_shows() {
-    Register::new(Change::Command, &[Trouble::Wipe(A)]).finds(Fault::VoteAfterWipe);
+fn a_vote_immediately_after_a_wipe_is_found() {
+    Register::new(Change::Command, &[FaultStep::Wipe(A)]).finds(Fault::VoteAfterWipe);
 }
 
 #[test]
-fn a_majority_of_the_new_group_only_shows() {
+fn a_majority_of_the_new_group_only_is_found() {
     Register::new(Change::Replace, &[]).finds(Fault::NewGroupOnly);
 }
 
 #[test]
 #[ignore = "takes minutes"]
-fn votes_of_an_earlier_incarnation_show() {
-    Register::new(Change::Command, &[Trouble::Wipe(A)]).finds(Fault::IgnoreIncarnations);
+fn votes_of_an_earlier_incarnation_are_found() {
+    Register::new(Change::Command, &[FaultStep::Wipe(A)]).finds(Fault::IgnoreIncarnations);
 }
 
 #[test]
@@ -90,13 +90,13 @@
 
 #[test]
 fn every_order_of_two_changes_and_a_restart() {
-    Register::new(Change::Command, &[Trouble::Restart(A)]).check();
+    Register::new(Change::Command, &[FaultStep::Restart(A)]).check();
 }
 
 #[test]
 #[ignore = "takes minutes"]
 fn every_order_of_two_changes_and_a_lost_disk() {
-    Register::new(Change::Command, &[Trouble::Wipe(A)]).check();
+    Register::new(Change::Command, &[FaultStep::Wipe(A)]).check();
 }
 
 #[test]
@@ -105,28 +105,28 @@
 }
 
 macro_rules! searches {
-    ($($name:ident, $all:ident: $change:ident, $troubles:expr;)*) => {
+    ($($name:ident, $all:ident: $change:ident, $faults:expr;)*) => {
         $(
             #[test]
             fn $name() {
-                Register::new(Change::$change, &$troubles).search(1, BOUND);
+                Register::new(Change::$change, &$faults).search(1, BOUND);
             }
 
             #[test]
             #[ignore = "takes minutes"]
             fn $all() {
-                Register::new(Change::$change, &$troubles).search(THREADS, LARGE_BOUND);
+                Register::new(Change::$change, &$faults).search(THREADS, LARGE_BOUND);
             }
         )*
     };
 }
 
 searches! {
-    a_member_leaves_and_another_is_wiped, far_a_member_leaves_and_another_is_wiped: Leave, [Trouble::Wipe(B)];
-    the_leaving_member_is_wiped, far_the_leaving_member_is_wiped: Leave, [Trouble::Wipe(A)];
+    a_member_leaves_and_another_is_wiped, far_a_member_leaves_and_another_is_wiped: Leave, [FaultStep::Wipe(B)];
+    the_leaving_member_is_wiped, far_the_leaving_member_is_wiped: Leave, [FaultStep::Wipe(A)];
     a_member_is_replaced, far_a_member_is_replaced: Replace, [];
     a_member_is_replaced_and_another_is_wiped, far_a_member_is_replaced_and_another_is_wiped:
-        Replace, [Trouble::Wipe(B)];
+        Replace, [FaultStep::Wipe(B)];
     one_is_wiped_and_then_another, far_one_is_wiped_and_then_another:
-        Command, [Trouble::Wipe(A), Trouble::Wipe(B)];
+        Command, [FaultStep::Wipe(A), FaultStep::Wipe(B)];
 }
--- a/crates/coordination/tests/register_scenarios.rs
+++ b/crates/coordination/tests/register_scenarios.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn every_scenario_holds() {
+fn no_scenario_violates_a_rule() {
     let played = scenarios().into_iter().filter_map(|(path, scenario)| {
         let violation = World::play(&scenario, None).err()?;
         Some(format!("{}: {violation}", path.display()))
@@ -33,14 +33,14 @@
 }
 
 #[test]
-fn every_scenario_reads_as_it_is_written() {
+fn every_scenario_round_trips_through_its_text() {
     for (path, scenario) in scenarios() {
         assert_eq!(scenario.to_string().parse(), Ok(scenario), "{}", path.display());
     }
 }
 
 #[test]
-fn the_scenario_on_an_accepted_end_needs_it_decided() {
+fn the_scenario_on_an_accepted_final_value_needs_it_committed() {
     let scenario = named("proposer-lost-with-the-final-value.txt");
     assert!(World::play(&scenario, Some(Fault::LeaveChangeUncommitted)).is_err());
 }
--- a/crates/coordination/tests/registry.rs
+++ b/crates/coordination/tests/registry.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_unchanged_heartbeat_is_no_news_but_keeps_the_endpoint() {
+fn an_unchanged_heartbeat_only_refreshes_the_endpoint() {
     let mut registry = Registry::default();
     registry.merge(ms(0), "i-1", 1, at(80));
     assert_eq!(registry.merge(ms(900), "i-1", 2, at(80)), RegistryUpdate::Refreshed);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_expired_endpoint_comes_back_with_its_next_heartbeat_and_an_ended_one_does_not() {
+fn an_expired_endpoint_returns_with_its_next_heartbeat_and_an_ended_one_does_not() {
     let mut registry = Registry::default();
     registry.merge(ms(0), "i-1", 1, at(80));
     registry.expire(ms(5_000), ms(1_000), |_| true);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_new_incarnation_displaces_the_one_at_its_address_for_good() {
+fn a_new_incarnation_replaces_the_one_at_its_address_for_good() {
     let mut registry = Registry::default();
     registry.merge(ms(0), "i-1", 7, at(80));
     assert_eq!(
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_removal_that_comes_before_any_registration_is_kept() {
+fn a_removal_before_any_registration_leaves_a_tombstone() {
     let mut registry = Registry::default();
     assert!(!registry.remove(ms(0), "i-1", FINAL_SEQUENCE));
     assert_eq!(registry.merge(ms(1), "i-1", 1, at(80)), RegistryUpdate::Stale);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_change_that_word_of_a_later_heartbeat_overtook_is_taken() {
+fn a_change_that_a_later_refresh_overtook_is_merged() {
     let mut registry = Registry::default();
     let draining = Endpoint { draining: true, ..at(80) };
     registry.merge(ms(0), "i-1", 5, at(80));
--- a/crates/coordination/tests/same_number.rs
+++ b/crates/coordination/tests/same_number.rs
@@ -31,12 +31,12 @@
     }
 }
 
-fn refusing_machine() -> Box<dyn StateMachine> {
+fn rejecting_machine() -> Box<dyn StateMachine> {
     Box::new(RefusingTheForgotten)
 }
 
 /// Answers that refuse a change for good.
-fn is_refusal(answer: &Option<Outcome>) -> bool {
+fn is_rejection(answer: &Option<Outcome>) -> bool {
     matches!(answer, Some(Outcome::Conflict { .. } | Outcome::Invalid(_)))
 }
 
@@ -100,17 +100,17 @@
     for at in 0..MEMBERS {
         let answers = [0, 1].map(|rival| send(cluster, at, &rivals[rival]));
         again.push(answers.each_ref().map(is_acknowledged));
-        assert!(is_refusal(&answers[0]) != is_refusal(&answers[1]), "{answers:?}");
+        assert!(is_rejection(&answers[0]) != is_rejection(&answers[1]), "{answers:?}");
     }
     assert!(again.windows(2).all(|pair| pair[0] == pair[1]), "all controllers say the same: {again:?}");
     for rival in 0..2 {
         assert!(!taken[rival] || again[0][rival], "it was acknowledged, and refused afterwards");
-        assert!(!is_refusal(&answers[rival]) || !again[0][rival], "it was refused, and taken afterwards");
+        assert!(!is_rejection(&answers[rival]) || !again[0][rival], "it was refused, and taken afterwards");
     }
 }
 
 #[test]
-fn the_same_number_at_two_controllers_is_taken_once() {
+fn the_same_version_at_two_controllers_is_accepted_once() {
     for rivals in rivals(1, 2) {
         let mut cluster = cluster(0);
         let requests = [cluster.propose(0, rivals[0].encode()), cluster.propose(1, rivals[1].encode())];
@@ -120,11 +120,11 @@
 }
 
 #[test]
-fn the_same_number_on_both_sides_of_a_cut_is_taken_once() {
+fn the_same_version_on_both_sides_of_a_partition_is_accepted_once() {
     for rivals in rivals(1, 2) {
         for minority in 0..MEMBERS {
             let mut cluster = cluster(0);
-            cluster.part(&[minority]);
+            cluster.partition(&[minority]);
             let other = (minority + 1) % MEMBERS;
             let requests =
                 [cluster.propose(minority, rivals[0].encode()), cluster.propose(other, rivals[1].encode())];
@@ -139,10 +139,10 @@
 
 /// The cut heals while the minority's change still waits: it must not be taken on top of the other.
 #[test]
-fn the_same_number_on_both_sides_of_a_cut_that_heals_meanwhile_is_taken_once() {
+fn the_same_version_on_both_sides_of_a_healing_partition_is_accepted_once() {
     for (rivals, wait) in rivals(1, 2).into_iter().zip([0, 40, 400].map(Duration::from_millis)) {
         let mut cluster = cluster(0);
-        cluster.part(&[2]);
+        cluster.partition(&[2]);
         let late = cluster.propose(2, rivals[0].encode());
         cluster.run(wait);
         let first = send(&mut cluster, 0, &rivals[1]);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn the_same_number_during_a_change_of_members_is_taken_once() {
+fn the_same_version_during_a_membership_change_is_accepted_once() {
     for rivals in rivals(1, 2) {
         for step in 0..12_u32 {
             let mut cluster = cluster(1);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn the_same_number_after_a_wipe_is_taken_once() {
+fn the_same_version_after_a_wipe_is_accepted_once() {
     for rivals in rivals(1, 2) {
         for wiped in 0..MEMBERS {
             let mut cluster = cluster(0);
@@ -253,13 +253,13 @@
 
 #[test]
 #[should_panic(expected = "Conflict")]
-fn a_refusal_of_what_was_forgotten_shows() {
-    check_later(refusing_machine, HISTORY_LENGTH as u64 + 1, |answer| !is_refusal(answer));
+fn rejecting_a_forgotten_change_is_found() {
+    check_later(rejecting_machine, HISTORY_LENGTH as u64 + 1, |answer| !is_rejection(answer));
 }
 
 /// With five, two disks are lost at once: every disk but those of a majority.
 #[test]
-fn a_change_outlasts_the_loss_of_every_disk_but_a_majority() {
+fn a_change_survives_the_loss_of_every_disk_but_a_majority() {
     let mut cluster = Cluster::new(5, 0, machine);
     let change = operators_put(0, 1, "first");
     assert!(is_acknowledged(&send(&mut cluster, 0, &change)));
@@ -276,7 +276,7 @@
 
 /// A body that was taken names its configuration whatever it is said to build on; a body by names does not.
 #[test]
-fn what_a_change_builds_on_belongs_to_it_only_where_it_changes_by_names() {
+fn the_base_version_identifies_a_change_only_if_it_changes_by_names() {
     let mut cluster = cluster(0);
     let whole = operators_put(1, 2, "first");
     let names = operators_patch(2, 3, "first");
--- a/crates/coordination/tests/storage.rs
+++ b/crates/coordination/tests/storage.rs
@@ -13,12 +13,12 @@
 }
 
 #[test]
-fn an_empty_folder_has_no_record() {
+fn an_empty_directory_has_no_record() {
     assert_eq!(open(&mut SimulatedDirectory::new()).1, None);
 }
 
 #[test]
-fn the_newest_version_is_found_and_two_are_kept() {
+fn the_newest_version_is_found_and_two_are_retained() {
     let mut directory = SimulatedDirectory::new();
     let (mut store, _) = open(&mut directory);
     for version in 1..=5_u8 {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_damaged_version_gives_way_to_the_one_before() {
+fn a_damaged_version_is_skipped_for_the_one_before() {
     let mut directory = SimulatedDirectory::new();
     let (mut store, _) = open(&mut directory);
     store.save(&mut directory, b"first").unwrap();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn files_left_aside_and_foreign_files_do_not_count() {
+fn temporary_and_foreign_files_are_ignored() {
     let mut directory = SimulatedDirectory::new();
     directory.write_new("shard-1.0000000000000001.tmp", b"half").unwrap();
     directory.write_new("shard-1.1", b"not a version").unwrap();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn stores_share_a_folder() {
+fn stores_share_a_directory() {
     let mut directory = SimulatedDirectory::new();
     for shard in ["shard-1", "shard-10", "shard-2"] {
         let (mut store, _) = VersionedStore::open(&mut directory, shard).unwrap();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_full_disk_refuses_and_recovers() {
+fn saving_fails_on_a_full_disk_and_succeeds_afterwards() {
     let mut directory = SimulatedDirectory::new();
     let (mut store, _) = open(&mut directory);
     store.save(&mut directory, b"before").unwrap();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn the_version_before_makes_room_on_a_crowded_disk() {
+fn the_previous_version_is_pruned_on_a_nearly_full_disk() {
     let mut directory = SimulatedDirectory::new();
     let (mut store, _) = open(&mut directory);
     store.save(&mut directory, &[1; 100]).unwrap();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_real_folder_keeps_the_newest_version() -> io::Result<()> {
+fn a_file_system_directory_retains_the_newest_version() -> io::Result<()> {
     let path = std::env::temp_dir().join(format!("lanegate-storage-test-{}", std::process::id()));
     let mut folder = FileDirectory::open(&path)?;
     let (mut store, before) = open(&mut folder);
@@ -138,7 +138,7 @@
 
 proptest! {
     #[test]
-    fn what_was_saved_outlasts_any_end(events in vec(event(), 1..40), seed in any::<u64>()) {
+    fn what_was_saved_survives_any_crash(events in vec(event(), 1..40), seed in any::<u64>()) {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut directory = SimulatedDirectory::new();
         let (mut store, _) = open(&mut directory);
