--- a/crates/controller/src/controller/endpoints/registry.rs
+++ b/crates/controller/src/controller/endpoints/registry.rs
@@ -278,8 +278,8 @@
         self.registry.purge_removed(now, TOMBSTONE_RETENTION);
         let registry = &self.registry;
         self.confirmed.retain(|id| registry.get(id).is_some_and(|entry| entry.registration.is_some()));
-        let silent = self.registry.expire(now, self.timeout, owns);
-        silent.into_iter().map(|(id, sequence)| removed_message(&id, sequence)).collect()
+        let expired = self.registry.expire(now, self.timeout, owns).into_iter();
+        expired.map(|incarnation| removed_message(&incarnation.id, incarnation.sequence)).collect()
     }
 
     /// This process could not listen for a while.
--- a/crates/coordination/src/lease/holder.rs
+++ b/crates/coordination/src/lease/holder.rs
@@ -153,8 +153,7 @@
         if !self.is_candidate || reply.candidate != self.this || reply.shard != self.shard {
             return outputs;
         }
-        let wait = Duration::from_millis(reply.wait_ms.into());
-        let Some(round) = self.rounds.record_reply(reply.round, from, reply.granted, wait) else {
+        let Some(round) = self.rounds.record_reply(from, reply) else {
             return outputs;
         };
         if round.has_majority(&self.group) {
--- a/crates/coordination/src/lease/round.rs
+++ b/crates/coordination/src/lease/round.rs
@@ -1,6 +1,7 @@
 //! Rounds of requests to the grantors.
 
 use super::group::GrantorGroup;
+use super::message::LeaseReply;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -34,15 +35,15 @@
         self.waits.iter().min().copied().unwrap_or_default()
     }
 
-    fn record_reply(&mut self, from: SocketAddr, granted: bool, wait: Duration) {
+    fn record_reply(&mut self, from: SocketAddr, reply: &LeaseReply) {
         if self.granted.contains(&from) || self.refused.contains(&from) {
             return;
         }
-        if granted {
+        if reply.granted {
             self.granted.push(from);
         } else {
             self.refused.push(from);
-            self.waits.push(wait);
+            self.waits.push(Duration::from_millis(reply.wait_ms.into()));
         }
     }
 }
@@ -78,15 +79,9 @@
     }
 
     /// Records a reply and returns its round, if that is still open.
-    pub(super) fn record_reply(
-        &mut self,
-        number: u64,
-        from: SocketAddr,
-        granted: bool,
-        wait: Duration,
-    ) -> Option<&Round> {
-        let round = self.open.iter_mut().find(|round| round.number == number)?;
-        round.record_reply(from, granted, wait);
+    pub(super) fn record_reply(&mut self, from: SocketAddr, reply: &LeaseReply) -> Option<&Round> {
+        let round = self.open.iter_mut().find(|round| round.number == reply.round)?;
+        round.record_reply(from, reply);
         Some(round)
     }
 
--- a/crates/coordination/src/membership/detector.rs
+++ b/crates/coordination/src/membership/detector.rs
@@ -2,24 +2,13 @@
 
 use super::heartbeat::Heartbeat;
 use super::node::NodeId;
-use super::peer::Peer;
+use super::peer::{Peer, PeerState};
 use super::rendezvous::{monitored_peers, monitors_of, rendezvous_order};
 use super::settings::MembershipSettings;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The state of a peer as this process sees it.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PeerState {
-    /// Its last heartbeat is within its timeout, or it is new and within its first timeout.
-    Live,
-    /// No heartbeat for longer than its timeout.
-    Suspect,
-    /// No heartbeat for several timeouts; the next one makes it live again.
-    Dead,
-}
-
 /// What the caller has to do, or is notified of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
--- a/crates/coordination/src/membership/mod.rs
+++ b/crates/coordination/src/membership/mod.rs
@@ -13,9 +13,10 @@
 mod rendezvous;
 mod settings;
 
-pub use detector::{FailureDetector, Output, PeerState};
+pub use detector::{FailureDetector, Output};
 pub use hash::stable_hash;
 pub use heartbeat::{Heartbeat, HeartbeatError};
 pub use node::NodeId;
+pub use peer::PeerState;
 pub use rendezvous::{monitored_peers, monitors_of, rendezvous_order};
 pub use settings::MembershipSettings;
--- a/crates/coordination/src/membership/peer.rs
+++ b/crates/coordination/src/membership/peer.rs
@@ -1,6 +1,5 @@
 //! One monitored peer: its incarnation, its heartbeats and their adaptive timeout.
 
-use super::detector::PeerState;
 use super::heartbeat::Heartbeat;
 use super::settings::MembershipSettings;
 use std::time::Duration;
@@ -10,6 +9,17 @@
 /// Weight of the newest difference in the smoothed deviation: one quarter (RFC 6298).
 const DEVIATION_GAIN_DIVISOR: u32 = 4;
 
+/// The state of a peer as this process sees it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum PeerState {
+    /// Its last heartbeat is within its timeout, or it is new and within its first timeout.
+    Live,
+    /// No heartbeat for longer than its timeout.
+    Suspect,
+    /// No heartbeat for several timeouts; the next one makes it live again.
+    Dead,
+}
+
 /// What a heartbeat changed.
 pub(super) struct HeartbeatEffect {
     pub state_changed: bool,
--- a/crates/coordination/src/register/acceptor.rs
+++ b/crates/coordination/src/register/acceptor.rs
@@ -6,10 +6,10 @@
 use super::ballot::Ballot;
 use super::context::Context;
 use super::event::Output;
+use super::fault::Fault;
 use super::message::Message;
 use super::node::Node;
 use super::record::Record;
-use super::settings::Fault;
 use super::value::{Value, ValueTransfer};
 
 /// An answer that is sent once this version of the record is durable.
--- a/crates/coordination/src/register/catch_up.rs
+++ b/crates/coordination/src/register/catch_up.rs
@@ -7,9 +7,9 @@
 
 use super::ballot::Ballot;
 use super::context::Context;
+use super::fault::Fault;
 use super::node::Node;
 use super::retry::RetryTimer;
-use super::settings::Fault;
 
 /// The newest announced commit whose value is not known here.
 #[derive(Clone, Hash)]
--- a/crates/coordination/src/register/context.rs
+++ b/crates/coordination/src/register/context.rs
@@ -9,10 +9,12 @@
 use rand::{Rng, SeedableRng};
 
 use super::ballot::Ballot;
-use super::event::{Outcome, Output, StateMachine};
+use super::event::{Outcome, Output};
+use super::fault::Fault;
 use super::message::Message;
 use super::node::Node;
-use super::settings::{Fault, Settings};
+use super::settings::Settings;
+use super::state_machine::StateMachine;
 use super::value::{Value, ValueTransfer};
 
 /// The backoff of a preempted proposer doubles at most this many times.
--- a/crates/coordination/src/register/event.rs
+++ b/crates/coordination/src/register/event.rs
@@ -9,34 +9,6 @@
 use super::record::Record;
 use super::value::Value;
 
-/// The effect of a command on the state.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Applied {
-    /// The state changes.
-    Changed {
-        /// The state after the command.
-        state: Vec<u8>,
-        /// Returned to the caller.
-        answer: Vec<u8>,
-    },
-    /// The state is already as the command wants it.
-    Unchanged {
-        /// Returned to the caller.
-        answer: Vec<u8>,
-    },
-    /// The command does not apply to this state.
-    Refused {
-        /// Returned to the caller.
-        answer: Vec<u8>,
-    },
-}
-
-/// Applies commands to the opaque state. It must be a function of its arguments alone.
-pub trait StateMachine: Send + Sync {
-    /// The effect of `command` on the state `current`.
-    fn apply(&self, current: &[u8], command: &[u8]) -> Applied;
-}
-
 /// An input of a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
--- /dev/null
+++ b/crates/coordination/src/register/fault.rs
@@ -0,0 +1,39 @@
+//! Deliberate mistakes of a replica, for tests that prove that they find them.
+
+/// Deliberate mistakes: each must be found by the random schedules, or by the tests on catching up.
+#[doc(hidden)]
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Fault {
+    /// Votes are sent before the record is durable.
+    ReplyBeforePersist,
+    /// A replica with an empty disk votes at once, beginning with the initial value.
+    VoteAfterWipe,
+    /// A wiped replica recovers from one other replica only.
+    RecoverFromOne,
+    /// Votes of earlier incarnations count.
+    IgnoreIncarnations,
+    /// Ballots repeat after a restart, and equal ballots are accepted again.
+    ReuseBallot,
+    /// During a membership change a majority of the new group is enough.
+    NewGroupOnly,
+    /// The newest accepted value found in phase one is ignored.
+    IgnoreAccepted,
+    /// A read is answered from the local committed value.
+    ReadLocally,
+    /// A read is answered with the newest accepted value, committed or not.
+    ReadUncommitted,
+    /// An acceptor accepts values below its promise.
+    AcceptBelowPromise,
+    /// A majority is one less.
+    SmallMajority,
+    /// The final value of a membership change that was accepted, and not committed, is left as it is.
+    LeaveChangeUncommitted,
+    /// A preempted command is proposed again even if it took effect.
+    ProposeTwice,
+    /// The recent changes of a value that is taken over from others (recovery, catch-up) are dropped.
+    ForgetHistory,
+    /// A value is also sent to a replica that has not answered the one before.
+    SendAhead,
+    /// A replica requests the value of every announced commit.
+    AskForEach,
+}
--- a/crates/coordination/src/register/node.rs
+++ b/crates/coordination/src/register/node.rs
@@ -1,4 +1,4 @@
-//! Nodes, named by their control addresses, and the incarnations of nodes.
+//! Nodes, named by their control addresses.
 
 use std::fmt;
 use std::net::{AddrParseError, Ipv4Addr, SocketAddrV4};
@@ -8,7 +8,7 @@
 
 /// A replica, named by its control address.
 ///
-/// The address does not identify the incarnation: see [`MinimumIncarnation`].
+/// The address does not identify the incarnation: see [`MinimumIncarnation`](super::MinimumIncarnation).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Node {
@@ -43,53 +43,3 @@
         SocketAddrV4::from(*self).fmt(formatter)
     }
 }
-
-/// The lowest incarnation of a node whose votes count.
-///
-/// A node whose disk was lost registers a higher incarnation before it votes again.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, DekuRead, DekuWrite)]
-#[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct MinimumIncarnation {
-    /// The node.
-    pub node: Node,
-    /// Votes of lower incarnations are discarded.
-    pub incarnation: u64,
-}
-
-/// Minimum incarnations known to one replica, at most one for each node; that of other nodes is zero.
-#[deku_derive(DekuRead, DekuWrite)]
-#[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-#[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct MinimumIncarnations {
-    #[deku(temp, temp_value = "entries.len() as u16")]
-    count: u16,
-    #[deku(count = "count")]
-    entries: Vec<MinimumIncarnation>,
-}
-
-impl MinimumIncarnations {
-    /// The minimum incarnation of a node.
-    #[must_use]
-    pub fn of(&self, node: Node) -> u64 {
-        self.entries.iter().find(|minimum| minimum.node == node).map_or(0, |minimum| minimum.incarnation)
-    }
-
-    /// Raises the minimum incarnation of a node; returns whether it was lower.
-    pub fn raise(&mut self, node: Node, incarnation: u64) -> bool {
-        if self.of(node) >= incarnation {
-            return false;
-        }
-        match self.entries.iter_mut().find(|minimum| minimum.node == node) {
-            Some(minimum) => minimum.incarnation = incarnation,
-            None => self.entries.push(MinimumIncarnation { node, incarnation }),
-        }
-        true
-    }
-
-    /// Raises each minimum incarnation to that of another list.
-    pub fn merge(&mut self, other: &Self) {
-        for minimum in &other.entries {
-            self.raise(minimum.node, minimum.incarnation);
-        }
-    }
-}
--- a/crates/coordination/src/register/proposer/batch.rs
+++ b/crates/coordination/src/register/proposer/batch.rs
@@ -1,7 +1,8 @@
 //! Tasks that are proposed together, and what their commands make of a given value.
 
 use crate::register::context::Context;
-use crate::register::event::{Applied, Outcome};
+use crate::register::event::Outcome;
+use crate::register::state_machine::Applied;
 use crate::register::task::{Operation, Task};
 use crate::register::value::{ChangeId, Value};
 
--- a/crates/coordination/src/register/proposer/membership_change.rs
+++ b/crates/coordination/src/register/proposer/membership_change.rs
@@ -5,10 +5,11 @@
 use super::round::{AfterCommit, Round};
 use crate::register::context::Context;
 use crate::register::event::Outcome;
+use crate::register::fault::Fault;
+use crate::register::group::Group;
 use crate::register::node::Node;
-use crate::register::settings::Fault;
 use crate::register::task::Operation;
-use crate::register::value::{Group, Value};
+use crate::register::value::Value;
 
 /// The next step of a membership change.
 enum MembershipStep {
--- a/crates/coordination/src/register/proposer/mod.rs
+++ b/crates/coordination/src/register/proposer/mod.rs
@@ -13,9 +13,9 @@
 
 use super::ballot::Ballot;
 use super::context::{Context, Proposal, earlier};
+use super::fault::Fault;
 use super::node::Node;
 use super::quorum::{Voter, members};
-use super::settings::Fault;
 use super::task::{Operation, Task};
 use super::value::{Value, ValueTransfer};
 use batch::Batch;
--- a/crates/coordination/src/register/proposer/proposal.rs
+++ b/crates/coordination/src/register/proposer/proposal.rs
@@ -5,8 +5,8 @@
 use super::round::{AfterCommit, Phase, Round, announce_commit};
 use crate::register::context::{Context, Proposal};
 use crate::register::event::Outcome;
+use crate::register::fault::Fault;
 use crate::register::quorum::members;
-use crate::register::settings::Fault;
 use crate::register::task::Operation;
 use crate::register::value::ChangeId;
 
--- a/crates/coordination/src/register/proposer/round.rs
+++ b/crates/coordination/src/register/proposer/round.rs
@@ -3,12 +3,13 @@
 use crate::register::ballot::Ballot;
 use crate::register::context::{Context, Proposal};
 use crate::register::event::Outcome;
+use crate::register::fault::Fault;
+use crate::register::group::Group;
 use crate::register::message::Message;
 use crate::register::node::Node;
 use crate::register::quorum::{Votes, members, union};
 use crate::register::retry::RetryTimer;
-use crate::register::settings::Fault;
-use crate::register::value::{Group, Value, ValueTransfer};
+use crate::register::value::{Value, ValueTransfer};
 
 /// What follows once a proposed value is committed.
 #[derive(Clone, Hash)]
--- a/crates/coordination/src/register/quorum.rs
+++ b/crates/coordination/src/register/quorum.rs
@@ -2,9 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use super::node::{MinimumIncarnations, Node};
-use super::settings::{Fault, Settings};
-use super::value::Group;
+use super::fault::Fault;
+use super::group::Group;
+use super::incarnation::MinimumIncarnations;
+use super::node::Node;
+use super::settings::Settings;
 
 /// The incarnation that voted, and what it knows of the incarnations of others.
 #[derive(Debug, Clone, Hash)]
--- a/crates/coordination/src/register/reader.rs
+++ b/crates/coordination/src/register/reader.rs
@@ -4,14 +4,16 @@
 
 use super::ballot::Ballot;
 use super::context::{Context, Proposal, earlier};
-use super::event::{Applied, Outcome};
+use super::event::Outcome;
+use super::fault::Fault;
+use super::group::Group;
 use super::message::Message;
 use super::node::Node;
 use super::quorum::{Voter, Votes, members, union};
 use super::retry::RetryTimer;
-use super::settings::Fault;
+use super::state_machine::Applied;
 use super::task::{Operation, Task};
-use super::value::{Group, Value, ValueTransfer};
+use super::value::{Value, ValueTransfer};
 
 /// Spreads the nonces of successive processes, so that the numbers of their queries lie far apart: an answer to
 /// a query of an earlier process must not count, as it may be older than what was acknowledged since.
--- a/crates/coordination/src/register/record.rs
+++ b/crates/coordination/src/register/record.rs
@@ -4,7 +4,7 @@
 
 use super::ballot::Ballot;
 use super::codec::{self, CodecError};
-use super::node::MinimumIncarnations;
+use super::incarnation::MinimumIncarnations;
 use super::value::Value;
 
 /// The durable state of a replica. One that is still recovering has none.
--- a/crates/coordination/src/register/recovery.rs
+++ b/crates/coordination/src/register/recovery.rs
@@ -9,13 +9,15 @@
 
 use super::ballot::Ballot;
 use super::context::{Context, Proposal};
+use super::fault::Fault;
+use super::group::Group;
+use super::incarnation::MinimumIncarnations;
 use super::message::Message;
-use super::node::{MinimumIncarnations, Node};
+use super::node::Node;
 use super::quorum::Voter;
 use super::record::Record;
 use super::retry::RetryTimer;
-use super::settings::Fault;
-use super::value::{Group, Value};
+use super::value::Value;
 
 /// Stands for an incarnation in the first stage, which only queries.
 const QUERY_ONLY: u64 = 0;
--- a/crates/coordination/src/register/value.rs
+++ b/crates/coordination/src/register/value.rs
@@ -4,58 +4,13 @@
 use deku::prelude::*;
 
 use super::codec;
+use super::group::Group;
 use super::node::Node;
 
 /// Number of recent changes in a value, by which a proposer can tell whether its preempted proposal took effect.
 /// More than the proposals that usually lie between two attempts of one proposer.
 pub(super) const HISTORY_LENGTH: usize = 16;
 
-/// Members of which a majority must vote.
-#[deku_derive(DekuRead, DekuWrite)]
-#[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-#[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
-pub struct Group {
-    #[deku(temp, temp_value = "members.len() as u8")]
-    count: u8,
-    #[deku(count = "count")]
-    members: Vec<Node>,
-}
-
-impl Group {
-    /// A group; order and repetitions do not matter. At most 255 members are taken.
-    #[must_use]
-    pub fn new(mut members: Vec<Node>) -> Self {
-        members.sort_unstable();
-        members.dedup();
-        members.truncate(usize::from(u8::MAX));
-        Self { members }
-    }
-
-    /// Members in ascending order.
-    #[must_use]
-    pub fn members(&self) -> &[Node] {
-        &self.members
-    }
-
-    /// Whether a node is a member.
-    #[must_use]
-    pub fn contains(&self, node: Node) -> bool {
-        self.members.contains(&node)
-    }
-
-    /// Members that are more than half.
-    #[must_use]
-    pub fn majority(&self) -> usize {
-        self.members.len() / 2 + 1
-    }
-
-    /// Number of other members that overlap every majority in which a recovering member may have voted.
-    #[must_use]
-    pub fn recovery_quorum(&self) -> usize {
-        self.members.len().saturating_sub(self.majority()) + 1
-    }
-}
-
 /// Identifies one proposal that changed the value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
@@ -121,7 +76,7 @@
     #[must_use]
     pub fn members(&self) -> Vec<Node> {
         let all = self.groups.iter().flat_map(|group| group.members().iter().copied()).collect();
-        Group::new(all).members
+        Group::new(all).members().to_vec()
     }
 
     /// This value after a change that adds `revisions` to the revision.
--- a/crates/coordination/src/registry.rs
+++ b/crates/coordination/src/registry.rs
@@ -51,6 +51,15 @@
     },
 }
 
+/// An incarnation that was removed because it sent no heartbeat.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ExpiredIncarnation {
+    /// Id of the incarnation.
+    pub id: String,
+    /// Sequence as of which it was removed: that of its newest heartbeat.
+    pub sequence: u64,
+}
+
 /// All known incarnations by id.
 #[derive(Debug, Clone)]
 pub struct Registry<R> {
@@ -120,22 +129,24 @@
     }
 
     /// Removes the incarnations without a heartbeat for longer than `idle_timeout`, in the services that this
-    /// replica owns. Returns each with the sequence as of which it was removed.
+    /// replica owns, and returns them.
     pub fn expire(
         &mut self,
         now: Duration,
         idle_timeout: Duration,
         owns: impl Fn(&str) -> bool,
-    ) -> Vec<(String, u64)> {
+    ) -> Vec<ExpiredIncarnation> {
         let is_expired = |entry: &Entry<R>| {
             let registration = entry.registration.as_ref();
             registration
                 .is_some_and(|r| now.saturating_sub(entry.last_heartbeat) > idle_timeout && owns(r.service()))
         };
         let expired = self.entries.iter().filter(|(_, entry)| is_expired(entry));
-        let expired: Vec<(String, u64)> = expired.map(|(id, entry)| (id.clone(), entry.latest)).collect();
-        for (id, sequence) in &expired {
-            self.remove(now, id, *sequence);
+        let expired = expired
+            .map(|(id, entry)| ExpiredIncarnation { id: id.clone(), sequence: entry.latest })
+            .collect::<Vec<_>>();
+        for incarnation in &expired {
+            self.remove(now, &incarnation.id, incarnation.sequence);
         }
         expired
     }
--- a/crates/coordination/src/storage/mod.rs
+++ b/crates/coordination/src/storage/mod.rs
@@ -5,6 +5,7 @@
 //! ([`FileDirectory`]) or simulated ([`SimulatedDirectory`]); many stores may share one.
 
 mod directory;
+mod file_format;
 mod simulated;
 mod store;
 
--- a/crates/coordination/src/storage/store.rs
+++ b/crates/coordination/src/storage/store.rs
@@ -2,20 +2,14 @@
 
 use std::io;
 
-use deku::prelude::*;
 use thiserror::Error;
 
 use super::directory::Directory;
+use super::file_format::{decode_file, encode_file};
 
 /// Suffix of the name of a file that is still being written.
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// First bytes of every version; identify the format.
-const MAGIC: u32 = 0x4c47_5631;
-
-/// Length of the header in bytes.
-const HEADER_BYTES: usize = 20;
-
 /// Retained versions: the newest, and the one before as long as there is space.
 const RETAINED_VERSIONS: usize = 2;
 
@@ -36,16 +30,6 @@
     TooLong(usize),
 }
 
-/// Precedes the record in each file.
-#[derive(Debug, Clone, Copy, DekuRead, DekuWrite)]
-#[deku(endian = "big")]
-struct Header {
-    magic: u32,
-    version: u64,
-    length: u32,
-    checksum: u32,
-}
-
 /// The newest versions of one record, in a directory that other stores may share.
 #[derive(Debug)]
 pub struct VersionedStore {
@@ -112,7 +96,7 @@
     pub fn save(&mut self, directory: &mut dyn Directory, record: &[u8]) -> Result<(), StoreError> {
         self.last_version += 1;
         let version = self.last_version;
-        let bytes = encode_file(record, version)?;
+        let bytes = encode_file(record, version).ok_or(StoreError::TooLong(record.len()))?;
         let temporary = format!("{}{TEMPORARY_SUFFIX}", self.name(version));
         let name = self.name(version);
         let written = self.write_temporary(directory, &temporary, &bytes);
@@ -167,30 +151,3 @@
 fn disk_error(action: &'static str) -> impl Fn(io::Error) -> StoreError {
     move |source| StoreError::Disk { action, source }
 }
-
-fn encode_file(record: &[u8], version: u64) -> Result<Vec<u8>, StoreError> {
-    let too_long = |_| StoreError::TooLong(record.len());
-    let length = u32::try_from(record.len()).map_err(too_long)?;
-    let header = Header { magic: MAGIC, version, length, checksum: checksum(record, version) };
-    let mut bytes = header.to_bytes().map_err(|_| StoreError::TooLong(record.len()))?;
-    bytes.extend_from_slice(record);
-    Ok(bytes)
-}
-
-/// The record in a file, if the file is intact.
-fn decode_file(mut bytes: Vec<u8>, version: u64) -> Option<Vec<u8>> {
-    let (_, header) = Header::from_bytes((&bytes, 0)).ok()?;
-    let record = bytes.split_off(HEADER_BYTES.min(bytes.len()));
-    let intact = header.magic == MAGIC
-        && header.version == version
-        && header.length as usize == record.len()
-        && header.checksum == checksum(&record, version);
-    intact.then_some(record)
-}
-
-fn checksum(record: &[u8], version: u64) -> u32 {
-    let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&version.to_be_bytes());
-    hasher.update(record);
-    hasher.finalize()
-}
--- a/crates/coordination/tests/membership_digests.rs
+++ b/crates/coordination/tests/membership_digests.rs
@@ -8,7 +8,9 @@
 use lanegate_coordination::membership::{
     FailureDetector, Heartbeat, MembershipSettings, NodeId, Output, PeerState, monitors_of, rendezvous_order,
 };
-use lanegate_coordination::registry::{FINAL_SEQUENCE, Registration, Registry, RegistryUpdate};
+use lanegate_coordination::registry::{
+    ExpiredIncarnation, FINAL_SEQUENCE, Registration, Registry, RegistryUpdate,
+};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use support::digest::{Digest, check};
@@ -167,7 +169,7 @@
             }
             9 => {
                 let silent = registry.expire(now, Duration::from_secs(4), |service| service != "service-2");
-                for (id, sequence) in silent {
+                for ExpiredIncarnation { id, sequence } in silent {
                     digest.bytes(id.as_bytes());
                     digest.number(sequence);
                 }
--- a/crates/coordination/tests/registry.rs
+++ b/crates/coordination/tests/registry.rs
@@ -1,6 +1,8 @@
 //! The registry merges registrations by sequence, and loses none for a late message.
 
-use lanegate_coordination::registry::{FINAL_SEQUENCE, Registration, Registry, RegistryUpdate};
+use lanegate_coordination::registry::{
+    ExpiredIncarnation, FINAL_SEQUENCE, Registration, Registry, RegistryUpdate,
+};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -50,7 +52,10 @@
     registry.merge(ms(0), "i-1", 1, at(80));
     assert_eq!(registry.merge(ms(900), "i-1", 2, at(80)), RegistryUpdate::Refreshed);
     assert_eq!(registry.expire(ms(1_500), ms(1_000), |_| true), vec![]);
-    assert_eq!(registry.expire(ms(2_000), ms(1_000), |_| true), vec![("i-1".to_owned(), 2)]);
+    assert_eq!(
+        registry.expire(ms(2_000), ms(1_000), |_| true),
+        vec![ExpiredIncarnation { id: "i-1".to_owned(), sequence: 2 }]
+    );
 }
 
 #[test]
