--- a/crates/coordination/src/register/acceptor.rs
+++ b/crates/coordination/src/register/acceptor.rs
@@ -7,6 +7,7 @@
 use super::context::Context;
 use super::event::Output;
 use super::fault::Fault;
+use super::incarnation::Voter;
 use super::message::Message;
 use super::node::Node;
 use super::record::Record;
@@ -115,8 +116,7 @@
         }
         let message = Message::Promise {
             ballot,
-            incarnation: self.current.incarnation,
-            minimum_incarnations: self.current.minimum_incarnations.clone(),
+            voter: voter(&self.current),
             accepted: self.current.accepted,
             value: value_newer_than(&self.current, known),
         };
@@ -132,11 +132,7 @@
         if ballot != self.current.accepted || context.settings.has(Fault::ReuseBallot) {
             self.accept(ballot, value);
         }
-        let message = Message::Accepted {
-            ballot,
-            incarnation: self.current.incarnation,
-            minimum_incarnations: self.current.minimum_incarnations.clone(),
-        };
+        let message = Message::Accepted { ballot, voter: voter(&self.current) };
         self.reply(context, from, message);
     }
 
@@ -159,8 +155,7 @@
         let record = self.durable.as_ref().unwrap_or(&self.current);
         let message = Message::ReadReply {
             request,
-            incarnation: record.incarnation,
-            minimum_incarnations: record.minimum_incarnations.clone(),
+            voter: voter(record),
             promised: record.promised,
             accepted: record.accepted,
             value: value_newer_than(record, known),
@@ -186,8 +181,7 @@
         let message = Message::IncarnationRegistered {
             nonce,
             requested: incarnation,
-            incarnation: self.current.incarnation,
-            minimum_incarnations: self.current.minimum_incarnations.clone(),
+            voter: voter(&self.current),
             promised: self.current.promised,
             accepted: self.current.accepted,
             value: self.current.value.clone(),
@@ -211,3 +205,9 @@
 fn value_newer_than(record: &Record, known: Ballot) -> ValueTransfer {
     if record.accepted > known { ValueTransfer::Full(record.value.clone()) } else { ValueTransfer::Omitted }
 }
+
+/// The incarnations in votes and answers.
+fn voter(record: &Record) -> Voter {
+    let minimum_incarnations = record.minimum_incarnations.clone();
+    Voter { incarnation: record.incarnation, minimum_incarnations }
+}
--- a/crates/coordination/src/register/incarnation.rs
+++ b/crates/coordination/src/register/incarnation.rs
@@ -53,3 +53,13 @@
         }
     }
 }
+
+/// The incarnation of a replica that votes or answers, and what it knows of the incarnations of others.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, DekuRead, DekuWrite)]
+#[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
+pub struct Voter {
+    /// Its own incarnation.
+    pub incarnation: u64,
+    /// Minimum incarnations that it knows.
+    pub minimum_incarnations: MinimumIncarnations,
+}
--- a/crates/coordination/src/register/message.rs
+++ b/crates/coordination/src/register/message.rs
@@ -4,7 +4,7 @@
 
 use super::ballot::Ballot;
 use super::codec::{self, CodecError};
-use super::incarnation::MinimumIncarnations;
+use super::incarnation::Voter;
 use super::value::{Value, ValueTransfer};
 
 /// A message between replicas of one register. The transport identifies the sender.
@@ -24,10 +24,8 @@
     Promise {
         /// The promised ballot.
         ballot: Ballot,
-        /// The voter's own incarnation.
-        incarnation: u64,
-        /// Minimum incarnations that the voter knows.
-        minimum_incarnations: MinimumIncarnations,
+        /// The voter.
+        voter: Voter,
         /// The ballot of the voter's accepted value.
         accepted: Ballot,
         /// That value, if newer than `known` of the request.
@@ -46,10 +44,8 @@
     Accepted {
         /// The ballot of the proposal.
         ballot: Ballot,
-        /// The voter's own incarnation.
-        incarnation: u64,
-        /// Minimum incarnations that the voter knows.
-        minimum_incarnations: MinimumIncarnations,
+        /// The voter.
+        voter: Voter,
     },
     /// Either phase: a higher ballot was promised before.
     #[deku(id = 5)]
@@ -80,10 +76,8 @@
     ReadReply {
         /// Number of the read.
         request: u64,
-        /// The voter's own incarnation.
-        incarnation: u64,
-        /// Minimum incarnations that the voter knows.
-        minimum_incarnations: MinimumIncarnations,
+        /// The voter.
+        voter: Voter,
         /// The highest promise.
         promised: Ballot,
         /// The ballot of the accepted value.
@@ -114,10 +108,8 @@
         nonce: u64,
         /// As in the request.
         requested: u64,
-        /// The responding replica's own incarnation.
-        incarnation: u64,
-        /// Minimum incarnations that it knows, the recovering replica's among them.
-        minimum_incarnations: MinimumIncarnations,
+        /// The responding replica, which knows the registered incarnation.
+        voter: Voter,
         /// Its highest promise.
         promised: Ballot,
         /// The ballot of its accepted value.
--- a/crates/coordination/src/register/mod.rs
+++ b/crates/coordination/src/register/mod.rs
@@ -119,7 +119,7 @@
 pub use event::{Input, Outcome, Output, Status};
 pub use fault::Fault;
 pub use group::Group;
-pub use incarnation::{MinimumIncarnation, MinimumIncarnations};
+pub use incarnation::{MinimumIncarnation, MinimumIncarnations, Voter};
 pub use message::Message;
 pub use node::Node;
 pub use record::Record;
--- a/crates/coordination/src/register/quorum.rs
+++ b/crates/coordination/src/register/quorum.rs
@@ -4,17 +4,10 @@
 
 use super::fault::Fault;
 use super::group::Group;
-use super::incarnation::MinimumIncarnations;
+use super::incarnation::Voter;
 use super::node::Node;
 use super::settings::Settings;
 
-/// The incarnation that voted, and what it knows of the incarnations of others.
-#[derive(Debug, Clone, Hash)]
-pub(super) struct Voter {
-    pub(super) incarnation: u64,
-    pub(super) minimum_incarnations: MinimumIncarnations,
-}
-
 /// The vote of one replica.
 #[derive(Debug, Clone, Hash)]
 struct Vote<T> {
--- a/crates/coordination/src/register/replica/messages.rs
+++ b/crates/coordination/src/register/replica/messages.rs
@@ -6,7 +6,6 @@
 use crate::register::message::Message;
 use crate::register::node::Node;
 use crate::register::proposer::Promise;
-use crate::register::quorum::Voter;
 use crate::register::reader::{ReadReply, TasksToPropose};
 use crate::register::recovery::RecoveryResponse;
 use crate::register::task::{Operation, Task};
@@ -18,66 +17,44 @@
             self.proposer.on_answer(&mut self.context, from);
         }
         match message {
-            Message::Prepare { .. }
-            | Message::Accept { .. }
-            | Message::ReadQuery { .. }
-            | Message::RegisterIncarnation { .. } => self.on_acceptor_request(from, message),
-            Message::Promise { ballot, incarnation, minimum_incarnations, accepted, value } => {
-                let voter = Voter { incarnation, minimum_incarnations };
+            Message::Prepare { ballot, known } => {
+                self.proposer.observe_ballot(ballot);
+                self.with_acceptor(|acceptor, context| acceptor.on_prepare(context, from, ballot, known));
+            }
+            Message::Accept { ballot, value } => {
+                self.proposer.observe_ballot(ballot);
+                self.with_acceptor(|acceptor, context| acceptor.on_accept(context, from, ballot, value));
+            }
+            Message::Promise { ballot, voter, accepted, value } => {
                 let promise = Promise { voter, accepted, value };
                 self.proposer.on_promise(&mut self.context, from, ballot, promise);
             }
-            Message::Accepted { ballot, incarnation, minimum_incarnations } => {
-                let voter = Voter { incarnation, minimum_incarnations };
+            Message::Accepted { ballot, voter } => {
                 self.proposer.on_accepted(&mut self.context, from, ballot, voter);
             }
             Message::Rejected { ballot, promised } => {
                 self.proposer.on_rejected(&mut self.context, ballot, promised);
             }
             Message::Committed { ballot, value } => self.on_committed(from, ballot, value),
-            Message::ReadReply { request, incarnation, minimum_incarnations, promised, accepted, value } => {
-                let voter = Voter { incarnation, minimum_incarnations };
+            Message::ReadQuery { request, known } => {
+                self.with_acceptor(|acceptor, context| acceptor.on_read_query(context, from, request, known));
+            }
+            Message::ReadReply { request, voter, promised, accepted, value } => {
                 let reply = ReadReply { voter, promised, accepted, value };
                 let left_over = self.reader.on_read_reply(&mut self.context, from, request, reply);
                 self.enqueue_proposals(left_over);
             }
             Message::PollCommitted { committed, known } => self.on_poll_committed(from, committed, known),
-            Message::IncarnationRegistered {
-                nonce,
-                requested,
-                incarnation,
-                minimum_incarnations,
-                promised,
-                accepted,
-                value,
-            } => {
-                let voter = Voter { incarnation, minimum_incarnations };
+            Message::RegisterIncarnation { nonce, incarnation } => self.with_acceptor(|acceptor, context| {
+                acceptor.on_register_incarnation(context, from, nonce, incarnation);
+            }),
+            Message::IncarnationRegistered { nonce, requested, voter, promised, accepted, value } => {
                 let response = RecoveryResponse { voter, promised, accepted, value };
                 self.on_incarnation_registered(from, nonce, requested, response);
             }
         }
     }
 
-    /// Requests to the acceptor; a replica that is still recovering does not answer them.
-    fn on_acceptor_request(&mut self, from: Node, request: Message) {
-        if let Message::Prepare { ballot, .. } | Message::Accept { ballot, .. } = &request {
-            self.proposer.observe_ballot(*ballot);
-        }
-        let Some(acceptor) = &mut self.acceptor else {
-            return;
-        };
-        let context = &mut self.context;
-        match request {
-            Message::Prepare { ballot, known } => acceptor.on_prepare(context, from, ballot, known),
-            Message::Accept { ballot, value } => acceptor.on_accept(context, from, ballot, value),
-            Message::ReadQuery { request, known } => acceptor.on_read_query(context, from, request, known),
-            Message::RegisterIncarnation { nonce, incarnation } => {
-                acceptor.on_register_incarnation(context, from, nonce, incarnation);
-            }
-            _ => {}
-        }
-    }
-
     /// A commit is announced, with its value or without.
     fn on_committed(&mut self, from: Node, ballot: Ballot, value: ValueTransfer) {
         let accepted =
--- a/crates/coordination/src/register/replica/mod.rs
+++ b/crates/coordination/src/register/replica/mod.rs
@@ -108,14 +108,10 @@
         match input {
             Input::Message { from, message } => self.on_message(from, message),
             Input::Persisted { token } => {
-                if let Some(acceptor) = &mut self.acceptor {
-                    acceptor.on_persisted(&mut self.context, token);
-                }
+                self.with_acceptor(|acceptor, context| acceptor.on_persisted(context, token));
             }
             Input::PersistFailed { token } => {
-                if let Some(acceptor) = &mut self.acceptor {
-                    acceptor.on_persist_failed(&self.context, token);
-                }
+                self.with_acceptor(|acceptor, context| acceptor.on_persist_failed(context, token));
             }
             Input::Tick => self.on_tick(),
             Input::Propose { request, command, deadline } => self.on_propose(request, command, deadline),
@@ -129,6 +125,13 @@
         self.run_pending();
     }
 
+    /// Calls the acceptor, which a replica that is still recovering does not have.
+    fn with_acceptor(&mut self, call: impl FnOnce(&mut Acceptor, &mut Context)) {
+        if let Some(acceptor) = &mut self.acceptor {
+            call(acceptor, &mut self.context);
+        }
+    }
+
     /// The next output, if any.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.context.outputs.pop_front()
@@ -228,9 +231,7 @@
     /// until none are left.
     fn run_pending(&mut self) {
         loop {
-            if let Some(acceptor) = &mut self.acceptor {
-                acceptor.persist(&mut self.context);
-            }
+            self.with_acceptor(Acceptor::persist);
             if self.reader.is_ready() {
                 let known = self.newest_proposal();
                 self.reader.start_query(&mut self.context, known);
--- a/crates/coordination/tests/golden_bytes.rs
+++ b/crates/coordination/tests/golden_bytes.rs
@@ -8,7 +8,7 @@
 use lanegate_coordination::lease::{LeaseMessage, LeaseRelease, LeaseReply, LeaseRequest};
 use lanegate_coordination::membership::{Heartbeat, NodeId};
 use lanegate_coordination::register::{
-    Ballot, Change, ChangeId, Group, Message, MinimumIncarnations, Node, Record, Value, ValueTransfer,
+    Ballot, Change, ChangeId, Group, Message, MinimumIncarnations, Node, Record, Value, ValueTransfer, Voter,
 };
 use lanegate_coordination::storage::{Directory, SimulatedDirectory, VersionedStore};
 use support::golden::{check, committed};
@@ -28,6 +28,10 @@
     minimum_incarnations
 }
 
+fn voter() -> Voter {
+    Voter { incarnation: 4, minimum_incarnations: minimum_incarnations() }
+}
+
 fn value() -> Value {
     let change = |sequence, revision| Change { id: ChangeId { nonce: 77, sequence }, revision };
     Value {
@@ -39,17 +43,10 @@
 }
 
 fn register_messages() -> Vec<(&'static str, Message)> {
-    let promise = |value| Message::Promise {
-        ballot: ballot(9),
-        incarnation: 4,
-        minimum_incarnations: minimum_incarnations(),
-        accepted: ballot(8),
-        value,
-    };
+    let promise = |value| Message::Promise { ballot: ballot(9), voter: voter(), accepted: ballot(8), value };
     let state = |value| Message::ReadReply {
         request: 11,
-        incarnation: 4,
-        minimum_incarnations: minimum_incarnations(),
+        voter: voter(),
         promised: ballot(9),
         accepted: ballot(8),
         value,
@@ -57,8 +54,7 @@
     let registered = Message::IncarnationRegistered {
         nonce: 13,
         requested: 14,
-        incarnation: 4,
-        minimum_incarnations: minimum_incarnations(),
+        voter: voter(),
         promised: ballot(9),
         accepted: ballot(8),
         value: value(),
@@ -68,14 +64,7 @@
         ("promise", promise(ValueTransfer::Full(value()))),
         ("promise-without-value", promise(ValueTransfer::Omitted)),
         ("accept", Message::Accept { ballot: ballot(9), value: value() }),
-        (
-            "accepted",
-            Message::Accepted {
-                ballot: ballot(9),
-                incarnation: 4,
-                minimum_incarnations: minimum_incarnations(),
-            },
-        ),
+        ("accepted", Message::Accepted { ballot: ballot(9), voter: voter() }),
         ("refused", Message::Rejected { ballot: ballot(9), promised: ballot(10) }),
         ("decided", Message::Committed { ballot: ballot(9), value: ValueTransfer::Full(value()) }),
         ("decided-without-value", Message::Committed { ballot: ballot(9), value: ValueTransfer::Omitted }),
--- a/crates/coordination/tests/register_codec.rs
+++ b/crates/coordination/tests/register_codec.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use lanegate_coordination::register::{
-    Ballot, Change, ChangeId, Group, Message, MinimumIncarnations, Node, Record, Value, ValueTransfer,
+    Ballot, Change, ChangeId, Group, Message, MinimumIncarnations, Node, Record, Value, ValueTransfer, Voter,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -26,6 +26,11 @@
     })
 }
 
+fn voter() -> impl Strategy<Value = Voter> {
+    (any::<u64>(), minimum_incarnations())
+        .prop_map(|(incarnation, minimum_incarnations)| Voter { incarnation, minimum_incarnations })
+}
+
 fn change() -> impl Strategy<Value = Change> {
     (any::<u64>(), any::<u64>(), any::<u64>())
         .prop_map(|(nonce, sequence, revision)| Change { id: ChangeId { nonce, sequence }, revision })
@@ -47,13 +52,12 @@
 }
 
 fn phase_one() -> impl Strategy<Value = Message> {
-    let promise = (ballot(), any::<u64>(), minimum_incarnations(), ballot(), carried());
+    let promise = (ballot(), voter(), ballot(), carried());
     prop_oneof![
         (ballot(), ballot()).prop_map(|(ballot, known)| Message::Prepare { ballot, known }),
-        promise.prop_map(|(ballot, incarnation, minimum_incarnations, accepted, value)| Message::Promise {
+        promise.prop_map(|(ballot, voter, accepted, value)| Message::Promise {
             ballot,
-            incarnation,
-            minimum_incarnations,
+            voter,
             accepted,
             value
         }),
@@ -62,48 +66,33 @@
 }
 
 fn phase_two() -> impl Strategy<Value = Message> {
-    let accepted = (ballot(), any::<u64>(), minimum_incarnations());
+    let accepted = (ballot(), voter());
     prop_oneof![
         (ballot(), value()).prop_map(|(ballot, value)| Message::Accept { ballot, value }),
-        accepted.prop_map(|(ballot, incarnation, minimum_incarnations)| Message::Accepted {
-            ballot,
-            incarnation,
-            minimum_incarnations
-        }),
+        accepted.prop_map(|(ballot, voter)| Message::Accepted { ballot, voter }),
         (ballot(), carried()).prop_map(|(ballot, value)| Message::Committed { ballot, value }),
     ]
 }
 
 fn reading() -> impl Strategy<Value = Message> {
-    let state = (any::<u64>(), any::<u64>(), minimum_incarnations(), ballot(), ballot(), carried());
+    let state = (any::<u64>(), voter(), ballot(), ballot(), carried());
     prop_oneof![
         (any::<u64>(), ballot()).prop_map(|(request, known)| Message::ReadQuery { request, known }),
-        state.prop_map(|(request, incarnation, minimum_incarnations, promised, accepted, value)| {
-            Message::ReadReply { request, incarnation, minimum_incarnations, promised, accepted, value }
+        state.prop_map(|(request, voter, promised, accepted, value)| {
+            Message::ReadReply { request, voter, promised, accepted, value }
         }),
         (ballot(), any::<bool>()).prop_map(|(committed, known)| Message::PollCommitted { committed, known }),
     ]
 }
 
 fn recovering() -> impl Strategy<Value = Message> {
-    let registered =
-        (any::<u64>(), any::<u64>(), any::<u64>(), minimum_incarnations(), ballot(), ballot(), value());
+    let registered = (any::<u64>(), any::<u64>(), voter(), ballot(), ballot(), value());
     prop_oneof![
         (any::<u64>(), any::<u64>())
             .prop_map(|(nonce, incarnation)| Message::RegisterIncarnation { nonce, incarnation }),
-        registered.prop_map(
-            |(nonce, requested, incarnation, minimum_incarnations, promised, accepted, value)| {
-                Message::IncarnationRegistered {
-                    nonce,
-                    requested,
-                    incarnation,
-                    minimum_incarnations,
-                    promised,
-                    accepted,
-                    value,
-                }
-            }
-        ),
+        registered.prop_map(|(nonce, requested, voter, promised, accepted, value)| {
+            Message::IncarnationRegistered { nonce, requested, voter, promised, accepted, value }
+        }),
     ]
 }
 
