--- a/crates/coordination/examples/cost_of_a_change.rs
+++ b/crates/coordination/examples/cost_of_a_change.rs
@@ -1,5 +1,5 @@
 //! What one change of the configuration costs a group of three, by the number of changes before it: bytes on
-//! disk and on the wire, processor time, and the time of a durable write in the folder for temporary files.
+//! disk and on the wire, processor time, and the time of a durable write in the directory for temporary files.
 //!
 //! `cargo run --release -p lanegate-coordination --example cost_of_a_change [ROUTES]`
 
@@ -18,11 +18,11 @@
 const DEFAULT_ROUTES: usize = 400;
 /// Changes before those that are measured.
 const BEFORE: [u64; 3] = [10, 1_000, 5_000];
-/// Changes of which the median is told.
+/// Number of changes whose median is printed.
 const MEASURED: u64 = 50;
 const HEADINGS: &str = "| changes before | record | wire, all members | disk, all members | \
     processor time of all members | encode record | decode record | apply | durable write |";
-/// Name of the record in the folder.
+/// Name of the record in the directory.
 const RECORD_NAME: &str = "cost-of-a-change";
 
 fn machine() -> Box<dyn StateMachine> {
--- a/crates/coordination/tests/cluster/configuration.rs
+++ b/crates/coordination/tests/cluster/configuration.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// A whole configuration.
+/// A change that replaces the complete configuration.
 pub(crate) fn put(base: u64, body: String) -> Command {
     Command { method: Method::Put, if_match: Some(base), body: body.into_bytes() }
 }
@@ -28,7 +28,7 @@
     Command { method: Method::Patch, if_match: Some(base), body: body.into_bytes() }
 }
 
-/// A configuration with so many routes, each to the same service.
+/// A configuration with this number of routes, all to the same service.
 pub(crate) fn document(version: u64, routes: usize) -> String {
     let routes: Vec<String> = (0..routes).map(|number| route(number, version)).collect();
     format!(
--- a/crates/coordination/tests/cluster/member.rs
+++ b/crates/coordination/tests/cluster/member.rs
@@ -13,11 +13,11 @@
     pub disk: Option<Vec<u8>>,
     pub disk_full: bool,
     pub frozen: bool,
-    /// Came in while frozen: sender and message.
+    /// Messages that arrived while the process was frozen, with their senders.
     pub backlog: Vec<(usize, Vec<u8>)>,
     /// Members of one side reach each other.
     pub side: u8,
-    /// The newest revision learned in this life.
+    /// The newest revision that this incarnation has learned.
     pub newest_committed: Option<u64>,
     pub traffic: Traffic,
     pub written: u64,
--- a/crates/coordination/tests/cluster/mod.rs
+++ b/crates/coordination/tests/cluster/mod.rs
@@ -1,7 +1,7 @@
 //! Replicas of one register with any state machine, in simulated time and with every byte counted.
 //!
-//! Messages take [`ONE_WAY`]; the disk is instant unless it is full. What is decided is checked as it is
-//! learned: one value for each revision, and no replica learns backwards.
+//! Messages take [`ONE_WAY`]; the disk is instant unless it is full. Committed values are checked as
+//! they are learned: one value for each revision, and no replica learns an older one than before.
 #![allow(dead_code)]
 
 pub(crate) mod configuration;
@@ -129,7 +129,7 @@
         self.members[at].disk = None;
     }
 
-    /// The process stands still; what is sent to it waits.
+    /// Suspends the process; messages to it wait.
     pub(crate) fn freeze(&mut self, at: usize) {
         self.members[at].frozen = true;
     }
@@ -150,21 +150,21 @@
         self.members[at].disk_full = false;
     }
 
-    /// Cuts the members of a set off from all others.
+    /// Partitions the members of a set from all others.
     pub(crate) fn partition(&mut self, set: &[usize]) {
         for at in 0..self.members.len() {
             self.members[at].side = u8::from(set.contains(&at));
         }
     }
 
-    /// All cuts end; links that were cut come up anew.
+    /// The partition ends; its links are established again.
     pub(crate) fn heal(&mut self) {
         let apart: Vec<usize> = (0..self.members.len()).filter(|at| self.members[*at].side == 1).collect();
         self.partition(&[]);
         apart.into_iter().for_each(|at| self.connect(at));
     }
 
-    /// All cuts end, and nobody notices.
+    /// The partition ends, and no link is established again.
     pub(crate) fn heal_silently(&mut self) {
         self.partition(&[]);
     }
@@ -173,19 +173,19 @@
         self.members[from].side == self.members[to].side
     }
 
-    /// Asks for a command at a member; tells the number of the request.
+    /// Proposes a command at a member; returns the number of the request.
     pub(crate) fn propose(&mut self, at: usize, command: Vec<u8>) -> u64 {
         let deadline = self.now + ANSWER_TIMEOUT;
         self.ask(at, |request| Input::Propose { request, command, deadline })
     }
 
-    /// Asks for a read at a member.
+    /// Requests a read at a member.
     pub(crate) fn read(&mut self, at: usize) -> u64 {
         let deadline = self.now + ANSWER_TIMEOUT;
         self.ask(at, |request| Input::Read { request, deadline })
     }
 
-    /// Asks for a change of members at a member.
+    /// Requests a membership change at a member.
     pub(crate) fn change_members(&mut self, at: usize, remove: &[usize], add: &[usize]) -> u64 {
         let deadline = self.now + ANSWER_TIMEOUT;
         let nodes = |set: &[usize]| set.iter().copied().map(node).collect();
@@ -212,12 +212,12 @@
         self.answers.get(&request)
     }
 
-    /// The newest revision that a member has learned in this life.
+    /// The newest revision that the present incarnation of a member has learned.
     pub(crate) fn newest_committed(&self, at: usize) -> Option<u64> {
         self.members[at].newest_committed
     }
 
-    /// The newest revision that anyone has learned.
+    /// The newest revision that any member has learned.
     pub(crate) fn newest(&self) -> u64 {
         self.committed.last_key_value().map_or(0, |(revision, _)| *revision)
     }
@@ -234,7 +234,7 @@
         self.members[at].replica.as_ref().map(Replica::status)
     }
 
-    /// What a member took in since the last call.
+    /// What a member received since the last call.
     pub(crate) fn take_traffic(&mut self, at: usize) -> Traffic {
         std::mem::take(&mut self.members[at].traffic)
     }
@@ -249,14 +249,15 @@
         self.members[at].disk.clone().unwrap_or_default()
     }
 
-    /// Lets time pass.
+    /// Advances the time.
     pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.advance(end) {}
         self.now = end;
     }
 
-    /// Lets time pass until a member has learned the newest revision; tells how long, at most `longest`.
+    /// Advances the time until a member has learned the newest revision; returns how long it took, or `None` if
+    /// longer than `longest`.
     pub(crate) fn time_to_catch_up(&mut self, at: usize, longest: Duration) -> Option<Duration> {
         let start = self.now;
         while self.newest_committed(at) != Some(self.newest()) {
@@ -267,7 +268,7 @@
         Some(self.now - start)
     }
 
-    /// Goes on to the next thing that happens up to `end`; false if there is none.
+    /// Processes the next message or timer that is due by `end`; false if there is none.
     fn advance(&mut self, end: Duration) -> bool {
         let wake = (0..self.members.len()).filter_map(|at| Some((self.members[at].next_wake()?, at))).min();
         let message = self.queue.front().map(|envelope| envelope.at);
--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases under failures: who acts, from when on, and that never two do within the quiet period.
+//! Leases under faults: who acts, from when on, and that no two holders act within the quiet period.
 
 #[allow(dead_code)]
 mod lease_world;
@@ -17,7 +17,7 @@
     world
 }
 
-/// Time from `failure` to the first act of another holder.
+/// Time from `failure` to the first action of another holder.
 fn takeover(world: &World, failure: Duration) -> Duration {
     let old = world.actions[0].holder;
     let first = world.actions.iter().find(|action| action.holder != old).expect("a new holder");
--- a/crates/coordination/tests/lease_model.rs
+++ b/crates/coordination/tests/lease_model.rs
@@ -16,7 +16,7 @@
 const MEMBERS: u8 = 3;
 /// Step of the time of all processes.
 const TICK: Duration = Duration::from_millis(100);
-/// A holder acts at the tick of its round and at the next.
+/// A holder may act at the tick of its round and at the next.
 const VALIDITY: Duration = Duration::from_millis(101);
 /// Just below two ticks, so that what a grantor adds for drift costs no further tick.
 const QUIET_PERIOD: Duration = Duration::from_millis(198);
@@ -43,7 +43,7 @@
 struct State {
     tick: u32,
     nodes: Vec<Arc<LeaseNode>>,
-    /// Pairs of processes that hear of each other.
+    /// Pairs of processes that reach each other.
     links: &'static [(u8, u8)],
     incarnations: Vec<u64>,
     rounds: Vec<u8>,
@@ -61,7 +61,7 @@
     Wake(u8),
     Act(u8),
     Deliver(Arc<Delivery>),
-    /// Is no candidate any more.
+    /// Stops being a candidate.
     Retire(u8),
     Restart(u8),
 }
@@ -69,7 +69,7 @@
 struct LeaseModel {
     settings: LeaseSettings,
     links: &'static [(u8, u8)],
-    /// Of these, a schedule holds one at most.
+    /// A schedule contains at most one of these.
     changes: &'static [Action],
 }
 
--- a/crates/coordination/tests/lease_parts.rs
+++ b/crates/coordination/tests/lease_parts.rs
@@ -44,7 +44,7 @@
     grantor.on_request(at(now), request).expect("an answer").granted
 }
 
-/// A candidate of the group 1, 2, 3 that is node 1 and asked at 1 s (round 1).
+/// A candidate of the group 1, 2, 3 that is node 1 and sent its requests at 1 s (round 1).
 fn candidate() -> LeaseHolder {
     let mut holder = LeaseHolder::new(settings(), SHARD, node(1));
     holder.set_group(at(1_000), 1, &members(&[1, 2, 3]));
@@ -59,7 +59,7 @@
     holder.on_reply(at(now), node(from).address(), &reply)
 }
 
-/// A holder whose grants of round 1 let it act until 1.9 s, with epoch 10.
+/// A holder whose lease of round 1 expires at 1.9 s, with epoch 10.
 fn acting() -> LeaseHolder {
     let mut holder = candidate();
     assert_eq!(answer(&mut holder, 1_010, 1, 1, true), vec![]);
--- a/crates/coordination/tests/lease_with_membership.rs
+++ b/crates/coordination/tests/lease_with_membership.rs
@@ -79,7 +79,7 @@
         (0..self.detectors.len()).find(|index| self.world.id(*index) == holder).expect("a member")
     }
 
-    /// Time from `failure` to the first act of another life than the one that acted before it.
+    /// Time from `failure` to the first action of another incarnation than the last holder before it.
     fn takeover(&self, failure: Duration) -> Duration {
         let before =
             self.world.actions.iter().rfind(|action| action.arrival <= failure).expect("a holder").holder;
--- a/crates/coordination/tests/lease_world/mod.rs
+++ b/crates/coordination/tests/lease_world/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated group of processes that contend for the lease of one shard and act while they may.
+//! A simulated group of processes that are candidates for the lease of one shard and act while they hold it.
 
 pub(crate) mod schedule;
 
@@ -11,7 +11,7 @@
 pub(crate) const SHARD: u32 = 7;
 /// Resolution of the simulated time.
 pub(crate) const STEP: Duration = Duration::from_millis(5);
-/// Time that an act may take on the wire.
+/// Longest time that an action takes to arrive.
 pub(crate) const DELIVERY_TIME: Duration = Duration::from_millis(40);
 /// The quiet period of these tests.
 pub(crate) const QUIET_PERIOD: Duration = Duration::from_secs(3);
@@ -19,7 +19,7 @@
 const START: Duration = Duration::from_secs(100);
 const MILLION: i64 = 1_000_000;
 
-/// Small generator of chance, so that a schedule is a function of its seed.
+/// A small random generator, so that a schedule is a function of its seed.
 pub(crate) struct TestRandom(u64);
 
 impl TestRandom {
@@ -39,7 +39,7 @@
     }
 }
 
-/// An act as its endpoint saw it.
+/// An action as its endpoint received it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Action {
     pub arrival: Duration,
@@ -52,9 +52,9 @@
 pub(crate) struct Network {
     pub shortest_delay: Duration,
     pub longest_delay: Duration,
-    /// One in so many messages is lost; 0 for none.
+    /// One in this many messages is lost; 0 for none.
     pub lost_one_in: u64,
-    /// One in so many messages comes twice; 0 for none.
+    /// One in this many messages is duplicated; 0 for none.
     pub duplicated_one_in: u64,
 }
 
@@ -86,7 +86,7 @@
     node: LeaseNode,
 }
 
-/// What one process put out, and when in true time.
+/// An output of a process, and when in true time.
 pub(crate) struct Observation {
     pub at: Duration,
     pub process: usize,
@@ -101,7 +101,7 @@
     processes: Vec<Process>,
     side: Vec<bool>,
     in_flight: Vec<InFlight>,
-    /// All that the processes put out.
+    /// All outputs of the processes.
     pub observations: Vec<Observation>,
     register: u64,
     random: TestRandom,
@@ -178,7 +178,7 @@
         self.processes[index].frozen = true;
     }
 
-    /// Lets a frozen process run on; the first thing that it does is to act, if it still thinks it may.
+    /// Resumes a frozen process; first of all it acts, if its lease still seems valid to it.
     pub(crate) fn thaw(&mut self, index: usize) {
         self.processes[index].frozen = false;
         self.act(index);
@@ -200,7 +200,7 @@
         self.apply_candidate(index);
     }
 
-    /// Moves a process to one side of a cut; messages pass within a side only.
+    /// Moves a process to one side of a partition; messages pass within a side only.
     pub(crate) fn set_partition_side(&mut self, index: usize, side: bool) {
         self.side[index] = side;
     }
--- a/crates/coordination/tests/lease_world/schedule.rs
+++ b/crates/coordination/tests/lease_world/schedule.rs
@@ -1,4 +1,4 @@
-//! Random schedules of troubles that end in calm.
+//! Random schedules of faults; at the end all faults are over.
 
 use super::{HEALTHY_NETWORK, Network, QUIET_PERIOD, TestRandom, World};
 use lanegate_coordination::lease::LeaseSettings;
--- a/crates/coordination/tests/membership_digests.rs
+++ b/crates/coordination/tests/membership_digests.rs
@@ -1,4 +1,4 @@
-//! What the failure detector and the registry decide on random events stays as it is.
+//! The outputs of the failure detector and the registry on random events stay as they are.
 
 mod support;
 
--- a/crates/coordination/tests/modelled_register/mod.rs
+++ b/crates/coordination/tests/modelled_register/mod.rs
@@ -43,7 +43,7 @@
     bytes: Vec<u8>,
 }
 
-/// What a founder suffers that proposes nothing.
+/// A fault of a bootstrap member that proposes nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FaultStep {
     Wipe(usize),
@@ -58,7 +58,7 @@
     }
 }
 
-/// What the first proposer asks for; the second one always asks for a command.
+/// What the first proposer requests; the second one always proposes a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Change {
     Command,
@@ -98,12 +98,12 @@
     disks: Vec<Option<Record>>,
     network: BTreeSet<Envelope>,
     proposed: Vec<usize>,
-    /// Proposers of changes that were acknowledged, and the revisions they were told.
+    /// Proposers of acknowledged changes, and the acknowledged revisions.
     acknowledged: BTreeMap<usize, u64>,
     /// Troubles so far.
     faults: usize,
     values: BTreeMap<u64, Vec<u8>>,
-    /// Members of the newest decided value.
+    /// Members of the newest committed value.
     members: Vec<Node>,
     broken: bool,
 }
@@ -142,7 +142,7 @@
         self.flush(index);
     }
 
-    /// Everything arrives: `d` registers with the founders and is able to vote.
+    /// Delivers all messages: `d` registers with the bootstrap members and is able to vote.
     fn deliver_all(&mut self) {
         while let Some(Envelope { from, to, bytes }) = self.network.pop_first() {
             let message = Message::decode(&bytes).unwrap();
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Reads, refusals and news of decisions are left out: they change no vote.
+    /// Reads, rejections and announcements of commits are omitted: they change no vote.
     fn send(&mut self, from: usize, to: usize, message: &Message) {
         let reads = matches!(message, Message::ReadQuery { .. } | Message::ReadReply { .. });
         let is_announcement = matches!(message, Message::PollCommitted { .. } | Message::Committed { .. });
--- a/crates/coordination/tests/register_catch_up.rs
+++ b/crates/coordination/tests/register_catch_up.rs
@@ -19,14 +19,15 @@
 const CHANGES_BEFORE: u64 = 1_100;
 /// Longest time from the return of a member until it knows the newest value, while everybody else is well.
 const MAX_CATCH_UP: Duration = Duration::from_millis(100);
-/// A replica asks one other for news after at most so long; a change that reaches it is sooner.
+/// Longest time until a replica polls one other for a newer value; an announced change arrives sooner.
 const MAX_POLL_DELAY: Duration = Duration::from_secs(3);
 /// The same for a replica that is no member, which no change reaches.
 const MAX_POLL_DELAY_OF_SPARES: Duration = Duration::from_millis(800);
-/// Values that a member takes in at most when it returns: from each of the two others an answer to its question
-/// when the link comes up, to its own read at the start and to the caller's; and one to what it hears last.
+/// Largest number of values that a member receives when it returns: from each of the two others an answer to its
+/// poll when the link is established, to its own read at the start and to the caller's; and one for the last
+/// announced commit.
 const MAX_VALUES: f64 = 7.1;
-/// The same for what is sent to it while it stands still: the change that was under way.
+/// The same for what is sent to it while it is frozen: the change that was in flight.
 const MAX_VALUES_WHILE_FROZEN: f64 = 1.0;
 /// The largest message without a value, in bytes.
 const SMALL_MESSAGE_BYTES: u64 = 100;
@@ -122,7 +123,7 @@
     CatchUp { while_away: large as f64 / size, after: after.bytes as f64 / size, time }
 }
 
-/// The read tells the newest value.
+/// The read returns the newest value.
 fn check_read(answer: Option<RegisterOutcome>, newest: u64) {
     let Some(RegisterOutcome::Value { revision, .. }) = answer else {
         panic!("the read was not answered: {answer:?}")
@@ -204,7 +205,7 @@
     check(Absence::DiskFull);
 }
 
-/// A member that nothing tells of what it missed asks one other after the other.
+/// A member to which no commit is announced polls one other after the other.
 #[test]
 fn a_member_without_announcements_polls_all_others_in_turn() {
     for dead in [None, Some(3)] {
--- a/crates/coordination/tests/register_model.rs
+++ b/crates/coordination/tests/register_model.rs
@@ -1,7 +1,7 @@
 //! Every order of messages, lost disks and a restart, for two changes by two proposers: the replicas
 //! themselves, driven by a model checker.
 //!
-//! Three founders `a`, `b`, `c`; the proposers are `c` and `d`, who is no member. What `c` proposes may be a change
+//! Three bootstrap members `a`, `b`, `c`; the proposers are `c` and `d`, which is not a member. What `c` proposes may be a change
 //! of members: `a` leaves, or `d` takes its place. Messages arrive in any order or never, so that a machine that is
 //! lost for good is among what is tried; a lost disk is a step of its own. Time stands still: what only time would
 //! bring about (retransmission, another try after preemption) is left out, as any message may be on its way for
@@ -29,7 +29,7 @@
         println!("{:?}, {:?}: {states} states, {:?}", self.change, self.faults, started.elapsed());
     }
 
-    /// Looks at every state.
+    /// Checks every state.
     fn check(self) {
         let started = std::time::Instant::now();
         let checker = self.clone().checker().threads(THREADS).spawn_dfs().join();
@@ -37,7 +37,7 @@
         checker.assert_properties();
     }
 
-    /// Looks at every state, or at so many if there are more.
+    /// Checks every state, or as many as `bound` if there are more.
     fn search(self, threads: usize, bound: usize) {
         let started = std::time::Instant::now();
         let checker = self.clone().checker().threads(threads).target_state_count(bound).spawn_dfs().join();
@@ -47,7 +47,7 @@
         checker.assert_no_discovery("an acknowledged change is there");
     }
 
-    /// A deliberate mistake must show.
+    /// A deliberate mistake must be found.
     fn finds(self, fault: Fault) {
         let model = Register { fault: Some(fault), ..self };
         let checker = model.clone().checker().finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join();
--- a/crates/coordination/tests/register_schedules.rs
+++ b/crates/coordination/tests/register_schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules of requests and troubles, checked at every step.
+//! Random schedules of requests and faults, checked at every step.
 
 use std::ops::Range;
 
--- a/crates/coordination/tests/registry.rs
+++ b/crates/coordination/tests/registry.rs
@@ -96,7 +96,7 @@
 }
 
 proptest! {
-    /// Replicas that hear the same registrations in any order, some of them twice, agree.
+    /// Replicas that receive the same registrations in any order, some of them twice, agree.
     #[test]
     fn order_does_not_matter(
         mut heard in prop::collection::vec((1u64..20, any::<bool>()), 1..20),
--- a/crates/coordination/tests/same_number.rs
+++ b/crates/coordination/tests/same_number.rs
@@ -50,12 +50,12 @@
     outcome(cluster.answer(request))
 }
 
-/// A whole configuration with something in it that tells two operators apart.
+/// A complete configuration that names its operator.
 fn operators_put(base: u64, version: u64, operator: &str) -> Command {
     put(base, format!(r#"{{"Version":{version},"Operator":"{operator}"}}"#))
 }
 
-/// A change by names that tells two operators apart.
+/// A change by names that names its operator.
 fn operators_patch(base: u64, version: u64, operator: &str) -> Command {
     patch(base, format!(r#"{{"Version":{version},"Upsert":{{"Backends":[{{"Name":"{operator}"}}]}}}}"#))
 }
@@ -137,7 +137,7 @@
     }
 }
 
-/// The cut heals while the minority's change still waits: it must not be taken on top of the other.
+/// The partition heals while the minority's change is pending: it must not be accepted on top of the other.
 #[test]
 fn the_same_version_on_both_sides_of_a_healing_partition_is_accepted_once() {
     for (rivals, wait) in rivals(1, 2).into_iter().zip([0, 40, 400].map(Duration::from_millis)) {
@@ -204,7 +204,7 @@
     }
 }
 
-/// What the same call gets after so many later changes, at every machine, and after each kind of loss.
+/// The outcome of the same call after `later` further changes, at every member and after each kind of loss.
 fn check_later(machine: MachineMaker, later: u64, expected: impl Fn(&Option<Outcome>) -> bool) {
     let changes = [operators_put(1, 2, "first"), operators_patch(2, 3, "first")];
     let mut cluster = cluster_of(machine, 0);
--- a/crates/coordination/tests/storage.rs
+++ b/crates/coordination/tests/storage.rs
@@ -127,7 +127,7 @@
     ]
 }
 
-/// A record that tells its number.
+/// A record that contains its number.
 fn record(number: u32, length: usize) -> Vec<u8> {
     [number.to_be_bytes().as_slice(), &vec![number as u8; length]].concat()
 }
