--- a/crates/coordination/src/register/proposer/batch.rs
+++ b/crates/coordination/src/register/proposer/batch.rs
@@ -54,7 +54,7 @@
         let is_attempted = !self.attempts.is_empty();
         for task in self.tasks.iter_mut().filter(|task| task.deadline <= now) {
             let may_have_effect =
-                is_attempted || (is_accepting && matches!(task.operation, Operation::ChangeMembers { .. }));
+                is_attempted || (is_accepting && matches!(task.operation, Operation::ChangeMembers(_)));
             let outcome = task.timeout_outcome(may_have_effect);
             context.complete(task.request.take(), outcome);
         }
--- a/crates/coordination/src/register/proposer/membership_change.rs
+++ b/crates/coordination/src/register/proposer/membership_change.rs
@@ -2,13 +2,12 @@
 
 use super::Proposer;
 use super::batch::Batch;
-use super::round::{AfterCommit, Round};
+use super::round::{AfterCommit, BaseStatus, Round};
 use crate::register::context::Context;
 use crate::register::event::Outcome;
 use crate::register::fault::Fault;
 use crate::register::group::Group;
-use crate::register::node::Node;
-use crate::register::task::Operation;
+use crate::register::task::{MembershipChange, Operation};
 use crate::register::value::Value;
 
 /// The next step of a membership change.
@@ -26,11 +25,9 @@
         context: &mut Context,
         mut round: Round,
         batch: Batch,
-        remove: &[Node],
-        add: &[Node],
-        joint_committed: bool,
+        change: &MembershipChange,
     ) {
-        if !round.base_confirmed {
+        if round.base_status < BaseStatus::Confirmed {
             return self.commit_base(context, round, batch);
         }
         if round.base.value.is_joint() {
@@ -38,11 +35,11 @@
             return self.propose_final_group(context, round);
         }
         let revision = round.base.value.revision;
-        if joint_committed {
+        if change.is_joint_committed {
             batch.complete(context, vec![Outcome::Changed { revision, answer: Vec::new() }]);
             return self.finish_round(context, &round);
         }
-        match plan_membership_change(&round.base.value, remove, add) {
+        match plan_membership_change(&round.base.value, change) {
             MembershipStep::Done(outcome) => {
                 batch.complete(context, vec![outcome]);
                 self.finish_round(context, &round);
@@ -61,14 +58,14 @@
     /// Completes a membership change that any replica has begun. Its final value may have been accepted without
     /// anyone knowing it to be committed: then it is committed here, as nobody else would do so.
     pub(super) fn propose_completion(&mut self, context: &mut Context, round: Round, batch: Batch) {
-        let joint = round.base.value.is_joint();
-        if !joint && context.settings.has(Fault::LeaveChangeUncommitted) {
+        let is_joint = round.base.value.is_joint();
+        if !is_joint && context.settings.has(Fault::LeaveChangeUncommitted) {
             return self.finish_round(context, &round);
         }
-        if !round.base_committed {
+        if round.base_status < BaseStatus::Committed {
             return self.commit_base(context, round, batch);
         }
-        if !joint {
+        if !is_joint {
             return self.finish_round(context, &round);
         }
         self.batch = Some(batch);
@@ -88,15 +85,16 @@
     /// Records in the task that its joint value is committed.
     pub(super) fn record_joint_committed(&mut self) {
         for task in self.batch.iter_mut().flat_map(|batch| batch.tasks.iter_mut()) {
-            if let Operation::ChangeMembers { joint_committed, .. } = &mut task.operation {
-                *joint_committed = true;
+            if let Operation::ChangeMembers(change) = &mut task.operation {
+                change.is_joint_committed = true;
             }
         }
     }
 }
 
 /// The next step of a membership change on a value with one group.
-fn plan_membership_change(base: &Value, remove: &[Node], add: &[Node]) -> MembershipStep {
+fn plan_membership_change(base: &Value, change: &MembershipChange) -> MembershipStep {
+    let MembershipChange { remove, add, .. } = change;
     let old = Group::new(base.newest_group().to_vec());
     let kept = old.members().iter().copied().filter(|node| !remove.contains(node));
     let new = Group::new(kept.chain(add.iter().copied()).collect());
--- a/crates/coordination/src/register/proposer/mod.rs
+++ b/crates/coordination/src/register/proposer/mod.rs
@@ -20,7 +20,7 @@
 use super::task::{Operation, Task};
 use super::value::{Value, ValueTransfer};
 use batch::Batch;
-use round::{Phase, Round};
+use round::{BaseStatus, Phase, Round};
 
 /// The vote of phase one.
 pub(super) struct Promise {
@@ -164,7 +164,7 @@
 
     /// Starts a round under a ballot that is still the highest: it needs no prepare phase.
     fn reuse_ballot(&mut self, context: &mut Context, ballot: Ballot, base: Proposal) {
-        self.round = Some(Round::new(context, ballot, base, true));
+        self.round = Some(Round::new(context, ballot, base, BaseStatus::Committed));
         self.propose(context);
     }
 
@@ -172,7 +172,7 @@
     fn start_prepare(&mut self, context: &mut Context, known: Proposal) {
         self.counter = self.counter.max(known.ballot.counter) + 1;
         let ballot = Ballot::first(self.counter, context.node(), context.ballot_nonce());
-        let mut round = Round::new(context, ballot, known, false);
+        let mut round = Round::new(context, ballot, known, BaseStatus::Accepted);
         round.send_to_new(context, &round.base.value.members());
         self.round = Some(round);
     }
@@ -243,5 +243,5 @@
 
 /// Whether a task shares its batch with no other.
 fn is_solitary(task: &Task) -> bool {
-    matches!(task.operation, Operation::ChangeMembers { .. } | Operation::CompleteMembershipChange)
+    matches!(task.operation, Operation::ChangeMembers(_) | Operation::CompleteMembershipChange)
 }
--- a/crates/coordination/src/register/proposer/proposal.rs
+++ b/crates/coordination/src/register/proposer/proposal.rs
@@ -2,7 +2,7 @@
 
 use super::Proposer;
 use super::batch::{AppliedBatch, Attempt, Batch};
-use super::round::{AfterCommit, Phase, Round, announce_commit};
+use super::round::{AfterCommit, BaseStatus, Phase, Round, announce_commit};
 use crate::register::context::{Context, Proposal};
 use crate::register::event::Outcome;
 use crate::register::fault::Fault;
@@ -25,8 +25,8 @@
             return self.finish_round(context, &round);
         }
         match batch.tasks.first().map(|task| task.operation.clone()) {
-            Some(Operation::ChangeMembers { remove, add, joint_committed }) => {
-                self.propose_membership_change(context, round, batch, &remove, &add, joint_committed);
+            Some(Operation::ChangeMembers(change)) => {
+                self.propose_membership_change(context, round, batch, &change);
             }
             Some(Operation::CompleteMembershipChange) => self.propose_completion(context, round, batch),
             _ => self.propose_commands(context, round, batch),
@@ -41,7 +41,7 @@
         mut batch: Batch,
         index: usize,
     ) {
-        if !round.base_committed {
+        if round.base_status < BaseStatus::Committed {
             return self.commit_base(context, round, batch);
         }
         let outcomes = batch.attempts.swap_remove(index).outcomes;
@@ -76,7 +76,7 @@
         batch: Batch,
         outcomes: Vec<Outcome>,
     ) {
-        if !round.base_confirmed {
+        if round.base_status < BaseStatus::Confirmed {
             return self.commit_base(context, round, batch);
         }
         batch.complete(context, outcomes);
@@ -104,8 +104,7 @@
         announce_commit(context, ballot, &members(&groups));
         self.preemptions = 0;
         round.base = Proposal { ballot, value };
-        round.base_committed = true;
-        round.base_confirmed = true;
+        round.base_status = BaseStatus::Confirmed;
         round.phase = Phase::Prepare { known: round.base.clone() };
         match after_commit {
             AfterCommit::Complete(outcomes) => {
@@ -125,7 +124,7 @@
     pub(super) fn finish_round(&mut self, context: &mut Context, round: &Round) {
         self.round = None;
         self.reusable_ballot = None;
-        if !round.base_committed {
+        if round.base_status < BaseStatus::Committed {
             return self.start_round(context, None);
         }
         self.reusable_ballot =
--- a/crates/coordination/src/register/proposer/round.rs
+++ b/crates/coordination/src/register/proposer/round.rs
@@ -31,6 +31,17 @@
     Accept { value: Value, groups: Vec<Group>, after_commit: AfterCommit },
 }
 
+/// What is known of the base of a round, from least to most.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(super) enum BaseStatus {
+    /// Some replica accepted it; it may not be committed.
+    Accepted,
+    /// It is committed; a newer value may be committed too.
+    Committed,
+    /// It was committed in this round, so that it is the newest committed value.
+    Confirmed,
+}
+
 /// A round in progress.
 #[derive(Clone, Hash)]
 pub(super) struct Round {
@@ -39,10 +50,7 @@
     pub(super) votes: Votes<()>,
     /// The value to build on: the newest accepted one found.
     pub(super) base: Proposal,
-    /// The base is known to be committed.
-    pub(super) base_committed: bool,
-    /// A value was committed in this round, so that the base is the newest committed one.
-    pub(super) base_confirmed: bool,
+    pub(super) base_status: BaseStatus,
     /// Receivers of the message of this phase.
     pub(super) sent_to: Vec<Node>,
     /// Receivers that get it once they have answered an earlier message.
@@ -52,14 +60,13 @@
 
 impl Round {
     /// A round that waits for promises, on the newest value known here.
-    pub(super) fn new(context: &Context, ballot: Ballot, known: Proposal, base_committed: bool) -> Self {
+    pub(super) fn new(context: &Context, ballot: Ballot, known: Proposal, base_status: BaseStatus) -> Self {
         Self {
             ballot,
             phase: Phase::Prepare { known: known.clone() },
             votes: Votes::new(&context.settings),
             base: known,
-            base_committed,
-            base_confirmed: false,
+            base_status,
             sent_to: Vec::new(),
             deferred: Vec::new(),
             retry: RetryTimer::start(context),
--- a/crates/coordination/src/register/replica/mod.rs
+++ b/crates/coordination/src/register/replica/mod.rs
@@ -20,7 +20,7 @@
 use super::recovery::Recovery;
 use super::settings::Settings;
 use super::state_machine::{Applied, StateMachine};
-use super::task::{Operation, Task};
+use super::task::{MembershipChange, Operation, Task};
 use super::value::Value;
 
 /// A replica of one register.
@@ -117,7 +117,8 @@
             Input::Propose { request, command, deadline } => self.on_propose(request, command, deadline),
             Input::Read { request, deadline } => self.on_read(request, deadline),
             Input::ChangeMembers { request, remove, add, deadline } => {
-                let operation = Operation::ChangeMembers { remove, add, joint_committed: false };
+                let change = MembershipChange { remove, add, is_joint_committed: false };
+                let operation = Operation::ChangeMembers(change);
                 self.proposer.enqueue(Task { request: Some(request), operation, deadline });
             }
             Input::PeerReachable { node } => self.on_peer_reachable(node),
--- a/crates/coordination/src/register/task.rs
+++ b/crates/coordination/src/register/task.rs
@@ -12,12 +12,23 @@
     Command(Vec<u8>),
     /// Read the value.
     Read,
-    /// Change the members; `joint_committed` once the joint value is committed.
-    ChangeMembers { remove: Vec<Node>, add: Vec<Node>, joint_committed: bool },
+    /// Change the members.
+    ChangeMembers(MembershipChange),
     /// Complete a membership change that any replica has begun.
     CompleteMembershipChange,
 }
 
+/// A requested membership change.
+#[derive(Debug, Clone, Hash)]
+pub(super) struct MembershipChange {
+    /// Members that leave.
+    pub(super) remove: Vec<Node>,
+    /// Nodes that join.
+    pub(super) add: Vec<Node>,
+    /// Whether its joint value is committed.
+    pub(super) is_joint_committed: bool,
+}
+
 /// A request of a caller, or an internal task of the replica.
 #[derive(Debug, Clone, Hash)]
 pub(super) struct Task {
