--- a/crates/coordination/src/simulation/history.rs
+++ b/crates/coordination/src/simulation/history.rs
@@ -14,6 +14,7 @@
     outcome: Option<Outcome>,
 }
 
+/// Everything that happened so far, as far as the rules need it.
 #[derive(Default)]
 pub(super) struct History {
     requests: Vec<Request>,
@@ -45,6 +46,7 @@
         self.values.last_key_value().map(|(_, value)| value)
     }
 
+    /// Records the answer to a request.
     pub(super) fn record_answer(&mut self, request: u64, outcome: Outcome) -> Result<(), Violation> {
         let index = usize::try_from(request).map_err(|_| Violation::UnexpectedAnswer(request))?;
         let entry = self.requests.get_mut(index).filter(|entry| entry.outcome.is_none());
--- a/crates/coordination/src/simulation/schedule.rs
+++ b/crates/coordination/src/simulation/schedule.rs
@@ -95,8 +95,8 @@
     }
 }
 
-/// A round of few kinds of steps close together, so that their orders are tried more thoroughly: what one side
-/// of a parted network does, something that is easily lost on the way, and what the other side then sees.
+/// A round of few kinds of steps close together, so that more of their orders are covered: a change on one side of
+/// a partition, a fault while its messages are in flight, and what the other side then sees.
 fn add_round(steps: &mut Vec<Step>, random: &mut SmallRng, participants: &Participants) {
     let proposer = if random.random_bool(FAVOURITE_PROBABILITY) {
         participants.favourite
@@ -117,6 +117,7 @@
     steps.extend(round.into_iter().filter(|_| random.random_bool(KEEP_PROBABILITY)));
 }
 
+/// The steps of a round that are particular to the fault mix.
 fn add_focus(steps: &mut Vec<Step>, random: &mut SmallRng, participants: &Participants) {
     let at = random.random_range(0..participants.count);
     match participants.mix {
@@ -125,7 +126,7 @@
             steps.extend([Step::WipeDisk(at), partition(random, participants.count), Step::Start(at)])
         }
         FaultMix::Restarts => {
-            // A proposer that starts again proposes again, while what it sent before may still be on its way.
+            // A proposer that restarts proposes again, while its earlier messages may still be in flight.
             let at = if random.random_bool(FAVOURITE_PROBABILITY) { participants.favourite } else { at };
             steps.extend([
                 Step::Kill(at),
