--- a/crates/coordination/src/register/quorum.rs
+++ b/crates/coordination/src/register/quorum.rs
@@ -2,16 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use super::node::{MinimumIncarnations, Node};
-use super::settings::{Fault, Settings};
-use super::value::Group;
-
-/// The incarnation that voted, and what it knows of the incarnations of others.
-#[derive(Debug, Clone, Hash)]
-pub(super) struct Voter {
-    pub(super) incarnation: u64,
-    pub(super) minimum_incarnations: MinimumIncarnations,
-}
+use super::fault::Fault;
+use super::group::Group;
+use super::incarnation::Voter;
+use super::node::Node;
+use super::settings::Settings;
 
 /// The vote of one replica.
 #[derive(Debug, Clone, Hash)]
--- a/crates/coordination/src/register/replica/mod.rs
+++ b/crates/coordination/src/register/replica/mod.rs
@@ -10,14 +10,17 @@
 use super::ballot::Ballot;
 use super::catch_up::CatchUp;
 use super::context::{Context, Proposal};
-use super::event::{Applied, Input, Outcome, Output, StateMachine, Status};
-use super::node::{MinimumIncarnations, Node};
+use super::event::{Input, Outcome, Output, Status};
+use super::fault::Fault;
+use super::incarnation::MinimumIncarnations;
+use super::node::Node;
 use super::proposer::Proposer;
 use super::reader::Reader;
 use super::record::Record;
 use super::recovery::Recovery;
-use super::settings::{Fault, Settings};
-use super::task::{Operation, Task};
+use super::settings::Settings;
+use super::state_machine::{Applied, StateMachine};
+use super::task::{MembershipChange, Operation, Task};
 use super::value::Value;
 
 /// A replica of one register.
@@ -105,20 +108,17 @@
         match input {
             Input::Message { from, message } => self.on_message(from, message),
             Input::Persisted { token } => {
-                if let Some(acceptor) = &mut self.acceptor {
-                    acceptor.on_persisted(&mut self.context, token);
-                }
+                self.with_acceptor(|acceptor, context| acceptor.on_persisted(context, token));
             }
             Input::PersistFailed { token } => {
-                if let Some(acceptor) = &mut self.acceptor {
-                    acceptor.on_persist_failed(&self.context, token);
-                }
+                self.with_acceptor(|acceptor, context| acceptor.on_persist_failed(context, token));
             }
             Input::Tick => self.on_tick(),
             Input::Propose { request, command, deadline } => self.on_propose(request, command, deadline),
             Input::Read { request, deadline } => self.on_read(request, deadline),
             Input::ChangeMembers { request, remove, add, deadline } => {
-                let operation = Operation::ChangeMembers { remove, add, joint_committed: false };
+                let change = MembershipChange { remove, add, is_joint_committed: false };
+                let operation = Operation::ChangeMembers(change);
                 self.proposer.enqueue(Task { request: Some(request), operation, deadline });
             }
             Input::PeerReachable { node } => self.on_peer_reachable(node),
@@ -126,6 +126,13 @@
         self.run_pending();
     }
 
+    /// Calls the acceptor, which a replica that is still recovering does not have.
+    fn with_acceptor(&mut self, call: impl FnOnce(&mut Acceptor, &mut Context)) {
+        if let Some(acceptor) = &mut self.acceptor {
+            call(acceptor, &mut self.context);
+        }
+    }
+
     /// The next output, if any.
     pub fn poll_output(&mut self) -> Option<Output> {
         self.context.outputs.pop_front()
@@ -225,9 +232,7 @@
     /// until none are left.
     fn run_pending(&mut self) {
         loop {
-            if let Some(acceptor) = &mut self.acceptor {
-                acceptor.persist(&mut self.context);
-            }
+            self.with_acceptor(Acceptor::persist);
             if self.reader.is_ready() {
                 let known = self.newest_proposal();
                 self.reader.start_query(&mut self.context, known);
