--- a/crates/controller/src/agent/agent_test.rs
+++ b/crates/controller/src/agent/agent_test.rs
@@ -148,14 +148,14 @@
     SocketAddr::from(([127, 0, 0, 1], 2))
 }
 
-fn decided(revision: u64) -> CommittedConfiguration {
+fn committed(revision: u64) -> CommittedConfiguration {
     let document = format!(r#"{{"Version":{revision},"Routes":[],"Backends":[]}}"#);
     CommittedConfiguration { revision, document: document.as_str().into() }
 }
 
 fn announced(revision: u64) -> Message {
-    let decided = decided(revision);
-    Message::ConfigurationAnnounced(ConfigurationVersion::of(revision, &decided.document.bytes))
+    let committed = committed(revision);
+    Message::ConfigurationAnnounced(ConfigurationVersion::of(revision, &committed.document.bytes))
 }
 
 fn heartbeat(quorum: u8, offset: u64) -> Message {
@@ -193,7 +193,7 @@
     let in_flight = fetches(&world.sent_to(one)) + fetches(&world.sent_to(two));
     assert_eq!(in_flight, 1);
     assert!(world.behind().last() == Some(&true), "the router knows of it before the agent has it");
-    world.hears(one, Message::CommittedConfiguration(decided(1)));
+    world.hears(one, Message::CommittedConfiguration(committed(1)));
     world.at(ms(2));
     let events: Vec<FeedEvent> = std::iter::from_fn(|| world.events.try_recv().ok()).collect();
     let place = |wanted: fn(&FeedEvent) -> bool| events.iter().position(wanted).expect("an event");
@@ -212,7 +212,7 @@
         if now % 20 == 0 && now < 1_500 {
             let revision = 1 + now / 20;
             world.hears(source, announced(revision));
-            world.hears(source, Message::CommittedConfiguration(decided(revision)));
+            world.hears(source, Message::CommittedConfiguration(committed(revision)));
         }
         world.at(ms(now));
         read.extend(world.read());
@@ -228,7 +228,7 @@
     let (one, two) = (world.source(0), world.source(1));
     world.hears(one, heartbeat(1, 0));
     world.hears(two, heartbeat(1, 0));
-    world.hears(one, Message::CommittedConfiguration(decided(1)));
+    world.hears(one, Message::CommittedConfiguration(committed(1)));
     world.at(ms(0));
     assert_eq!(world.behind().last(), Some(&false));
     world.hears(one, heartbeat(0, 0));
@@ -248,12 +248,12 @@
     let (one, two) = (world.source(0), world.source(1));
     world.hears(one, heartbeat(1, 0));
     world.hears(two, heartbeat(1, 0));
-    world.hears(one, Message::CommittedConfiguration(decided(1)));
+    world.hears(one, Message::CommittedConfiguration(committed(1)));
     world.at(ms(1));
     assert_eq!(world.read(), [1]);
     world.agent.on_source_event(SourceEvent::Down { source: one });
     world.agent.on_source_event(SourceEvent::Down { source: two });
-    world.hears(one, Message::CommittedConfiguration(decided(3)));
+    world.hears(one, Message::CommittedConfiguration(committed(3)));
     world.hears(one, heartbeat(1, 9));
     world.at(ms(200));
     let events: Vec<FeedEvent> = std::iter::from_fn(|| world.events.try_recv().ok()).collect();
@@ -268,7 +268,7 @@
     world.hears(source, announced(1));
     world.at(ms(1));
     assert_eq!(fetches(&world.sent_to(source)), 1);
-    world.hears(source, Message::CommittedConfiguration(decided(1)));
+    world.hears(source, Message::CommittedConfiguration(committed(1)));
     for now in (0..10_000).step_by(100) {
         world.at(ms(now));
     }
--- a/crates/controller/src/agent/metrics.rs
+++ b/crates/controller/src/agent/metrics.rs
@@ -76,7 +76,7 @@
         exposition.set(&ROUTER_LINKS, self.subscribers.len());
         exposition.set(&LIVE_ROUTERS, self.view.routers());
         exposition.set(&ENDPOINTS, self.view.endpoints());
-        let revision = self.view.configuration().map_or(0, |decided| decided.revision);
+        let revision = self.view.configuration().map_or(0, |committed| committed.revision);
         exposition.set(&CONFIGURATION_REVISION, revision);
         exposition.set(&CONFIGURATION_BEHIND, self.view.may_be_behind());
         exposition.set(&CONFIGURATION_WITHHELD, self.unconfirmed.withholds_any());
--- a/crates/controller/src/agent/mod.rs
+++ b/crates/controller/src/agent/mod.rs
@@ -100,8 +100,8 @@
     }
 
     /// Takes news of a source.
-    pub(crate) fn on_source_event(&mut self, news: SourceEvent) {
-        match news {
+    pub(crate) fn on_source_event(&mut self, event: SourceEvent) {
+        match event {
             SourceEvent::Up { source, outbox } => {
                 self.outboxes.insert(source, outbox);
                 self.counters.links_started += 1;
@@ -112,7 +112,7 @@
                 self.heartbeats.remove(&source);
                 self.outboxes.remove(&source);
                 self.environment.unfollow(source);
-                self.view.lost(self.now(), source);
+                self.view.source_lost(self.now(), source);
                 self.unconfirmed.lost(source);
                 self.sources.link_down(self.now(), source);
                 self.review_sources();
@@ -153,30 +153,33 @@
 
     /// A source vouches for the configuration that was held back.
     fn take_withheld(&mut self, source: SocketAddr) {
-        if let Some(decided) = self.unconfirmed.take(source) {
-            self.on_source_message(source, Message::CommittedConfiguration(decided));
+        if let Some(committed) = self.unconfirmed.take(source) {
+            self.on_source_message(source, Message::CommittedConfiguration(committed));
         }
     }
 
     /// Goes on with what there is, once no source has vouched for anything for too long.
     fn release_withheld(&mut self) {
-        if let Some((source, decided)) = self.unconfirmed.overdue(self.now()) {
-            log::warn!("no controller is in contact with a majority: revision {} is used", decided.revision);
-            self.receive(source, Message::CommittedConfiguration(decided));
+        if let Some((source, committed)) = self.unconfirmed.overdue(self.now()) {
+            log::warn!(
+                "no controller is in contact with a majority: revision {} is used",
+                committed.revision
+            );
+            self.receive(source, Message::CommittedConfiguration(committed));
         }
     }
 
     /// Merges a message into the view, and tells routers what is news.
     fn receive(&mut self, source: SocketAddr, message: Message) {
-        let mut news = Vec::new();
-        self.view.receive(self.now(), source, message, &mut news);
-        news.into_iter().for_each(|message| self.publish(message));
+        let mut events = Vec::new();
+        self.view.receive(self.now(), source, message, &mut events);
+        events.into_iter().for_each(|message| self.publish(message));
     }
 
     /// Tells routers what is news here. Of a configuration they hear only that it is there.
     fn publish(&mut self, message: Message) {
         let message = match message {
-            Message::CommittedConfiguration(decided) => self.configurations.publish(decided),
+            Message::CommittedConfiguration(committed) => self.configurations.publish(committed),
             message => Some(message),
         };
         if let Some(message) = message {
@@ -283,7 +286,7 @@
         for source in plan.stop {
             self.heartbeats.remove(&source);
             self.outboxes.remove(&source);
-            self.view.lost(now, source);
+            self.view.source_lost(now, source);
             self.unconfirmed.lost(source);
             self.environment.unfollow(source);
         }
--- a/crates/controller/src/agent/process.rs
+++ b/crates/controller/src/agent/process.rs
@@ -19,7 +19,7 @@
 /// The outside of an agent that is a process. Must be used inside a `LocalSet`.
 struct Process {
     started: Instant,
-    news: mpsc::UnboundedSender<SourceEvent>,
+    events: mpsc::UnboundedSender<SourceEvent>,
     /// Links under way.
     links: BTreeMap<SocketAddr, AbortHandle>,
 }
@@ -30,7 +30,7 @@
     }
 
     fn follow(&mut self, source: SocketAddr, hello: Hello) {
-        let task = follow(source, hello, Some(SOURCE_TIMEOUT), self.news.clone());
+        let task = follow(source, hello, Some(SOURCE_TIMEOUT), self.events.clone());
         let handle = tokio::task::spawn_local(task).abort_handle();
         self.links.insert(source, handle);
     }
@@ -53,9 +53,9 @@
     let listener = link::listen(loopback_address(&settings))?;
     let (subscriber_events, mut from_subscribers) = mpsc::unbounded_channel();
     tokio::task::spawn_local(accept(listener, subscriber_events));
-    let (news, mut from_sources) = mpsc::unbounded_channel();
+    let (events, mut from_sources) = mpsc::unbounded_channel();
     let started = Instant::now();
-    let process = Process { started, news, links: BTreeMap::new() };
+    let process = Process { started, events, links: BTreeMap::new() };
     let mut agent = Agent::new(settings, draw_incarnation(), Box::new(process));
     agent.review_sources();
     let mut scrapes = Scrapes::at(metrics);
@@ -64,7 +64,7 @@
     loop {
         let fetch = agent.next_fetch().map(|at| started + at);
         tokio::select! {
-            Some(news) = from_sources.recv() => agent.on_source_event(news),
+            Some(events) = from_sources.recv() => agent.on_source_event(events),
             Some(event) = from_subscribers.recv() => agent.on_subscriber_event(event),
             Some(scrape) = scrapes.next() => scrape.answer(agent.metrics()),
             _ = review.tick() => agent.review_sources(),
@@ -76,7 +76,7 @@
     }
 }
 
-async fn accept(listener: tokio::net::TcpListener, owner: mpsc::UnboundedSender<SubscriberEvent>) {
+async fn accept(listener: tokio::net::TcpListener, events: mpsc::UnboundedSender<SubscriberEvent>) {
     let mut subscriber = 0;
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -84,22 +84,22 @@
             continue;
         };
         subscriber += 1;
-        tokio::task::spawn_local(serve(stream, subscriber, owner.clone()));
+        tokio::task::spawn_local(serve(stream, subscriber, events.clone()));
     }
 }
 
-async fn serve(stream: TcpStream, subscriber: u64, owner: mpsc::UnboundedSender<SubscriberEvent>) {
+async fn serve(stream: TcpStream, subscriber: u64, events: mpsc::UnboundedSender<SubscriberEvent>) {
     if let Err(error) = link::set_options(&stream) {
         log::debug!("options of a reader's link: {error}");
     }
     let (read, write) = stream.into_split();
     let (outbox, frames) = Outbox::new();
     let writer = tokio::task::spawn_local(link::write_frames(write, frames));
-    let _ = owner.send(SubscriberEvent::Up { subscriber, outbox });
+    let _ = events.send(SubscriberEvent::Up { subscriber, outbox });
     let mut messages = MessageReader::new(read);
     while let Ok(message) = messages.next().await {
-        let _ = owner.send(SubscriberEvent::Message { subscriber, message });
+        let _ = events.send(SubscriberEvent::Message { subscriber, message });
     }
     writer.abort();
-    let _ = owner.send(SubscriberEvent::Down { subscriber });
+    let _ = events.send(SubscriberEvent::Down { subscriber });
 }
--- a/crates/controller/src/agent/unconfirmed.rs
+++ b/crates/controller/src/agent/unconfirmed.rs
@@ -33,9 +33,9 @@
         may_take: bool,
     ) -> Option<Message> {
         match message {
-            Message::CommittedConfiguration(decided) if !may_take => {
+            Message::CommittedConfiguration(committed) if !may_take => {
                 self.since.get_or_insert(now);
-                self.withheld.insert(source, decided);
+                self.withheld.insert(source, committed);
                 None
             }
             Message::CommittedConfiguration(_) => {
@@ -72,6 +72,6 @@
         }
         self.since = None;
         let withheld = std::mem::take(&mut self.withheld);
-        withheld.into_iter().max_by_key(|(_, decided)| decided.revision)
+        withheld.into_iter().max_by_key(|(_, committed)| committed.revision)
     }
 }
--- a/crates/controller/src/configuration_feed/fetcher.rs
+++ b/crates/controller/src/configuration_feed/fetcher.rs
@@ -90,13 +90,13 @@
     }
 
     /// `source` has this version. True if nobody was known to have one as new.
-    pub fn announced(&mut self, source: SocketAddr, version: ConfigurationVersion) -> bool {
+    pub fn on_announcement(&mut self, source: SocketAddr, version: ConfigurationVersion) -> bool {
         self.announced.insert(source, version);
-        self.known(version)
+        self.on_known_version(version)
     }
 
     /// Someone has this version. True if that is news.
-    pub fn known(&mut self, version: ConfigurationVersion) -> bool {
+    pub fn on_known_version(&mut self, version: ConfigurationVersion) -> bool {
         if let Some(current) = self.version.as_mut().filter(|current| current.digest == version.digest) {
             current.revision = current.revision.max(version.revision);
         }
@@ -108,20 +108,25 @@
     }
 
     /// `source` sent a whole configuration. True if it is newer than the one held.
-    pub fn decided(&mut self, now: Duration, source: SocketAddr, decided: &CommittedConfiguration) -> bool {
-        self.answered(now, source, decided.document.bytes.len());
+    pub fn on_document(
+        &mut self,
+        now: Duration,
+        source: SocketAddr,
+        committed: &CommittedConfiguration,
+    ) -> bool {
+        self.on_answer(now, source, committed.document.bytes.len());
         self.wants_complete = false;
-        self.take(decided)
+        self.apply(committed)
     }
 
     /// `source` sent a difference. Gives the configuration that it makes, if that is newer than the one held.
-    pub fn delta(
+    pub fn on_delta(
         &mut self,
         now: Duration,
         source: SocketAddr,
         delta: &ConfigurationDelta,
     ) -> Option<CommittedConfiguration> {
-        self.answered(now, source, delta.parts.size());
+        self.on_answer(now, source, delta.parts.size());
         if !delta.version.is_newer_than(self.version) {
             return None;
         }
@@ -132,9 +137,9 @@
         });
         match applied {
             Some(Ok(document)) => {
-                let decided =
+                let committed =
                     CommittedConfiguration { revision: delta.version.revision, document: document.into() };
-                self.take(&decided).then_some(decided)
+                self.apply(&committed).then_some(committed)
             }
             // Another source's answer came first, and the next fetch names it.
             None => None,
@@ -146,24 +151,24 @@
         }
     }
 
-    fn take(&mut self, decided: &CommittedConfiguration) -> bool {
-        if self.version.is_some_and(|current| current.revision >= decided.revision) {
+    fn apply(&mut self, committed: &CommittedConfiguration) -> bool {
+        if self.version.is_some_and(|current| current.revision >= committed.revision) {
             return false;
         }
-        let version = ConfigurationVersion::of(decided.revision, &decided.document.bytes);
-        self.known(version);
+        let version = ConfigurationVersion::of(committed.revision, &committed.document.bytes);
+        self.on_known_version(version);
         self.version = Some(version);
-        self.current = Some(decided.clone());
+        self.current = Some(committed.clone());
         true
     }
 
-    fn answered(&mut self, now: Duration, source: SocketAddr, bytes: usize) {
+    fn on_answer(&mut self, now: Duration, source: SocketAddr, bytes: usize) {
         let requested_at = self.in_flight.remove(&source).map_or(now, |in_flight| in_flight.at);
         self.next_fetch = self.next_fetch.max(requested_at + self.pace.interval(bytes));
     }
 
     /// A source's link has ended.
-    pub fn lost(&mut self, source: SocketAddr) {
+    pub fn on_source_lost(&mut self, source: SocketAddr) {
         self.announced.remove(&source);
         self.in_flight.remove(&source);
     }
--- a/crates/controller/src/configuration_feed/publisher.rs
+++ b/crates/controller/src/configuration_feed/publisher.rs
@@ -31,13 +31,13 @@
     }
 
     /// Takes a newer configuration. Tells what readers have to hear; `None` if it is not newer.
-    pub fn publish(&mut self, decided: CommittedConfiguration) -> Option<Message> {
-        let version = ConfigurationVersion::of(decided.revision, &decided.document.bytes);
+    pub fn publish(&mut self, committed: CommittedConfiguration) -> Option<Message> {
+        let version = ConfigurationVersion::of(committed.revision, &committed.document.bytes);
         if self.newest().is_some_and(|newest| newest.version.revision >= version.revision) {
             return None;
         }
         self.answers.clear();
-        self.versions.push_back(RetainedConfiguration { version, document: decided.document.bytes });
+        self.versions.push_back(RetainedConfiguration { version, document: committed.document.bytes });
         while self.exceeds_retention() {
             self.versions.pop_front();
         }
--- a/crates/controller/src/controller/consensus/disk.rs
+++ b/crates/controller/src/controller/consensus/disk.rs
@@ -1,4 +1,4 @@
-//! The disk's own thread: a write or a sync that takes seconds holds up nothing else.
+//! The thread that writes records to disk, so that a write or a sync that takes seconds blocks nothing else.
 
 use crate::controller::event::Event;
 use lanegate_coordination::register::{CodecError, Record};
@@ -76,7 +76,8 @@
             for Write { shard, token, record } in queue {
                 let began = Instant::now();
                 let durable = write(&mut folder, &mut stores, shard, &record);
-                let durable = durable.inspect_err(|error| log::warn!("record of shard {shard}: {error}"));
+                let durable = durable
+                    .inspect_err(|error| log::warn!("record not persisted shard={shard} error={error}"));
                 ended.ended(durable.is_ok(), began.elapsed());
                 if events.send(Event::Written { shard, token, durable: durable.is_ok() }).is_err() {
                     return;
--- a/crates/controller/src/controller/consensus/fault_tolerance.rs
+++ b/crates/controller/src/controller/consensus/fault_tolerance.rs
@@ -1,4 +1,4 @@
-//! How many further losses the group of a shard can bear, and when to tell the operators.
+//! How many further failures the replica group of a shard can tolerate, and when to report that to the operators.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,13 +10,13 @@
     Voting,
     /// Live, but its replica cannot vote: it has lost its disk and not recovered yet, or its disk refuses writes.
     NotVoting,
-    /// Live, but it has not said where it stands.
+    /// Live, but its status is not known yet.
     Unknown,
-    /// Silent.
+    /// Suspected by the failure detector.
     Suspected,
 }
 
-/// Losses that every one of `groups` (two while members change) can still bear and keep a majority; `None` if
+/// Failures that every one of `groups` (two while members change) tolerates without losing its majority; `None` if
 /// one of them has none now, or no group is known.
 pub fn tolerable_failures(
     groups: &[Vec<SocketAddr>],
@@ -30,23 +30,23 @@
     margins?.into_iter().min()
 }
 
-/// What the log has to say of a shard's margin.
+/// A change of the fault tolerance of a shard that is logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ToleranceChange {
-    /// The next loss takes the majority, or it is gone already.
+    /// The next failure loses the majority, or it is lost already.
     Exhausted,
-    /// A loss can be borne again.
+    /// A failure can be tolerated again.
     Restored,
 }
 
-/// The margins that were told last.
+/// Whether the fault tolerance of each shard was exhausted when it was last observed.
 #[derive(Debug, Default)]
 pub struct ToleranceMonitor {
     exhausted: BTreeMap<u8, bool>,
 }
 
 impl ToleranceMonitor {
-    /// Takes the margin of a shard. Tells it only when it has come to its end, or is back.
+    /// Records how many failures a shard tolerates. Returns a change only when that number reaches zero or rises above it.
     pub fn observe(&mut self, shard: u8, tolerable_failures: Option<usize>) -> Option<ToleranceChange> {
         let exhausted = tolerable_failures.is_none_or(|tolerable_failures| tolerable_failures == 0);
         let before = self.exhausted.insert(shard, exhausted).unwrap_or(false);
--- a/crates/controller/src/controller/consensus/freshness.rs
+++ b/crates/controller/src/controller/consensus/freshness.rs
@@ -1,6 +1,6 @@
-//! Whether this controller vouches for what it knows.
+//! Whether the configuration that this controller knows is current.
 //!
-//! Contact with a majority says that nothing keeps news away; it does not say that all of it has come. So a
+//! Contact with a majority says that updates can arrive; it does not say that all of them have arrived. So a
 //! controller whose contact with the group of the configuration begins, at its start, after a cut or a freeze,
 //! first reads the register: a read that was begun in contact misses nothing that was acknowledged before it.
 //! Only from its answer on, and for as long as contact lasts unbroken, does the feed call this controller
@@ -26,23 +26,23 @@
     Current,
 }
 
-/// What became of contact since it was last looked at.
+/// How contact changed since it was last observed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ContactChange {
     /// Contact with the group of some shard has begun.
     pub contact_begun: bool,
     /// The register of the configuration is to be read.
     pub read: bool,
-    /// Readers of the feed have been told something else.
+    /// What subscribers of the feed were last notified of is not true any more.
     pub notify: bool,
 }
 
-/// Contact with the groups as it was last looked at, and whether the configuration known here is current.
+/// Contact with the groups as it was last observed, and whether the configuration known here is current.
 #[derive(Debug, Default)]
 pub struct Freshness {
     in_contact: BTreeSet<u8>,
     knowledge: Knowledge,
-    /// What readers of the feed were told last.
+    /// What subscribers of the feed were notified of last.
     advertised: bool,
 }
 
@@ -77,7 +77,7 @@
         self.knowledge == Knowledge::Current
     }
 
-    /// Whether contact with the group of the configuration held when it was last looked at.
+    /// Whether there was contact with the group of the configuration when it was last observed.
     pub fn is_in_contact(&self) -> bool {
         self.in_contact.contains(&shards::CONFIGURATION)
     }
@@ -96,7 +96,7 @@
         self.quorum_contact.reaches(self.now(), &self.groups(shard))
     }
 
-    /// Whether this controller vouches for the configuration that it knows.
+    /// Whether the configuration that this controller knows is current.
     pub(crate) fn is_current(&self) -> bool {
         self.freshness.is_current() && self.has_contact(shards::CONFIGURATION)
     }
@@ -107,12 +107,12 @@
         watched.then(|| self.quorum_contact.valid_until(&self.groups(shards::CONFIGURATION))).flatten()
     }
 
-    /// Notices the beginning and the end of contact.
+    /// Reacts to the beginning and the end of quorum contact.
     pub(crate) fn update_contact(&mut self) {
         let reached: BTreeSet<u8> = shards::all().filter(|shard| self.has_contact(*shard)).collect();
         let watched = self.freshness.observe_contact(reached);
         if watched.contact_begun {
-            // Heartbeats that others took meanwhile are still on their way here.
+            // Heartbeats that other controllers received meanwhile are still in flight.
             self.endpoints.excuse_silence(self.now());
         }
         if watched.read {
--- a/crates/controller/src/controller/consensus/quorum_contact.rs
+++ b/crates/controller/src/controller/consensus/quorum_contact.rs
@@ -1,9 +1,9 @@
 //! Contact of a controller with the majority of a group: answers, and how old they are.
 //!
-//! A failure detector tells who has fallen silent. That is too late and too little to vouch for anything: a
-//! peer that is heard may not hear, and a process that was frozen hears what was said before. So contact rests
-//! on answers alone. Every heartbeat of this life is noted with the time before it left; a peer that receives
-//! it sends it back; and the peer counts for [`CONTACT_VALIDITY`] from that noted time. What a majority
+//! A failure detector is too slow and too weak for this: a peer whose heartbeats arrive may not receive ours, and a
+//! process that was frozen reads messages that are old. So contact rests on answers alone. Every heartbeat of this
+//! incarnation is recorded with the time before it was sent; a peer that receives it sends it back; and the peer
+//! counts for [`CONTACT_VALIDITY`] from that recorded time. What a majority
 //! answered at most so long ago, it answered at a time that lies in that span, however long the answer was on
 //! its way or waited in a buffer: the same argument as for the validity of a lease.
 //!
@@ -31,13 +31,13 @@
     AgeFromReceipt,
     /// A majority is one less.
     SmallMajority,
-    /// A peer that is heard counts as one that answers.
+    /// A peer whose heartbeats arrive counts as one that answers.
     CountReceivedHeartbeats,
     /// Contact is judged by the time of the last message, not by the present one.
     StaleClock,
     /// While the members change, a majority of the new group is enough.
     NewGroupOnly,
-    /// Echoes of an earlier life of this process count.
+    /// Echoes of an earlier incarnation of this process count.
     AnyIncarnation,
 }
 
@@ -80,7 +80,7 @@
         QuorumContact { fault, ..QuorumContact::new(this, incarnation) }
     }
 
-    /// Notes a heartbeat of this process; `now` was read before it leaves.
+    /// Records a heartbeat of this process; `now` was read before it was sent.
     pub fn heartbeat_sent(&mut self, now: Duration, heartbeat: &Heartbeat) {
         self.last_call = now;
         if self.sent.back().is_some_and(|last| last.heartbeat.sequence >= heartbeat.sequence) {
@@ -97,7 +97,7 @@
         self.sent.back().map(|last| &last.heartbeat)
     }
 
-    /// A heartbeat of `peer` has come. It says nothing of contact, as the peer may not hear this process.
+    /// A heartbeat of `peer` has arrived. It is no contact: the peer may not receive messages of this process.
     pub fn heartbeat_received(&mut self, now: Duration, peer: SocketAddr) {
         self.last_call = now;
         if self.has(ContactFault::CountReceivedHeartbeats) {
--- a/crates/controller/src/controller/consensus/registers.rs
+++ b/crates/controller/src/controller/consensus/registers.rs
@@ -1,4 +1,4 @@
-//! The registers: what their replicas ask for, what was decided, and answers to requests.
+//! The registers of the shards: outputs of their replicas, committed values, and outcomes of requests.
 
 use crate::controller::consensus::replica_groups::KnownGroups;
 use crate::controller::consensus::shards::{self, read_epoch};
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 
 impl Controller {
-    /// Does what a replica asks for.
+    /// Executes the outputs of a replica.
     pub(crate) fn execute_outputs(&mut self, shard: u8, outputs: Vec<Output>) {
         for output in outputs {
             match output {
@@ -25,7 +25,7 @@
                         let message = Message::Register(ShardMessage { shard, body: bytes.into() });
                         self.peers.send(SocketAddr::V4(to.into()), &message);
                     }
-                    Err(error) => log::error!("message of shard {shard}: {error}"),
+                    Err(error) => log::error!("register message not encoded shard={shard} error={error}"),
                 },
                 Output::Persist { token, record } => self.environment.persist(shard, token, record),
                 Output::Done { request, outcome } => self.on_request_done(request, outcome),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A newer decided value of a shard is known.
+    /// Applies a newer committed value of a shard.
     pub(crate) fn on_committed(&mut self, shard: u8, value: &Value) {
         let now = self.now();
         let newest = self.newest_revisions.entry(shard).or_default();
@@ -45,7 +45,11 @@
         members.iter().for_each(|member| self.discover_peer(*member));
         let groups = KnownGroups::of(Some(value));
         if self.replacement_planner.groups_committed(shard, &groups) {
-            log::info!("shard {shard}: its groups are {:?} (revision {})", groups.groups, value.revision);
+            log::info!(
+                "replica groups committed shard={shard} revision={} groups={:?}",
+                value.revision,
+                groups.groups
+            );
         }
         if shard == shards::CONFIGURATION {
             self.endpoints.acknowledge_confirmed(&self.known_groups(shard));
@@ -57,22 +61,25 @@
         match ControlState::decode(&value.state) {
             Ok(state) => {
                 let Some(document) = state.document() else { return };
-                if self.decided.as_ref().is_some_and(|known| known.document.bytes == document) {
+                if self.committed_configuration.as_ref().is_some_and(|known| known.document.bytes == document)
+                {
                     return;
                 }
-                log::info!("configuration {} is in force (revision {})", state.version(), value.revision);
-                let decided =
+                log::info!("configuration committed version={} revision={}", state.version(), value.revision);
+                let committed =
                     CommittedConfiguration { revision: value.revision, document: document.to_vec().into() };
                 match serde_json::from_slice(document) {
                     Ok(configuration) => self.configuration = Some(Arc::new(configuration)),
-                    Err(error) => log::error!("configuration {}: {error}", state.version()),
+                    Err(error) => {
+                        log::error!("configuration not parsed version={} error={error}", state.version())
+                    }
                 }
-                self.decided = Some(decided.clone());
-                self.subscribers.publish(decided);
+                self.committed_configuration = Some(committed.clone());
+                self.subscribers.publish(committed);
                 self.configure_placements(0);
                 self.campaign_for_leases();
             }
-            Err(error) => log::error!("the configuration's register cannot be read: {error}"),
+            Err(error) => log::error!("configuration state not decoded error={error}"),
         }
     }
 
--- a/crates/controller/src/controller/consensus/replica_groups.rs
+++ b/crates/controller/src/controller/consensus/replica_groups.rs
@@ -29,7 +29,7 @@
         KnownGroups { revision: 0, groups: vec![vec![node]] }
     }
 
-    /// The groups that a peer told with its confirmation; addresses that cannot be read count for nobody.
+    /// The groups that a peer reported with its confirmation. An address that cannot be parsed becomes a member that nobody matches.
     pub fn from_confirmation(confirmation: &Confirmation) -> Self {
         let nobody = SocketAddr::from(([0, 0, 0, 0], 0));
         let read = |text: &str| text.parse().unwrap_or(nobody);
--- a/crates/controller/src/controller/counters.rs
+++ b/crates/controller/src/controller/counters.rs
@@ -51,7 +51,7 @@
         (ChangeOutcome::Unclear, "unclear"),
     ];
 
-    /// The outcome that an encoded outcome of the control state tells.
+    /// Decodes an outcome of the control state.
     pub fn of_encoded(encoded: &[u8]) -> Self {
         match Outcome::decode(encoded) {
             Ok(Outcome::Taken { .. }) => ChangeOutcome::Taken,
@@ -71,16 +71,16 @@
     loads: BTreeMap<OrderOutcome, u64>,
     evictions: BTreeMap<OrderOutcome, u64>,
     changes: BTreeMap<ChangeOutcome, u64>,
-    /// Endpoints removed as they were silent for too long.
+    /// Endpoints removed because their heartbeats timed out.
     pub expiries: u64,
-    /// Times that the process noticed that it had stood still.
+    /// Times that the process noticed that it had stalled.
     pub stalls: u64,
     /// Tenures of leases that have begun.
     pub tenures: u64,
 }
 
 impl Counters {
-    /// An order leaves.
+    /// An order is sent.
     pub fn order_given(&mut self) {
         self.orders_in_flight += 1;
     }
--- a/crates/controller/src/controller/endpoints/expiry.rs
+++ b/crates/controller/src/controller/endpoints/expiry.rs
@@ -1,14 +1,14 @@
-//! What no event tells: silent endpoints and routers, peers that nobody names any more, a controller that
-//! has heard everyone.
+//! Periodic tasks: expiry of endpoints, routers and peers, reconciliation of members, and the completeness of the
+//! registry after a start.
 
 use crate::controller::consensus::shards::{self, shard_of};
 use crate::controller::{Controller, ControllerFault};
 use crate::message::Message;
 use std::time::Duration;
 
-/// Time between looks at what no event tells: silent endpoints, members, settings.
+/// Time between runs of the periodic tasks.
 pub(crate) const PERIODIC_TASKS_PERIOD: Duration = Duration::from_millis(400);
-/// Heartbeats of endpoints after which a controller that started alone has heard them all.
+/// Heartbeat periods after which a controller that started alone has received a heartbeat of every endpoint.
 const HEARTBEATS_TO_COMPLETE: f64 = 2.2;
 
 impl Controller {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Everyone that registers has been heard: readers may drop what they did not hear of.
+    /// The registry is complete: subscribers may drop what they were not sent.
     pub(crate) fn mark_complete(&mut self) {
         if !self.complete {
             self.complete = true;
--- a/crates/controller/src/controller/endpoints/pending_loads.rs
+++ b/crates/controller/src/controller/endpoints/pending_loads.rs
@@ -1,5 +1,5 @@
-//! When an accepted order shows: routers hear of a loaded model or adapter as soon as it can be used, and
-//! not with the endpoint's next heartbeat, which may be a second away.
+//! Accepted loads whose model is not resident yet. Routers are notified of a loaded model or adapter as soon as it can
+//! be used, not with the endpoint's next heartbeat, which may be a second away.
 
 use crate::message::ResidencyUpdate;
 use lanegate_config::instance::ResidentModel;
@@ -12,12 +12,12 @@
 const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(25);
 /// By how much an endpoint's report on itself lags, beyond a load's usual time.
 const REPORT_LAG: Duration = Duration::from_millis(230);
-/// Pause before an endpoint that still loads is asked again.
+/// Delay before an endpoint that still loads is asked again.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Questions about one load, the last of which gets [`RETRY_DELAY`] for its answer; a heartbeat tells the rest.
+/// Report requests for one load, the last of which gets [`RETRY_DELAY`] for its answer; after that the heartbeat reports it.
 const MAX_REPORT_REQUESTS: u32 = 4;
 
-/// A load that an endpoint has accepted and does not show yet.
+/// A load that an endpoint has accepted and has not reported as resident yet.
 #[derive(Debug)]
 struct PendingLoad {
     service: String,
@@ -32,13 +32,13 @@
 /// What is due.
 #[derive(Debug, PartialEq, Eq)]
 pub enum PendingLoadStep {
-    /// Tell everyone.
+    /// Publish to peers and subscribers.
     Publish(ResidencyUpdate),
     /// Ask the endpoint for its report.
     RequestReport { service: String, instance: Arc<str>, address: SocketAddr },
 }
 
-/// Accepted loads that do not show yet.
+/// Accepted loads that are not reported as resident yet.
 #[derive(Debug, Default)]
 pub struct PendingLoads {
     pending: Vec<PendingLoad>,
@@ -79,7 +79,7 @@
         steps
     }
 
-    /// An endpoint reported what it holds. Tells which awaited models are among that.
+    /// An endpoint reported its resident models. Returns the pending ones among them.
     pub fn reported(&mut self, instance: &str, models: &[ResidentModel]) -> Vec<ResidencyUpdate> {
         let is_resident = |pending: &PendingLoad| {
             *pending.instance == *instance
--- a/crates/controller/src/controller/endpoints/registry.rs
+++ b/crates/controller/src/controller/endpoints/registry.rs
@@ -1,4 +1,4 @@
-//! Registrations of endpoints at a controller: what is taken, told to the others, acknowledged.
+//! Registrations of endpoints at a controller: merged, replicated to the peers, acknowledged.
 
 use crate::controller::consensus::replica_groups::KnownGroups;
 use crate::controller::event::Answer;
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Longest wait for the other replicas before a leaving endpoint is sent elsewhere; it waits a second.
+/// Longest wait for the other replicas before a draining endpoint is sent elsewhere; it waits a second.
 const REPLICATION_TIMEOUT: Duration = Duration::from_millis(850);
 /// How long the end of an incarnation is remembered.
 const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
@@ -24,7 +24,7 @@
 /// this only keeps the list from growing.
 const MISSED_HEARTBEATS: f64 = 3.5;
 
-/// Deliberate mistakes: each must be found by a test.
+/// Deliberate faults: each must be found by a test.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcknowledgementFault {
@@ -32,7 +32,7 @@
     CountNonMembers,
     /// What a peer confirmed counts after its restart.
     CountRestartedPeers,
-    /// Flushes are numbered alike in every life of the process.
+    /// Flushes have the same numbers in every incarnation of the process.
     RepeatTokens,
     /// Groups that only a peer knows do not count.
     OwnGroupsOnly,
@@ -51,7 +51,7 @@
 impl PendingAcknowledgement {
     /// Whether it may be acknowledged by the controller `this`, which knows of the groups `known`.
     ///
-    /// A controller that confirmed may know of a change of members that `this` has not heard of. Whoever holds
+    /// A controller that confirmed may know of a change of members that `this` does not know of. Whoever has
     /// the newer group's majority must have the notice too, so that group counts beside those known here.
     fn is_confirmed(
         &self,
@@ -74,7 +74,7 @@
     }
 }
 
-/// What a call changed: messages for the other controllers, those of them that readers hear too.
+/// What a call changed: messages for the other controllers, and which of them subscribers get too.
 #[derive(Debug, Default)]
 pub struct Changes {
     pub messages: Vec<Message>,
@@ -82,29 +82,29 @@
     pub flush: Option<u64>,
 }
 
-/// What became of a registration that another controller told.
+/// The result of merging a registration of another controller.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct RegistrationMerge {
-    /// What readers have to hear.
+    /// Updates for subscribers.
     pub updates: Vec<Message>,
-    /// Whether the other controllers have to hear it from here too: an endpoint that leaves may have been
-    /// acknowledged, so whoever reaches this controller must get to know, also if it does not reach the first.
+    /// Whether it has to be relayed to the other controllers: a draining endpoint may have been acknowledged, so every
+    /// controller that this one reaches must learn of it, also if it does not reach the first.
     pub relay: bool,
 }
 
-/// What became of a removal that another controller told.
+/// The result of merging a removal of another controller.
 #[derive(Debug, PartialEq, Eq)]
 pub enum RemovalMerge {
-    /// The incarnation is gone here too; readers have to hear of it.
+    /// The incarnation is removed here too; subscribers must be notified.
     Removed,
-    /// Nothing is new.
+    /// Nothing changed.
     Known,
-    /// A later heartbeat was heard: the other controllers and all readers need this registration, as
-    /// whoever took the removal hears nothing of an unchanged heartbeat.
+    /// A later heartbeat was received: the other controllers and all subscribers need this registration, as
+    /// whoever merged the removal gets no update from an unchanged heartbeat.
     Contradicted(Message),
 }
 
-/// The registry, and the acknowledgements under way.
+/// The endpoint registry, and acknowledgements in flight.
 #[derive(Debug)]
 pub struct EndpointRegistry {
     /// This controller, which counts among those that know of a notice.
@@ -113,7 +113,7 @@
     timeout: Duration,
     /// Heartbeats since the last report to the other controllers.
     heartbeats: BTreeMap<String, u64>,
-    /// Leaving incarnations of which a majority knows.
+    /// Draining incarnations that a majority has.
     confirmed: BTreeSet<String>,
     pending: BTreeMap<u64, PendingAcknowledgement>,
     next_token: u64,
@@ -122,7 +122,7 @@
 
 impl EndpointRegistry {
     /// An empty registry for endpoints that send a heartbeat every `heartbeat`, at the controller `this`. Flushes
-    /// are numbered from `incarnation`, drawn anew at each start: an answer to an earlier life confirms nothing.
+    /// are numbered from `incarnation`, drawn anew at each start: an answer to an earlier incarnation confirms nothing.
     pub fn new(heartbeat: Duration, this: SocketAddr, incarnation: u64) -> Self {
         EndpointRegistry {
             this,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// The same with a deliberate mistake, for tests.
+    /// The same with a deliberate fault, for tests.
     pub fn with_fault(self, fault: Option<AcknowledgementFault>) -> Self {
         let repeats = fault == Some(AcknowledgementFault::RepeatTokens);
         let next_token = if repeats { 1 } else { self.next_token };
@@ -144,8 +144,8 @@
     }
 
     /// A heartbeat of `id`. A majority of the groups `known`, and of any newer ones, has to know of one that is
-    /// leaving. One that is not leaving is taken in any case, but acknowledged only `in_contact` with a majority:
-    /// whoever judges its silence may not hear of it from here, so it has to call another controller as well.
+    /// draining. One that is not draining is merged in any case, but acknowledged only `in_contact` with a majority:
+    /// the controller that expires it may not get the heartbeat from here, so it has to call another controller as well.
     pub fn register(
         &mut self,
         now: Duration,
@@ -186,7 +186,7 @@
         changes
     }
 
-    /// `id` says that it has ended.
+    /// The endpoint `id` deregisters.
     pub fn deregister(
         &mut self,
         now: Duration,
@@ -200,7 +200,7 @@
         Changes { messages, flush: self.wait(now, id, known, reply) }
     }
 
-    /// Another controller heard a registration.
+    /// Merges a registration that another controller received.
     pub fn merge(&mut self, now: Duration, message: &RegisteredMessage) -> RegistrationMerge {
         let id = message.id.text();
         let Ok(registration) = Registered::parse(&id, message.body.bytes.clone().into()) else {
@@ -216,7 +216,7 @@
         }
     }
 
-    /// The placer here knows of a model at an endpoint. Gives what everyone has to hear, if it is news.
+    /// Merges a residency update of a placer here. Returns the update to publish, if it changed anything.
     pub fn publish(&mut self, mut update: ResidencyUpdate) -> Option<ResidencyUpdate> {
         let entry = self.registry.get(&update.id.text())?;
         update.sequence = entry.latest;
@@ -224,14 +224,14 @@
         self.apply_residency(&update).then_some(update)
     }
 
-    /// A placer, here or elsewhere, knows of a model at an endpoint. True if it is news.
+    /// Merges a residency update of a placer, here or elsewhere. Returns whether it changed anything.
     pub fn apply_residency(&mut self, update: &ResidencyUpdate) -> bool {
         let registration = self.registry.get_mut(&update.id.text());
         registration.is_some_and(|registration| registration.apply_residency(update.clone()))
     }
 
-    /// Whether a removal that another controller told has to be told to the others from here too, for the same
-    /// reason as in [`RegistrationMerge::relay`]; to be asked before it is merged.
+    /// Whether a removal that another controller sent has to be relayed from here too, for the same
+    /// reason as in [`RegistrationMerge::relay`]; to be called before it is merged.
     pub fn relays_removal(&self, removed: &Removed) -> bool {
         let known = self.registry.get(&removed.id.text());
         removed.sequence == FINAL_SEQUENCE && known.is_none_or(|entry| entry.sequence != FINAL_SEQUENCE)
@@ -249,20 +249,20 @@
         }
     }
 
-    /// A live registration as of its newest heartbeat, which is newer than a removal that was heard.
+    /// A live registration as of its newest heartbeat, which is newer than a removal that was received.
     fn revived(&self, id: &str) -> Option<Message> {
         let entry = self.registry.get(id)?;
         Some(registered_message(id, entry.latest, entry.registration.as_ref()?))
     }
 
-    /// Another controller heard these.
+    /// Merges heartbeats that another controller received.
     pub fn merge_heartbeats(&mut self, now: Duration, list: &HeartbeatBatch) {
         for heartbeat in &list.heartbeats {
             self.registry.refresh(now, &heartbeat.id.text(), heartbeat.sequence);
         }
     }
 
-    /// What was heard here since the last call, for the other controllers.
+    /// Heartbeats received here since the last call, for the other controllers.
     pub fn take_heartbeat_batch(&mut self) -> Option<Message> {
         if self.heartbeats.is_empty() {
             return None;
@@ -273,7 +273,7 @@
         Some(Message::HeartbeatBatch(heartbeats.into()))
     }
 
-    /// Removes what nobody has heard, in the services that this controller owns.
+    /// Removes endpoints whose heartbeats have timed out, in the services that this controller owns.
     pub fn expire(&mut self, now: Duration, owns: impl Fn(&str) -> bool) -> Vec<Message> {
         self.registry.purge_removed(now, TOMBSTONE_RETENTION);
         let registry = &self.registry;
@@ -282,7 +282,7 @@
         silent.into_iter().map(|(id, sequence)| removed_message(&id, sequence)).collect()
     }
 
-    /// This process could not listen for a while.
+    /// This process could not receive for a while: time-outs start anew.
     pub fn excuse_silence(&mut self, now: Duration) {
         self.registry.restart_timeouts(now);
     }
@@ -324,7 +324,7 @@
         token
     }
 
-    /// Gives up acknowledgements for which no majority was reached in time.
+    /// Answers 503 to acknowledgements that no majority confirmed in time.
     pub fn expire_pending(&mut self, now: Duration) {
         let late: Vec<u64> = self
             .pending
@@ -348,7 +348,7 @@
         self.pending.values().map(|pending| pending.until).min()
     }
 
-    /// Live incarnations, for readers of the feed.
+    /// Live incarnations, for subscribers of the feed.
     pub fn snapshot(&self) -> impl Iterator<Item = Message> {
         self.registry.entries().flat_map(|(id, entry)| {
             let registration = entry.registration.as_ref();
@@ -358,7 +358,7 @@
         })
     }
 
-    /// All incarnations, those that are gone included, for another controller.
+    /// All incarnations, tombstones included, for another controller.
     pub fn full_snapshot(&self) -> impl Iterator<Item = Message> {
         let gone = self.registry.entries().filter(|(_, entry)| entry.registration.is_none());
         self.snapshot().chain(gone.map(|(id, entry)| removed_message(id, entry.sequence)))
--- a/crates/controller/src/controller/event.rs
+++ b/crates/controller/src/controller/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a controller: messages, calls, and ends of writes, one after the other.
+//! The events of a controller: messages, calls, and completed writes, one after the other.
 
 use crate::controller::operator::unavailable::Unavailable;
 use crate::link::Outbox;
@@ -18,7 +18,7 @@
     Other,
 }
 
-/// A call on the control interface, read whole.
+/// A complete call on the control interface.
 #[derive(Debug)]
 pub struct Call {
     pub method: Method,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Everything that a controller reacts to.
+/// An event that a controller handles.
 #[derive(Debug)]
 pub enum Event {
     /// The link to another controller is up.
--- a/crates/controller/src/controller/event_loop.rs
+++ b/crates/controller/src/controller/event_loop.rs
@@ -1,4 +1,4 @@
-//! One turn of a controller: what is due by now, and each event handed to the module that takes its kind.
+//! The event loop of a controller: timers that are due, and the dispatch of events.
 
 use crate::controller::Controller;
 use crate::controller::consensus::shards;
@@ -9,20 +9,20 @@
 use lanegate_coordination::register::{Input, Value};
 use std::time::Duration;
 
-/// A gap between turns from which on this process takes itself to have stood still.
+/// A gap between ticks from which on this process is taken to have stalled.
 const STALL_THRESHOLD: Duration = Duration::from_millis(1_200);
 
 impl Controller {
-    /// Takes up what the disk holds, and dials the seeds.
+    /// Restores the state on disk, and dials the seeds.
     pub(crate) fn start(&mut self) {
         let seeds = self.settings.seeds.clone();
         seeds.into_iter().for_each(|seed| self.discover_peer(seed));
-        let decided: Vec<(u8, Value)> = self
+        let committed: Vec<(u8, Value)> = self
             .shards
             .iter()
             .filter_map(|(shard, replica)| Some((shard, replica.decided()?.clone())))
             .collect();
-        for (shard, value) in decided {
+        for (shard, value) in committed {
             self.on_committed(shard, &value);
         }
         for shard in shards::all() {
@@ -50,7 +50,7 @@
         wakes.into_iter().flatten().min().unwrap_or(self.next_feed_heartbeat)
     }
 
-    /// Does what is due.
+    /// Runs everything that is due.
     pub(crate) fn tick(&mut self) {
         let now = self.now();
         if now > self.last_tick + STALL_THRESHOLD {
@@ -91,7 +91,7 @@
         self.advance_handover(now);
     }
 
-    /// Takes one event.
+    /// Handles one event.
     pub(crate) fn handle_event(&mut self, event: Event) {
         let now = self.now();
         match event {
@@ -113,8 +113,8 @@
             Event::AgentMessage { agent, message } => self.agent_message(agent, message),
             Event::OrderAnswered { service, order, answer } => self.order_answered(&service, &order, answer),
             Event::Reported { service, instance, report } => {
-                for holding in self.pending_loads.reported(&instance, &report.models) {
-                    self.publish(holding);
+                for update in self.pending_loads.reported(&instance, &report.models) {
+                    self.publish(update);
                 }
                 self.placers.reported(now, &service, &instance, &report);
             }
--- a/crates/controller/src/controller/fault.rs
+++ b/crates/controller/src/controller/fault.rs
@@ -1,21 +1,21 @@
-//! Deliberate mistakes of a controller, each of which the simulation must find. A process makes none.
+//! Deliberate faults of a controller, each of which the simulation must find. A process has none.
 
 use crate::controller::consensus::quorum_contact::ContactFault;
 use crate::controller::endpoints::registry::AcknowledgementFault;
 use crate::controller::membership::replacement::ReplacementFault;
 use lanegate_coordination::register;
 
-/// A deliberate mistake of a controller.
+/// A deliberate fault of a controller.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ControllerFault {
-    /// A mistake of the registers, in all shards.
+    /// A fault of the registers, in all shards.
     Register(register::Fault),
-    /// A mistake in what counts as contact with a majority.
+    /// A fault in what counts as contact with a majority.
     Contact(ContactFault),
-    /// A mistake in the replacement of members.
+    /// A fault in the replacement of members.
     Members(ReplacementFault),
-    /// A mistake in what makes an acknowledgement safe.
+    /// A fault in what makes an acknowledgement safe.
     EndpointRegistry(AcknowledgementFault),
     /// `GET /config` answers from what this controller knows, without asking a majority.
     ReadLocally,
@@ -23,7 +23,7 @@
     AcknowledgeProposed,
     /// A drain is acknowledged before any other controller has it.
     AcknowledgeDrainAlone,
-    /// A removal that another controller tells of is not passed on to agents.
+    /// A removal that another controller sent is not forwarded to agents.
     KeepRemovalsFromAgents,
     /// Orders go on after the lease has ended.
     OrderWithoutLease,
@@ -41,20 +41,20 @@
     AcknowledgeHeartbeatAlone,
     /// A change is refused by what this controller knows, without asking a majority.
     RefuseLocally,
-    /// A drain that another controller tells of is not passed on to other controllers.
+    /// A drain that another controller sent is not relayed to other controllers.
     KeepDrainsFromPeers,
-    /// A controller that is told to end does not wait until its place is taken.
+    /// A controller that shuts down does not wait until it is replaced.
     ShutDownWithoutHandover,
-    /// What controllers say of their end is ignored: they replace members, and own shards, until they are silent.
+    /// The draining status of controllers is ignored: they own shards, and are not replaced, until they are suspected.
     IgnoreDraining,
-    /// A controller that is heard counts as one that acts, whether it hears anybody or not.
+    /// A controller whose heartbeats arrive counts as reachable, whether it receives anything or not.
     CountUnreachedPeers,
-    /// Agents are told that this controller is current whether it has contact or not.
+    /// The feed claims that this controller is current whether it has contact or not.
     AlwaysCurrent,
 }
 
 impl ControllerFault {
-    /// Every mistake, those of the parts included.
+    /// Every fault, those of the parts included.
     #[must_use]
     pub fn all() -> Vec<ControllerFault> {
         use ControllerFault as Own;
@@ -97,7 +97,7 @@
         own.into_iter().chain(parts).collect()
     }
 
-    /// The mistake that the registers make.
+    /// The fault of the registers.
     pub(crate) fn of_register(self) -> Option<register::Fault> {
         match self {
             ControllerFault::Register(fault) => Some(fault),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The mistake in what counts as contact.
+    /// The fault in what counts as contact.
     pub(crate) fn of_contact(self) -> Option<ContactFault> {
         match self {
             ControllerFault::Contact(fault) => Some(fault),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The mistake in the replacement of members.
+    /// The fault in the replacement of members.
     pub(crate) fn of_members(self) -> Option<ReplacementFault> {
         match self {
             ControllerFault::Members(fault) => Some(fault),
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The mistake in what makes an acknowledgement safe.
+    /// The fault in what makes an acknowledgement safe.
     pub(crate) fn of_endpoints(self) -> Option<AcknowledgementFault> {
         match self {
             ControllerFault::EndpointRegistry(fault) => Some(fault),
--- a/crates/controller/src/controller/feed/agents.rs
+++ b/crates/controller/src/controller/feed/agents.rs
@@ -1,4 +1,4 @@
-//! The feed to agents: a new reader, and the heartbeat that tells them of the quorum.
+//! The feed to agents: new subscribers, and the heartbeat that reports whether this controller is trusted.
 
 use crate::controller::{Controller, ControllerFault};
 use crate::link::Outbox;
--- a/crates/controller/src/controller/feed/live_routers.rs
+++ b/crates/controller/src/controller/feed/live_routers.rs
@@ -3,25 +3,25 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A router that has told nothing for so long is gone. Until then its part of the budgets is kept: it may
+/// A router that has reported nothing for so long is removed. Until then its part of the budgets is reserved: it may
 /// have used it, and it may be cut off from here alone.
 const ROUTER_TIMEOUT: Duration = Duration::from_secs(30);
-/// Before a controller has listened for so long it tells no number: every router tells its demand each second.
+/// A controller reports no number before it has run for so long: every router reports its demand each second.
 const WARMUP: Duration = Duration::from_secs(5);
 
-/// Routers by name, and when each told its demand last.
+/// Routers by name, and when each reported its demand last.
 #[derive(Debug, Default)]
 pub struct LiveRouters {
     last_report: BTreeMap<String, Duration>,
 }
 
 impl LiveRouters {
-    /// A router told its demand.
+    /// A router reported its demand.
     pub fn record_report(&mut self, now: Duration, router: String) {
         self.last_report.insert(router, now);
     }
 
-    /// Forgets those that are gone.
+    /// Removes routers that have timed out.
     pub fn expire(&mut self, now: Duration) {
         self.last_report.retain(|_, last_report| now < *last_report + ROUTER_TIMEOUT);
     }
--- a/crates/controller/src/controller/feed/subscriber_storm_test.rs
+++ b/crates/controller/src/controller/feed/subscriber_storm_test.rs
@@ -92,7 +92,7 @@
     }
 
     fn revision(&self) -> u64 {
-        self.view.configuration().map_or(0, |decided| decided.revision)
+        self.view.configuration().map_or(0, |committed| committed.revision)
     }
 }
 
@@ -131,8 +131,8 @@
             if now < begun + storm && (now - begun).is_multiple_of(CHANGE_PERIOD_MS) {
                 self.decided_at.push(now);
                 let revision = self.decided_at.len() as u64;
-                let decided = CommittedConfiguration { revision, document: document(revision).into() };
-                self.sources.iter_mut().for_each(|source| source.publish(decided.clone()));
+                let committed = CommittedConfiguration { revision, document: document(revision).into() };
+                self.sources.iter_mut().for_each(|source| source.publish(committed.clone()));
             }
             if now.is_multiple_of(FEED_HEARTBEAT_PERIOD_MS) {
                 self.sources.iter_mut().for_each(|source| source.heartbeat(true, 1));
@@ -314,7 +314,7 @@
     publisher.storm(500);
     publisher.subscribers.heartbeat(true, 1);
     drain(&mut view, &mut frames);
-    view.lost(ms(0), source(0));
+    view.source_lost(ms(0), source(0));
     publisher.subscribers.down(1);
 
     let position = view.position(source(0));
@@ -325,7 +325,7 @@
     assert!(!anew, "the journal has what it lacks");
     assert_eq!(registrations(&view), registrations(&publisher.truth));
 
-    view.lost(ms(0), source(0));
+    view.source_lost(ms(0), source(0));
     let position = view.position(source(0));
     publisher.storm(2_049);
     let mut frames = publisher.join(position);
@@ -348,7 +348,7 @@
     assert!(frames.is_closed(), "its link ends");
     assert_ne!(registrations(&view), registrations(&publisher.truth));
 
-    view.lost(ms(0), source(0));
+    view.source_lost(ms(0), source(0));
     let mut frames = publisher.join(view.position(source(0)));
     publisher.storm(77);
     let (_, anew) = drain(&mut view, &mut frames);
@@ -362,19 +362,19 @@
     let mut view = View::default();
     let mut frames = publisher.join(Position::default());
     publisher.storm(100);
-    let decided =
+    let committed =
         |revision| CommittedConfiguration { revision, document: one_route_changed(revision).into() };
-    publisher.subscribers.publish(decided(1));
+    publisher.subscribers.publish(committed(1));
     publisher.subscribers.heartbeat(true, 1);
     drain(&mut view, &mut frames);
-    view.receive(ms(0), source(0), Message::CommittedConfiguration(decided(1)), &mut Vec::new());
-    view.lost(ms(0), source(0));
+    view.receive(ms(0), source(0), Message::CommittedConfiguration(committed(1)), &mut Vec::new());
+    view.source_lost(ms(0), source(0));
     publisher.subscribers.down(1);
 
     publisher.storm(missed);
     // Only the versions that are kept as bases are built: older ones leave no trace.
     let newest = 1 + missed;
-    (newest.saturating_sub(40).max(2)..=newest).for_each(|n| publisher.subscribers.publish(decided(n)));
+    (newest.saturating_sub(40).max(2)..=newest).for_each(|n| publisher.subscribers.publish(committed(n)));
     let mut frames = publisher.join(view.position(source(0)));
     let (mut bytes, _) = drain(&mut view, &mut frames);
     let Some((_, Message::ConfigurationFetch(base))) = view.fetch(ms(1_000), None) else { panic!("a fetch") };
--- a/crates/controller/src/controller/feed/subscribers.rs
+++ b/crates/controller/src/controller/feed/subscribers.rs
@@ -8,25 +8,25 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Changes kept for readers that come back: some minutes of an uneasy day.
+/// Changes retained for subscribers that reconnect: some minutes of frequent changes.
 const JOURNAL_CHANGES: usize = 2_048;
-/// Configurations kept as bases of differences: those of some seconds of a storm of changes.
+/// Configurations retained as bases of deltas: those of some seconds of frequent changes.
 const RETAINED_CONFIGURATIONS: usize = 32;
-/// Bytes of changes that a reader is sent without asking whether a snapshot were shorter.
+/// Bytes of changes that a subscriber is sent without comparing them with a snapshot.
 const SHORT_TAIL_BYTES: usize = 64 * 1024;
 
-/// The journal of the feed, and its readers. Configurations are not in the journal: readers fetch them.
+/// The journal of the feed, and its subscribers. Configurations are not in the journal: subscribers fetch them.
 #[derive(Debug)]
 pub struct Subscribers {
     journal: Journal<Bytes>,
     configurations: ConfigurationPublisher,
     outboxes: BTreeMap<u64, Outbox>,
-    /// The last snapshot, as frames, and where in the journal it stands: readers that come together share it.
+    /// The last snapshot, as frames, and where in the journal it stands: subscribers that connect together share it.
     snapshot: Option<(Position, Arc<[Bytes]>)>,
 }
 
 impl Subscribers {
-    /// A feed whose source is this `incarnation` of the process.
+    /// A feed whose source is this incarnation of the process.
     pub fn new(incarnation: u64) -> Self {
         Subscribers {
             journal: Journal::new(incarnation, JOURNAL_CHANGES),
@@ -36,21 +36,21 @@
         }
     }
 
-    /// Appends a change and sends it to all readers.
+    /// Appends a change and sends it to all subscribers.
     pub fn append(&mut self, message: &Message) {
         let frame = message.frame();
         self.journal.append(frame.clone());
         self.send_all(frame);
     }
 
-    /// Announces a configuration to all readers.
-    pub fn publish(&mut self, decided: CommittedConfiguration) {
-        if let Some(announcement) = self.configurations.publish(decided) {
+    /// Announces a configuration to all subscribers.
+    pub fn publish(&mut self, committed: CommittedConfiguration) {
+        if let Some(announcement) = self.configurations.publish(committed) {
             self.send_all(announcement.frame());
         }
     }
 
-    /// A reader that has `base` asks for the newest configuration.
+    /// A subscriber that has `base` requests the newest configuration.
     pub fn fetch(&mut self, subscriber: u64, base: ConfigurationVersion) {
         let Some(frame) = self.configurations.answer(base) else { return };
         if let Some(outbox) = self.outboxes.get(&subscriber) {
@@ -64,7 +64,7 @@
         self.send_all(frame);
     }
 
-    /// Starts a reader: the changes that it lacks, or all of `snapshot`.
+    /// Starts a subscriber: the changes that it lacks, or all of `snapshot`.
     pub fn up(
         &mut self,
         subscriber: u64,
@@ -84,7 +84,7 @@
         self.outboxes.insert(subscriber, outbox);
     }
 
-    /// What brings a reader at `position` up to date: the changes since, or a snapshot where that is shorter.
+    /// What brings a subscriber at `position` up to date: the changes since, or a snapshot where that is shorter.
     fn start(&mut self, position: Position, snapshot: impl FnOnce() -> Vec<Message>) -> Vec<Bytes> {
         let tail: Option<Vec<Bytes>> = match self.journal.start(position) {
             Start::Tail { from } => Some(self.journal.tail(from).cloned().collect()),
@@ -111,12 +111,12 @@
         frames
     }
 
-    /// A reader has gone.
+    /// The link of a subscriber has ended.
     pub fn down(&mut self, subscriber: u64) {
         self.outboxes.remove(&subscriber);
     }
 
-    /// Readers now.
+    /// Number of subscribers.
     pub fn count(&self) -> usize {
         self.outboxes.len()
     }
--- a/crates/controller/src/controller/inspect.rs
+++ b/crates/controller/src/controller/inspect.rs
@@ -1,4 +1,4 @@
-//! What a simulation looks up in a controller.
+//! What a simulation inspects of a controller.
 
 use crate::controller::Controller;
 use crate::controller::consensus::shards;
@@ -10,20 +10,20 @@
     /// Revision and group of each shard, as far as this controller has learned them.
     pub(crate) fn learned_groups(&self) -> Vec<(u64, Vec<SocketAddr>)> {
         let known = |shard| {
-            let decided = self.shards.get(shard).decided();
-            (decided.map_or(0, |value| value.revision), self.group(shard))
+            let committed = self.shards.get(shard).decided();
+            (committed.map_or(0, |value| value.revision), self.group(shard))
         };
         shards::all().map(known).collect()
     }
 
-    /// The least margin of all shards, in losses that can be borne; `None` if one has no majority, or while this
+    /// The least number of failures that any shard tolerates; `None` if one has no majority, or while this
     /// controller is no member of all groups.
     pub(crate) fn least_fault_tolerance(&self) -> Option<usize> {
         let margins: Option<Vec<usize>> = shards::all().map(|shard| self.fault_tolerance(shard)).collect();
         margins?.into_iter().min()
     }
 
-    /// Orders that the placers here held back because they would have broken a limit.
+    /// Orders that the placers here withheld because they would have broken a limit.
     pub(crate) fn violations(&self) -> InvariantViolations {
         self.placers.violations()
     }
--- a/crates/controller/src/controller/membership/handover.rs
+++ b/crates/controller/src/controller/membership/handover.rs
@@ -1,4 +1,4 @@
-//! The end of a controller that was asked to end: it hands over what it alone holds.
+//! The handover at a graceful shutdown: members of replica groups are replaced, and the last messages are confirmed.
 //!
 //! Whether it is to be removed or only restarted it cannot know. While a controller that is no member is live,
 //! the others give it this one's place in every group; without one it ends at once and comes back with its disk.
@@ -12,10 +12,10 @@
 /// Share of the time until the process is killed that a replacement may take.
 const REPLACEMENT_FRACTION: f64 = 0.5;
 
-/// What a leaving controller waits for.
+/// What a draining controller waits for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Stage {
-    /// Its place in the groups is given to others.
+    /// Its replacement in the groups.
     Replacement { until: Duration },
     /// The others have all that it sent before.
     Flush { token: u64, missing: BTreeSet<SocketAddr>, until: Duration },
@@ -23,7 +23,7 @@
     Done,
 }
 
-/// Where the groups stand, as the leaving controller sees them.
+/// Whether the draining controller is still a member, and whether it can be replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GroupMembership {
     /// Some group in force has this controller as a member.
--- a/crates/controller/src/controller/membership/links.rs
+++ b/crates/controller/src/controller/membership/links.rs
@@ -23,7 +23,7 @@
     let task = async move {
         loop {
             if let Err(error) = speak(peer, address, &hello, &events).await {
-                log::debug!("link to {peer}: {error}");
+                log::debug!("link failed peer={peer} error={error}");
             }
             tokio::time::sleep(REDIAL_DELAY).await;
         }
@@ -38,7 +38,7 @@
     events: &mpsc::UnboundedSender<Event>,
 ) -> std::io::Result<()> {
     let stream = link::dial(address).await?;
-    // The read half stays open: dropping it would shut nothing, but it tells when the peer has gone.
+    // The read half stays open: dropping it would shut nothing, but it shows when the peer has closed the connection.
     let (mut read, write) = stream.into_split();
     let (outbox, frames) = Outbox::new();
     outbox.message(&Message::Hello(hello.clone()));
@@ -58,7 +58,7 @@
     read.read(&mut byte).await.map(|_| ())
 }
 
-/// Takes links of peers and agents for the life of the process.
+/// Accepts links of peers and agents until the process ends.
 pub async fn accept(listener: TcpListener, events: mpsc::UnboundedSender<Event>) {
     let mut opened = 0;
     loop {
@@ -70,7 +70,7 @@
         let events = events.clone();
         tokio::task::spawn_local(async move {
             if let Err(error) = listen(stream, opened, &events).await {
-                log::debug!("opened link: {error}");
+                log::debug!("accepted link failed error={error}");
             }
         });
     }
--- a/crates/controller/src/controller/membership/member_status.rs
+++ b/crates/controller/src/controller/membership/member_status.rs
@@ -1,4 +1,4 @@
-//! What controllers say of themselves: for which shards they can vote, and whether they are about to end.
+//! The status that controllers report of themselves: for which shards they can vote, and whether they are draining.
 
 use crate::message::MemberStatus;
 use std::collections::BTreeMap;
@@ -17,31 +17,31 @@
     }
 }
 
-/// Shards beyond those of a word cannot be told; there are five.
+/// Shards beyond the bits of the mask cannot be reported; there are five.
 fn shard_bit(shard: u8) -> u32 {
     1_u32.checked_shl(shard.into()).unwrap_or_default()
 }
 
-/// The newest word of each controller, this one included.
+/// The newest status of each controller, this one included.
 #[derive(Debug, Default)]
 pub struct MemberStatuses {
     statuses: BTreeMap<SocketAddr, MemberStatus>,
 }
 
 impl MemberStatuses {
-    /// Takes what the controller at `node` says. True if it is news.
+    /// Records the status of the controller at `node`. Returns whether it has changed.
     pub fn record(&mut self, node: SocketAddr, status: MemberStatus) -> bool {
         self.statuses.insert(node, status) != Some(status)
     }
 
-    /// The controller at `node` runs as `incarnation` now: what an earlier life said holds no more.
+    /// The controller at `node` runs as `incarnation` now: the status of an earlier incarnation is dropped.
     pub fn restarted(&mut self, node: SocketAddr, incarnation: u64) {
         if self.statuses.get(&node).is_some_and(|status| status.incarnation != incarnation) {
             self.statuses.remove(&node);
         }
     }
 
-    /// What the controller at `node` said last.
+    /// The newest status of the controller at `node`.
     pub fn get(&self, node: SocketAddr) -> Option<MemberStatus> {
         self.statuses.get(&node).copied()
     }
@@ -51,7 +51,7 @@
         self.statuses.get(&node).is_some_and(|status| status.can_vote(shard))
     }
 
-    /// Whether the controller is about to end.
+    /// Whether the controller is draining.
     pub fn is_draining(&self, node: SocketAddr) -> bool {
         self.statuses.get(&node).is_some_and(|status| status.draining == 1)
     }
--- a/crates/controller/src/controller/membership/peer_discovery.rs
+++ b/crates/controller/src/controller/membership/peer_discovery.rs
@@ -1,4 +1,4 @@
-//! The links to other controllers: who is known, and what each is told when its link comes up.
+//! Discovery of the other controllers, and what each is sent when its link comes up.
 
 use crate::controller::consensus::shards;
 use crate::controller::{Controller, ControllerFault};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl Controller {
-    /// Tells a peer whose link has come up all that this controller knows.
+    /// Sends a peer whose link has come up all that this controller knows.
     pub(crate) fn send_greeting(&self, outbox: &Outbox) {
         outbox.message(&self.controllers_message());
         outbox.message(&Message::MemberStatus(self.own_status()));
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Notes that there is a controller at this address.
+    /// Records that there is a controller at this address, and dials it if it is new.
     pub(crate) fn discover_peer(&mut self, peer: SocketAddr) {
         let now = self.now();
         if !self.peers.observe(now, peer) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Forgets peers that are gone for good. Seeds and members of any group are dialled for ever: a
+    /// Removes peers that nobody names any more. Seeds and members of any group are dialled for ever: a
     /// controller that was cut off for long is found again by them, or finds them.
     pub(crate) fn expire_peers(&mut self, now: Duration) {
         let members = shards::all().flat_map(|shard| self.group(shard));
@@ -82,7 +82,7 @@
                 let seeds = self.settings.seeds.clone();
                 seeds.into_iter().for_each(|seed| self.discover_peer(seed));
             }
-            Err(findings) => log::warn!("settings not read again: {findings}"),
+            Err(findings) => log::warn!("settings not reloaded error={findings}"),
         }
     }
 }
--- a/crates/controller/src/controller/membership/peer_messages.rs
+++ b/crates/controller/src/controller/membership/peer_messages.rs
@@ -60,7 +60,7 @@
                 }
                 self.update_placers(&removed.id.text());
             }
-            Message::ResidencyUpdate(holding) => self.apply_peer_residency(holding),
+            Message::ResidencyUpdate(update) => self.apply_peer_residency(update),
             Message::HeartbeatBatch(list) => {
                 self.endpoints.merge_heartbeats(now, &list);
                 list.heartbeats.iter().for_each(|heartbeat| self.update_placers(&heartbeat.id.text()));
@@ -89,7 +89,7 @@
         }
     }
 
-    /// A peer has all that was sent to it before a flush.
+    /// A peer confirms that it has all that was sent to it before a flush.
     fn flushed(&mut self, peer: SocketAddr, confirmation: &Confirmation) {
         let known = self.known_groups(shards::CONFIGURATION);
         let known_to_peer = KnownGroups::from_confirmation(confirmation);
@@ -99,10 +99,10 @@
         }
     }
 
-    /// Another controller's placer knows of a model at an endpoint.
-    fn apply_peer_residency(&mut self, holding: ResidencyUpdate) {
-        if self.endpoints.apply_residency(&holding) {
-            self.subscribers.append(&Message::ResidencyUpdate(holding));
+    /// Merges a residency update of another controller's placer.
+    fn apply_peer_residency(&mut self, update: ResidencyUpdate) {
+        if self.endpoints.apply_residency(&update) {
+            self.subscribers.append(&Message::ResidencyUpdate(update));
         }
     }
 
@@ -114,7 +114,9 @@
                 let outputs = self.shards.handle(self.now(), message.shard, input);
                 self.execute_outputs(message.shard, outputs);
             }
-            Err(error) => log::warn!("message of {peer} for shard {}: {error}", message.shard),
+            Err(error) => {
+                log::warn!("register message not decoded peer={peer} shard={} error={error}", message.shard)
+            }
         }
     }
 }
--- a/crates/controller/src/controller/membership/peers.rs
+++ b/crates/controller/src/controller/membership/peers.rs
@@ -24,12 +24,12 @@
 }
 
 impl Peers {
-    /// Knows nobody yet. `this` is the control address of this process.
+    /// No peers yet. `this` is the control address of this process.
     pub fn new(this: SocketAddr) -> Self {
         Peers { this, peers: BTreeMap::new() }
     }
 
-    /// Notes that `peer` is a controller. True if it was not known; it needs a link then.
+    /// Records that `peer` is a controller. Returns whether it is new; it needs a link then.
     pub fn observe(&mut self, now: Duration, peer: SocketAddr) -> bool {
         if peer == self.this {
             return false;
@@ -42,7 +42,7 @@
         true
     }
 
-    /// Forgets peers whose link is down and that nobody has named for long, and tells which.
+    /// Removes peers whose link is down and that nobody has named for long. Returns them.
     pub fn expire(&mut self, now: Duration) -> Vec<SocketAddr> {
         let is_gone = |peer: &Peer| peer.outbox.is_none() && now >= peer.last_named + UNNAMED_PEER_RETENTION;
         let expired: Vec<SocketAddr> =
--- a/crates/controller/src/controller/membership/reconfiguration.rs
+++ b/crates/controller/src/controller/membership/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Which controllers are live, and changes of the groups that follow from it.
+//! Heartbeats of controllers, and the reconfiguration of replica groups that follows from them.
 
 use crate::controller::consensus::fault_tolerance::{MemberState, ToleranceChange, tolerable_failures};
 use crate::controller::consensus::shards;
@@ -13,7 +13,7 @@
 
 /// Longest wait for a change of members.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after the start of the process in which the others have said where they stand.
+/// Time after the start of the process in which the others have reported their status.
 const FAULT_TOLERANCE_GRACE: Duration = Duration::from_secs(2);
 
 impl Controller {
@@ -28,7 +28,7 @@
     fn send_heartbeat(&self, to: SocketAddr, heartbeat: &Heartbeat) {
         match heartbeat.encode() {
             Ok(bytes) => self.peers.send(to, &Message::Heartbeat { body: bytes.into() }),
-            Err(error) => log::error!("heartbeat: {error}"),
+            Err(error) => log::error!("heartbeat not encoded error={error}"),
         }
     }
 
@@ -37,13 +37,13 @@
         for output in outputs {
             match output {
                 Output::Send { to, heartbeat } => {
-                    // Read before the heartbeat leaves: the age of its answer counts from here.
+                    // Read before the heartbeat is sent: the age of its answer counts from here.
                     let now = self.now();
                     self.quorum_contact.heartbeat_sent(now, &heartbeat);
                     self.send_heartbeat(to, &heartbeat);
                 }
                 Output::StateChanged { peer, state } => {
-                    log::info!("controller {peer} is {state:?}");
+                    log::info!("controller state changed peer={peer} state={state:?}");
                 }
                 Output::Restarted { peer, incarnation } => {
                     self.member_statuses.restarted(peer, incarnation);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Lets groups grow, and replaces members that are gone or leave, in the shards that this controller owns.
+    /// Adds missing members, and replaces unreachable and draining ones, in the groups of the shards that this controller owns.
     pub(crate) fn reconcile_members(&mut self, now: Duration) {
         let live: Vec<SocketAddr> =
             self.membership.live().filter(|member| self.is_reached(now, *member)).collect();
@@ -77,7 +77,11 @@
     }
 
     fn change_members(&mut self, now: Duration, shard: u8, change: &MemberChange) {
-        log::info!("shard {shard}: {:?} joins, {:?} leaves", change.add, change.remove);
+        log::info!(
+            "replica group change proposed shard={shard} joining={:?} leaving={:?}",
+            change.add,
+            change.remove
+        );
         let request = self.request_number();
         self.in_flight.insert(request, InFlightRequest::MemberChange(shard));
         self.replacement_planner.begin(shard);
@@ -95,13 +99,13 @@
         self.execute_outputs(shard, outputs);
     }
 
-    /// What this controller says of itself.
+    /// The status of this controller.
     pub(crate) fn own_status(&self) -> MemberStatus {
         let voting = self.shards.iter().filter(|(_, replica)| replica.can_vote()).map(|(shard, _)| shard);
         MemberStatus::new(self.incarnation, voting, self.is_draining())
     }
 
-    /// Tells the other controllers where this one stands, if that has changed.
+    /// Broadcasts the status of this controller, if it has changed.
     pub(crate) fn broadcast_status(&mut self) {
         let status = self.own_status();
         if self.member_statuses.record(self.this, status) {
@@ -109,8 +113,8 @@
         }
     }
 
-    /// Another controller says where it stands: a spare that can vote now, or a member that leaves, may be what
-    /// a group waits for.
+    /// Records the status of another controller. A spare that can vote now, or a member that is draining, may allow
+    /// a change of a group.
     pub(crate) fn record_status(&mut self, peer: SocketAddr, mut status: MemberStatus) {
         if self.has_fault(ControllerFault::IgnoreDraining) {
             status.draining = 0;
@@ -139,12 +143,12 @@
         members.into_iter().map(describe)
     }
 
-    /// Losses that the groups of a shard can still bear; `None` without a majority.
+    /// Failures that the groups of a shard still tolerate; `None` without a majority.
     pub(crate) fn fault_tolerance(&self, shard: u8) -> Option<usize> {
         tolerable_failures(&self.known_groups(shard).groups, |member| self.member_state(shard, member))
     }
 
-    /// Tells the operators of shards that cannot bear another loss, and of those that can again.
+    /// Logs shards that tolerate no further failure, and those that do again.
     fn report_fault_tolerance(&mut self, now: Duration) {
         if now < FAULT_TOLERANCE_GRACE || self.settings.fault_tolerance.machines == 0 {
             return;
@@ -153,9 +157,9 @@
             match self.tolerance_monitor.observe(shard, self.fault_tolerance(shard)) {
                 Some(ToleranceChange::Exhausted) => {
                     let states: Vec<_> = self.member_states(shard).collect();
-                    log::warn!("shard {shard}: the next loss takes its majority, or it has none: {states:?}");
+                    log::warn!("fault tolerance exhausted shard={shard} members={states:?}");
                 }
-                Some(ToleranceChange::Restored) => log::info!("shard {shard}: a loss can be borne again"),
+                Some(ToleranceChange::Restored) => log::info!("fault tolerance restored shard={shard}"),
                 None => {}
             }
         }
--- a/crates/controller/src/controller/membership/replacement.rs
+++ b/crates/controller/src/controller/membership/replacement.rs
@@ -1,5 +1,5 @@
 //! Who belongs to the replica group of each shard: it grows to what carries the fault tolerance, and a member
-//! that is gone or leaves gives its place to a spare.
+//! that is unreachable or draining is replaced by a spare.
 //!
 //! Every shard has a group of its own and is judged by itself: the owner of one may have replaced a member that
 //! the owner of another has not replaced yet.
@@ -10,11 +10,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a member has to be silent, after it was first suspected, before a spare takes its place. A
+/// How long a member has to be suspected before a spare replaces it. A
 /// spare has to count within the time that a new machine is given to catch up, which is some seconds.
 pub const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The shard whose silence a deliberate mistake holds against all.
+/// The shard whose suspicions a deliberate fault applies to all shards.
 const FIRST_SHARD: u8 = 0;
 
 /// One change of the group.
@@ -30,9 +30,9 @@
     pub shard: u8,
     /// Members of the newest group known; empty while none is known.
     pub group: &'a [SocketAddr],
-    /// Controllers that the failure detector has nothing against.
+    /// Controllers that the failure detector does not suspect.
     pub live: &'a [SocketAddr],
-    /// What controllers said of themselves.
+    /// Status that each controller reported.
     pub member_statuses: &'a MemberStatuses,
 }
 
@@ -40,37 +40,37 @@
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplacementFault {
-    /// Silence is noted against the members of the first shard, and held against those of all shards.
+    /// Suspicions of the members of the first shard count for all shards.
     ShareTimeouts,
     /// A change of the members of one shard holds up those of all others.
     OneChangeAtATime,
     /// A spare takes the place of a member before its replica can vote.
     JoinBeforeVoting,
-    /// Silence before a pause of this process counts.
+    /// Time in which this process itself stood still counts as a time-out.
     CountOwnPause,
 }
 
-/// Watches members and spares.
+/// Tracks suspected members, and plans their replacement by spares.
 #[derive(Debug, Default)]
 pub struct ReplacementPlanner {
-    /// For each shard, since when each silent member has been silent.
+    /// For each shard, since when each suspected member has been suspected.
     suspected_since: BTreeMap<u8, BTreeMap<SocketAddr, Duration>>,
-    /// When the members were last looked at.
+    /// When the members were last observed.
     observed_at: Duration,
     /// Shards of which a change is under way.
     changing: BTreeSet<u8>,
-    /// The groups of each shard that were decided last.
+    /// The newest committed groups of each shard.
     committed_groups: BTreeMap<u8, Vec<Vec<SocketAddr>>>,
     fault: Option<ReplacementFault>,
 }
 
 impl ReplacementPlanner {
-    /// Nobody is known to be silent yet. `fault` is a deliberate mistake, for tests.
+    /// Suspects nobody yet. `fault` is a deliberate fault, for tests.
     pub fn new(fault: Option<ReplacementFault>) -> Self {
         ReplacementPlanner { fault, ..ReplacementPlanner::default() }
     }
 
-    /// Notes who is live among the members of a shard.
+    /// Records which members of a shard are live.
     pub fn observe(&mut self, now: Duration, shard: u8, group: &[SocketAddr], live: &[SocketAddr]) {
         self.observed_at = now;
         if self.has(ReplacementFault::ShareTimeouts) && shard != FIRST_SHARD {
@@ -83,21 +83,21 @@
         }
     }
 
-    /// Notes the groups of a shard that a decided value names. True if they differ from those before.
+    /// Records the groups that a committed value of a shard names. Returns whether they differ from those before.
     pub fn groups_committed(&mut self, shard: u8, groups: &KnownGroups) -> bool {
         let before = self.committed_groups.insert(shard, groups.groups.clone());
         before.is_none_or(|before| before != groups.groups)
     }
 
-    /// This process could not listen for a while: silence up to now says nothing of the others.
+    /// This process could not receive for a while: suspicions up to now are dropped.
     pub fn excuse_silence(&mut self) {
         if !self.has(ReplacementFault::CountOwnPause) {
             self.suspected_since.clear();
         }
     }
 
-    /// When a member's patience ends next. Patience that ended before the last look needs none: what was due
-    /// has been proposed, or waits for a spare to be told of.
+    /// When the next member times out. A time-out before the last observation needs no wake-up: its replacement
+    /// has been proposed, or waits for a spare.
     pub fn next_wake(&self) -> Option<Duration> {
         let suspected = self.suspected_since.values().flat_map(BTreeMap::values);
         suspected.map(|since| *since + REPLACEMENT_TIMEOUT).filter(|end| *end > self.observed_at).min()
@@ -138,7 +138,7 @@
         outside.filter(|node| early || view.member_statuses.can_join(*node, view.shard)).min()
     }
 
-    /// The member that has been silent longest, beyond patience.
+    /// The member that has been suspected longest, if that is beyond [`REPLACEMENT_TIMEOUT`].
     fn longest_suspected(&self, now: Duration, view: GroupView<'_>) -> Option<SocketAddr> {
         let one_record = self.has(ReplacementFault::ShareTimeouts);
         let record = if one_record { FIRST_SHARD } else { view.shard };
@@ -152,7 +152,7 @@
     }
 }
 
-/// A member that said that it leaves; it needs no patience.
+/// A member that reported that it is draining; it is replaced without a time-out.
 fn draining_member(view: GroupView<'_>) -> Option<SocketAddr> {
     view.group.iter().copied().filter(|member| view.member_statuses.is_draining(*member)).min()
 }
--- a/crates/controller/src/controller/membership/shutdown.rs
+++ b/crates/controller/src/controller/membership/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the process: what it alone holds is handed over first.
+//! Graceful shutdown: what only this controller holds is handed over first.
 
 use crate::controller::consensus::shards;
 use crate::controller::membership::handover::{GroupMembership, Handover};
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 impl Controller {
-    /// The process has been asked to end. It acts for nothing any more, takes no more calls, tells agents to
-    /// turn elsewhere, and tells the other controllers, which give its place to a spare if there is one.
+    /// Starts the shutdown. The controller gives up its leases, takes no more calls, sends agents elsewhere, and reports
+    /// that it is draining, so that the other controllers replace it by a spare if there is one.
     pub(crate) fn begin_shutdown(&mut self) {
         if self.is_draining() {
             return;
@@ -24,7 +24,7 @@
         self.send_feed_heartbeat();
     }
 
-    /// Whether the process has been asked to end.
+    /// Whether the shutdown has begun.
     pub(crate) fn is_draining(&self) -> bool {
         self.handover.is_some()
     }
@@ -34,7 +34,7 @@
         self.handover.as_ref().is_some_and(Handover::is_done)
     }
 
-    /// Goes on with the handover, if one is under way.
+    /// Advances the handover, if one is in progress.
     pub(crate) fn advance_handover(&mut self, now: Duration) {
         let Some(handover) = &self.handover else { return };
         let at_once = self.has_fault(ControllerFault::ShutDownWithoutHandover);
--- a/crates/controller/src/controller/metrics.rs
+++ b/crates/controller/src/controller/metrics.rs
@@ -165,7 +165,7 @@
         exposition.set(&SUBSCRIBERS, self.subscribers.count());
         let version = self.configuration.as_ref().map_or(0, |configuration| configuration.version);
         exposition.set(&CONFIGURATION_VERSION, version);
-        let revision = self.decided.as_ref().map_or(0, |decided| decided.revision);
+        let revision = self.committed_configuration.as_ref().map_or(0, |committed| committed.revision);
         exposition.set(&CONFIGURATION_REVISION, revision);
         exposition.set(&PAUSES, self.counters.stalls);
         exposition.set(&TENURES, self.counters.tenures);
@@ -198,7 +198,7 @@
     }
 }
 
-/// Adds what the calls on the control interface and the disk tell, of which the controller itself knows nothing.
+/// Adds the counts of the control interface and of the disk, which the controller itself does not know.
 pub fn add_surroundings(exposition: &mut Exposition, unavailable: &UnavailableCounts, disk: &DiskCounts) {
     for reason in Unavailable::ALL {
         exposition.set_labelled(&UNAVAILABLE, &[("reason", reason.name())], unavailable.get(reason));
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -1,5 +1,5 @@
-//! A controller: keeps the configuration and the list of endpoints with its peers, answers operators and
-//! endpoints, and feeds agents.
+//! A controller: replicates the configuration and the endpoint registry with its peers, answers operators and
+//! endpoints, and publishes a feed for agents.
 
 mod consensus;
 mod counters;
@@ -63,7 +63,7 @@
     settings: Settings,
     /// Control address, which names this controller to its peers.
     this: SocketAddr,
-    /// Drawn at each start of the process.
+    /// Drawn at random at each start of the process.
     incarnation: u64,
     environment: Box<dyn Environment>,
     peers: Peers,
@@ -77,7 +77,7 @@
     replacement_planner: ReplacementPlanner,
     member_statuses: MemberStatuses,
     tolerance_monitor: ToleranceMonitor,
-    /// Under way once the process has been asked to end.
+    /// Present once the shutdown has begun.
     handover: Option<Handover>,
     leases: LeaseNode,
     placers: Placers,
@@ -87,14 +87,14 @@
     configuration: Option<Arc<Configuration>>,
     /// Whether this is the first start of the whole system.
     first_start: bool,
-    /// A deliberate mistake, in a simulation only.
+    /// A deliberate fault, in a simulation only.
     fault: Option<ControllerFault>,
-    /// The newest decided configuration, as readers get it.
-    decided: Option<CommittedConfiguration>,
-    /// Reads and changes of members under way, by the number of their request.
+    /// The newest committed configuration, as subscribers get it.
+    committed_configuration: Option<CommittedConfiguration>,
+    /// Requests to registers in flight, by their number.
     in_flight: BTreeMap<u64, InFlightRequest>,
     next_request: u64,
-    /// Whether everyone that registers with the system has been heard, here or by a peer.
+    /// Whether the registry is complete: every live endpoint has sent a heartbeat here or to a peer.
     complete: bool,
     routers: LiveRouters,
     next_periodic_tasks: Duration,
@@ -113,7 +113,7 @@
 enum InFlightRequest {
     /// The operator reads the configuration.
     Read(tokio::sync::oneshot::Sender<event::Answer>),
-    /// A read that tells whether what is known of the configuration is current.
+    /// A read barrier: confirms that the known configuration is current.
     Barrier,
     /// A change of the group of a shard.
     MemberChange(u8),
@@ -140,18 +140,18 @@
 
     /// Members of the group of a shard, as far as this controller knows them.
     fn group(&self, shard: u8) -> Vec<SocketAddr> {
-        let decided = self.shards.get(shard).decided();
-        let members = decided.map(|value| value.newest_group().to_vec()).unwrap_or_default();
+        let committed = self.shards.get(shard).decided();
+        let members = committed.map(|value| value.newest_group().to_vec()).unwrap_or_default();
         members.into_iter().map(|node| SocketAddr::V4(node.into())).collect()
     }
 
-    /// The groups of a shard in force, as far as this controller knows them, decided or only accepted.
+    /// The groups of a shard in force, as far as this controller knows them, committed or only accepted.
     fn known_groups(&self, shard: u8) -> KnownGroups {
         KnownGroups::of(self.shards.get(shard).newest_known())
     }
 
     /// The controller that acts for a key first: the first live member of the group in the key's order. One that
-    /// is about to end acts only if all others are silent.
+    /// is draining acts only if all others are unreachable.
     fn owner(&self, shard: u8, key: &[u8]) -> SocketAddr {
         let group = self.group(shard);
         let order = lanegate_coordination::membership::rendezvous_order(key, &group);
@@ -162,8 +162,8 @@
         staying.or(live.first()).copied().unwrap_or(self.this)
     }
 
-    /// Whether a controller may be counted on: it is heard, and it hears this one. One that is heard and hears
-    /// nobody would keep its shards from being acted for.
+    /// Whether messages pass in both directions. A controller whose heartbeats arrive, but which receives nothing itself,
+    /// would block the shards that it owns.
     fn is_reached(&self, now: Duration, controller: SocketAddr) -> bool {
         let answers = self.quorum_contact.is_answered_by(now, controller);
         self.membership.is_live(controller)
--- a/crates/controller/src/controller/operator/control_calls.rs
+++ b/crates/controller/src/controller/operator/control_calls.rs
@@ -16,7 +16,7 @@
 const CONFIGURATION_PATH: &str = "/config";
 /// Where endpoints register.
 const INSTANCES_PATH: &str = "/instances/";
-/// Where this controller tells how it is.
+/// Path of the status document.
 const STATUS_PATH: &str = "/status";
 
 impl Controller {
@@ -66,7 +66,8 @@
 
     fn read_configuration(&mut self, call: Call) {
         if self.has_fault(ControllerFault::ReadLocally) {
-            let document = self.decided.as_ref().map(|decided| decided.document.bytes.clone());
+            let document =
+                self.committed_configuration.as_ref().map(|committed| committed.document.bytes.clone());
             let known = document.map(|document| Answer::new(200, document));
             return answer(call, known.unwrap_or_else(|| Answer::unavailable(Unavailable::NoMajority)));
         }
--- a/crates/controller/src/controller/operator/http.rs
+++ b/crates/controller/src/controller/operator/http.rs
@@ -24,7 +24,7 @@
 /// Pause after a connection that could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves calls on `listener` for the life of the process. Must run inside a `LocalSet`.
+/// Serves calls on `listener` until the process ends. Must run inside a `LocalSet`.
 pub async fn serve(
     listener: TcpListener,
     events: mpsc::UnboundedSender<Event>,
@@ -36,7 +36,7 @@
                 tokio::task::spawn_local(connection(stream, events.clone(), unavailable.clone()));
             }
             Err(error) => {
-                log::warn!("control interface: {error}");
+                log::warn!("connection not accepted interface=control error={error}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -49,7 +49,7 @@
     unavailable: Rc<UnavailableCounts>,
 ) {
     if let Err(error) = crate::link::set_options(&stream) {
-        log::debug!("options of a control connection: {error}");
+        log::debug!("socket options not set interface=control error={error}");
     }
     let service = service_fn(|request| handle(request, events.clone(), unavailable.clone()));
     let served = hyper::server::conn::http1::Builder::new()
@@ -59,7 +59,7 @@
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = served {
-        log::debug!("control connection: {error}");
+        log::debug!("connection failed interface=control error={error}");
     }
 }
 
@@ -81,7 +81,7 @@
     Ok(response)
 }
 
-/// Reads a body whole. What is too long is read on for a while and dropped: a connection that is closed with bytes
+/// Reads a complete body. What is too long is read on for a while and dropped: a connection that is closed with bytes
 /// unread is reset, and the caller would lose the answer.
 async fn read_body(mut body: Incoming) -> Result<Bytes, Answer> {
     let mut bytes = BytesMut::new();
@@ -103,8 +103,8 @@
     Answer::error(413, &format!("the body is longer than {MAX_BODY_BYTES} bytes"))
 }
 
-/// The answer to a call whose body broke off. It says nothing about the change that it is part of, which may have been
-/// taken before, so it is no refusal.
+/// The answer to a call whose body ended early. It is no refusal: the same change may have been committed by an earlier
+/// call.
 fn incomplete_body(error: &hyper::Error) -> Answer {
     Answer::error(408, &format!("the body did not come whole: {error}"))
 }
--- a/crates/controller/src/controller/operator/pending_changes.rs
+++ b/crates/controller/src/controller/operator/pending_changes.rs
@@ -14,7 +14,7 @@
 pub const OWNER_TIMEOUT: Duration = Duration::from_millis(350);
 /// Longest wait for a clear answer. The operator asks another controller after a second.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(950);
-/// Calls of the operator under way at a time.
+/// Changes in flight at a time.
 const MAX_PENDING: usize = 64;
 
 /// Whom the outcome of a proposal is for.
@@ -34,7 +34,7 @@
     until: Duration,
 }
 
-/// What is done with the outcome of a proposal.
+/// Who gets the outcome of a proposal.
 #[derive(Debug)]
 pub enum Completion {
     Answered,
@@ -43,29 +43,29 @@
         peer: std::net::SocketAddr,
         request: u64,
     },
-    /// Nobody waits any more.
+    /// No caller waits any more.
     Unknown,
 }
 
-/// Calls of the operator under way.
+/// Changes of the configuration in flight.
 #[derive(Debug, Default)]
 pub struct PendingChanges {
     pending: BTreeMap<u64, Pending>,
     /// Number of the newest change.
     newest: u64,
-    /// Changes whose operator was told that there is no clear answer in time.
+    /// Changes that were answered 503 because there was no outcome in time.
     timed_out: u64,
 }
 
 impl PendingChanges {
-    /// Nothing is under way. Numbers go on from `incarnation`, drawn at each start of the process: an owner may answer
-    /// a change of an earlier life, and that answer must not be taken for one to a change of this life.
+    /// Nothing is in flight. Numbers go on from `incarnation`, drawn at each start of the process: an owner may answer
+    /// a change of an earlier incarnation, and that answer must not be taken for one to a change of this incarnation.
     pub fn new(incarnation: u64) -> Self {
         PendingChanges { pending: BTreeMap::new(), newest: incarnation, timed_out: 0 }
     }
 
     /// Takes a change. It is proposed here at once, unless `owner_live`: then the owner is asked first.
-    /// Tells its number, or `None` if too many are under way.
+    /// Returns its number, or `None` if too many are in flight.
     pub fn begin(
         &mut self,
         now: Duration,
@@ -105,17 +105,17 @@
         self.newest
     }
 
-    /// Changes under way, those that another controller handed over too.
+    /// Changes in flight, those that another controller forwarded included.
     pub fn in_flight(&self) -> usize {
         self.pending.len()
     }
 
-    /// Changes whose operator was told that there is no clear answer in time.
+    /// Changes that were answered 503 because there was no outcome in time.
     pub fn timed_out(&self) -> u64 {
         self.timed_out
     }
 
-    /// The command of a change under way.
+    /// The command of a change in flight.
     pub fn command(&self, request: u64) -> Option<&[u8]> {
         self.pending.get(&request).map(|pending| pending.command.as_slice())
     }
--- a/crates/controller/src/controller/operator/unavailable.rs
+++ b/crates/controller/src/controller/operator/unavailable.rs
@@ -5,17 +5,17 @@
 /// Why there is no clear answer to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unavailable {
-    /// This controller is about to end.
+    /// This controller is draining.
     Draining,
-    /// Too many changes are under way here.
+    /// Too many changes are in flight here.
     TooManyChanges,
-    /// A change was neither taken nor refused in time.
+    /// A change was neither committed nor refused in time.
     ChangeNotCommitted,
-    /// What became of a change cannot be told.
+    /// The outcome of a change is not known.
     ChangeUnclear,
     /// The configuration cannot be read without a majority.
     NoMajority,
-    /// Too few controllers know of a heartbeat or of an end.
+    /// Too few controllers have a heartbeat or a deregistration.
     HeartbeatNotReplicated,
     /// The call was dropped without an answer.
     Dropped,
@@ -33,7 +33,7 @@
         Unavailable::Dropped,
     ];
 
-    /// What the caller is told.
+    /// Text of the answer.
     pub fn text(self) -> &'static str {
         match self {
             Unavailable::Draining => "this controller is about to end",
--- a/crates/controller/src/controller/placement/endpoint_client.rs
+++ b/crates/controller/src/controller/placement/endpoint_client.rs
@@ -60,18 +60,18 @@
     Unanswered,
 }
 
-/// A whole answer of an endpoint.
+/// A complete answer of an endpoint.
 #[derive(Debug)]
 struct EndpointResponse {
     status: StatusCode,
     /// Whether the endpoint says that it did nothing.
     is_not_executed: bool,
-    /// Who answered, where the endpoint tells.
+    /// Who answered, where the endpoint says so.
     instance: Option<HeaderValue>,
     body: Bytes,
 }
 
-/// Gives an order under the epoch `epoch`, unless it cannot be sent before `send_by`.
+/// Sends an order under the epoch `epoch`, unless it cannot be sent before `send_by`.
 pub async fn send_order(order: &Order, owner: &str, epoch: u64, send_by: Instant) -> OrderAnswer {
     let body = OrderBody {
         operation: order.operation,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Asks an endpoint for its report on itself; `None` where another incarnation answers.
+/// Requests the report of an endpoint; `None` where another incarnation answers.
 pub async fn request_report(instance: &str, address: SocketAddr) -> Option<EndpointReport> {
     let request = addressed(Method::GET, "/report", address, instance).body(Full::new(Bytes::new())).ok()?;
     let response = call(address, request, Instant::now() + CONNECT_TIMEOUT).await.ok()?;
@@ -143,7 +143,7 @@
     }
 }
 
-/// Sends the request and reads the whole answer.
+/// Sends the request and reads the complete answer.
 async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     connection: &mut Connection<TokioIo<TcpStream>, Full<Bytes>>,
@@ -171,9 +171,9 @@
     })
 }
 
-/// Lets the kernel forget what it has not delivered yet.
+/// Makes the kernel drop what it has not delivered yet.
 fn reset(stream: &TcpStream) {
     if let Err(error) = stream.set_zero_linger() {
-        log::warn!("an order without an answer may be delivered late: {error}");
+        log::warn!("connection of an unanswered order not reset, delivery may be late error={error}");
     }
 }
--- a/crates/controller/src/controller/placement/placement_control.rs
+++ b/crates/controller/src/controller/placement/placement_control.rs
@@ -1,4 +1,4 @@
-//! What a controller does for the services that it places: leases, news for the placers, orders.
+//! Placement for the services whose leases this controller holds: leases, updates for the placers, orders.
 
 use crate::controller::consensus::shards;
 use crate::controller::endpoints::pending_loads::{PendingLoadStep, residency_update};
@@ -45,7 +45,7 @@
                         let message = Message::Lease(ShardMessage { shard: 0, body: bytes.into() });
                         self.peers.send(to, &message);
                     }
-                    Err(error) => log::error!("lease message: {error}"),
+                    Err(error) => log::error!("lease message not encoded error={error}"),
                 },
                 Output::AcquireEpoch { shard, tenure } => {
                     let now = self.now();
@@ -57,7 +57,7 @@
                     self.execute_outputs(shard as u8, outputs);
                 }
                 Output::Began { shard, epoch, .. } => {
-                    log::info!("acts for shard {shard}, epoch {epoch}");
+                    log::info!("lease acquired shard={shard} epoch={epoch}");
                     self.counters.tenures += 1;
                     let newest = self.newest_epochs.insert(shard, epoch).unwrap_or_default();
                     self.violations.check(Invariant::EpochRises, epoch > newest);
@@ -66,7 +66,7 @@
                 }
                 Output::Ended { .. } if self.has_fault(ControllerFault::OrderWithoutLease) => {}
                 Output::Ended { shard, .. } => {
-                    log::info!("acts no more for shard {shard}");
+                    log::info!("lease released shard={shard}");
                     self.placers.tenure_ended(shard as u8);
                     self.pending_loads.clear();
                 }
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Tells the placers of the configuration; `epoch` is that of a tenure that has just begun, else 0.
+    /// Configures the placers; `epoch` is that of a tenure that has just begun, else 0.
     pub(crate) fn configure_placements(&mut self, epoch: u64) {
         let Some(configuration) = self.configuration.clone() else { return };
         let first = self.first_start && epoch == FIRST_EPOCH;
@@ -85,7 +85,7 @@
         self.placers.configure(now, &configuration, &self.settings, start, instances, demand);
     }
 
-    /// A router told its demand.
+    /// A router reported its demand.
     pub(crate) fn on_demand(&mut self, demand: &RouterDemand) {
         let now = self.now();
         let router = demand.router.text();
@@ -96,11 +96,11 @@
         }
         match serde_json::from_slice::<DemandReport>(&demand.report.bytes) {
             Ok(report) => self.placers.demand(now, &router, &report),
-            Err(error) => log::warn!("demand of {router}: {error}"),
+            Err(error) => log::warn!("demand report not parsed router={router} error={error}"),
         }
     }
 
-    /// Does what the placers want done.
+    /// Executes what the placers and pending loads require now.
     pub(crate) fn run_placers(&mut self, now: Duration) {
         for action in self.placers.due(now) {
             self.start_action(action);
@@ -136,7 +136,7 @@
         model.map_or(Duration::ZERO, |model| Duration::from_secs_f64(model.load_time_s))
     }
 
-    /// Tells everyone what is known of a model at an endpoint.
+    /// Publishes a residency update to peers and subscribers.
     pub(crate) fn publish(&mut self, residency_update: ResidencyUpdate) {
         if let Some(residency_update) = self.endpoints.publish(residency_update) {
             let message = Message::ResidencyUpdate(residency_update);
@@ -146,7 +146,7 @@
     }
 
     fn start_action(&mut self, action: ServiceAction) {
-        // The clock is read anew: this process may have stood still since the turn began.
+        // The clock is read again: this process may have stalled since the tick began.
         let now = self.now();
         let shard = u32::from(action.shard);
         let epoch = match &action.action {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Routers stop sending what an endpoint is about to drop before it is told to.
+    /// Notifies routers that an endpoint is about to drop a model before the endpoint is ordered to.
     fn announce_eviction(&mut self, action: &Action) {
         let Action::Order(order) = action else { return };
         if order.operation == Operation::Evict {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Tells the placers of an endpoint, as the registry has it now.
+    /// Updates the placers with the registered state of an endpoint.
     pub(crate) fn update_placers(&mut self, id: &str) {
         if !self.placers.is_active() {
             return;
--- a/crates/controller/src/controller/placement/placers.rs
+++ b/crates/controller/src/controller/placement/placers.rs
@@ -21,7 +21,7 @@
     placers: BTreeMap<String, Placer>,
     /// Epochs of the shards that this controller acts for.
     epochs: BTreeMap<u8, u64>,
-    /// What was counted by placers that have ended.
+    /// Violations counted by placers that have been dropped.
     ended_violations: InvariantViolations,
 }
 
@@ -61,8 +61,8 @@
         self.retain_placers(|service| shard_of(service) != shard);
     }
 
-    /// Makes the placers that are missing, drops those whose service is gone, and tells all of them the
-    /// runtime. New ones hear of `instances` and of the `demand` so far, and start as `start` says.
+    /// Creates missing placers, drops those whose service was removed, and configures all of them. New ones get the known
+    /// `instances` and `demand`, and start as `start` says.
     pub fn configure<'a>(
         &mut self,
         now: Duration,
@@ -106,14 +106,14 @@
         self.placers.retain(|service, _| keep(service));
     }
 
-    /// Orders that placers of this process held back because they would have broken a limit.
+    /// Orders that placers of this process withheld because they would have broken a limit.
     pub fn violations(&self) -> InvariantViolations {
         let mut sum = self.ended_violations;
         self.placers.values().for_each(|placer| sum += placer.violations());
         sum
     }
 
-    /// A registration was heard.
+    /// A registration was added or changed.
     pub fn update_instance(&mut self, now: Duration, registered: &Registered) {
         if let Some(placer) = self.placers.get_mut(&registered.instance.backend) {
             placer.instance(now, &registered.instance);
@@ -126,12 +126,12 @@
         self.placers.get(&instance.backend)?.leaving(&instance.id).cloned()
     }
 
-    /// An incarnation is gone.
+    /// An incarnation was removed.
     pub fn removed(&mut self, now: Duration, id: &str) {
         self.placers.values_mut().for_each(|placer| placer.removed(now, id));
     }
 
-    /// A router told its demand.
+    /// A router reported its demand.
     pub fn demand(&mut self, now: Duration, router: &str, report: &DemandReport) {
         self.placers.values_mut().for_each(|placer| placer.demand(now, router, report));
     }
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Lets the placers do what is due and takes what they want done.
+    /// Runs the placers that are due, and collects their actions.
     pub fn due(&mut self, now: Duration) -> Vec<ServiceAction> {
         let mut actions = Vec::new();
         for (service, placer) in &mut self.placers {
@@ -183,7 +183,7 @@
     pub epoch: u64,
 }
 
-/// Carries out what a placer wants, and tells the end of it. An order is not sent after `send_by`.
+/// Executes an action of a placer, and reports its outcome as an event. An order is not sent after `send_by`.
 pub async fn execute_action(
     action: ServiceAction,
     tenure: OrderTenure,
--- a/crates/controller/src/controller/placement/recent_demand.rs
+++ b/crates/controller/src/controller/placement/recent_demand.rs
@@ -1,4 +1,4 @@
-//! The demand of the last seconds, kept by every controller: one that takes a service's placement over goes
+//! The demand of the last seconds, retained by every controller: one that takes a service's placement over goes
 //! on with it at once, and one that has just started gets it from its peers.
 
 use crate::message::{Message, RouterDemand};
@@ -6,12 +6,12 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How far back demand is kept: what is older hardly counts in any rate.
+/// How long demand is retained: what is older hardly counts in any rate.
 const RETENTION: Duration = Duration::from_secs(20);
-/// Most reports kept: ten seconds of some hundred routers.
+/// Maximum number of reports retained: ten seconds of some hundred routers.
 const MAX_REPORTS: usize = 4_096;
 
-/// One report, and when the router told it.
+/// One report, and when the router sent it.
 #[derive(Debug)]
 struct ReceivedReport {
     at: Duration,
@@ -25,7 +25,7 @@
 }
 
 impl RecentDemand {
-    /// Keeps a report. One that is as old as what is known already comes twice and is left out.
+    /// Records a report. One that is as old as what is known already comes twice and is left out.
     pub fn record(&mut self, now: Duration, demand: &RouterDemand) {
         let at = now.saturating_sub(Duration::from_millis(demand.age_ms.into()));
         let position = self.reports.partition_point(|report| report.at <= at);
@@ -43,7 +43,7 @@
         }
     }
 
-    /// What is kept, read, with its times.
+    /// The retained reports, parsed, with their times.
     pub fn reports(&self) -> Vec<(Duration, DemandReport)> {
         let read = |report: &ReceivedReport| {
             Some((report.at, serde_json::from_slice(&report.demand.report.bytes).ok()?))
@@ -51,7 +51,7 @@
         self.reports.iter().filter_map(read).collect()
     }
 
-    /// What is kept as messages for a peer.
+    /// The retained reports as messages for a peer.
     pub fn messages(&self, now: Duration) -> impl Iterator<Item = Message> {
         self.reports.iter().map(move |report| {
             let age = now.saturating_sub(report.at).as_millis().max(1);
--- a/crates/controller/src/controller/setup.rs
+++ b/crates/controller/src/controller/setup.rs
@@ -69,7 +69,7 @@
     System(#[from] std::io::Error),
 }
 
-/// Runs a controller until SIGTERM; it tells its figures at `metrics_at`. Must run inside a `LocalSet`.
+/// Runs a controller until SIGTERM; it exports its metrics at `metrics_at`. Must run inside a `LocalSet`.
 pub async fn run_controller(
     settings: Settings,
     metrics_at: Option<MetricsAddress>,
@@ -118,11 +118,11 @@
     pub settings: Settings,
     /// Control address.
     pub control: SocketAddr,
-    /// Tells this start of the process from all others.
+    /// Drawn at random at each start of the process.
     pub incarnation: u64,
-    /// What the disk holds.
+    /// Records found on disk.
     pub records: Records,
-    /// A deliberate mistake, in a simulation only.
+    /// A deliberate fault, in a simulation only.
     pub fault: Option<ControllerFault>,
 }
 
@@ -200,7 +200,7 @@
             configuration: None,
             first_start: first,
             fault,
-            decided: None,
+            committed_configuration: None,
             in_flight: BTreeMap::new(),
             next_request: 0,
             complete: first,
@@ -253,7 +253,7 @@
             Some(Ok(record)) => {
                 records.insert(shard, record);
             }
-            Some(Err(error)) => log::error!("shard {shard}: the newest record cannot be read: {error}"),
+            Some(Err(error)) => log::error!("newest record not decoded shard={shard} error={error}"),
             None => {}
         }
     }
--- a/crates/controller/src/feed_client.rs
+++ b/crates/controller/src/feed_client.rs
@@ -25,7 +25,7 @@
     events: mpsc::UnboundedSender<FeedEvent>,
     mut demand: mpsc::UnboundedReceiver<DemandReport>,
 ) {
-    let (owner, mut news) = mpsc::unbounded_channel();
+    let (owner, mut event) = mpsc::unbounded_channel();
     let (started, agent) = (Instant::now(), loopback_address(&settings));
     let mut client = Client::new(settings, draw_incarnation(), events);
     let dial = |client: &Client| tokio::task::spawn_local(follow(agent, client.hello(), None, owner.clone()));
@@ -33,8 +33,8 @@
     loop {
         let fetch = client.next_fetch(started.elapsed()).map(|at| started + at);
         tokio::select! {
-            Some(news) = news.recv() => {
-                if client.on_agent_event(started.elapsed(), news) {
+            Some(event) = event.recv() => {
+                if client.on_agent_event(started.elapsed(), event) {
                     tokio::time::sleep(REDIAL_DELAY).await;
                     dial(&client);
                 }
@@ -97,8 +97,8 @@
     }
 
     /// Takes news of the link. True if it is down.
-    pub(crate) fn on_agent_event(&mut self, now: Duration, news: SourceEvent) -> bool {
-        let is_down = self.apply_event(now, news);
+    pub(crate) fn on_agent_event(&mut self, now: Duration, event: SourceEvent) -> bool {
+        let is_down = self.apply_event(now, event);
         let behind = self.view.may_be_behind();
         if behind != self.behind {
             self.behind = behind;
@@ -107,8 +107,8 @@
         is_down
     }
 
-    fn apply_event(&mut self, now: Duration, news: SourceEvent) -> bool {
-        match news {
+    fn apply_event(&mut self, now: Duration, event: SourceEvent) -> bool {
+        match event {
             SourceEvent::Up { outbox, .. } => {
                 self.outbox = Some(outbox);
                 self.send(FeedEvent::AgentLink { up: true });
@@ -125,7 +125,7 @@
             SourceEvent::Down { source } => {
                 self.outbox = None;
                 self.send(FeedEvent::AgentLink { up: false });
-                self.view.lost(now, source);
+                self.view.source_lost(now, source);
                 return true;
             }
         }
@@ -134,14 +134,14 @@
 
     fn pass_on(&mut self, message: Message) {
         match message {
-            Message::CommittedConfiguration(decided) => {
-                match serde_json::from_slice::<Configuration>(&decided.document.bytes) {
+            Message::CommittedConfiguration(committed) => {
+                match serde_json::from_slice::<Configuration>(&committed.document.bytes) {
                     Ok(configuration) => self.send(FeedEvent::Configuration(Arc::new(configuration))),
-                    Err(error) => log::error!("configuration of revision {}: {error}", decided.revision),
+                    Err(error) => log::error!("configuration of revision {}: {error}", committed.revision),
                 }
             }
             Message::Registered(message) => self.pass_on_instance(&message.id.text()),
-            Message::ResidencyUpdate(holding) => self.pass_on_instance(&holding.id.text()),
+            Message::ResidencyUpdate(update) => self.pass_on_instance(&update.id.text()),
             Message::Removed(removed) => self.send(FeedEvent::Removed { id: removed.id.text() }),
             Message::SnapshotEnd { .. } if !self.synchronized => {
                 self.synchronized = true;
--- a/crates/controller/src/simulation/calls.rs
+++ b/crates/controller/src/simulation/calls.rs
@@ -1,8 +1,8 @@
 //! Calls of operators and endpoints to controllers: sent, answered, lost, and sent again elsewhere.
 
 use super::connection::Process;
-use super::place::Place;
-use super::world::{Happening, Notice, World};
+use super::host::Host;
+use super::world::{Notice, SimulationEvent, World};
 use crate::controller::{Answer, Call, Event, Method};
 use bytes::Bytes;
 use rand::Rng;
@@ -11,13 +11,13 @@
 use tokio::sync::oneshot;
 
 /// A caller that has no answer for so long tries another controller.
-const ANSWER_PATIENCE: Duration = Duration::from_secs(1);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// What was sent into a cut still arrives if the cut ends within this time.
-const HELD_TIME: Duration = Duration::from_millis(1_500);
+const MAX_PARTITION_DELAY: Duration = Duration::from_millis(1_500);
 /// The pause before another try grows by this with each one.
-const PAUSE_STEP: Duration = Duration::from_millis(100);
+const BACKOFF_STEP: Duration = Duration::from_millis(100);
 /// Longest pause before another try.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// What a call is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     /// A read of the configuration, by its number in the history.
     Read(usize),
     /// A heartbeat of an endpoint in one of its lives.
-    Beat { endpoint: usize, start: u64 },
+    Heartbeat { endpoint: usize, start: u64 },
     /// The end of an endpoint.
     Delete { endpoint: usize, start: u64 },
 }
@@ -43,14 +43,14 @@
 
 /// A call with all its tries.
 #[derive(Debug)]
-pub(super) struct Calling {
+pub(super) struct PendingCall {
     pub(super) purpose: Purpose,
-    caller: Place,
+    caller: Host,
     content: Content,
     /// Controllers in the order in which they are tried, again and again.
     targets: Vec<usize>,
-    tries: usize,
-    most_tries: usize,
+    attempts: usize,
+    max_attempts: usize,
     /// The try under way.
     attempt: Option<u64>,
     gives_up_at: Duration,
@@ -63,13 +63,13 @@
     target: usize,
     sent_at: Duration,
     /// Whether it waits for a cut to end.
-    held: bool,
+    delayed: bool,
 }
 
 /// All calls under way.
 #[derive(Debug, Default)]
 pub(super) struct Calls {
-    calls: BTreeMap<u64, Calling>,
+    calls: BTreeMap<u64, PendingCall>,
     attempts: BTreeMap<u64, Attempt>,
     replies: BTreeMap<u64, (Process, oneshot::Receiver<Answer>)>,
     next: u64,
@@ -89,20 +89,20 @@
 
 /// How long a caller goes on, and how often.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Patience {
+pub(super) struct CallLimits {
     pub(super) time: Duration,
-    pub(super) tries: usize,
+    pub(super) attempts: usize,
 }
 
 impl World {
-    /// Begins a call. `first` is tried first, then the others in any order; with `tries` 1 only `first`.
+    /// Begins a call. `first` is tried first, then the others in any order; with `attempts` 1 only `first`.
     pub(super) fn begin_call(
         &mut self,
         purpose: Purpose,
-        caller: Place,
+        caller: Host,
         content: Content,
         first: usize,
-        patience: Patience,
+        limits: CallLimits,
     ) -> u64 {
         let mut others: Vec<usize> = (0..self.controllers.len())
             .filter(|index| *index != first && !self.controllers[*index].retired)
@@ -113,17 +113,17 @@
         }
         let targets = std::iter::once(first).chain(others).collect();
         let call = self.calls.number();
-        let calling = Calling {
+        let pending_call = PendingCall {
             purpose,
             caller,
             content,
             targets,
-            tries: 0,
-            most_tries: patience.tries,
+            attempts: 0,
+            max_attempts: limits.attempts,
             attempt: None,
-            gives_up_at: self.now() + patience.time,
+            gives_up_at: self.now() + limits.time,
         };
-        self.calls.calls.insert(call, calling);
+        self.calls.calls.insert(call, pending_call);
         self.attempt(call);
         call
     }
@@ -131,50 +131,50 @@
     /// Sends a call to its next controller.
     pub(super) fn attempt(&mut self, call: u64) {
         let now = self.now();
-        let Some(calling) = self.calls.calls.get_mut(&call) else { return };
-        if calling.tries >= calling.most_tries || now >= calling.gives_up_at {
-            let calling = self.calls.calls.remove(&call).expect("it was just there");
-            return self.gave_up(&calling);
+        let Some(pending_call) = self.calls.calls.get_mut(&call) else { return };
+        if pending_call.attempts >= pending_call.max_attempts || now >= pending_call.gives_up_at {
+            let pending_call = self.calls.calls.remove(&call).expect("it was just there");
+            return self.gave_up(&pending_call);
         }
-        let target = calling.targets[calling.tries % calling.targets.len()];
-        calling.tries += 1;
-        let caller = calling.caller;
+        let target = pending_call.targets[pending_call.attempts % pending_call.targets.len()];
+        pending_call.attempts += 1;
+        let caller = pending_call.caller;
         let number = self.calls.number();
-        if let Some(calling) = self.calls.calls.get_mut(&call) {
-            calling.attempt = Some(number);
+        if let Some(pending_call) = self.calls.calls.get_mut(&call) {
+            pending_call.attempt = Some(number);
         }
-        let place = Place::Controller(target);
-        let held = !self.network.is_open(caller, place);
-        self.calls.attempts.insert(number, Attempt { call, target, sent_at: now, held });
+        let host = Host::Controller(target);
+        let delayed = !self.network.is_open(caller, host);
+        self.calls.attempts.insert(number, Attempt { call, target, sent_at: now, delayed });
         let arrives = now + self.delay();
-        self.schedule(now + ANSWER_PATIENCE, Happening::AttemptFails { attempt: number });
-        if held {
+        self.schedule(now + ANSWER_TIMEOUT, SimulationEvent::AttemptFails { attempt: number });
+        if delayed {
             return;
         }
-        if self.running(place).is_none() || self.network.is_refusing(place) {
-            if self.network.is_open(place, caller) {
-                self.schedule(arrives, Happening::AttemptFails { attempt: number });
+        if self.running(host).is_none() || self.network.is_refusing(host) {
+            if self.network.is_open(host, caller) {
+                self.schedule(arrives, SimulationEvent::AttemptFails { attempt: number });
             }
             return;
         }
-        self.schedule(arrives, Happening::CallArrives { attempt: number });
+        self.schedule(arrives, SimulationEvent::CallArrives { attempt: number });
     }
 
     /// Calls that were sent into a cut arrive once it has ended.
-    pub(super) fn release_held_calls(&mut self) {
+    pub(super) fn release_delayed_calls(&mut self) {
         let now = self.now();
         let mut arriving = Vec::new();
-        for (number, attempt) in self.calls.attempts.iter_mut().filter(|(_, attempt)| attempt.held) {
-            let Some(calling) = self.calls.calls.get(&attempt.call) else { continue };
-            let open = self.network.is_open(calling.caller, Place::Controller(attempt.target));
-            if open && now < attempt.sent_at + HELD_TIME {
-                attempt.held = false;
+        for (number, attempt) in self.calls.attempts.iter_mut().filter(|(_, attempt)| attempt.delayed) {
+            let Some(pending_call) = self.calls.calls.get(&attempt.call) else { continue };
+            let open = self.network.is_open(pending_call.caller, Host::Controller(attempt.target));
+            if open && now < attempt.sent_at + MAX_PARTITION_DELAY {
+                attempt.delayed = false;
                 arriving.push(*number);
             }
         }
         for attempt in arriving {
             let late = self.delay() + self.delay();
-            self.schedule(now + late, Happening::CallArrives { attempt });
+            self.schedule(now + late, SimulationEvent::CallArrives { attempt });
         }
     }
 
@@ -182,16 +182,16 @@
     pub(super) fn call_arrives(&mut self, number: u64) {
         let Some(attempt) = self.calls.attempts.get(&number) else { return };
         let target = attempt.target;
-        let Some(calling) = self.calls.calls.get(&attempt.call) else { return };
-        let Some(process) = self.running(Place::Controller(target)) else {
+        let Some(pending_call) = self.calls.calls.get(&attempt.call) else { return };
+        let Some(process) = self.running(Host::Controller(target)) else {
             return self.attempt_fails(number);
         };
         let (reply, answer) = oneshot::channel();
-        let Content { method, path, if_match, body } = calling.content.clone();
+        let Content { method, path, if_match, body } = pending_call.content.clone();
         self.trace.call(self.clock.get(), target, method, &path, if_match, &body);
         let call = Call { method, path, if_match: if_match.map(Ok), body, reply };
         self.calls.replies.insert(number, (process, answer));
-        self.tell_controller(target, process, Notice::Controller(Event::Call(call)));
+        self.deliver_to_controller(target, process, Notice::Controller(Event::Call(call)));
         self.collect_answers(process);
     }
 
@@ -209,16 +209,16 @@
         }
         for (number, answer) in answered {
             self.calls.replies.remove(&number);
-            self.trace.answer(self.clock.get(), process.place, answer.status, &answer.body);
+            self.trace.answer(self.clock.get(), process.host, answer.status, &answer.body);
             let caller = self.caller_of(number);
-            if caller.is_some_and(|caller| self.network.is_open(process.place, caller)) {
+            if caller.is_some_and(|caller| self.network.is_open(process.host, caller)) {
                 let arrives = self.now() + self.delay();
-                self.schedule(arrives, Happening::AnswerArrives { attempt: number, answer });
+                self.schedule(arrives, SimulationEvent::AnswerArrives { attempt: number, answer });
             }
         }
     }
 
-    fn caller_of(&self, attempt: u64) -> Option<Place> {
+    fn caller_of(&self, attempt: u64) -> Option<Host> {
         let attempt = self.calls.attempts.get(&attempt)?;
         Some(self.calls.calls.get(&attempt.call)?.caller)
     }
@@ -230,9 +230,9 @@
         for number in numbers {
             self.calls.replies.remove(&number);
             let caller = self.caller_of(number);
-            if caller.is_some_and(|caller| self.network.is_open(process.place, caller)) {
+            if caller.is_some_and(|caller| self.network.is_open(process.host, caller)) {
                 let at = self.now() + self.delay();
-                self.schedule(at, Happening::AttemptFails { attempt: number });
+                self.schedule(at, SimulationEvent::AttemptFails { attempt: number });
             }
         }
     }
@@ -240,11 +240,11 @@
     /// The calling whose try this is, if the caller still waits for it.
     fn waiting_for(&mut self, number: u64) -> Option<u64> {
         let call = self.calls.attempts.get(&number)?.call;
-        let calling = self.calls.calls.get_mut(&call)?;
-        if calling.attempt != Some(number) {
+        let pending_call = self.calls.calls.get_mut(&call)?;
+        if pending_call.attempt != Some(number) {
             return None;
         }
-        calling.attempt = None;
+        pending_call.attempt = None;
         Some(call)
     }
 
@@ -252,11 +252,11 @@
     pub(super) fn answer_arrives(&mut self, number: u64, answer: Answer) {
         let Some(call) = self.waiting_for(number) else { return };
         self.calls.attempts.remove(&number);
-        let calling = self.calls.calls.remove(&call).expect("somebody waits for it");
-        if self.is_answered(&calling, &answer) {
+        let pending_call = self.calls.calls.remove(&call).expect("somebody waits for it");
+        if self.is_answered(&pending_call, &answer) {
             return;
         }
-        self.calls.calls.insert(call, calling);
+        self.calls.calls.insert(call, pending_call);
         self.retry_later(call);
     }
 
@@ -269,31 +269,31 @@
     }
 
     fn retry_later(&mut self, call: u64) {
-        let tries = self.calls.calls.get(&call).map_or(0, |calling| calling.tries);
-        let pause = (PAUSE_STEP * tries as u32).min(LONGEST_PAUSE);
-        self.schedule(self.now() + pause, Happening::Retry { call });
+        let attempts = self.calls.calls.get(&call).map_or(0, |pending_call| pending_call.attempts);
+        let backoff = (BACKOFF_STEP * attempts as u32).min(MAX_BACKOFF);
+        self.schedule(self.now() + backoff, SimulationEvent::Retry { call });
     }
 
     /// Whether this answer ends the call.
-    fn is_answered(&mut self, calling: &Calling, answer: &Answer) -> bool {
-        match calling.purpose {
-            Purpose::Change(number) => self.change_answered(number, answer, calling.tries),
-            Purpose::Read(number) => self.read_answered(number, answer, calling.tries),
-            Purpose::Beat { endpoint, start } => self.beat_answered(endpoint, start, answer.status),
+    fn is_answered(&mut self, pending_call: &PendingCall, answer: &Answer) -> bool {
+        match pending_call.purpose {
+            Purpose::Change(number) => self.change_answered(number, answer, pending_call.attempts),
+            Purpose::Read(number) => self.read_answered(number, answer, pending_call.attempts),
+            Purpose::Heartbeat { endpoint, start } => self.heartbeat_answered(endpoint, start, answer.status),
             Purpose::Delete { endpoint, start } => self.delete_answered(endpoint, start, answer.status),
         }
     }
 
-    fn gave_up(&mut self, calling: &Calling) {
-        match calling.purpose {
+    fn gave_up(&mut self, pending_call: &PendingCall) {
+        match pending_call.purpose {
             Purpose::Change(number) => self.history.change_given_up(number),
             Purpose::Read(number) => self.history.read_given_up(number),
-            Purpose::Beat { .. } | Purpose::Delete { .. } => {}
+            Purpose::Heartbeat { .. } | Purpose::Delete { .. } => {}
         }
     }
 
     /// Ends all tries of calls about something.
     pub(super) fn cancel_calls(&mut self, which: impl Fn(Purpose) -> bool) {
-        self.calls.calls.retain(|_, calling| !which(calling.purpose));
+        self.calls.calls.retain(|_, pending_call| !which(pending_call.purpose));
     }
 }
--- a/crates/controller/src/simulation/change.rs
+++ b/crates/controller/src/simulation/change.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 /// Name of the route whose prefix tells which change made a configuration.
-const MARK: &str = "mark";
+const MARKER_ROUTE: &str = "mark";
 /// Services with engines; their shards differ.
 pub(super) const SERVICES: [&str; 2] = ["engines-one", "engines-two"];
 /// Time of a load, s.
@@ -37,10 +37,10 @@
     /// The change with this number in the history.
     pub(super) fn new(number: usize, form: Form, base: u64, version: u64) -> Self {
         let body = match form {
-            Form::Put => whole(number, version),
+            Form::Put => complete_configuration(number, version),
             Form::Patch => patch(number, version),
             Form::Invalid => {
-                let mut body = whole(number, version);
+                let mut body = complete_configuration(number, version);
                 body["Routes"][0]["Backend"] = json!("unknown-service");
                 body
             }
@@ -56,9 +56,9 @@
     }
 }
 
-fn mark(number: usize) -> Value {
+fn marker(number: usize) -> Value {
     json!({
-        "Name": MARK,
+        "Name": MARKER_ROUTE,
         "Hostname": "mark.example",
         "PathPrefix": format!("/{number}/"),
         "TimeoutMs": 1_000,
@@ -66,14 +66,14 @@
     })
 }
 
-fn whole(number: usize, version: u64) -> Value {
+fn complete_configuration(number: usize, version: u64) -> Value {
     let backends: Vec<Value> = SERVICES.iter().map(|service| engines(service)).collect();
-    json!({ "Version": version, "Routes": [mark(number)], "Backends": backends })
+    json!({ "Version": version, "Routes": [marker(number)], "Backends": backends })
 }
 
 fn patch(number: usize, version: u64) -> Value {
     let backends: Vec<Value> = SERVICES.iter().map(|service| engines(service)).collect();
-    json!({ "Version": version, "Upsert": { "Routes": [mark(number)], "Backends": backends } })
+    json!({ "Version": version, "Upsert": { "Routes": [marker(number)], "Backends": backends } })
 }
 
 fn engines(service: &str) -> Value {
@@ -93,6 +93,6 @@
 
 /// The number of the change that made a configuration.
 pub(super) fn maker(configuration: &Configuration) -> Option<usize> {
-    let mark = configuration.routes.iter().find(|route| route.name == MARK)?;
-    mark.path_prefix.trim_matches('/').parse().ok()
+    let marker = configuration.routes.iter().find(|route| route.name == MARKER_ROUTE)?;
+    marker.path_prefix.trim_matches('/').parse().ok()
 }
--- a/crates/controller/src/simulation/checks.rs
+++ b/crates/controller/src/simulation/checks.rs
@@ -1,8 +1,8 @@
 //! Bounds in time: who is in touch, how many machines are lost, and what must hold by then.
 
-use super::place::{Place, controller_at};
+use super::host::{Host, controller_at};
 use super::violation::Violation;
-use super::world::{Happening, World};
+use super::world::{SimulationEvent, World};
 use crate::controller::Records;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 const RECOVER: Duration = Duration::from_secs(12);
 /// How long after its bound an acknowledgement is checked, and the pause between two checks.
 const CHECK_SPAN: Duration = Duration::from_secs(12);
-const CHECK_PAUSE: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// `LeaseMs`.
 pub(super) const LEASE: Duration = Duration::from_millis(3_000);
 
@@ -33,7 +33,7 @@
     /// was in touch or not.
     Drained { endpoint: usize, start: u64, until: Duration },
     /// Every shard's group is whole, unless there was trouble since this many steps.
-    Whole { steps: u64 },
+    GroupsComplete { steps: u64 },
 }
 
 /// Which controllers are lost, and when each was lost last.
@@ -64,21 +64,23 @@
                 self.check_again(check, until);
                 Ok(())
             }
-            Check::Whole { steps } if steps == self.troubles.steps => self.check_whole(),
-            Check::Whole { .. } => Ok(()),
+            Check::GroupsComplete { steps } if steps == self.fault_history.steps => {
+                self.check_groups_complete()
+            }
+            Check::GroupsComplete { .. } => Ok(()),
         }
     }
 
     /// What was acknowledged holds from its bound on, so it is checked several times: routers may be out of touch at the
     /// first.
     pub(super) fn check_from(&mut self, due: Duration, check: impl FnOnce(Duration) -> Check) {
-        self.schedule(due, Happening::Check(check(due + CHECK_SPAN)));
+        self.schedule(due, SimulationEvent::Check(check(due + CHECK_SPAN)));
     }
 
     fn check_again(&mut self, check: Check, until: Duration) {
-        let next = self.now() + CHECK_PAUSE;
+        let next = self.now() + CHECK_INTERVAL;
         if next <= until {
-            self.schedule(next, Happening::Check(check));
+            self.schedule(next, SimulationEvent::Check(check));
         }
     }
 
@@ -87,7 +89,7 @@
             let configuration = self.routers[index].known.configuration.as_ref();
             let version = configuration.map_or(0, |configuration| configuration.version);
             if version < acknowledged {
-                let router = self.routers[index].place();
+                let router = self.routers[index].host();
                 return Err(Violation::NotApplied { router, version, acknowledged });
             }
         }
@@ -95,11 +97,11 @@
     }
 
     /// No placer planned an order that its last check had to hold back.
-    pub(super) fn check_orders_held_back(&self) -> Result<(), Violation> {
+    pub(super) fn check_orders_withheld(&self) -> Result<(), Violation> {
         for machine in &self.controllers {
             let orders = machine.controller().map_or(0, |controller| controller.violations().total());
             if orders > 0 {
-                return Err(Violation::OrdersHeldBack { sender: Place::Controller(machine.index), orders });
+                return Err(Violation::OrdersWithheld { sender: Host::Controller(machine.index), orders });
             }
         }
         Ok(())
@@ -110,7 +112,7 @@
             return Ok(());
         }
         for index in self.routers_in_touch() {
-            let (router, endpoint) = (Place::Router(index), Place::Endpoint(endpoint));
+            let (router, endpoint) = (Host::Router(index), Host::Endpoint(endpoint));
             if self.uses(router, endpoint) {
                 return Err(Violation::DrainUnknown { router, endpoint });
             }
@@ -119,23 +121,23 @@
     }
 
     /// A group is to be whole a bound after the last trouble, where enough machines are left for it.
-    pub(super) fn expect_whole_groups(&mut self) {
-        let check = Check::Whole { steps: self.troubles.steps };
-        self.schedule(self.now() + CATCH_UP, Happening::Check(check));
+    pub(super) fn expect_complete_groups(&mut self) {
+        let check = Check::GroupsComplete { steps: self.fault_history.steps };
+        self.schedule(self.now() + CATCH_UP, SimulationEvent::Check(check));
     }
 
-    fn check_whole(&self) -> Result<(), Violation> {
+    fn check_groups_complete(&self) -> Result<(), Violation> {
         let good = self.good_controllers();
         let size = 2 * self.tolerance as usize + 1;
-        let refuse = good.iter().any(|index| self.network.is_refusing(Place::Controller(*index)));
+        let refuse = good.iter().any(|index| self.network.is_refusing(Host::Controller(*index)));
         let stable = self.is_core_stable(Duration::ZERO) && self.disks_are_healthy(&good);
         if good.len() < size || refuse || !stable {
             return Ok(());
         }
         for (shard, group) in self.newest_groups().iter().enumerate() {
-            let is_good = |place: &Place| matches!(place, Place::Controller(index) if good.contains(index));
+            let is_good = |host: &Host| matches!(host, Host::Controller(index) if good.contains(index));
             if group.len() < size || !group.iter().all(is_good) {
-                return Err(Violation::GroupNotWhole { shard: shard as u8, group: format!("{group:?}") });
+                return Err(Violation::GroupIncomplete { shard: shard as u8, group: format!("{group:?}") });
             }
         }
         Ok(())
@@ -151,11 +153,11 @@
         let awake: Vec<usize> = self
             .controllers
             .iter()
-            .filter(|machine| machine.is_awake() && !machine.is_ending())
+            .filter(|machine| machine.is_awake() && !machine.is_shutting_down())
             .map(|machine| machine.index)
             .collect();
         let reaches = |from: usize, to: usize| {
-            from == to || self.network.is_open_both_ways(Place::Controller(from), Place::Controller(to))
+            from == to || self.network.is_open_both_ways(Host::Controller(from), Host::Controller(to))
         };
         let reached = |from: usize| awake.iter().filter(|to| reaches(from, **to)).count();
         awake.iter().copied().filter(|index| 2 * reached(*index) > core).collect()
@@ -168,7 +170,7 @@
         let all_connected = good.iter().all(|one| {
             good.iter().all(|other| {
                 one == other
-                    || self.network.is_open_both_ways(Place::Controller(*one), Place::Controller(*other))
+                    || self.network.is_open_both_ways(Host::Controller(*one), Host::Controller(*other))
             })
         });
         let disks = (0..self.controllers.len()).all(|index| !self.controllers[index].disk.is_slow());
@@ -176,7 +178,7 @@
             && all_connected
             && disks
             && self.network.is_calm()
-            && self.troubles.core_at() + span <= self.now()
+            && self.fault_history.core_at() + span <= self.now()
             && !self.is_beyond_tolerance()
     }
 
@@ -187,23 +189,23 @@
         }
         let good = self.good_controllers();
         let in_touch = |index: &usize| {
-            let router = Place::Router(*index);
+            let router = Host::Router(*index);
             self.routers[*index].is_awake()
-                && self.troubles.machine_at(router) + CONTACT <= self.now()
-                && good.iter().all(|at| self.network.is_open_both_ways(router, Place::Controller(*at)))
+                && self.fault_history.machine_at(router) + CONTACT <= self.now()
+                && good.iter().all(|at| self.network.is_open_both_ways(router, Host::Controller(*at)))
         };
         (0..self.routers.len()).filter(in_touch).collect()
     }
 
     /// Whether more machines are, or were lately, lost at once than may be.
     fn is_beyond_tolerance(&self) -> bool {
-        let counts = self.troubles.losses.now.len() > self.tolerance as usize;
-        counts || self.troubles.beyond_at.is_some_and(|at| self.now() < at + RECOVER)
+        let counts = self.fault_history.losses.now.len() > self.tolerance as usize;
+        counts || self.fault_history.beyond_at.is_some_and(|at| self.now() < at + RECOVER)
     }
 
     /// Counts the machines that are lost. A machine stays lost for a time after it is back; one that is gone
     /// for good counts as long, if there are enough others.
-    pub(super) fn look_for_losses(&mut self) {
+    pub(super) fn detect_losses(&mut self) {
         let now = self.now();
         let good = self.good_controllers();
         let enough_left = good.len() >= self.founders;
@@ -216,30 +218,30 @@
         let pair_is_cut = good.iter().any(|one| {
             good.iter().any(|other| {
                 one != other
-                    && !self.network.is_open_both_ways(Place::Controller(*one), Place::Controller(*other))
+                    && !self.network.is_open_both_ways(Host::Controller(*one), Host::Controller(*other))
             })
         });
-        let losses = &mut self.troubles.losses;
+        let losses = &mut self.fault_history.losses;
         for index in losses.now.iter().chain(&lost) {
             losses.last.insert(*index, now);
         }
         losses.now = lost;
         let recent = losses.last.values().filter(|at| now < **at + CATCH_UP).count();
         if recent + usize::from(pair_is_cut) > self.tolerance as usize {
-            self.troubles.beyond_at = Some(now);
+            self.fault_history.beyond_at = Some(now);
         }
     }
 
     /// The newest group of each shard, as far as any running controller has learned it.
-    pub(super) fn newest_groups(&self) -> Vec<Vec<Place>> {
-        let mut newest: Vec<(u64, Vec<Place>)> = Vec::new();
+    pub(super) fn newest_groups(&self) -> Vec<Vec<Host>> {
+        let mut newest: Vec<(u64, Vec<Host>)> = Vec::new();
         for controller in self.controllers.iter().filter_map(|machine| machine.controller()) {
             for (shard, (revision, members)) in controller.learned_groups().into_iter().enumerate() {
                 if newest.len() <= shard {
                     newest.push((0, Vec::new()));
                 }
                 if revision > newest[shard].0 || newest[shard].1.is_empty() {
-                    newest[shard] = (revision, places(&members));
+                    newest[shard] = (revision, hosts(&members));
                 }
             }
         }
@@ -247,12 +249,12 @@
     }
 
     /// The controllers that act for the shards for which anybody does, one for each shard.
-    pub(super) fn holders(&self) -> Vec<Place> {
+    pub(super) fn holders(&self) -> Vec<Host> {
         let awake = self.controllers.iter().filter(|machine| machine.is_awake());
         let mut holders = Vec::new();
         for machine in awake {
             let shards = machine.controller().map_or(0, |controller| controller.acting_shards());
-            holders.extend(std::iter::repeat_n(Place::Controller(machine.index), shards));
+            holders.extend(std::iter::repeat_n(Host::Controller(machine.index), shards));
         }
         holders
     }
@@ -272,7 +274,7 @@
     pub(super) fn may_lose_disk(&self, lost: usize) -> bool {
         let records: Vec<_> = self.controllers.iter().map(|machine| machine.disk.peek()).collect();
         let still_lost = |index: &&usize| **index != lost && !self.is_made_good(**index, &records);
-        let lost_now = self.troubles.disks_lost.iter().filter(still_lost).count();
+        let lost_now = self.fault_history.disks_lost.iter().filter(still_lost).count();
         if self.within_tolerance && lost_now >= self.tolerance as usize {
             return false;
         }
@@ -298,6 +300,6 @@
     nodes.map(|node| controller_at(SocketAddr::V4((*node).into())))
 }
 
-fn places(members: &[SocketAddr]) -> Vec<Place> {
-    members.iter().filter_map(|member| controller_at(*member)).map(Place::Controller).collect()
+fn hosts(members: &[SocketAddr]) -> Vec<Host> {
+    members.iter().filter_map(|member| controller_at(*member)).map(Host::Controller).collect()
 }
--- a/crates/controller/src/simulation/connection.rs
+++ b/crates/controller/src/simulation/connection.rs
@@ -1,6 +1,6 @@
 //! One simulated connection: frames in order both ways, as long as it lasts.
 
-use super::place::Place;
+use super::host::Host;
 use crate::link::Outbox;
 use bytes::Bytes;
 use std::collections::VecDeque;
@@ -14,7 +14,7 @@
 /// One life of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Process {
-    pub(super) place: Place,
+    pub(super) host: Host,
     /// Counts all starts of all processes.
     pub(super) start: u64,
 }
@@ -35,11 +35,11 @@
 pub(super) struct Dial {
     pub(super) kind: Kind,
     pub(super) dialer: Process,
-    pub(super) listener: Place,
+    pub(super) listener: Host,
     /// Address by which the dialer knows the other side.
     pub(super) address: SocketAddr,
     /// Tells this wish from earlier ones of the same process for the same address.
-    pub(super) wish: u64,
+    pub(super) dial_number: u64,
 }
 
 /// The side of a connection to which something goes.
@@ -133,9 +133,9 @@
     /// Handed to the listener once it has read the first message.
     pub(super) listener_outbox: Option<Outbox>,
     /// Since when a direction has been cut.
-    pub(super) cut_since: Option<Duration>,
+    pub(super) partitioned_since: Option<Duration>,
     /// When the dialer last heard anything.
-    pub(super) heard_at: Duration,
+    pub(super) received_at: Duration,
 }
 
 impl Connection {
@@ -150,8 +150,8 @@
             backward: Pipe::new(backward),
             peer: None,
             listener_outbox: Some(listener_outbox),
-            cut_since: None,
-            heard_at: now,
+            partitioned_since: None,
+            received_at: now,
         };
         (connection, dialer_outbox)
     }
@@ -165,8 +165,8 @@
     }
 
     /// The two machines, in the direction to an end.
-    pub(super) fn path_to(&self, end: End) -> (Place, Place) {
-        let (dialer, listener) = (self.dial.dialer.place, self.listener.place);
+    pub(super) fn path_to(&self, end: End) -> (Host, Host) {
+        let (dialer, listener) = (self.dial.dialer.host, self.listener.host);
         match end {
             End::Dialer => (listener, dialer),
             End::Listener => (dialer, listener),
@@ -179,7 +179,7 @@
     }
 
     /// Whether one of its ends is at this place.
-    pub(super) fn touches(&self, place: Place) -> bool {
-        self.dial.dialer.place == place || self.listener.place == place
+    pub(super) fn touches(&self, host: Host) -> bool {
+        self.dial.dialer.host == host || self.listener.host == host
     }
 }
--- a/crates/controller/src/simulation/connections.rs
+++ b/crates/controller/src/simulation/connections.rs
@@ -1,8 +1,8 @@
 //! Connections that come up, carry frames, and end.
 
 use super::connection::{Connection, Dial, End, Kind, Process};
-use super::place::Place;
-use super::world::{Happening, Notice, World};
+use super::host::Host;
+use super::world::{Notice, SimulationEvent, World};
 use crate::agent::{SOURCE_TIMEOUT, SubscriberEvent};
 use crate::controller::Event;
 use crate::link::{CONNECT_TIMEOUT, REDIAL_DELAY};
@@ -12,15 +12,15 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// A connection in which a direction is cut ends after this long, and up to [`CUT_SPREAD`] later.
-const CUT_TIMEOUT: Duration = Duration::from_millis(1_500);
-const CUT_SPREAD: Duration = Duration::from_millis(1_000);
+/// A connection in which a direction is cut ends after this long, and up to [`PARTITION_TIMEOUT_SPREAD`] later.
+const PARTITION_TIMEOUT: Duration = Duration::from_millis(1_500);
+const PARTITION_TIMEOUT_SPREAD: Duration = Duration::from_millis(1_000);
 /// After a cut, what was lost is sent again within this time.
 const RESEND_SPREAD: Duration = Duration::from_millis(400);
 /// Pause before a router dials its agent again.
-const LOOPBACK_PAUSE: Duration = Duration::from_millis(100);
+const LOOPBACK_REDIAL_DELAY: Duration = Duration::from_millis(100);
 /// A frozen process goes on with what it was about to do after so long, if it is thawed.
-const FROZEN_PAUSE: Duration = Duration::from_millis(20);
+const FROZEN_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Bytes of the length before each message.
 const LENGTH_BYTES: usize = 4;
 
@@ -35,10 +35,10 @@
 
     /// Whether the dialer is still the one who wanted this.
     fn is_wanted(&self, dial: &Dial) -> bool {
-        self.running(dial.dialer.place) == Some(dial.dialer)
-            && match (dial.kind, dial.dialer.place) {
-                (Kind::Peer, Place::Controller(index)) => self.controllers[index].wants(dial),
-                (Kind::Feed, Place::Router(index)) => self.routers[index].follows(dial),
+        self.running(dial.dialer.host) == Some(dial.dialer)
+            && match (dial.kind, dial.dialer.host) {
+                (Kind::Peer, Host::Controller(index)) => self.controllers[index].wants(dial),
+                (Kind::Feed, Host::Router(index)) => self.routers[index].follows(dial),
                 _ => true,
             }
     }
@@ -48,14 +48,14 @@
         if !self.is_wanted(&dial) {
             return;
         }
-        if self.is_frozen(dial.dialer.place) {
-            return self.schedule(self.now() + FROZEN_PAUSE, Happening::Dial(dial));
+        if self.is_frozen(dial.dialer.host) {
+            return self.schedule(self.now() + FROZEN_RETRY_DELAY, SimulationEvent::Dial(dial));
         }
-        if !self.network.is_open_both_ways(dial.dialer.place, dial.listener) {
+        if !self.network.is_open_both_ways(dial.dialer.host, dial.listener) {
             return self.dial_failed(dial, CONNECT_TIMEOUT);
         }
         let round_trip = self.delay() + self.delay();
-        self.schedule(self.now() + round_trip, Happening::Connect(dial));
+        self.schedule(self.now() + round_trip, SimulationEvent::Connect(dial));
     }
 
     /// The first packets have gone both ways.
@@ -64,7 +64,7 @@
             return;
         }
         let listener = self.running(dial.listener);
-        let open = self.network.is_open_both_ways(dial.dialer.place, dial.listener);
+        let open = self.network.is_open_both_ways(dial.dialer.host, dial.listener);
         let (Some(listener), true) = (listener, open && !self.network.is_refusing(dial.listener)) else {
             return self.dial_failed(dial, Duration::ZERO);
         };
@@ -80,7 +80,7 @@
             }
             Kind::Feed => {
                 outbox.message(&Message::Hello(self.agent_hello(&dial)));
-                self.schedule(now + SOURCE_TIMEOUT, Happening::Silence { connection: number });
+                self.schedule(now + SOURCE_TIMEOUT, SimulationEvent::ReceiveTimeout { connection: number });
                 Notice::Source(SourceEvent::Up { source: dial.address, outbox })
             }
             Kind::Loopback => {
@@ -89,7 +89,7 @@
                 Notice::Agent(SourceEvent::Up { source: dial.address, outbox })
             }
         };
-        self.tell(dial.dialer, notice);
+        self.deliver(dial.dialer, notice);
         self.pump(number);
     }
 
@@ -99,19 +99,19 @@
         let outbox = connection.and_then(|connection| connection.listener_outbox.take());
         if let Some(outbox) = outbox {
             let notice = Notice::SubscriberEvent(SubscriberEvent::Up { subscriber: number, outbox });
-            self.tell(listener, notice);
+            self.deliver(listener, notice);
         }
     }
 
     fn dial_failed(&mut self, dial: Dial, after: Duration) {
         let at = self.now() + after;
         match dial.kind {
-            Kind::Peer => self.schedule(at + REDIAL_DELAY, Happening::Dial(dial)),
+            Kind::Peer => self.schedule(at + REDIAL_DELAY, SimulationEvent::Dial(dial)),
             Kind::Feed => {
                 let notice = Notice::Source(SourceEvent::Down { source: dial.address });
                 self.notify(at, dial.dialer, notice);
             }
-            Kind::Loopback => self.schedule(at + LOOPBACK_PAUSE, Happening::Dial(dial)),
+            Kind::Loopback => self.schedule(at + LOOPBACK_REDIAL_DELAY, SimulationEvent::Dial(dial)),
         }
     }
 
@@ -134,7 +134,7 @@
             }
         }
         for (at, end) in due {
-            self.schedule(at, Happening::Arrive { connection: number, end });
+            self.schedule(at, SimulationEvent::Arrive { connection: number, end });
         }
         if is_over {
             self.close(number, None);
@@ -169,15 +169,15 @@
                 let next = pipe.next_at();
                 pipe.scheduled = next.is_some();
                 if let Some(at) = next {
-                    self.schedule(at, Happening::Arrive { connection: number, end });
+                    self.schedule(at, SimulationEvent::Arrive { connection: number, end });
                 }
                 break;
             };
             if end == End::Dialer {
-                connection.heard_at = now;
+                connection.received_at = now;
             }
             if let Some((process, notice)) = self.read_frame(number, end, &frame) {
-                self.tell(process, notice);
+                self.deliver(process, notice);
             }
         }
         self.pump(number);
@@ -248,8 +248,8 @@
     fn end_by(&mut self, number: u64, closer: Option<Process>) {
         let Some(connection) = self.connections.remove(&number) else { return };
         let (dial, listener) = (connection.dial, connection.listener);
-        let path_open = self.network.is_open(listener.place, dial.dialer.place);
-        let late = if path_open { Duration::ZERO } else { self.spread(CUT_SPREAD) };
+        let path_open = self.network.is_open(listener.host, dial.dialer.host);
+        let late = if path_open { Duration::ZERO } else { self.spread(PARTITION_TIMEOUT_SPREAD) };
         let dialer_late = if closer == Some(dial.dialer) { Duration::ZERO } else { late };
         let last = self.now() + self.delay() + dialer_late;
         self.end_for_dialer(dial, last);
@@ -270,7 +270,7 @@
             Kind::Peer => {
                 let notice = Notice::Controller(Event::PeerDown { peer: dial.address });
                 self.notify(at, dial.dialer, notice);
-                self.schedule(at + REDIAL_DELAY, Happening::Dial(dial));
+                self.schedule(at + REDIAL_DELAY, SimulationEvent::Dial(dial));
             }
             Kind::Feed => {
                 let notice = Notice::Source(SourceEvent::Down { source: dial.address });
@@ -279,7 +279,7 @@
             Kind::Loopback => {
                 let notice = Notice::Agent(SourceEvent::Down { source: dial.address });
                 self.notify(at, dial.dialer, notice);
-                self.schedule(at + LOOPBACK_PAUSE, Happening::Dial(dial));
+                self.schedule(at + LOOPBACK_REDIAL_DELAY, SimulationEvent::Dial(dial));
             }
         }
     }
@@ -306,16 +306,19 @@
         let numbers: Vec<u64> = self.connections.keys().copied().collect();
         for number in numbers {
             let resend = now + self.spread(RESEND_SPREAD);
-            let timeout = now + CUT_TIMEOUT + self.spread(CUT_SPREAD);
+            let timeout = now + PARTITION_TIMEOUT + self.spread(PARTITION_TIMEOUT_SPREAD);
             let Some(connection) = self.connections.get_mut(&number) else { continue };
             let (one, other) = connection.path_to(End::Listener);
             let open = self.network.is_open_both_ways(one, other);
-            match (open, connection.cut_since) {
+            match (open, connection.partitioned_since) {
                 (false, None) => {
-                    connection.cut_since = Some(now);
-                    self.schedule(timeout, Happening::CutTimeout { connection: number, since: now });
+                    connection.partitioned_since = Some(now);
+                    self.schedule(
+                        timeout,
+                        SimulationEvent::PartitionTimeout { connection: number, since: now },
+                    );
                 }
-                (true, Some(_)) => connection.cut_since = None,
+                (true, Some(_)) => connection.partitioned_since = None,
                 _ => {}
             }
             self.resend(number, resend);
@@ -332,29 +335,30 @@
             if open && !pipe.scheduled && pipe.next_at().is_some() {
                 pipe.scheduled = true;
                 pipe.postpone(at);
-                self.schedule(at, Happening::Arrive { connection: number, end });
+                self.schedule(at, SimulationEvent::Arrive { connection: number, end });
             }
         }
     }
 
     /// A connection that has been cut all the time is given up by both sides.
-    pub(super) fn cut_timeout(&mut self, number: u64, since: Duration) {
+    pub(super) fn partition_timed_out(&mut self, number: u64, since: Duration) {
         let connection = self.connections.get(&number);
-        if connection.is_some_and(|connection| connection.cut_since == Some(since)) {
+        if connection.is_some_and(|connection| connection.partitioned_since == Some(since)) {
             self.end(number);
         }
     }
 
     /// An agent that has heard nothing for long ends the connection.
-    pub(super) fn look_for_silence(&mut self, number: u64) {
+    pub(super) fn check_receive_timeout(&mut self, number: u64) {
         let now = self.now();
         let Some(connection) = self.connections.get(&number) else { return };
-        let (dialer, quiet_at) = (connection.dial.dialer, connection.heard_at + SOURCE_TIMEOUT);
-        if self.is_frozen(dialer.place) {
-            return self.schedule(now + FROZEN_PAUSE, Happening::Silence { connection: number });
+        let (dialer, quiet_at) = (connection.dial.dialer, connection.received_at + SOURCE_TIMEOUT);
+        if self.is_frozen(dialer.host) {
+            return self
+                .schedule(now + FROZEN_RETRY_DELAY, SimulationEvent::ReceiveTimeout { connection: number });
         }
         if now < quiet_at {
-            return self.schedule(quiet_at, Happening::Silence { connection: number });
+            return self.schedule(quiet_at, SimulationEvent::ReceiveTimeout { connection: number });
         }
         self.close(number, Some(dialer));
     }
--- a/crates/controller/src/simulation/controller_machine.rs
+++ b/crates/controller/src/simulation/controller_machine.rs
@@ -4,9 +4,9 @@
 use super::controller_environment::{ControllerEnvironment, Request};
 use super::disk::{Disk, Write};
 use super::engine::OrderCall;
-use super::place::{Place, controller_at};
+use super::host::{Host, controller_at};
 use super::settings::{seed_addresses, settings};
-use super::world::{Happening, Notice, World};
+use super::world::{Notice, SimulationEvent, World};
 use crate::controller::{Controller, Event, Start};
 use crate::message::{Hello, Role};
 use lanegate_config::settings::Settings;
@@ -31,7 +31,7 @@
     /// The timer that is set.
     wake_at: Option<Duration>,
     /// It was told to end.
-    ending: bool,
+    shutting_down: bool,
 }
 
 /// A machine with a controller.
@@ -48,13 +48,13 @@
     backlog: VecDeque<Notice>,
     /// The settings file.
     settings: Rc<RefCell<Settings>>,
-    next_wish: u64,
+    next_dial_number: u64,
 }
 
 impl ControllerMachine {
     pub(super) fn new(index: usize, founders: usize, tolerance: u32) -> Self {
         let seeds: Vec<usize> = (0..founders).collect();
-        let settings = settings(Place::Controller(index), &seeds, tolerance, true);
+        let settings = settings(Host::Controller(index), &seeds, tolerance, true);
         ControllerMachine {
             index,
             disk: Disk::new(),
@@ -64,7 +64,7 @@
             has_run: false,
             backlog: VecDeque::new(),
             settings: Rc::new(RefCell::new(settings)),
-            next_wish: 0,
+            next_dial_number: 0,
         }
     }
 
@@ -78,8 +78,8 @@
     }
 
     /// Was told to end, and has not ended yet.
-    pub(super) fn is_ending(&self) -> bool {
-        self.running.as_ref().is_some_and(|running| running.ending)
+    pub(super) fn is_shutting_down(&self) -> bool {
+        self.running.as_ref().is_some_and(|running| running.shutting_down)
     }
 
     pub(super) fn controller(&self) -> Option<&Controller> {
@@ -89,7 +89,7 @@
     /// Whether a link that was dialled is still wanted.
     pub(super) fn wants(&self, dial: &Dial) -> bool {
         let running = self.running.as_ref().filter(|running| running.process == dial.dialer);
-        running.is_some_and(|running| running.links.get(&dial.address) == Some(&dial.wish))
+        running.is_some_and(|running| running.links.get(&dial.address) == Some(&dial.dial_number))
     }
 
     /// Exchanges the seeds in the settings file.
@@ -99,11 +99,11 @@
 
     pub(super) fn hello(&self) -> Option<Hello> {
         let running = self.running.as_ref()?;
-        let place = Place::Controller(self.index);
+        let host = Host::Controller(self.index);
         Some(Hello {
             role: Role::Controller,
-            name: place.node_name().as_str().into(),
-            control_address: place.address().to_string().as_str().into(),
+            name: host.node_name().as_str().into(),
+            control_address: host.address().to_string().as_str().into(),
             incarnation: running.incarnation,
             source: 0,
             offset: 0,
@@ -113,20 +113,20 @@
 
 impl World {
     pub(super) fn controller_hello(&self, process: Process) -> Hello {
-        let Place::Controller(index) = process.place else { unreachable!("only controllers are peers") };
+        let Host::Controller(index) = process.host else { unreachable!("only controllers are peers") };
         self.controllers[index].hello().expect("only a running controller dials")
     }
 
     /// Starts the process of a machine, if it does not run.
     pub(super) fn start_controller(&mut self, index: usize) {
-        let place = Place::Controller(index);
+        let host = Host::Controller(index);
         let machine = &self.controllers[index];
         if machine.running.is_some() || machine.retired {
             return;
         }
-        self.network.set_dark(place, false);
-        self.end_connections(|connection| connection.touches(place), None);
-        let process = self.next_process(place);
+        self.network.set_dark(host, false);
+        self.end_connections(|connection| connection.touches(host), None);
+        let process = self.next_process(host);
         let environment = ControllerEnvironment {
             clock: self.clock.clone(),
             started: self.now(),
@@ -140,7 +140,7 @@
         machine.settings.borrow_mut().bootstrap = self.clock.get().is_zero();
         let settings = machine.settings.borrow().clone();
         machine.has_run = true;
-        let start = Start { settings, control: place.address(), incarnation, records, fault: self.fault };
+        let start = Start { settings, control: host.address(), incarnation, records, fault: self.fault };
         let started = Controller::new(start, Box::new(environment.clone()));
         let controller = started.expect("simulated settings are complete");
         let links = BTreeMap::new();
@@ -151,14 +151,14 @@
             environment,
             links,
             wake_at: None,
-            ending: false,
+            shutting_down: false,
         });
-        self.after_controller(index);
+        self.execute_controller_requests(index);
         self.paths_changed();
     }
 
     /// Tells a controller something.
-    pub(super) fn tell_controller(&mut self, index: usize, process: Process, notice: Notice) {
+    pub(super) fn deliver_to_controller(&mut self, index: usize, process: Process, notice: Notice) {
         let machine = &mut self.controllers[index];
         let Some(running) = machine.running.as_mut().filter(|running| running.process == process) else {
             return;
@@ -179,7 +179,7 @@
         let Some(running) = self.controllers[index].running.as_mut() else { return };
         running.controller.tick();
         let has_ended = running.controller.has_shut_down();
-        self.after_controller(index);
+        self.execute_controller_requests(index);
         if has_ended {
             self.end_controller(index);
         }
@@ -187,7 +187,7 @@
 
     /// The timer of a controller.
     pub(super) fn wake(&mut self, process: Process, at: Duration) {
-        let Place::Controller(index) = process.place else { return };
+        let Host::Controller(index) = process.host else { return };
         let machine = &mut self.controllers[index];
         let Some(running) = machine.running.as_mut().filter(|running| running.process == process) else {
             return;
@@ -202,7 +202,7 @@
     }
 
     /// Does what a controller has asked for.
-    pub(super) fn after_controller(&mut self, index: usize) {
+    pub(super) fn execute_controller_requests(&mut self, index: usize) {
         let Some(process) = self.controllers[index].process() else { return };
         let requests = match &self.controllers[index].running {
             Some(running) => std::mem::take(&mut *running.environment.requests.borrow_mut()),
@@ -232,7 +232,7 @@
                 self.trace.service_action(self.clock.get(), index, &action, epoch, send_by);
                 let call = OrderCall { sender: process, action, epoch, send_by };
                 let connected = self.delay() + self.delay();
-                self.schedule(self.now() + connected, Happening::SendOrder(call));
+                self.schedule(self.now() + connected, SimulationEvent::SendOrder(call));
             }
         }
     }
@@ -240,17 +240,17 @@
     fn open_link(&mut self, index: usize, process: Process, peer: SocketAddr) {
         let machine = &mut self.controllers[index];
         let Some(running) = machine.running.as_mut() else { return };
-        machine.next_wish += 1;
-        running.links.insert(peer, machine.next_wish);
+        machine.next_dial_number += 1;
+        running.links.insert(peer, machine.next_dial_number);
         let Some(listener) = controller_at(peer) else { return };
         let dial = Dial {
             kind: Kind::Peer,
             dialer: process,
-            listener: Place::Controller(listener),
+            listener: Host::Controller(listener),
             address: peer,
-            wish: machine.next_wish,
+            dial_number: machine.next_dial_number,
         };
-        self.schedule(self.now(), Happening::Dial(dial));
+        self.schedule(self.now(), SimulationEvent::Dial(dial));
     }
 
     fn queue_write(&mut self, index: usize, write: Write) {
@@ -268,12 +268,12 @@
         }
         disk.busy = true;
         let time = disk.longest_write.mul_f64(self.random.random::<f64>());
-        self.schedule(self.now() + time, Happening::Written { process });
+        self.schedule(self.now() + time, SimulationEvent::Written { process });
     }
 
     /// The disk of a controller has done the first write.
     pub(super) fn written(&mut self, process: Process) {
-        let Place::Controller(index) = process.place else { return };
+        let Host::Controller(index) = process.host else { return };
         if self.controllers[index].process() != Some(process) {
             return;
         }
@@ -281,7 +281,7 @@
         if let Some(written) = written {
             let (shard, token, durable) = (written.shard, written.token, written.durable);
             let event = Event::Written { shard, token, durable };
-            self.tell_controller(index, process, Notice::Controller(event));
+            self.deliver_to_controller(index, process, Notice::Controller(event));
         }
         self.start_write(index);
     }
@@ -294,7 +294,7 @@
         }
         running.wake_at = Some(wake);
         let process = running.process;
-        self.schedule(wake, Happening::Wake { process, at: wake });
+        self.schedule(wake, SimulationEvent::Wake { process, at: wake });
     }
 
     /// A frozen controller goes on: it takes all that has come in, and then looks at the time.
@@ -328,7 +328,7 @@
         let disk = &mut self.controllers[index].disk;
         disk.interrupt(&mut self.random);
         disk.lose_power(&mut self.random);
-        self.network.set_dark(Place::Controller(index), true);
+        self.network.set_dark(Host::Controller(index), true);
         self.paths_changed();
     }
 
@@ -343,16 +343,16 @@
     /// The process is told to end.
     pub(super) fn stop_controller(&mut self, index: usize) {
         let Some(running) = self.controllers[index].running.as_mut() else { return };
-        running.ending = true;
+        running.shutting_down = true;
         running.controller.begin_shutdown();
         let process = running.process;
-        self.schedule(self.now() + GRACE, Happening::GraceOver { process });
+        self.schedule(self.now() + GRACE, SimulationEvent::GraceOver { process });
         self.tick_controller(index);
     }
 
     /// The time that a process gets to end is over.
     pub(super) fn grace_over(&mut self, process: Process) {
-        let Place::Controller(index) = process.place else { return };
+        let Host::Controller(index) = process.host else { return };
         if self.controllers[index].process() == Some(process) {
             self.end_controller(index);
         }
@@ -360,9 +360,9 @@
 
     fn end_controller(&mut self, index: usize) {
         self.kill_controller(index);
-        self.troubles.core(self.clock.get());
-        self.look_for_losses();
-        self.expect_whole_groups();
+        self.fault_history.core(self.clock.get());
+        self.detect_losses();
+        self.expect_complete_groups();
     }
 
     /// The settings file of a controller names other seeds, and it is told so.
--- a/crates/controller/src/simulation/disk.rs
+++ b/crates/controller/src/simulation/disk.rs
@@ -123,7 +123,7 @@
     }
 
     /// The disk is as good as new, apart from what is on it.
-    pub(super) fn mend(&mut self) {
+    pub(super) fn repair(&mut self) {
         self.longest_write = USUAL_WRITE;
         self.stalled = false;
         self.directory.refusing = false;
--- a/crates/controller/src/simulation/endpoint.rs
+++ b/crates/controller/src/simulation/endpoint.rs
@@ -1,11 +1,11 @@
 //! Simulated endpoints: they register, drain, end and crash as real ones do.
 
-use super::calls::{Content, Patience, Purpose};
+use super::calls::{CallLimits, Content, Purpose};
 use super::change::SERVICES;
 use super::checks::Check;
 use super::engine::Engine;
-use super::place::Place;
-use super::world::{Happening, World};
+use super::host::Host;
+use super::world::{SimulationEvent, World};
 use crate::controller::Method;
 use bytes::Bytes;
 use rand::Rng;
@@ -15,7 +15,7 @@
 /// Time between heartbeats.
 pub(super) const HEARTBEAT: Duration = Duration::from_millis(1_200);
 /// An endpoint that ends tries for so long to be acknowledged.
-const LEAVING_PATIENCE: Duration = Duration::from_secs(6);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// What an endpoint says of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -23,7 +23,7 @@
     Ready,
     Draining,
     /// It has ended, and says nothing any more.
-    Gone,
+    Ended,
 }
 
 /// An endpoint.
@@ -44,7 +44,7 @@
         EndpointMachine {
             index,
             start: 0,
-            state: State::Gone,
+            state: State::Ended,
             sequence: 0,
             engine: Engine::default(),
             acknowledged_at: None,
@@ -58,14 +58,14 @@
 
     /// Id of its present life.
     pub(super) fn id(&self) -> String {
-        format!("{}-{}", Place::Endpoint(self.index), self.start)
+        format!("{}-{}", Host::Endpoint(self.index), self.start)
     }
 
     fn body(&self) -> Bytes {
         let state = if self.state == State::Draining { "draining" } else { "ready" };
         let body = json!({
             "Backend": SERVICES[self.service()],
-            "Address": Place::Endpoint(self.index).address().to_string(),
+            "Address": Host::Endpoint(self.index).address().to_string(),
             "Zone": "zone",
             "Version": "v1",
             "Capacity": 4,
@@ -92,48 +92,48 @@
         let start = machine.start;
         self.history.endpoint_started(index);
         let first = HEARTBEAT.mul_f64(self.random.random::<f64>() / 4.0);
-        self.schedule(self.now() + first, Happening::Beat { endpoint: index, start });
+        self.schedule(self.now() + first, SimulationEvent::Heartbeat { endpoint: index, start });
     }
 
     /// An endpoint crashes without a word.
     pub(super) fn crash_endpoint(&mut self, index: usize) {
         self.cancel_calls(|purpose| of_endpoint(purpose, index));
-        self.endpoints[index].state = State::Gone;
+        self.endpoints[index].state = State::Ended;
     }
 
     /// An endpoint sends its heartbeat.
-    pub(super) fn beat(&mut self, index: usize, start: u64) {
+    pub(super) fn endpoint_heartbeat(&mut self, index: usize, start: u64) {
         let machine = &mut self.endpoints[index];
-        if machine.start != start || machine.state == State::Gone {
+        if machine.start != start || machine.state == State::Ended {
             return;
         }
-        self.schedule(self.now() + HEARTBEAT, Happening::Beat { endpoint: index, start });
-        let purpose = Purpose::Beat { endpoint: index, start };
+        self.schedule(self.now() + HEARTBEAT, SimulationEvent::Heartbeat { endpoint: index, start });
+        let purpose = Purpose::Heartbeat { endpoint: index, start };
         let draining = self.endpoints[index].state == State::Draining;
         if draining && self.calls.is_under_way(purpose) {
             return;
         }
         self.cancel_calls(|other| other == purpose);
-        self.send_beat(index);
+        self.send_heartbeat(index);
     }
 
-    fn send_beat(&mut self, index: usize) {
+    fn send_heartbeat(&mut self, index: usize) {
         let now = self.now();
         let machine = &mut self.endpoints[index];
         machine.sequence += 1;
         machine.engine.finish(now);
         let path = format!("/instances/{}", machine.id());
         let content = Content { method: Method::Put, path, if_match: None, body: machine.body() };
-        let purpose = Purpose::Beat { endpoint: index, start: machine.start };
-        let time = if machine.state == State::Draining { LEAVING_PATIENCE } else { HEARTBEAT };
+        let purpose = Purpose::Heartbeat { endpoint: index, start: machine.start };
+        let time = if machine.state == State::Draining { DRAIN_TIMEOUT } else { HEARTBEAT };
         self.call_any(purpose, index, content, time);
     }
 
     fn call_any(&mut self, purpose: Purpose, index: usize, content: Content, time: Duration) {
         let any = self.random.random_range(0..self.controllers.len());
         let first = self.preferred.unwrap_or(any);
-        let patience = Patience { time, tries: usize::MAX };
-        self.begin_call(purpose, Place::Endpoint(index), content, first, patience);
+        let limits = CallLimits { time, attempts: usize::MAX };
+        self.begin_call(purpose, Host::Endpoint(index), content, first, limits);
     }
 
     /// An endpoint says that it is leaving.
@@ -143,31 +143,31 @@
             return;
         };
         machine.state = State::Draining;
-        let purpose = Purpose::Beat { endpoint: index, start: machine.start };
+        let purpose = Purpose::Heartbeat { endpoint: index, start: machine.start };
         self.cancel_calls(|other| other == purpose);
-        self.send_beat(index);
+        self.send_heartbeat(index);
     }
 
     /// An endpoint says that it has ended.
     pub(super) fn remove_endpoint(&mut self, index: usize) {
-        let Some(machine) = self.endpoints.get_mut(index).filter(|machine| machine.state != State::Gone)
+        let Some(machine) = self.endpoints.get_mut(index).filter(|machine| machine.state != State::Ended)
         else {
             return;
         };
-        machine.state = State::Gone;
+        machine.state = State::Ended;
         let start = machine.start;
         let path = format!("/instances/{}", machine.id());
         let content = Content { method: Method::Delete, path, if_match: None, body: Bytes::new() };
         self.cancel_calls(|purpose| of_endpoint(purpose, index));
-        self.call_any(Purpose::Delete { endpoint: index, start }, index, content, LEAVING_PATIENCE);
+        self.call_any(Purpose::Delete { endpoint: index, start }, index, content, DRAIN_TIMEOUT);
     }
 
     /// A heartbeat was answered. True if the endpoint is content.
-    pub(super) fn beat_answered(&mut self, index: usize, start: u64, status: u16) -> bool {
+    pub(super) fn heartbeat_answered(&mut self, index: usize, start: u64, status: u16) -> bool {
         let machine = &self.endpoints[index];
         let is_taken = (200..300).contains(&status);
         if is_taken && machine.start == start && machine.state == State::Draining {
-            self.leaving_acknowledged(index);
+            self.drain_acknowledged(index);
         }
         is_taken
     }
@@ -176,12 +176,12 @@
     pub(super) fn delete_answered(&mut self, index: usize, start: u64, status: u16) -> bool {
         let is_taken = (200..300).contains(&status);
         if is_taken && self.endpoints[index].start == start {
-            self.leaving_acknowledged(index);
+            self.drain_acknowledged(index);
         }
         is_taken
     }
 
-    fn leaving_acknowledged(&mut self, index: usize) {
+    fn drain_acknowledged(&mut self, index: usize) {
         let now = self.now();
         let machine = &mut self.endpoints[index];
         if machine.acknowledged_at.is_some() {
@@ -196,7 +196,7 @@
 
 fn of_endpoint(purpose: Purpose, index: usize) -> bool {
     match purpose {
-        Purpose::Beat { endpoint, .. } | Purpose::Delete { endpoint, .. } => endpoint == index,
+        Purpose::Heartbeat { endpoint, .. } | Purpose::Delete { endpoint, .. } => endpoint == index,
         Purpose::Change(_) | Purpose::Read(_) => false,
     }
 }
--- a/crates/controller/src/simulation/engine.rs
+++ b/crates/controller/src/simulation/engine.rs
@@ -4,8 +4,8 @@
 use super::connection::Process;
 use super::endpoint::State;
 use super::history::Ordered;
-use super::place::{Place, endpoint_at};
-use super::world::{Happening, Notice, World};
+use super::host::{Host, endpoint_at};
+use super::world::{Notice, SimulationEvent, World};
 use crate::controller::{Event, ServiceAction};
 use lanegate_placement::{Action, EndpointReport, Operation, Order, OrderAnswer};
 use serde_json::{Value, json};
@@ -57,7 +57,7 @@
 /// The models of an endpoint.
 #[derive(Debug, Default)]
 pub(super) struct Engine {
-    held: BTreeSet<String>,
+    resident: BTreeSet<String>,
     loading: Option<Load>,
     /// Orders taken.
     sequence: u64,
@@ -67,14 +67,14 @@
     /// Ends a load whose time has come.
     pub(super) fn finish(&mut self, now: Duration) {
         if let Some(load) = self.loading.take_if(|load| load.until <= now) {
-            self.held.insert(load.model);
+            self.resident.insert(load.model);
         }
     }
 
     /// Models as registrations tell them.
     pub(super) fn models(&self) -> Value {
         let model = |name: &String| json!({ "Name": name, "Version": 1, "Adapters": [] });
-        self.held.iter().map(model).collect()
+        self.resident.iter().map(model).collect()
     }
 
     fn take(&mut self, now: Duration, order: &Order) -> OrderAnswer {
@@ -83,7 +83,7 @@
         if self.loading.is_some() || revision_differs {
             return OrderAnswer::Conflict;
         }
-        let holds = self.held.contains(&*order.model);
+        let holds = self.resident.contains(&*order.model);
         self.sequence += 1;
         match order.operation {
             Operation::Load if holds => OrderAnswer::AlreadyDone,
@@ -93,7 +93,7 @@
                 OrderAnswer::Accepted
             }
             Operation::Evict if holds => {
-                self.held.remove(&*order.model);
+                self.resident.remove(&*order.model);
                 OrderAnswer::Accepted
             }
             Operation::Evict => OrderAnswer::AlreadyDone,
@@ -116,36 +116,36 @@
     /// An order, or a question, leaves its controller, once its connection is up.
     pub(super) fn send_order(&mut self, call: OrderCall) {
         let sender = call.sender;
-        if self.running(sender.place) != Some(sender) {
+        if self.running(sender.host) != Some(sender) {
             return;
         }
-        if self.is_frozen(sender.place) {
-            return self.tell(sender, Notice::Send(call));
+        if self.is_frozen(sender.host) {
+            return self.deliver(sender, Notice::Send(call));
         }
         if self.now() > call.send_by {
             return self.answer_order(&call, OrderAnswer::Unavailable, Duration::ZERO);
         }
         let Some(endpoint) = call.endpoint() else { return };
-        let open = self.network.is_open_both_ways(sender.place, Place::Endpoint(endpoint));
-        let gone = self.endpoints[endpoint].state == State::Gone;
-        if !open || gone {
+        let open = self.network.is_open_both_ways(sender.host, Host::Endpoint(endpoint));
+        let ended = self.endpoints[endpoint].state == State::Ended;
+        if !open || ended {
             let after = if open { Duration::ZERO } else { CONNECT_TIMEOUT };
             return self.answer_order(&call, OrderAnswer::Unavailable, after);
         }
         let arrives = self.now() + self.delay();
-        self.schedule(arrives, Happening::OrderArrives(call));
+        self.schedule(arrives, SimulationEvent::OrderArrives(call));
     }
 
     /// An order, or a question, reaches its endpoint.
     pub(super) fn order_arrives(&mut self, call: OrderCall) {
         let now = self.now();
         let Some(index) = call.endpoint() else { return };
-        let place = Place::Endpoint(index);
-        if !self.network.is_open(call.sender.place, place) {
+        let host = Host::Endpoint(index);
+        if !self.network.is_open(call.sender.host, host) {
             return self.answer_order(&call, OrderAnswer::Unknown, ANSWER_TIMEOUT);
         }
         let machine = &mut self.endpoints[index];
-        if machine.state == State::Gone {
+        if machine.state == State::Ended {
             return self.answer_order(&call, OrderAnswer::Unknown, Duration::ZERO);
         }
         let event = match &call.action.action {
@@ -164,7 +164,7 @@
                 call.answered(answer)
             }
         };
-        let back_open = self.network.is_open(place, call.sender.place);
+        let back_open = self.network.is_open(host, call.sender.host);
         match event {
             Some(event) if back_open => {
                 let arrives = now + self.delay();
@@ -175,8 +175,8 @@
     }
 
     fn note_order(&mut self, endpoint: usize, call: &OrderCall) {
-        let (now, sender) = (self.now(), call.sender.place);
-        if self.troubles.was_thawed_lately(sender, now) {
+        let (now, sender) = (self.now(), call.sender.host);
+        if self.fault_history.was_thawed_lately(sender, now) {
             return;
         }
         let service = self.endpoints[endpoint].service();
