--- a/crates/controller/src/simulation/expectation.rs
+++ b/crates/controller/src/simulation/expectation.rs
@@ -1,7 +1,7 @@
 //! What a scenario expects at a moment, and its text form.
 
-use super::history::{ChangeStanding, ReadStanding};
-use super::place::Place;
+use super::history::{ChangeStatus, ReadStatus};
+use super::host::Host;
 use super::violation::Violation;
 use super::world::World;
 use lanegate_config::instance::InstanceState;
@@ -12,35 +12,35 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Expectation {
     /// What became of a change: `open`, `taken`, `refused`, `invalid` or `unclear`.
-    Change { number: usize, standing: String },
+    Change { number: usize, status: String },
     /// What came back for a read: `open`, `served`, `missing` or `unavailable`.
-    Read { number: usize, standing: String },
+    Read { number: usize, status: String },
     /// The configuration that a router has is the one that this change made.
-    Router { router: Place, change: usize },
+    Router { router: Host, change: usize },
     /// A router takes an endpoint to be ready.
-    Uses { router: Place, endpoint: Place },
+    Uses { router: Host, endpoint: Host },
     /// A router does not take an endpoint to be ready.
-    Avoids { router: Place, endpoint: Place },
+    Avoids { router: Host, endpoint: Host },
     /// An endpoint's drain or end was acknowledged.
-    Acknowledged(Place),
+    Acknowledged(Host),
     /// An endpoint's drain or end was not acknowledged.
-    Unacknowledged(Place),
+    Unacknowledged(Host),
     /// Every shard's group has this member.
-    Member(Place),
+    Member(Host),
     /// No shard's group has this member.
-    NoMember(Place),
+    NoMember(Host),
     /// Every shard's group has so many members.
     GroupSize(usize),
     /// Every member that runs knows that each shard can bear so many losses, or more, in all groups in force.
     Margin(usize),
     /// A controller does not run.
-    Down(Place),
+    Down(Host),
     /// So many shards have a controller that acts for them.
     Holders(usize),
     /// A controller acts for some shard.
-    Acts(Place),
+    Acts(Host),
     /// A controller acts for no shard.
-    Idle(Place),
+    Idle(Host),
     /// So many orders, or more, have reached endpoints.
     Orders(usize),
 }
@@ -53,21 +53,21 @@
 impl fmt::Display for Expectation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Expectation::Change { number, standing } => write!(formatter, "change {number} {standing}"),
-            Expectation::Read { number, standing } => write!(formatter, "read {number} {standing}"),
+            Expectation::Change { number, status } => write!(formatter, "change {number} {status}"),
+            Expectation::Read { number, status } => write!(formatter, "read {number} {status}"),
             Expectation::Router { router, change } => write!(formatter, "{router} has {change}"),
             Expectation::Uses { router, endpoint } => write!(formatter, "{router} uses {endpoint}"),
             Expectation::Avoids { router, endpoint } => write!(formatter, "{router} avoids {endpoint}"),
             Expectation::Acknowledged(endpoint) => write!(formatter, "{endpoint} acknowledged"),
             Expectation::Unacknowledged(endpoint) => write!(formatter, "{endpoint} unacknowledged"),
-            Expectation::Member(place) => write!(formatter, "{place} member"),
-            Expectation::NoMember(place) => write!(formatter, "{place} nowhere"),
+            Expectation::Member(host) => write!(formatter, "{host} member"),
+            Expectation::NoMember(host) => write!(formatter, "{host} nowhere"),
             Expectation::GroupSize(size) => write!(formatter, "size {size}"),
             Expectation::Margin(losses) => write!(formatter, "margin {losses}"),
-            Expectation::Down(place) => write!(formatter, "{place} down"),
+            Expectation::Down(host) => write!(formatter, "{host} down"),
             Expectation::Holders(count) => write!(formatter, "holders {count}"),
-            Expectation::Acts(place) => write!(formatter, "{place} acts"),
-            Expectation::Idle(place) => write!(formatter, "{place} idle"),
+            Expectation::Acts(host) => write!(formatter, "{host} acts"),
+            Expectation::Idle(host) => write!(formatter, "{host} idle"),
             Expectation::Orders(count) => write!(formatter, "orders {count}"),
         }
     }
@@ -78,56 +78,54 @@
 
     fn from_str(text: &str) -> Result<Self, NoExpectation> {
         let words: Vec<&str> = text.split_whitespace().collect();
-        let place = |word: &str| word.parse::<Place>().map_err(|_| NoExpectation);
+        let host = |word: &str| word.parse::<Host>().map_err(|_| NoExpectation);
         let number = |word: &str| word.parse::<usize>().map_err(|_| NoExpectation);
         Ok(match *words.as_slice() {
-            ["change", which, standing] => {
-                Expectation::Change { number: number(which)?, standing: standing.to_owned() }
+            ["change", which, status] => {
+                Expectation::Change { number: number(which)?, status: status.to_owned() }
             }
-            ["read", which, standing] => {
-                Expectation::Read { number: number(which)?, standing: standing.to_owned() }
+            ["read", which, status] => {
+                Expectation::Read { number: number(which)?, status: status.to_owned() }
             }
             ["size", size] => Expectation::GroupSize(number(size)?),
             ["margin", losses] => Expectation::Margin(number(losses)?),
-            [who, "down"] => Expectation::Down(place(who)?),
+            [who, "down"] => Expectation::Down(host(who)?),
             ["holders", count] => Expectation::Holders(number(count)?),
             ["orders", count] => Expectation::Orders(number(count)?),
-            [router, "has", change] => {
-                Expectation::Router { router: place(router)?, change: number(change)? }
-            }
+            [router, "has", change] => Expectation::Router { router: host(router)?, change: number(change)? },
             [router, "uses", endpoint] => {
-                Expectation::Uses { router: place(router)?, endpoint: place(endpoint)? }
+                Expectation::Uses { router: host(router)?, endpoint: host(endpoint)? }
             }
             [router, "avoids", endpoint] => {
-                Expectation::Avoids { router: place(router)?, endpoint: place(endpoint)? }
+                Expectation::Avoids { router: host(router)?, endpoint: host(endpoint)? }
             }
-            [who, "acknowledged"] => Expectation::Acknowledged(place(who)?),
-            [who, "unacknowledged"] => Expectation::Unacknowledged(place(who)?),
-            [who, "member"] => Expectation::Member(place(who)?),
-            [who, "nowhere"] => Expectation::NoMember(place(who)?),
-            [who, "acts"] => Expectation::Acts(place(who)?),
-            [who, "idle"] => Expectation::Idle(place(who)?),
+            [who, "acknowledged"] => Expectation::Acknowledged(host(who)?),
+            [who, "unacknowledged"] => Expectation::Unacknowledged(host(who)?),
+            [who, "member"] => Expectation::Member(host(who)?),
+            [who, "nowhere"] => Expectation::NoMember(host(who)?),
+            [who, "acts"] => Expectation::Acts(host(who)?),
+            [who, "idle"] => Expectation::Idle(host(who)?),
             _ => return Err(NoExpectation),
         })
     }
 }
 
-fn change_word(standing: ChangeStanding) -> &'static str {
-    match standing {
-        ChangeStanding::Open => "open",
-        ChangeStanding::Taken => "taken",
-        ChangeStanding::Refused => "refused",
-        ChangeStanding::Invalid => "invalid",
-        ChangeStanding::Unclear => "unclear",
+fn change_status_word(status: ChangeStatus) -> &'static str {
+    match status {
+        ChangeStatus::Open => "open",
+        ChangeStatus::Taken => "taken",
+        ChangeStatus::Refused => "refused",
+        ChangeStatus::Invalid => "invalid",
+        ChangeStatus::Unclear => "unclear",
     }
 }
 
-fn read_word(standing: ReadStanding) -> &'static str {
-    match standing {
-        ReadStanding::Open => "open",
-        ReadStanding::Served => "served",
-        ReadStanding::Missing => "missing",
-        ReadStanding::Unavailable => "unavailable",
+fn read_status_word(status: ReadStatus) -> &'static str {
+    match status {
+        ReadStatus::Open => "open",
+        ReadStatus::Served => "served",
+        ReadStatus::Missing => "missing",
+        ReadStatus::Unavailable => "unavailable",
     }
 }
 
@@ -144,14 +142,15 @@
     fn look(&self, expectation: &Expectation) -> (bool, String) {
         let truth = |is_met: bool| (is_met, if is_met { "that" } else { "not that" }.to_owned());
         match expectation {
-            Expectation::Change { number, standing } => {
-                let found = self.history.change(*number).map_or("nothing", |sent| change_word(sent.standing));
-                (found == standing, found.to_owned())
+            Expectation::Change { number, status } => {
+                let found =
+                    self.history.change(*number).map_or("nothing", |sent| change_status_word(sent.status));
+                (found == status, found.to_owned())
             }
-            Expectation::Read { number, standing } => {
+            Expectation::Read { number, status } => {
                 let read = self.history.reads.get(number.wrapping_sub(1));
-                let found = read.map_or("nothing", |read| read_word(read.standing));
-                (found == standing, found.to_owned())
+                let found = read.map_or("nothing", |read| read_status_word(read.status));
+                (found == status, found.to_owned())
             }
             Expectation::Router { router, change } => {
                 let found = self.change_at(*router).unwrap_or_default();
@@ -161,66 +160,67 @@
             Expectation::Avoids { router, endpoint } => truth(!self.uses(*router, *endpoint)),
             Expectation::Acknowledged(endpoint) => truth(self.is_acknowledged(*endpoint)),
             Expectation::Unacknowledged(endpoint) => truth(!self.is_acknowledged(*endpoint)),
-            Expectation::Member(place) => {
+            Expectation::Member(host) => {
                 let groups = self.newest_groups();
-                (groups.iter().all(|group| group.contains(place)), format!("{groups:?}"))
+                (groups.iter().all(|group| group.contains(host)), format!("{groups:?}"))
             }
-            Expectation::NoMember(place) => {
+            Expectation::NoMember(host) => {
                 let groups = self.newest_groups();
-                (groups.iter().all(|group| !group.contains(place)), format!("{groups:?}"))
+                (groups.iter().all(|group| !group.contains(host)), format!("{groups:?}"))
             }
             Expectation::GroupSize(size) => {
                 let groups = self.newest_groups();
                 (groups.iter().all(|group| group.len() == *size), format!("{groups:?}"))
             }
             Expectation::Margin(losses) => {
-                let found = self.margins();
+                let found = self.fault_tolerances();
                 let enough = |margin: &Option<usize>| margin.is_some_and(|margin| margin >= *losses);
                 (!found.is_empty() && found.iter().all(|(_, margin)| enough(margin)), format!("{found:?}"))
             }
-            Expectation::Down(place) => truth(self.is_down(*place)),
+            Expectation::Down(host) => truth(self.is_down(*host)),
             Expectation::Holders(count) => {
                 let found = self.holders().len();
                 (found == *count, found.to_string())
             }
-            Expectation::Acts(place) => truth(self.holders().contains(place)),
-            Expectation::Idle(place) => truth(!self.holders().contains(place)),
+            Expectation::Acts(host) => truth(self.holders().contains(host)),
+            Expectation::Idle(host) => truth(!self.holders().contains(host)),
             Expectation::Orders(count) => (self.history.orders >= *count, self.history.orders.to_string()),
         }
     }
 
     /// The change that made the configuration of a router.
-    fn change_at(&self, router: Place) -> Option<usize> {
-        let Place::Router(index) = router else { return None };
+    fn change_at(&self, router: Host) -> Option<usize> {
+        let Host::Router(index) = router else { return None };
         super::change::maker(self.routers.get(index)?.known.configuration.as_ref()?)
     }
 
     /// Whether a router takes an endpoint's present life to be ready.
-    pub(super) fn uses(&self, router: Place, endpoint: Place) -> bool {
-        let (Place::Router(router), Place::Endpoint(endpoint)) = (router, endpoint) else { return false };
+    pub(super) fn uses(&self, router: Host, endpoint: Host) -> bool {
+        let (Host::Router(router), Host::Endpoint(endpoint)) = (router, endpoint) else { return false };
         let id = self.endpoints[endpoint].id();
         let known = self.routers[router].known.instances.get(&id);
         known.is_some_and(|instance| instance.state == InstanceState::Ready)
     }
 
     /// What each controller that runs and is a member knows of the least margin of all shards.
-    fn margins(&self) -> Vec<(Place, Option<usize>)> {
+    fn fault_tolerances(&self) -> Vec<(Host, Option<usize>)> {
         let groups = self.newest_groups();
-        let is_member = |place: &Place| groups.iter().any(|group| group.contains(place));
-        let awake = self.controllers.iter().filter(|machine| machine.is_awake() && !machine.is_ending());
+        let is_member = |host: &Host| groups.iter().any(|group| group.contains(host));
+        let awake =
+            self.controllers.iter().filter(|machine| machine.is_awake() && !machine.is_shutting_down());
         let told = awake.filter_map(|machine| {
-            let place = Place::Controller(machine.index);
-            Some((place, machine.controller().filter(|_| is_member(&place))?.least_fault_tolerance()))
+            let host = Host::Controller(machine.index);
+            Some((host, machine.controller().filter(|_| is_member(&host))?.least_fault_tolerance()))
         });
         told.collect()
     }
 
-    fn is_down(&self, place: Place) -> bool {
-        matches!(place, Place::Controller(index) if self.controllers[index].controller().is_none())
+    fn is_down(&self, host: Host) -> bool {
+        matches!(host, Host::Controller(index) if self.controllers[index].controller().is_none())
     }
 
-    fn is_acknowledged(&self, endpoint: Place) -> bool {
-        let Place::Endpoint(index) = endpoint else { return false };
+    fn is_acknowledged(&self, endpoint: Host) -> bool {
+        let Host::Endpoint(index) = endpoint else { return false };
         self.endpoints[index].acknowledged_at.is_some()
     }
 }
--- a/crates/controller/src/simulation/history.rs
+++ b/crates/controller/src/simulation/history.rs
@@ -1,7 +1,7 @@
 //! What operators, endpoints and routers saw, and what must hold for it at every step.
 
 use super::change::{Change, Form, maker};
-use super::place::Place;
+use super::host::Host;
 use super::violation::Violation;
 use lanegate_config::configuration::Configuration;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 
 /// What became of a change, as its operator sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ChangeStanding {
+pub(super) enum ChangeStatus {
     /// It is being sent.
     Open,
     Taken,
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub(super) struct Sent {
     pub(super) change: Change,
-    pub(super) standing: ChangeStanding,
+    pub(super) status: ChangeStatus,
     /// Whether it was acknowledged at any time.
     pub(super) acknowledged: bool,
     /// Whether it was refused at any time.
@@ -35,7 +35,7 @@
 
 /// What came back for a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ReadStanding {
+pub(super) enum ReadStatus {
     Open,
     Served,
     /// 404.
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub(super) struct Read {
     floor: u64,
-    pub(super) standing: ReadStanding,
+    pub(super) status: ReadStatus,
 }
 
 /// An order that an endpoint took.
@@ -55,7 +55,7 @@
 pub(super) struct Ordered {
     pub(super) endpoint: usize,
     pub(super) service: usize,
-    pub(super) sender: Place,
+    pub(super) sender: Host,
     pub(super) token: u64,
     pub(super) at: Duration,
 }
@@ -93,7 +93,7 @@
         let number = self.changes.len() + 1;
         self.changes.push(Sent {
             change: Change::new(number, form, base, version),
-            standing: ChangeStanding::Open,
+            status: ChangeStatus::Open,
             acknowledged: false,
             refused: false,
             seen: false,
@@ -112,7 +112,7 @@
     /// A change was acknowledged.
     pub(super) fn change_taken(&mut self, number: usize) {
         let sent = self.change_mut(number);
-        sent.standing = ChangeStanding::Taken;
+        sent.status = ChangeStatus::Taken;
         sent.acknowledged = true;
         let (version, invalid, refused) =
             (sent.change.version, sent.change.form == Form::Invalid, sent.refused);
@@ -130,7 +130,7 @@
     /// A change was refused; `invalid` if for what it says, else as another version is current.
     pub(super) fn change_refused(&mut self, number: usize, invalid: bool) {
         let sent = self.change_mut(number);
-        sent.standing = if invalid { ChangeStanding::Invalid } else { ChangeStanding::Refused };
+        sent.status = if invalid { ChangeStatus::Invalid } else { ChangeStatus::Refused };
         sent.refused = true;
         if sent.acknowledged {
             self.broken(Violation::TakenAndRefused(number));
@@ -143,14 +143,14 @@
 
     pub(super) fn change_given_up(&mut self, number: usize) {
         let sent = self.change_mut(number);
-        if sent.standing == ChangeStanding::Open {
-            sent.standing = ChangeStanding::Unclear;
+        if sent.status == ChangeStatus::Open {
+            sent.status = ChangeStatus::Unclear;
         }
     }
 
     /// A change is sent again.
     pub(super) fn change_sent_again(&mut self, number: usize) {
-        self.change_mut(number).standing = ChangeStanding::Open;
+        self.change_mut(number).status = ChangeStatus::Open;
     }
 
     /// There is evidence that a change took effect.
@@ -196,15 +196,15 @@
     }
 
     /// A read begins; tells its number.
-    pub(super) fn read_begun(&mut self) -> usize {
-        self.reads.push(Read { floor: self.newest_acknowledged, standing: ReadStanding::Open });
+    pub(super) fn read_started(&mut self) -> usize {
+        self.reads.push(Read { floor: self.newest_acknowledged, status: ReadStatus::Open });
         self.reads.len()
     }
 
     /// A configuration came back for a read.
     pub(super) fn read_served(&mut self, number: usize, body: &[u8]) {
         let read = &mut self.reads[number - 1];
-        read.standing = ReadStanding::Served;
+        read.status = ReadStatus::Served;
         let floor = read.floor;
         match serde_json::from_slice::<Configuration>(body) {
             Ok(configuration) if configuration.version < floor => {
@@ -218,7 +218,7 @@
     /// A read found no configuration.
     pub(super) fn read_missing(&mut self, number: usize) {
         let read = &mut self.reads[number - 1];
-        read.standing = ReadStanding::Missing;
+        read.status = ReadStatus::Missing;
         let floor = read.floor;
         if floor > 0 {
             self.broken(Violation::OldRead { read: number, floor, version: 0 });
@@ -226,7 +226,7 @@
     }
 
     pub(super) fn read_given_up(&mut self, number: usize) {
-        self.reads[number - 1].standing = ReadStanding::Unavailable;
+        self.reads[number - 1].status = ReadStatus::Unavailable;
     }
 
     /// An endpoint has started anew and has forgotten the tokens.
--- a/crates/controller/src/simulation/place.rs
+++ b/crates/controller/src/simulation/host.rs
@@ -13,7 +13,7 @@
 
 /// A machine, or the operators' one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Place {
+pub enum Host {
     /// A machine with a controller: `a`, `b`, `c` and so on.
     Controller(usize),
     /// A machine with an agent and a router: `r1`, `r2` and so on.
@@ -24,21 +24,21 @@
     Operator,
 }
 
-impl Place {
+impl Host {
     fn ip(self) -> Ipv4Addr {
         let last = |index: usize| index as u8 + 1;
         match self {
-            Place::Controller(index) => Ipv4Addr::new(10, 0, 0, last(index)),
-            Place::Router(index) => Ipv4Addr::new(10, 0, 1, last(index)),
-            Place::Endpoint(index) => Ipv4Addr::new(10, 0, 2, last(index)),
-            Place::Operator => Ipv4Addr::new(10, 0, 3, 1),
+            Host::Controller(index) => Ipv4Addr::new(10, 0, 0, last(index)),
+            Host::Router(index) => Ipv4Addr::new(10, 0, 1, last(index)),
+            Host::Endpoint(index) => Ipv4Addr::new(10, 0, 2, last(index)),
+            Host::Operator => Ipv4Addr::new(10, 0, 3, 1),
         }
     }
 
     /// Where this place is called.
     pub(super) fn address(self) -> SocketAddr {
         let port = match self {
-            Place::Endpoint(_) => ENDPOINT_PORT,
+            Host::Endpoint(_) => ENDPOINT_PORT,
             _ => CONTROL_PORT,
         };
         SocketAddr::V4(SocketAddrV4::new(self.ip(), port))
@@ -71,35 +71,36 @@
 /// A word that names no place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("no such place")]
-pub struct NoPlace;
+pub struct UnknownHost;
 
-impl fmt::Display for Place {
+impl fmt::Display for Host {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Place::Controller(index) => write!(formatter, "{}", (b'a' + *index as u8) as char),
-            Place::Router(index) => write!(formatter, "r{}", index + 1),
-            Place::Endpoint(index) => write!(formatter, "e{}", index + 1),
-            Place::Operator => write!(formatter, "op"),
+            Host::Controller(index) => write!(formatter, "{}", (b'a' + *index as u8) as char),
+            Host::Router(index) => write!(formatter, "r{}", index + 1),
+            Host::Endpoint(index) => write!(formatter, "e{}", index + 1),
+            Host::Operator => write!(formatter, "op"),
         }
     }
 }
 
-impl FromStr for Place {
-    type Err = NoPlace;
+impl FromStr for Host {
+    type Err = UnknownHost;
 
-    fn from_str(word: &str) -> Result<Self, NoPlace> {
+    fn from_str(word: &str) -> Result<Self, UnknownHost> {
         if word == "op" {
-            return Ok(Place::Operator);
+            return Ok(Host::Operator);
         }
         if let [letter @ b'a'..=b'z'] = word.as_bytes() {
-            return Ok(Place::Controller(usize::from(letter - b'a')));
+            return Ok(Host::Controller(usize::from(letter - b'a')));
         }
-        let (kind, number) = word.split_at_checked(1).ok_or(NoPlace)?;
-        let index = number.parse::<usize>().ok().and_then(|number| number.checked_sub(1)).ok_or(NoPlace)?;
+        let (kind, number) = word.split_at_checked(1).ok_or(UnknownHost)?;
+        let index =
+            number.parse::<usize>().ok().and_then(|number| number.checked_sub(1)).ok_or(UnknownHost)?;
         match kind {
-            "r" => Ok(Place::Router(index)),
-            "e" => Ok(Place::Endpoint(index)),
-            _ => Err(NoPlace),
+            "r" => Ok(Host::Router(index)),
+            "e" => Ok(Host::Endpoint(index)),
+            _ => Err(UnknownHost),
         }
     }
 }
--- a/crates/controller/src/simulation/network.rs
+++ b/crates/controller/src/simulation/network.rs
@@ -1,6 +1,6 @@
 //! The simulated network between machines: delays, and cuts of one direction each.
 
-use super::place::Place;
+use super::host::Host;
 use rand::Rng;
 use rand::rngs::SmallRng;
 use std::collections::BTreeSet;
@@ -14,11 +14,11 @@
 pub(super) struct Network {
     longest_delay: Duration,
     /// Directions in which nothing arrives.
-    cuts: BTreeSet<(Place, Place)>,
+    partitions: BTreeSet<(Host, Host)>,
     /// Machines that are without power: nothing arrives there, nothing comes from there.
-    dark: BTreeSet<Place>,
+    dark: BTreeSet<Host>,
     /// Machines that refuse new connections.
-    refusing: BTreeSet<Place>,
+    refusing: BTreeSet<Host>,
     /// Bytes that a link carries in a second; no limit if absent.
     bytes_per_second: Option<u64>,
 }
@@ -27,22 +27,22 @@
     pub(super) fn new() -> Self {
         Network {
             longest_delay: Duration::from_millis(USUAL_DELAY_MS),
-            cuts: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             dark: BTreeSet::new(),
             refusing: BTreeSet::new(),
             bytes_per_second: None,
         }
     }
 
-    pub(super) fn cut(&mut self, from: Place, to: Place) {
+    pub(super) fn partition(&mut self, from: Host, to: Host) {
         if from != to {
-            self.cuts.insert((from, to));
+            self.partitions.insert((from, to));
         }
     }
 
     /// Ends all cuts and refusals.
     pub(super) fn heal(&mut self) {
-        self.cuts.clear();
+        self.partitions.clear();
         self.refusing.clear();
     }
 
@@ -54,35 +54,35 @@
         self.bytes_per_second = bytes_per_second;
     }
 
-    pub(super) fn set_dark(&mut self, place: Place, dark: bool) {
+    pub(super) fn set_dark(&mut self, host: Host, dark: bool) {
         if dark {
-            self.dark.insert(place);
+            self.dark.insert(host);
         } else {
-            self.dark.remove(&place);
+            self.dark.remove(&host);
         }
     }
 
-    pub(super) fn refuse(&mut self, place: Place) {
-        self.refusing.insert(place);
+    pub(super) fn refuse(&mut self, host: Host) {
+        self.refusing.insert(host);
     }
 
-    pub(super) fn is_refusing(&self, place: Place) -> bool {
-        self.refusing.contains(&place)
+    pub(super) fn is_refusing(&self, host: Host) -> bool {
+        self.refusing.contains(&host)
     }
 
     /// Everything is as on a healthy network.
-    pub(super) fn mend(&mut self) {
+    pub(super) fn repair(&mut self) {
         let dark = std::mem::take(&mut self.dark);
         *self = Network { dark, ..Network::new() };
     }
 
     /// Whether what is sent now arrives.
-    pub(super) fn is_open(&self, from: Place, to: Place) -> bool {
-        !self.cuts.contains(&(from, to)) && !self.dark.contains(&from) && !self.dark.contains(&to)
+    pub(super) fn is_open(&self, from: Host, to: Host) -> bool {
+        !self.partitions.contains(&(from, to)) && !self.dark.contains(&from) && !self.dark.contains(&to)
     }
 
     /// Whether a connection between the two works.
-    pub(super) fn is_open_both_ways(&self, one: Place, other: Place) -> bool {
+    pub(super) fn is_open_both_ways(&self, one: Host, other: Host) -> bool {
         self.is_open(one, other) && self.is_open(other, one)
     }
 
--- a/crates/controller/src/simulation/operator.rs
+++ b/crates/controller/src/simulation/operator.rs
@@ -1,9 +1,9 @@
 //! Simulated operators: they change the configuration and read it back, as patiently as real ones.
 
-use super::calls::{Content, Patience, Purpose};
+use super::calls::{CallLimits, Content, Purpose};
 use super::change::Form;
 use super::checks::Check;
-use super::place::Place;
+use super::host::Host;
 use super::step::Step;
 use super::world::World;
 use crate::controller::{Answer, Method};
@@ -14,7 +14,7 @@
 /// Where the configuration is read and changed.
 const PATH: &str = "/config";
 /// An operator that goes from controller to controller gives up after this long.
-const PATIENCE: Duration = Duration::from_secs(10);
+const OPERATOR_TIMEOUT: Duration = Duration::from_secs(10);
 /// An operator gives up at this many unclear refusals.
 const MOST_REFUSALS: usize = 3;
 /// Versions go up in uneven steps.
@@ -29,19 +29,19 @@
     /// Not found.
     Missing,
     /// It says nothing for certain.
-    TryElsewhere,
+    RetryElsewhere,
 }
 
 impl Verdict {
-    fn of(status: u16, tries: usize) -> Self {
+    fn of(status: u16, attempts: usize) -> Self {
         match status {
             200..=299 => Verdict::Success,
             409 | 412 => Verdict::Conflict,
             400 | 413 | 422 => Verdict::Invalid,
-            408 | 429 => Verdict::TryElsewhere,
+            408 | 429 => Verdict::RetryElsewhere,
             404 => Verdict::Missing,
-            401..=499 if tries >= MOST_REFUSALS => Verdict::Invalid,
-            _ => Verdict::TryElsewhere,
+            401..=499 if attempts >= MOST_REFUSALS => Verdict::Invalid,
+            _ => Verdict::RetryElsewhere,
         }
     }
 }
@@ -70,10 +70,10 @@
                 }
             }
             Step::Read { via, only } => {
-                let number = self.history.read_begun();
+                let number = self.history.read_started();
                 let content =
                     Content { method: Method::Get, path: PATH.into(), if_match: None, body: Bytes::new() };
-                self.begin_call(Purpose::Read(number), Place::Operator, content, via, patience(only));
+                self.begin_call(Purpose::Read(number), Host::Operator, content, via, call_limits(only));
             }
             _ => {}
         }
@@ -97,12 +97,12 @@
             if_match: Some(change.base),
             body: change.body.clone(),
         };
-        self.begin_call(Purpose::Change(number), Place::Operator, content, via, patience(only));
+        self.begin_call(Purpose::Change(number), Host::Operator, content, via, call_limits(only));
     }
 
     /// An answer to a change. True if the operator is done with it.
-    pub(super) fn change_answered(&mut self, number: usize, answer: &Answer, tries: usize) -> bool {
-        match Verdict::of(answer.status, tries) {
+    pub(super) fn change_answered(&mut self, number: usize, answer: &Answer, attempts: usize) -> bool {
+        match Verdict::of(answer.status, attempts) {
             Verdict::Success => {
                 self.history.change_taken(number);
                 let version = self.history.newest_acknowledged;
@@ -116,14 +116,14 @@
                 self.history.change_refused(number, false);
             }
             Verdict::Invalid => self.history.change_refused(number, true),
-            Verdict::Missing | Verdict::TryElsewhere => return false,
+            Verdict::Missing | Verdict::RetryElsewhere => return false,
         }
         true
     }
 
     /// An answer to a read. True if the operator is done with it.
-    pub(super) fn read_answered(&mut self, number: usize, answer: &Answer, tries: usize) -> bool {
-        match Verdict::of(answer.status, tries) {
+    pub(super) fn read_answered(&mut self, number: usize, answer: &Answer, attempts: usize) -> bool {
+        match Verdict::of(answer.status, attempts) {
             Verdict::Success => self.history.read_served(number, &answer.body),
             Verdict::Missing => self.history.read_missing(number),
             _ => return false,
@@ -132,9 +132,9 @@
     }
 }
 
-fn patience(only: bool) -> Patience {
-    let tries = if only { 1 } else { usize::MAX };
-    Patience { time: PATIENCE, tries }
+fn call_limits(only: bool) -> CallLimits {
+    let attempts = if only { 1 } else { usize::MAX };
+    CallLimits { time: OPERATOR_TIMEOUT, attempts }
 }
 
 /// The version that a controller says is current.
--- a/crates/controller/src/simulation/settle.rs
+++ b/crates/controller/src/simulation/quiesce.rs
@@ -1,15 +1,15 @@
 //! The end of a scenario: all troubles end, and everything must work again within its bounds.
 
 use super::change::{Form, SERVICES};
-use super::history::{ChangeStanding, ReadStanding};
-use super::place::Place;
+use super::history::{ChangeStatus, ReadStatus};
+use super::host::Host;
 use super::step::Step;
 use super::violation::Violation;
 use super::world::World;
 use std::time::Duration;
 
 /// Time for everything to come right once it is mended (`RecoverS`).
-const SETTLE_TIME: Duration = Duration::from_secs(12);
+const QUIESCE_TIME: Duration = Duration::from_secs(12);
 /// A change is acknowledged within this time (`AckMs`).
 const ACKNOWLEDGE_TIME: Duration = Duration::from_secs(4);
 /// Seeds that settings files name.
@@ -24,70 +24,70 @@
 impl World {
     /// Mends and starts everything; then changes are taken, reads are served, routers have the newest
     /// configuration, groups are whole and every service has a controller that acts for it.
-    pub(super) fn settle(&mut self) -> Result<(), Violation> {
-        self.mend_all();
-        self.run(SETTLE_TIME)?;
+    pub(super) fn quiesce(&mut self) -> Result<(), Violation> {
+        self.repair_all();
+        self.run(QUIESCE_TIME)?;
         let number = self.history.changes.len() + 1;
-        let via = self.first_left();
+        let via = self.first_remaining();
         self.operate(&Step::Put { form: Form::Put, via, only: false });
-        let standing = self.wait_for_change(number)?;
-        if standing == Some(ChangeStanding::Refused) {
+        let status = self.wait_for_change(number)?;
+        if status == Some(ChangeStatus::Refused) {
             // Operators did not know of the newest version; now they do.
-            return self.settle_change(number + 1, via);
+            return self.quiesce_change(number + 1, via);
         }
-        self.check_settled(number)
+        self.check_quiesced(number)
     }
 
-    fn settle_change(&mut self, number: usize, via: usize) -> Result<(), Violation> {
+    fn quiesce_change(&mut self, number: usize, via: usize) -> Result<(), Violation> {
         self.operate(&Step::Put { form: Form::Put, via, only: false });
         self.wait_for_change(number)?;
-        self.check_settled(number)
+        self.check_quiesced(number)
     }
 
     /// Waits until the operator of a change is done with it, or for as long as that may take.
-    fn wait_for_change(&mut self, number: usize) -> Result<Option<ChangeStanding>, Violation> {
+    fn wait_for_change(&mut self, number: usize) -> Result<Option<ChangeStatus>, Violation> {
         let until = self.now() + ACKNOWLEDGE_TIME;
-        let mut standing = self.history.change(number).map(|sent| sent.standing);
-        while standing == Some(ChangeStanding::Open) && self.now() < until {
+        let mut status = self.history.change(number).map(|sent| sent.status);
+        while status == Some(ChangeStatus::Open) && self.now() < until {
             self.run(POLL)?;
-            standing = self.history.change(number).map(|sent| sent.standing);
+            status = self.history.change(number).map(|sent| sent.status);
         }
-        Ok(standing)
+        Ok(status)
     }
 
-    fn mend_all(&mut self) {
-        self.network.mend();
+    fn repair_all(&mut self) {
+        self.network.repair();
         let left = (0..self.controllers.len()).filter(|index| !self.controllers[*index].retired);
         let seeds: Vec<usize> = left.take(SEEDS).collect();
         self.change_all_seeds(&seeds);
         for index in 0..self.controllers.len() {
-            self.mend_disk(index);
-            self.thaw(Place::Controller(index));
-            if self.controllers[index].is_ending() {
+            self.repair_disk(index);
+            self.thaw(Host::Controller(index));
+            if self.controllers[index].is_shutting_down() {
                 self.kill_controller(index);
             }
-            self.start(Place::Controller(index));
+            self.start(Host::Controller(index));
         }
         for index in 0..self.routers.len() {
-            self.thaw(Place::Router(index));
-            self.start(Place::Router(index));
+            self.thaw(Host::Router(index));
+            self.start(Host::Router(index));
         }
         self.paths_changed();
-        self.release_held_calls();
+        self.release_delayed_calls();
         let now = self.now();
-        self.troubles.core(now);
-        self.look_for_losses();
+        self.fault_history.core(now);
+        self.detect_losses();
     }
 
-    fn first_left(&self) -> usize {
+    fn first_remaining(&self) -> usize {
         self.controllers.iter().find(|machine| !machine.retired).map_or(0, |machine| machine.index)
     }
 
-    fn check_settled(&mut self, number: usize) -> Result<(), Violation> {
+    fn check_quiesced(&mut self, number: usize) -> Result<(), Violation> {
         let sent = self.history.change(number);
-        if sent.map(|sent| sent.standing) != Some(ChangeStanding::Taken) {
-            let standing = sent.map(|sent| sent.standing);
-            return Err(Violation::Stuck(format!("change {number} is {standing:?}")));
+        if sent.map(|sent| sent.status) != Some(ChangeStatus::Taken) {
+            let status = sent.map(|sent| sent.status);
+            return Err(Violation::Stuck(format!("change {number} is {status:?}")));
         }
         let version = self.history.newest_acknowledged;
         self.run(APPLY_TIME)?;
@@ -102,7 +102,7 @@
             let configuration = machine.known.configuration.as_ref();
             let found = configuration.map_or(0, |configuration| configuration.version);
             if found != version {
-                let router = machine.place();
+                let router = machine.host();
                 return Err(Violation::Stuck(format!("{router} has version {found}, not {version}")));
             }
         }
@@ -119,9 +119,9 @@
         }
         self.run(READ_TIME)?;
         for (read, via) in self.history.reads[first..].iter().zip(left) {
-            if read.standing != ReadStanding::Served {
-                let (place, standing) = (Place::Controller(via), read.standing);
-                return Err(Violation::Stuck(format!("a read at {place} is {standing:?}")));
+            if read.status != ReadStatus::Served {
+                let (host, status) = (Host::Controller(via), read.status);
+                return Err(Violation::Stuck(format!("a read at {host} is {status:?}")));
             }
         }
         Ok(())
@@ -131,9 +131,9 @@
         let size = 2 * self.tolerance as usize + 1;
         let left = self.controllers.iter().filter(|machine| !machine.retired).count();
         for (shard, group) in self.newest_groups().iter().enumerate() {
-            let gone =
-                |place: &Place| matches!(place, Place::Controller(index) if self.controllers[*index].retired);
-            if left >= size && (group.len() < size || group.iter().any(gone)) {
+            let ended =
+                |host: &Host| matches!(host, Host::Controller(index) if self.controllers[*index].retired);
+            if left >= size && (group.len() < size || group.iter().any(ended)) {
                 return Err(Violation::Stuck(format!("shard {shard} has group {group:?}")));
             }
         }
--- a/crates/controller/src/simulation/router_machine.rs
+++ b/crates/controller/src/simulation/router_machine.rs
@@ -2,9 +2,9 @@
 
 use super::agent_environment::{AgentEnvironment, Request};
 use super::connection::{Dial, Kind, Process};
-use super::place::{Place, controller_at};
+use super::host::{Host, controller_at};
 use super::settings::{seed_addresses, settings};
-use super::world::{Happening, Notice, World};
+use super::world::{Notice, SimulationEvent, World};
 use crate::agent::{Agent, SOURCE_REVIEW_PERIOD};
 use crate::feed_client::Client;
 use crate::message::Hello;
@@ -29,7 +29,7 @@
 
 /// Links that an agent follows, by address.
 struct Follow {
-    wish: u64,
+    dial_number: u64,
     hello: Hello,
 }
 
@@ -60,13 +60,13 @@
     pub(super) frozen: bool,
     backlog: VecDeque<Notice>,
     settings: Rc<RefCell<Settings>>,
-    next_wish: u64,
+    next_dial_number: u64,
 }
 
 impl RouterMachine {
     pub(super) fn new(index: usize, founders: usize, tolerance: u32) -> Self {
         let seeds: Vec<usize> = (0..founders).collect();
-        let settings = settings(Place::Router(index), &seeds, tolerance, false);
+        let settings = settings(Host::Router(index), &seeds, tolerance, false);
         RouterMachine {
             index,
             running: None,
@@ -74,7 +74,7 @@
             frozen: false,
             backlog: VecDeque::new(),
             settings: Rc::new(RefCell::new(settings)),
-            next_wish: 0,
+            next_dial_number: 0,
         }
     }
 
@@ -90,7 +90,7 @@
     pub(super) fn follows(&self, dial: &Dial) -> bool {
         let running = self.running.as_ref().filter(|running| running.process == dial.dialer);
         let follow = running.and_then(|running| running.follows.get(&dial.address));
-        follow.is_some_and(|follow| follow.wish == dial.wish)
+        follow.is_some_and(|follow| follow.dial_number == dial.dial_number)
     }
 
     pub(super) fn set_seeds(&mut self, seeds: &[usize]) {
@@ -100,13 +100,13 @@
 
 impl World {
     pub(super) fn agent_hello(&self, dial: &Dial) -> Hello {
-        let Place::Router(index) = dial.dialer.place else { unreachable!("only agents follow feeds") };
+        let Host::Router(index) = dial.dialer.host else { unreachable!("only agents follow feeds") };
         let running = self.routers[index].running.as_ref().expect("only a running agent dials");
         running.follows[&dial.address].hello.clone()
     }
 
     pub(super) fn router_hello(&self, process: Process) -> Hello {
-        let Place::Router(index) = process.place else { unreachable!("only routers dial agents") };
+        let Host::Router(index) = process.host else { unreachable!("only routers dial agents") };
         self.routers[index].running.as_ref().expect("only a running router dials").client.hello()
     }
 
@@ -115,8 +115,8 @@
         if self.routers[index].running.is_some() {
             return;
         }
-        let place = Place::Router(index);
-        let process = self.next_process(place);
+        let host = Host::Router(index);
+        let process = self.next_process(host);
         let settings = self.routers[index].settings.clone();
         let environment = AgentEnvironment {
             clock: self.clock.clone(),
@@ -135,10 +135,10 @@
             Some(Running { process, agent, environment, follows, client, events, fetch_at: None });
         machine.known = Known::default();
         self.history.router_started(index);
-        self.schedule(self.now(), Happening::Review { process });
+        self.schedule(self.now(), SimulationEvent::Review { process });
         let dial =
-            Dial { kind: Kind::Loopback, dialer: process, listener: place, address: LOOPBACK, wish: 0 };
-        self.schedule(self.now(), Happening::Dial(dial));
+            Dial { kind: Kind::Loopback, dialer: process, listener: host, address: LOOPBACK, dial_number: 0 };
+        self.schedule(self.now(), SimulationEvent::Dial(dial));
     }
 
     pub(super) fn kill_router(&mut self, index: usize) {
@@ -152,7 +152,7 @@
     }
 
     /// Tells an agent or its router something.
-    pub(super) fn tell_router(&mut self, index: usize, process: Process, notice: Notice) {
+    pub(super) fn deliver_to_router(&mut self, index: usize, process: Process, notice: Notice) {
         let machine = &mut self.routers[index];
         let Some(running) = machine.running.as_mut().filter(|running| running.process == process) else {
             return;
@@ -170,16 +170,16 @@
             }
             Notice::Controller(_) | Notice::Send(_) => return,
         }
-        self.after_router(index);
+        self.execute_router_requests(index);
     }
 
     /// The agent looks at its sources, and the router tells its demand.
     pub(super) fn review(&mut self, process: Process) {
-        let Place::Router(index) = process.place else { return };
+        let Host::Router(index) = process.host else { return };
         if self.routers[index].process() != Some(process) {
             return;
         }
-        self.schedule(self.now() + SOURCE_REVIEW_PERIOD, Happening::Review { process });
+        self.schedule(self.now() + SOURCE_REVIEW_PERIOD, SimulationEvent::Review { process });
         if self.routers[index].frozen {
             return;
         }
@@ -188,7 +188,7 @@
             running.agent.review_sources();
             running.client.send_demand(&report);
         }
-        self.after_router(index);
+        self.execute_router_requests(index);
     }
 
     pub(super) fn thaw_router(&mut self, index: usize) {
@@ -199,13 +199,13 @@
         let Some(process) = machine.process() else { return };
         let backlog = std::mem::take(&mut machine.backlog);
         for notice in backlog {
-            self.tell_router(index, process, notice);
+            self.deliver_to_router(index, process, notice);
         }
     }
 
     /// The timer of an agent or its router.
     pub(super) fn fetch(&mut self, process: Process, at: Duration) {
-        let Place::Router(index) = process.place else { return };
+        let Host::Router(index) = process.host else { return };
         let machine = &mut self.routers[index];
         let Some(running) = machine.running.as_mut().filter(|running| running.process == process) else {
             return;
@@ -213,7 +213,7 @@
         if running.fetch_at == Some(at) {
             running.fetch_at = None;
             if !machine.frozen {
-                self.after_router(index);
+                self.execute_router_requests(index);
             }
         }
     }
@@ -229,10 +229,10 @@
         let Some(at) = next.map(|at| started + at).filter(|at| running.fetch_at != Some(*at)) else { return };
         running.fetch_at = Some(at);
         let process = running.process;
-        self.schedule(at, Happening::Fetch { process, at });
+        self.schedule(at, SimulationEvent::Fetch { process, at });
     }
 
-    fn after_router(&mut self, index: usize) {
+    fn execute_router_requests(&mut self, index: usize) {
         let Some(process) = self.routers[index].process() else { return };
         let requests = match &self.routers[index].running {
             Some(running) => std::mem::take(&mut *running.environment.requests.borrow_mut()),
@@ -252,14 +252,14 @@
     fn follow_source(&mut self, index: usize, process: Process, source: SocketAddr, hello: Hello) {
         let Some(listener) = controller_at(source) else { return };
         let machine = &mut self.routers[index];
-        machine.next_wish += 1;
-        let wish = machine.next_wish;
+        machine.next_dial_number += 1;
+        let dial_number = machine.next_dial_number;
         if let Some(running) = machine.running.as_mut() {
-            running.follows.insert(source, Follow { wish, hello });
+            running.follows.insert(source, Follow { dial_number, hello });
         }
-        let listener = Place::Controller(listener);
-        let dial = Dial { kind: Kind::Feed, dialer: process, listener, address: source, wish };
-        self.schedule(self.now(), Happening::Dial(dial));
+        let listener = Host::Controller(listener);
+        let dial = Dial { kind: Kind::Feed, dialer: process, listener, address: source, dial_number };
+        self.schedule(self.now(), SimulationEvent::Dial(dial));
     }
 
     fn unfollow_source(&mut self, index: usize, process: Process, source: SocketAddr) {
@@ -335,7 +335,7 @@
     }
 
     /// Name of the machine.
-    pub(super) fn place(&self) -> Place {
-        Place::Router(self.index)
+    pub(super) fn host(&self) -> Host {
+        Host::Router(self.index)
     }
 }
--- a/crates/controller/src/simulation/schedule.rs
+++ b/crates/controller/src/simulation/schedule.rs
@@ -1,7 +1,7 @@
 //! Scenarios drawn from a seed, and the shortest part of one that still breaks a rule.
 
 use super::change::Form;
-use super::place::Place;
+use super::host::Host;
 use super::scenario::Scenario;
 use super::step::{Scope, Step};
 use super::world::World;
@@ -30,16 +30,16 @@
         random.random_range(0..self.controllers)
     }
 
-    fn router(&self, random: &mut SmallRng) -> Place {
-        Place::Router(random.random_range(0..self.routers))
+    fn router(&self, random: &mut SmallRng) -> Host {
+        Host::Router(random.random_range(0..self.routers))
     }
 
-    fn any(&self, random: &mut SmallRng) -> Place {
+    fn any(&self, random: &mut SmallRng) -> Host {
         match random.random_range(0..10) {
-            0..6 => Place::Controller(self.controller(random)),
+            0..6 => Host::Controller(self.controller(random)),
             6..8 => self.router(random),
-            8 => Place::Endpoint(random.random_range(0..self.endpoints)),
-            _ => Place::Operator,
+            8 => Host::Endpoint(random.random_range(0..self.endpoints)),
+            _ => Host::Operator,
         }
     }
 }
@@ -57,7 +57,7 @@
     while steps.len() < STEPS {
         add_steps(&mut steps, &mut random, &cast);
     }
-    steps.push(Step::Settle);
+    steps.push(Step::Quiesce);
     Scenario { founders, spares, spares_late, within_tolerance: true, routers, endpoints, seed, steps }
 }
 
@@ -68,11 +68,11 @@
 fn add_steps(steps: &mut Vec<Step>, random: &mut SmallRng, cast: &Cast) {
     match random.random_range(0..100) {
         0..28 => steps.push(operation(random, cast)),
-        28..56 => steps.push(pause(random)),
+        28..56 => steps.push(wait(random)),
         56..60 => steps.push(endpoint_step(random, cast)),
-        60..78 => add_process_trouble(steps, random, cast),
-        78..92 => add_network_trouble(steps, random, cast),
-        _ => steps.push(disk_trouble(random, cast)),
+        60..78 => add_process_fault(steps, random, cast),
+        78..92 => add_network_fault(steps, random, cast),
+        _ => steps.push(disk_fault(random, cast)),
     }
 }
 
@@ -95,55 +95,57 @@
         0..3 => Step::Drain(index),
         3 => Step::Remove(index),
         4 => Step::Crash(index),
-        _ => Step::Start(Place::Endpoint(index)),
+        _ => Step::Start(Host::Endpoint(index)),
     }
 }
 
 /// Short pauses are as likely as long ones.
-fn pause(random: &mut SmallRng) -> Step {
+fn wait(random: &mut SmallRng) -> Step {
     let longest = PAUSES[random.random_range(0..PAUSES.len())];
     Step::Wait(random.random_range(1..=longest))
 }
 
-fn add_process_trouble(steps: &mut Vec<Step>, random: &mut SmallRng, cast: &Cast) {
+fn add_process_fault(steps: &mut Vec<Step>, random: &mut SmallRng, cast: &Cast) {
     let index = cast.controller(random);
-    let place = Place::Controller(index);
-    let start = Step::Start(place);
+    let host = Host::Controller(index);
+    let start = Step::Start(host);
     match random.random_range(0..15) {
-        0..3 => steps.extend([Step::Freeze(place), pause(random), Step::Thaw(place)]),
-        3 => steps.push(Step::Freeze(place)),
-        4 => steps.extend([Step::Kill(place), start]),
-        5 => steps.extend([Step::Kill(place), pause(random), start]),
-        6 => steps.extend([Step::Power(index), pause(random), start]),
+        0..3 => steps.extend([Step::Freeze(host), wait(random), Step::Thaw(host)]),
+        3 => steps.push(Step::Freeze(host)),
+        4 => steps.extend([Step::Kill(host), start]),
+        5 => steps.extend([Step::Kill(host), wait(random), start]),
+        6 => steps.extend([Step::Power(index), wait(random), start]),
         7 => steps.push(Step::Power(index)),
         8 => steps.extend([Step::Wipe(index), start]),
-        9 => steps.extend([Step::Wipe(index), pause(random), start]),
-        10 => steps.extend([Step::Stop(index), pause(random), start]),
+        9 => steps.extend([Step::Wipe(index), wait(random), start]),
+        10 => steps.extend([Step::Stop(index), wait(random), start]),
         11 if cast.controllers > cast.founders => steps.push(Step::Retire(index)),
         12 => {
             let router = cast.router(random);
-            steps.extend([Step::Kill(router), pause(random), Step::Start(router)]);
+            steps.extend([Step::Kill(router), wait(random), Step::Start(router)]);
         }
         13 => {
             let router = cast.router(random);
-            steps.extend([Step::Freeze(router), pause(random), Step::Thaw(router)]);
+            steps.extend([Step::Freeze(router), wait(random), Step::Thaw(router)]);
         }
         _ => steps.push(start),
     }
 }
 
-fn add_network_trouble(steps: &mut Vec<Step>, random: &mut SmallRng, cast: &Cast) {
+fn add_network_fault(steps: &mut Vec<Step>, random: &mut SmallRng, cast: &Cast) {
     let (one, other) = (cast.any(random), cast.any(random));
     match random.random_range(0..14) {
         0..3 => steps.push(Step::Heal),
-        3 => steps.push(Step::Cut { from: one, to: other }),
-        4 => steps.extend([Step::Cut { from: one, to: other }, Step::Cut { from: other, to: one }]),
-        5 => steps.push(Step::Isolate { place: one, scope: Scope::Peers }),
-        6..8 => steps.extend([Step::Isolate { place: one, scope: Scope::All }, pause(random), Step::Heal]),
-        8 => steps.extend([part(random, cast), pause(random), Step::Heal]),
+        3 => steps.push(Step::Partition { from: one, to: other }),
+        4 => {
+            steps.extend([Step::Partition { from: one, to: other }, Step::Partition { from: other, to: one }])
+        }
+        5 => steps.push(Step::Isolate { host: one, scope: Scope::Peers }),
+        6..8 => steps.extend([Step::Isolate { host: one, scope: Scope::All }, wait(random), Step::Heal]),
+        8 => steps.extend([part(random, cast), wait(random), Step::Heal]),
         9 => steps.push(part(random, cast)),
         10 => steps.push(Step::Reset(one)),
-        11 => steps.push(Step::Refuse(Place::Controller(cast.controller(random)))),
+        11 => steps.push(Step::Refuse(Host::Controller(cast.controller(random)))),
         12 => steps.push(Step::Delay(random.random_range(1..=300))),
         _ => steps.push(seeds(random, cast)),
     }
@@ -151,17 +153,17 @@
 
 /// Any machines are parted from the others.
 fn part(random: &mut SmallRng, cast: &Cast) -> Step {
-    let controllers = (0..cast.controllers).map(Place::Controller);
-    let routers = (0..cast.routers).map(Place::Router);
-    let set = controllers.chain(routers).chain([Place::Operator]).filter(|_| random.random_bool(0.5));
-    Step::Part(set.collect())
+    let controllers = (0..cast.controllers).map(Host::Controller);
+    let routers = (0..cast.routers).map(Host::Router);
+    let set = controllers.chain(routers).chain([Host::Operator]).filter(|_| random.random_bool(0.5));
+    Step::Split(set.collect())
 }
 
 fn seeds(random: &mut SmallRng, cast: &Cast) -> Step {
     Step::Seeds((0..3).map(|_| cast.controller(random)).collect())
 }
 
-fn disk_trouble(random: &mut SmallRng, cast: &Cast) -> Step {
+fn disk_fault(random: &mut SmallRng, cast: &Cast) -> Step {
     let index = cast.controller(random);
     match random.random_range(0..6) {
         0 => Step::Stall(index),
--- a/crates/controller/src/simulation/settings.rs
+++ b/crates/controller/src/simulation/settings.rs
@@ -1,6 +1,6 @@
 //! Settings files of simulated processes.
 
-use super::place::{LINK_PORT, Place};
+use super::host::{Host, LINK_PORT};
 use lanegate_config::mechanism::SwitchedOff;
 use lanegate_config::settings::{Bounds, Settings};
 use std::net::SocketAddr;
@@ -9,13 +9,13 @@
 /// Last port for links; agents feed their routers there.
 const LAST_PORT: u16 = 7100;
 
-/// Settings of a process at `place`.
-pub(super) fn settings(place: Place, seeds: &[usize], tolerance: u32, bootstrap: bool) -> Settings {
-    let control = matches!(place, Place::Controller(_)).then(|| place.address());
+/// Settings of a process at `host`.
+pub(super) fn settings(host: Host, seeds: &[usize], tolerance: u32, bootstrap: bool) -> Settings {
+    let control = matches!(host, Host::Controller(_)).then(|| host.address());
     Settings {
-        node_name: place.node_name(),
+        node_name: host.node_name(),
         role: String::new(),
-        ip: place.address().ip(),
+        ip: host.address().ip(),
         zone: "zone".to_owned(),
         region: String::new(),
         zones: Default::default(),
@@ -38,5 +38,5 @@
 
 /// Control addresses of controllers.
 pub(super) fn seed_addresses(seeds: &[usize]) -> Vec<SocketAddr> {
-    seeds.iter().map(|index| Place::Controller(*index).address()).collect()
+    seeds.iter().map(|index| Host::Controller(*index).address()).collect()
 }
--- a/crates/controller/src/simulation/step.rs
+++ b/crates/controller/src/simulation/step.rs
@@ -2,7 +2,7 @@
 
 use super::change::Form;
 use super::expectation::Expectation;
-use super::place::Place;
+use super::host::Host;
 use std::fmt;
 use std::str::FromStr;
 
@@ -36,23 +36,23 @@
     /// Time passes, in milliseconds.
     Wait(u64),
     /// What one machine sends to another does not arrive.
-    Cut { from: Place, to: Place },
+    Partition { from: Host, to: Host },
     /// A machine is cut off both ways.
-    Isolate { place: Place, scope: Scope },
+    Isolate { host: Host, scope: Scope },
     /// The machines of a set and all others no longer reach each other.
-    Part(Vec<Place>),
+    Split(Vec<Host>),
     /// All cuts and refusals end.
     Heal,
     /// A machine refuses new connections.
-    Refuse(Place),
+    Refuse(Host),
     /// All connections of a machine are reset.
-    Reset(Place),
+    Reset(Host),
     /// Packets take from nothing up to so many milliseconds.
     Delay(u64),
     /// A link carries so many bytes a second.
     Rate(u64),
     /// A process is killed.
-    Kill(Place),
+    Kill(Host),
     /// A controller's machine loses power.
     Power(usize),
     /// A controller's machine loses its disk.
@@ -60,13 +60,13 @@
     /// A controller's machine is gone for good.
     Retire(usize),
     /// A process starts.
-    Start(Place),
+    Start(Host),
     /// A controller is told to end (SIGTERM).
     Stop(usize),
     /// A machine freezes.
-    Freeze(Place),
+    Freeze(Host),
     /// A machine wakes.
-    Thaw(Place),
+    Thaw(Host),
     /// A write takes up to so many milliseconds.
     Slow(usize, u64),
     /// The disk answers nothing.
@@ -80,7 +80,7 @@
     /// Endpoints call this controller first from now on.
     Prefer(usize),
     /// All troubles end, and everything must work again within its bounds.
-    Settle,
+    Quiesce,
     /// Something must be so now.
     Expect(Expectation),
 }
@@ -93,18 +93,18 @@
 /// Writes `via a` or `only a`.
 fn through(via: usize, only: bool) -> String {
     let word = if only { "only" } else { "via" };
-    format!("{word} {}", Place::Controller(via))
+    format!("{word} {}", Host::Controller(via))
 }
 
-fn names(places: impl IntoIterator<Item = Place>) -> String {
-    let names: Vec<String> = places.into_iter().map(|place| place.to_string()).collect();
+fn names(hosts: impl IntoIterator<Item = Host>) -> String {
+    let names: Vec<String> = hosts.into_iter().map(|host| host.to_string()).collect();
     names.join(" ")
 }
 
 impl fmt::Display for Step {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let controller = |index: &usize| Place::Controller(*index);
-        let endpoint = |index: &usize| Place::Endpoint(*index);
+        let controller = |index: &usize| Host::Controller(*index);
+        let endpoint = |index: &usize| Host::Endpoint(*index);
         match self {
             Step::Put { form, via, only } => {
                 let word = match form {
@@ -128,30 +128,30 @@
             Step::Remove(index) => write!(formatter, "remove {}", endpoint(index)),
             Step::Crash(index) => write!(formatter, "crash {}", endpoint(index)),
             Step::Wait(time) => write!(formatter, "wait {time}"),
-            Step::Cut { from, to } => write!(formatter, "cut {from} {to}"),
-            Step::Isolate { place, scope: Scope::Peers } => write!(formatter, "isolate {place} peers"),
-            Step::Isolate { place, scope: Scope::All } => write!(formatter, "isolate {place} all"),
-            Step::Part(set) => write!(formatter, "part {}", names(set.iter().copied())),
+            Step::Partition { from, to } => write!(formatter, "cut {from} {to}"),
+            Step::Isolate { host, scope: Scope::Peers } => write!(formatter, "isolate {host} peers"),
+            Step::Isolate { host, scope: Scope::All } => write!(formatter, "isolate {host} all"),
+            Step::Split(set) => write!(formatter, "part {}", names(set.iter().copied())),
             Step::Heal => write!(formatter, "heal"),
-            Step::Refuse(place) => write!(formatter, "refuse {place}"),
-            Step::Reset(place) => write!(formatter, "reset {place}"),
+            Step::Refuse(host) => write!(formatter, "refuse {host}"),
+            Step::Reset(host) => write!(formatter, "reset {host}"),
             Step::Delay(time) => write!(formatter, "delay {time}"),
             Step::Rate(rate) => write!(formatter, "rate {rate}"),
-            Step::Kill(place) => write!(formatter, "kill {place}"),
+            Step::Kill(host) => write!(formatter, "kill {host}"),
             Step::Power(index) => write!(formatter, "power {}", controller(index)),
             Step::Wipe(index) => write!(formatter, "wipe {}", controller(index)),
             Step::Retire(index) => write!(formatter, "retire {}", controller(index)),
-            Step::Start(place) => write!(formatter, "start {place}"),
+            Step::Start(host) => write!(formatter, "start {host}"),
             Step::Stop(index) => write!(formatter, "stop {}", controller(index)),
-            Step::Freeze(place) => write!(formatter, "freeze {place}"),
-            Step::Thaw(place) => write!(formatter, "thaw {place}"),
+            Step::Freeze(host) => write!(formatter, "freeze {host}"),
+            Step::Thaw(host) => write!(formatter, "thaw {host}"),
             Step::Slow(index, time) => write!(formatter, "slow {} {time}", controller(index)),
             Step::Stall(index) => write!(formatter, "stall {}", controller(index)),
             Step::Full(index) => write!(formatter, "full {}", controller(index)),
             Step::Work(index) => write!(formatter, "work {}", controller(index)),
             Step::Seeds(seeds) => write!(formatter, "seeds {}", names(seeds.iter().map(controller))),
             Step::Prefer(index) => write!(formatter, "prefer {}", controller(index)),
-            Step::Settle => write!(formatter, "settle"),
+            Step::Quiesce => write!(formatter, "settle"),
             Step::Expect(expectation) => write!(formatter, "expect {expectation}"),
         }
     }
@@ -168,12 +168,12 @@
                 rest.parse().map(Step::Expect).map_err(|_| NoStep)
             }
             ["heal"] => Ok(Step::Heal),
-            ["settle"] => Ok(Step::Settle),
+            ["settle"] => Ok(Step::Quiesce),
             ["seeds", ref seeds @ ..] => {
                 seeds.iter().map(|word| controller(word)).collect::<Result<_, _>>().map(Step::Seeds)
             }
             ["part", ref set @ ..] => {
-                set.iter().map(|word| place(word)).collect::<Result<_, _>>().map(Step::Part)
+                set.iter().map(|word| host(word)).collect::<Result<_, _>>().map(Step::Split)
             }
             ["put" | "patch" | "invalid" | "again" | "read" | "rivals", ..] => operator_step(&words),
             [word, argument] => step_at(word, argument),
@@ -183,20 +183,20 @@
     }
 }
 
-fn place(word: &str) -> Result<Place, NoStep> {
+fn host(word: &str) -> Result<Host, NoStep> {
     word.parse().map_err(|_| NoStep)
 }
 
 fn controller(word: &str) -> Result<usize, NoStep> {
-    match place(word)? {
-        Place::Controller(index) => Ok(index),
+    match host(word)? {
+        Host::Controller(index) => Ok(index),
         _ => Err(NoStep),
     }
 }
 
 fn endpoint(word: &str) -> Result<usize, NoStep> {
-    match place(word)? {
-        Place::Endpoint(index) => Ok(index),
+    match host(word)? {
+        Host::Endpoint(index) => Ok(index),
         _ => Err(NoStep),
     }
 }
@@ -242,12 +242,12 @@
         "prefer" => Step::Prefer(controller(argument)?),
         "remove" => Step::Remove(endpoint(argument)?),
         "crash" => Step::Crash(endpoint(argument)?),
-        "refuse" => Step::Refuse(place(argument)?),
-        "reset" => Step::Reset(place(argument)?),
-        "kill" => Step::Kill(place(argument)?),
-        "start" => Step::Start(place(argument)?),
-        "freeze" => Step::Freeze(place(argument)?),
-        "thaw" => Step::Thaw(place(argument)?),
+        "refuse" => Step::Refuse(host(argument)?),
+        "reset" => Step::Reset(host(argument)?),
+        "kill" => Step::Kill(host(argument)?),
+        "start" => Step::Start(host(argument)?),
+        "freeze" => Step::Freeze(host(argument)?),
+        "thaw" => Step::Thaw(host(argument)?),
         "power" => Step::Power(controller(argument)?),
         "wipe" => Step::Wipe(controller(argument)?),
         "retire" => Step::Retire(controller(argument)?),
@@ -261,9 +261,9 @@
 
 fn step_between(word: &str, first: &str, second: &str) -> Result<Step, NoStep> {
     Ok(match (word, second) {
-        ("cut", _) => Step::Cut { from: place(first)?, to: place(second)? },
-        ("isolate", "peers") => Step::Isolate { place: place(first)?, scope: Scope::Peers },
-        ("isolate", "all") => Step::Isolate { place: place(first)?, scope: Scope::All },
+        ("cut", _) => Step::Partition { from: host(first)?, to: host(second)? },
+        ("isolate", "peers") => Step::Isolate { host: host(first)?, scope: Scope::Peers },
+        ("isolate", "all") => Step::Isolate { host: host(first)?, scope: Scope::All },
         ("slow", _) => Step::Slow(controller(first)?, number(second)?),
         _ => return Err(NoStep),
     })
--- a/crates/controller/src/simulation/trace.rs
+++ b/crates/controller/src/simulation/trace.rs
@@ -2,7 +2,7 @@
 //! answers, each with its place and simulated time. No name of the code and no `Debug` text goes into it.
 
 use super::connection::{End, Kind};
-use super::place::Place;
+use super::host::Host;
 use crate::controller::{Method, ServiceAction};
 use lanegate_placement::{Action, Operation};
 use std::time::Duration;
@@ -56,12 +56,12 @@
         self.raw(bytes);
     }
 
-    fn place(&mut self, place: Place) {
-        let (kind, index) = match place {
-            Place::Controller(index) => (1, index),
-            Place::Router(index) => (2, index),
-            Place::Endpoint(index) => (3, index),
-            Place::Operator => (4, 0),
+    fn host(&mut self, host: Host) {
+        let (kind, index) = match host {
+            Host::Controller(index) => (1, index),
+            Host::Router(index) => (2, index),
+            Host::Endpoint(index) => (3, index),
+            Host::Operator => (4, 0),
         };
         self.raw(&[kind]);
         self.number(index as u64);
@@ -73,7 +73,7 @@
     }
 
     /// A frame is read at an end of a connection.
-    pub(super) fn frame(&mut self, now: Duration, kind: Kind, end: End, path: (Place, Place), frame: &[u8]) {
+    pub(super) fn frame(&mut self, now: Duration, kind: Kind, end: End, path: (Host, Host), frame: &[u8]) {
         self.begin(Record::Frame, now);
         let kind = match kind {
             Kind::Peer => 1,
@@ -85,8 +85,8 @@
             End::Listener => 2,
         };
         self.raw(&[kind, end]);
-        self.place(path.0);
-        self.place(path.1);
+        self.host(path.0);
+        self.host(path.1);
         self.bytes(frame);
     }
 
@@ -161,9 +161,9 @@
     }
 
     /// A controller answers a call.
-    pub(super) fn answer(&mut self, now: Duration, place: Place, status: u16, body: &[u8]) {
+    pub(super) fn answer(&mut self, now: Duration, host: Host, status: u16, body: &[u8]) {
         self.begin(Record::Answer, now);
-        self.place(place);
+        self.host(host);
         self.raw(&status.to_le_bytes());
         self.bytes(body);
     }
--- a/crates/controller/src/simulation/violation.rs
+++ b/crates/controller/src/simulation/violation.rs
@@ -1,6 +1,6 @@
 //! Rules that a simulation may find broken, as operators, endpoints and routers see them.
 
-use super::place::Place;
+use super::host::Host;
 
 /// A broken rule. Changes are counted from 1 in the order in which they were sent.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -24,19 +24,19 @@
     #[error("read {read} gave version {version} after {floor} was acknowledged")]
     OldRead { read: usize, floor: u64, version: u64 },
     #[error("{router} has version {version} a bound after {acknowledged} was acknowledged")]
-    NotApplied { router: Place, version: u64, acknowledged: u64 },
+    NotApplied { router: Host, version: u64, acknowledged: u64 },
     #[error("{router} sends to {endpoint} a bound after its drain was acknowledged")]
-    DrainUnknown { router: Place, endpoint: Place },
+    DrainUnknown { router: Host, endpoint: Host },
     #[error("{orders} orders of {sender} would have broken a limit and were held back")]
-    OrdersHeldBack { sender: Place, orders: u64 },
+    OrdersWithheld { sender: Host, orders: u64 },
     #[error("an order with token {token} came after one with {highest}")]
     TokenWentBack { highest: u64, token: u64 },
     #[error("two senders use token {0}")]
     TokenShared(u64),
     #[error("{second} gives orders {after_ms} ms after {first} did")]
-    TwoPlacers { first: Place, second: Place, after_ms: u64 },
+    TwoPlacers { first: Host, second: Host, after_ms: u64 },
     #[error("shard {shard} has group {group} a bound after a loss")]
-    GroupNotWhole { shard: u8, group: String },
+    GroupIncomplete { shard: u8, group: String },
     #[error("once all is well, {0}")]
     Stuck(String),
     #[error("step {step} expects {expected}, found {found}")]
--- a/crates/controller/src/simulation/world.rs
+++ b/crates/controller/src/simulation/world.rs
@@ -6,14 +6,14 @@
 use super::controller_machine::ControllerMachine;
 use super::endpoint::EndpointMachine;
 use super::engine::OrderCall;
+use super::faults::FaultHistory;
 use super::history::History;
+use super::host::Host;
 use super::network::Network;
-use super::place::Place;
 use super::router_machine::RouterMachine;
 use super::scenario::Scenario;
 use super::step::Step;
 use super::trace::Trace;
-use super::trouble::Troubles;
 use super::violation::Violation;
 use crate::agent::SubscriberEvent;
 use crate::controller::{ControllerFault, Event};
@@ -28,7 +28,7 @@
 
 /// Something that happens at a time.
 #[derive(Debug)]
-pub(super) enum Happening {
+pub(super) enum SimulationEvent {
     /// A process tries to connect.
     Dial(Dial),
     /// The other side has taken, or not taken, the connection.
@@ -36,9 +36,9 @@
     /// A frame may have arrived at an end of a connection.
     Arrive { connection: u64, end: End },
     /// A connection that was cut for long ends.
-    CutTimeout { connection: u64, since: Duration },
+    PartitionTimeout { connection: u64, since: Duration },
     /// The dialer looks whether it has heard anything.
-    Silence { connection: u64 },
+    ReceiveTimeout { connection: u64 },
     /// A process is told something.
     Notice { process: Process, notice: Notice },
     /// The disk of a controller has done the first write.
@@ -60,7 +60,7 @@
     /// The caller tries the next controller.
     Retry { call: u64 },
     /// An endpoint sends its heartbeat.
-    Beat { endpoint: usize, start: u64 },
+    Heartbeat { endpoint: usize, start: u64 },
     /// An order, or a question, leaves its controller.
     SendOrder(OrderCall),
     /// An order, or a question, reaches its endpoint.
@@ -87,7 +87,7 @@
 struct Scheduled {
     at: Duration,
     order: u64,
-    happening: Happening,
+    event: SimulationEvent,
 }
 
 impl PartialEq for Scheduled {
@@ -114,7 +114,7 @@
 pub struct World {
     pub(super) clock: Rc<Cell<Duration>>,
     pub(super) random: SmallRng,
-    happenings: BinaryHeap<Reverse<Scheduled>>,
+    event_queue: BinaryHeap<Reverse<Scheduled>>,
     order: u64,
     /// Counts starts of processes.
     pub(super) starts: u64,
@@ -126,7 +126,7 @@
     pub(super) next_connection: u64,
     pub(super) calls: Calls,
     pub(super) history: History,
-    pub(super) troubles: Troubles,
+    pub(super) fault_history: FaultHistory,
     pub(super) founders: usize,
     /// Machines that may be lost at once.
     pub(super) tolerance: u32,
@@ -162,7 +162,7 @@
         self.start_all(scenario.spares_late);
         for (index, step) in scenario.steps.iter().enumerate() {
             self.step(index + 1, step)?;
-            self.check_orders_held_back()?;
+            self.check_orders_withheld()?;
         }
         Ok(())
     }
@@ -186,7 +186,7 @@
         World {
             clock: Rc::new(Cell::new(Duration::ZERO)),
             random: SmallRng::seed_from_u64(scenario.seed),
-            happenings: BinaryHeap::new(),
+            event_queue: BinaryHeap::new(),
             order: 0,
             starts: 0,
             controllers: (0..controllers)
@@ -201,7 +201,7 @@
             next_connection: 1,
             calls: Calls::default(),
             history: History::default(),
-            troubles: Troubles::default(),
+            fault_history: FaultHistory::default(),
             founders: scenario.founders,
             tolerance,
             fault,
@@ -222,14 +222,14 @@
         for index in 0..self.endpoints.len() {
             self.start_endpoint(index);
         }
-        self.troubles.forget();
+        self.fault_history.forget();
     }
 
     fn step(&mut self, number: usize, step: &Step) -> Result<(), Violation> {
         log::info!("{:?}: {step}", self.now());
         match step {
             Step::Wait(time) => self.run(Duration::from_millis(*time)),
-            Step::Settle => self.settle(),
+            Step::Quiesce => self.quiesce(),
             Step::Expect(expectation) => self.expect(number, expectation),
             Step::Put { .. } | Step::Rivals { .. } | Step::Again { .. } | Step::Read { .. } => {
                 self.operate(step);
@@ -248,7 +248,7 @@
                 Ok(())
             }
             _ => {
-                self.trouble(step);
+                self.inject_fault(step);
                 Ok(())
             }
         }
@@ -261,10 +261,10 @@
     /// Lets time pass.
     pub(super) fn run(&mut self, time: Duration) -> Result<(), Violation> {
         let end = self.now() + time;
-        while self.happenings.peek().is_some_and(|next| next.0.at <= end) {
-            let Some(Reverse(next)) = self.happenings.pop() else { break };
+        while self.event_queue.peek().is_some_and(|next| next.0.at <= end) {
+            let Some(Reverse(next)) = self.event_queue.pop() else { break };
             self.clock.set(self.now().max(next.at));
-            self.happen(next.happening)?;
+            self.dispatch(next.event)?;
             if let Some(violation) = self.history.violation.take() {
                 return Err(violation);
             }
@@ -273,69 +273,71 @@
         Ok(())
     }
 
-    pub(super) fn schedule(&mut self, at: Duration, happening: Happening) {
+    pub(super) fn schedule(&mut self, at: Duration, event: SimulationEvent) {
         self.order += 1;
-        self.happenings.push(Reverse(Scheduled { at: at.max(self.now()), order: self.order, happening }));
+        self.event_queue.push(Reverse(Scheduled { at: at.max(self.now()), order: self.order, event }));
     }
 
     pub(super) fn notify(&mut self, at: Duration, process: Process, notice: Notice) {
-        self.schedule(at, Happening::Notice { process, notice });
+        self.schedule(at, SimulationEvent::Notice { process, notice });
     }
 
-    fn happen(&mut self, happening: Happening) -> Result<(), Violation> {
-        match happening {
-            Happening::Dial(dial) => self.dial(dial),
-            Happening::Connect(dial) => self.connect(dial),
-            Happening::Arrive { connection, end } => self.arrive(connection, end),
-            Happening::CutTimeout { connection, since } => self.cut_timeout(connection, since),
-            Happening::Silence { connection } => self.look_for_silence(connection),
-            Happening::Notice { process, notice } => self.tell(process, notice),
-            Happening::Written { process } => self.written(process),
-            Happening::Wake { process, at } => self.wake(process, at),
-            Happening::Review { process } => self.review(process),
-            Happening::Fetch { process, at } => self.fetch(process, at),
-            Happening::GraceOver { process } => self.grace_over(process),
-            Happening::CallArrives { attempt } => self.call_arrives(attempt),
-            Happening::AnswerArrives { attempt, answer } => self.answer_arrives(attempt, answer),
-            Happening::AttemptFails { attempt } => self.attempt_fails(attempt),
-            Happening::Retry { call } => self.attempt(call),
-            Happening::Beat { endpoint, start } => self.beat(endpoint, start),
-            Happening::SendOrder(call) => self.send_order(call),
-            Happening::OrderArrives(call) => self.order_arrives(call),
-            Happening::Check(check) => return self.check(check),
+    fn dispatch(&mut self, event: SimulationEvent) -> Result<(), Violation> {
+        match event {
+            SimulationEvent::Dial(dial) => self.dial(dial),
+            SimulationEvent::Connect(dial) => self.connect(dial),
+            SimulationEvent::Arrive { connection, end } => self.arrive(connection, end),
+            SimulationEvent::PartitionTimeout { connection, since } => {
+                self.partition_timed_out(connection, since)
+            }
+            SimulationEvent::ReceiveTimeout { connection } => self.check_receive_timeout(connection),
+            SimulationEvent::Notice { process, notice } => self.deliver(process, notice),
+            SimulationEvent::Written { process } => self.written(process),
+            SimulationEvent::Wake { process, at } => self.wake(process, at),
+            SimulationEvent::Review { process } => self.review(process),
+            SimulationEvent::Fetch { process, at } => self.fetch(process, at),
+            SimulationEvent::GraceOver { process } => self.grace_over(process),
+            SimulationEvent::CallArrives { attempt } => self.call_arrives(attempt),
+            SimulationEvent::AnswerArrives { attempt, answer } => self.answer_arrives(attempt, answer),
+            SimulationEvent::AttemptFails { attempt } => self.attempt_fails(attempt),
+            SimulationEvent::Retry { call } => self.attempt(call),
+            SimulationEvent::Heartbeat { endpoint, start } => self.endpoint_heartbeat(endpoint, start),
+            SimulationEvent::SendOrder(call) => self.send_order(call),
+            SimulationEvent::OrderArrives(call) => self.order_arrives(call),
+            SimulationEvent::Check(check) => return self.check(check),
         }
         Ok(())
     }
 
     /// Tells a process something, if it is still there; a frozen one hears it once it is thawed.
-    pub(super) fn tell(&mut self, process: Process, notice: Notice) {
-        match process.place {
-            Place::Controller(index) => self.tell_controller(index, process, notice),
-            Place::Router(index) => self.tell_router(index, process, notice),
-            Place::Endpoint(_) | Place::Operator => {}
+    pub(super) fn deliver(&mut self, process: Process, notice: Notice) {
+        match process.host {
+            Host::Controller(index) => self.deliver_to_controller(index, process, notice),
+            Host::Router(index) => self.deliver_to_router(index, process, notice),
+            Host::Endpoint(_) | Host::Operator => {}
         }
     }
 
     /// A new life of a process.
-    pub(super) fn next_process(&mut self, place: Place) -> Process {
+    pub(super) fn next_process(&mut self, host: Host) -> Process {
         self.starts += 1;
-        Process { place, start: self.starts }
+        Process { host, start: self.starts }
     }
 
     /// The process that runs at a place.
-    pub(super) fn running(&self, place: Place) -> Option<Process> {
-        match place {
-            Place::Controller(index) => self.controllers.get(index)?.process(),
-            Place::Router(index) => self.routers.get(index)?.process(),
-            Place::Endpoint(_) | Place::Operator => None,
+    pub(super) fn running(&self, host: Host) -> Option<Process> {
+        match host {
+            Host::Controller(index) => self.controllers.get(index)?.process(),
+            Host::Router(index) => self.routers.get(index)?.process(),
+            Host::Endpoint(_) | Host::Operator => None,
         }
     }
 
-    pub(super) fn is_frozen(&self, place: Place) -> bool {
-        match place {
-            Place::Controller(index) => self.controllers[index].frozen,
-            Place::Router(index) => self.routers[index].frozen,
-            Place::Endpoint(_) | Place::Operator => false,
+    pub(super) fn is_frozen(&self, host: Host) -> bool {
+        match host {
+            Host::Controller(index) => self.controllers[index].frozen,
+            Host::Router(index) => self.routers[index].frozen,
+            Host::Endpoint(_) | Host::Operator => false,
         }
     }
 }
--- a/crates/controller/src/subscription.rs
+++ b/crates/controller/src/subscription.rs
@@ -18,31 +18,31 @@
     Down { source: SocketAddr },
 }
 
-/// Follows `source` until the link fails or is silent for `receive_timeout`, and tells `owner`.
+/// Follows `source` until the link fails or is silent for `receive_timeout`, and tells `events`.
 pub async fn follow(
     source: SocketAddr,
     hello: Hello,
     receive_timeout: Option<Duration>,
-    owner: mpsc::UnboundedSender<SourceEvent>,
+    events: mpsc::UnboundedSender<SourceEvent>,
 ) {
-    if let Err(error) = read(source, hello, receive_timeout, &owner).await {
+    if let Err(error) = read(source, hello, receive_timeout, &events).await {
         log::debug!("feed of {source} ended: {error}");
     }
-    let _ = owner.send(SourceEvent::Down { source });
+    let _ = events.send(SourceEvent::Down { source });
 }
 
 async fn read(
     source: SocketAddr,
     hello: Hello,
     receive_timeout: Option<Duration>,
-    owner: &mpsc::UnboundedSender<SourceEvent>,
+    events: &mpsc::UnboundedSender<SourceEvent>,
 ) -> Result<(), MessageError> {
     let stream = link::dial(source).await?;
     let (read, write) = stream.into_split();
     let (outbox, frames) = Outbox::new();
     let _writer = AbortOnDrop(tokio::task::spawn_local(link::write_frames(write, frames)));
     outbox.message(&Message::Hello(hello));
-    let _ = owner.send(SourceEvent::Up { source, outbox });
+    let _ = events.send(SourceEvent::Up { source, outbox });
     let mut reader = MessageReader::new(read);
     loop {
         let message = match receive_timeout {
@@ -51,7 +51,7 @@
             }
             None => reader.next().await?,
         };
-        let _ = owner.send(SourceEvent::Message { source, message });
+        let _ = events.send(SourceEvent::Message { source, message });
     }
 }
 
--- a/crates/controller/src/view.rs
+++ b/crates/controller/src/view.rs
@@ -98,12 +98,12 @@
         match message {
             Message::SnapshotBegin => *self.source(source) = Source::default(),
             Message::SnapshotEnd { complete } => self.snapshot_ended(source, complete == 1, updates),
-            Message::CommittedConfiguration(decided) => {
-                self.apply_configuration(now, source, decided, updates)
+            Message::CommittedConfiguration(committed) => {
+                self.apply_configuration(now, source, committed, updates)
             }
             Message::ConfigurationDelta(delta) => {
-                let decided = self.configuration.delta(now, source, &delta);
-                updates.extend(decided.map(Message::CommittedConfiguration));
+                let committed = self.configuration.on_delta(now, source, &delta);
+                updates.extend(committed.map(Message::CommittedConfiguration));
             }
             Message::ConfigurationAnnounced(version) => self.apply_announcement(source, version, updates),
             Message::ConfigurationKnown(version) => self.apply_known_version(version, updates),
@@ -129,11 +129,11 @@
         &mut self,
         now: Duration,
         source: SocketAddr,
-        decided: CommittedConfiguration,
+        committed: CommittedConfiguration,
         updates: &mut Vec<Message>,
     ) {
-        if self.configuration.decided(now, source, &decided) {
-            updates.push(Message::CommittedConfiguration(decided));
+        if self.configuration.on_document(now, source, &committed) {
+            updates.push(Message::CommittedConfiguration(committed));
         }
     }
 
@@ -143,13 +143,13 @@
         version: ConfigurationVersion,
         updates: &mut Vec<Message>,
     ) {
-        if self.configuration.announced(source, version) {
+        if self.configuration.on_announcement(source, version) {
             updates.push(Message::ConfigurationKnown(version));
         }
     }
 
     fn apply_known_version(&mut self, version: ConfigurationVersion, updates: &mut Vec<Message>) {
-        if self.configuration.known(version) {
+        if self.configuration.on_known_version(version) {
             updates.push(Message::ConfigurationKnown(version));
         }
     }
@@ -227,8 +227,8 @@
     }
 
     /// A source's link has ended; what it alone listed stays for a while, and as long as nobody else has told everything.
-    pub fn lost(&mut self, now: Duration, source: SocketAddr) {
-        self.configuration.lost(source);
+    pub fn source_lost(&mut self, now: Duration, source: SocketAddr) {
+        self.configuration.on_source_lost(source);
         if let Some(lost) = self.sources.remove(&source) {
             self.lost.insert(source, LostSource { since: now, source: lost, expired: false });
         }
--- a/crates/controller/tests/configuration_feed.rs
+++ b/crates/controller/tests/configuration_feed.rs
@@ -29,12 +29,12 @@
     format!(r#"{{"Version":{version},"Routes":[{}],"Backends":[{{"Name":"b"}}]}}"#, routes.join(",")).into()
 }
 
-fn decided(revision: u64, document: Vec<u8>) -> CommittedConfiguration {
+fn committed(revision: u64, document: Vec<u8>) -> CommittedConfiguration {
     CommittedConfiguration { revision, document: document.into() }
 }
 
-fn version(decided: &CommittedConfiguration) -> ConfigurationVersion {
-    ConfigurationVersion::of(decided.revision, &decided.document.bytes)
+fn version(committed: &CommittedConfiguration) -> ConfigurationVersion {
+    ConfigurationVersion::of(committed.revision, &committed.document.bytes)
 }
 
 fn message(frame: &[u8]) -> Message {
@@ -48,7 +48,7 @@
 
 fn publisher_of(configurations: &[CommittedConfiguration]) -> ConfigurationPublisher {
     let mut publisher = ConfigurationPublisher::retaining(8);
-    configurations.iter().for_each(|decided| assert!(publisher.publish(decided.clone()).is_some()));
+    configurations.iter().for_each(|committed| assert!(publisher.publish(committed.clone()).is_some()));
     publisher
 }
 
@@ -60,8 +60,8 @@
     answer: Option<Message>,
 ) -> bool {
     match answer {
-        Some(Message::CommittedConfiguration(decided)) => reader.decided(now, source, &decided),
-        Some(Message::ConfigurationDelta(delta)) => reader.delta(now, source, &delta).is_some(),
+        Some(Message::CommittedConfiguration(committed)) => reader.on_document(now, source, &committed),
+        Some(Message::ConfigurationDelta(delta)) => reader.on_delta(now, source, &delta).is_some(),
         other => panic!("no configuration: {other:?}"),
     }
 }
@@ -152,7 +152,7 @@
 #[test]
 fn a_publisher_sends_the_newest_only_as_a_difference_to_what_the_reader_has() {
     let versions: Vec<CommittedConfiguration> =
-        (1..=5).map(|number| decided(number, document(number, 400, 5_000 + number))).collect();
+        (1..=5).map(|number| committed(number, document(number, 400, 5_000 + number))).collect();
     let mut publisher = publisher_of(&versions);
     let newest = version(&versions[4]);
     assert_eq!(publisher.announcement(), Some(Message::ConfigurationAnnounced(newest)));
@@ -168,7 +168,7 @@
 #[test]
 fn an_answer_that_was_made_once_is_not_given_for_a_newer_version() {
     let versions: Vec<CommittedConfiguration> =
-        (1..=3).map(|number| decided(number, document(number, 50, 5_000 + number))).collect();
+        (1..=3).map(|number| committed(number, document(number, 50, 5_000 + number))).collect();
     let mut publisher = publisher_of(&versions[..2]);
     let base = version(&versions[0]);
     let first = answer(&mut publisher, base);
@@ -182,7 +182,7 @@
 
 #[test]
 fn a_reader_of_an_unknown_or_no_configuration_gets_the_whole() {
-    let newest = decided(9, document(9, 50, 5_000));
+    let newest = committed(9, document(9, 50, 5_000));
     let mut publisher = publisher_of(std::slice::from_ref(&newest));
     let unknown = ConfigurationVersion { revision: 3, digest: 77 };
     for base in [ConfigurationVersion::NONE, unknown] {
@@ -194,7 +194,7 @@
 #[test]
 fn a_publisher_forgets_old_bases_and_never_goes_back() {
     let versions: Vec<CommittedConfiguration> =
-        (1..=10).map(|number| decided(number, document(number, 50, 5_000 + number))).collect();
+        (1..=10).map(|number| committed(number, document(number, 50, 5_000 + number))).collect();
     let mut publisher = publisher_of(&versions);
     assert!(
         matches!(answer(&mut publisher, version(&versions[1])), Some(Message::CommittedConfiguration(_))),
@@ -208,7 +208,7 @@
 
 #[test]
 fn a_document_that_has_nothing_in_common_is_sent_whole() {
-    let (first, second) = (decided(1, vec![b'a'; 500]), decided(2, vec![b'b'; 400]));
+    let (first, second) = (committed(1, vec![b'a'; 500]), committed(2, vec![b'b'; 400]));
     let mut publisher = publisher_of(&[first.clone(), second.clone()]);
     assert_eq!(answer(&mut publisher, version(&first)), Some(Message::CommittedConfiguration(second)));
 }
@@ -216,21 +216,21 @@
 #[test]
 fn a_reader_asks_one_source_and_skips_what_was_decided_meanwhile() {
     let versions: Vec<CommittedConfiguration> =
-        (1..=9).map(|number| decided(number, document(number, 400, 5_000 + number))).collect();
+        (1..=9).map(|number| committed(number, document(number, 400, 5_000 + number))).collect();
     let mut publisher = publisher_of(&versions[..1]);
     let mut reader = ConfigurationFetcher::new(Pace::LINK);
     let (one, two) = (controller(1), controller(2));
-    assert!(reader.announced(one, version(&versions[0])));
-    assert!(!reader.announced(two, version(&versions[0])), "it is known");
+    assert!(reader.on_announcement(one, version(&versions[0])));
+    assert!(!reader.on_announcement(two, version(&versions[0])), "it is known");
     let fetch = reader.fetch(ms(0), Some(two));
     assert_eq!(fetch, Some((two, Message::ConfigurationFetch(ConfigurationVersion::NONE))));
     assert_eq!(reader.fetch(ms(1), Some(two)), None, "one at a time");
     assert!(hand(&mut reader, ms(5), two, answer(&mut publisher, ConfigurationVersion::NONE)));
     assert!(!reader.is_behind());
 
-    for decided in &versions[1..] {
-        reader.announced(two, version(decided));
-        publisher.publish(decided.clone());
+    for committed in &versions[1..] {
+        reader.on_announcement(two, version(committed));
+        publisher.publish(committed.clone());
     }
     assert!(reader.is_behind());
     let due = reader.next_wake(ms(6)).unwrap();
@@ -245,16 +245,16 @@
 
 #[test]
 fn the_second_source_is_asked_when_the_first_does_not_deliver() {
-    let first = decided(1, document(1, 50, 5_000));
-    let second = decided(2, document(2, 50, 6_000));
+    let first = committed(1, document(1, 50, 5_000));
+    let second = committed(2, document(2, 50, 6_000));
     let (one, two) = (controller(1), controller(2));
     for (held, timeout) in [(None, DOCUMENT_TIMEOUT), (Some(&first), DELTA_TIMEOUT)] {
         let mut reader = ConfigurationFetcher::new(Pace::LINK);
         if let Some(held) = held {
-            reader.decided(ms(0), one, held);
+            reader.on_document(ms(0), one, held);
         }
-        reader.announced(one, version(&second));
-        reader.announced(two, version(&second));
+        reader.on_announcement(one, version(&second));
+        reader.on_announcement(two, version(&second));
         let begun = ms(1_000);
         assert_eq!(reader.fetch(begun, Some(one)).map(|(source, _)| source), Some(one));
         assert_eq!(reader.next_wake(begun), Some(begun + timeout));
@@ -268,35 +268,35 @@
 
 #[test]
 fn a_lost_source_owes_nothing_and_is_not_asked() {
-    let newest = decided(2, document(2, 50, 5_000));
+    let newest = committed(2, document(2, 50, 5_000));
     let (one, two) = (controller(1), controller(2));
     let mut reader = ConfigurationFetcher::new(Pace::LINK);
-    reader.announced(one, version(&newest));
+    reader.on_announcement(one, version(&newest));
     assert!(reader.fetch(ms(0), Some(one)).is_some());
-    reader.lost(one);
+    reader.on_source_lost(one);
     assert_eq!(reader.next_wake(ms(1)), None);
     assert!(reader.is_behind(), "that it exists stays known");
-    reader.announced(two, version(&newest));
+    reader.on_announcement(two, version(&newest));
     assert_eq!(reader.fetch(ms(200), Some(one)).map(|(source, _)| source), Some(two));
 }
 
 #[test]
 fn the_source_that_has_the_newest_is_asked() {
-    let (older, newer) = (decided(4, document(4, 50, 5_000)), decided(5, document(5, 50, 5_500)));
+    let (older, newer) = (committed(4, document(4, 50, 5_000)), committed(5, document(5, 50, 5_500)));
     let (one, two) = (controller(1), controller(2));
     let mut reader = ConfigurationFetcher::new(Pace::LINK);
-    reader.announced(one, version(&older));
-    reader.announced(two, version(&newer));
+    reader.on_announcement(one, version(&older));
+    reader.on_announcement(two, version(&newer));
     assert_eq!(reader.fetch(ms(0), Some(one)).map(|(source, _)| source), Some(two));
 }
 
 #[test]
 fn an_answer_that_lags_takes_nothing_back() {
-    let (older, newer) = (decided(4, document(4, 50, 5_000)), decided(5, document(5, 50, 5_500)));
+    let (older, newer) = (committed(4, document(4, 50, 5_000)), committed(5, document(5, 50, 5_500)));
     let mut reader = ConfigurationFetcher::new(Pace::LINK);
-    assert!(reader.decided(ms(0), controller(1), &newer));
-    assert!(!reader.decided(ms(1), controller(2), &older));
-    let mut publisher = publisher_of(&[decided(3, document(3, 50, 1)), older]);
+    assert!(reader.on_document(ms(0), controller(1), &newer));
+    assert!(!reader.on_document(ms(1), controller(2), &older));
+    let mut publisher = publisher_of(&[committed(3, document(3, 50, 1)), older]);
     let late = answer(&mut publisher, ConfigurationVersion::of(3, &document(3, 50, 1)));
     assert!(!hand(&mut reader, ms(2), controller(2), late));
     assert_eq!(revision(&reader), Some(5));
@@ -304,32 +304,35 @@
 
 #[test]
 fn a_difference_that_does_not_fit_is_followed_by_the_whole() {
-    let (first, second) = (decided(1, document(1, 50, 5_000)), decided(2, document(2, 50, 6_000)));
+    let (first, second) = (committed(1, document(1, 50, 5_000)), committed(2, document(2, 50, 6_000)));
     let mut reader = ConfigurationFetcher::new(Pace::LINK);
-    reader.decided(ms(0), controller(1), &first);
-    reader.announced(controller(1), version(&second));
+    reader.on_document(ms(0), controller(1), &first);
+    reader.on_announcement(controller(1), version(&second));
     let damaged = ConfigurationDelta {
         base: version(&first).digest,
         version: version(&second),
         parts: vec![DeltaPart::Copied { offset: 0, length: 10 }].into(),
     };
-    assert_eq!(reader.delta(ms(1_000), controller(1), &damaged), None);
+    assert_eq!(reader.on_delta(ms(1_000), controller(1), &damaged), None);
     let fetch = reader.fetch(ms(2_000), None);
     assert_eq!(fetch, Some((controller(1), Message::ConfigurationFetch(ConfigurationVersion::NONE))));
-    assert!(reader.decided(ms(2_010), controller(1), &second));
-    let third = decided(3, document(3, 50, 6_000));
-    reader.announced(controller(1), version(&third));
+    assert!(reader.on_document(ms(2_010), controller(1), &second));
+    let third = committed(3, document(3, 50, 6_000));
+    reader.on_announcement(controller(1), version(&third));
     let fetch = reader.fetch(ms(4_000), None);
     assert_eq!(fetch, Some((controller(1), Message::ConfigurationFetch(version(&second)))));
 }
 
 #[test]
 fn a_difference_to_something_else_than_what_is_held_changes_nothing() {
-    let (first, second, third) =
-        (decided(1, document(1, 50, 1)), decided(2, document(2, 50, 2)), decided(3, document(3, 50, 3)));
+    let (first, second, third) = (
+        committed(1, document(1, 50, 1)),
+        committed(2, document(2, 50, 2)),
+        committed(3, document(3, 50, 3)),
+    );
     let mut reader = ConfigurationFetcher::new(Pace::LINK);
-    reader.decided(ms(0), controller(1), &second);
-    reader.announced(controller(2), version(&third));
+    reader.on_document(ms(0), controller(1), &second);
+    reader.on_announcement(controller(2), version(&third));
     let mut publisher = publisher_of(&[first.clone(), third.clone()]);
     let late = answer(&mut publisher, version(&first));
     assert!(!hand(&mut reader, ms(1), controller(2), late));
@@ -339,11 +342,11 @@
 
 #[test]
 fn the_same_bytes_decided_again_are_not_fetched() {
-    let first = decided(1, document(1, 50, 5_000));
-    let again = decided(7, document(1, 50, 5_000));
+    let first = committed(1, document(1, 50, 5_000));
+    let again = committed(7, document(1, 50, 5_000));
     let mut reader = ConfigurationFetcher::new(Pace::LINK);
-    reader.decided(ms(0), controller(1), &first);
-    assert!(reader.announced(controller(2), version(&again)));
+    reader.on_document(ms(0), controller(1), &first);
+    assert!(reader.on_announcement(controller(2), version(&again)));
     assert!(!reader.is_behind());
     assert_eq!(reader.next_wake(ms(1)), None);
 }
--- a/crates/controller/tests/view.rs
+++ b/crates/controller/tests/view.rs
@@ -12,7 +12,7 @@
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
-fn decided(revision: u64, document: &str) -> Message {
+fn committed(revision: u64, document: &str) -> Message {
     Message::CommittedConfiguration(CommittedConfiguration { revision, document: document.into() })
 }
 
@@ -39,18 +39,18 @@
 #[test]
 fn a_source_that_lags_cannot_take_the_configuration_back() {
     let mut view = View::default();
-    tell(&mut view, controller(1), &[decided(4, "new")]);
-    assert_eq!(tell(&mut view, controller(2), &[decided(3, "old")]), vec![]);
-    assert_eq!(tell(&mut view, controller(2), &[decided(4, "new")]), vec![]);
+    tell(&mut view, controller(1), &[committed(4, "new")]);
+    assert_eq!(tell(&mut view, controller(2), &[committed(3, "old")]), vec![]);
+    assert_eq!(tell(&mut view, controller(2), &[committed(4, "new")]), vec![]);
     assert_eq!(view.configuration().unwrap().document.text(), "new");
 }
 
 #[test]
 fn a_snapshot_of_a_source_that_lags_cannot_take_the_configuration_back() {
     let mut view = View::default();
-    tell(&mut view, controller(1), &[Message::SnapshotBegin, decided(4, "new"), end(true)]);
-    view.lost(ms(0), controller(1));
-    tell(&mut view, controller(2), &[Message::SnapshotBegin, decided(3, "old"), end(true)]);
+    tell(&mut view, controller(1), &[Message::SnapshotBegin, committed(4, "new"), end(true)]);
+    view.source_lost(ms(0), controller(1));
+    tell(&mut view, controller(2), &[Message::SnapshotBegin, committed(3, "old"), end(true)]);
     assert_eq!(view.configuration().unwrap().revision, 4);
 }
 
@@ -104,7 +104,7 @@
     let (stale, current) = (registered("i-1", 80, 3, &[]), registered("i-2", 81, 4, &[]));
     tell(&mut view, controller(1), &[Message::SnapshotBegin, stale, current.clone(), end(true), beat(1, 1)]);
     tell(&mut view, controller(2), &[Message::SnapshotBegin, current, end(true), beat(1, 1)]);
-    view.lost(ms(100), controller(1));
+    view.source_lost(ms(100), controller(1));
     assert_eq!(tell_at(&mut view, 600, controller(2), &[beat(1, 1)]), vec![]);
     assert_eq!(tell_at(&mut view, 1_100, controller(2), &[beat(1, 1)]), vec![removed("i-1", 3)]);
     assert!(view.registration("i-2").is_some());
@@ -121,7 +121,7 @@
         &[Message::SnapshotBegin, registered("i-1", 80, 3, &[]), end(true), beat(1, 1)],
     );
     tell(&mut view, controller(2), &[Message::SnapshotBegin, end(false), beat(1, 1)]);
-    view.lost(ms(100), controller(1));
+    view.source_lost(ms(100), controller(1));
     assert_eq!(tell_at(&mut view, 5_000, controller(2), &[beat(1, 1)]), vec![]);
     assert!(view.registration("i-1").is_some());
 }
@@ -132,7 +132,7 @@
     let both = [registered("i-1", 80, 3, &[]), registered("i-2", 81, 4, &[])];
     tell(&mut view, controller(1), &both);
     tell(&mut view, controller(1), &[end(true)]);
-    view.lost(ms(0), controller(1));
+    view.source_lost(ms(0), controller(1));
     assert!(view.registration("i-2").is_some(), "a lost source takes nothing along");
 
     let begun = [Message::SnapshotBegin, registered("i-1", 80, 3, &[])];
@@ -197,7 +197,7 @@
 #[test]
 fn a_reader_that_begins_gets_the_whole_view() {
     let mut view = View::default();
-    let known = [decided(2, "{}"), registered("i-1", 80, 1, &["a"]), holding("i-1", "b", true)];
+    let known = [committed(2, "{}"), registered("i-1", 80, 1, &["a"]), holding("i-1", "b", true)];
     tell(&mut view, controller(1), &known);
     tell(&mut view, controller(1), &[registered("i-2", 81, 1, &[]), removed("i-2", 2), end(true)]);
     let [configuration, registration, amendment] = known;
@@ -357,7 +357,7 @@
     let one = controller(1);
     tell(&mut view, one, &[Message::SnapshotBegin, registered("i-1", 80, 3, &[]), end(true), beat_at(9, 40)]);
     assert_eq!(view.position(one).source, 0, "it has not ended");
-    view.lost(ms(0), one);
+    view.source_lost(ms(0), one);
     assert_eq!((view.position(one).source, view.position(one).offset), (9, 40));
 
     tell(&mut view, one, &[registered("i-2", 81, 1, &[]), beat_at(9, 41)]);
@@ -371,9 +371,9 @@
     let mut view = View::default();
     let one = controller(1);
     tell(&mut view, one, &[Message::SnapshotBegin, end(true), beat_at(9, 40)]);
-    view.lost(ms(0), one);
+    view.source_lost(ms(0), one);
     tell(&mut view, one, &[Message::SnapshotBegin, registered("i-1", 80, 3, &[])]);
-    view.lost(ms(1), one);
+    view.source_lost(ms(1), one);
     assert_eq!(view.position(one).source, 0);
 }
 
@@ -382,7 +382,7 @@
     let mut view = View::default();
     let one = controller(1);
     tell(&mut view, one, &[Message::SnapshotBegin, registered("i-1", 80, 3, &[]), end(true), beat_at(9, 40)]);
-    view.lost(ms(0), one);
+    view.source_lost(ms(0), one);
     tell(&mut view, controller(2), &[Message::SnapshotBegin, end(true)]);
     assert!(view.registration("i-1").is_none());
     assert_eq!(view.position(one).source, 0, "its tail would not tell it again");
@@ -392,7 +392,7 @@
 fn a_feed_begins_anew_after_half_a_minute() {
     let mut view = View::default();
     tell(&mut view, controller(1), &[Message::SnapshotBegin, end(true), beat_at(9, 40)]);
-    view.lost(ms(0), controller(1));
+    view.source_lost(ms(0), controller(1));
     tell_at(&mut view, 30_000, controller(2), &[beat_at(8, 1)]);
     assert_eq!(view.position(controller(1)).source, 9);
     tell_at(&mut view, 30_001, controller(2), &[beat_at(8, 1)]);
@@ -411,7 +411,7 @@
     tell(&mut view, controller(1), &[addresses(&[1, 2, 3])]);
     tell(&mut view, controller(2), &[addresses(&[2])]);
     assert_eq!(known(&view), [1, 2, 3].map(controller), "one that is cut off takes none away");
-    view.lost(ms(0), controller(1));
+    view.source_lost(ms(0), controller(1));
     tell_at(&mut view, 30_000, controller(2), &[beat_at(8, 1)]);
     assert_eq!(known(&view), [1, 2, 3].map(controller), "they may still be the only way");
     tell_at(&mut view, 30_001, controller(2), &[beat_at(8, 1)]);
@@ -426,7 +426,7 @@
 fn a_view_is_behind_while_a_newer_configuration_is_known_or_nobody_would_know() {
     let mut view = View::new(Pace::LOOPBACK);
     assert!(view.may_be_behind(), "nobody is heard");
-    tell(&mut view, controller(1), &[decided(4, "a"), beat_at(9, 1)]);
+    tell(&mut view, controller(1), &[committed(4, "a"), beat_at(9, 1)]);
     assert!(!view.may_be_behind());
     let known = Message::ConfigurationKnown(version(5, "b"));
     assert_eq!(tell(&mut view, controller(1), std::slice::from_ref(&known)), vec![known.clone()]);
@@ -434,11 +434,11 @@
     assert_eq!(view.fetch(ms(500), None), None, "the source does not have it yet");
     tell(&mut view, controller(1), &[Message::ConfigurationAnnounced(version(5, "b"))]);
     assert!(view.fetch(ms(500), None).is_some());
-    tell(&mut view, controller(1), &[decided(5, "b")]);
+    tell(&mut view, controller(1), &[committed(5, "b")]);
     assert!(!view.may_be_behind());
     tell(&mut view, controller(1), &[beat(0, 1)]);
     assert!(view.may_be_behind(), "the only source has no contact with a majority");
     tell(&mut view, controller(1), &[beat(1, 1)]);
-    view.lost(ms(600), controller(1));
+    view.source_lost(ms(600), controller(1));
     assert!(view.may_be_behind(), "nobody is heard any more");
 }
