--- a/crates/controller/examples/repair_times.rs
+++ b/crates/controller/examples/repair_times.rs
@@ -95,13 +95,13 @@
 
 /// The time from the loss to whole groups; `None` if it is too long.
 fn time_of(case: &Case, write: u64, seed: u64) -> Option<u64> {
-    if !is_whole(case, write, seed, LONGEST) {
+    if !is_complete(case, write, seed, LONGEST) {
         return None;
     }
     let (mut too_short, mut enough) = (0, LONGEST);
     while enough - too_short > EXACTNESS {
         let middle = (too_short + enough) / 2;
-        if is_whole(case, write, seed, middle) {
+        if is_complete(case, write, seed, middle) {
             enough = middle;
         } else {
             too_short = middle;
@@ -111,7 +111,7 @@
 }
 
 /// Whether all groups are whole `time` ms after the loss.
-fn is_whole(case: &Case, write: u64, seed: u64, time: u64) -> bool {
+fn is_complete(case: &Case, write: u64, seed: u64, time: u64) -> bool {
     World::play(&scenario(case, write, seed, time), None).is_ok()
 }
 
--- a/crates/controller/src/agent/agent_test.rs
+++ b/crates/controller/src/agent/agent_test.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc::{Receiver, UnboundedReceiver, unbounded_channel};
 
 const ROUTER: u64 = 1;
-const SOURCE_LIFE: u64 = 9;
+const SOURCE_INCARNATION: u64 = 9;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -99,7 +99,7 @@
         self.sent[number].0
     }
 
-    fn hears(&mut self, source: SocketAddr, message: Message) {
+    fn receives(&mut self, source: SocketAddr, message: Message) {
         self.agent.on_source_event(SourceEvent::Message { source, message });
     }
 
@@ -159,7 +159,7 @@
 }
 
 fn heartbeat(quorum: u8, offset: u64) -> Message {
-    Message::FeedHeartbeat(FeedHeartbeat { quorum, source: SOURCE_LIFE, offset, routers: 1 })
+    Message::FeedHeartbeat(FeedHeartbeat { quorum, source: SOURCE_INCARNATION, offset, routers: 1 })
 }
 
 fn fetches(messages: &[Message]) -> usize {
@@ -170,30 +170,30 @@
 fn a_lost_source_is_dialled_again_from_where_its_feed_stood() {
     let mut world = World::new();
     let source = world.source(0);
-    world.hears(source, Message::SnapshotBegin);
-    world.hears(source, Message::SnapshotEnd { complete: 1 });
-    world.hears(source, heartbeat(1, 44));
+    world.receives(source, Message::SnapshotBegin);
+    world.receives(source, Message::SnapshotEnd { complete: 1 });
+    world.receives(source, heartbeat(1, 44));
     world.agent.on_source_event(SourceEvent::Down { source });
     world.outside.now.set(ms(500));
     world.agent.review_sources();
     let dialled = world.outside.dialled.borrow();
     let (again, hello) = dialled.last().expect("it is dialled");
-    assert_eq!((*again, hello.source, hello.offset), (source, SOURCE_LIFE, 44));
+    assert_eq!((*again, hello.source, hello.offset), (source, SOURCE_INCARNATION, 44));
 }
 
 #[test]
-fn one_source_is_asked_and_the_router_is_behind_until_it_has_the_newest() {
+fn one_source_is_fetched_from_and_the_router_is_behind_until_it_has_the_newest() {
     let mut world = World::new();
     let (one, two) = (world.source(0), world.source(1));
     for source in [one, two] {
-        world.hears(source, heartbeat(1, 0));
-        world.hears(source, announced(1));
+        world.receives(source, heartbeat(1, 0));
+        world.receives(source, announced(1));
     }
     world.at(ms(1));
     let in_flight = fetches(&world.sent_to(one)) + fetches(&world.sent_to(two));
     assert_eq!(in_flight, 1);
     assert!(world.behind().last() == Some(&true), "the router knows of it before the agent has it");
-    world.hears(one, Message::CommittedConfiguration(committed(1)));
+    world.receives(one, Message::CommittedConfiguration(committed(1)));
     world.at(ms(2));
     let events: Vec<FeedEvent> = std::iter::from_fn(|| world.events.try_recv().ok()).collect();
     let place = |wanted: fn(&FeedEvent) -> bool| events.iter().position(wanted).expect("an event");
@@ -205,14 +205,14 @@
 fn a_router_reads_a_few_of_many_versions_and_ends_with_the_newest() {
     let mut world = World::new();
     let source = world.source(0);
-    world.hears(source, heartbeat(1, 0));
+    world.receives(source, heartbeat(1, 0));
     world.at(ms(0));
     let mut read = Vec::new();
     for now in 0..2_000 {
         if now % 20 == 0 && now < 1_500 {
             let revision = 1 + now / 20;
-            world.hears(source, announced(revision));
-            world.hears(source, Message::CommittedConfiguration(committed(revision)));
+            world.receives(source, announced(revision));
+            world.receives(source, Message::CommittedConfiguration(committed(revision)));
         }
         world.at(ms(now));
         read.extend(world.read());
@@ -223,21 +223,21 @@
 }
 
 #[test]
-fn a_router_is_told_when_no_source_is_in_contact_with_a_majority() {
+fn a_router_is_notified_when_no_source_has_quorum_contact() {
     let mut world = World::new();
     let (one, two) = (world.source(0), world.source(1));
-    world.hears(one, heartbeat(1, 0));
-    world.hears(two, heartbeat(1, 0));
-    world.hears(one, Message::CommittedConfiguration(committed(1)));
+    world.receives(one, heartbeat(1, 0));
+    world.receives(two, heartbeat(1, 0));
+    world.receives(one, Message::CommittedConfiguration(committed(1)));
     world.at(ms(0));
     assert_eq!(world.behind().last(), Some(&false));
-    world.hears(one, heartbeat(0, 0));
+    world.receives(one, heartbeat(0, 0));
     world.at(ms(1));
     assert!(world.behind().is_empty(), "the other one is");
-    world.hears(two, heartbeat(0, 0));
+    world.receives(two, heartbeat(0, 0));
     world.at(ms(2));
     assert_eq!(world.behind(), [true]);
-    world.hears(one, heartbeat(1, 0));
+    world.receives(one, heartbeat(1, 0));
     world.at(ms(3));
     assert_eq!(world.behind(), [false]);
 }
@@ -246,15 +246,15 @@
 fn a_message_of_a_link_that_was_given_up_changes_nothing() {
     let mut world = World::new();
     let (one, two) = (world.source(0), world.source(1));
-    world.hears(one, heartbeat(1, 0));
-    world.hears(two, heartbeat(1, 0));
-    world.hears(one, Message::CommittedConfiguration(committed(1)));
+    world.receives(one, heartbeat(1, 0));
+    world.receives(two, heartbeat(1, 0));
+    world.receives(one, Message::CommittedConfiguration(committed(1)));
     world.at(ms(1));
     assert_eq!(world.read(), [1]);
     world.agent.on_source_event(SourceEvent::Down { source: one });
     world.agent.on_source_event(SourceEvent::Down { source: two });
-    world.hears(one, Message::CommittedConfiguration(committed(3)));
-    world.hears(one, heartbeat(1, 9));
+    world.receives(one, Message::CommittedConfiguration(committed(3)));
+    world.receives(one, heartbeat(1, 9));
     world.at(ms(200));
     let events: Vec<FeedEvent> = std::iter::from_fn(|| world.events.try_recv().ok()).collect();
     assert!(matches!(events[..], [FeedEvent::Behind { behind: true }]), "{events:?}");
@@ -264,17 +264,17 @@
 fn an_agent_without_a_configuration_asks_a_source_out_of_contact_once() {
     let mut world = World::new();
     let source = world.source(0);
-    world.hears(source, heartbeat(0, 0));
-    world.hears(source, announced(1));
+    world.receives(source, heartbeat(0, 0));
+    world.receives(source, announced(1));
     world.at(ms(1));
     assert_eq!(fetches(&world.sent_to(source)), 1);
-    world.hears(source, Message::CommittedConfiguration(committed(1)));
+    world.receives(source, Message::CommittedConfiguration(committed(1)));
     for now in (0..10_000).step_by(100) {
         world.at(ms(now));
     }
     assert_eq!(fetches(&world.sent_to(source)), 0, "what it has is held back");
     assert!(world.read().is_empty());
-    world.hears(source, heartbeat(1, 0));
+    world.receives(source, heartbeat(1, 0));
     world.at(ms(10_001));
     assert_eq!(world.read(), [1]);
 }
--- a/crates/controller/src/agent/mod.rs
+++ b/crates/controller/src/agent/mod.rs
@@ -25,13 +25,13 @@
 use std::time::Duration;
 use unconfirmed::Unconfirmed;
 
-/// How often the choice of sources is looked at when nothing else happens.
+/// How often the choice of sources is reviewed when nothing else happens.
 pub(crate) const SOURCE_REVIEW_PERIOD: Duration = Duration::from_millis(500);
 /// How often the settings file is read again while no controller can be trusted.
 const SETTINGS_PERIOD: Duration = Duration::from_millis(1_000);
-/// A controller that says nothing for so long is given up; its heartbeat is several times as fast.
+/// The link to a controller that sends nothing for so long is closed; its heartbeat period is several times shorter.
 pub(crate) const SOURCE_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// Configurations kept as bases of differences: routers are some tenths of a second behind at most.
+/// Configurations retained as bases of deltas: routers are some tenths of a second behind at most.
 const RETAINED_CONFIGURATIONS: usize = 4;
 
 /// Address on which an agent feeds its router: the last port of the range, as the first is where controllers
@@ -65,7 +65,7 @@
     outboxes: BTreeMap<SocketAddr, Outbox>,
     subscribers: BTreeMap<u64, Outbox>,
     configurations: ConfigurationPublisher,
-    /// What routers were told last of how much this agent may be trusted.
+    /// The heartbeat that routers were sent last.
     notified_heartbeat: Option<FeedHeartbeat>,
     settings_read: Duration,
     /// The newest heartbeat of each source whose link is up.
@@ -75,7 +75,7 @@
 }
 
 impl Agent {
-    /// An agent that follows nobody yet. `incarnation` tells this start of the process from all others.
+    /// An agent that follows nobody yet. `incarnation` is drawn at random at each start of the process.
     pub(crate) fn new(settings: Settings, incarnation: u64, environment: Box<dyn Environment>) -> Self {
         Agent {
             settings,
@@ -99,7 +99,7 @@
         self.environment.now()
     }
 
-    /// Takes news of a source.
+    /// Handles an event of the link to a source.
     pub(crate) fn on_source_event(&mut self, event: SourceEvent) {
         match event {
             SourceEvent::Up { source, outbox } => {
@@ -151,32 +151,32 @@
         }
     }
 
-    /// A source vouches for the configuration that was held back.
+    /// A source is trusted now: its withheld configuration can be used.
     fn take_withheld(&mut self, source: SocketAddr) {
         if let Some(committed) = self.unconfirmed.take(source) {
             self.on_source_message(source, Message::CommittedConfiguration(committed));
         }
     }
 
-    /// Goes on with what there is, once no source has vouched for anything for too long.
+    /// Uses the newest withheld configuration, once no source has been trusted for too long.
     fn release_withheld(&mut self) {
         if let Some((source, committed)) = self.unconfirmed.overdue(self.now()) {
             log::warn!(
-                "no controller is in contact with a majority: revision {} is used",
+                "unconfirmed configuration used, no controller has quorum contact revision={}",
                 committed.revision
             );
             self.receive(source, Message::CommittedConfiguration(committed));
         }
     }
 
-    /// Merges a message into the view, and tells routers what is news.
+    /// Merges a message into the view, and publishes what changed to routers.
     fn receive(&mut self, source: SocketAddr, message: Message) {
         let mut events = Vec::new();
         self.view.receive(self.now(), source, message, &mut events);
         events.into_iter().for_each(|message| self.publish(message));
     }
 
-    /// Tells routers what is news here. Of a configuration they hear only that it is there.
+    /// Publishes a change to routers. A configuration is only announced; routers fetch it.
     fn publish(&mut self, message: Message) {
         let message = match message {
             Message::CommittedConfiguration(committed) => self.configurations.publish(committed),
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Whether another configuration would only be held back.
+    /// Whether another configuration would only be withheld.
     fn awaits_trusted_source(&self) -> bool {
         self.view.configuration().is_none()
             && self.sources.has_no_trusted()
@@ -230,7 +230,7 @@
         self.subscribers.retain(|_, outbox| outbox.send(frame.clone()));
     }
 
-    /// Takes what a router says.
+    /// Handles an event of the link to a router.
     pub(crate) fn on_subscriber_event(&mut self, event: SubscriberEvent) {
         match event {
             SubscriberEvent::Up { subscriber, outbox } => {
@@ -302,7 +302,7 @@
         self.settings_read = self.now();
         match self.environment.read_settings() {
             Ok(settings) => self.settings.seeds = settings.seeds,
-            Err(findings) => log::warn!("settings not read again: {findings}"),
+            Err(findings) => log::warn!("settings not reloaded error={findings}"),
         }
     }
 
--- a/crates/controller/src/agent/process.rs
+++ b/crates/controller/src/agent/process.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Runs an agent until SIGTERM; it tells its figures at `metrics`. Must run inside a `LocalSet`.
+/// Runs an agent until SIGTERM; it exports its metrics at `metrics`. Must run inside a `LocalSet`.
 pub async fn run_agent(settings: Settings, metrics: Option<MetricsAddress>) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut reload = signal(SignalKind::hangup())?;
@@ -90,7 +90,7 @@
 
 async fn serve(stream: TcpStream, subscriber: u64, events: mpsc::UnboundedSender<SubscriberEvent>) {
     if let Err(error) = link::set_options(&stream) {
-        log::debug!("options of a reader's link: {error}");
+        log::debug!("socket options not set interface=loopback error={error}");
     }
     let (read, write) = stream.into_split();
     let (outbox, frames) = Outbox::new();
--- a/crates/controller/src/agent/sources.rs
+++ b/crates/controller/src/agent/sources.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Sources followed at a time: one may fail, lag or be cut off unnoticed, and news still arrive at once.
+/// Sources followed at a time: one may fail, lag or be partitioned unnoticed, and updates still arrive at once.
 const WANTED_SOURCES: usize = 2;
 /// Pause before a source whose link failed is dialled again.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
@@ -14,11 +14,11 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SourceStatus {
-    /// Being dialled, or up without a word on its quorum yet.
+    /// Being dialled, or up without a heartbeat yet.
     Starting,
     /// Up, and in touch with more than half of its group.
     Trusted,
-    /// Up, but cut off from its group.
+    /// Up, but partitioned from its group.
     Partitioned,
 }
 
@@ -29,10 +29,10 @@
     retry_at: BTreeMap<SocketAddr, Duration>,
 }
 
-/// Sources in use, by what they said last.
+/// Sources in use, by their last reported status.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SourceCounts {
-    /// Being dialled, or up without a word on their quorum yet.
+    /// Being dialled, or up without a heartbeat yet.
     pub starting: usize,
     /// In touch with a majority.
     pub trusted: usize,
@@ -48,14 +48,15 @@
 }
 
 impl Sources {
-    /// Notes what a source says of its quorum. True if that is new: the choice has to be looked at again.
+    /// Records whether a source reports quorum contact. Returns whether that changed: the choice of sources has to be
+    /// reviewed.
     pub fn report_quorum(&mut self, source: SocketAddr, quorum: bool) -> bool {
         let Some(status) = self.followed.get_mut(&source) else { return false };
         let reported = if quorum { SourceStatus::Trusted } else { SourceStatus::Partitioned };
         std::mem::replace(status, reported) != reported
     }
 
-    /// Whether a source has said last that it is in touch with a majority and knows what that knows.
+    /// Whether a source last reported contact with a majority and a current configuration.
     pub fn is_trusted(&self, source: SocketAddr) -> bool {
         self.followed.get(&source) == Some(&SourceStatus::Trusted)
     }
@@ -78,7 +79,7 @@
         !self.followed.values().any(|status| *status == SourceStatus::Trusted)
     }
 
-    /// Sources in use, by what they said last.
+    /// Sources in use, by their last reported status.
     pub fn counts(&self) -> SourceCounts {
         let mut counts = SourceCounts::default();
         for status in self.followed.values() {
--- a/crates/controller/src/agent/unconfirmed.rs
+++ b/crates/controller/src/agent/unconfirmed.rs
@@ -1,30 +1,30 @@
-//! Configurations that no source vouches for yet.
+//! Configurations of sources that are not trusted yet.
 //!
-//! An agent that has a configuration takes any newer one, whoever tells it: every configuration told is a
-//! decided one, and revisions order them. An agent that has none yet could begin with an old one, if the first
-//! source that answers is cut off from the majority. So what such a source tells is held back until that source
-//! is in contact, or another one vouches for what it tells.
+//! An agent that has a configuration accepts any newer one from any source: every configuration sent is committed,
+//! and revisions order them. An agent that has none yet could start with an old one, if the first source that answers
+//! is partitioned from the majority. So the configuration of such a source is withheld until that source has quorum
+//! contact, or another trusted source sends one.
 
 use crate::message::{CommittedConfiguration, Message};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a configuration is held back at most. Beyond a cut of this length a majority is taken to be lost
+/// How long a configuration is withheld at most. Beyond a partition of this length a majority is taken to be lost
 /// for long, and an old configuration serves most requests where none serves nothing. No change can be
 /// acknowledged meanwhile by the controllers that this agent reaches.
 pub const WITHHOLD_LIMIT: Duration = Duration::from_secs(25);
 
-/// What is held back, by source.
+/// Withheld configurations, by source.
 #[derive(Debug, Default)]
 pub struct Unconfirmed {
     withheld: BTreeMap<SocketAddr, CommittedConfiguration>,
-    /// When the first one was held back, while nothing has been taken since.
+    /// When the first one was withheld, while none has been accepted since.
     since: Option<Duration>,
 }
 
 impl Unconfirmed {
-    /// Passes a message on, unless it is a configuration that may not be taken yet: that is held back.
+    /// Passes a message on, unless it is a configuration that may not be accepted yet: that is withheld.
     pub fn filter(
         &mut self,
         now: Duration,
@@ -47,25 +47,25 @@
         }
     }
 
-    /// What was held back of a source, which vouches for it now.
+    /// The withheld configuration of a source, which is trusted now.
     pub fn take(&mut self, source: SocketAddr) -> Option<CommittedConfiguration> {
         self.withheld.remove(&source)
     }
 
-    /// Whether a configuration is held back.
+    /// Whether a configuration is withheld.
     pub fn withholds_any(&self) -> bool {
         !self.withheld.is_empty()
     }
 
-    /// A source is not followed any more. Its last word is kept for [`Unconfirmed::overdue`] only if nobody
-    /// else has told anything.
+    /// A source is not followed any more. Its configuration stays for [`Unconfirmed::overdue`] only if it is the
+    /// only one.
     pub fn lost(&mut self, source: SocketAddr) {
         if self.withheld.len() > 1 {
             self.withheld.remove(&source);
         }
     }
 
-    /// The newest configuration held back, if that has lasted too long.
+    /// The newest withheld configuration, once [`WITHHOLD_LIMIT`] is over.
     pub fn overdue(&mut self, now: Duration) -> Option<(SocketAddr, CommittedConfiguration)> {
         if self.since.is_none_or(|since| now < since + WITHHOLD_LIMIT) {
             return None;
--- a/crates/controller/src/configuration_feed/delta.rs
+++ b/crates/controller/src/configuration_feed/delta.rs
@@ -1,7 +1,7 @@
-//! The difference between two documents, as parts of the older one and new bytes.
+//! The delta between two documents, as parts of the older one and new bytes.
 //!
-//! Documents are cut behind commas and closing brackets, so that a piece of a JSON document is a member of an
-//! item, its name or one of its other fields. Pieces that both documents hold are named by their place in the
+//! Documents are split behind commas and closing brackets, so that a chunk of a JSON document is a member of an
+//! item, its name or one of its other fields. Chunks that both documents contain are named by their position in the
 //! older one. Nothing is parsed: the result is the newer document byte for byte, whatever it holds.
 
 use super::digest;
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 use std::ops::Range;
 
-/// Why a difference does not make a document.
+/// Why a delta cannot be applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DeltaError {
     #[error("a part lies outside the older document")]
@@ -54,7 +54,7 @@
     parts.finish()
 }
 
-/// Where each piece stands first.
+/// First position of each chunk.
 fn positions_of<'a>(document: &'a [u8], chunks: &[Range<usize>]) -> HashMap<&'a [u8], usize> {
     let mut positions = HashMap::with_capacity(chunks.len());
     for (position, chunk) in chunks.iter().enumerate() {
--- a/crates/controller/src/configuration_feed/fetcher.rs
+++ b/crates/controller/src/configuration_feed/fetcher.rs
@@ -1,4 +1,4 @@
-//! The side of a configuration's reader: which version it has, which it knows of, and when it asks whom.
+//! The fetching side of the configuration feed: which version it has, which it knows of, and when it fetches from which source.
 
 use super::delta;
 use crate::message::{CommittedConfiguration, ConfigurationDelta, ConfigurationVersion, Message};
@@ -6,14 +6,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for a difference before another source is asked.
+/// Longest wait for a delta before another source is asked.
 pub const DELTA_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest wait for a whole document before another source is asked.
+/// Longest wait for a complete document before another source is asked.
 pub const DOCUMENT_TIMEOUT: Duration = Duration::from_millis(900);
 /// A source that owes an answer is not asked again before this.
 pub const RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// How often a reader fetches.
+/// How often a subscriber fetches.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Pace {
     /// Least time from one fetch to the next.
@@ -25,13 +25,13 @@
 }
 
 impl Pace {
-    /// For a reader behind a link of 10 Mbit/s or more, of which configurations get a fifth.
+    /// For a subscriber behind a link of 10 Mbit/s or more, of which configurations get a fifth.
     pub const LINK: Pace = Pace {
         shortest: Duration::from_millis(100),
         longest: Duration::from_millis(800),
         bytes_per_s: 250_000.0,
     };
-    /// For a reader on the loopback interface, where what costs is reading the document.
+    /// For a subscriber on the loopback interface, where the cost is parsing the document.
     pub const LOOPBACK: Pace = Pace { bytes_per_s: f64::INFINITY, ..Pace::LINK };
 
     /// Least time from a fetch that was answered with `bytes` to the next.
@@ -48,7 +48,7 @@
     timeout: Duration,
 }
 
-/// The newest configuration that a reader has, and what its sources say of newer ones.
+/// The newest configuration that a subscriber has, and the newer versions that its sources announced.
 #[derive(Debug)]
 pub struct ConfigurationFetcher {
     pace: Pace,
@@ -60,12 +60,12 @@
     announced: BTreeMap<SocketAddr, ConfigurationVersion>,
     in_flight: BTreeMap<SocketAddr, InFlightFetch>,
     next_fetch: Duration,
-    /// Whether a difference did not fit: the next answer is to be whole.
+    /// Whether a delta did not apply: the next answer has to be a complete document.
     wants_complete: bool,
 }
 
 impl ConfigurationFetcher {
-    /// A reader that has nothing.
+    /// A fetcher that has no configuration yet.
     pub fn new(pace: Pace) -> Self {
         ConfigurationFetcher {
             pace,
@@ -84,18 +84,18 @@
         self.current.as_ref()
     }
 
-    /// Whether a newer configuration is known to exist than the one held.
+    /// Whether a newer configuration is known to exist than the current one.
     pub fn is_behind(&self) -> bool {
         self.known.is_some_and(|known| known.is_newer_than(self.version))
     }
 
-    /// `source` has this version. True if nobody was known to have one as new.
+    /// `source` announced this version. Returns whether it is the newest one known so far.
     pub fn on_announcement(&mut self, source: SocketAddr, version: ConfigurationVersion) -> bool {
         self.announced.insert(source, version);
         self.on_known_version(version)
     }
 
-    /// Someone has this version. True if that is news.
+    /// Some process has this version. Returns whether it is the newest one known so far.
     pub fn on_known_version(&mut self, version: ConfigurationVersion) -> bool {
         if let Some(current) = self.version.as_mut().filter(|current| current.digest == version.digest) {
             current.revision = current.revision.max(version.revision);
@@ -107,7 +107,7 @@
         newer
     }
 
-    /// `source` sent a whole configuration. True if it is newer than the one held.
+    /// `source` sent a complete configuration. Returns whether it is newer than the current one.
     pub fn on_document(
         &mut self,
         now: Duration,
@@ -119,7 +119,7 @@
         self.apply(committed)
     }
 
-    /// `source` sent a difference. Gives the configuration that it makes, if that is newer than the one held.
+    /// `source` sent a delta. Returns the resulting configuration, if that is newer than the current one.
     pub fn on_delta(
         &mut self,
         now: Duration,
@@ -144,7 +144,10 @@
             // Another source's answer came first, and the next fetch names it.
             None => None,
             Some(Err(error)) => {
-                log::warn!("configuration of revision {}: {error}", delta.version.revision);
+                log::warn!(
+                    "configuration delta not applied revision={} error={error}",
+                    delta.version.revision
+                );
                 self.wants_complete = true;
                 None
             }
@@ -210,7 +213,7 @@
         self.newer().filter(|(source, _)| is_free(source)).collect()
     }
 
-    /// Sources that have a newer configuration than the one held.
+    /// Sources that have a newer configuration than the current one.
     fn newer(&self) -> impl Iterator<Item = (SocketAddr, ConfigurationVersion)> {
         let announced = self.announced.iter().map(|(source, version)| (*source, *version));
         announced.filter(|(_, version)| version.is_newer_than(self.version))
--- a/crates/controller/src/configuration_feed/mod.rs
+++ b/crates/controller/src/configuration_feed/mod.rs
@@ -1,8 +1,8 @@
-//! How a configuration reaches a reader of a feed.
+//! How configurations reach the subscribers of a feed.
 //!
-//! A source only announces its newest configuration: revision and digest. The reader fetches it from one source
+//! A source only announces its newest configuration: revision and digest. The subscriber fetches it from one source
 //! at a time and names the configuration that it has; the source answers with the newest one, as the difference
-//! to that or whole. What was decided between two fetches is never sent, so that a reader that lags skips it.
+//! to that or complete. What was committed between two fetches is never sent, so a subscriber that lags skips it.
 
 pub mod delta;
 pub mod fetcher;
@@ -17,7 +17,7 @@
 const DIGEST_TURN: u32 = 23;
 const WORD_BYTES: usize = 8;
 
-/// The digest of a document, by which both ends know that they have the same bytes. Guards against mistakes, not
+/// The digest of a document, by which both ends know that they have the same bytes. Guards against errors, not
 /// against forgery. Eight bytes a step: agents compute it for every version.
 pub fn digest(document: &[u8]) -> u64 {
     let words = document.chunks_exact(WORD_BYTES);
@@ -33,12 +33,12 @@
     /// Stands for "no configuration yet" in a fetch.
     pub const NONE: ConfigurationVersion = ConfigurationVersion { revision: 0, digest: 0 };
 
-    /// The version of a document that was decided at `revision`.
+    /// The version of a document that was committed at `revision`.
     pub fn of(revision: u64, document: &[u8]) -> Self {
         ConfigurationVersion { revision, digest: digest(document) }
     }
 
-    /// Whether this is news for a reader that has `current`. The same bytes decided again are not.
+    /// Whether this is newer than `current`. The same bytes committed again are not.
     pub fn is_newer_than(&self, current: Option<ConfigurationVersion>) -> bool {
         current.is_none_or(|current| self.revision > current.revision && self.digest != current.digest)
     }
--- a/crates/controller/src/configuration_feed/publisher.rs
+++ b/crates/controller/src/configuration_feed/publisher.rs
@@ -1,11 +1,11 @@
-//! The side of a configuration's source: announces the newest one and answers fetches.
+//! The publishing side of the configuration feed: announces the newest version and answers fetches.
 
 use super::delta;
 use crate::message::{CommittedConfiguration, ConfigurationDelta, ConfigurationVersion, Message};
 use bytes::Bytes;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Most bytes of documents kept, the newest excepted.
+/// Maximum size of retained documents in bytes, without the newest.
 const RETAINED_BYTES: usize = 8 * 1024 * 1024;
 
 /// The newest configuration and the ones shortly before it.
@@ -14,7 +14,7 @@
     capacity: usize,
     /// The oldest first.
     versions: VecDeque<RetainedConfiguration>,
-    /// Answers with the newest configuration, by the digest of the base; made once for all readers.
+    /// Answers with the newest configuration, by the digest of the base; encoded once for all subscribers.
     answers: BTreeMap<u64, Bytes>,
 }
 
@@ -25,12 +25,12 @@
 }
 
 impl ConfigurationPublisher {
-    /// A publisher of nothing yet, that keeps `capacity` documents as bases of differences.
+    /// A publisher of nothing yet, that retains `capacity` documents as bases of deltas.
     pub fn retaining(capacity: usize) -> Self {
         ConfigurationPublisher { capacity, versions: VecDeque::new(), answers: BTreeMap::new() }
     }
 
-    /// Takes a newer configuration. Tells what readers have to hear; `None` if it is not newer.
+    /// Publishes a newer configuration. Returns the announcement for subscribers; `None` if it is not newer.
     pub fn publish(&mut self, committed: CommittedConfiguration) -> Option<Message> {
         let version = ConfigurationVersion::of(committed.revision, &committed.document.bytes);
         if self.newest().is_some_and(|newest| newest.version.revision >= version.revision) {
@@ -49,8 +49,8 @@
         Some(Message::ConfigurationAnnounced(self.newest()?.version))
     }
 
-    /// The frame that brings a reader that has `base` to the newest configuration; `None` if there is none, or
-    /// the reader has it.
+    /// The frame that brings a subscriber that has `base` to the newest configuration; `None` if there is none, or
+    /// the subscriber has it.
     pub fn answer(&mut self, base: ConfigurationVersion) -> Option<Bytes> {
         let newest = self.newest()?;
         if newest.version.digest == base.digest && base != ConfigurationVersion::NONE {
--- a/crates/controller/src/controller/consensus/fault_tolerance_test.rs
+++ b/crates/controller/src/controller/consensus/fault_tolerance_test.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_end_of_a_margin_is_told_once_and_so_is_its_return() {
+fn exhausted_and_restored_tolerance_are_reported_once() {
     let mut margins = ToleranceMonitor::default();
     assert_eq!(margins.observe(0, Some(1)), None);
     assert_eq!(margins.observe(0, Some(0)), Some(ToleranceChange::Exhausted));
--- a/crates/controller/src/controller/consensus/freshness.rs
+++ b/crates/controller/src/controller/consensus/freshness.rs
@@ -1,7 +1,7 @@
 //! Whether the configuration that this controller knows is current.
 //!
 //! Contact with a majority says that updates can arrive; it does not say that all of them have arrived. So a
-//! controller whose contact with the group of the configuration begins, at its start, after a cut or a freeze,
+//! controller whose contact with the group of the configuration begins, at its start, after a partition or a freeze,
 //! first reads the register: a read that was begun in contact misses nothing that was acknowledged before it.
 //! Only from its answer on, and for as long as contact lasts unbroken, does the feed call this controller
 //! current.
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ContactChange {
     /// Contact with the group of some shard has begun.
-    pub contact_begun: bool,
+    pub contact_started: bool,
     /// The register of the configuration is to be read.
     pub read: bool,
     /// What subscribers of the feed were last notified of is not true any more.
@@ -49,7 +49,7 @@
 impl Freshness {
     /// Compares contact with what it was; `reached` are the shards whose groups are in contact now.
     pub fn observe_contact(&mut self, reached: BTreeSet<u8>) -> ContactChange {
-        let contact_begun = !reached.is_subset(&self.in_contact);
+        let contact_started = !reached.is_subset(&self.in_contact);
         self.in_contact = reached;
         if !self.in_contact.contains(&shards::CONFIGURATION) {
             self.knowledge = Knowledge::Unknown;
@@ -57,7 +57,7 @@
         let reached = self.in_contact.contains(&shards::CONFIGURATION);
         let notify = self.advertised != self.is_current();
         self.advertised = self.is_current();
-        ContactChange { contact_begun, read: reached && self.knowledge == Knowledge::Unknown, notify }
+        ContactChange { contact_started, read: reached && self.knowledge == Knowledge::Unknown, notify }
     }
 
     /// The register is being read under `request`.
@@ -111,9 +111,9 @@
     pub(crate) fn update_contact(&mut self) {
         let reached: BTreeSet<u8> = shards::all().filter(|shard| self.has_contact(*shard)).collect();
         let watched = self.freshness.observe_contact(reached);
-        if watched.contact_begun {
+        if watched.contact_started {
             // Heartbeats that other controllers received meanwhile are still in flight.
-            self.endpoints.excuse_silence(self.now());
+            self.endpoints.reset_timeouts(self.now());
         }
         if watched.read {
             self.read_barrier();
--- a/crates/controller/src/controller/consensus/freshness_test.rs
+++ b/crates/controller/src/controller/consensus/freshness_test.rs
@@ -22,7 +22,7 @@
 fn contact_alone_is_not_enough() {
     let mut freshness = Freshness::default();
     let watched = freshness.observe_contact(all());
-    assert!(watched.contact_begun && watched.read && !watched.notify);
+    assert!(watched.contact_started && watched.read && !watched.notify);
     assert!(!freshness.is_current());
     freshness.read_started(1);
     assert!(!freshness.observe_contact(all()).read, "one read at a time");
@@ -30,21 +30,21 @@
 }
 
 #[test]
-fn a_read_in_contact_makes_it_current_and_readers_are_told_once() {
+fn a_read_in_contact_makes_it_current_and_subscribers_are_notified_once() {
     let mut freshness = current();
     assert!(freshness.is_current());
     let watched = freshness.observe_contact(all());
-    assert!(!watched.notify && !watched.read && !watched.contact_begun);
+    assert!(!watched.notify && !watched.read && !watched.contact_started);
 }
 
 #[test]
-fn the_end_of_contact_is_told_and_a_new_contact_reads_again() {
+fn the_end_of_contact_is_notified_and_a_new_contact_reads_again() {
     let mut freshness = current();
     let watched = freshness.observe_contact(BTreeSet::new());
     assert!(watched.notify && !watched.read);
     assert!(!freshness.is_current());
     let watched = freshness.observe_contact(all());
-    assert!(watched.contact_begun && watched.read && !watched.notify);
+    assert!(watched.contact_started && watched.read && !watched.notify);
     assert!(!freshness.is_current());
 }
 
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_read_without_an_answer_is_begun_anew() {
+fn a_read_without_an_answer_is_started_again() {
     let mut freshness = Freshness::default();
     freshness.observe_contact(all());
     freshness.read_started(1);
@@ -79,9 +79,9 @@
     let mut freshness = Freshness::default();
     let services: BTreeSet<u8> = shards::all().filter(|shard| *shard != CONFIGURATION).collect();
     let watched = freshness.observe_contact(services.clone());
-    assert!(watched.contact_begun && !watched.read);
+    assert!(watched.contact_started && !watched.read);
     let watched = freshness.observe_contact(all());
-    assert!(watched.contact_begun && watched.read);
+    assert!(watched.contact_started && watched.read);
     freshness.read_started(1);
     freshness.read_ended(1, true);
     assert!(freshness.observe_contact(all()).notify);
--- a/crates/controller/src/controller/consensus/quorum_contact.rs
+++ b/crates/controller/src/controller/consensus/quorum_contact.rs
@@ -17,13 +17,13 @@
 /// How long an answer counts, from before its question was sent.
 ///
 /// Five heartbeats: four may be late or lost with their answers before contact ends. Short enough for agents
-/// to have left a source that is cut off well within the time after which machines have to follow the
+/// to have left a source that is partitioned well within the time after which machines have to follow the
 /// configuration again; the sum is in `docs/control/contact.md`.
 pub const CONTACT_VALIDITY: Duration = Duration::from_millis(1_000);
 /// Heartbeats that are remembered: more than are sent within [`CONTACT_VALIDITY`].
 const REMEMBERED_HEARTBEATS: usize = 32;
 
-/// Deliberate mistakes: each must be found by a test.
+/// Deliberate faults: each must be found by a test.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ContactFault {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The same with a deliberate mistake.
+    /// The same with a deliberate fault.
     pub fn with_fault(this: SocketAddr, incarnation: u64, fault: Option<ContactFault>) -> Self {
         QuorumContact { fault, ..QuorumContact::new(this, incarnation) }
     }
--- a/crates/controller/src/controller/consensus/quorum_contact_test.rs
+++ b/crates/controller/src/controller/consensus/quorum_contact_test.rs
@@ -35,7 +35,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Word {
+enum Packet {
     Heartbeat(Heartbeat),
     Echo(Heartbeat),
 }
@@ -45,7 +45,7 @@
     from: usize,
     to: usize,
     arrives: Duration,
-    word: Word,
+    packet: Packet,
 }
 
 struct Node {
@@ -60,7 +60,7 @@
     nodes: Vec<Node>,
     parcels: Vec<Parcel>,
     /// Directed links that carry nothing, from and to.
-    cut: Vec<(usize, usize)>,
+    partition: Vec<(usize, usize)>,
     /// Links on which messages take longer.
     slow: BTreeMap<(usize, usize), Duration>,
     /// When both ways between two nodes were last open with both running, ordered pair.
@@ -80,7 +80,7 @@
             now: Duration::ZERO,
             nodes: (0..size).map(node).collect(),
             parcels: Vec::new(),
-            cut: Vec::new(),
+            partition: Vec::new(),
             slow: BTreeMap::new(),
             last_open: BTreeMap::new(),
             groups,
@@ -96,13 +96,13 @@
         self.nodes[index].contact.reaches(self.now, &self.groups)
     }
 
-    fn cut_one_way(&mut self, from: usize, to: usize) {
-        self.cut.push((from, to));
+    fn one_way_partition(&mut self, from: usize, to: usize) {
+        self.partition.push((from, to));
     }
 
-    fn cut_off(&mut self, index: usize) {
+    fn partition_off(&mut self, index: usize) {
         for other in (0..self.nodes.len()).filter(|other| *other != index) {
-            self.cut.extend([(index, other), (other, index)]);
+            self.partition.extend([(index, other), (other, index)]);
         }
     }
 
@@ -129,7 +129,7 @@
         self.note_open_links();
         for index in 0..self.nodes.len() {
             if !self.nodes[index].frozen {
-                self.beat(index);
+                self.send_heartbeat(index);
             }
         }
         self.deliver();
@@ -138,14 +138,14 @@
     fn note_open_links(&mut self) {
         let size = self.nodes.len();
         for (from, to) in (0..size).flat_map(|from| (0..size).map(move |to| (from, to))) {
-            let open = !self.cut.contains(&(from, to)) && !self.cut.contains(&(to, from));
+            let open = !self.partition.contains(&(from, to)) && !self.partition.contains(&(to, from));
             if open && !self.nodes[from].frozen && !self.nodes[to].frozen {
                 self.last_open.insert((from, to), self.now);
             }
         }
     }
 
-    fn beat(&mut self, index: usize) {
+    fn send_heartbeat(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         if self.now < node.next_heartbeat {
             return;
@@ -155,33 +155,33 @@
         let heartbeat = heartbeat(index, 1, node.sequence);
         node.contact.heartbeat_sent(self.now, &heartbeat);
         for to in (0..self.nodes.len()).filter(|to| *to != index) {
-            self.send(index, to, Word::Heartbeat(heartbeat));
+            self.send(index, to, Packet::Heartbeat(heartbeat));
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, word: Word) {
+    fn send(&mut self, from: usize, to: usize, packet: Packet) {
         let delay = self.slow.get(&(from, to)).copied().unwrap_or(DELAY);
-        self.parcels.push(Parcel { from, to, arrives: self.now + delay, word });
+        self.parcels.push(Parcel { from, to, arrives: self.now + delay, packet });
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let ready = |world: &World, parcel: &Parcel| {
-            parcel.arrives <= now
-                && !world.cut.contains(&(parcel.from, parcel.to))
-                && !world.nodes[parcel.to].frozen
+        let ready = |world: &World, delivery: &Parcel| {
+            delivery.arrives <= now
+                && !world.partition.contains(&(delivery.from, delivery.to))
+                && !world.nodes[delivery.to].frozen
         };
         let (due, waiting): (Vec<Parcel>, Vec<Parcel>) =
-            std::mem::take(&mut self.parcels).into_iter().partition(|parcel| ready(self, parcel));
+            std::mem::take(&mut self.parcels).into_iter().partition(|delivery| ready(self, delivery));
         self.parcels = waiting;
-        for parcel in due {
-            let contact = &mut self.nodes[parcel.to].contact;
-            match parcel.word {
-                Word::Heartbeat(heartbeat) => {
-                    contact.heartbeat_received(now, address(parcel.from));
-                    self.send(parcel.to, parcel.from, Word::Echo(heartbeat));
+        for delivery in due {
+            let contact = &mut self.nodes[delivery.to].contact;
+            match delivery.packet {
+                Packet::Heartbeat(heartbeat) => {
+                    contact.heartbeat_received(now, address(delivery.from));
+                    self.send(delivery.to, delivery.from, Packet::Echo(heartbeat));
                 }
-                Word::Echo(heartbeat) => contact.echo_received(now, address(parcel.from), &heartbeat),
+                Packet::Echo(heartbeat) => contact.echo_received(now, address(delivery.from), &heartbeat),
             }
         }
     }
@@ -222,16 +222,16 @@
 
 /// Cut off for twenty seconds on both ways: contact ends within the validity, the others keep theirs, and the
 /// heal gives it back within a heartbeat and a round trip.
-fn cut_off_for_twenty_seconds(fault: Option<ContactFault>) -> Result<(), String> {
+fn partition_of_twenty_seconds(fault: Option<ContactFault>) -> Result<(), String> {
     let mut world = World::all(3, fault);
     world.run_for(ms(2_000))?;
-    world.cut_off(0);
+    world.partition_off(0);
     world.run_for(CONTACT_VALIDITY)?;
     if world.has_contact(0) || !world.has_contact(1) || !world.has_contact(2) {
         return Err("the cut-off one alone loses contact, within the validity".to_owned());
     }
     world.run_for(ms(19_000))?;
-    world.cut.clear();
+    world.partition.clear();
     world.run_for(REGAIN)?;
     if !world.has_contact(0) {
         return Err("contact is back after the heal".to_owned());
@@ -243,8 +243,8 @@
 fn nothing_leaves(fault: Option<ContactFault>) -> Result<(), String> {
     let mut world = World::all(3, fault);
     world.run_for(ms(2_000))?;
-    world.cut_one_way(0, 1);
-    world.cut_one_way(0, 2);
+    world.one_way_partition(0, 1);
+    world.one_way_partition(0, 2);
     world.run_for(ms(20_000))?;
     if world.has_contact(0) {
         return Err("questions that are not heard are not answered".to_owned());
@@ -256,8 +256,8 @@
 fn nothing_arrives(fault: Option<ContactFault>) -> Result<(), String> {
     let mut world = World::all(3, fault);
     world.run_for(ms(2_000))?;
-    world.cut_one_way(1, 0);
-    world.cut_one_way(2, 0);
+    world.one_way_partition(1, 0);
+    world.one_way_partition(2, 0);
     world.run_for(ms(20_000))
 }
 
@@ -268,17 +268,17 @@
     world.run_to_heartbeat(0)?;
     world.nodes[0].frozen = true;
     world.run_for(ms(20_000))?;
-    world.cut_off(0);
+    world.partition_off(0);
     world.nodes[0].frozen = false;
     if world.has_contact(0) {
         return Err("contact outlasts a freeze".to_owned());
     }
     // What waited in its own buffers is read now, although nobody can be reached.
     let buffered: Vec<Parcel> =
-        std::mem::take(&mut world.parcels).into_iter().filter(|parcel| parcel.to == 0).collect();
-    for parcel in buffered {
-        if let Word::Echo(heartbeat) = parcel.word {
-            world.nodes[0].contact.echo_received(world.now, address(parcel.from), &heartbeat);
+        std::mem::take(&mut world.parcels).into_iter().filter(|delivery| delivery.to == 0).collect();
+    for delivery in buffered {
+        if let Packet::Echo(heartbeat) = delivery.packet {
+            world.nodes[0].contact.echo_received(world.now, address(delivery.from), &heartbeat);
         }
     }
     if world.has_contact(0) {
@@ -304,7 +304,7 @@
     let mut world = World::all(5, fault);
     world.run_for(ms(2_000))?;
     for (left, right) in [0, 1].into_iter().flat_map(|left| [2, 3, 4].map(|right| (left, right))) {
-        world.cut.extend([(left, right), (right, left)]);
+        world.partition.extend([(left, right), (right, left)]);
     }
     world.run_for(ms(20_000))?;
     let sides = [0, 1, 2, 3, 4].map(|index| world.has_contact(index));
@@ -315,11 +315,11 @@
 }
 
 /// While the group changes from 0, 1, 2 to 0, 3, 4, node 0 is cut off from the old members.
-fn members_change_during_a_cut(fault: Option<ContactFault>) -> Result<(), String> {
+fn members_change_during_a_partition(fault: Option<ContactFault>) -> Result<(), String> {
     let mut world = World::new(5, vec![group(&[0, 1, 2]), group(&[0, 3, 4])], fault);
     world.run_for(ms(2_000))?;
     for old in [1, 2] {
-        world.cut.extend([(0, old), (old, 0)]);
+        world.partition.extend([(0, old), (old, 0)]);
     }
     world.run_for(ms(5_000))?;
     if world.has_contact(0) {
@@ -329,7 +329,7 @@
 }
 
 /// A late echo of the life before, with a sequence that this life has used too.
-fn echo_of_an_earlier_life(fault: Option<ContactFault>) -> Result<(), String> {
+fn echo_of_an_earlier_incarnation(fault: Option<ContactFault>) -> Result<(), String> {
     let mut contact = QuorumContact::with_fault(address(0), 2, fault);
     contact.heartbeat_sent(ms(100), &heartbeat(0, 2, 1));
     contact.echo_received(ms(110), address(1), &heartbeat(0, 1, 1));
@@ -344,18 +344,18 @@
 
 const SCENARIOS: [(&str, Scenario); 9] = [
     ("calm", calm_gives_everyone_contact),
-    ("cut off for twenty seconds", cut_off_for_twenty_seconds),
+    ("cut off for twenty seconds", partition_of_twenty_seconds),
     ("nothing leaves", nothing_leaves),
     ("nothing arrives", nothing_arrives),
     ("frozen for twenty seconds", frozen_for_twenty_seconds),
     ("late answers", late_answers),
     ("two of five", two_of_five),
-    ("members change during a cut", members_change_during_a_cut),
-    ("echo of an earlier life", echo_of_an_earlier_life),
+    ("members change during a cut", members_change_during_a_partition),
+    ("echo of an earlier life", echo_of_an_earlier_incarnation),
 ];
 
 #[test]
-fn contact_holds_what_it_promises_in_every_scenario() {
+fn contact_is_sound_in_every_scenario() {
     for (name, scenario) in SCENARIOS {
         assert_eq!(scenario(None), Ok(()), "{name}");
     }
@@ -379,7 +379,7 @@
 }
 
 #[test]
-fn a_peer_that_is_only_heard_is_found() {
+fn a_peer_that_only_sends_is_found() {
     assert!(found_by(ContactFault::CountReceivedHeartbeats).contains(&"nothing leaves"));
 }
 
@@ -394,7 +394,7 @@
 }
 
 #[test]
-fn echoes_of_an_earlier_life_are_found() {
+fn echoes_of_an_earlier_incarnation_are_found() {
     assert!(found_by(ContactFault::AnyIncarnation).contains(&"echo of an earlier life"));
 }
 
@@ -444,7 +444,7 @@
 }
 
 #[test]
-fn the_answer_to_a_repeated_heartbeat_counts_from_when_the_heartbeat_left_first() {
+fn the_answer_to_a_repeated_heartbeat_counts_from_its_first_send() {
     let mut contact = QuorumContact::new(address(0), 1);
     assert_eq!(contact.newest(), None);
     contact.heartbeat_sent(ms(100), &heartbeat(0, 1, 1));
--- a/crates/controller/src/controller/consensus/replica_groups_test.rs
+++ b/crates/controller/src/controller/consensus/replica_groups_test.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_groups_of_a_value_are_told_as_they_are() {
+fn the_groups_of_a_value_survive_a_confirmation() {
     let address = |number| SocketAddrV4::new([10, 0, 0, number].into(), 7_000);
     let group = |numbers: &[u8]| Group::new(numbers.iter().map(|n| Node::from(address(*n))).collect());
     let value = Value {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_address_that_cannot_be_read_takes_a_place_that_nobody_fills() {
+fn an_unreadable_address_counts_as_a_member_that_never_confirms() {
     let members = GroupMembers { addresses: "10.0.0.1:7000 nonsense 10.0.0.3:7000".into() };
     let from_confirmation = KnownGroups::from_confirmation(&Confirmation::new(1, 2, vec![members]));
     assert!(!majority(&from_confirmation, &[1]));
--- a/crates/controller/src/controller/consensus/shards.rs
+++ b/crates/controller/src/controller/consensus/shards.rs
@@ -67,7 +67,7 @@
         Shards { replicas }
     }
 
-    /// Hands `input` to the replica of `shard` and takes what it has to say.
+    /// Passes `input` to the replica of `shard` and returns its outputs.
     pub fn handle(&mut self, now: Duration, shard: u8, input: Input) -> Vec<Output> {
         match self.replicas.get_mut(&shard) {
             Some(replica) => handle(replica, now, input),
--- a/crates/controller/src/controller/counters_test.rs
+++ b/crates/controller/src/controller/counters_test.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn changes_are_counted_by_what_the_operator_was_told() {
+fn changes_are_counted_by_the_outcome_sent_to_the_operator() {
     let outcomes = [
         (Outcome::Taken { version: 2 }, ChangeOutcome::Taken),
         (Outcome::AlreadyTaken { current: 2 }, ChangeOutcome::AlreadyTaken),
--- a/crates/controller/src/controller/endpoints/pending_loads_test.rs
+++ b/crates/controller/src/controller/endpoints/pending_loads_test.rs
@@ -34,12 +34,12 @@
     PendingLoadStep::RequestReport { service: SERVICE.to_owned(), instance: "i-1".into(), address: address() }
 }
 
-fn held(name: &str) -> ResidentModel {
+fn resident(name: &str) -> ResidentModel {
     ResidentModel { name: name.to_owned(), version: 1, adapters: Vec::new() }
 }
 
 #[test]
-fn an_accepted_adapter_is_told_once_it_can_be_used() {
+fn an_accepted_adapter_is_published_once_it_can_be_used() {
     let mut holdings = PendingLoads::default();
     holdings.accepted(ms(0), SERVICE, &order(Operation::Load, "m", Some("a")), LOAD_TIME);
     assert_eq!(holdings.next_wake(), Some(ms(25)));
@@ -53,19 +53,19 @@
 }
 
 #[test]
-fn a_model_is_asked_for_after_its_usual_time_and_told_once_the_endpoint_shows_it() {
+fn a_report_is_requested_after_the_usual_load_time_and_the_model_published_once_resident() {
     let mut holdings = PendingLoads::default();
     holdings.accepted(ms(0), SERVICE, &order(Operation::Load, "m", None), LOAD_TIME);
     assert_eq!(holdings.due(LOAD_SHOWS - ms(1)), vec![]);
     assert_eq!(holdings.due(LOAD_SHOWS), vec![request_report()]);
-    assert_eq!(holdings.reported("i-1", &[held("other")]), vec![]);
-    assert_eq!(holdings.reported("i-2", &[held("m")]), vec![], "another endpoint");
-    assert_eq!(holdings.reported("i-1", &[held("m")]), vec![residency_update("i-1", "m", None, true)]);
+    assert_eq!(holdings.reported("i-1", &[resident("other")]), vec![]);
+    assert_eq!(holdings.reported("i-2", &[resident("m")]), vec![], "another endpoint");
+    assert_eq!(holdings.reported("i-1", &[resident("m")]), vec![residency_update("i-1", "m", None, true)]);
     assert_eq!(holdings.next_wake(), None);
 }
 
 #[test]
-fn an_endpoint_that_does_not_show_the_model_is_asked_a_few_times_only() {
+fn an_endpoint_without_the_model_gets_a_few_report_requests_only() {
     let mut holdings = PendingLoads::default();
     holdings.accepted(ms(0), SERVICE, &order(Operation::Load, "m", None), LOAD_TIME);
     let mut steps = Vec::new();
@@ -73,7 +73,7 @@
         steps.extend(holdings.due(at));
     }
     assert_eq!(steps, vec![request_report(), request_report(), request_report(), request_report()]);
-    assert_eq!(holdings.reported("i-1", &[held("m")]), vec![], "a heartbeat tells the rest");
+    assert_eq!(holdings.reported("i-1", &[resident("m")]), vec![], "a heartbeat tells the rest");
 }
 
 #[test]
--- a/crates/controller/src/controller/endpoints/registry.rs
+++ b/crates/controller/src/controller/endpoints/registry.rs
@@ -43,7 +43,7 @@
 struct PendingAcknowledgement {
     reply: oneshot::Sender<Answer>,
     id: String,
-    /// Controllers that have it, each with the groups that it knew when it said so.
+    /// Controllers that have it, each with the groups that it knew when it confirmed.
     confirmed_by: BTreeMap<SocketAddr, KnownGroups>,
     until: Duration,
 }
@@ -283,7 +283,7 @@
     }
 
     /// This process could not receive for a while: time-outs start anew.
-    pub fn excuse_silence(&mut self, now: Duration) {
+    pub fn reset_timeouts(&mut self, now: Duration) {
         self.registry.restart_timeouts(now);
     }
 
--- a/crates/controller/src/controller/endpoints/registry_test.rs
+++ b/crates/controller/src/controller/endpoints/registry_test.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_ready_endpoint_is_acknowledged_at_once_and_told_when_it_is_news() {
+fn a_ready_endpoint_is_acknowledged_at_once_and_replicated_when_it_changed() {
     let mut endpoints = endpoints();
     let (changes, mut answer) = register(&mut endpoints, ms(0), THREE, 1, "ready");
     assert_eq!(changes.messages, vec![Message::Registered(registered(1, "ready"))]);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_draining_endpoint_that_was_given_up_is_told_and_flushed_again() {
+fn a_draining_endpoint_that_timed_out_is_replicated_and_flushed_again() {
     let mut endpoints = endpoints();
     register(&mut endpoints, ms(0), THREE, 1, "draining");
     endpoints.expire_pending(GIVEN_UP);
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn an_end_is_told_for_good_and_acknowledged_with_a_majority() {
+fn a_deregistration_is_final_and_acknowledged_with_a_majority() {
     let mut endpoints = endpoints();
     register(&mut endpoints, ms(0), THREE, 1, "ready");
     let (reply, mut answer) = oneshot::channel();
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn an_end_without_a_majority_is_given_up_and_told_again_when_repeated() {
+fn a_deregistration_without_a_majority_times_out_and_is_replicated_again_when_repeated() {
     let mut endpoints = endpoints();
     for time in [0, 1_000] {
         let (reply, mut answer) = oneshot::channel();
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn what_a_peer_heard_is_told_to_readers_once() {
+fn what_a_peer_received_is_sent_to_subscribers_once() {
     let mut endpoints = endpoints();
     let known_to_peer = vec![Message::Registered(registered(4, "ready"))];
     let updates = |updates| RegistrationMerge { updates, relay: false };
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn an_endpoint_that_a_peer_hears_is_not_expired() {
+fn an_endpoint_whose_heartbeats_reach_a_peer_is_not_expired() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(1, "ready"));
     endpoints.merge_heartbeats(ms(3_000), &vec![BatchedHeartbeat { id: "i-1".into(), sequence: 4 }].into());
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn a_change_that_comes_after_word_of_a_later_heartbeat_is_taken() {
+fn a_change_that_arrives_after_notice_of_a_later_heartbeat_is_merged() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(5, "ready"));
     let later: HeartbeatBatch = vec![BatchedHeartbeat { id: "i-1".into(), sequence: 7 }].into();
@@ -267,15 +267,15 @@
 }
 
 #[test]
-fn silence_of_this_process_is_not_held_against_endpoints() {
+fn a_stall_of_this_process_does_not_expire_endpoints() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(1, "ready"));
-    endpoints.excuse_silence(ms(9_000));
+    endpoints.reset_timeouts(ms(9_000));
     assert_eq!(endpoints.expire(ms(9_001), |_| true), vec![]);
 }
 
 #[test]
-fn a_removal_by_a_peer_is_told_to_readers_once() {
+fn a_removal_by_a_peer_is_sent_to_subscribers_once() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(5, "ready"));
     assert_eq!(endpoints.merge_removal(ms(1), &removed(5)), RemovalMerge::Removed);
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn a_removal_that_crossed_word_of_a_heartbeat_is_contradicted_too() {
+fn a_removal_that_crossed_notice_of_a_heartbeat_is_contradicted_too() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(5, "ready"));
     endpoints.merge_heartbeats(ms(3_600), &vec![BatchedHeartbeat { id: "i-1".into(), sequence: 6 }].into());
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn a_confirmation_for_an_earlier_life_of_the_process_confirms_nothing() {
+fn a_confirmation_for_an_earlier_incarnation_of_the_process_confirms_nothing() {
     let (_, earlier, _answer) = draining(THREE);
     let mut restarted = EndpointRegistry::new(HEARTBEAT, peer(THIS), INCARNATION * 1_000);
     let (changes, mut answer) = register(&mut restarted, ms(0), THREE, 1, "draining");
@@ -408,7 +408,7 @@
 }
 
 #[test]
-fn word_of_an_endpoint_that_leaves_is_passed_on_once() {
+fn the_state_of_a_draining_endpoint_is_relayed_once() {
     let mut endpoints = endpoints();
     assert!(!endpoints.merge(ms(0), &registered(1, "ready")).relay);
     assert!(endpoints.merge(ms(1), &registered(2, "draining")).relay);
@@ -420,7 +420,7 @@
 }
 
 #[test]
-fn the_end_of_an_endpoint_never_heard_of_is_passed_on_once() {
+fn the_removal_of_an_unknown_endpoint_is_relayed_once() {
     let mut endpoints = endpoints();
     assert!(endpoints.relays_removal(&removed(FINAL_SEQUENCE)));
     endpoints.merge_removal(ms(0), &removed(FINAL_SEQUENCE));
@@ -467,7 +467,7 @@
 }
 
 #[test]
-fn the_checks_find_flushes_that_are_numbered_alike_in_every_life() {
+fn the_checks_find_flushes_with_equal_numbers_in_every_incarnation() {
     let fault = Some(AcknowledgementFault::RepeatTokens);
     let mut earlier = endpoints().with_fault(fault);
     let (first, _answer) = register(&mut earlier, ms(0), THREE, 1, "draining");
@@ -478,7 +478,7 @@
 }
 
 #[test]
-fn what_is_published_names_the_newest_heartbeat_and_its_place_in_order() {
+fn what_is_published_has_the_newest_heartbeat_and_its_order() {
     let mut endpoints = endpoints();
     let loaded = residency_update("i-1", "m", None, true);
     assert_eq!(endpoints.publish(loaded.clone()), None, "the endpoint is not known");
@@ -492,7 +492,7 @@
 }
 
 #[test]
-fn a_heartbeat_that_changes_nothing_refuses_no_holding_of_the_one_before() {
+fn a_heartbeat_without_change_refuses_no_residency_update_of_the_one_before() {
     let mut endpoints = endpoints();
     register(&mut endpoints, ms(0), THREE, 5, "ready");
     register(&mut endpoints, ms(1_000), THREE, 6, "ready");
--- a/crates/controller/src/controller/event_loop.rs
+++ b/crates/controller/src/controller/event_loop.rs
@@ -55,8 +55,8 @@
         let now = self.now();
         if now > self.last_tick + STALL_THRESHOLD {
             self.counters.stalls += 1;
-            self.endpoints.excuse_silence(now);
-            self.replacement_planner.excuse_silence();
+            self.endpoints.reset_timeouts(now);
+            self.replacement_planner.reset_timeouts();
         }
         self.last_tick = now;
         if self.membership.next_wake() <= now {
--- a/crates/controller/src/controller/fault.rs
+++ b/crates/controller/src/controller/fault.rs
@@ -33,7 +33,7 @@
     KeepEpoch,
     /// An epoch that the register did not give in time is not asked for again.
     GiveUpEpoch,
-    /// Members of the group are forgotten once they have been cut off for long.
+    /// Members of the group are forgotten once they have been partitioned for long.
     ForgetMembers,
     /// Endpoints are taken off the list without contact with a majority.
     ExpireWithoutContact,
--- a/crates/controller/src/controller/feed/live_routers.rs
+++ b/crates/controller/src/controller/feed/live_routers.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// A router that has reported nothing for so long is removed. Until then its part of the budgets is reserved: it may
-/// have used it, and it may be cut off from here alone.
+/// have used it, and it may be partitioned from this controller only.
 const ROUTER_TIMEOUT: Duration = Duration::from_secs(30);
 /// A controller reports no number before it has run for so long: every router reports its demand each second.
 const WARMUP: Duration = Duration::from_secs(5);
--- a/crates/controller/src/controller/feed/live_routers_test.rs
+++ b/crates/controller/src/controller/feed/live_routers_test.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_controller_that_has_just_started_tells_no_number() {
+fn a_controller_that_has_just_started_reports_no_number() {
     let mut routers = LiveRouters::default();
     routers.record_report(s(1), "edge-1".to_owned());
     assert_eq!(routers.count(s(1)), 0);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_silent_router_keeps_its_part_for_a_while() {
+fn a_router_without_reports_keeps_its_part_until_the_timeout() {
     let mut routers = LiveRouters::default();
     routers.record_report(s(6), "edge-1".to_owned());
     routers.record_report(s(30), "edge-2".to_owned());
--- a/crates/controller/src/controller/feed/subscriber_storm_test.rs
+++ b/crates/controller/src/controller/feed/subscriber_storm_test.rs
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_reader_gets_no_more_than_its_share_whatever_operators_do() {
+fn a_subscriber_gets_no_more_than_its_bandwidth_share_whatever_operators_do() {
     const LENGTH_MS: u64 = 10_000;
     let mut world = World::new(4);
     world.play(LENGTH_MS + 1_500, LENGTH_MS, all_routes_changed);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_source_that_does_not_deliver_costs_its_patience_once_a_change() {
+fn a_source_that_does_not_deliver_costs_one_timeout_per_change() {
     let mut world = World::new(4);
     world.begin(one_route_changed);
     world.mute = vec![0];
--- a/crates/controller/src/controller/feed/subscribers_test.rs
+++ b/crates/controller/src/controller/feed/subscribers_test.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_new_reader_begins_with_a_snapshot_and_is_told_where_it_stands() {
+fn a_new_subscriber_starts_with_a_snapshot_and_gets_its_position() {
     let mut subscribers = readers_with(3);
     let mut frames = joined(&mut subscribers, 1, &hello(0, 0));
     let mut expected = snapshot();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_reader_of_another_life_or_from_too_far_back_begins_anew() {
+fn a_subscriber_of_another_incarnation_or_from_too_far_back_starts_anew() {
     let mut subscribers = readers_with(2_049);
     for stale in [hello(INCARNATION + 1, 2_049), hello(INCARNATION, 0), hello(INCARNATION, 2_050)] {
         let mut frames = joined(&mut subscribers, 1, &stale);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn every_reader_hears_changes_and_beats_until_it_goes() {
+fn every_subscriber_gets_changes_and_heartbeats_until_it_disconnects() {
     let mut subscribers = readers_with(0);
     let (mut first, mut second) = (
         joined(&mut subscribers, 1, &hello(INCARNATION, 0)),
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn readers_that_come_between_two_changes_share_a_snapshot() {
+fn subscribers_that_connect_between_two_changes_share_a_snapshot() {
     let mut subscribers = readers_with(3);
     let (made, first) = joined_with(&mut subscribers, snapshot());
     assert!(made);
--- a/crates/controller/src/controller/membership/handover_test.rs
+++ b/crates/controller/src/controller/membership/handover_test.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_member_waits_until_a_spare_has_its_place() {
+fn a_member_waits_until_a_spare_has_replaced_it() {
     let handover = Handover::begin(ms(0), GRACE);
     assert!(!handover.is_replaced(ms(1_000), MEMBER));
     assert!(handover.is_replaced(ms(1_000), REPLACED));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_wait_for_a_place_ends_well_before_the_process_is_killed() {
+fn the_wait_for_a_replacement_ends_well_before_the_process_is_killed() {
     let handover = Handover::begin(ms(500), GRACE);
     assert_eq!(handover.next_wake(), Some(ms(4_500)));
     assert!(!handover.is_replaced(ms(4_499), MEMBER));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_end_does_not_wait_long_for_a_peer_that_is_silent() {
+fn the_shutdown_does_not_wait_long_for_an_unresponsive_peer() {
     let mut handover = flushing(ms(100));
     handover.end_if_flushed(ms(399), true);
     assert!(!handover.is_done());
--- a/crates/controller/src/controller/membership/links.rs
+++ b/crates/controller/src/controller/membership/links.rs
@@ -13,7 +13,7 @@
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Keeps a link to the peer `peer` (its control address) at `address`, until the returned handle ends it.
-/// What the peer has to say comes on the link that it opens itself.
+/// Messages of the peer arrive on the link that it opens itself.
 pub fn keep_link(
     peer: SocketAddr,
     address: SocketAddr,
--- a/crates/controller/src/controller/membership/member_status.rs
+++ b/crates/controller/src/controller/membership/member_status.rs
@@ -46,7 +46,7 @@
         self.statuses.get(&node).copied()
     }
 
-    /// Whether the controller can vote for a shard, as far as it has said.
+    /// Whether the controller reported that it can vote for a shard.
     pub fn can_vote(&self, node: SocketAddr, shard: u8) -> bool {
         self.statuses.get(&node).is_some_and(|status| status.can_vote(shard))
     }
--- a/crates/controller/src/controller/membership/member_status_test.rs
+++ b/crates/controller/src/controller/membership/member_status_test.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_newest_word_counts_and_is_news_once() {
+fn the_newest_status_counts_and_is_a_change_once() {
     let mut member_statuses = MemberStatuses::default();
     assert!(!member_statuses.can_vote(node(1), 0));
     assert!(member_statuses.record(node(1), MemberStatus::new(7, [0], false)));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_restart_makes_the_word_of_the_earlier_life_void() {
+fn a_restart_invalidates_the_status_of_the_earlier_incarnation() {
     let mut member_statuses = MemberStatuses::default();
     member_statuses.record(node(1), MemberStatus::new(7, [0], true));
     member_statuses.restarted(node(1), 7);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_word_of_the_new_life_outlasts_the_news_of_its_start() {
+fn the_status_of_the_new_incarnation_survives_the_notice_of_its_start() {
     let mut member_statuses = MemberStatuses::default();
     member_statuses.record(node(1), MemberStatus::new(7, [0], true));
     member_statuses.record(node(1), MemberStatus::new(8, [0], false));
--- a/crates/controller/src/controller/membership/peer_discovery.rs
+++ b/crates/controller/src/controller/membership/peer_discovery.rs
@@ -44,7 +44,7 @@
     }
 
     /// Removes peers that nobody names any more. Seeds and members of any group are dialled for ever: a
-    /// controller that was cut off for long is found again by them, or finds them.
+    /// controller that was partitioned for long is found again by them, or finds them.
     pub(crate) fn expire_peers(&mut self, now: Duration) {
         let members = shards::all().flat_map(|shard| self.group(shard));
         let needed: Vec<SocketAddr> = members.chain(self.settings.seeds.iter().copied()).collect();
--- a/crates/controller/src/controller/membership/replacement.rs
+++ b/crates/controller/src/controller/membership/replacement.rs
@@ -36,18 +36,18 @@
     pub member_statuses: &'a MemberStatuses,
 }
 
-/// Deliberate mistakes: each must be found by a test.
+/// Deliberate faults: each must be found by a test.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplacementFault {
     /// Suspicions of the members of the first shard count for all shards.
-    ShareTimeouts,
+    ShareSuspicions,
     /// A change of the members of one shard holds up those of all others.
     OneChangeAtATime,
     /// A spare takes the place of a member before its replica can vote.
     JoinBeforeVoting,
     /// Time in which this process itself stood still counts as a time-out.
-    CountOwnPause,
+    CountOwnStall,
 }
 
 /// Tracks suspected members, and plans their replacement by spares.
@@ -73,7 +73,7 @@
     /// Records which members of a shard are live.
     pub fn observe(&mut self, now: Duration, shard: u8, group: &[SocketAddr], live: &[SocketAddr]) {
         self.observed_at = now;
-        if self.has(ReplacementFault::ShareTimeouts) && shard != FIRST_SHARD {
+        if self.has(ReplacementFault::ShareSuspicions) && shard != FIRST_SHARD {
             return;
         }
         let suspected = self.suspected_since.entry(shard).or_default();
@@ -90,8 +90,8 @@
     }
 
     /// This process could not receive for a while: suspicions up to now are dropped.
-    pub fn excuse_silence(&mut self) {
-        if !self.has(ReplacementFault::CountOwnPause) {
+    pub fn reset_timeouts(&mut self) {
+        if !self.has(ReplacementFault::CountOwnStall) {
             self.suspected_since.clear();
         }
     }
@@ -140,7 +140,7 @@
 
     /// The member that has been suspected longest, if that is beyond [`REPLACEMENT_TIMEOUT`].
     fn longest_suspected(&self, now: Duration, view: GroupView<'_>) -> Option<SocketAddr> {
-        let one_record = self.has(ReplacementFault::ShareTimeouts);
+        let one_record = self.has(ReplacementFault::ShareSuspicions);
         let record = if one_record { FIRST_SHARD } else { view.shard };
         let suspected = self.suspected_since.get(&record)?.iter();
         let longest_suspected = suspected.filter(|(_, since)| now >= **since + REPLACEMENT_TIMEOUT);
--- a/crates/controller/src/controller/membership/replacement_test.rs
+++ b/crates/controller/src/controller/membership/replacement_test.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_silent_member_is_replaced_only_after_patience() {
+fn a_suspected_member_is_replaced_only_after_the_timeout() {
     let mut members = ReplacementPlanner::default();
     assert_eq!(observed_at(&mut members, 1_000, &[1, 2, 3], &[1, 3, 4], 3), None);
     assert_eq!(observed_at(&mut members, 2_199, &[1, 2, 3], &[1, 3, 4], 3), None);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_silent_member_is_replaced_only_by_a_spare() {
+fn a_suspected_member_is_replaced_only_by_a_spare() {
     let mut members = ReplacementPlanner::default();
     observed_at(&mut members, 0, &[1, 2, 3], &[1, 3], 3);
     assert_eq!(observed_at(&mut members, 60_000, &[1, 2, 3], &[1, 3], 3), None);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_member_that_was_heard_again_has_its_patience_anew() {
+fn a_member_that_was_live_again_gets_a_new_timeout() {
     let mut members = ReplacementPlanner::default();
     observed_at(&mut members, 0, &[1, 2, 3], &[1, 3, 4], 3);
     observed_at(&mut members, 1_000, &[1, 2, 3], &[1, 2, 3, 4], 3);
@@ -111,16 +111,16 @@
 }
 
 #[test]
-fn silence_before_a_pause_of_this_process_is_not_held_against_members() {
+fn a_stall_of_this_process_does_not_count_against_members() {
     let mut members = ReplacementPlanner::default();
     observed_at(&mut members, 0, &[1, 2, 3], &[1, 3, 4], 3);
-    members.excuse_silence();
+    members.reset_timeouts();
     assert_eq!(observed_at(&mut members, 9_000, &[1, 2, 3], &[1, 3, 4], 3), None);
     assert!(observed_at(&mut members, 10_200, &[1, 2, 3], &[1, 3, 4], 3).is_some());
 }
 
 #[test]
-fn of_two_silent_members_the_one_silent_longest_goes_first() {
+fn of_two_suspected_members_the_one_suspected_longest_is_replaced_first() {
     let mut members = ReplacementPlanner::default();
     observed_at(&mut members, 0, &[1, 2, 3, 4, 5], &[1, 2, 4, 5, 6, 7], 5);
     observed_at(&mut members, 400, &[1, 2, 3, 4, 5], &[1, 4, 5, 6, 7], 5);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_member_that_one_shard_has_replaced_is_still_silent_for_the_others() {
+fn a_member_that_one_shard_has_replaced_is_still_suspected_by_the_others() {
     let mut members = ReplacementPlanner::default();
     let member_statuses = able();
     let live = [1, 3, 4];
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_change_under_way_holds_up_its_own_shard_only() {
+fn a_change_in_flight_blocks_its_own_shard_only() {
     let mut members = ReplacementPlanner::default();
     let member_statuses = able();
     let group: (&[u8], &[u8]) = (&[1, 2, 3], &[1, 3, 4]);
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_spare_that_leaves_takes_no_place() {
+fn a_draining_spare_does_not_join() {
     let mut members = ReplacementPlanner::default();
     let mut member_statuses = able();
     members.observe(ms(0), SHARD, &nodes(&[1, 2, 3]), &nodes(&[1, 3, 4, 5]));
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_spare_takes_a_place_only_once_it_can_vote_for_that_shard() {
+fn a_spare_joins_only_once_it_can_vote_for_that_shard() {
     let mut members = ReplacementPlanner::default();
     let mut member_statuses = able();
     let group: (&[u8], &[u8]) = (&[1, 2, 3], &[1, 3, 4]);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_spare_that_has_not_said_where_it_stands_takes_no_place() {
+fn a_spare_of_unknown_status_does_not_join() {
     let mut members = ReplacementPlanner::default();
     let group: (&[u8], &[u8]) = (&[1, 2, 3], &[1, 3, 4]);
     members.observe(ms(0), SHARD, &nodes(group.0), &nodes(group.1));
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -128,7 +128,7 @@
         self.environment.now()
     }
 
-    /// Whether a deliberate mistake is made.
+    /// Whether a deliberate fault is active.
     fn has_fault(&self, fault: ControllerFault) -> bool {
         self.fault == Some(fault)
     }
--- a/crates/controller/src/controller/operator/http_callers_test.rs
+++ b/crates/controller/src/controller/operator/http_callers_test.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_answer_to_a_caller_that_left_reaches_nobody_else() {
+fn the_answer_to_a_disconnected_caller_reaches_no_other() {
     play(async {
         let mut interface = Interface::start().await;
         let mut left = interface.caller().await;
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_call_that_is_never_settled_has_no_verdict() {
+fn a_call_that_is_never_completed_gets_no_outcome() {
     play(async {
         let mut interface = Interface::start().await;
         let mut caller = interface.caller().await;
--- a/crates/controller/src/controller/operator/http_test.rs
+++ b/crates/controller/src/controller/operator/http_test.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_whole_call_is_answered() {
+fn a_complete_call_is_answered() {
     assert_eq!(run(b"PUT /config HTTP/1.1\r\nHost: c\r\nContent-Length: 2\r\n\r\n{}"), "200");
 }
 
--- a/crates/controller/src/controller/operator/pending_changes_test.rs
+++ b/crates/controller/src/controller/operator/pending_changes_test.rs
@@ -11,7 +11,7 @@
 const START: Duration = Duration::from_secs(7);
 const MILLISECOND: Duration = Duration::from_millis(1);
 
-fn begun(operator: &mut PendingChanges, owner_live: bool) -> (u64, Receiver<Answer>) {
+fn started(operator: &mut PendingChanges, owner_live: bool) -> (u64, Receiver<Answer>) {
     let (reply, answer) = oneshot::channel();
     let request = operator.begin(START, b"change".to_vec(), reply, owner_live);
     (request.expect("there is room"), answer)
@@ -24,7 +24,7 @@
 #[test]
 fn a_change_of_the_owner_itself_is_not_proposed_a_second_time() {
     let mut operator = PendingChanges::default();
-    let (request, mut answer) = begun(&mut operator, false);
+    let (request, mut answer) = started(&mut operator, false);
     assert_eq!(operator.command(request), Some(&b"change"[..]));
     assert_eq!(operator.due(START + OWNER_TIMEOUT), Vec::<u64>::new());
     assert!(matches!(operator.complete(request, taken), Completion::Answered));
@@ -35,7 +35,7 @@
 #[test]
 fn the_owner_has_its_time_before_the_change_is_proposed_here_once() {
     let mut operator = PendingChanges::default();
-    let (request, _answer) = begun(&mut operator, true);
+    let (request, _answer) = started(&mut operator, true);
     assert_eq!(operator.next_wake(), Some(START + OWNER_TIMEOUT));
     assert_eq!(operator.due(START + OWNER_TIMEOUT - MILLISECOND), Vec::<u64>::new());
     assert_eq!(operator.due(START + OWNER_TIMEOUT), vec![request]);
@@ -46,7 +46,7 @@
 #[test]
 fn an_answer_of_the_owner_in_time_ends_the_matter() {
     let mut operator = PendingChanges::default();
-    let (request, mut answer) = begun(&mut operator, true);
+    let (request, mut answer) = started(&mut operator, true);
     operator.complete(request, taken);
     assert_eq!(answer.try_recv(), Ok(taken()));
     assert_eq!(operator.due(START + ANSWER_TIMEOUT), Vec::<u64>::new());
@@ -54,11 +54,11 @@
 
 /// The owner was frozen with a change of this controller's earlier life before it, and answers now.
 #[test]
-fn an_outcome_for_an_earlier_life_answers_nobody() {
+fn an_outcome_for_an_earlier_incarnation_answers_nobody() {
     let mut earlier = PendingChanges::new(0x5151_0000_0000);
     let mut operator = PendingChanges::new(0x7272_0000_0000);
-    let (old_request, _) = begun(&mut earlier, true);
-    let (request, mut answer) = begun(&mut operator, true);
+    let (old_request, _) = started(&mut earlier, true);
+    let (request, mut answer) = started(&mut operator, true);
     assert_ne!(old_request, request);
     assert!(matches!(operator.complete(old_request, taken), Completion::Unknown));
     assert!(answer.try_recv().is_err());
@@ -69,7 +69,7 @@
 #[test]
 fn the_first_of_two_outcomes_counts() {
     let mut operator = PendingChanges::default();
-    let (request, mut answer) = begun(&mut operator, true);
+    let (request, mut answer) = started(&mut operator, true);
     operator.due(START + OWNER_TIMEOUT);
     operator.complete(request, taken);
     assert!(matches!(operator.complete(request, || Answer::error(503, "late")), Completion::Unknown));
@@ -79,7 +79,7 @@
 #[test]
 fn a_change_without_an_outcome_ends_with_503() {
     let mut operator = PendingChanges::default();
-    let (request, mut answer) = begun(&mut operator, true);
+    let (request, mut answer) = started(&mut operator, true);
     assert_eq!(operator.due(START + ANSWER_TIMEOUT), Vec::<u64>::new(), "it is too late to propose it");
     assert_eq!(answer.try_recv().expect("it is answered").status, 503);
     assert_eq!(operator.command(request), None);
@@ -108,7 +108,7 @@
 #[test]
 fn too_many_changes_at_once_are_refused() {
     let mut operator = PendingChanges::default();
-    let _waiting: Vec<_> = (0..64).map(|_| begun(&mut operator, false)).collect();
+    let _waiting: Vec<_> = (0..64).map(|_| started(&mut operator, false)).collect();
     let (reply, mut answer) = oneshot::channel();
     assert_eq!(operator.begin(START, Vec::new(), reply, false), None);
     assert_eq!(answer.try_recv().expect("it is answered").status, 503);
--- a/crates/controller/src/controller/placement/endpoint_client_test.rs
+++ b/crates/controller/src/controller/placement/endpoint_client_test.rs
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn only_a_whole_answer_that_says_so_tells_that_an_order_was_not_taken() {
+fn only_a_complete_explicit_answer_proves_that_an_order_was_not_executed() {
     play(async {
         let cases = [
             ("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n", OrderAnswer::Accepted),
--- a/crates/controller/src/controller/placement/placement_control.rs
+++ b/crates/controller/src/controller/placement/placement_control.rs
@@ -205,7 +205,7 @@
             return;
         }
         let Some(registered) = self.endpoints.registration(id) else { return };
-        let Some(item) = self.placers.leaving(registered) else { return };
+        let Some(item) = self.placers.evicting(registered) else { return };
         if registered.has_resident(&item.model, item.adapter.as_deref()) {
             self.publish(residency_update(id, &item.model, item.adapter.as_deref(), false));
         }
--- a/crates/controller/src/controller/placement/placers.rs
+++ b/crates/controller/src/controller/placement/placers.rs
@@ -121,7 +121,7 @@
     }
 
     /// What an endpoint of a service was ordered to drop and may not have dropped yet.
-    pub fn leaving(&self, registered: &Registered) -> Option<Item> {
+    pub fn evicting(&self, registered: &Registered) -> Option<Item> {
         let instance = &registered.instance;
         self.placers.get(&instance.backend)?.leaving(&instance.id).cloned()
     }
--- a/crates/controller/src/controller/placement/recent_demand_test.rs
+++ b/crates/controller/src/controller/placement/recent_demand_test.rs
@@ -8,7 +8,7 @@
     Duration::from_millis(n)
 }
 
-fn told(router: &str, period_ms: u32, age_ms: u32) -> RouterDemand {
+fn report(router: &str, period_ms: u32, age_ms: u32) -> RouterDemand {
     let report = format!(r#"{{"period_ms":{period_ms},"models":[]}}"#);
     RouterDemand { router: router.into(), report: report.as_str().into(), age_ms }
 }
@@ -19,33 +19,33 @@
 }
 
 #[test]
-fn reports_of_a_peer_take_their_place_among_those_heard_here() {
+fn reports_of_a_peer_are_merged_in_order_of_time() {
     let mut demand = RecentDemand::default();
-    demand.record(ms(5_000), &told("edge-1", 1, 0));
-    demand.record(ms(6_000), &told("edge-1", 2, 3_000));
+    demand.record(ms(5_000), &report("edge-1", 1, 0));
+    demand.record(ms(6_000), &report("edge-1", 2, 3_000));
     assert_eq!(periods(&demand), vec![(3_000, 2), (5_000, 1)]);
 }
 
 #[test]
 fn a_report_that_a_peer_repeats_counts_once() {
     let mut demand = RecentDemand::default();
-    demand.record(ms(5_000), &told("edge-1", 1, 0));
-    demand.record(ms(6_000), &told("edge-1", 1, 1_010));
+    demand.record(ms(5_000), &report("edge-1", 1, 0));
+    demand.record(ms(6_000), &report("edge-1", 1, 1_010));
     assert_eq!(periods(&demand), vec![(5_000, 1)]);
 }
 
 #[test]
 fn old_reports_are_forgotten() {
     let mut demand = RecentDemand::default();
-    demand.record(ms(1_000), &told("edge-1", 1, 0));
-    demand.record(ms(30_000), &told("edge-1", 2, 0));
+    demand.record(ms(1_000), &report("edge-1", 1, 0));
+    demand.record(ms(30_000), &report("edge-1", 2, 0));
     assert_eq!(periods(&demand), vec![(30_000, 2)]);
 }
 
 #[test]
-fn messages_for_a_peer_tell_the_age() {
+fn messages_for_a_peer_contain_the_age() {
     let mut demand = RecentDemand::default();
-    demand.record(ms(1_000), &told("edge-1", 1, 0));
+    demand.record(ms(1_000), &report("edge-1", 1, 0));
     let messages: Vec<Message> = demand.messages(ms(3_500)).collect();
-    assert_eq!(messages, vec![Message::Demand(told("edge-1", 1, 2_500))]);
+    assert_eq!(messages, vec![Message::Demand(report("edge-1", 1, 2_500))]);
 }
--- a/crates/controller/src/feed_client.rs
+++ b/crates/controller/src/feed_client.rs
@@ -19,7 +19,7 @@
 /// Pause before the agent is dialled again, which may just be starting.
 const REDIAL_DELAY: Duration = Duration::from_millis(100);
 
-/// Follows the agent for the life of the process. Must run inside a `LocalSet`.
+/// Follows the agent until the process ends. Must run inside a `LocalSet`.
 pub async fn feed_client(
     settings: Settings,
     events: mpsc::UnboundedSender<FeedEvent>,
@@ -47,7 +47,7 @@
     }
 }
 
-/// What a router knows by its agent, and what it is told of it. Nothing in it waits or reads a clock.
+/// What a router knows from its agent, and the events that the router gets. Nothing in it waits or reads a clock.
 pub(crate) struct Client {
     settings: Settings,
     incarnation: u64,
@@ -55,12 +55,12 @@
     outbox: Option<Outbox>,
     events: mpsc::UnboundedSender<FeedEvent>,
     synchronized: bool,
-    /// What the router was told last of being behind.
+    /// Whether the router was last notified of being behind.
     behind: bool,
 }
 
 impl Client {
-    /// A router that knows nothing yet. `incarnation` tells this start of the process from all others.
+    /// A router that knows nothing yet. `incarnation` is drawn at random at each start of the process.
     pub(crate) fn new(
         settings: Settings,
         incarnation: u64,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Takes news of the link. True if it is down.
+    /// Handles an event of the link to the agent. Returns whether the link is down.
     pub(crate) fn on_agent_event(&mut self, now: Duration, event: SourceEvent) -> bool {
         let is_down = self.apply_event(now, event);
         let behind = self.view.may_be_behind();
@@ -137,7 +137,9 @@
             Message::CommittedConfiguration(committed) => {
                 match serde_json::from_slice::<Configuration>(&committed.document.bytes) {
                     Ok(configuration) => self.send(FeedEvent::Configuration(Arc::new(configuration))),
-                    Err(error) => log::error!("configuration of revision {}: {error}", committed.revision),
+                    Err(error) => {
+                        log::error!("configuration not parsed revision={} error={error}", committed.revision)
+                    }
                 }
             }
             Message::Registered(message) => self.pass_on_instance(&message.id.text()),
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Passes on an incarnation as it is known now; one that is gone is passed on as that.
+    /// Passes on an incarnation as it is known now; one that was removed is passed on as that.
     fn pass_on_instance(&self, id: &str) {
         if let Some(registered) = self.view.registration(id) {
             self.send(FeedEvent::Instance(registered.current_instance()));
@@ -170,7 +172,7 @@
                 let router = self.settings.node_name.as_str().into();
                 outbox.message(&Message::Demand(RouterDemand { router, report: report.into(), age_ms: 0 }));
             }
-            Err(error) => log::error!("demand report: {error}"),
+            Err(error) => log::error!("demand report not encoded error={error}"),
         }
     }
 }
--- a/crates/controller/src/link.rs
+++ b/crates/controller/src/link.rs
@@ -11,13 +11,13 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Longest wait for a connection to come up; a cut link says nothing.
+/// Longest wait for a connection to come up; a partitioned link gives no error.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long sent bytes may stay unacknowledged before the link counts as dead.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pause before a link that failed is dialled again.
+/// Delay before a link that failed is dialled again.
 pub const REDIAL_DELAY: Duration = Duration::from_millis(150);
-/// Messages that may wait for a slow reader; one more ends the link, and the next one begins anew.
+/// Messages that may be queued for a slow receiver; one more closes the link, and the next one starts anew.
 const OUTBOX_MESSAGES: usize = 8_192;
 /// Most bytes of small frames that are written together; every link keeps room for so many, and a controller
 /// has hundreds of links.
@@ -38,7 +38,7 @@
         (Outbox { frames }, receiver)
     }
 
-    /// Queues a frame. False if the link is closed, or its reader is too slow to be kept.
+    /// Queues a frame. False if the link is closed, or its receiver is too slow.
     pub fn send(&self, frame: Bytes) -> bool {
         self.frames.try_send(frame).is_ok()
     }
@@ -65,7 +65,7 @@
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// Sets what every link needs: no delay, and an end when the other side has gone without a word.
+/// Sets the socket options of every link: no delay, and time-outs that detect a peer that vanished.
 pub fn set_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
--- a/crates/controller/src/message.rs
+++ b/crates/controller/src/message.rs
@@ -1,5 +1,5 @@
-//! What lanegate's processes say to one another: controllers among themselves, agents to controllers, and
-//! routers to their agent. One message a frame: a length (u32, little endian), then the encoded message.
+//! Messages between lanegate's processes: controllers among themselves, agents to controllers, and routers to their
+//! agent. Each frame is one message: its length in bytes (u32, little endian), then the encoded message.
 
 use deku::prelude::*;
 
@@ -63,9 +63,9 @@
     pub name: Blob,
     /// Control address (`ip:port`) of a controller; empty for others.
     pub control_address: Blob,
-    /// Drawn at each start of the process.
+    /// Drawn at random at each start of the process.
     pub incarnation: u64,
-    /// Source of the feed that the reader has followed so far, 0 for none.
+    /// Source of the feed that the subscriber has followed so far, 0 for none.
     pub source: u64,
     /// Offset from which it would go on.
     pub offset: u64,
@@ -89,7 +89,7 @@
     pub body: Blob,
 }
 
-/// An incarnation that is gone as of a sequence.
+/// An incarnation that is removed as of a sequence.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Removed {
@@ -105,7 +105,7 @@
     pub sequence: u64,
 }
 
-/// Heartbeats since the last such message that changed nothing.
+/// Heartbeats since the last such message that changed nothing in the registration.
 #[derive(Debug, Clone, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct HeartbeatBatch {
@@ -121,7 +121,7 @@
     }
 }
 
-/// A decided configuration.
+/// A committed configuration.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct CommittedConfiguration {
@@ -141,14 +141,14 @@
     pub digest: u64,
 }
 
-/// A part of a document that is made of an older one.
+/// A part of a delta.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub enum DeltaPart {
     /// Bytes of the older document.
     #[deku(id = 1)]
     Copied { offset: u32, length: u32 },
-    /// Bytes that the older document does not have here.
+    /// Bytes that are not copied.
     #[deku(id = 2)]
     Inserted(Blob),
 }
@@ -180,7 +180,7 @@
     }
 }
 
-/// A configuration as the difference to an older one.
+/// A configuration as the delta to an older one.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct ConfigurationDelta {
@@ -191,13 +191,13 @@
     pub parts: DeltaParts,
 }
 
-/// A feed's heartbeat; says how much the sender may be trusted.
+/// A feed's heartbeat; reports whether the sender may be trusted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct FeedHeartbeat {
     /// 1 while the sender reaches more than half of its replica group.
     pub quorum: u8,
-    /// Where the reader stands once it has applied all before.
+    /// Position of the subscriber once it has applied everything before.
     pub source: u64,
     pub offset: u64,
     /// Live routers.
@@ -255,11 +255,11 @@
     }
 }
 
-/// What a controller says of itself to the others.
+/// The status that a controller reports to the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct MemberStatus {
-    /// Drawn at each start of the process.
+    /// Drawn at random at each start of the process.
     pub incarnation: u64,
     /// A bit for each shard whose replica can vote.
     pub voting: u32,
@@ -267,7 +267,7 @@
     pub draining: u8,
 }
 
-/// What a placer knows of an endpoint's models before the endpoint's next heartbeat tells it.
+/// A change of an endpoint's resident models that a placer knows before the endpoint's next heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct ResidencyUpdate {
@@ -275,7 +275,7 @@
     pub model: Blob,
     /// Empty for the model itself.
     pub adapter: Blob,
-    /// 1 if the endpoint holds it from now on, 0 if it is about to drop it.
+    /// 1 if the model is resident from now on, 0 if the endpoint is about to drop it.
     pub present: u8,
     /// Sequence of the endpoint's newest heartbeat that its publisher knew: a later registration counts more.
     pub sequence: u64,
@@ -291,7 +291,7 @@
     pub router: Blob,
     /// A `DemandReport` as JSON.
     pub report: Blob,
-    /// Time since the router told it, ms.
+    /// Time since the router sent it, ms.
     pub age_ms: u32,
 }
 
@@ -301,10 +301,10 @@
 pub enum Message {
     #[deku(id = 1)]
     Hello(Hello),
-    /// The snapshot begins: what the reader knows of this sender and is not told again is gone.
+    /// The snapshot begins: what the receiver knows of this sender and is not in the snapshot is removed.
     #[deku(id = 2)]
     SnapshotBegin,
-    /// The snapshot is whole: 1 if the sender itself has heard from everyone it has to.
+    /// The snapshot ends: `complete` is 1 if the registry of the sender is complete.
     #[deku(id = 3)]
     SnapshotEnd { complete: u8 },
     #[deku(id = 4)]
@@ -350,7 +350,7 @@
     ConfigurationFetch(ConfigurationVersion),
     #[deku(id = 22)]
     ConfigurationDelta(ConfigurationDelta),
-    /// A configuration that the sender has heard of and does not have yet.
+    /// A configuration that the sender knows to exist and does not have yet.
     #[deku(id = 23)]
     ConfigurationKnown(ConfigurationVersion),
     #[deku(id = 24)]
--- a/crates/controller/src/registration.rs
+++ b/crates/controller/src/registration.rs
@@ -14,7 +14,7 @@
     pub body: Bytes,
     /// What the placer knows beyond it.
     residency_updates: Vec<ResidencyUpdate>,
-    /// Sequence of the first heartbeat that said what this one says.
+    /// Sequence of the first heartbeat with the contents of this one.
     changed_at: u64,
 }
 
@@ -45,7 +45,7 @@
     }
 
     /// Takes what a placer knows of the endpoint's models, unless it was published before this registration or
-    /// before what is known of the same model. True if it is news.
+    /// before what is known of the same model. Returns whether the resident models changed.
     pub fn apply_residency(&mut self, update: ResidencyUpdate) -> bool {
         let same = |known: &ResidencyUpdate| known.model == update.model && known.adapter == update.adapter;
         let known = self.residency_updates.iter().find(|known| same(known));
--- a/crates/controller/src/simulation/calls.rs
+++ b/crates/controller/src/simulation/calls.rs
@@ -12,11 +12,11 @@
 
 /// A caller that has no answer for so long tries another controller.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// What was sent into a cut still arrives if the cut ends within this time.
+/// What was sent into a partition still arrives if the partition ends within this time.
 const MAX_PARTITION_DELAY: Duration = Duration::from_millis(1_500);
-/// The pause before another try grows by this with each one.
+/// The backoff before another attempt grows by this with each one.
 const BACKOFF_STEP: Duration = Duration::from_millis(100);
-/// Longest pause before another try.
+/// Longest backoff before another attempt.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// What a call is about.
@@ -26,7 +26,7 @@
     Change(usize),
     /// A read of the configuration, by its number in the history.
     Read(usize),
-    /// A heartbeat of an endpoint in one of its lives.
+    /// A heartbeat of an incarnation of an endpoint.
     Heartbeat { endpoint: usize, start: u64 },
     /// The end of an endpoint.
     Delete { endpoint: usize, start: u64 },
@@ -41,7 +41,7 @@
     pub(super) body: Bytes,
 }
 
-/// A call with all its tries.
+/// A call with all its attempts.
 #[derive(Debug)]
 pub(super) struct PendingCall {
     pub(super) purpose: Purpose,
@@ -51,22 +51,22 @@
     targets: Vec<usize>,
     attempts: usize,
     max_attempts: usize,
-    /// The try under way.
+    /// The attempt in flight.
     attempt: Option<u64>,
     gives_up_at: Duration,
 }
 
-/// One try.
+/// One attempt.
 #[derive(Debug)]
 struct Attempt {
     call: u64,
     target: usize,
     sent_at: Duration,
-    /// Whether it waits for a cut to end.
+    /// Whether it waits for a partition to end.
     delayed: bool,
 }
 
-/// All calls under way.
+/// All calls in flight.
 #[derive(Debug, Default)]
 pub(super) struct Calls {
     calls: BTreeMap<u64, PendingCall>,
@@ -81,7 +81,7 @@
         self.next
     }
 
-    /// Whether a call about this is under way.
+    /// Whether a call about this is in flight.
     pub(super) fn is_under_way(&self, purpose: Purpose) -> bool {
         self.calls.values().any(|call| call.purpose == purpose)
     }
@@ -160,7 +160,7 @@
         self.schedule(arrives, SimulationEvent::CallArrives { attempt: number });
     }
 
-    /// Calls that were sent into a cut arrive once it has ended.
+    /// Calls that were sent into a partition arrive once it has ended.
     pub(super) fn release_delayed_calls(&mut self) {
         let now = self.now();
         let mut arriving = Vec::new();
@@ -237,7 +237,7 @@
         }
     }
 
-    /// The calling whose try this is, if the caller still waits for it.
+    /// The call whose attempt this is, if the caller still waits for it.
     fn waiting_for(&mut self, number: u64) -> Option<u64> {
         let call = self.calls.attempts.get(&number)?.call;
         let pending_call = self.calls.calls.get_mut(&call)?;
@@ -292,7 +292,7 @@
         }
     }
 
-    /// Ends all tries of calls about something.
+    /// Cancels all attempts of calls about something.
     pub(super) fn cancel_calls(&mut self, which: impl Fn(Purpose) -> bool) {
         self.calls.calls.retain(|_, pending_call| !which(pending_call.purpose));
     }
--- a/crates/controller/src/simulation/change.rs
+++ b/crates/controller/src/simulation/change.rs
@@ -1,11 +1,11 @@
-//! Changes of the configuration that simulated operators send, and how to tell which of them is in force.
+//! Changes of the configuration that simulated operators send, and how to recognize which of them is in force.
 
 use crate::controller::Method;
 use bytes::Bytes;
 use lanegate_config::configuration::Configuration;
 use serde_json::{Value, json};
 
-/// Name of the route whose prefix tells which change made a configuration.
+/// Name of the route whose prefix identifies the change that made a configuration.
 const MARKER_ROUTE: &str = "mark";
 /// Services with engines; their shards differ.
 pub(super) const SERVICES: [&str; 2] = ["engines-one", "engines-two"];
@@ -15,11 +15,11 @@
 /// How a change is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Form {
-    /// The whole configuration.
+    /// The complete configuration.
     Put,
     /// What changes.
     Patch,
-    /// A whole configuration that is not valid.
+    /// A complete configuration that is not valid.
     Invalid,
 }
 
--- a/crates/controller/src/simulation/checks.rs
+++ b/crates/controller/src/simulation/checks.rs
@@ -18,7 +18,7 @@
 const CATCH_UP: Duration = Duration::from_secs(4);
 /// `RecoverS`.
 const RECOVER: Duration = Duration::from_secs(12);
-/// How long after its bound an acknowledgement is checked, and the pause between two checks.
+/// How long after its bound an acknowledgement is checked, and the interval between two checks.
 const CHECK_SPAN: Duration = Duration::from_secs(12);
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// `LeaseMs`.
@@ -29,10 +29,10 @@
 pub(super) enum Check {
     /// Every router in touch has this version or a newer one.
     Applied { version: u64, until: Duration },
-    /// No router in touch takes this life of an endpoint to be ready, whether the controller that acknowledged its end
+    /// No connected router takes this incarnation of an endpoint to be ready, whether the controller that acknowledged its end
     /// was in touch or not.
     Drained { endpoint: usize, start: u64, until: Duration },
-    /// Every shard's group is whole, unless there was trouble since this many steps.
+    /// Every shard's group is complete, unless there was a fault since this many steps.
     GroupsComplete { steps: u64 },
 }
 
@@ -120,7 +120,7 @@
         Ok(())
     }
 
-    /// A group is to be whole a bound after the last trouble, where enough machines are left for it.
+    /// A group has to be complete a bound after the last fault, where enough machines are left for it.
     pub(super) fn expect_complete_groups(&mut self) {
         let check = Check::GroupsComplete { steps: self.fault_history.steps };
         self.schedule(self.now() + CATCH_UP, SimulationEvent::Check(check));
@@ -203,7 +203,7 @@
         counts || self.fault_history.beyond_at.is_some_and(|at| self.now() < at + RECOVER)
     }
 
-    /// Counts the machines that are lost. A machine stays lost for a time after it is back; one that is gone
+    /// Counts the machines that are lost. A machine stays lost for a time after it is back; one that is retired
     /// for good counts as long, if there are enough others.
     pub(super) fn detect_losses(&mut self) {
         let now = self.now();
@@ -259,7 +259,7 @@
         holders
     }
 
-    /// Whether the loss of a disk is made good: the machine has every record again, or, if it is gone for good, is
+    /// Whether the loss of a disk is made good: the machine has every record again, or, if it is retired, is
     /// in no group any more.
     fn is_made_good(&self, index: usize, records: &[Records]) -> bool {
         if self.controllers[index].retired {
--- a/crates/controller/src/simulation/connection.rs
+++ b/crates/controller/src/simulation/connection.rs
@@ -11,7 +11,7 @@
 /// Bytes that are on the way at a time; what is beyond waits in the outbox.
 const WINDOW_BYTES: usize = 256 * 1024;
 
-/// One life of a process.
+/// One incarnation of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Process {
     pub(super) host: Host,
@@ -38,7 +38,7 @@
     pub(super) listener: Host,
     /// Address by which the dialer knows the other side.
     pub(super) address: SocketAddr,
-    /// Tells this wish from earlier ones of the same process for the same address.
+    /// Distinguishes this dial from earlier ones of the same process to the same address.
     pub(super) dial_number: u64,
 }
 
@@ -68,7 +68,7 @@
         Pipe { frames, on_the_way, bytes_on_the_way: 0, free_at: Duration::ZERO, scheduled: false }
     }
 
-    /// Takes frames out of the outbox, as many as fit. `transfer` and `delay` tell how long each takes.
+    /// Takes frames out of the outbox, as many as fit. `transfer` and `delay` give the time that each takes.
     /// False once the outbox is closed and everything has arrived.
     pub(super) fn pump(
         &mut self,
@@ -124,17 +124,17 @@
 pub(super) struct Connection {
     pub(super) dial: Dial,
     pub(super) listener: Process,
-    /// What the dialer says.
+    /// Frames of the dialer.
     pub(super) forward: Pipe,
-    /// What the listener says.
+    /// Frames of the listener.
     pub(super) backward: Pipe,
     /// The peer whose first message has been read, where controllers talk.
     pub(super) peer: Option<SocketAddr>,
     /// Handed to the listener once it has read the first message.
     pub(super) listener_outbox: Option<Outbox>,
-    /// Since when a direction has been cut.
+    /// Since when a direction has been partitioned.
     pub(super) partitioned_since: Option<Duration>,
-    /// When the dialer last heard anything.
+    /// When the dialer last received anything.
     pub(super) received_at: Duration,
 }
 
--- a/crates/controller/src/simulation/connections.rs
+++ b/crates/controller/src/simulation/connections.rs
@@ -12,10 +12,10 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// A connection in which a direction is cut ends after this long, and up to [`PARTITION_TIMEOUT_SPREAD`] later.
+/// A connection in which a direction is partitioned ends after this long, and up to [`PARTITION_TIMEOUT_SPREAD`] later.
 const PARTITION_TIMEOUT: Duration = Duration::from_millis(1_500);
 const PARTITION_TIMEOUT_SPREAD: Duration = Duration::from_millis(1_000);
-/// After a cut, what was lost is sent again within this time.
+/// After a partition, what was lost is sent again within this time.
 const RESEND_SPREAD: Duration = Duration::from_millis(400);
 /// Pause before a router dials its agent again.
 const LOOPBACK_REDIAL_DELAY: Duration = Duration::from_millis(100);
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Frames whose time has come are read, unless the way is cut.
+    /// Frames whose time has come are read, unless the path is partitioned.
     pub(super) fn arrive(&mut self, number: u64, end: End) {
         let now = self.now();
         loop {
@@ -244,7 +244,7 @@
         self.end_by(number, None);
     }
 
-    /// A connection ends: at once for whoever closed it, later for others where the path is cut.
+    /// A connection ends: at once for whoever closed it, later for others where the path is partitioned.
     fn end_by(&mut self, number: u64, closer: Option<Process>) {
         let Some(connection) = self.connections.remove(&number) else { return };
         let (dial, listener) = (connection.dial, connection.listener);
@@ -340,7 +340,7 @@
         }
     }
 
-    /// A connection that has been cut all the time is given up by both sides.
+    /// A connection that has been partitioned all the time is closed by both sides.
     pub(super) fn partition_timed_out(&mut self, number: u64, since: Duration) {
         let connection = self.connections.get(&number);
         if connection.is_some_and(|connection| connection.partitioned_since == Some(since)) {
@@ -348,7 +348,7 @@
         }
     }
 
-    /// An agent that has heard nothing for long ends the connection.
+    /// An agent that has received nothing for long closes the connection.
     pub(super) fn check_receive_timeout(&mut self, number: u64) {
         let now = self.now();
         let Some(connection) = self.connections.get(&number) else { return };
--- a/crates/controller/src/simulation/controller_machine.rs
+++ b/crates/controller/src/simulation/controller_machine.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A process that was told to end is killed after this long (`GraceS`).
+/// A process that is shutting down is killed after this long (`GraceS`).
 const GRACE: Duration = Duration::from_secs(8);
 
 /// A process that runs.
@@ -30,7 +30,7 @@
     links: BTreeMap<SocketAddr, u64>,
     /// The timer that is set.
     wake_at: Option<Duration>,
-    /// It was told to end.
+    /// It is shutting down.
     shutting_down: bool,
 }
 
@@ -77,7 +77,7 @@
         self.running.is_some() && !self.frozen
     }
 
-    /// Was told to end, and has not ended yet.
+    /// Whether it is shutting down, and has not ended yet.
     pub(super) fn is_shutting_down(&self) -> bool {
         self.running.as_ref().is_some_and(|running| running.shutting_down)
     }
@@ -136,7 +136,7 @@
         let incarnation = self.random.random_range(1..=u64::MAX);
         let machine = &mut self.controllers[index];
         let Some(records) = machine.disk.open() else { return };
-        // Only the first start of the whole system founds the group.
+        // Only the first start of the whole system bootstraps the group.
         machine.settings.borrow_mut().bootstrap = self.clock.get().is_zero();
         let settings = machine.settings.borrow().clone();
         machine.has_run = true;
@@ -322,7 +322,7 @@
         self.controllers[index].disk.interrupt(&mut self.random);
     }
 
-    /// The machine is without power: nothing that is on the way arrives, and others hear nothing of it.
+    /// The machine is without power: nothing that is on the way arrives, and others get no reset.
     pub(super) fn lose_power(&mut self, index: usize) {
         self.drop_controller(index);
         let disk = &mut self.controllers[index].disk;
@@ -340,7 +340,7 @@
         self.drop_answers(running.process);
     }
 
-    /// The process is told to end.
+    /// The process is asked to shut down.
     pub(super) fn stop_controller(&mut self, index: usize) {
         let Some(running) = self.controllers[index].running.as_mut() else { return };
         running.shutting_down = true;
@@ -365,7 +365,7 @@
         self.expect_complete_groups();
     }
 
-    /// The settings file of a controller names other seeds, and it is told so.
+    /// The settings file of a controller names other seeds, and it is notified.
     pub(super) fn change_seeds(&mut self, index: usize, seeds: &[usize]) {
         self.controllers[index].set_seeds(seeds);
         if self.controllers[index].is_awake() {
--- a/crates/controller/src/simulation/endpoint.rs
+++ b/crates/controller/src/simulation/endpoint.rs
@@ -17,12 +17,12 @@
 /// An endpoint that ends tries for so long to be acknowledged.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// What an endpoint says of itself.
+/// The state that an endpoint reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum State {
     Ready,
     Draining,
-    /// It has ended, and says nothing any more.
+    /// It has ended, and sends nothing any more.
     Ended,
 }
 
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(super) struct EndpointMachine {
     index: usize,
-    /// Counts its lives.
+    /// Counts its incarnations.
     pub(super) start: u64,
     pub(super) state: State,
     sequence: u64,
@@ -56,7 +56,7 @@
         self.index % SERVICES.len()
     }
 
-    /// Id of its present life.
+    /// Id of its present incarnation.
     pub(super) fn id(&self) -> String {
         format!("{}-{}", Host::Endpoint(self.index), self.start)
     }
@@ -80,7 +80,7 @@
 }
 
 impl World {
-    /// A new life of an endpoint begins.
+    /// A new incarnation of an endpoint starts.
     pub(super) fn start_endpoint(&mut self, index: usize) {
         self.cancel_calls(|purpose| of_endpoint(purpose, index));
         let machine = &mut self.endpoints[index];
@@ -95,7 +95,7 @@
         self.schedule(self.now() + first, SimulationEvent::Heartbeat { endpoint: index, start });
     }
 
-    /// An endpoint crashes without a word.
+    /// An endpoint crashes without deregistering.
     pub(super) fn crash_endpoint(&mut self, index: usize) {
         self.cancel_calls(|purpose| of_endpoint(purpose, index));
         self.endpoints[index].state = State::Ended;
@@ -136,7 +136,7 @@
         self.begin_call(purpose, Host::Endpoint(index), content, first, limits);
     }
 
-    /// An endpoint says that it is leaving.
+    /// An endpoint starts draining.
     pub(super) fn drain_endpoint(&mut self, index: usize) {
         let Some(machine) = self.endpoints.get_mut(index).filter(|machine| machine.state == State::Ready)
         else {
@@ -148,7 +148,7 @@
         self.send_heartbeat(index);
     }
 
-    /// An endpoint says that it has ended.
+    /// An endpoint deregisters.
     pub(super) fn remove_endpoint(&mut self, index: usize) {
         let Some(machine) = self.endpoints.get_mut(index).filter(|machine| machine.state != State::Ended)
         else {
--- a/crates/controller/src/simulation/engine.rs
+++ b/crates/controller/src/simulation/engine.rs
@@ -37,7 +37,7 @@
         endpoint_at(address)
     }
 
-    /// What the controller hears, if the order was answered so.
+    /// The event of the controller for this answer.
     fn answered(&self, answer: OrderAnswer) -> Option<Event> {
         let service = self.action.service.clone();
         match &self.action.action {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Models as registrations tell them.
+    /// Resident models as registrations report them.
     pub(super) fn models(&self) -> Value {
         let model = |name: &String| json!({ "Name": name, "Version": 1, "Adapters": [] });
         self.resident.iter().map(model).collect()
@@ -113,7 +113,7 @@
 }
 
 impl World {
-    /// An order, or a question, leaves its controller, once its connection is up.
+    /// An order, or a report request, is sent by its controller, once its connection is up.
     pub(super) fn send_order(&mut self, call: OrderCall) {
         let sender = call.sender;
         if self.running(sender.host) != Some(sender) {
--- a/crates/controller/src/simulation/expectation.rs
+++ b/crates/controller/src/simulation/expectation.rs
@@ -194,7 +194,7 @@
         super::change::maker(self.routers.get(index)?.known.configuration.as_ref()?)
     }
 
-    /// Whether a router takes an endpoint's present life to be ready.
+    /// Whether a router takes an endpoint's present incarnation to be ready.
     pub(super) fn uses(&self, router: Host, endpoint: Host) -> bool {
         let (Host::Router(router), Host::Endpoint(endpoint)) = (router, endpoint) else { return false };
         let id = self.endpoints[endpoint].id();
@@ -202,7 +202,7 @@
         known.is_some_and(|instance| instance.state == InstanceState::Ready)
     }
 
-    /// What each controller that runs and is a member knows of the least margin of all shards.
+    /// What each controller that runs and is a member knows of the least fault tolerance of all shards.
     fn fault_tolerances(&self) -> Vec<(Host, Option<usize>)> {
         let groups = self.newest_groups();
         let is_member = |host: &Host| groups.iter().any(|group| group.contains(host));
--- a/crates/controller/src/simulation/faults.rs
+++ b/crates/controller/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Steps that do harm or end it, and since when each machine has been out of trouble.
+//! Steps that inject faults or end them, and when each machine was last affected by one.
 
 use super::checks::Losses;
 use super::host::Host;
@@ -7,10 +7,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Orders that arrive so soon after a thaw or the end of a cut are not judged.
+/// Orders that arrive so soon after a thaw or the end of a partition are not judged.
 const THAW: Duration = Duration::from_millis(300);
 
-/// When each machine was last in trouble.
+/// When each machine was last affected by a fault.
 #[derive(Debug, Default)]
 pub(super) struct FaultHistory {
     /// The last step that touched a controller's machine or a path between two.
@@ -27,7 +27,7 @@
 }
 
 impl FaultHistory {
-    /// The start of all is no trouble.
+    /// The start of all is no fault.
     pub(super) fn forget(&mut self) {
         *self = FaultHistory::default();
     }
@@ -208,7 +208,7 @@
         self.fault_history.disks_lost.insert(index);
     }
 
-    /// The machine is gone for good, unless too few records would be left.
+    /// The machine is retired, unless too few records would be left.
     fn retire(&mut self, index: usize) {
         if !self.may_lose_disk(index) {
             return;
--- a/crates/controller/src/simulation/history.rs
+++ b/crates/controller/src/simulation/history.rs
@@ -20,7 +20,7 @@
     Unclear,
 }
 
-/// A change and what was heard of it.
+/// A change and what its operator learned of it.
 #[derive(Debug)]
 pub(super) struct Sent {
     pub(super) change: Change,
@@ -71,7 +71,7 @@
     pub(super) newest_known: u64,
     /// The change that was taken on top of each version.
     successors: BTreeMap<u64, usize>,
-    /// Newest version that each router has had in its life.
+    /// Newest version that each router has had since its start.
     router_versions: BTreeMap<usize, u64>,
     /// The last order for each service.
     last_orders: BTreeMap<usize, Ordered>,
@@ -88,7 +88,7 @@
         self.violation.get_or_insert(violation);
     }
 
-    /// A change is about to be sent; tells its number.
+    /// A change is about to be sent; returns its number.
     pub(super) fn change_sent(&mut self, form: Form, base: u64, version: u64) -> usize {
         let number = self.changes.len() + 1;
         self.changes.push(Sent {
@@ -195,7 +195,7 @@
         self.seen(configuration);
     }
 
-    /// A read begins; tells its number.
+    /// A read begins; returns its number.
     pub(super) fn read_started(&mut self) -> usize {
         self.reads.push(Read { floor: self.newest_acknowledged, status: ReadStatus::Open });
         self.reads.len()
--- a/crates/controller/src/simulation/host.rs
+++ b/crates/controller/src/simulation/host.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// A word that names no place.
+/// A word that names no host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("no such place")]
 pub struct UnknownHost;
--- a/crates/controller/src/simulation/mod.rs
+++ b/crates/controller/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The whole control side in simulated time: controllers, agents, routers, operators and endpoints, the
+//! The complete control plane in simulated time: controllers, agents, routers, operators and endpoints, the
 //! network between them and the disks of the controllers, all in one process.
 //!
 //! Controllers, agents and the routers' feed clients are those of the program; links, disks, clocks and
--- a/crates/controller/src/simulation/network.rs
+++ b/crates/controller/src/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network between machines: delays, and cuts of one direction each.
+//! The simulated network between machines: delays, and partitions of one direction each.
 
 use super::host::Host;
 use rand::Rng;
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Ends all cuts and refusals.
+    /// Ends all partitions and refusals.
     pub(super) fn heal(&mut self) {
         self.partitions.clear();
         self.refusing.clear();
--- a/crates/controller/src/simulation/operator.rs
+++ b/crates/controller/src/simulation/operator.rs
@@ -28,7 +28,7 @@
     Invalid,
     /// Not found.
     Missing,
-    /// It says nothing for certain.
+    /// The outcome is not known.
     RetryElsewhere,
 }
 
@@ -137,7 +137,7 @@
     CallLimits { time: OPERATOR_TIMEOUT, attempts }
 }
 
-/// The version that a controller says is current.
+/// The version that a controller reports as current.
 fn current_version(answer: &Answer) -> Option<u64> {
     let body: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
     body.get("Version")?.as_u64()
--- a/crates/controller/src/simulation/quiesce.rs
+++ b/crates/controller/src/simulation/quiesce.rs
@@ -1,4 +1,4 @@
-//! The end of a scenario: all troubles end, and everything must work again within its bounds.
+//! The end of a scenario: all faults end, and everything must work again within its bounds.
 
 use super::change::{Form, SERVICES};
 use super::history::{ChangeStatus, ReadStatus};
@@ -8,7 +8,7 @@
 use super::world::World;
 use std::time::Duration;
 
-/// Time for everything to come right once it is mended (`RecoverS`).
+/// Time for everything to recover once it is repaired (`RecoverS`).
 const QUIESCE_TIME: Duration = Duration::from_secs(12);
 /// A change is acknowledged within this time (`AckMs`).
 const ACKNOWLEDGE_TIME: Duration = Duration::from_secs(4);
@@ -22,8 +22,8 @@
 const APPLY_TIME: Duration = Duration::from_secs(2);
 
 impl World {
-    /// Mends and starts everything; then changes are taken, reads are served, routers have the newest
-    /// configuration, groups are whole and every service has a controller that acts for it.
+    /// Repairs and starts everything; then changes are committed, reads are served, routers have the newest
+    /// configuration, groups are complete and every service has a controller that acts for it.
     pub(super) fn quiesce(&mut self) -> Result<(), Violation> {
         self.repair_all();
         self.run(QUIESCE_TIME)?;
--- a/crates/controller/src/simulation/router_machine.rs
+++ b/crates/controller/src/simulation/router_machine.rs
@@ -1,4 +1,4 @@
-//! A simulated machine with an agent and a hollow router, which only keeps what it was told.
+//! A simulated machine with an agent and a hollow router, which only stores what it was sent.
 
 use super::agent_environment::{AgentEnvironment, Request};
 use super::connection::{Dial, Kind, Process};
@@ -24,7 +24,7 @@
 
 /// Where an agent feeds its router.
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 7100);
-/// Requests for each model that a router tells of at each review.
+/// Requests for each model that a router reports at each review.
 const REQUESTS: u32 = 5;
 
 /// Links that an agent follows, by address.
@@ -173,7 +173,7 @@
         self.execute_router_requests(index);
     }
 
-    /// The agent looks at its sources, and the router tells its demand.
+    /// The agent looks at its sources, and the router reports its demand.
     pub(super) fn review(&mut self, process: Process) {
         let Host::Router(index) = process.host else { return };
         if self.routers[index].process() != Some(process) {
@@ -270,7 +270,7 @@
         self.end_connections(|connection| is_it(&connection.dial), Some(process));
     }
 
-    /// The router takes what its feed client tells it.
+    /// The router applies the events of its feed client.
     fn take_feed_events(&mut self, index: usize) {
         let now = self.now();
         let machine = &mut self.routers[index];
@@ -299,7 +299,7 @@
         self.history.seen_at = now;
     }
 
-    /// The settings file of an agent names other seeds, and it is told so.
+    /// The settings file of an agent names other seeds, and it is notified.
     pub(super) fn change_router_seeds(&mut self, index: usize, seeds: &[usize]) {
         self.routers[index].set_seeds(seeds);
         if let Some(running) = self.routers[index].running.as_mut() {
--- a/crates/controller/src/simulation/scenario.rs
+++ b/crates/controller/src/simulation/scenario.rs
@@ -7,13 +7,13 @@
 /// What is played.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Scenario {
-    /// Controllers that found the group.
+    /// Controllers that bootstrap the group.
     pub founders: usize,
     /// Further controllers.
     pub spares: usize,
     /// Whether these have to be started by steps.
     pub spares_late: bool,
-    /// Whether a disk is kept while as many are lost as may be at once; random scenarios ask for it.
+    /// Whether disks are lost only as long as the fault tolerance allows it; random scenarios ask for it.
     pub within_tolerance: bool,
     /// Routers, each with an agent.
     pub routers: usize,
--- a/crates/controller/src/simulation/schedule.rs
+++ b/crates/controller/src/simulation/schedule.rs
@@ -12,7 +12,7 @@
 
 /// Steps of a random scenario, apart from the first and the last ones.
 const STEPS: usize = 24;
-/// First pause, in milliseconds, so that the group is founded.
+/// First wait, in milliseconds, so that the group is bootstrapped.
 const FIRST_WAIT: u64 = 600;
 /// Longest pauses, in milliseconds: some messages, a call, an expiry, a takeover.
 const PAUSES: [u64; 6] = [5, 30, 150, 700, 2_000, 5_000];
@@ -44,7 +44,7 @@
     }
 }
 
-/// A scenario drawn from a seed: changes, drains and troubles in any order, then everything is mended.
+/// A scenario drawn from a seed: changes, drains and faults in any order, then everything is repaired.
 #[must_use]
 pub fn random_scenario(seed: u64) -> Scenario {
     let mut random = SmallRng::seed_from_u64(seed);
@@ -191,7 +191,7 @@
     smallest
 }
 
-/// Leaves out each run of `chunk` steps that is not needed; tells whether any was.
+/// Leaves out each run of `chunk` steps that is not needed; returns whether any was.
 fn drop_steps(scenario: &mut Scenario, chunk: usize, is_kept: &impl Fn(&Scenario) -> bool) -> bool {
     let mut dropped = false;
     let mut start = 0;
--- a/crates/controller/src/simulation/step.rs
+++ b/crates/controller/src/simulation/step.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// From whom a machine is cut off.
+/// From whom a machine is isolated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
     /// The other controllers.
@@ -27,21 +27,21 @@
     Again { number: Option<usize>, via: usize, only: bool },
     /// The configuration is read.
     Read { via: usize, only: bool },
-    /// An endpoint says that it is leaving.
+    /// An endpoint starts draining.
     Drain(usize),
-    /// An endpoint says that it has ended.
+    /// An endpoint deregisters.
     Remove(usize),
-    /// An endpoint ends without a word.
+    /// An endpoint crashes without deregistering.
     Crash(usize),
     /// Time passes, in milliseconds.
     Wait(u64),
     /// What one machine sends to another does not arrive.
     Partition { from: Host, to: Host },
-    /// A machine is cut off both ways.
+    /// A machine is isolated in both directions.
     Isolate { host: Host, scope: Scope },
     /// The machines of a set and all others no longer reach each other.
     Split(Vec<Host>),
-    /// All cuts and refusals end.
+    /// All partitions and refusals end.
     Heal,
     /// A machine refuses new connections.
     Refuse(Host),
@@ -57,11 +57,11 @@
     Power(usize),
     /// A controller's machine loses its disk.
     Wipe(usize),
-    /// A controller's machine is gone for good.
+    /// A controller's machine is retired.
     Retire(usize),
     /// A process starts.
     Start(Host),
-    /// A controller is told to end (SIGTERM).
+    /// A controller is asked to shut down (SIGTERM).
     Stop(usize),
     /// A machine freezes.
     Freeze(Host),
@@ -79,7 +79,7 @@
     Seeds(Vec<usize>),
     /// Endpoints call this controller first from now on.
     Prefer(usize),
-    /// All troubles end, and everything must work again within its bounds.
+    /// All faults end, and everything must work again within its bounds.
     Quiesce,
     /// Something must be so now.
     Expect(Expectation),
--- a/crates/controller/src/simulation/trace.rs
+++ b/crates/controller/src/simulation/trace.rs
@@ -175,7 +175,7 @@
         self.number(version);
     }
 
-    /// A router hears of an endpoint.
+    /// A router is notified of an endpoint.
     pub(super) fn router_instance(&mut self, now: Duration, router: usize, id: &str, sequence: u64) {
         self.begin(Record::RouterInstance, now);
         self.number(router as u64);
@@ -183,7 +183,7 @@
         self.number(sequence);
     }
 
-    /// A router hears that an endpoint is gone.
+    /// A router is notified of the removal of an endpoint.
     pub(super) fn router_instance_removed(&mut self, now: Duration, router: usize, id: &str) {
         self.begin(Record::RouterInstanceRemoved, now);
         self.number(router as u64);
--- a/crates/controller/src/simulation/world.rs
+++ b/crates/controller/src/simulation/world.rs
@@ -26,7 +26,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Something that happens at a time.
+/// An event of the simulation.
 #[derive(Debug)]
 pub(super) enum SimulationEvent {
     /// A process tries to connect.
@@ -35,11 +35,11 @@
     Connect(Dial),
     /// A frame may have arrived at an end of a connection.
     Arrive { connection: u64, end: End },
-    /// A connection that was cut for long ends.
+    /// A connection that was partitioned for long ends.
     PartitionTimeout { connection: u64, since: Duration },
-    /// The dialer looks whether it has heard anything.
+    /// The dialer checks whether it has received anything.
     ReceiveTimeout { connection: u64 },
-    /// A process is told something.
+    /// Something is delivered to a process.
     Notice { process: Process, notice: Notice },
     /// The disk of a controller has done the first write.
     Written { process: Process },
@@ -49,7 +49,7 @@
     Review { process: Process },
     /// The timer of an agent or its router: a newer configuration may be fetched.
     Fetch { process: Process, at: Duration },
-    /// The grace of a process that was told to end is over.
+    /// The grace time of a process that is shutting down is over.
     GraceOver { process: Process },
     /// A call reaches a controller.
     CallArrives { attempt: u64 },
@@ -61,7 +61,7 @@
     Retry { call: u64 },
     /// An endpoint sends its heartbeat.
     Heartbeat { endpoint: usize, start: u64 },
-    /// An order, or a question, leaves its controller.
+    /// An order, or a report request, is sent.
     SendOrder(OrderCall),
     /// An order, or a question, reaches its endpoint.
     OrderArrives(OrderCall),
@@ -69,15 +69,15 @@
     Check(Check),
 }
 
-/// What a process is told.
+/// What is delivered to a process.
 #[derive(Debug)]
 pub(super) enum Notice {
     Controller(Event),
-    /// The agent hears of a source.
+    /// An event of the link to a source, for the agent.
     Source(SourceEvent),
-    /// The agent hears of its router.
+    /// An event of the link to the router, for the agent.
     SubscriberEvent(SubscriberEvent),
-    /// The router hears of its agent.
+    /// An event of the link to the agent, for the router.
     Agent(SourceEvent),
     /// The process may send this now.
     Send(OrderCall),
@@ -131,7 +131,7 @@
     /// Machines that may be lost at once.
     pub(super) tolerance: u32,
     pub(super) fault: Option<ControllerFault>,
-    /// Whether a disk is kept while as many are lost as may be at once.
+    /// Whether disks are lost only as long as the fault tolerance allows it.
     pub(super) within_tolerance: bool,
     /// The controller that endpoints call first; any if absent.
     pub(super) preferred: Option<usize>,
@@ -139,7 +139,7 @@
 }
 
 impl World {
-    /// Plays a scenario to its end or to the first broken rule; `fault` is a deliberate mistake.
+    /// Plays a scenario to its end or to the first broken rule; `fault` is a deliberate fault.
     ///
     /// # Errors
     /// The rule that was broken.
@@ -309,7 +309,7 @@
         Ok(())
     }
 
-    /// Tells a process something, if it is still there; a frozen one hears it once it is thawed.
+    /// Delivers something to a process, if it still runs; a frozen one handles it once it is thawed.
     pub(super) fn deliver(&mut self, process: Process, notice: Notice) {
         match process.host {
             Host::Controller(index) => self.deliver_to_controller(index, process, notice),
@@ -318,7 +318,7 @@
         }
     }
 
-    /// A new life of a process.
+    /// A new incarnation of a process.
     pub(super) fn next_process(&mut self, host: Host) -> Process {
         self.starts += 1;
         Process { host, start: self.starts }
--- a/crates/controller/src/subscription.rs
+++ b/crates/controller/src/subscription.rs
@@ -1,4 +1,4 @@
-//! One reader's link to one source of a feed: dialled, greeted, read until it ends.
+//! The link of a subscriber to one source of a feed: dialled, opened with a hello, read until it ends.
 
 use crate::link::{self, MessageReader, Outbox};
 use crate::message::{Hello, Message, MessageError};
@@ -7,18 +7,18 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// What a subscription tells its owner.
+/// An event of the link to a source.
 #[derive(Debug)]
 pub enum SourceEvent {
     /// The link is up; messages for the source go here.
     Up { source: SocketAddr, outbox: Outbox },
-    /// The source said something.
+    /// The source sent a message.
     Message { source: SocketAddr, message: Message },
     /// The link is down; it is not dialled again by itself.
     Down { source: SocketAddr },
 }
 
-/// Follows `source` until the link fails or is silent for `receive_timeout`, and tells `events`.
+/// Follows `source` until the link fails or nothing arrives for `receive_timeout`, and sends what happens to `events`.
 pub async fn follow(
     source: SocketAddr,
     hello: Hello,
@@ -26,7 +26,7 @@
     events: mpsc::UnboundedSender<SourceEvent>,
 ) {
     if let Err(error) = read(source, hello, receive_timeout, &events).await {
-        log::debug!("feed of {source} ended: {error}");
+        log::debug!("feed ended source={source} error={error}");
     }
     let _ = events.send(SourceEvent::Down { source });
 }
--- a/crates/controller/src/view.rs
+++ b/crates/controller/src/view.rs
@@ -1,4 +1,4 @@
-//! What a reader of feeds knows: news from any number of sources merged into one view.
+//! The state of a subscriber: updates from any number of sources merged into one view.
 //!
 //! Configurations are ordered by revision and registrations by sequence, so a source that lags behind
 //! another can never take the view back. What has vanished while a source was away shows at the end of that
@@ -16,29 +16,29 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a removal is remembered, so that a late registration does not undo it.
+/// How long a tombstone is retained, so that a late registration does not undo it.
 const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
-/// How long what a lost source had listed is kept, so that its feed can go on where it stood. Shorter than
+/// How long the state of a lost source is retained, so that its feed can resume at its offset. Shorter than
 /// removals are remembered, as a replayed registration must not outlive them.
 const LOST_SOURCE_RETENTION: Duration = Duration::from_secs(30);
 /// How long after the end of a source's link what it alone had listed still counts. It may have been ahead of the
-/// others, who hear of a registration within tenths of a second; or it was behind, and would not tell of its end.
+/// others, which get a registration within tenths of a second; or it was behind, and would not report its removal.
 const LOST_SOURCE_GRACE: Duration = Duration::from_millis(1_000);
-/// How long a controller is remembered that no source names any more.
+/// How long a controller is retained that no source names any more.
 const CONTROLLER_RETENTION: Duration = Duration::from_secs(30);
 
-/// What one source has told.
+/// State that one source has reported.
 #[derive(Debug, Default)]
 struct Source {
-    /// Where the reader stands in its journal, as of its last heartbeat since the last snapshot began.
+    /// Position in its journal, as of its last heartbeat since the last snapshot began.
     position: Position,
-    /// Whether it last said that it reaches a majority.
+    /// Whether it last reported contact with a majority.
     quorum: bool,
     /// Controllers that it names.
     controllers: BTreeSet<SocketAddr>,
     /// Incarnations that are there by this source.
     listed: BTreeSet<String>,
-    /// Whether its last snapshot is whole, and it had itself heard from everyone.
+    /// Whether its last snapshot is complete, and its own registry was complete.
     complete: bool,
     /// Live routers by its count; 0 while it does not know.
     routers: u32,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Takes a message of `source`, and appends what is news to `updates`.
+    /// Takes a message of `source`, and appends what changed to `updates`.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -178,7 +178,7 @@
         self.refresh_controllers(now);
     }
 
-    /// Drops what only sources had listed whose links ended a while ago, once somebody else has told everything.
+    /// Drops what only lost sources had listed, a grace period after their links ended, once another source is complete.
     fn expire_lost_sources(&mut self, now: Duration, updates: &mut Vec<Message>) {
         if !self.is_complete() {
             return;
@@ -216,7 +216,7 @@
         self.configuration.next_wake(now)
     }
 
-    /// Whether a newer configuration is known to exist, or nobody is heard who would know of one.
+    /// Whether a newer configuration is known to exist, or no source is connected that would know of one.
     pub fn may_be_behind(&self) -> bool {
         self.configuration.is_behind() || !self.sources.values().any(|source| source.quorum)
     }
@@ -226,7 +226,7 @@
         self.lost.get(&source).map(|lost| lost.source.position).unwrap_or_default()
     }
 
-    /// A source's link has ended; what it alone listed stays for a while, and as long as nobody else has told everything.
+    /// A source's link has ended; what it alone listed stays for a while, and as long as no other source is complete.
     pub fn source_lost(&mut self, now: Duration, source: SocketAddr) {
         self.configuration.on_source_lost(source);
         if let Some(lost) = self.sources.remove(&source) {
@@ -234,12 +234,12 @@
         }
     }
 
-    /// Whether some source has told everything.
+    /// Whether some source is complete.
     pub fn is_complete(&self) -> bool {
         self.sources.values().any(|source| source.complete)
     }
 
-    /// Whether this source has told everything.
+    /// Whether this source is complete.
     pub fn is_complete_from(&self, source: SocketAddr) -> bool {
         self.sources.get(&source).is_some_and(|source| source.complete)
     }
@@ -249,7 +249,7 @@
         &self.controllers
     }
 
-    /// Live routers, as a source told them last.
+    /// Live routers, as reported last.
     pub fn routers(&self) -> u32 {
         self.routers
     }
@@ -259,7 +259,7 @@
         self.configuration.current()
     }
 
-    /// Everything as messages, for a reader that begins.
+    /// A complete snapshot as messages, for a new subscriber.
     pub fn snapshot(&self) -> Vec<Message> {
         let mut messages = vec![Message::SnapshotBegin];
         messages.extend(self.configuration().cloned().map(Message::CommittedConfiguration));
@@ -351,7 +351,7 @@
             live.filter(|(id, _)| !is_listed(id)).map(|(id, entry)| (id.clone(), entry.sequence)).collect();
         for (id, sequence) in vanished {
             self.registry.drop_entry(&id);
-            // A lost source that lists it would not tell it again.
+            // A lost source that lists it would not send it again.
             self.lost.retain(|_, lost| !lost.source.listed.contains(&id));
             updates.push(Message::Removed(Removed { id: id.as_str().into(), sequence }));
         }
--- a/crates/controller/tests/common/mod.rs
+++ b/crates/controller/tests/common/mod.rs
@@ -36,12 +36,12 @@
 }
 
 /// What was published first of the first registration.
-pub fn holding(id: &str, model: &str, present: bool) -> Message {
-    holding_of(id, model, present, 1, 1)
+pub fn residency_update(id: &str, model: &str, present: bool) -> Message {
+    residency_update_of(id, model, present, 1, 1)
 }
 
 /// What was published in `order` of the registration with `sequence`.
-pub fn holding_of(id: &str, model: &str, present: bool, sequence: u64, order: u64) -> Message {
+pub fn residency_update_of(id: &str, model: &str, present: bool, sequence: u64, order: u64) -> Message {
     Message::ResidencyUpdate(ResidencyUpdate {
         id: id.into(),
         model: model.into(),
--- a/crates/controller/tests/configuration_feed.rs
+++ b/crates/controller/tests/configuration_feed.rs
@@ -54,20 +54,20 @@
 
 /// Hands an answer of `source` to the reader. True if it was news.
 fn hand(
-    reader: &mut ConfigurationFetcher,
+    fetcher: &mut ConfigurationFetcher,
     now: Duration,
     source: SocketAddr,
     answer: Option<Message>,
 ) -> bool {
     match answer {
-        Some(Message::CommittedConfiguration(committed)) => reader.on_document(now, source, &committed),
-        Some(Message::ConfigurationDelta(delta)) => reader.on_delta(now, source, &delta).is_some(),
+        Some(Message::CommittedConfiguration(committed)) => fetcher.on_document(now, source, &committed),
+        Some(Message::ConfigurationDelta(delta)) => fetcher.on_delta(now, source, &delta).is_some(),
         other => panic!("no configuration: {other:?}"),
     }
 }
 
-fn revision(reader: &ConfigurationFetcher) -> Option<u64> {
-    reader.current().map(|committed| committed.revision)
+fn revision(fetcher: &ConfigurationFetcher) -> Option<u64> {
+    fetcher.current().map(|committed| committed.revision)
 }
 
 #[test]
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_reader_of_an_unknown_or_no_configuration_gets_the_whole() {
+fn a_subscriber_with_an_unknown_or_no_configuration_gets_the_complete_document() {
     let newest = committed(9, document(9, 50, 5_000));
     let mut publisher = publisher_of(std::slice::from_ref(&newest));
     let unknown = ConfigurationVersion { revision: 3, digest: 77 };
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_document_that_has_nothing_in_common_is_sent_whole() {
+fn a_document_that_has_nothing_in_common_is_sent_completely() {
     let (first, second) = (committed(1, vec![b'a'; 500]), committed(2, vec![b'b'; 400]));
     let mut publisher = publisher_of(&[first.clone(), second.clone()]);
     assert_eq!(answer(&mut publisher, version(&first)), Some(Message::CommittedConfiguration(second)));
@@ -218,137 +218,137 @@
     let versions: Vec<CommittedConfiguration> =
         (1..=9).map(|number| committed(number, document(number, 400, 5_000 + number))).collect();
     let mut publisher = publisher_of(&versions[..1]);
-    let mut reader = ConfigurationFetcher::new(Pace::LINK);
+    let mut fetcher = ConfigurationFetcher::new(Pace::LINK);
     let (one, two) = (controller(1), controller(2));
-    assert!(reader.on_announcement(one, version(&versions[0])));
-    assert!(!reader.on_announcement(two, version(&versions[0])), "it is known");
-    let fetch = reader.fetch(ms(0), Some(two));
+    assert!(fetcher.on_announcement(one, version(&versions[0])));
+    assert!(!fetcher.on_announcement(two, version(&versions[0])), "it is known");
+    let fetch = fetcher.fetch(ms(0), Some(two));
     assert_eq!(fetch, Some((two, Message::ConfigurationFetch(ConfigurationVersion::NONE))));
-    assert_eq!(reader.fetch(ms(1), Some(two)), None, "one at a time");
-    assert!(hand(&mut reader, ms(5), two, answer(&mut publisher, ConfigurationVersion::NONE)));
-    assert!(!reader.is_behind());
+    assert_eq!(fetcher.fetch(ms(1), Some(two)), None, "one at a time");
+    assert!(hand(&mut fetcher, ms(5), two, answer(&mut publisher, ConfigurationVersion::NONE)));
+    assert!(!fetcher.is_behind());
 
     for committed in &versions[1..] {
-        reader.on_announcement(two, version(committed));
+        fetcher.on_announcement(two, version(committed));
         publisher.publish(committed.clone());
     }
-    assert!(reader.is_behind());
-    let due = reader.next_wake(ms(6)).unwrap();
+    assert!(fetcher.is_behind());
+    let due = fetcher.next_wake(ms(6)).unwrap();
     assert_eq!(due, Pace::LINK.interval(versions[0].document.bytes.len()), "the first answer was large");
-    assert_eq!(reader.fetch(due - ms(1), Some(two)), None, "not before its pace allows it");
+    assert_eq!(fetcher.fetch(due - ms(1), Some(two)), None, "not before its pace allows it");
     let base = version(&versions[0]);
-    assert_eq!(reader.fetch(due, Some(two)), Some((two, Message::ConfigurationFetch(base))));
-    assert!(hand(&mut reader, due + ms(2), two, answer(&mut publisher, base)));
-    assert_eq!(revision(&reader), Some(9), "seven versions were never sent");
-    assert_eq!(reader.next_wake(due + ms(2)), None);
+    assert_eq!(fetcher.fetch(due, Some(two)), Some((two, Message::ConfigurationFetch(base))));
+    assert!(hand(&mut fetcher, due + ms(2), two, answer(&mut publisher, base)));
+    assert_eq!(revision(&fetcher), Some(9), "seven versions were never sent");
+    assert_eq!(fetcher.next_wake(due + ms(2)), None);
 }
 
 #[test]
-fn the_second_source_is_asked_when_the_first_does_not_deliver() {
+fn the_second_source_is_fetched_from_when_the_first_does_not_deliver() {
     let first = committed(1, document(1, 50, 5_000));
     let second = committed(2, document(2, 50, 6_000));
     let (one, two) = (controller(1), controller(2));
     for (held, timeout) in [(None, DOCUMENT_TIMEOUT), (Some(&first), DELTA_TIMEOUT)] {
-        let mut reader = ConfigurationFetcher::new(Pace::LINK);
+        let mut fetcher = ConfigurationFetcher::new(Pace::LINK);
         if let Some(held) = held {
-            reader.on_document(ms(0), one, held);
+            fetcher.on_document(ms(0), one, held);
         }
-        reader.on_announcement(one, version(&second));
-        reader.on_announcement(two, version(&second));
+        fetcher.on_announcement(one, version(&second));
+        fetcher.on_announcement(two, version(&second));
         let begun = ms(1_000);
-        assert_eq!(reader.fetch(begun, Some(one)).map(|(source, _)| source), Some(one));
-        assert_eq!(reader.next_wake(begun), Some(begun + timeout));
-        assert_eq!(reader.fetch(begun + timeout - ms(1), Some(one)), None);
-        assert_eq!(reader.fetch(begun + timeout, Some(one)).map(|(source, _)| source), Some(two));
+        assert_eq!(fetcher.fetch(begun, Some(one)).map(|(source, _)| source), Some(one));
+        assert_eq!(fetcher.next_wake(begun), Some(begun + timeout));
+        assert_eq!(fetcher.fetch(begun + timeout - ms(1), Some(one)), None);
+        assert_eq!(fetcher.fetch(begun + timeout, Some(one)).map(|(source, _)| source), Some(two));
         let again = begun + RETRY_DELAY;
-        assert_eq!(reader.fetch(again - ms(1), Some(one)), None, "both owe an answer");
-        assert_eq!(reader.fetch(again, Some(one)).map(|(source, _)| source), Some(one));
+        assert_eq!(fetcher.fetch(again - ms(1), Some(one)), None, "both owe an answer");
+        assert_eq!(fetcher.fetch(again, Some(one)).map(|(source, _)| source), Some(one));
     }
 }
 
 #[test]
-fn a_lost_source_owes_nothing_and_is_not_asked() {
+fn a_lost_source_has_no_fetch_in_flight_and_gets_none() {
     let newest = committed(2, document(2, 50, 5_000));
     let (one, two) = (controller(1), controller(2));
-    let mut reader = ConfigurationFetcher::new(Pace::LINK);
-    reader.on_announcement(one, version(&newest));
-    assert!(reader.fetch(ms(0), Some(one)).is_some());
-    reader.on_source_lost(one);
-    assert_eq!(reader.next_wake(ms(1)), None);
-    assert!(reader.is_behind(), "that it exists stays known");
-    reader.on_announcement(two, version(&newest));
-    assert_eq!(reader.fetch(ms(200), Some(one)).map(|(source, _)| source), Some(two));
+    let mut fetcher = ConfigurationFetcher::new(Pace::LINK);
+    fetcher.on_announcement(one, version(&newest));
+    assert!(fetcher.fetch(ms(0), Some(one)).is_some());
+    fetcher.on_source_lost(one);
+    assert_eq!(fetcher.next_wake(ms(1)), None);
+    assert!(fetcher.is_behind(), "that it exists stays known");
+    fetcher.on_announcement(two, version(&newest));
+    assert_eq!(fetcher.fetch(ms(200), Some(one)).map(|(source, _)| source), Some(two));
 }
 
 #[test]
-fn the_source_that_has_the_newest_is_asked() {
+fn the_source_that_has_the_newest_is_fetched_from() {
     let (older, newer) = (committed(4, document(4, 50, 5_000)), committed(5, document(5, 50, 5_500)));
     let (one, two) = (controller(1), controller(2));
-    let mut reader = ConfigurationFetcher::new(Pace::LINK);
-    reader.on_announcement(one, version(&older));
-    reader.on_announcement(two, version(&newer));
-    assert_eq!(reader.fetch(ms(0), Some(one)).map(|(source, _)| source), Some(two));
+    let mut fetcher = ConfigurationFetcher::new(Pace::LINK);
+    fetcher.on_announcement(one, version(&older));
+    fetcher.on_announcement(two, version(&newer));
+    assert_eq!(fetcher.fetch(ms(0), Some(one)).map(|(source, _)| source), Some(two));
 }
 
 #[test]
 fn an_answer_that_lags_takes_nothing_back() {
     let (older, newer) = (committed(4, document(4, 50, 5_000)), committed(5, document(5, 50, 5_500)));
-    let mut reader = ConfigurationFetcher::new(Pace::LINK);
-    assert!(reader.on_document(ms(0), controller(1), &newer));
-    assert!(!reader.on_document(ms(1), controller(2), &older));
+    let mut fetcher = ConfigurationFetcher::new(Pace::LINK);
+    assert!(fetcher.on_document(ms(0), controller(1), &newer));
+    assert!(!fetcher.on_document(ms(1), controller(2), &older));
     let mut publisher = publisher_of(&[committed(3, document(3, 50, 1)), older]);
     let late = answer(&mut publisher, ConfigurationVersion::of(3, &document(3, 50, 1)));
-    assert!(!hand(&mut reader, ms(2), controller(2), late));
-    assert_eq!(revision(&reader), Some(5));
+    assert!(!hand(&mut fetcher, ms(2), controller(2), late));
+    assert_eq!(revision(&fetcher), Some(5));
 }
 
 #[test]
-fn a_difference_that_does_not_fit_is_followed_by_the_whole() {
+fn a_delta_that_does_not_apply_is_followed_by_the_complete_document() {
     let (first, second) = (committed(1, document(1, 50, 5_000)), committed(2, document(2, 50, 6_000)));
-    let mut reader = ConfigurationFetcher::new(Pace::LINK);
-    reader.on_document(ms(0), controller(1), &first);
-    reader.on_announcement(controller(1), version(&second));
+    let mut fetcher = ConfigurationFetcher::new(Pace::LINK);
+    fetcher.on_document(ms(0), controller(1), &first);
+    fetcher.on_announcement(controller(1), version(&second));
     let damaged = ConfigurationDelta {
         base: version(&first).digest,
         version: version(&second),
         parts: vec![DeltaPart::Copied { offset: 0, length: 10 }].into(),
     };
-    assert_eq!(reader.on_delta(ms(1_000), controller(1), &damaged), None);
-    let fetch = reader.fetch(ms(2_000), None);
+    assert_eq!(fetcher.on_delta(ms(1_000), controller(1), &damaged), None);
+    let fetch = fetcher.fetch(ms(2_000), None);
     assert_eq!(fetch, Some((controller(1), Message::ConfigurationFetch(ConfigurationVersion::NONE))));
-    assert!(reader.on_document(ms(2_010), controller(1), &second));
+    assert!(fetcher.on_document(ms(2_010), controller(1), &second));
     let third = committed(3, document(3, 50, 6_000));
-    reader.on_announcement(controller(1), version(&third));
-    let fetch = reader.fetch(ms(4_000), None);
+    fetcher.on_announcement(controller(1), version(&third));
+    let fetch = fetcher.fetch(ms(4_000), None);
     assert_eq!(fetch, Some((controller(1), Message::ConfigurationFetch(version(&second)))));
 }
 
 #[test]
-fn a_difference_to_something_else_than_what_is_held_changes_nothing() {
+fn a_delta_to_another_base_changes_nothing() {
     let (first, second, third) = (
         committed(1, document(1, 50, 1)),
         committed(2, document(2, 50, 2)),
         committed(3, document(3, 50, 3)),
     );
-    let mut reader = ConfigurationFetcher::new(Pace::LINK);
-    reader.on_document(ms(0), controller(1), &second);
-    reader.on_announcement(controller(2), version(&third));
+    let mut fetcher = ConfigurationFetcher::new(Pace::LINK);
+    fetcher.on_document(ms(0), controller(1), &second);
+    fetcher.on_announcement(controller(2), version(&third));
     let mut publisher = publisher_of(&[first.clone(), third.clone()]);
     let late = answer(&mut publisher, version(&first));
-    assert!(!hand(&mut reader, ms(1), controller(2), late));
-    assert_eq!(revision(&reader), Some(2));
-    assert!(reader.next_wake(ms(1)).is_some(), "it is fetched anew");
+    assert!(!hand(&mut fetcher, ms(1), controller(2), late));
+    assert_eq!(revision(&fetcher), Some(2));
+    assert!(fetcher.next_wake(ms(1)).is_some(), "it is fetched anew");
 }
 
 #[test]
 fn the_same_bytes_decided_again_are_not_fetched() {
     let first = committed(1, document(1, 50, 5_000));
     let again = committed(7, document(1, 50, 5_000));
-    let mut reader = ConfigurationFetcher::new(Pace::LINK);
-    reader.on_document(ms(0), controller(1), &first);
-    assert!(reader.on_announcement(controller(2), version(&again)));
-    assert!(!reader.is_behind());
-    assert_eq!(reader.next_wake(ms(1)), None);
+    let mut fetcher = ConfigurationFetcher::new(Pace::LINK);
+    fetcher.on_document(ms(0), controller(1), &first);
+    assert!(fetcher.on_announcement(controller(2), version(&again)));
+    assert!(!fetcher.is_behind());
+    assert_eq!(fetcher.next_wake(ms(1)), None);
 }
 
 #[test]
--- a/crates/controller/tests/contact_mutants.rs
+++ b/crates/controller/tests/contact_mutants.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_cut_off_controller_that_calls_itself_current_is_found() {
+fn a_partitioned_controller_that_claims_to_be_current_is_found() {
     let scenarios = [
         "cut-of-both-sources",
         "cut-router-begins-on-the-small-side",
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn orders_of_a_placer_that_is_cut_off_are_found() {
+fn orders_of_a_partitioned_placer_are_found() {
     found_by(ControllerFault::OrderWithoutLease, &["cut-of-the-placer", "cut-of-everyone"]);
 }
 
@@ -78,7 +78,7 @@
 }
 
 /// Scenarios of this page, played without a mistake on other chance as well.
-const CUTS: [&str; 14] = [
+const PARTITIONS: [&str; 14] = [
     "change-forwarded-over-a-healing-link",
     "cut-heals-during-a-snapshot",
     "cut-heartbeats-go-elsewhere",
@@ -98,8 +98,8 @@
 const SEEDS: u64 = 6;
 
 #[test]
-fn cuts_hold_whatever_the_chance() {
-    let plays = CUTS.into_iter().flat_map(|name| (1..=SEEDS).map(move |seed| (name, seed)));
+fn partition_scenarios_hold_with_every_seed() {
+    let plays = PARTITIONS.into_iter().flat_map(|name| (1..=SEEDS).map(move |seed| (name, seed)));
     let broken: Vec<String> = plays
         .filter_map(|(name, seed)| {
             let play = Scenario { seed, ..scenario(name) };
--- a/crates/controller/tests/controller_faults.rs
+++ b/crates/controller/tests/controller_faults.rs
@@ -50,13 +50,13 @@
         ControllerFault::SkipQuietPeriod, "holder-freezes";
     one_epoch_for_all_tenures:
         ControllerFault::KeepEpoch, "holder-freezes";
-    an_epoch_not_asked_for_again:
+    an_epoch_not_requested_again:
         ControllerFault::GiveUpEpoch, "epoch-not-given-in-time";
-    members_forgotten_in_a_long_cut:
+    members_forgotten_in_a_long_partition:
         ControllerFault::ForgetMembers, "cut-off-for-twenty-seconds";
-    a_cut_off_controller_that_calls_itself_current:
+    a_partitioned_controller_that_claims_to_be_current:
         ControllerFault::AlwaysCurrent, "agents-at-two-cut-off-controllers";
-    a_controller_that_hears_nobody_acts:
+    a_controller_that_receives_nothing_acts:
         ControllerFault::CountUnreachedPeers, "owner-that-hears-nobody";
     contact_with_less_than_a_majority:
         ControllerFault::Contact(ContactFault::SmallMajority), "cut-of-everyone";
--- a/crates/controller/tests/controller_scenarios.rs
+++ b/crates/controller/tests/controller_scenarios.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn every_scenario_holds() {
+fn every_scenario_passes() {
     let played = scenarios().into_iter().filter_map(|(path, scenario)| {
         let violation = World::play(&scenario, None).err()?;
         Some(format!("{}: {violation}", path.display()))
--- a/crates/controller/tests/golden_messages.rs
+++ b/crates/controller/tests/golden_messages.rs
@@ -49,7 +49,7 @@
     Confirmation::new(1, 4, vec![group("10.0.0.1:1 10.0.0.2:1"), group("10.0.0.3:1")])
 }
 
-fn holding() -> ResidencyUpdate {
+fn residency_update() -> ResidencyUpdate {
     ResidencyUpdate {
         id: "i-1".into(),
         model: "m".into(),
@@ -89,7 +89,7 @@
         ("15", Message::Flushed(confirmation())),
         ("16", Message::Demand(demand())),
         ("17", Message::Heartbeat { body: vec![7; 5].into() }),
-        ("18", Message::ResidencyUpdate(holding())),
+        ("18", Message::ResidencyUpdate(residency_update())),
         ("19", Message::HeartbeatEcho { body: vec![6; 4].into() }),
         ("20", Message::ConfigurationAnnounced(version())),
         ("21-some", Message::ConfigurationFetch(version())),
--- a/crates/controller/tests/link.rs
+++ b/crates/controller/tests/link.rs
@@ -26,11 +26,11 @@
     assert!((0..MESSAGES).all(|request| outbox.message(&message(request))));
     drop(outbox);
     let receive = async {
-        let mut reader = MessageReader::new(read);
+        let mut fetcher = MessageReader::new(read);
         for request in 0..MESSAGES {
-            assert_eq!(reader.next().await.expect("a message"), message(request));
+            assert_eq!(fetcher.next().await.expect("a message"), message(request));
         }
-        assert!(reader.next().await.is_err(), "the link ends after the last message");
+        assert!(fetcher.next().await.is_err(), "the link ends after the last message");
     };
     let (written, ()) = tokio::join!(write_frames(write, frames), receive);
     assert!(written.is_ok());
--- a/crates/controller/tests/message.rs
+++ b/crates/controller/tests/message.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_frame_with_bytes_left_over_or_missing_is_refused() {
+fn a_frame_with_trailing_or_missing_bytes_is_refused() {
     let mut body = hello().frame()[4..].to_vec();
     assert!(Message::decode(&body[..body.len() - 1]).is_err());
     body.push(0);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_length_that_no_frame_has_is_refused_before_room_is_set_aside() {
+fn an_impossible_length_is_refused_before_memory_is_allocated() {
     let huge = u32::MAX.to_le_bytes();
     let list = [&[7][..], &huge].concat();
     assert!(matches!(Message::decode(&list), Err(MessageError::Unreadable(_))));
--- a/crates/controller/tests/one_change.rs
+++ b/crates/controller/tests/one_change.rs
@@ -32,12 +32,12 @@
 }
 
 #[test]
-fn an_acknowledgement_of_what_is_only_proposed_shows_across_a_cut() {
+fn an_acknowledgement_of_an_uncommitted_change_is_found_across_a_partition() {
     check("one-number-across-a-cut", ControllerFault::AcknowledgeProposed);
 }
 
 #[test]
-fn a_majority_that_is_too_small_shows_across_a_cut() {
+fn a_majority_that_is_too_small_is_found_across_a_partition() {
     check("one-number-across-a-cut", ControllerFault::Register(Fault::SmallMajority));
 }
 
--- a/crates/controller/tests/repair_faults.rs
+++ b/crates/controller/tests/repair_faults.rs
@@ -38,12 +38,12 @@
 }
 
 found! {
-    silence_of_one_shard_held_against_all:
-        ControllerFault::Members(ReplacementFault::ShareTimeouts), "replaced-by-different-owners";
+    suspicions_of_one_shard_applied_to_all:
+        ControllerFault::Members(ReplacementFault::ShareSuspicions), "replaced-by-different-owners";
     a_spare_that_joins_before_it_can_vote:
         ControllerFault::Members(ReplacementFault::JoinBeforeVoting), "spare-joins-once-it-votes";
-    silence_before_a_pause_of_the_process:
-        ControllerFault::Members(ReplacementFault::CountOwnPause), "owner-frozen";
+    own_stall_counted_as_a_timeout:
+        ControllerFault::Members(ReplacementFault::CountOwnStall), "owner-frozen";
     one_change_of_members_at_a_time:
         ControllerFault::Members(ReplacementFault::OneChangeAtATime), "shards-changed-together";
     a_member_that_ends_without_handing_over:
--- a/crates/controller/tests/sources.rs
+++ b/crates/controller/tests/sources.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_source_that_is_cut_off_is_replaced_and_kept_until_two_others_are_trusted() {
+fn a_partitioned_source_is_replaced_and_retained_until_two_others_are_trusted() {
     let (mut sources, first, second) = settled(4);
     sources.report_quorum(first, false);
     let plan = sources.plan(ms(1), AGENT, &known(4));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn with_every_source_cut_off_all_are_tried_and_none_is_dropped() {
+fn with_every_source_partitioned_all_are_tried_and_none_is_dropped() {
     let (mut sources, first, second) = settled(3);
     sources.report_quorum(first, false);
     sources.report_quorum(second, false);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_source_that_fails_is_replaced_at_once_and_dialled_again_after_a_pause() {
+fn a_source_that_fails_is_replaced_at_once_and_redialled_after_a_delay() {
     let (mut sources, first, _) = settled(3);
     sources.link_down(ms(1_000), first);
     let plan = sources.plan(ms(1_000), AGENT, &known(3));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_word_of_a_source_that_is_not_followed_any_more_changes_nothing() {
+fn a_report_of_a_source_that_is_not_followed_changes_nothing() {
     let (mut sources, first, second) = settled(2);
     sources.link_down(ms(0), first);
     sources.report_quorum(first, true);
--- a/crates/controller/tests/view.rs
+++ b/crates/controller/tests/view.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{controller, holding, holding_of, ms, registered, removed};
+use common::{controller, ms, registered, removed, residency_update, residency_update_of};
 use lanegate_controller::configuration_feed::fetcher::Pace;
 use lanegate_controller::message::{
     CommittedConfiguration, ConfigurationVersion, Controllers, FeedHeartbeat, Message,
@@ -21,14 +21,14 @@
 }
 
 /// Hands `messages` of `source` to the view at `time` and gives what is news.
-fn tell_at(view: &mut View, time: u64, source: SocketAddr, messages: &[Message]) -> Vec<Message> {
-    let mut news = Vec::new();
-    messages.iter().for_each(|message| view.receive(ms(time), source, message.clone(), &mut news));
-    news
+fn send_at(view: &mut View, time: u64, source: SocketAddr, messages: &[Message]) -> Vec<Message> {
+    let mut updates = Vec::new();
+    messages.iter().for_each(|message| view.receive(ms(time), source, message.clone(), &mut updates));
+    updates
 }
 
 fn tell(view: &mut View, source: SocketAddr, messages: &[Message]) -> Vec<Message> {
-    tell_at(view, 0, source, messages)
+    send_at(view, 0, source, messages)
 }
 
 fn models(view: &View, id: &str) -> Vec<String> {
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn what_two_sources_tell_is_news_once() {
+fn what_two_sources_send_is_an_update_once() {
     let mut view = View::default();
     let message = registered("i-1", 80, 1, &[]);
     assert_eq!(tell(&mut view, controller(1), std::slice::from_ref(&message)).len(), 1);
@@ -93,36 +93,40 @@
 fn a_new_incarnation_at_an_address_ends_the_one_before() {
     let mut view = View::default();
     tell(&mut view, controller(1), &[registered("i-1", 80, 9, &[])]);
-    let news = tell(&mut view, controller(1), &[registered("i-2", 80, 1, &[])]);
-    assert_eq!(news, vec![registered("i-2", 80, 1, &[]), removed("i-1", u64::MAX)]);
+    let updates = tell(&mut view, controller(1), &[registered("i-2", 80, 1, &[])]);
+    assert_eq!(updates, vec![registered("i-2", 80, 1, &[]), removed("i-1", u64::MAX)]);
 }
 
 /// The source that was left was behind, and will not tell of the end any more.
 #[test]
-fn what_only_a_left_source_had_listed_goes_after_a_while() {
+fn what_only_a_lost_source_had_listed_is_removed_after_a_grace_period() {
     let mut view = View::default();
     let (stale, current) = (registered("i-1", 80, 3, &[]), registered("i-2", 81, 4, &[]));
-    tell(&mut view, controller(1), &[Message::SnapshotBegin, stale, current.clone(), end(true), beat(1, 1)]);
-    tell(&mut view, controller(2), &[Message::SnapshotBegin, current, end(true), beat(1, 1)]);
+    tell(
+        &mut view,
+        controller(1),
+        &[Message::SnapshotBegin, stale, current.clone(), end(true), heartbeat(1, 1)],
+    );
+    tell(&mut view, controller(2), &[Message::SnapshotBegin, current, end(true), heartbeat(1, 1)]);
     view.source_lost(ms(100), controller(1));
-    assert_eq!(tell_at(&mut view, 600, controller(2), &[beat(1, 1)]), vec![]);
-    assert_eq!(tell_at(&mut view, 1_100, controller(2), &[beat(1, 1)]), vec![removed("i-1", 3)]);
+    assert_eq!(send_at(&mut view, 600, controller(2), &[heartbeat(1, 1)]), vec![]);
+    assert_eq!(send_at(&mut view, 1_100, controller(2), &[heartbeat(1, 1)]), vec![removed("i-1", 3)]);
     assert!(view.registration("i-2").is_some());
     assert_eq!(view.position(controller(1)), Position::default(), "its feed has to begin anew");
 }
 
 /// Nobody else has told everything.
 #[test]
-fn what_a_left_source_had_listed_stays_without_another_complete_one() {
+fn what_a_lost_source_had_listed_stays_without_another_complete_one() {
     let mut view = View::default();
     tell(
         &mut view,
         controller(1),
-        &[Message::SnapshotBegin, registered("i-1", 80, 3, &[]), end(true), beat(1, 1)],
+        &[Message::SnapshotBegin, registered("i-1", 80, 3, &[]), end(true), heartbeat(1, 1)],
     );
-    tell(&mut view, controller(2), &[Message::SnapshotBegin, end(false), beat(1, 1)]);
+    tell(&mut view, controller(2), &[Message::SnapshotBegin, end(false), heartbeat(1, 1)]);
     view.source_lost(ms(100), controller(1));
-    assert_eq!(tell_at(&mut view, 5_000, controller(2), &[beat(1, 1)]), vec![]);
+    assert_eq!(send_at(&mut view, 5_000, controller(2), &[heartbeat(1, 1)]), vec![]);
     assert!(view.registration("i-1").is_some());
 }
 
@@ -140,8 +144,8 @@
     assert_eq!(tell(&mut view, controller(2), &[end(false)]), vec![]);
     assert!(view.registration("i-2").is_some(), "the source has not heard from everyone itself");
 
-    let news = tell(&mut view, controller(2), &[end(true)]);
-    assert_eq!(news, vec![removed("i-2", 4), end(true)]);
+    let updates = tell(&mut view, controller(2), &[end(true)]);
+    assert_eq!(updates, vec![removed("i-2", 4), end(true)]);
     assert!(view.registration("i-2").is_none());
 }
 
@@ -164,15 +168,15 @@
 }
 
 #[test]
-fn a_holding_amends_a_registration_until_the_next_heartbeat() {
+fn a_residency_update_amends_a_registration_until_the_next_heartbeat() {
     let mut view = View::default();
     tell(&mut view, controller(1), &[registered("i-1", 80, 1, &["a"])]);
-    let loaded = holding("i-1", "b", true);
+    let loaded = residency_update("i-1", "b", true);
     assert_eq!(tell(&mut view, controller(1), std::slice::from_ref(&loaded)), vec![loaded.clone()]);
     assert_eq!(models(&view, "i-1"), ["a", "b"]);
     assert_eq!(tell(&mut view, controller(2), &[loaded]), vec![], "it is known already");
 
-    tell(&mut view, controller(1), &[holding("i-1", "a", false)]);
+    tell(&mut view, controller(1), &[residency_update("i-1", "a", false)]);
     assert_eq!(models(&view, "i-1"), ["b"]);
 
     let heartbeat = registered("i-1", 80, 2, &["a"]);
@@ -181,23 +185,23 @@
 }
 
 #[test]
-fn a_heartbeat_that_confirms_a_holding_is_no_news() {
+fn a_heartbeat_that_confirms_a_residency_update_changes_nothing() {
     let mut view = View::default();
-    tell(&mut view, controller(1), &[registered("i-1", 80, 1, &[]), holding("i-1", "b", true)]);
+    tell(&mut view, controller(1), &[registered("i-1", 80, 1, &[]), residency_update("i-1", "b", true)]);
     assert_eq!(tell(&mut view, controller(1), &[registered("i-1", 80, 2, &["b"])]), vec![]);
     assert_eq!(models(&view, "i-1"), ["b"]);
 }
 
 #[test]
-fn a_holding_of_an_unknown_incarnation_is_dropped() {
+fn a_residency_update_of_an_unknown_incarnation_is_dropped() {
     let mut view = View::default();
-    assert_eq!(tell(&mut view, controller(1), &[holding("i-9", "b", true)]), vec![]);
+    assert_eq!(tell(&mut view, controller(1), &[residency_update("i-9", "b", true)]), vec![]);
 }
 
 #[test]
-fn a_reader_that_begins_gets_the_whole_view() {
+fn a_new_subscriber_gets_the_complete_view() {
     let mut view = View::default();
-    let known = [committed(2, "{}"), registered("i-1", 80, 1, &["a"]), holding("i-1", "b", true)];
+    let known = [committed(2, "{}"), registered("i-1", 80, 1, &["a"]), residency_update("i-1", "b", true)];
     tell(&mut view, controller(1), &known);
     tell(&mut view, controller(1), &[registered("i-2", 81, 1, &[]), removed("i-2", 2), end(true)]);
     let [configuration, registration, amendment] = known;
@@ -211,20 +215,20 @@
     let addresses = "10.0.0.1:7000 10.0.0.2:7000 nonsense".into();
     tell(&mut view, controller(1), &[Message::Controllers(Controllers { addresses })]);
     assert!(view.controllers().iter().eq(&[controller(1), controller(2)]));
-    let beat = FeedHeartbeat { quorum: 1, source: 5, offset: 9, routers: 3 };
-    tell(&mut view, controller(1), &[Message::FeedHeartbeat(beat)]);
+    let heartbeat = FeedHeartbeat { quorum: 1, source: 5, offset: 9, routers: 3 };
+    tell(&mut view, controller(1), &[Message::FeedHeartbeat(heartbeat)]);
     assert_eq!(view.routers(), 3);
 }
 
 #[test]
 fn a_removal_is_forgotten_after_a_minute() {
     let mut view = View::default();
-    let beat = Message::FeedHeartbeat(FeedHeartbeat { quorum: 1, source: 5, offset: 9, routers: 0 });
+    let heartbeat = Message::FeedHeartbeat(FeedHeartbeat { quorum: 1, source: 5, offset: 9, routers: 0 });
     tell(&mut view, controller(1), &[registered("i-1", 80, 1, &[]), removed("i-1", 5)]);
-    tell_at(&mut view, 59_000, controller(1), std::slice::from_ref(&beat));
-    assert_eq!(tell_at(&mut view, 59_001, controller(1), &[registered("i-1", 80, 2, &[])]), vec![]);
-    tell_at(&mut view, 61_000, controller(1), &[beat]);
-    assert_eq!(tell_at(&mut view, 61_001, controller(1), &[registered("i-1", 80, 2, &[])]).len(), 1);
+    send_at(&mut view, 59_000, controller(1), std::slice::from_ref(&heartbeat));
+    assert_eq!(send_at(&mut view, 59_001, controller(1), &[registered("i-1", 80, 2, &[])]), vec![]);
+    send_at(&mut view, 61_000, controller(1), &[heartbeat]);
+    assert_eq!(send_at(&mut view, 61_001, controller(1), &[registered("i-1", 80, 2, &[])]).len(), 1);
 }
 
 /// One step in the history of an endpoint, its sequence being its place in the row.
@@ -245,8 +249,8 @@
     }
 }
 
-fn sequence_of(news: &Message) -> Option<u64> {
-    match news {
+fn sequence_of(updates: &Message) -> Option<u64> {
+    match updates {
         Message::Registered(registered) => Some(registered.sequence),
         Message::Removed(removed) => Some(removed.sequence),
         _ => None,
@@ -261,25 +265,25 @@
         turns in prop::collection::vec(any::<bool>(), 40),
     ) {
         let last = steps.len() as u64;
-        let told = |source: bool| {
+        let sent = |source: bool| {
             let all = steps.iter().zip(1..).filter(move |((_, first, second), sequence)| {
                 *sequence == last || if source { *first } else { *second }
             });
             all.map(|((step, ..), sequence)| step_message(sequence, *step)).collect::<Vec<_>>()
         };
-        let (mut first, mut second) = (told(true).into_iter(), told(false).into_iter());
-        let (mut view, mut news) = (View::default(), Vec::new());
+        let (mut first, mut second) = (sent(true).into_iter(), sent(false).into_iter());
+        let (mut view, mut updates) = (View::default(), Vec::new());
         for turn in turns {
             let (source, messages) =
                 if turn { (controller(1), &mut first) } else { (controller(2), &mut second) };
             if let Some(message) = messages.next() {
-                view.receive(ms(0), source, message, &mut news);
+                view.receive(ms(0), source, message, &mut updates);
             }
         }
-        first.for_each(|message| view.receive(ms(0), controller(1), message, &mut news));
-        second.for_each(|message| view.receive(ms(0), controller(2), message, &mut news));
+        first.for_each(|message| view.receive(ms(0), controller(1), message, &mut updates));
+        second.for_each(|message| view.receive(ms(0), controller(2), message, &mut updates));
 
-        prop_assert!(news.iter().filter_map(sequence_of).is_sorted(), "{:?}", news);
+        prop_assert!(updates.iter().filter_map(sequence_of).is_sorted(), "{:?}", updates);
         match steps[steps.len() - 1].0 {
             Step::Holds(model) => prop_assert_eq!(models(&view, "i-1"), [format!("model-{model}")]),
             Step::Removed => prop_assert!(view.registration("i-1").is_none()),
@@ -287,7 +291,7 @@
     }
 }
 
-fn beat(quorum: u8, routers: u32) -> Message {
+fn heartbeat(quorum: u8, routers: u32) -> Message {
     Message::FeedHeartbeat(FeedHeartbeat { quorum, source: 1, offset: 0, routers })
 }
 
@@ -297,31 +301,35 @@
     let (one, other): (std::net::SocketAddr, std::net::SocketAddr) =
         ("10.0.0.1:7000".parse().unwrap(), "10.0.0.2:7000".parse().unwrap());
     let now = std::time::Duration::ZERO;
-    view.receive(now, one, beat(1, 9), &mut Vec::new());
-    view.receive(now, other, beat(1, 0), &mut Vec::new());
+    view.receive(now, one, heartbeat(1, 9), &mut Vec::new());
+    view.receive(now, other, heartbeat(1, 0), &mut Vec::new());
     assert_eq!(view.routers(), 9, "a controller that has just started knows none");
-    view.receive(now, other, beat(0, 2), &mut Vec::new());
+    view.receive(now, other, heartbeat(0, 2), &mut Vec::new());
     assert_eq!(view.routers(), 9, "a controller that is cut off hears few");
-    view.receive(now, one, beat(1, 0), &mut Vec::new());
+    view.receive(now, one, heartbeat(1, 0), &mut Vec::new());
     assert_eq!(view.routers(), 9, "nobody knows it now");
-    view.receive(now, other, beat(1, 3), &mut Vec::new());
+    view.receive(now, other, heartbeat(1, 3), &mut Vec::new());
     assert_eq!(view.routers(), 3);
 }
 
 #[test]
-fn a_holding_of_an_older_registration_does_not_lie_over_a_newer_one() {
+fn a_residency_update_of_an_older_registration_does_not_amend_a_newer_one() {
     let mut view = View::default();
     tell(&mut view, controller(1), &[registered("i-1", 80, 6, &["a"])]);
-    assert_eq!(tell(&mut view, controller(2), &[holding_of("i-1", "b", true, 5, 3)]), vec![]);
+    assert_eq!(tell(&mut view, controller(2), &[residency_update_of("i-1", "b", true, 5, 3)]), vec![]);
     assert_eq!(models(&view, "i-1"), ["a"]);
-    let newer = holding_of("i-1", "b", true, 6, 1);
+    let newer = residency_update_of("i-1", "b", true, 6, 1);
     assert_eq!(tell(&mut view, controller(2), std::slice::from_ref(&newer)), vec![newer]);
 }
 
 #[test]
-fn a_holding_that_overtook_its_registration_stays_when_that_comes() {
+fn a_residency_update_that_overtook_its_registration_stays_when_that_arrives() {
     let mut view = View::default();
-    tell(&mut view, controller(1), &[registered("i-1", 80, 5, &["a"]), holding_of("i-1", "b", true, 7, 1)]);
+    tell(
+        &mut view,
+        controller(1),
+        &[registered("i-1", 80, 5, &["a"]), residency_update_of("i-1", "b", true, 7, 1)],
+    );
     tell(&mut view, controller(2), &[registered("i-1", 80, 6, &["a", "c"])]);
     assert_eq!(models(&view, "i-1"), ["a", "c", "b"]);
     tell(&mut view, controller(2), &[registered("i-1", 80, 7, &["a"])]);
@@ -337,17 +345,21 @@
     tell(
         &mut view,
         controller(1),
-        &[holding_of("i-1", "b", true, 5, 1), holding_of("i-1", "b", false, 5, 2)],
+        &[residency_update_of("i-1", "b", true, 5, 1), residency_update_of("i-1", "b", false, 5, 2)],
+    );
+    assert_eq!(
+        tell(&mut view, controller(2), &[residency_update_of("i-1", "b", true, 5, 1)]),
+        vec![],
+        "it lags"
     );
-    assert_eq!(tell(&mut view, controller(2), &[holding_of("i-1", "b", true, 5, 1)]), vec![], "it lags");
     assert!(models(&view, "i-1").is_empty());
-    tell(&mut view, controller(2), &[holding_of("i-1", "b", true, 5, 2)]);
+    tell(&mut view, controller(2), &[residency_update_of("i-1", "b", true, 5, 2)]);
     assert!(models(&view, "i-1").is_empty(), "of two at once, the drop counts");
-    tell(&mut view, controller(2), &[holding_of("i-1", "b", true, 5, 3)]);
+    tell(&mut view, controller(2), &[residency_update_of("i-1", "b", true, 5, 3)]);
     assert_eq!(models(&view, "i-1"), ["b"]);
 }
 
-fn beat_at(source: u64, offset: u64) -> Message {
+fn heartbeat_at(source: u64, offset: u64) -> Message {
     Message::FeedHeartbeat(FeedHeartbeat { quorum: 1, source, offset, routers: 1 })
 }
 
@@ -355,12 +367,16 @@
 fn a_feed_goes_on_where_its_last_heartbeat_stood() {
     let mut view = View::default();
     let one = controller(1);
-    tell(&mut view, one, &[Message::SnapshotBegin, registered("i-1", 80, 3, &[]), end(true), beat_at(9, 40)]);
+    tell(
+        &mut view,
+        one,
+        &[Message::SnapshotBegin, registered("i-1", 80, 3, &[]), end(true), heartbeat_at(9, 40)],
+    );
     assert_eq!(view.position(one).source, 0, "it has not ended");
     view.source_lost(ms(0), one);
     assert_eq!((view.position(one).source, view.position(one).offset), (9, 40));
 
-    tell(&mut view, one, &[registered("i-2", 81, 1, &[]), beat_at(9, 41)]);
+    tell(&mut view, one, &[registered("i-2", 81, 1, &[]), heartbeat_at(9, 41)]);
     tell(&mut view, controller(2), &[Message::SnapshotBegin, end(true)]);
     assert!(view.registration("i-1").is_some(), "what it had listed is listed still");
     assert!(view.registration("i-2").is_some());
@@ -370,7 +386,7 @@
 fn a_feed_that_ended_within_a_snapshot_begins_anew() {
     let mut view = View::default();
     let one = controller(1);
-    tell(&mut view, one, &[Message::SnapshotBegin, end(true), beat_at(9, 40)]);
+    tell(&mut view, one, &[Message::SnapshotBegin, end(true), heartbeat_at(9, 40)]);
     view.source_lost(ms(0), one);
     tell(&mut view, one, &[Message::SnapshotBegin, registered("i-1", 80, 3, &[])]);
     view.source_lost(ms(1), one);
@@ -381,7 +397,11 @@
 fn a_feed_begins_anew_when_something_that_it_listed_was_dropped_meanwhile() {
     let mut view = View::default();
     let one = controller(1);
-    tell(&mut view, one, &[Message::SnapshotBegin, registered("i-1", 80, 3, &[]), end(true), beat_at(9, 40)]);
+    tell(
+        &mut view,
+        one,
+        &[Message::SnapshotBegin, registered("i-1", 80, 3, &[]), end(true), heartbeat_at(9, 40)],
+    );
     view.source_lost(ms(0), one);
     tell(&mut view, controller(2), &[Message::SnapshotBegin, end(true)]);
     assert!(view.registration("i-1").is_none());
@@ -391,11 +411,11 @@
 #[test]
 fn a_feed_begins_anew_after_half_a_minute() {
     let mut view = View::default();
-    tell(&mut view, controller(1), &[Message::SnapshotBegin, end(true), beat_at(9, 40)]);
+    tell(&mut view, controller(1), &[Message::SnapshotBegin, end(true), heartbeat_at(9, 40)]);
     view.source_lost(ms(0), controller(1));
-    tell_at(&mut view, 30_000, controller(2), &[beat_at(8, 1)]);
+    send_at(&mut view, 30_000, controller(2), &[heartbeat_at(8, 1)]);
     assert_eq!(view.position(controller(1)).source, 9);
-    tell_at(&mut view, 30_001, controller(2), &[beat_at(8, 1)]);
+    send_at(&mut view, 30_001, controller(2), &[heartbeat_at(8, 1)]);
     assert_eq!(view.position(controller(1)).source, 0);
 }
 
@@ -412,9 +432,9 @@
     tell(&mut view, controller(2), &[addresses(&[2])]);
     assert_eq!(known(&view), [1, 2, 3].map(controller), "one that is cut off takes none away");
     view.source_lost(ms(0), controller(1));
-    tell_at(&mut view, 30_000, controller(2), &[beat_at(8, 1)]);
+    send_at(&mut view, 30_000, controller(2), &[heartbeat_at(8, 1)]);
     assert_eq!(known(&view), [1, 2, 3].map(controller), "they may still be the only way");
-    tell_at(&mut view, 30_001, controller(2), &[beat_at(8, 1)]);
+    send_at(&mut view, 30_001, controller(2), &[heartbeat_at(8, 1)]);
     assert_eq!(known(&view), [2].map(controller));
 }
 
@@ -426,7 +446,7 @@
 fn a_view_is_behind_while_a_newer_configuration_is_known_or_nobody_would_know() {
     let mut view = View::new(Pace::LOOPBACK);
     assert!(view.may_be_behind(), "nobody is heard");
-    tell(&mut view, controller(1), &[committed(4, "a"), beat_at(9, 1)]);
+    tell(&mut view, controller(1), &[committed(4, "a"), heartbeat_at(9, 1)]);
     assert!(!view.may_be_behind());
     let known = Message::ConfigurationKnown(version(5, "b"));
     assert_eq!(tell(&mut view, controller(1), std::slice::from_ref(&known)), vec![known.clone()]);
@@ -436,9 +456,9 @@
     assert!(view.fetch(ms(500), None).is_some());
     tell(&mut view, controller(1), &[committed(5, "b")]);
     assert!(!view.may_be_behind());
-    tell(&mut view, controller(1), &[beat(0, 1)]);
+    tell(&mut view, controller(1), &[heartbeat(0, 1)]);
     assert!(view.may_be_behind(), "the only source has no contact with a majority");
-    tell(&mut view, controller(1), &[beat(1, 1)]);
+    tell(&mut view, controller(1), &[heartbeat(1, 1)]);
     view.source_lost(ms(600), controller(1));
     assert!(view.may_be_behind(), "nobody is heard any more");
 }
