--- a/crates/controller/src/controller/consensus/mod.rs
+++ b/crates/controller/src/controller/consensus/mod.rs
@@ -11,6 +11,7 @@
 pub(super) mod quorum_contact;
 #[cfg(test)]
 mod quorum_contact_test;
+pub(super) mod records;
 pub(super) mod registers;
 pub(super) mod replica_groups;
 #[cfg(test)]
--- a/crates/controller/src/controller/consensus/registers.rs
+++ b/crates/controller/src/controller/consensus/registers.rs
@@ -40,6 +40,17 @@
         let newest = self.newest_revisions.entry(shard).or_default();
         self.violations.check(Invariant::RevisionRises, value.revision >= *newest);
         *newest = value.revision.max(*newest);
+        let members = self.on_groups_committed(shard, value);
+        if shard == shards::CONFIGURATION {
+            self.endpoints.acknowledgements.acknowledge_confirmed(&self.known_groups(shard));
+            self.on_configuration_committed(value);
+        } else {
+            self.leases.set_group(now, u32::from(shard), value.revision, &members);
+        }
+    }
+
+    /// Applies the replica groups of a committed value. Returns the members of the newest one.
+    fn on_groups_committed(&mut self, shard: u8, value: &Value) -> Vec<SocketAddr> {
         let members: Vec<SocketAddr> =
             value.newest_group().iter().map(|node| SocketAddr::V4((*node).into())).collect();
         members.iter().for_each(|member| self.discover_peer(*member));
@@ -51,36 +62,30 @@
                 groups.groups
             );
         }
-        if shard == shards::CONFIGURATION {
-            self.endpoints.acknowledge_confirmed(&self.known_groups(shard));
-        }
-        if shard != shards::CONFIGURATION {
-            self.leases.set_group(now, u32::from(shard), value.revision, &members);
+        members
+    }
+
+    /// Publishes the configuration of a committed value, if it has changed.
+    fn on_configuration_committed(&mut self, value: &Value) {
+        let state = match ControlState::decode(&value.state) {
+            Ok(state) => state,
+            Err(error) => return log::error!("configuration state not decoded error={error}"),
+        };
+        let Some(document) = state.document() else { return };
+        if self.committed_configuration.as_ref().is_some_and(|known| known.document.bytes == document) {
             return;
         }
-        match ControlState::decode(&value.state) {
-            Ok(state) => {
-                let Some(document) = state.document() else { return };
-                if self.committed_configuration.as_ref().is_some_and(|known| known.document.bytes == document)
-                {
-                    return;
-                }
-                log::info!("configuration committed version={} revision={}", state.version(), value.revision);
-                let committed =
-                    CommittedConfiguration { revision: value.revision, document: document.to_vec().into() };
-                match serde_json::from_slice(document) {
-                    Ok(configuration) => self.configuration = Some(Arc::new(configuration)),
-                    Err(error) => {
-                        log::error!("configuration not parsed version={} error={error}", state.version())
-                    }
-                }
-                self.committed_configuration = Some(committed.clone());
-                self.subscribers.publish(committed);
-                self.configure_placements(0);
-                self.campaign_for_leases();
-            }
-            Err(error) => log::error!("configuration state not decoded error={error}"),
+        log::info!("configuration committed version={} revision={}", state.version(), value.revision);
+        match serde_json::from_slice(document) {
+            Ok(configuration) => self.configuration = Some(Arc::new(configuration)),
+            Err(error) => log::error!("configuration not parsed version={} error={error}", state.version()),
         }
+        let committed =
+            CommittedConfiguration { revision: value.revision, document: document.to_vec().into() };
+        self.committed_configuration = Some(committed.clone());
+        self.subscribers.publish(committed);
+        self.configure_placements(0);
+        self.campaign_for_leases();
     }
 
     fn on_request_done(&mut self, request: u64, outcome: Outcome) {
--- a/crates/controller/src/controller/endpoints/mod.rs
+++ b/crates/controller/src/controller/endpoints/mod.rs
@@ -1,5 +1,6 @@
 //! Registrations of endpoints: merged, acknowledged, expired; and loads that are accepted and not yet visible.
 
+pub(super) mod acknowledgements;
 pub(super) mod expiry;
 pub(super) mod pending_loads;
 #[cfg(test)]
--- a/crates/controller/src/controller/endpoints/registry.rs
+++ b/crates/controller/src/controller/endpoints/registry.rs
@@ -1,8 +1,10 @@
 //! Registrations of endpoints at a controller: merged, replicated to the peers, acknowledged.
 
 use crate::controller::consensus::replica_groups::KnownGroups;
+use crate::controller::endpoints::acknowledgements::{
+    AcknowledgementFault, Acknowledgements, acknowledged, too_few_reached,
+};
 use crate::controller::event::Answer;
-use crate::controller::operator::unavailable::Unavailable;
 use crate::message::{
     BatchedHeartbeat, HeartbeatBatch, Message, Registered as RegisteredMessage, Removed, ResidencyUpdate,
 };
@@ -11,69 +13,17 @@
 use bytes::Bytes;
 use lanegate_config::instance::InstanceState;
 use lanegate_coordination::registry::{FINAL_SEQUENCE, Registry, RegistryUpdate};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Longest wait for the other replicas before a draining endpoint is sent elsewhere; it waits a second.
-const REPLICATION_TIMEOUT: Duration = Duration::from_millis(850);
 /// How long the end of an incarnation is remembered.
 const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
 /// Heartbeats that an endpoint may miss before it counts as lost. Routers see a dead endpoint long before;
 /// this only keeps the list from growing.
 const MISSED_HEARTBEATS: f64 = 3.5;
 
-/// Deliberate faults: each must be found by a test.
-#[doc(hidden)]
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AcknowledgementFault {
-    /// Confirmations of controllers that are no members count as those of members.
-    CountNonMembers,
-    /// What a peer confirmed counts after its restart.
-    CountRestartedPeers,
-    /// Flushes have the same numbers in every incarnation of the process.
-    RepeatTokens,
-    /// Groups that only a peer knows do not count.
-    OwnGroupsOnly,
-}
-
-/// An acknowledgement that waits until a majority of every group in force has what it promises.
-#[derive(Debug)]
-struct PendingAcknowledgement {
-    reply: oneshot::Sender<Answer>,
-    id: String,
-    /// Controllers that have it, each with the groups that it knew when it confirmed.
-    confirmed_by: BTreeMap<SocketAddr, KnownGroups>,
-    until: Duration,
-}
-
-impl PendingAcknowledgement {
-    /// Whether it may be acknowledged by the controller `this`, which knows of the groups `known`.
-    ///
-    /// A controller that confirmed may know of a change of members that `this` does not know of. Whoever has
-    /// the newer group's majority must have the notice too, so that group counts beside those known here.
-    fn is_confirmed(
-        &self,
-        this: SocketAddr,
-        known: &KnownGroups,
-        fault: Option<AcknowledgementFault>,
-    ) -> bool {
-        if fault == Some(AcknowledgementFault::CountNonMembers) {
-            let majority = known.groups.iter().map(|group| group.len() / 2 + 1).max();
-            return majority.is_some_and(|majority| self.confirmed_by.len() + 1 >= majority);
-        }
-        let counts = |node| node == this || self.confirmed_by.contains_key(&node);
-        if fault == Some(AcknowledgementFault::OwnGroupsOnly) {
-            return known.have_majority(counts);
-        }
-        let newer =
-            self.confirmed_by.values().filter(|known_to_peer| known_to_peer.revision > known.revision);
-        known.have_majority(counts)
-            && newer.into_iter().all(|known_to_peer| known_to_peer.have_majority(counts))
-    }
-}
-
 /// What a call changed: messages for the other controllers, and which of them subscribers get too.
 #[derive(Debug, Default)]
 pub struct Changes {
@@ -104,20 +54,15 @@
     Contradicted(Message),
 }
 
-/// The endpoint registry, and acknowledgements in flight.
+/// The endpoint registry of one controller.
 #[derive(Debug)]
 pub struct EndpointRegistry {
-    /// This controller, which counts among those that know of a notice.
-    this: SocketAddr,
     registry: Registry<Registered>,
     timeout: Duration,
     /// Heartbeats since the last report to the other controllers.
     heartbeats: BTreeMap<String, u64>,
-    /// Draining incarnations that a majority has.
-    confirmed: BTreeSet<String>,
-    pending: BTreeMap<u64, PendingAcknowledgement>,
-    next_token: u64,
-    fault: Option<AcknowledgementFault>,
+    /// Acknowledgements of drains and deregistrations.
+    pub(crate) acknowledgements: Acknowledgements,
 }
 
 impl EndpointRegistry {
@@ -125,22 +70,16 @@
     /// are numbered from `incarnation`, drawn anew at each start: an answer to an earlier incarnation confirms nothing.
     pub fn new(heartbeat: Duration, this: SocketAddr, incarnation: u64) -> Self {
         EndpointRegistry {
-            this,
             registry: Registry::default(),
             timeout: heartbeat.mul_f64(MISSED_HEARTBEATS),
             heartbeats: BTreeMap::new(),
-            confirmed: BTreeSet::new(),
-            pending: BTreeMap::new(),
-            next_token: incarnation,
-            fault: None,
+            acknowledgements: Acknowledgements::new(this, incarnation),
         }
     }
 
     /// The same with a deliberate fault, for tests.
     pub fn with_fault(self, fault: Option<AcknowledgementFault>) -> Self {
-        let repeats = fault == Some(AcknowledgementFault::RepeatTokens);
-        let next_token = if repeats { 1 } else { self.next_token };
-        EndpointRegistry { next_token, fault, ..self }
+        EndpointRegistry { acknowledgements: self.acknowledgements.with_fault(fault), ..self }
     }
 
     /// A heartbeat of `id`. A majority of the groups `known`, and of any newer ones, has to know of one that is
@@ -173,11 +112,11 @@
             RegistryUpdate::Changed { replaced } => changes.messages = self.changed(id, replaced),
         }
         if !draining {
-            self.confirmed.remove(id);
+            self.acknowledgements.forget(id);
         }
-        if draining && !self.confirmed.contains(id) {
+        if draining && !self.acknowledgements.is_confirmed(id) {
             changes.messages.extend(self.current(id));
-            changes.flush = self.wait(now, id, known, reply);
+            changes.flush = self.acknowledgements.wait(now, id, known, reply);
         } else if in_contact {
             let _ = reply.send(acknowledged());
         } else {
@@ -197,7 +136,7 @@
         self.registry.remove(now, id, FINAL_SEQUENCE);
         self.heartbeats.remove(id);
         let messages = vec![removed_message(id, FINAL_SEQUENCE)];
-        Changes { messages, flush: self.wait(now, id, known, reply) }
+        Changes { messages, flush: self.acknowledgements.wait(now, id, known, reply) }
     }
 
     /// Merges a registration that another controller received.
@@ -277,7 +216,8 @@
     pub fn expire(&mut self, now: Duration, owns: impl Fn(&str) -> bool) -> Vec<Message> {
         self.registry.purge_removed(now, TOMBSTONE_RETENTION);
         let registry = &self.registry;
-        self.confirmed.retain(|id| registry.get(id).is_some_and(|entry| entry.registration.is_some()));
+        self.acknowledgements
+            .retain_confirmed(|id| registry.get(id).is_some_and(|entry| entry.registration.is_some()));
         let silent = self.registry.expire(now, self.timeout, owns);
         silent.into_iter().map(|(id, sequence)| removed_message(&id, sequence)).collect()
     }
@@ -287,67 +227,6 @@
         self.registry.restart_timeouts(now);
     }
 
-    /// A peer that knows of the groups `known_to_peer` has everything up to the flush `token`.
-    pub fn flushed(&mut self, token: u64, peer: SocketAddr, known_to_peer: KnownGroups, known: &KnownGroups) {
-        let Some(pending) = self.pending.get_mut(&token) else { return };
-        pending.confirmed_by.insert(peer, known_to_peer);
-        self.acknowledge_confirmed(known);
-    }
-
-    /// A peer runs as another process than before: what the earlier one confirmed is lost with its memory.
-    pub fn peer_restarted(&mut self, peer: SocketAddr) {
-        if self.fault == Some(AcknowledgementFault::CountRestartedPeers) {
-            return;
-        }
-        for pending in self.pending.values_mut() {
-            pending.confirmed_by.remove(&peer);
-        }
-    }
-
-    /// Acknowledges what is confirmed, now that confirmations or the groups `known` have changed.
-    pub fn acknowledge_confirmed(&mut self, known: &KnownGroups) {
-        let (this, fault) = (self.this, self.fault);
-        let is_confirmed = |pending: &PendingAcknowledgement| pending.is_confirmed(this, known, fault);
-        let confirmed = self.pending.iter().filter(|(_, pending)| is_confirmed(pending));
-        let confirmed: Vec<u64> = confirmed.map(|(token, _)| *token).collect();
-        for token in confirmed {
-            let pending = self.pending.remove(&token).expect("it was just there");
-            self.confirmed.insert(pending.id);
-            let _ = pending.reply.send(acknowledged());
-        }
-    }
-
-    /// A number for a flush that no acknowledgement waits for.
-    pub fn next_token(&mut self) -> u64 {
-        let token = self.next_token;
-        self.next_token = token.wrapping_add(1);
-        token
-    }
-
-    /// Answers 503 to acknowledgements that no majority confirmed in time.
-    pub fn expire_pending(&mut self, now: Duration) {
-        let late: Vec<u64> = self
-            .pending
-            .iter()
-            .filter(|(_, pending)| pending.until <= now)
-            .map(|(token, _)| *token)
-            .collect();
-        for token in late {
-            let pending = self.pending.remove(&token).expect("it was just there");
-            let _ = pending.reply.send(too_few_reached());
-        }
-    }
-
-    /// Acknowledgements that wait for the other replicas.
-    pub fn pending(&self) -> usize {
-        self.pending.len()
-    }
-
-    /// When [`EndpointRegistry::expire_pending`] is to be called next.
-    pub fn next_wake(&self) -> Option<Duration> {
-        self.pending.values().map(|pending| pending.until).min()
-    }
-
     /// Live incarnations, for subscribers of the feed.
     pub fn snapshot(&self) -> impl Iterator<Item = Message> {
         self.registry.entries().flat_map(|(id, entry)| {
@@ -386,31 +265,6 @@
             None => removed_message(id, entry.sequence),
         })
     }
-
-    /// Lets an acknowledgement wait for the other replicas. Tells the token of the flush, if any is needed.
-    fn wait(
-        &mut self,
-        now: Duration,
-        id: &str,
-        known: &KnownGroups,
-        reply: oneshot::Sender<Answer>,
-    ) -> Option<u64> {
-        let until = now + REPLICATION_TIMEOUT;
-        let pending =
-            PendingAcknowledgement { reply, id: id.to_owned(), confirmed_by: BTreeMap::new(), until };
-        let token = self.next_token();
-        self.pending.insert(token, pending);
-        self.acknowledge_confirmed(known);
-        self.pending.contains_key(&token).then_some(token)
-    }
-}
-
-fn acknowledged() -> Answer {
-    Answer::new(200, "{}")
-}
-
-fn too_few_reached() -> Answer {
-    Answer::unavailable(Unavailable::HeartbeatNotReplicated)
 }
 
 fn removed_message(id: &str, sequence: u64) -> Message {
--- a/crates/controller/src/controller/endpoints/registry_test.rs
+++ b/crates/controller/src/controller/endpoints/registry_test.rs
@@ -1,10 +1,9 @@
 //! Registrations at one controller: what is acknowledged when, and what the others and the readers hear.
 
 use crate::controller::consensus::replica_groups::KnownGroups;
+use crate::controller::endpoints::acknowledgements::AcknowledgementFault;
 use crate::controller::endpoints::pending_loads::residency_update;
-use crate::controller::endpoints::registry::{
-    AcknowledgementFault, Changes, EndpointRegistry, RegistrationMerge, RemovalMerge,
-};
+use crate::controller::endpoints::registry::{Changes, EndpointRegistry, RegistrationMerge, RemovalMerge};
 use crate::controller::event::Answer;
 use crate::message::{BatchedHeartbeat, HeartbeatBatch, Message, Registered, Removed, ResidencyUpdate};
 use bytes::Bytes;
@@ -48,7 +47,7 @@
 
 /// A peer that knows of the same `group` as the controller of the tests confirms.
 fn confirm(endpoints: &mut EndpointRegistry, token: u64, number: u8, group: &[u8]) {
-    endpoints.flushed(token, peer(number), known(group), &known(group));
+    endpoints.acknowledgements.flushed(token, peer(number), known(group), &known(group));
 }
 
 fn body(sequence: u64, state: &str) -> Bytes {
@@ -150,33 +149,33 @@
     assert_eq!(status(&mut answer), None, "one peer that confirms twice is one");
     confirm(&mut endpoints, token, 3, FIVE);
     assert_eq!(status(&mut answer), Some(200));
-    assert_eq!(endpoints.next_wake(), None);
+    assert_eq!(endpoints.acknowledgements.next_wake(), None);
 }
 
 #[test]
 fn a_draining_endpoint_is_given_up_without_a_majority() {
     let mut endpoints = endpoints();
     let (changes, mut answer) = register(&mut endpoints, ms(0), THREE, 1, "draining");
-    assert_eq!(endpoints.next_wake(), Some(GIVEN_UP));
-    endpoints.expire_pending(GIVEN_UP - ms(1));
+    assert_eq!(endpoints.acknowledgements.next_wake(), Some(GIVEN_UP));
+    endpoints.acknowledgements.expire_pending(GIVEN_UP - ms(1));
     assert_eq!(status(&mut answer), None);
-    endpoints.expire_pending(GIVEN_UP);
+    endpoints.acknowledgements.expire_pending(GIVEN_UP);
     assert_eq!(status(&mut answer), Some(503));
     confirm(&mut endpoints, changes.flush.expect("the others are asked"), 2, THREE);
-    assert_eq!(endpoints.next_wake(), None);
+    assert_eq!(endpoints.acknowledgements.next_wake(), None);
 }
 
 #[test]
 fn a_draining_endpoint_that_timed_out_is_replicated_and_flushed_again() {
     let mut endpoints = endpoints();
     register(&mut endpoints, ms(0), THREE, 1, "draining");
-    endpoints.expire_pending(GIVEN_UP);
+    endpoints.acknowledgements.expire_pending(GIVEN_UP);
     for (sequence, time) in [(1, 900), (2, 1_800)] {
         let (changes, mut answer) = register(&mut endpoints, ms(time), THREE, sequence, "draining");
         assert!(changes.messages.contains(&Message::Registered(registered(sequence, "draining"))));
         assert!(changes.flush.is_some(), "sequence {sequence}");
         assert_eq!(status(&mut answer), None);
-        endpoints.expire_pending(ms(time) + GIVEN_UP);
+        endpoints.acknowledgements.expire_pending(ms(time) + GIVEN_UP);
     }
 }
 
@@ -231,7 +230,7 @@
         let changes = endpoints.deregister(ms(time), "i-1", &known(THREE), reply);
         assert_eq!(changes.messages, vec![Message::Removed(removed(FINAL_SEQUENCE))]);
         assert!(changes.flush.is_some());
-        endpoints.expire_pending(ms(time) + GIVEN_UP);
+        endpoints.acknowledgements.expire_pending(ms(time) + GIVEN_UP);
         assert_eq!(status(&mut answer), Some(503));
     }
 }
@@ -349,11 +348,11 @@
 fn while_members_change_a_majority_of_both_groups_confirms() {
     let joint = known_at(2, &[&[1, 2, 3], &[3, 4, 5]]);
     let (mut endpoints, token, mut answer) = draining(THREE);
-    endpoints.flushed(token, peer(2), joint.clone(), &joint);
+    endpoints.acknowledgements.flushed(token, peer(2), joint.clone(), &joint);
     assert_eq!(status(&mut answer), None, "of the new group nobody has it");
-    endpoints.flushed(token, peer(4), joint.clone(), &joint);
+    endpoints.acknowledgements.flushed(token, peer(4), joint.clone(), &joint);
     assert_eq!(status(&mut answer), None);
-    endpoints.flushed(token, peer(3), joint.clone(), &joint);
+    endpoints.acknowledgements.flushed(token, peer(3), joint.clone(), &joint);
     assert_eq!(status(&mut answer), Some(200));
 }
 
@@ -361,9 +360,9 @@
 fn a_newer_group_that_a_peer_knows_counts_too() {
     let (old, joint) = (known_at(1, &[&[1, 2, 3]]), known_at(2, &[&[1, 2, 3], &[2, 3, 4]]));
     let (mut endpoints, token, mut answer) = draining(THREE);
-    endpoints.flushed(token, peer(2), joint, &old);
+    endpoints.acknowledgements.flushed(token, peer(2), joint, &old);
     assert_eq!(status(&mut answer), None, "this one and 2 are no majority of the group to come");
-    endpoints.flushed(token, peer(4), old.clone(), &old);
+    endpoints.acknowledgements.flushed(token, peer(4), old.clone(), &old);
     assert_eq!(status(&mut answer), Some(200));
 }
 
@@ -371,7 +370,7 @@
 fn an_older_group_that_a_peer_knows_does_not_count() {
     let (old, new) = (known_at(1, &[&[6, 7, 8]]), known_at(2, &[&[1, 2, 3]]));
     let (mut endpoints, token, mut answer) = draining(THREE);
-    endpoints.flushed(token, peer(2), old, &new);
+    endpoints.acknowledgements.flushed(token, peer(2), old, &new);
     assert_eq!(status(&mut answer), Some(200));
 }
 
@@ -382,7 +381,7 @@
         confirm(&mut endpoints, token, number, &[]);
     }
     assert_eq!(status(&mut answer), None, "nobody is a member of a group that is not known");
-    endpoints.acknowledge_confirmed(&known(THREE));
+    endpoints.acknowledgements.acknowledge_confirmed(&known(THREE));
     assert_eq!(status(&mut answer), Some(200));
 }
 
@@ -390,7 +389,7 @@
 fn a_peer_that_restarted_since_it_confirmed_does_not_count() {
     let (mut endpoints, token, mut answer) = draining(FIVE);
     confirm(&mut endpoints, token, 2, FIVE);
-    endpoints.peer_restarted(peer(2));
+    endpoints.acknowledgements.peer_restarted(peer(2));
     confirm(&mut endpoints, token, 3, FIVE);
     assert_eq!(status(&mut answer), None);
     confirm(&mut endpoints, token, 2, FIVE);
@@ -438,7 +437,7 @@
     let changes = endpoints.register(ms(0), "i-1", body(1, "draining"), known, true, reply);
     let token = changes.flush.expect("the others are asked");
     for (number, known_to_peer) in known_to_peer {
-        endpoints.flushed(token, peer(*number), (*known_to_peer).clone(), known);
+        endpoints.acknowledgements.flushed(token, peer(*number), (*known_to_peer).clone(), known);
     }
     status(&mut answer)
 }
@@ -461,7 +460,7 @@
     let (changes, mut answer) = register(&mut endpoints, ms(0), FIVE, 1, "draining");
     let token = changes.flush.expect("the others are asked");
     confirm(&mut endpoints, token, 2, FIVE);
-    endpoints.peer_restarted(peer(2));
+    endpoints.acknowledgements.peer_restarted(peer(2));
     confirm(&mut endpoints, token, 3, FIVE);
     assert_eq!(status(&mut answer), Some(200));
 }
--- a/crates/controller/src/controller/event_loop.rs
+++ b/crates/controller/src/controller/event_loop.rs
@@ -39,7 +39,7 @@
             self.replacement_planner.next_wake(),
             self.shards.next_wake(),
             self.pending_changes.next_wake(),
-            self.endpoints.next_wake(),
+            self.endpoints.acknowledgements.next_wake(),
             self.placers.next_wake(),
             self.pending_loads.next_wake(),
             self.contact_expiry(),
@@ -77,7 +77,7 @@
             self.propose_change(request);
         }
         self.update_contact();
-        self.endpoints.expire_pending(now);
+        self.endpoints.acknowledgements.expire_pending(now);
         self.run_placers(now);
         if self.next_feed_heartbeat <= now {
             self.next_feed_heartbeat = now + FEED_HEARTBEAT_PERIOD;
--- a/crates/controller/src/controller/fault.rs
+++ b/crates/controller/src/controller/fault.rs
@@ -1,7 +1,7 @@
 //! Deliberate faults of a controller, each of which the simulation must find. A process has none.
 
 use crate::controller::consensus::quorum_contact::ContactFault;
-use crate::controller::endpoints::registry::AcknowledgementFault;
+use crate::controller::endpoints::acknowledgements::AcknowledgementFault;
 use crate::controller::membership::replacement::ReplacementFault;
 use lanegate_coordination::register;
 
--- a/crates/controller/src/controller/feed/agents.rs
+++ b/crates/controller/src/controller/feed/agents.rs
@@ -1,5 +1,6 @@
 //! The feed to agents: new subscribers, and the heartbeat that reports whether this controller is trusted.
 
+use crate::controller::feed::subscribers::FeedStatus;
 use crate::controller::{Controller, ControllerFault};
 use crate::link::Outbox;
 use crate::message::{Hello, Message};
@@ -10,8 +11,12 @@
 
 impl Controller {
     pub(crate) fn send_feed_heartbeat(&mut self) {
-        let (quorum, routers) = (self.is_trusted(), self.routers.count(self.now()));
-        self.subscribers.heartbeat(quorum, routers);
+        let status = self.feed_status();
+        self.subscribers.heartbeat(status);
+    }
+
+    fn feed_status(&self) -> FeedStatus {
+        FeedStatus { is_trusted: self.is_trusted(), routers: self.routers.count(self.now()) }
     }
 
     /// Whether agents may rely on this controller: what it knows is current, and it is not about to end.
@@ -21,7 +26,7 @@
     }
 
     pub(crate) fn agent_up(&mut self, agent: u64, hello: &Hello, outbox: Outbox) {
-        let send_feed_heartbeat = (self.is_trusted(), self.routers.count(self.now()));
+        let status = self.feed_status();
         let controllers = self.controllers_message();
         let (endpoints, complete) = (&self.endpoints, self.complete);
         let snapshot = || {
@@ -30,7 +35,7 @@
             messages.push(Message::SnapshotEnd { complete: u8::from(complete) });
             messages
         };
-        self.subscribers.up(agent, hello, outbox, snapshot, send_feed_heartbeat);
+        self.subscribers.up(agent, hello, outbox, snapshot, status);
     }
 
     pub(crate) fn agent_message(&mut self, agent: u64, message: Message) {
--- a/crates/controller/src/controller/feed/subscriber_storm_test.rs
+++ b/crates/controller/src/controller/feed/subscriber_storm_test.rs
@@ -1,7 +1,7 @@
 //! Readers of the feed under storms of changes: bytes, lag and the end state of each, in simulated time.
 
 use crate::configuration_feed::fetcher::Pace;
-use crate::controller::feed::subscribers::Subscribers;
+use crate::controller::feed::subscribers::{FeedStatus, Subscribers};
 use crate::link::Outbox;
 use crate::message::{CommittedConfiguration, Hello, Message, Registered, Removed, Role};
 use crate::view::View;
@@ -112,7 +112,7 @@
         let mut subscriber = |number: usize| {
             let links = sources.iter_mut().map(|source| {
                 let (outbox, frames) = Outbox::new();
-                source.up(number as u64, &hello(Position::default()), outbox, snapshot, (true, 1));
+                source.up(number as u64, &hello(Position::default()), outbox, snapshot, status(1));
                 Link { frames, arriving: None }
             });
             let links = links.collect();
@@ -135,7 +135,7 @@
                 self.sources.iter_mut().for_each(|source| source.publish(committed.clone()));
             }
             if now.is_multiple_of(FEED_HEARTBEAT_PERIOD_MS) {
-                self.sources.iter_mut().for_each(|source| source.heartbeat(true, 1));
+                self.sources.iter_mut().for_each(|source| source.heartbeat(status(1)));
             }
             self.step(now);
         }
@@ -180,6 +180,11 @@
     }
 }
 
+/// The status of a trusted source.
+fn status(routers: u32) -> FeedStatus {
+    FeedStatus { is_trusted: true, routers }
+}
+
 fn hello(position: Position) -> Hello {
     Hello {
         role: Role::Agent,
@@ -283,7 +288,7 @@
             messages.push(Message::SnapshotEnd { complete: 1 });
             messages
         };
-        self.subscribers.up(1, &hello(position), outbox, snapshot, (true, 1));
+        self.subscribers.up(1, &hello(position), outbox, snapshot, status(1));
         frames
     }
 }
@@ -312,7 +317,7 @@
     let mut view = View::default();
     let mut frames = publisher.join(Position::default());
     publisher.storm(500);
-    publisher.subscribers.heartbeat(true, 1);
+    publisher.subscribers.heartbeat(status(1));
     drain(&mut view, &mut frames);
     view.source_lost(ms(0), source(0));
     publisher.subscribers.down(1);
@@ -340,7 +345,7 @@
     let mut publisher = Publisher::new();
     let mut view = View::default();
     let mut frames = publisher.join(Position::default());
-    publisher.subscribers.heartbeat(true, 1);
+    publisher.subscribers.heartbeat(status(1));
     drain(&mut view, &mut frames);
     publisher.storm(10_000);
     assert_eq!(publisher.subscribers.count(), 0, "nothing is sent to it any more");
@@ -365,7 +370,7 @@
     let committed =
         |revision| CommittedConfiguration { revision, document: one_route_changed(revision).into() };
     publisher.subscribers.publish(committed(1));
-    publisher.subscribers.heartbeat(true, 1);
+    publisher.subscribers.heartbeat(status(1));
     drain(&mut view, &mut frames);
     view.receive(ms(0), source(0), Message::CommittedConfiguration(committed(1)), &mut Vec::new());
     view.source_lost(ms(0), source(0));
--- a/crates/controller/src/controller/feed/subscribers.rs
+++ b/crates/controller/src/controller/feed/subscribers.rs
@@ -15,6 +15,15 @@
 /// Bytes of changes that a subscriber is sent without comparing them with a snapshot.
 const SHORT_TAIL_BYTES: usize = 64 * 1024;
 
+/// What a heartbeat of the feed reports.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct FeedStatus {
+    /// Whether subscribers may rely on this source.
+    pub is_trusted: bool,
+    /// Live routers, 0 while not known.
+    pub routers: u32,
+}
+
 /// The journal of the feed, and its subscribers. Configurations are not in the journal: subscribers fetch them.
 #[derive(Debug)]
 pub struct Subscribers {
@@ -59,8 +68,8 @@
     }
 
     /// Sends what is no change: heartbeats.
-    pub fn heartbeat(&mut self, quorum: bool, routers: u32) {
-        let frame = self.heartbeat_message(quorum, routers).frame();
+    pub fn heartbeat(&mut self, status: FeedStatus) {
+        let frame = self.heartbeat_message(status).frame();
         self.send_all(frame);
     }
 
@@ -71,7 +80,7 @@
         hello: &Hello,
         outbox: Outbox,
         snapshot: impl FnOnce() -> Vec<Message>,
-        heartbeat: (bool, u32),
+        status: FeedStatus,
     ) {
         let position = Position { source: hello.source, offset: hello.offset };
         for frame in self.start(position, snapshot) {
@@ -80,7 +89,7 @@
         if let Some(announcement) = self.configurations.announcement() {
             outbox.message(&announcement);
         }
-        outbox.message(&self.heartbeat_message(heartbeat.0, heartbeat.1));
+        outbox.message(&self.heartbeat_message(status));
         self.outboxes.insert(subscriber, outbox);
     }
 
@@ -121,9 +130,14 @@
         self.outboxes.len()
     }
 
-    fn heartbeat_message(&self, quorum: bool, routers: u32) -> Message {
+    fn heartbeat_message(&self, status: FeedStatus) -> Message {
         let Position { source, offset } = self.journal.end();
-        Message::FeedHeartbeat(FeedHeartbeat { quorum: u8::from(quorum), source, offset, routers })
+        Message::FeedHeartbeat(FeedHeartbeat {
+            quorum: u8::from(status.is_trusted),
+            source,
+            offset,
+            routers: status.routers,
+        })
     }
 
     fn send_all(&mut self, frame: Bytes) {
--- a/crates/controller/src/controller/feed/subscribers_test.rs
+++ b/crates/controller/src/controller/feed/subscribers_test.rs
@@ -1,6 +1,6 @@
 //! Readers of the feed go on where they stood, or begin with a snapshot.
 
-use crate::controller::feed::subscribers::Subscribers;
+use crate::controller::feed::subscribers::{FeedStatus, Subscribers};
 use crate::link::Outbox;
 use crate::message::{FeedHeartbeat, Hello, Message, Removed, Role};
 use bytes::Bytes;
@@ -8,6 +8,11 @@
 
 const INCARNATION: u64 = 77;
 
+/// The status of a trusted source.
+fn status(routers: u32) -> FeedStatus {
+    FeedStatus { is_trusted: true, routers }
+}
+
 fn hello(source: u64, offset: u64) -> Hello {
     Hello {
         role: Role::Agent,
@@ -38,7 +43,7 @@
 
 fn joined(subscribers: &mut Subscribers, subscriber: u64, hello: &Hello) -> Receiver<Bytes> {
     let (outbox, frames) = Outbox::new();
-    subscribers.up(subscriber, hello, outbox, snapshot, (true, 2));
+    subscribers.up(subscriber, hello, outbox, snapshot, status(2));
     frames
 }
 
@@ -86,7 +91,7 @@
     );
     subscribers.append(&change(0));
     subscribers.down(1);
-    subscribers.heartbeat(true, 2);
+    subscribers.heartbeat(status(2));
     assert_eq!(received(&mut first), vec![heartbeat(0), change(0)]);
     assert_eq!(received(&mut second), vec![heartbeat(0), change(0), heartbeat(1)]);
     assert_eq!(subscribers.count(), 1);
@@ -108,7 +113,7 @@
         made = true;
         snapshot
     };
-    subscribers.up(1, &hello(0, 0), outbox, make, (true, 2));
+    subscribers.up(1, &hello(0, 0), outbox, make, status(2));
     (made, received(&mut frames))
 }
 
@@ -117,7 +122,7 @@
     let mut subscribers = readers_with(3);
     let (made, first) = joined_with(&mut subscribers, snapshot());
     assert!(made);
-    subscribers.heartbeat(true, 2);
+    subscribers.heartbeat(status(2));
     let (made, second) = joined_with(&mut subscribers, vec![]);
     assert!(!made, "a heartbeat is no change");
     assert_eq!(first, second);
--- a/crates/controller/src/controller/membership/reconfiguration.rs
+++ b/crates/controller/src/controller/membership/reconfiguration.rs
@@ -47,7 +47,7 @@
                 }
                 Output::Restarted { peer, incarnation } => {
                     self.member_statuses.restarted(peer, incarnation);
-                    self.endpoints.peer_restarted(peer);
+                    self.endpoints.acknowledgements.peer_restarted(peer);
                 }
             }
         }
--- a/crates/controller/src/controller/membership/shutdown.rs
+++ b/crates/controller/src/controller/membership/shutdown.rs
@@ -66,7 +66,7 @@
         if let Some(heard) = self.endpoints.take_heartbeat_batch() {
             self.peers.broadcast(&heard);
         }
-        let token = self.endpoints.next_token();
+        let token = self.endpoints.acknowledgements.next_token();
         self.peers.broadcast(&Message::Flush(Token { token }));
         let live = self.peers.linked().filter(|peer| self.membership.is_live(*peer));
         if let Some(handover) = &mut self.handover {
@@ -78,7 +78,7 @@
     fn is_idle(&self) -> bool {
         self.in_flight.is_empty()
             && self.pending_changes.next_wake().is_none()
-            && self.endpoints.next_wake().is_none()
+            && self.endpoints.acknowledgements.next_wake().is_none()
             && self.leases.next_wake().is_none()
     }
 }
--- a/crates/controller/src/controller/metrics.rs
+++ b/crates/controller/src/controller/metrics.rs
@@ -176,7 +176,7 @@
         for (state, name) in [(InstanceState::Ready, "ready"), (InstanceState::Draining, "draining")] {
             exposition.set_labelled(&REGISTRATIONS, &[("state", name)], in_state(state));
         }
-        exposition.set(&ACKNOWLEDGEMENTS_WAITING, self.endpoints.pending());
+        exposition.set(&ACKNOWLEDGEMENTS_WAITING, self.endpoints.acknowledgements.pending());
         exposition.set(&EXPIRIES, self.counters.expiries);
     }
 
