--- a/crates/controller/examples/find_faults.rs
+++ b/crates/controller/examples/find_faults.rs
@@ -1,4 +1,4 @@
-//! Plays random schedules of the whole control side with each deliberate mistake until one breaks a rule:
+//! Plays random schedules of the whole control side with each deliberate fault until one breaks a rule:
 //! `find_faults MOST_SCHEDULES`.
 
 use lanegate_controller::controller::ControllerFault;
--- a/crates/controller/examples/repair_times.rs
+++ b/crates/controller/examples/repair_times.rs
@@ -18,7 +18,7 @@
     /// Losses that whole groups bear.
     margin: usize,
     /// Members that must be gone.
-    gone: &'static [char],
+    retired: &'static [char],
 }
 
 const CASES: [Case; 6] = [
@@ -28,7 +28,7 @@
         spares: 1,
         steps: "start d\nwait 1000\nretire c",
         margin: 1,
-        gone: &['c'],
+        retired: &['c'],
     },
     Case {
         name: "one lost, a new machine 100 ms later",
@@ -36,7 +36,7 @@
         spares: 1,
         steps: "retire c\nwait 100\nstart d",
         margin: 1,
-        gone: &['c'],
+        retired: &['c'],
     },
     Case {
         name: "one told to end, a spare is live",
@@ -44,7 +44,7 @@
         spares: 1,
         steps: "start d\nwait 1000\nstop c",
         margin: 1,
-        gone: &['c'],
+        retired: &['c'],
     },
     Case {
         name: "two told to end, two spares are live",
@@ -52,7 +52,7 @@
         spares: 2,
         steps: "start d\nstart e\nwait 1000\nstop b\nstop c",
         margin: 1,
-        gone: &['b', 'c'],
+        retired: &['b', 'c'],
     },
     Case {
         name: "two of five lost, two spares are live",
@@ -60,7 +60,7 @@
         spares: 2,
         steps: "start f\nstart g\nwait 1000\nretire a\nretire b",
         margin: 2,
-        gone: &['a', 'b'],
+        retired: &['a', 'b'],
     },
     Case {
         name: "one loses its disk and is back at once",
@@ -68,7 +68,7 @@
         spares: 0,
         steps: "wipe c\nstart c",
         margin: 1,
-        gone: &[],
+        retired: &[],
     },
 ];
 
@@ -118,10 +118,10 @@
 fn scenario(case: &Case, write: u64, seed: u64, time: u64) -> Scenario {
     let all = case.founders + case.spares;
     let slow: String = (0..all).map(|index| format!("slow {} {write}\n", name(index))).collect();
-    let gone: String = case.gone.iter().map(|member| format!("expect {member} nowhere\n")).collect();
+    let retired: String = case.retired.iter().map(|member| format!("expect {member} nowhere\n")).collect();
     let text = format!(
         "founders {} spares {} late routers 1 endpoints 2 seed {seed}\n\
-         {slow}wait 600\nput via a\nwait {}\n{}\nwait {time}\n{gone}expect margin {}\n",
+         {slow}wait 600\nput via a\nwait {}\n{}\nwait {time}\n{retired}expect margin {}\n",
         case.founders,
         case.spares,
         3_000 + 37 * (seed % 16),
--- a/crates/controller/src/agent/process.rs
+++ b/crates/controller/src/agent/process.rs
@@ -47,6 +47,9 @@
 }
 
 /// Runs an agent until SIGTERM; it exports its metrics at `metrics`. Must run inside a `LocalSet`.
+///
+/// # Errors
+/// If the loopback listener or a signal handler cannot be set up.
 pub async fn run_agent(settings: Settings, metrics: Option<MetricsAddress>) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut reload = signal(SignalKind::hangup())?;
--- a/crates/controller/src/agent/sources.rs
+++ b/crates/controller/src/agent/sources.rs
@@ -43,7 +43,9 @@
 /// What to change.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Plan {
+    /// Sources to follow from now on.
     pub start: Vec<SocketAddr>,
+    /// Sources to follow no more.
     pub stop: Vec<SocketAddr>,
 }
 
--- a/crates/controller/src/configuration_feed/delta.rs
+++ b/crates/controller/src/configuration_feed/delta.rs
@@ -12,10 +12,13 @@
 /// Why a delta cannot be applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DeltaError {
+    /// A part lies outside the older document.
     #[error("a part lies outside the older document")]
     OutsideBase,
+    /// The result would be longer than a frame.
     #[error("the document would be longer than a frame")]
     TooLong,
+    /// The result has another digest than expected.
     #[error("the result has another digest")]
     OtherDigest,
 }
@@ -64,6 +67,9 @@
 }
 
 /// The document that `parts` make of `older`, if it has the digest `expected`.
+///
+/// # Errors
+/// If a part lies outside `older`, or the result is too long or has another digest than `expected`.
 pub fn apply(older: &[u8], parts: &[DeltaPart], expected: u64) -> Result<Vec<u8>, DeltaError> {
     let mut newer = Vec::with_capacity(older.len());
     for part in parts {
--- a/crates/controller/src/controller/consensus/disk.rs
+++ b/crates/controller/src/controller/consensus/disk.rs
@@ -18,7 +18,7 @@
 
 /// What the disk has done since the start of the process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct DiskUse {
+pub(crate) struct DiskUse {
     /// Records that are on disk.
     pub written: u64,
     /// Records that could not be written.
@@ -33,11 +33,11 @@
 
 /// Shared by the disk's thread and those who hand records to it.
 #[derive(Debug, Default)]
-pub struct DiskCounts(Mutex<DiskUse>);
+pub(crate) struct DiskCounts(Mutex<DiskUse>);
 
 impl DiskCounts {
     /// The counts now.
-    pub fn snapshot(&self) -> DiskUse {
+    pub(crate) fn snapshot(&self) -> DiskUse {
         *self.0.lock()
     }
 
@@ -57,14 +57,14 @@
 
 /// Hands records to the disk's thread.
 #[derive(Debug, Clone)]
-pub struct Disk {
+pub(crate) struct Disk {
     writes: std::sync::mpsc::Sender<Write>,
     counts: Arc<DiskCounts>,
 }
 
 impl Disk {
     /// Starts the thread; the end of each write comes as [`Event::Written`].
-    pub fn start(
+    pub(crate) fn start(
         mut folder: Folder,
         mut stores: BTreeMap<u8, VersionedStore>,
         events: mpsc::UnboundedSender<Event>,
@@ -88,7 +88,7 @@
     }
 
     /// Queues a record.
-    pub fn write(&self, shard: u8, token: u64, record: Record) {
+    pub(crate) fn write(&self, shard: u8, token: u64, record: Record) {
         self.counts.queued();
         let _ = self.writes.send(Write { shard, token, record });
     }
--- a/crates/controller/src/controller/consensus/fault_tolerance.rs
+++ b/crates/controller/src/controller/consensus/fault_tolerance.rs
@@ -5,7 +5,7 @@
 
 /// What a controller knows of a member of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MemberState {
+pub(crate) enum MemberState {
     /// Live, and its replica can vote.
     Voting,
     /// Live, but its replica cannot vote: it has lost its disk and not recovered yet, or its disk refuses writes.
@@ -18,7 +18,7 @@
 
 /// Failures that every one of `groups` (two while members change) tolerates without losing its majority; `None` if
 /// one of them has none now, or no group is known.
-pub fn tolerable_failures(
+pub(crate) fn tolerable_failures(
     groups: &[Vec<SocketAddr>],
     state: impl Fn(SocketAddr) -> MemberState,
 ) -> Option<usize> {
@@ -32,7 +32,7 @@
 
 /// A change of the fault tolerance of a shard that is logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ToleranceChange {
+pub(crate) enum ToleranceChange {
     /// The next failure loses the majority, or it is lost already.
     Exhausted,
     /// A failure can be tolerated again.
@@ -41,13 +41,17 @@
 
 /// Whether the fault tolerance of each shard was exhausted when it was last observed.
 #[derive(Debug, Default)]
-pub struct ToleranceMonitor {
+pub(crate) struct ToleranceMonitor {
     exhausted: BTreeMap<u8, bool>,
 }
 
 impl ToleranceMonitor {
     /// Records how many failures a shard tolerates. Returns a change only when that number reaches zero or rises above it.
-    pub fn observe(&mut self, shard: u8, tolerable_failures: Option<usize>) -> Option<ToleranceChange> {
+    pub(crate) fn observe(
+        &mut self,
+        shard: u8,
+        tolerable_failures: Option<usize>,
+    ) -> Option<ToleranceChange> {
         let exhausted = tolerable_failures.is_none_or(|tolerable_failures| tolerable_failures == 0);
         let before = self.exhausted.insert(shard, exhausted).unwrap_or(false);
         match (before, exhausted) {
--- a/crates/controller/src/controller/consensus/fault_tolerance_test.rs
+++ b/crates/controller/src/controller/consensus/fault_tolerance_test.rs
@@ -46,12 +46,12 @@
 
 #[test]
 fn exhausted_and_restored_tolerance_are_reported_once() {
-    let mut margins = ToleranceMonitor::default();
-    assert_eq!(margins.observe(0, Some(1)), None);
-    assert_eq!(margins.observe(0, Some(0)), Some(ToleranceChange::Exhausted));
-    assert_eq!(margins.observe(0, Some(0)), None);
-    assert_eq!(margins.observe(0, None), None);
-    assert_eq!(margins.observe(1, None), Some(ToleranceChange::Exhausted), "each shard by itself");
-    assert_eq!(margins.observe(0, Some(1)), Some(ToleranceChange::Restored));
-    assert_eq!(margins.observe(0, Some(2)), None);
+    let mut monitor = ToleranceMonitor::default();
+    assert_eq!(monitor.observe(0, Some(1)), None);
+    assert_eq!(monitor.observe(0, Some(0)), Some(ToleranceChange::Exhausted));
+    assert_eq!(monitor.observe(0, Some(0)), None);
+    assert_eq!(monitor.observe(0, None), None);
+    assert_eq!(monitor.observe(1, None), Some(ToleranceChange::Exhausted), "each shard by itself");
+    assert_eq!(monitor.observe(0, Some(1)), Some(ToleranceChange::Restored));
+    assert_eq!(monitor.observe(0, Some(2)), None);
 }
--- a/crates/controller/src/controller/consensus/freshness.rs
+++ b/crates/controller/src/controller/consensus/freshness.rs
@@ -28,7 +28,7 @@
 
 /// How contact changed since it was last observed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ContactChange {
+pub(crate) struct ContactChange {
     /// Contact with the group of some shard has begun.
     pub contact_started: bool,
     /// The register of the configuration is to be read.
@@ -39,7 +39,7 @@
 
 /// Contact with the groups as it was last observed, and whether the configuration known here is current.
 #[derive(Debug, Default)]
-pub struct Freshness {
+pub(crate) struct Freshness {
     in_contact: BTreeSet<u8>,
     knowledge: Knowledge,
     /// What subscribers of the feed were notified of last.
@@ -48,7 +48,7 @@
 
 impl Freshness {
     /// Compares contact with what it was; `reached` are the shards whose groups are in contact now.
-    pub fn observe_contact(&mut self, reached: BTreeSet<u8>) -> ContactChange {
+    pub(crate) fn observe_contact(&mut self, reached: BTreeSet<u8>) -> ContactChange {
         let contact_started = !reached.is_subset(&self.in_contact);
         self.in_contact = reached;
         if !self.in_contact.contains(&shards::CONFIGURATION) {
@@ -61,24 +61,24 @@
     }
 
     /// The register is being read under `request`.
-    pub fn read_started(&mut self, request: u64) {
+    pub(crate) fn read_started(&mut self, request: u64) {
         self.knowledge = Knowledge::Reading(request);
     }
 
     /// The read `request` has ended, with the value or without. One that contact did not outlast is void.
-    pub fn read_ended(&mut self, request: u64, known: bool) {
+    pub(crate) fn read_ended(&mut self, request: u64, known: bool) {
         if self.knowledge == Knowledge::Reading(request) {
             self.knowledge = if known { Knowledge::Current } else { Knowledge::Unknown };
         }
     }
 
     /// Whether the configuration was read in the contact that lasts.
-    pub fn is_current(&self) -> bool {
+    pub(crate) fn is_current(&self) -> bool {
         self.knowledge == Knowledge::Current
     }
 
     /// Whether there was contact with the group of the configuration when it was last observed.
-    pub fn is_in_contact(&self) -> bool {
+    pub(crate) fn is_in_contact(&self) -> bool {
         self.in_contact.contains(&shards::CONFIGURATION)
     }
 }
--- a/crates/controller/src/controller/consensus/quorum_contact.rs
+++ b/crates/controller/src/controller/consensus/quorum_contact.rs
@@ -19,7 +19,7 @@
 /// Five heartbeats: four may be late or lost with their answers before contact ends. Short enough for agents
 /// to have left a source that is partitioned well within the time after which machines have to follow the
 /// configuration again; the sum is in `docs/control/contact.md`.
-pub const CONTACT_VALIDITY: Duration = Duration::from_millis(1_000);
+pub(crate) const CONTACT_VALIDITY: Duration = Duration::from_millis(1_000);
 /// Heartbeats that are remembered: more than are sent within [`CONTACT_VALIDITY`].
 const REMEMBERED_HEARTBEATS: usize = 32;
 
@@ -51,8 +51,8 @@
 
 /// What peers have answered.
 #[derive(Debug)]
-pub struct QuorumContact {
-    this: SocketAddr,
+pub(crate) struct QuorumContact {
+    own_address: SocketAddr,
     incarnation: u64,
     /// The latest heartbeats, oldest first.
     sent: VecDeque<Sent>,
@@ -63,10 +63,10 @@
 }
 
 impl QuorumContact {
-    /// Nobody has answered this `incarnation` of the process at `this` yet.
-    pub fn new(this: SocketAddr, incarnation: u64) -> Self {
+    /// Nobody has answered this `incarnation` of the process at `own_address` yet.
+    pub(crate) fn new(own_address: SocketAddr, incarnation: u64) -> Self {
         QuorumContact {
-            this,
+            own_address,
             incarnation,
             sent: VecDeque::new(),
             answered: BTreeMap::new(),
@@ -76,12 +76,12 @@
     }
 
     /// The same with a deliberate fault.
-    pub fn with_fault(this: SocketAddr, incarnation: u64, fault: Option<ContactFault>) -> Self {
-        QuorumContact { fault, ..QuorumContact::new(this, incarnation) }
+    pub(crate) fn with_fault(own_address: SocketAddr, incarnation: u64, fault: Option<ContactFault>) -> Self {
+        QuorumContact { fault, ..QuorumContact::new(own_address, incarnation) }
     }
 
     /// Records a heartbeat of this process; `now` was read before it was sent.
-    pub fn heartbeat_sent(&mut self, now: Duration, heartbeat: &Heartbeat) {
+    pub(crate) fn heartbeat_sent(&mut self, now: Duration, heartbeat: &Heartbeat) {
         self.last_call = now;
         if self.sent.back().is_some_and(|last| last.heartbeat.sequence >= heartbeat.sequence) {
             return;
@@ -93,12 +93,12 @@
     }
 
     /// The newest heartbeat of this process. It may be sent again: its answer counts from when it left first.
-    pub fn newest(&self) -> Option<&Heartbeat> {
+    pub(crate) fn newest(&self) -> Option<&Heartbeat> {
         self.sent.back().map(|last| &last.heartbeat)
     }
 
     /// A heartbeat of `peer` has arrived. It is no contact: the peer may not receive messages of this process.
-    pub fn heartbeat_received(&mut self, now: Duration, peer: SocketAddr) {
+    pub(crate) fn heartbeat_received(&mut self, now: Duration, peer: SocketAddr) {
         self.last_call = now;
         if self.has(ContactFault::CountReceivedHeartbeats) {
             self.answered.insert(peer, now);
@@ -106,9 +106,10 @@
     }
 
     /// `peer` has sent back `heartbeat`, one of this process. One that is not remembered is too old to count.
-    pub fn echo_received(&mut self, now: Duration, peer: SocketAddr, heartbeat: &Heartbeat) {
+    pub(crate) fn echo_received(&mut self, now: Duration, peer: SocketAddr, heartbeat: &Heartbeat) {
         self.last_call = now;
-        let own = heartbeat.sender.address() == self.this && heartbeat.sender.incarnation == self.incarnation;
+        let own = heartbeat.sender.address() == self.own_address
+            && heartbeat.sender.incarnation == self.incarnation;
         if !own && !self.has(ContactFault::AnyIncarnation) {
             return;
         }
@@ -122,18 +123,18 @@
 
     /// Whether a majority of every one of `groups` (two while the members change) has answered within
     /// [`CONTACT_VALIDITY`]. `now` has to be read for this question: the process may have stood still.
-    pub fn reaches(&self, now: Duration, groups: &[Vec<SocketAddr>]) -> bool {
+    pub(crate) fn reaches(&self, now: Duration, groups: &[Vec<SocketAddr>]) -> bool {
         let now = if self.has(ContactFault::StaleClock) { self.last_call } else { now };
         self.valid_until(groups).is_some_and(|end| now < end)
     }
 
     /// Whether `peer` has answered within [`CONTACT_VALIDITY`]; this process always answers itself.
-    pub fn is_answered_by(&self, now: Duration, peer: SocketAddr) -> bool {
+    pub(crate) fn is_answered_by(&self, now: Duration, peer: SocketAddr) -> bool {
         self.answer_valid_until(peer).is_some_and(|end| now < end)
     }
 
     /// When contact with `groups` ends if nobody answers any more; `None` if there was none.
-    pub fn valid_until(&self, groups: &[Vec<SocketAddr>]) -> Option<Duration> {
+    pub(crate) fn valid_until(&self, groups: &[Vec<SocketAddr>]) -> Option<Duration> {
         let counted = if self.has(ContactFault::NewGroupOnly) {
             &groups[groups.len().saturating_sub(1)..]
         } else {
@@ -156,7 +157,7 @@
     }
 
     fn answer_valid_until(&self, member: SocketAddr) -> Option<Duration> {
-        if member == self.this {
+        if member == self.own_address {
             return Some(Duration::MAX);
         }
         self.answered.get(&member).map(|sent| *sent + CONTACT_VALIDITY)
--- a/crates/controller/src/controller/consensus/quorum_contact_test.rs
+++ b/crates/controller/src/controller/consensus/quorum_contact_test.rs
@@ -361,7 +361,7 @@
     }
 }
 
-/// The scenarios that find a mistake.
+/// The scenarios that find a fault.
 fn found_by(fault: ContactFault) -> Vec<&'static str> {
     let failing = SCENARIOS.iter().filter(|(_, scenario)| scenario(Some(fault)).is_err());
     failing.map(|(name, _)| *name).collect()
--- a/crates/controller/src/controller/consensus/records.rs
+++ b/crates/controller/src/controller/consensus/records.rs
@@ -17,7 +17,7 @@
     path: &Path,
     folder: &mut dyn Directory,
 ) -> Result<(Stores, Records), ControllerError> {
-    let data = |error| ControllerError::Data { folder: path.to_owned(), error };
+    let data = |source| ControllerError::Data { folder: path.to_owned(), source };
     let (mut stores, mut records) = (Stores::new(), Records::new());
     for shard in shards::all() {
         let (store, newest) = VersionedStore::open(folder, &format!("shard-{shard}")).map_err(data)?;
--- a/crates/controller/src/controller/consensus/replica_groups.rs
+++ b/crates/controller/src/controller/consensus/replica_groups.rs
@@ -6,7 +6,7 @@
 
 /// Groups in force: one, or two while members change; none while no group is known (new or emptied disk).
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct KnownGroups {
+pub(crate) struct KnownGroups {
     /// Revision of the value that names them.
     pub revision: u64,
     /// Members of each group.
@@ -15,7 +15,7 @@
 
 impl KnownGroups {
     /// The groups that a value names.
-    pub fn of(value: Option<&Value>) -> Self {
+    pub(crate) fn of(value: Option<&Value>) -> Self {
         let Some(value) = value else { return KnownGroups::default() };
         let addresses = |members: &[lanegate_coordination::register::Node]| {
             members.iter().map(|node| SocketAddr::V4((*node).into())).collect()
@@ -25,12 +25,12 @@
     }
 
     /// A group of one.
-    pub fn only(node: SocketAddr) -> Self {
+    pub(crate) fn only(node: SocketAddr) -> Self {
         KnownGroups { revision: 0, groups: vec![vec![node]] }
     }
 
     /// The groups that a peer reported with its confirmation. An address that cannot be parsed becomes a member that nobody matches.
-    pub fn from_confirmation(confirmation: &Confirmation) -> Self {
+    pub(crate) fn from_confirmation(confirmation: &Confirmation) -> Self {
         let nobody = SocketAddr::from(([0, 0, 0, 0], 0));
         let read = |text: &str| text.parse().unwrap_or(nobody);
         let members = |group: &GroupMembers| group.addresses.text().split_whitespace().map(read).collect();
@@ -39,7 +39,7 @@
     }
 
     /// Confirms the flush `token` by one who knows of these groups.
-    pub fn confirmation(&self, token: u64) -> Confirmation {
+    pub(crate) fn confirmation(&self, token: u64) -> Confirmation {
         let members = |group: &Vec<SocketAddr>| {
             let addresses: Vec<String> = group.iter().map(ToString::to_string).collect();
             GroupMembers { addresses: addresses.join(" ").as_str().into() }
@@ -48,7 +48,7 @@
     }
 
     /// Whether more than half of every group counts. Never, while no group is known.
-    pub fn have_majority(&self, counts: impl Fn(SocketAddr) -> bool) -> bool {
+    pub(crate) fn have_majority(&self, counts: impl Fn(SocketAddr) -> bool) -> bool {
         let is_majority = |group: &Vec<SocketAddr>| {
             group.iter().filter(|member| counts(**member)).count() > group.len() / 2
         };
@@ -56,7 +56,7 @@
     }
 
     /// Whether a controller is a member of any group in force.
-    pub fn contains(&self, node: SocketAddr) -> bool {
+    pub(crate) fn contains(&self, node: SocketAddr) -> bool {
         self.groups.iter().any(|group| group.contains(&node))
     }
 }
--- a/crates/controller/src/controller/consensus/shards.rs
+++ b/crates/controller/src/controller/consensus/shards.rs
@@ -11,23 +11,23 @@
 use std::time::Duration;
 
 /// The shard of the configuration.
-pub const CONFIGURATION: u8 = 0;
+pub(crate) const CONFIGURATION: u8 = 0;
 /// Shards for services.
 const SERVICE_SHARDS: u8 = 4;
 
 /// The shard of a service.
-pub fn shard_of(service: &str) -> u8 {
+pub(crate) fn shard_of(service: &str) -> u8 {
     1 + (stable_hash(service.as_bytes()) % u64::from(SERVICE_SHARDS)) as u8
 }
 
 /// All shards.
-pub fn all() -> impl Iterator<Item = u8> {
+pub(crate) fn all() -> impl Iterator<Item = u8> {
     0..=SERVICE_SHARDS
 }
 
 /// Counts up: every command takes the next epoch.
 #[derive(Debug)]
-pub struct EpochCounter;
+pub(crate) struct EpochCounter;
 
 impl StateMachine for EpochCounter {
     fn apply(&self, current: &[u8], _command: &[u8]) -> Applied {
@@ -38,13 +38,13 @@
 }
 
 /// The epoch that a register's state, or the answer to a command, holds; 0 for none yet.
-pub fn read_epoch(bytes: &[u8]) -> u64 {
+pub(crate) fn read_epoch(bytes: &[u8]) -> u64 {
     bytes.try_into().map_or(0, u64::from_be_bytes)
 }
 
 /// Applies changes of the operator to the configuration.
 #[derive(Debug)]
-pub struct ConfigurationMachine;
+pub(crate) struct ConfigurationMachine;
 
 impl StateMachine for ConfigurationMachine {
     fn apply(&self, current: &[u8], command: &[u8]) -> Applied {
@@ -58,17 +58,17 @@
 }
 
 /// The replicas of this controller.
-pub struct Shards {
+pub(crate) struct Shards {
     replicas: BTreeMap<u8, Replica>,
 }
 
 impl Shards {
-    pub fn new(replicas: BTreeMap<u8, Replica>) -> Self {
+    pub(crate) fn new(replicas: BTreeMap<u8, Replica>) -> Self {
         Shards { replicas }
     }
 
     /// Passes `input` to the replica of `shard` and returns its outputs.
-    pub fn handle(&mut self, now: Duration, shard: u8, input: Input) -> Vec<Output> {
+    pub(crate) fn handle(&mut self, now: Duration, shard: u8, input: Input) -> Vec<Output> {
         match self.replicas.get_mut(&shard) {
             Some(replica) => handle(replica, now, input),
             None => Vec::new(),
@@ -76,24 +76,24 @@
     }
 
     /// Lets every replica do what is due.
-    pub fn due(&mut self, now: Duration) -> Vec<(u8, Vec<Output>)> {
+    pub(crate) fn due(&mut self, now: Duration) -> Vec<(u8, Vec<Output>)> {
         let is_due = |replica: &Replica| replica.next_wake().is_some_and(|at| at <= now);
         let due = self.replicas.iter_mut().filter(|(_, replica)| is_due(replica));
         due.map(|(shard, replica)| (*shard, handle(replica, now, Input::Tick))).collect()
     }
 
     /// When [`Shards::due`] is to be called next.
-    pub fn next_wake(&self) -> Option<Duration> {
+    pub(crate) fn next_wake(&self) -> Option<Duration> {
         self.replicas.values().filter_map(Replica::next_wake).min()
     }
 
     /// The replica of one shard.
-    pub fn get(&self, shard: u8) -> &Replica {
+    pub(crate) fn get(&self, shard: u8) -> &Replica {
         &self.replicas[&shard]
     }
 
     /// All replicas.
-    pub fn iter(&self) -> impl Iterator<Item = (u8, &Replica)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (u8, &Replica)> {
         self.replicas.iter().map(|(shard, replica)| (*shard, replica))
     }
 }
--- a/crates/controller/src/controller/counters.rs
+++ b/crates/controller/src/controller/counters.rs
@@ -6,7 +6,7 @@
 
 /// How an order ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum OrderOutcome {
+pub(super) enum OrderOutcome {
     Answered(OrderAnswer),
     /// It was never sent, as this controller may not act for the service now.
     NoLease,
@@ -14,7 +14,7 @@
 
 impl OrderOutcome {
     /// All outcomes, with their names as labels.
-    pub const ALL: [(OrderOutcome, &'static str); 9] = [
+    pub(super) const ALL: [(OrderOutcome, &'static str); 9] = [
         (OrderOutcome::Answered(OrderAnswer::Accepted), "accepted"),
         (OrderOutcome::Answered(OrderAnswer::AlreadyDone), "already_done"),
         (OrderOutcome::Answered(OrderAnswer::Conflict), "conflict"),
@@ -28,11 +28,12 @@
 }
 
 /// Operations that are ordered, with their names as labels.
-pub const OPERATIONS: [(Operation, &str); 2] = [(Operation::Load, "load"), (Operation::Evict, "evict")];
+pub(super) const OPERATIONS: [(Operation, &str); 2] =
+    [(Operation::Load, "load"), (Operation::Evict, "evict")];
 
 /// How a change of the configuration ended for the operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ChangeOutcome {
+pub(super) enum ChangeOutcome {
     Taken,
     AlreadyTaken,
     Conflict,
@@ -43,7 +44,7 @@
 
 impl ChangeOutcome {
     /// All outcomes, with their names as labels.
-    pub const ALL: [(ChangeOutcome, &'static str); 5] = [
+    pub(super) const ALL: [(ChangeOutcome, &'static str); 5] = [
         (ChangeOutcome::Taken, "taken"),
         (ChangeOutcome::AlreadyTaken, "already_taken"),
         (ChangeOutcome::Conflict, "conflict"),
@@ -52,7 +53,7 @@
     ];
 
     /// Decodes an outcome of the control state.
-    pub fn of_encoded(encoded: &[u8]) -> Self {
+    pub(super) fn of_encoded(encoded: &[u8]) -> Self {
         match Outcome::decode(encoded) {
             Ok(Outcome::Taken { .. }) => ChangeOutcome::Taken,
             Ok(Outcome::AlreadyTaken { .. }) => ChangeOutcome::AlreadyTaken,
@@ -65,7 +66,7 @@
 
 /// Counts since the start of the process.
 #[derive(Debug, Default)]
-pub struct Counters {
+pub(super) struct Counters {
     /// Orders that were given and have no answer yet.
     pub orders_in_flight: u64,
     loads: BTreeMap<OrderOutcome, u64>,
@@ -81,18 +82,18 @@
 
 impl Counters {
     /// An order is sent.
-    pub fn order_given(&mut self) {
+    pub(super) fn order_given(&mut self) {
         self.orders_in_flight += 1;
     }
 
     /// An order that was given has ended.
-    pub fn order_answered(&mut self, operation: Operation, answer: OrderAnswer) {
+    pub(super) fn order_answered(&mut self, operation: Operation, answer: OrderAnswer) {
         self.orders_in_flight = self.orders_in_flight.saturating_sub(1);
         self.count_order(operation, OrderOutcome::Answered(answer));
     }
 
     /// An order was not given for want of the lease.
-    pub fn order_withheld(&mut self, operation: Operation) {
+    pub(super) fn order_withheld(&mut self, operation: Operation) {
         self.count_order(operation, OrderOutcome::NoLease);
     }
 
@@ -105,7 +106,7 @@
     }
 
     /// Orders of an operation that ended so.
-    pub fn orders(&self, operation: Operation, outcome: OrderOutcome) -> u64 {
+    pub(super) fn orders(&self, operation: Operation, outcome: OrderOutcome) -> u64 {
         let orders = match operation {
             Operation::Load => &self.loads,
             Operation::Evict => &self.evictions,
@@ -114,12 +115,12 @@
     }
 
     /// A change of the operator here has ended.
-    pub fn change_ended(&mut self, outcome: ChangeOutcome) {
+    pub(super) fn change_ended(&mut self, outcome: ChangeOutcome) {
         *self.changes.entry(outcome).or_default() += 1;
     }
 
     /// Changes that ended so.
-    pub fn changes(&self, outcome: ChangeOutcome) -> u64 {
+    pub(super) fn changes(&self, outcome: ChangeOutcome) -> u64 {
         self.changes.get(&outcome).copied().unwrap_or_default()
     }
 }
--- a/crates/controller/src/controller/endpoints/acknowledgements.rs
+++ b/crates/controller/src/controller/endpoints/acknowledgements.rs
@@ -36,13 +36,13 @@
 }
 
 impl PendingAcknowledgement {
-    /// Whether it may be acknowledged by the controller `this`, which knows of the groups `known`.
+    /// Whether it may be acknowledged by the controller `own_address`, which knows of the groups `known`.
     ///
-    /// A controller that confirmed may know of a change of members that `this` does not know of. Whoever has
+    /// A controller that confirmed may know of a change of members that `own_address` does not know of. Whoever has
     /// the newer group's majority must have the notice too, so that group counts beside those known here.
     fn is_confirmed(
         &self,
-        this: SocketAddr,
+        own_address: SocketAddr,
         known: &KnownGroups,
         fault: Option<AcknowledgementFault>,
     ) -> bool {
@@ -50,7 +50,7 @@
             let majority = known.groups.iter().map(|group| group.len() / 2 + 1).max();
             return majority.is_some_and(|majority| self.confirmed_by.len() + 1 >= majority);
         }
-        let counts = |node| node == this || self.confirmed_by.contains_key(&node);
+        let counts = |node| node == own_address || self.confirmed_by.contains_key(&node);
         if fault == Some(AcknowledgementFault::OwnGroupsOnly) {
             return known.have_majority(counts);
         }
@@ -63,9 +63,9 @@
 
 /// The acknowledgements of one controller that wait for a majority, and those that got it.
 #[derive(Debug)]
-pub struct Acknowledgements {
+pub(crate) struct Acknowledgements {
     /// This controller, which counts among those that know of a notice.
-    this: SocketAddr,
+    own_address: SocketAddr,
     /// Draining incarnations that a majority has.
     confirmed: BTreeSet<String>,
     pending: BTreeMap<u64, PendingAcknowledgement>,
@@ -74,11 +74,11 @@
 }
 
 impl Acknowledgements {
-    /// No acknowledgement is pending at the controller `this`. Flushes are numbered from `incarnation`, drawn anew at
+    /// No acknowledgement is pending at the controller `own_address`. Flushes are numbered from `incarnation`, drawn anew at
     /// each start: an answer to an earlier incarnation confirms nothing.
-    pub fn new(this: SocketAddr, incarnation: u64) -> Self {
+    pub(crate) fn new(own_address: SocketAddr, incarnation: u64) -> Self {
         Acknowledgements {
-            this,
+            own_address,
             confirmed: BTreeSet::new(),
             pending: BTreeMap::new(),
             next_token: incarnation,
@@ -87,36 +87,42 @@
     }
 
     /// The same with a deliberate fault, for tests.
-    pub fn with_fault(self, fault: Option<AcknowledgementFault>) -> Self {
+    pub(crate) fn with_fault(self, fault: Option<AcknowledgementFault>) -> Self {
         let repeats = fault == Some(AcknowledgementFault::RepeatTokens);
         let next_token = if repeats { 1 } else { self.next_token };
         Acknowledgements { next_token, fault, ..self }
     }
 
     /// Whether a majority has the drain of this incarnation.
-    pub fn is_confirmed(&self, id: &str) -> bool {
+    pub(crate) fn is_confirmed(&self, id: &str) -> bool {
         self.confirmed.contains(id)
     }
 
     /// This incarnation is not draining any more.
-    pub fn forget(&mut self, id: &str) {
+    pub(crate) fn forget(&mut self, id: &str) {
         self.confirmed.remove(id);
     }
 
     /// Drops confirmed incarnations that are not live any more.
-    pub fn retain_confirmed(&mut self, is_live: impl Fn(&str) -> bool) {
+    pub(crate) fn retain_confirmed(&mut self, is_live: impl Fn(&str) -> bool) {
         self.confirmed.retain(|id| is_live(id));
     }
 
     /// A peer that knows of the groups `known_to_peer` has everything up to the flush `token`.
-    pub fn flushed(&mut self, token: u64, peer: SocketAddr, known_to_peer: KnownGroups, known: &KnownGroups) {
+    pub(crate) fn flushed(
+        &mut self,
+        token: u64,
+        peer: SocketAddr,
+        known_to_peer: KnownGroups,
+        known: &KnownGroups,
+    ) {
         let Some(pending) = self.pending.get_mut(&token) else { return };
         pending.confirmed_by.insert(peer, known_to_peer);
         self.acknowledge_confirmed(known);
     }
 
     /// A peer runs as another process than before: what the earlier one confirmed is lost with its memory.
-    pub fn peer_restarted(&mut self, peer: SocketAddr) {
+    pub(crate) fn peer_restarted(&mut self, peer: SocketAddr) {
         if self.fault == Some(AcknowledgementFault::CountRestartedPeers) {
             return;
         }
@@ -126,9 +132,9 @@
     }
 
     /// Acknowledges what is confirmed, now that confirmations or the groups `known` have changed.
-    pub fn acknowledge_confirmed(&mut self, known: &KnownGroups) {
-        let (this, fault) = (self.this, self.fault);
-        let is_confirmed = |pending: &PendingAcknowledgement| pending.is_confirmed(this, known, fault);
+    pub(crate) fn acknowledge_confirmed(&mut self, known: &KnownGroups) {
+        let (own_address, fault) = (self.own_address, self.fault);
+        let is_confirmed = |pending: &PendingAcknowledgement| pending.is_confirmed(own_address, known, fault);
         let confirmed = self.pending.iter().filter(|(_, pending)| is_confirmed(pending));
         let confirmed: Vec<u64> = confirmed.map(|(token, _)| *token).collect();
         for token in confirmed {
@@ -139,14 +145,14 @@
     }
 
     /// A number for a flush that no acknowledgement waits for.
-    pub fn next_token(&mut self) -> u64 {
+    pub(crate) fn next_token(&mut self) -> u64 {
         let token = self.next_token;
         self.next_token = token.wrapping_add(1);
         token
     }
 
     /// Answers 503 to acknowledgements that no majority confirmed in time.
-    pub fn expire_pending(&mut self, now: Duration) {
+    pub(crate) fn expire_pending(&mut self, now: Duration) {
         let late: Vec<u64> = self
             .pending
             .iter()
@@ -160,17 +166,17 @@
     }
 
     /// Acknowledgements that wait for the other replicas.
-    pub fn pending(&self) -> usize {
+    pub(crate) fn pending(&self) -> usize {
         self.pending.len()
     }
 
     /// When [`Acknowledgements::expire_pending`] is to be called next.
-    pub fn next_wake(&self) -> Option<Duration> {
+    pub(crate) fn next_wake(&self) -> Option<Duration> {
         self.pending.values().map(|pending| pending.until).min()
     }
 
     /// Lets an acknowledgement wait for the other replicas. Returns the token of the flush, if any is needed.
-    pub fn wait(
+    pub(crate) fn wait(
         &mut self,
         now: Duration,
         id: &str,
@@ -188,11 +194,11 @@
 }
 
 /// The answer to what is replicated.
-pub fn acknowledged() -> Answer {
+pub(crate) fn acknowledged() -> Answer {
     Answer::new(200, "{}")
 }
 
 /// The answer to what too few controllers have.
-pub fn too_few_reached() -> Answer {
+pub(crate) fn too_few_reached() -> Answer {
     Answer::unavailable(Unavailable::HeartbeatNotReplicated)
 }
--- a/crates/controller/src/controller/endpoints/pending_loads.rs
+++ b/crates/controller/src/controller/endpoints/pending_loads.rs
@@ -31,7 +31,7 @@
 
 /// What is due.
 #[derive(Debug, PartialEq, Eq)]
-pub enum PendingLoadStep {
+pub(crate) enum PendingLoadStep {
     /// Publish to peers and subscribers.
     Publish(ResidencyUpdate),
     /// Ask the endpoint for its report.
@@ -40,13 +40,13 @@
 
 /// Accepted loads that are not reported as resident yet.
 #[derive(Debug, Default)]
-pub struct PendingLoads {
+pub(crate) struct PendingLoads {
     pending: Vec<PendingLoad>,
 }
 
 impl PendingLoads {
     /// An order was accepted; `load_time` is the usual time of a load of the model from the store.
-    pub fn accepted(&mut self, now: Duration, service: &str, order: &Order, load_time: Duration) {
+    pub(crate) fn accepted(&mut self, now: Duration, service: &str, order: &Order, load_time: Duration) {
         if order.operation != Operation::Load {
             return;
         }
@@ -63,7 +63,7 @@
     }
 
     /// What is due now.
-    pub fn due(&mut self, now: Duration) -> Vec<PendingLoadStep> {
+    pub(crate) fn due(&mut self, now: Duration) -> Vec<PendingLoadStep> {
         self.pending.retain(|pending| pending.requests < MAX_REPORT_REQUESTS || pending.at > now);
         let mut steps = Vec::new();
         for pending in self.pending.iter_mut().filter(|pending| pending.at <= now) {
@@ -80,7 +80,7 @@
     }
 
     /// An endpoint reported its resident models. Returns the pending ones among them.
-    pub fn reported(&mut self, instance: &str, models: &[ResidentModel]) -> Vec<ResidencyUpdate> {
+    pub(crate) fn reported(&mut self, instance: &str, models: &[ResidentModel]) -> Vec<ResidencyUpdate> {
         let is_resident = |pending: &PendingLoad| {
             *pending.instance == *instance
                 && pending.adapter.is_none()
@@ -97,12 +97,12 @@
     }
 
     /// Forgets the loads of one service, for which another controller acts now.
-    pub fn clear(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.pending.clear();
     }
 
     /// When [`PendingLoads::due`] is to be called next.
-    pub fn next_wake(&self) -> Option<Duration> {
+    pub(crate) fn next_wake(&self) -> Option<Duration> {
         self.pending.iter().map(|pending| pending.at).min()
     }
 }
@@ -120,7 +120,7 @@
 
 /// What is known of a model or adapter at an endpoint, as a message; its sequence and order come with its
 /// publication.
-pub fn residency_update(
+pub(crate) fn residency_update(
     instance: &str,
     model: &str,
     adapter: Option<&str>,
--- a/crates/controller/src/controller/endpoints/pending_loads_test.rs
+++ b/crates/controller/src/controller/endpoints/pending_loads_test.rs
@@ -40,53 +40,56 @@
 
 #[test]
 fn an_accepted_adapter_is_published_once_it_can_be_used() {
-    let mut holdings = PendingLoads::default();
-    holdings.accepted(ms(0), SERVICE, &order(Operation::Load, "m", Some("a")), LOAD_TIME);
-    assert_eq!(holdings.next_wake(), Some(ms(25)));
-    assert_eq!(holdings.due(ms(24)), vec![]);
+    let mut pending_loads = PendingLoads::default();
+    pending_loads.accepted(ms(0), SERVICE, &order(Operation::Load, "m", Some("a")), LOAD_TIME);
+    assert_eq!(pending_loads.next_wake(), Some(ms(25)));
+    assert_eq!(pending_loads.due(ms(24)), vec![]);
     assert_eq!(
-        holdings.due(ms(25)),
+        pending_loads.due(ms(25)),
         vec![PendingLoadStep::Publish(residency_update("i-1", "m", Some("a"), true))]
     );
-    assert_eq!(holdings.due(ms(26)), vec![]);
-    assert_eq!(holdings.next_wake(), None);
+    assert_eq!(pending_loads.due(ms(26)), vec![]);
+    assert_eq!(pending_loads.next_wake(), None);
 }
 
 #[test]
 fn a_report_is_requested_after_the_usual_load_time_and_the_model_published_once_resident() {
-    let mut holdings = PendingLoads::default();
-    holdings.accepted(ms(0), SERVICE, &order(Operation::Load, "m", None), LOAD_TIME);
-    assert_eq!(holdings.due(LOAD_SHOWS - ms(1)), vec![]);
-    assert_eq!(holdings.due(LOAD_SHOWS), vec![request_report()]);
-    assert_eq!(holdings.reported("i-1", &[resident("other")]), vec![]);
-    assert_eq!(holdings.reported("i-2", &[resident("m")]), vec![], "another endpoint");
-    assert_eq!(holdings.reported("i-1", &[resident("m")]), vec![residency_update("i-1", "m", None, true)]);
-    assert_eq!(holdings.next_wake(), None);
+    let mut pending_loads = PendingLoads::default();
+    pending_loads.accepted(ms(0), SERVICE, &order(Operation::Load, "m", None), LOAD_TIME);
+    assert_eq!(pending_loads.due(LOAD_SHOWS - ms(1)), vec![]);
+    assert_eq!(pending_loads.due(LOAD_SHOWS), vec![request_report()]);
+    assert_eq!(pending_loads.reported("i-1", &[resident("other")]), vec![]);
+    assert_eq!(pending_loads.reported("i-2", &[resident("m")]), vec![], "another endpoint");
+    assert_eq!(
+        pending_loads.reported("i-1", &[resident("m")]),
+        vec![residency_update("i-1", "m", None, true)]
+    );
+    assert_eq!(pending_loads.next_wake(), None);
 }
 
 #[test]
 fn an_endpoint_without_the_model_gets_a_few_report_requests_only() {
-    let mut holdings = PendingLoads::default();
-    holdings.accepted(ms(0), SERVICE, &order(Operation::Load, "m", None), LOAD_TIME);
+    let mut pending_loads = PendingLoads::default();
+    pending_loads.accepted(ms(0), SERVICE, &order(Operation::Load, "m", None), LOAD_TIME);
     let mut steps = Vec::new();
-    while let Some(at) = holdings.next_wake().filter(|_| steps.len() < 10) {
-        steps.extend(holdings.due(at));
+    while let Some(at) = pending_loads.next_wake().filter(|_| steps.len() < 10) {
+        steps.extend(pending_loads.due(at));
     }
     assert_eq!(steps, vec![request_report(), request_report(), request_report(), request_report()]);
-    assert_eq!(holdings.reported("i-1", &[resident("m")]), vec![], "a heartbeat tells the rest");
+    assert_eq!(pending_loads.reported("i-1", &[resident("m")]), vec![], "a heartbeat tells the rest");
 }
 
 #[test]
 fn an_eviction_is_nothing_to_wait_for() {
-    let mut holdings = PendingLoads::default();
-    holdings.accepted(ms(0), SERVICE, &order(Operation::Evict, "m", None), LOAD_TIME);
-    assert_eq!(holdings.next_wake(), None);
+    let mut pending_loads = PendingLoads::default();
+    pending_loads.accepted(ms(0), SERVICE, &order(Operation::Evict, "m", None), LOAD_TIME);
+    assert_eq!(pending_loads.next_wake(), None);
 }
 
 #[test]
 fn the_end_of_a_tenure_ends_the_wait() {
-    let mut holdings = PendingLoads::default();
-    holdings.accepted(ms(0), SERVICE, &order(Operation::Load, "m", None), LOAD_TIME);
-    holdings.clear();
-    assert_eq!(holdings.due(LOAD_SHOWS), vec![]);
+    let mut pending_loads = PendingLoads::default();
+    pending_loads.accepted(ms(0), SERVICE, &order(Operation::Load, "m", None), LOAD_TIME);
+    pending_loads.clear();
+    assert_eq!(pending_loads.due(LOAD_SHOWS), vec![]);
 }
--- a/crates/controller/src/controller/endpoints/registry.rs
+++ b/crates/controller/src/controller/endpoints/registry.rs
@@ -26,7 +26,7 @@
 
 /// What a call changed: messages for the other controllers, and which of them subscribers get too.
 #[derive(Debug, Default)]
-pub struct Changes {
+pub(crate) struct Changes {
     pub messages: Vec<Message>,
     /// Asks the other controllers to confirm what was sent before.
     pub flush: Option<u64>,
@@ -34,7 +34,7 @@
 
 /// The result of merging a registration of another controller.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct RegistrationMerge {
+pub(crate) struct RegistrationMerge {
     /// Updates for subscribers.
     pub updates: Vec<Message>,
     /// Whether it has to be relayed to the other controllers: a draining endpoint may have been acknowledged, so every
@@ -44,7 +44,7 @@
 
 /// The result of merging a removal of another controller.
 #[derive(Debug, PartialEq, Eq)]
-pub enum RemovalMerge {
+pub(crate) enum RemovalMerge {
     /// The incarnation is removed here too; subscribers must be notified.
     Removed,
     /// Nothing changed.
@@ -56,7 +56,7 @@
 
 /// The endpoint registry of one controller.
 #[derive(Debug)]
-pub struct EndpointRegistry {
+pub(crate) struct EndpointRegistry {
     registry: Registry<Registered>,
     timeout: Duration,
     /// Heartbeats since the last report to the other controllers.
@@ -66,26 +66,26 @@
 }
 
 impl EndpointRegistry {
-    /// An empty registry for endpoints that send a heartbeat every `heartbeat`, at the controller `this`. Flushes
+    /// An empty registry for endpoints that send a heartbeat every `heartbeat`, at the controller `own_address`. Flushes
     /// are numbered from `incarnation`, drawn anew at each start: an answer to an earlier incarnation confirms nothing.
-    pub fn new(heartbeat: Duration, this: SocketAddr, incarnation: u64) -> Self {
+    pub(crate) fn new(heartbeat: Duration, own_address: SocketAddr, incarnation: u64) -> Self {
         EndpointRegistry {
             registry: Registry::default(),
             timeout: heartbeat.mul_f64(MISSED_HEARTBEATS),
             heartbeats: BTreeMap::new(),
-            acknowledgements: Acknowledgements::new(this, incarnation),
+            acknowledgements: Acknowledgements::new(own_address, incarnation),
         }
     }
 
     /// The same with a deliberate fault, for tests.
-    pub fn with_fault(self, fault: Option<AcknowledgementFault>) -> Self {
+    pub(crate) fn with_fault(self, fault: Option<AcknowledgementFault>) -> Self {
         EndpointRegistry { acknowledgements: self.acknowledgements.with_fault(fault), ..self }
     }
 
     /// A heartbeat of `id`. A majority of the groups `known`, and of any newer ones, has to know of one that is
     /// draining. One that is not draining is merged in any case, but acknowledged only `in_contact` with a majority:
     /// the controller that expires it may not get the heartbeat from here, so it has to call another controller as well.
-    pub fn register(
+    pub(crate) fn register(
         &mut self,
         now: Duration,
         id: &str,
@@ -126,7 +126,7 @@
     }
 
     /// The endpoint `id` deregisters.
-    pub fn deregister(
+    pub(crate) fn deregister(
         &mut self,
         now: Duration,
         id: &str,
@@ -140,7 +140,7 @@
     }
 
     /// Merges a registration that another controller received.
-    pub fn merge(&mut self, now: Duration, message: &RegisteredMessage) -> RegistrationMerge {
+    pub(crate) fn merge(&mut self, now: Duration, message: &RegisteredMessage) -> RegistrationMerge {
         let id = message.id.text();
         let Ok(registration) = Registered::parse(&id, message.body.bytes.clone().into()) else {
             return RegistrationMerge::default();
@@ -156,7 +156,7 @@
     }
 
     /// Merges a residency update of a placer here. Returns the update to publish, if it changed anything.
-    pub fn publish(&mut self, mut update: ResidencyUpdate) -> Option<ResidencyUpdate> {
+    pub(crate) fn publish(&mut self, mut update: ResidencyUpdate) -> Option<ResidencyUpdate> {
         let entry = self.registry.get(&update.id.text())?;
         update.sequence = entry.latest;
         update.order = entry.registration.as_ref()?.next_order();
@@ -164,20 +164,20 @@
     }
 
     /// Merges a residency update of a placer, here or elsewhere. Returns whether it changed anything.
-    pub fn apply_residency(&mut self, update: &ResidencyUpdate) -> bool {
+    pub(crate) fn apply_residency(&mut self, update: &ResidencyUpdate) -> bool {
         let registration = self.registry.get_mut(&update.id.text());
         registration.is_some_and(|registration| registration.apply_residency(update.clone()))
     }
 
     /// Whether a removal that another controller sent has to be relayed from here too, for the same
     /// reason as in [`RegistrationMerge::relay`]; to be called before it is merged.
-    pub fn relays_removal(&self, removed: &Removed) -> bool {
+    pub(crate) fn relays_removal(&self, removed: &Removed) -> bool {
         let known = self.registry.get(&removed.id.text());
         removed.sequence == FINAL_SEQUENCE && known.is_none_or(|entry| entry.sequence != FINAL_SEQUENCE)
     }
 
     /// Another controller removed an incarnation.
-    pub fn merge_removal(&mut self, now: Duration, removed: &Removed) -> RemovalMerge {
+    pub(crate) fn merge_removal(&mut self, now: Duration, removed: &Removed) -> RemovalMerge {
         let id = removed.id.text();
         if self.registry.remove(now, &id, removed.sequence) {
             return RemovalMerge::Removed;
@@ -195,14 +195,14 @@
     }
 
     /// Merges heartbeats that another controller received.
-    pub fn merge_heartbeats(&mut self, now: Duration, list: &HeartbeatBatch) {
+    pub(crate) fn merge_heartbeats(&mut self, now: Duration, list: &HeartbeatBatch) {
         for heartbeat in &list.heartbeats {
             self.registry.refresh(now, &heartbeat.id.text(), heartbeat.sequence);
         }
     }
 
     /// Heartbeats received here since the last call, for the other controllers.
-    pub fn take_heartbeat_batch(&mut self) -> Option<Message> {
+    pub(crate) fn take_heartbeat_batch(&mut self) -> Option<Message> {
         if self.heartbeats.is_empty() {
             return None;
         }
@@ -213,7 +213,7 @@
     }
 
     /// Removes endpoints whose heartbeats have timed out, in the services that this controller owns.
-    pub fn expire(&mut self, now: Duration, owns: impl Fn(&str) -> bool) -> Vec<Message> {
+    pub(crate) fn expire(&mut self, now: Duration, owns: impl Fn(&str) -> bool) -> Vec<Message> {
         self.registry.purge_removed(now, TOMBSTONE_RETENTION);
         let registry = &self.registry;
         self.acknowledgements
@@ -223,12 +223,12 @@
     }
 
     /// This process could not receive for a while: time-outs start anew.
-    pub fn reset_timeouts(&mut self, now: Duration) {
+    pub(crate) fn reset_timeouts(&mut self, now: Duration) {
         self.registry.restart_timeouts(now);
     }
 
     /// Live incarnations, for subscribers of the feed.
-    pub fn snapshot(&self) -> impl Iterator<Item = Message> {
+    pub(crate) fn snapshot(&self) -> impl Iterator<Item = Message> {
         self.registry.entries().flat_map(|(id, entry)| {
             let registration = entry.registration.as_ref();
             let residency_updates = registration.into_iter().flat_map(Registered::residency_updates);
@@ -238,18 +238,18 @@
     }
 
     /// All incarnations, tombstones included, for another controller.
-    pub fn full_snapshot(&self) -> impl Iterator<Item = Message> {
+    pub(crate) fn full_snapshot(&self) -> impl Iterator<Item = Message> {
         let gone = self.registry.entries().filter(|(_, entry)| entry.registration.is_none());
         self.snapshot().chain(gone.map(|(id, entry)| removed_message(id, entry.sequence)))
     }
 
     /// The registration of a live incarnation.
-    pub fn registration(&self, id: &str) -> Option<&Registered> {
+    pub(crate) fn registration(&self, id: &str) -> Option<&Registered> {
         self.registry.get(id)?.registration.as_ref()
     }
 
     /// Live registrations.
-    pub fn live(&self) -> impl Iterator<Item = (&String, &Registered)> + Clone {
+    pub(crate) fn live(&self) -> impl Iterator<Item = (&String, &Registered)> + Clone {
         self.registry.entries().filter_map(|(id, entry)| Some((id, entry.registration.as_ref()?)))
     }
 
--- a/crates/controller/src/controller/endpoints/registry_test.rs
+++ b/crates/controller/src/controller/endpoints/registry_test.rs
@@ -426,8 +426,8 @@
     assert!(!endpoints.relays_removal(&removed(FINAL_SEQUENCE)));
 }
 
-/// A registry that makes a mistake, and what it says to a drain once the peers that `known_to_peer` names have confirmed.
-fn mistaken(
+/// The status with which a registry with a fault answers a drain once the peers that `known_to_peer` names have confirmed.
+fn with_fault_status(
     fault: AcknowledgementFault,
     known_to_peer: &[(u8, &KnownGroups)],
     known: &KnownGroups,
@@ -445,13 +445,13 @@
 #[test]
 fn the_checks_find_confirmations_of_others_than_members() {
     let known = known(THREE);
-    assert_eq!(mistaken(AcknowledgementFault::CountNonMembers, &[(6, &known)], &known), Some(200));
+    assert_eq!(with_fault_status(AcknowledgementFault::CountNonMembers, &[(6, &known)], &known), Some(200));
 }
 
 #[test]
 fn the_checks_find_a_newer_group_that_does_not_count() {
     let (old, joint) = (known_at(1, &[&[1, 2, 3]]), known_at(2, &[&[1, 2, 3], &[2, 3, 4]]));
-    assert_eq!(mistaken(AcknowledgementFault::OwnGroupsOnly, &[(2, &joint)], &old), Some(200));
+    assert_eq!(with_fault_status(AcknowledgementFault::OwnGroupsOnly, &[(2, &joint)], &old), Some(200));
 }
 
 #[test]
--- a/crates/controller/src/controller/environment.rs
+++ b/crates/controller/src/controller/environment.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// The outside of one controller. Nothing here waits; what takes time ends with an event.
-pub trait Environment {
+pub(crate) trait Environment {
     /// Time since the process started; stands still for nobody.
     fn now(&self) -> Duration;
 
--- a/crates/controller/src/controller/error.rs
+++ b/crates/controller/src/controller/error.rs
@@ -7,16 +7,37 @@
 /// Why a controller cannot run.
 #[derive(Debug, thiserror::Error)]
 pub enum ControllerError {
+    /// A field of the settings file that a controller needs.
     #[error("settings: {0} is missing, and a controller needs it")]
     Missing(&'static str),
+    /// Only IPv4 addresses can name a controller.
     #[error("settings: {0} is no IPv4 address and port")]
     Address(SocketAddr),
-    #[error("data folder {folder}: {error}")]
-    Data { folder: PathBuf, error: StoreError },
-    #[error("data folder {folder}: {error}")]
-    Folder { folder: PathBuf, error: std::io::Error },
-    #[error("{address}: {error}")]
-    Listen { address: SocketAddr, error: std::io::Error },
+    /// A store in the data directory cannot be opened.
+    #[error("data folder {folder}: {source}")]
+    Data {
+        /// The data directory.
+        folder: PathBuf,
+        /// Why not.
+        source: StoreError,
+    },
+    /// The data directory cannot be opened.
+    #[error("data folder {folder}: {source}")]
+    Folder {
+        /// The data directory.
+        folder: PathBuf,
+        /// Why not.
+        source: std::io::Error,
+    },
+    /// A listener cannot be bound.
+    #[error("{address}: {source}")]
+    Listen {
+        /// The address of the listener.
+        address: SocketAddr,
+        /// Why not.
+        source: std::io::Error,
+    },
+    /// Another call to the operating system failed.
     #[error(transparent)]
     System(#[from] std::io::Error),
 }
--- a/crates/controller/src/controller/event.rs
+++ b/crates/controller/src/controller/event.rs
@@ -10,7 +10,7 @@
 
 /// Method of a call on the control interface.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Method {
+pub(crate) enum Method {
     Get,
     Put,
     Patch,
@@ -20,7 +20,7 @@
 
 /// A complete call on the control interface.
 #[derive(Debug)]
-pub struct Call {
+pub(crate) struct Call {
     pub method: Method,
     pub path: String,
     /// The version in `If-Match`; `Err` holds what stood there instead of a number.
@@ -31,7 +31,7 @@
 
 /// Answer to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub(crate) struct Answer {
     pub status: u16,
     pub body: Bytes,
     /// Why the status is 503, where it is.
@@ -40,24 +40,24 @@
 
 impl Answer {
     /// An answer with a body of JSON.
-    pub fn new(status: u16, body: impl Into<Bytes>) -> Self {
+    pub(crate) fn new(status: u16, body: impl Into<Bytes>) -> Self {
         Answer { status, body: body.into(), unavailable: None }
     }
 
     /// There is no clear answer: 503.
-    pub fn unavailable(reason: Unavailable) -> Self {
+    pub(crate) fn unavailable(reason: Unavailable) -> Self {
         Answer { unavailable: Some(reason), ..Answer::error(503, reason.text()) }
     }
 
     /// An error as JSON: `{"Error": text}`.
-    pub fn error(status: u16, text: &str) -> Self {
+    pub(crate) fn error(status: u16, text: &str) -> Self {
         Answer::new(status, serde_json::json!({ "Error": text }).to_string())
     }
 }
 
 /// An event that a controller handles.
 #[derive(Debug)]
-pub enum Event {
+pub(crate) enum Event {
     /// The link to another controller is up.
     PeerUp {
         peer: SocketAddr,
--- a/crates/controller/src/controller/event_loop.rs
+++ b/crates/controller/src/controller/event_loop.rs
@@ -97,11 +97,11 @@
         match event {
             Event::PeerUp { peer, outbox } => {
                 self.send_greeting(&outbox);
-                self.peers.up(peer, outbox);
+                self.peers.link_up(peer, outbox);
                 self.repeat_heartbeat(peer);
                 self.retry_replicas(peer);
             }
-            Event::PeerDown { peer } => self.peers.down(peer),
+            Event::PeerDown { peer } => self.peers.link_down(peer),
             Event::PeerHello { hello } => {
                 if let Ok(peer) = hello.control_address.text().parse() {
                     self.discover_peer(peer);
@@ -118,7 +118,7 @@
                 }
                 self.placers.reported(now, &service, &instance, &report);
             }
-            Event::AgentDown { agent } => self.subscribers.down(agent),
+            Event::AgentDown { agent } => self.subscribers.disconnected(agent),
             Event::Call(call) => self.call(call),
             Event::Written { shard, token, durable } => {
                 let input = if durable { Input::Persisted { token } } else { Input::PersistFailed { token } };
--- a/crates/controller/src/controller/fault.rs
+++ b/crates/controller/src/controller/fault.rs
@@ -12,11 +12,11 @@
     /// A fault of the registers, in all shards.
     Register(register::Fault),
     /// A fault in what counts as contact with a majority.
-    Contact(ContactFault),
+    QuorumContact(ContactFault),
     /// A fault in the replacement of members.
-    Members(ReplacementFault),
+    Replacement(ReplacementFault),
     /// A fault in what makes an acknowledgement safe.
-    EndpointRegistry(AcknowledgementFault),
+    Acknowledgement(AcknowledgementFault),
     /// `GET /config` answers from what this controller knows, without asking a majority.
     ReadLocally,
     /// A change is acknowledged once it is proposed.
@@ -93,12 +93,12 @@
             Own::ForgetMembers,
             Own::AlwaysCurrent,
         ];
-        let parts = registers.map(Own::Register).into_iter().chain(contact.map(Own::Contact));
+        let parts = registers.map(Own::Register).into_iter().chain(contact.map(Own::QuorumContact));
         own.into_iter().chain(parts).collect()
     }
 
     /// The fault of the registers.
-    pub(crate) fn of_register(self) -> Option<register::Fault> {
+    pub(crate) fn register(self) -> Option<register::Fault> {
         match self {
             ControllerFault::Register(fault) => Some(fault),
             _ => None,
@@ -106,25 +106,25 @@
     }
 
     /// The fault in what counts as contact.
-    pub(crate) fn of_contact(self) -> Option<ContactFault> {
+    pub(crate) fn quorum_contact(self) -> Option<ContactFault> {
         match self {
-            ControllerFault::Contact(fault) => Some(fault),
+            ControllerFault::QuorumContact(fault) => Some(fault),
             _ => None,
         }
     }
 
     /// The fault in the replacement of members.
-    pub(crate) fn of_members(self) -> Option<ReplacementFault> {
+    pub(crate) fn replacement(self) -> Option<ReplacementFault> {
         match self {
-            ControllerFault::Members(fault) => Some(fault),
+            ControllerFault::Replacement(fault) => Some(fault),
             _ => None,
         }
     }
 
     /// The fault in what makes an acknowledgement safe.
-    pub(crate) fn of_endpoints(self) -> Option<AcknowledgementFault> {
+    pub(crate) fn acknowledgement(self) -> Option<AcknowledgementFault> {
         match self {
-            ControllerFault::EndpointRegistry(fault) => Some(fault),
+            ControllerFault::Acknowledgement(fault) => Some(fault),
             _ => None,
         }
     }
--- a/crates/controller/src/controller/feed/agents.rs
+++ b/crates/controller/src/controller/feed/agents.rs
@@ -35,7 +35,7 @@
             messages.push(Message::SnapshotEnd { complete: u8::from(complete) });
             messages
         };
-        self.subscribers.up(agent, hello, outbox, snapshot, status);
+        self.subscribers.connected(agent, hello, outbox, snapshot, status);
     }
 
     pub(crate) fn agent_message(&mut self, agent: u64, message: Message) {
--- a/crates/controller/src/controller/feed/live_routers.rs
+++ b/crates/controller/src/controller/feed/live_routers.rs
@@ -11,23 +11,23 @@
 
 /// Routers by name, and when each reported its demand last.
 #[derive(Debug, Default)]
-pub struct LiveRouters {
+pub(crate) struct LiveRouters {
     last_report: BTreeMap<String, Duration>,
 }
 
 impl LiveRouters {
     /// A router reported its demand.
-    pub fn record_report(&mut self, now: Duration, router: String) {
+    pub(crate) fn record_report(&mut self, now: Duration, router: String) {
         self.last_report.insert(router, now);
     }
 
     /// Removes routers that have timed out.
-    pub fn expire(&mut self, now: Duration) {
+    pub(crate) fn expire(&mut self, now: Duration) {
         self.last_report.retain(|_, last_report| now < *last_report + ROUTER_TIMEOUT);
     }
 
     /// The number of live routers, `uptime` after the start of this process; 0 while it is not known.
-    pub fn count(&self, uptime: Duration) -> u32 {
+    pub(crate) fn count(&self, uptime: Duration) -> u32 {
         if uptime < WARMUP { 0 } else { self.last_report.len() as u32 }
     }
 }
--- a/crates/controller/src/controller/feed/subscriber_storm_test.rs
+++ b/crates/controller/src/controller/feed/subscriber_storm_test.rs
@@ -112,7 +112,7 @@
         let mut subscriber = |number: usize| {
             let links = sources.iter_mut().map(|source| {
                 let (outbox, frames) = Outbox::new();
-                source.up(number as u64, &hello(Position::default()), outbox, snapshot, status(1));
+                source.connected(number as u64, &hello(Position::default()), outbox, snapshot, status(1));
                 Link { frames, arriving: None }
             });
             let links = links.collect();
@@ -288,7 +288,7 @@
             messages.push(Message::SnapshotEnd { complete: 1 });
             messages
         };
-        self.subscribers.up(1, &hello(position), outbox, snapshot, status(1));
+        self.subscribers.connected(1, &hello(position), outbox, snapshot, status(1));
         frames
     }
 }
@@ -320,7 +320,7 @@
     publisher.subscribers.heartbeat(status(1));
     drain(&mut view, &mut frames);
     view.source_lost(ms(0), source(0));
-    publisher.subscribers.down(1);
+    publisher.subscribers.disconnected(1);
 
     let position = view.position(source(0));
     assert_eq!(position, Position { source: 11, offset: 500 });
@@ -374,7 +374,7 @@
     drain(&mut view, &mut frames);
     view.receive(ms(0), source(0), Message::CommittedConfiguration(committed(1)), &mut Vec::new());
     view.source_lost(ms(0), source(0));
-    publisher.subscribers.down(1);
+    publisher.subscribers.disconnected(1);
 
     publisher.storm(missed);
     // Only the versions that are kept as bases are built: older ones leave no trace.
--- a/crates/controller/src/controller/feed/subscribers.rs
+++ b/crates/controller/src/controller/feed/subscribers.rs
@@ -17,7 +17,7 @@
 
 /// What a heartbeat of the feed reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FeedStatus {
+pub(crate) struct FeedStatus {
     /// Whether subscribers may rely on this source.
     pub is_trusted: bool,
     /// Live routers, 0 while not known.
@@ -26,7 +26,7 @@
 
 /// The journal of the feed, and its subscribers. Configurations are not in the journal: subscribers fetch them.
 #[derive(Debug)]
-pub struct Subscribers {
+pub(crate) struct Subscribers {
     journal: Journal<Bytes>,
     configurations: ConfigurationPublisher,
     outboxes: BTreeMap<u64, Outbox>,
@@ -36,7 +36,7 @@
 
 impl Subscribers {
     /// A feed whose source is this incarnation of the process.
-    pub fn new(incarnation: u64) -> Self {
+    pub(crate) fn new(incarnation: u64) -> Self {
         Subscribers {
             journal: Journal::new(incarnation, JOURNAL_CHANGES),
             configurations: ConfigurationPublisher::retaining(RETAINED_CONFIGURATIONS),
@@ -46,21 +46,21 @@
     }
 
     /// Appends a change and sends it to all subscribers.
-    pub fn append(&mut self, message: &Message) {
+    pub(crate) fn append(&mut self, message: &Message) {
         let frame = message.frame();
         self.journal.append(frame.clone());
         self.send_all(frame);
     }
 
     /// Announces a configuration to all subscribers.
-    pub fn publish(&mut self, committed: CommittedConfiguration) {
+    pub(crate) fn publish(&mut self, committed: CommittedConfiguration) {
         if let Some(announcement) = self.configurations.publish(committed) {
             self.send_all(announcement.frame());
         }
     }
 
     /// A subscriber that has `base` requests the newest configuration.
-    pub fn fetch(&mut self, subscriber: u64, base: ConfigurationVersion) {
+    pub(crate) fn fetch(&mut self, subscriber: u64, base: ConfigurationVersion) {
         let Some(frame) = self.configurations.answer(base) else { return };
         if let Some(outbox) = self.outboxes.get(&subscriber) {
             outbox.send(frame);
@@ -68,13 +68,13 @@
     }
 
     /// Sends what is no change: heartbeats.
-    pub fn heartbeat(&mut self, status: FeedStatus) {
+    pub(crate) fn heartbeat(&mut self, status: FeedStatus) {
         let frame = self.heartbeat_message(status).frame();
         self.send_all(frame);
     }
 
     /// Starts a subscriber: the changes that it lacks, or all of `snapshot`.
-    pub fn up(
+    pub(crate) fn connected(
         &mut self,
         subscriber: u64,
         hello: &Hello,
@@ -121,12 +121,12 @@
     }
 
     /// The link of a subscriber has ended.
-    pub fn down(&mut self, subscriber: u64) {
+    pub(crate) fn disconnected(&mut self, subscriber: u64) {
         self.outboxes.remove(&subscriber);
     }
 
     /// Number of subscribers.
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.outboxes.len()
     }
 
--- a/crates/controller/src/controller/feed/subscribers_test.rs
+++ b/crates/controller/src/controller/feed/subscribers_test.rs
@@ -43,7 +43,7 @@
 
 fn joined(subscribers: &mut Subscribers, subscriber: u64, hello: &Hello) -> Receiver<Bytes> {
     let (outbox, frames) = Outbox::new();
-    subscribers.up(subscriber, hello, outbox, snapshot, status(2));
+    subscribers.connected(subscriber, hello, outbox, snapshot, status(2));
     frames
 }
 
@@ -90,7 +90,7 @@
         joined(&mut subscribers, 2, &hello(INCARNATION, 0)),
     );
     subscribers.append(&change(0));
-    subscribers.down(1);
+    subscribers.disconnected(1);
     subscribers.heartbeat(status(2));
     assert_eq!(received(&mut first), vec![heartbeat(0), change(0)]);
     assert_eq!(received(&mut second), vec![heartbeat(0), change(0), heartbeat(1)]);
@@ -113,7 +113,7 @@
         made = true;
         snapshot
     };
-    subscribers.up(1, &hello(0, 0), outbox, make, status(2));
+    subscribers.connected(1, &hello(0, 0), outbox, make, status(2));
     (made, received(&mut frames))
 }
 
--- a/crates/controller/src/controller/membership/handover.rs
+++ b/crates/controller/src/controller/membership/handover.rs
@@ -25,7 +25,7 @@
 
 /// Whether the draining controller is still a member, and whether it can be replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct GroupMembership {
+pub(crate) struct GroupMembership {
     /// Some group in force has this controller as a member.
     pub is_member: bool,
     /// Some live controller could take its place.
@@ -34,18 +34,18 @@
 
 /// The handover of one controller.
 #[derive(Debug)]
-pub struct Handover {
+pub(crate) struct Handover {
     stage: Stage,
 }
 
 impl Handover {
     /// Begins at `now`, by a controller that is killed `grace` later.
-    pub fn begin(now: Duration, grace: Duration) -> Self {
+    pub(crate) fn begin(now: Duration, grace: Duration) -> Self {
         Handover { stage: Stage::Replacement { until: now + grace.mul_f64(REPLACEMENT_FRACTION) } }
     }
 
     /// Whether the replacement is over, or cannot be had: then [`Handover::flush`] is to be called.
-    pub fn is_replaced(&self, now: Duration, membership: GroupMembership) -> bool {
+    pub(crate) fn is_replaced(&self, now: Duration, membership: GroupMembership) -> bool {
         match &self.stage {
             Stage::Replacement { until } => !membership.is_member || !membership.has_spare || now >= *until,
             _ => false,
@@ -53,13 +53,13 @@
     }
 
     /// All is sent, the flush `token` last: waits for those of `peers`.
-    pub fn flush(&mut self, now: Duration, token: u64, peers: impl IntoIterator<Item = SocketAddr>) {
+    pub(crate) fn flush(&mut self, now: Duration, token: u64, peers: impl IntoIterator<Item = SocketAddr>) {
         let missing = peers.into_iter().collect();
         self.stage = Stage::Flush { token, missing, until: now + FLUSH_TIMEOUT };
     }
 
     /// A peer has everything up to the flush `token`.
-    pub fn flushed(&mut self, answered: u64, peer: SocketAddr) {
+    pub(crate) fn flushed(&mut self, answered: u64, peer: SocketAddr) {
         if let Stage::Flush { token, missing, .. } = &mut self.stage
             && *token == answered
         {
@@ -69,7 +69,7 @@
 
     /// Ends the handover once the last messages are confirmed, or cannot be. `idle` says that nobody waits for
     /// an answer, nor a lease to be given back.
-    pub fn end_if_flushed(&mut self, now: Duration, idle: bool) {
+    pub(crate) fn end_if_flushed(&mut self, now: Duration, idle: bool) {
         if let Stage::Flush { missing, until, .. } = &self.stage
             && (now >= *until || (idle && missing.is_empty()))
         {
@@ -78,12 +78,12 @@
     }
 
     /// Whether the process may end.
-    pub fn is_done(&self) -> bool {
+    pub(crate) fn is_done(&self) -> bool {
         self.stage == Stage::Done
     }
 
     /// When this is to be looked at next.
-    pub fn next_wake(&self) -> Option<Duration> {
+    pub(crate) fn next_wake(&self) -> Option<Duration> {
         match &self.stage {
             Stage::Replacement { until } | Stage::Flush { until, .. } => Some(*until),
             Stage::Done => None,
--- a/crates/controller/src/controller/membership/links.rs
+++ b/crates/controller/src/controller/membership/links.rs
@@ -14,7 +14,7 @@
 
 /// Keeps a link to the peer `peer` (its control address) at `address`, until the returned handle ends it.
 /// Messages of the peer arrive on the link that it opens itself.
-pub fn keep_link(
+pub(crate) fn keep_link(
     peer: SocketAddr,
     address: SocketAddr,
     hello: Hello,
@@ -59,7 +59,7 @@
 }
 
 /// Accepts links of peers and agents until the process ends.
-pub async fn accept(listener: TcpListener, events: mpsc::UnboundedSender<Event>) {
+pub(crate) async fn accept(listener: TcpListener, events: mpsc::UnboundedSender<Event>) {
     let mut opened = 0;
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/crates/controller/src/controller/membership/member_status.rs
+++ b/crates/controller/src/controller/membership/member_status.rs
@@ -24,41 +24,41 @@
 
 /// The newest status of each controller, this one included.
 #[derive(Debug, Default)]
-pub struct MemberStatuses {
+pub(crate) struct MemberStatuses {
     statuses: BTreeMap<SocketAddr, MemberStatus>,
 }
 
 impl MemberStatuses {
     /// Records the status of the controller at `node`. Returns whether it has changed.
-    pub fn record(&mut self, node: SocketAddr, status: MemberStatus) -> bool {
+    pub(crate) fn record(&mut self, node: SocketAddr, status: MemberStatus) -> bool {
         self.statuses.insert(node, status) != Some(status)
     }
 
     /// The controller at `node` runs as `incarnation` now: the status of an earlier incarnation is dropped.
-    pub fn restarted(&mut self, node: SocketAddr, incarnation: u64) {
+    pub(crate) fn restarted(&mut self, node: SocketAddr, incarnation: u64) {
         if self.statuses.get(&node).is_some_and(|status| status.incarnation != incarnation) {
             self.statuses.remove(&node);
         }
     }
 
     /// The newest status of the controller at `node`.
-    pub fn get(&self, node: SocketAddr) -> Option<MemberStatus> {
+    pub(crate) fn get(&self, node: SocketAddr) -> Option<MemberStatus> {
         self.statuses.get(&node).copied()
     }
 
     /// Whether the controller reported that it can vote for a shard.
-    pub fn can_vote(&self, node: SocketAddr, shard: u8) -> bool {
+    pub(crate) fn can_vote(&self, node: SocketAddr, shard: u8) -> bool {
         self.statuses.get(&node).is_some_and(|status| status.can_vote(shard))
     }
 
     /// Whether the controller is draining.
-    pub fn is_draining(&self, node: SocketAddr) -> bool {
+    pub(crate) fn is_draining(&self, node: SocketAddr) -> bool {
         self.statuses.get(&node).is_some_and(|status| status.draining == 1)
     }
 
     /// Whether the controller may be made a member of the group of a shard: a vote less would be a loss that is
     /// borne from the start.
-    pub fn can_join(&self, node: SocketAddr, shard: u8) -> bool {
+    pub(crate) fn can_join(&self, node: SocketAddr, shard: u8) -> bool {
         self.can_vote(node, shard) && !self.is_draining(node)
     }
 }
--- a/crates/controller/src/controller/membership/peers.rs
+++ b/crates/controller/src/controller/membership/peers.rs
@@ -18,20 +18,20 @@
 
 /// The other controllers.
 #[derive(Debug)]
-pub struct Peers {
-    this: SocketAddr,
+pub(crate) struct Peers {
+    own_address: SocketAddr,
     peers: BTreeMap<SocketAddr, Peer>,
 }
 
 impl Peers {
-    /// No peers yet. `this` is the control address of this process.
-    pub fn new(this: SocketAddr) -> Self {
-        Peers { this, peers: BTreeMap::new() }
+    /// No peers yet. `own_address` is the control address of this process.
+    pub(crate) fn new(own_address: SocketAddr) -> Self {
+        Peers { own_address, peers: BTreeMap::new() }
     }
 
     /// Records that `peer` is a controller. Returns whether it is new; it needs a link then.
-    pub fn observe(&mut self, now: Duration, peer: SocketAddr) -> bool {
-        if peer == self.this {
+    pub(crate) fn observe(&mut self, now: Duration, peer: SocketAddr) -> bool {
+        if peer == self.own_address {
             return false;
         }
         if let Some(known) = self.peers.get_mut(&peer) {
@@ -43,7 +43,7 @@
     }
 
     /// Removes peers whose link is down and that nobody has named for long. Returns them.
-    pub fn expire(&mut self, now: Duration) -> Vec<SocketAddr> {
+    pub(crate) fn expire(&mut self, now: Duration) -> Vec<SocketAddr> {
         let is_gone = |peer: &Peer| peer.outbox.is_none() && now >= peer.last_named + UNNAMED_PEER_RETENTION;
         let expired: Vec<SocketAddr> =
             self.peers.iter().filter(|(_, peer)| is_gone(peer)).map(|(address, _)| *address).collect();
@@ -54,33 +54,33 @@
     }
 
     /// The link to `peer` is up.
-    pub fn up(&mut self, peer: SocketAddr, outbox: Outbox) {
+    pub(crate) fn link_up(&mut self, peer: SocketAddr, outbox: Outbox) {
         if let Some(peer) = self.peers.get_mut(&peer) {
             peer.outbox = Some(outbox);
         }
     }
 
     /// The link to `peer` is down.
-    pub fn down(&mut self, peer: SocketAddr) {
+    pub(crate) fn link_down(&mut self, peer: SocketAddr) {
         if let Some(peer) = self.peers.get_mut(&peer) {
             peer.outbox = None;
         }
     }
 
     /// Sends to one peer; a message for a peer without a link is lost.
-    pub fn send(&self, peer: SocketAddr, message: &Message) {
+    pub(crate) fn send(&self, peer: SocketAddr, message: &Message) {
         if let Some(outbox) = self.peers.get(&peer).and_then(|peer| peer.outbox.as_ref()) {
             outbox.message(message);
         }
     }
 
     /// The peers with a link.
-    pub fn linked(&self) -> impl Iterator<Item = SocketAddr> {
+    pub(crate) fn linked(&self) -> impl Iterator<Item = SocketAddr> {
         self.peers.iter().filter(|(_, peer)| peer.outbox.is_some()).map(|(address, _)| *address)
     }
 
     /// Sends to every peer with a link.
-    pub fn broadcast(&self, message: &Message) {
+    pub(crate) fn broadcast(&self, message: &Message) {
         let frame = message.frame();
         for outbox in self.peers.values().filter_map(|peer| peer.outbox.as_ref()) {
             outbox.send(frame.clone());
@@ -88,7 +88,7 @@
     }
 
     /// Control addresses of all controllers known, this one included.
-    pub fn addresses(&self) -> Vec<SocketAddr> {
-        std::iter::once(self.this).chain(self.peers.keys().copied()).collect()
+    pub(crate) fn addresses(&self) -> Vec<SocketAddr> {
+        std::iter::once(self.own_address).chain(self.peers.keys().copied()).collect()
     }
 }
--- a/crates/controller/src/controller/membership/reconfiguration.rs
+++ b/crates/controller/src/controller/membership/reconfiguration.rs
@@ -108,7 +108,7 @@
     /// Broadcasts the status of this controller, if it has changed.
     pub(crate) fn broadcast_status(&mut self) {
         let status = self.own_status();
-        if self.member_statuses.record(self.this, status) {
+        if self.member_statuses.record(self.own_address, status) {
             self.peers.broadcast(&Message::MemberStatus(status));
         }
     }
--- a/crates/controller/src/controller/membership/replacement.rs
+++ b/crates/controller/src/controller/membership/replacement.rs
@@ -12,21 +12,21 @@
 
 /// How long a member has to be suspected before a spare replaces it. A
 /// spare has to count within the time that a new machine is given to catch up, which is some seconds.
-pub const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(1_200);
+pub(crate) const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// The shard whose suspicions a deliberate fault applies to all shards.
 const FIRST_SHARD: u8 = 0;
 
 /// One change of the group.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct MemberChange {
+pub(crate) struct MemberChange {
     pub remove: Option<SocketAddr>,
     pub add: SocketAddr,
 }
 
 /// The group of a shard and the controllers around it, as one controller sees them.
 #[derive(Debug, Clone, Copy)]
-pub struct GroupView<'a> {
+pub(crate) struct GroupView<'a> {
     pub shard: u8,
     /// Members of the newest group known; empty while none is known.
     pub group: &'a [SocketAddr],
@@ -52,7 +52,7 @@
 
 /// Tracks suspected members, and plans their replacement by spares.
 #[derive(Debug, Default)]
-pub struct ReplacementPlanner {
+pub(crate) struct ReplacementPlanner {
     /// For each shard, since when each suspected member has been suspected.
     suspected_since: BTreeMap<u8, BTreeMap<SocketAddr, Duration>>,
     /// When the members were last observed.
@@ -66,12 +66,12 @@
 
 impl ReplacementPlanner {
     /// Suspects nobody yet. `fault` is a deliberate fault, for tests.
-    pub fn new(fault: Option<ReplacementFault>) -> Self {
+    pub(crate) fn new(fault: Option<ReplacementFault>) -> Self {
         ReplacementPlanner { fault, ..ReplacementPlanner::default() }
     }
 
     /// Records which members of a shard are live.
-    pub fn observe(&mut self, now: Duration, shard: u8, group: &[SocketAddr], live: &[SocketAddr]) {
+    pub(crate) fn observe(&mut self, now: Duration, shard: u8, group: &[SocketAddr], live: &[SocketAddr]) {
         self.observed_at = now;
         if self.has(ReplacementFault::ShareSuspicions) && shard != FIRST_SHARD {
             return;
@@ -84,13 +84,13 @@
     }
 
     /// Records the groups that a committed value of a shard names. Returns whether they differ from those before.
-    pub fn groups_committed(&mut self, shard: u8, groups: &KnownGroups) -> bool {
+    pub(crate) fn groups_committed(&mut self, shard: u8, groups: &KnownGroups) -> bool {
         let before = self.committed_groups.insert(shard, groups.groups.clone());
         before.is_none_or(|before| before != groups.groups)
     }
 
     /// This process could not receive for a while: suspicions up to now are dropped.
-    pub fn reset_timeouts(&mut self) {
+    pub(crate) fn reset_timeouts(&mut self) {
         if !self.has(ReplacementFault::CountOwnStall) {
             self.suspected_since.clear();
         }
@@ -98,23 +98,23 @@
 
     /// When the next member times out. A time-out before the last observation needs no wake-up: its replacement
     /// has been proposed, or waits for a spare.
-    pub fn next_wake(&self) -> Option<Duration> {
+    pub(crate) fn next_wake(&self) -> Option<Duration> {
         let suspected = self.suspected_since.values().flat_map(BTreeMap::values);
         suspected.map(|since| *since + REPLACEMENT_TIMEOUT).filter(|end| *end > self.observed_at).min()
     }
 
     /// A change of the members of `shard` has been proposed.
-    pub fn begin(&mut self, shard: u8) {
+    pub(crate) fn begin(&mut self, shard: u8) {
         self.changing.insert(shard);
     }
 
     /// The proposal is answered, whatever the answer.
-    pub fn end(&mut self, shard: u8) {
+    pub(crate) fn end(&mut self, shard: u8) {
         self.changing.remove(&shard);
     }
 
     /// The next change that the group of a shard needs, if any: `size` members are wanted.
-    pub fn plan(&self, now: Duration, view: GroupView<'_>, size: usize) -> Option<MemberChange> {
+    pub(crate) fn plan(&self, now: Duration, view: GroupView<'_>, size: usize) -> Option<MemberChange> {
         if view.group.is_empty() || self.is_changing(view.shard) {
             return None;
         }
--- a/crates/controller/src/controller/membership/shutdown.rs
+++ b/crates/controller/src/controller/membership/shutdown.rs
@@ -51,7 +51,7 @@
 
     /// Where this controller stands in the groups.
     fn group_membership(&self) -> GroupMembership {
-        let is_member = shards::all().any(|shard| self.known_groups(shard).contains(self.this));
+        let is_member = shards::all().any(|shard| self.known_groups(shard).contains(self.own_address));
         let could_join = |shard| {
             let group = self.group(shard);
             self.membership
--- a/crates/controller/src/controller/metrics.rs
+++ b/crates/controller/src/controller/metrics.rs
@@ -199,7 +199,11 @@
 }
 
 /// Adds the counts of the control interface and of the disk, which the controller itself does not know.
-pub fn add_surroundings(exposition: &mut Exposition, unavailable: &UnavailableCounts, disk: &DiskCounts) {
+pub(super) fn add_surroundings(
+    exposition: &mut Exposition,
+    unavailable: &UnavailableCounts,
+    disk: &DiskCounts,
+) {
     for reason in Unavailable::ALL {
         exposition.set_labelled(&UNAVAILABLE, &[("reason", reason.name())], unavailable.get(reason));
     }
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -66,7 +66,7 @@
 pub(crate) struct Controller {
     settings: Settings,
     /// Control address, which names this controller to its peers.
-    this: SocketAddr,
+    own_address: SocketAddr,
     /// Drawn at random at each start of the process.
     incarnation: u64,
     environment: Box<dyn Environment>,
@@ -163,7 +163,7 @@
         let live: Vec<SocketAddr> =
             order.into_iter().filter(|member| self.is_reached(now, *member)).collect();
         let staying = live.iter().find(|member| !self.member_statuses.is_draining(**member));
-        staying.or(live.first()).copied().unwrap_or(self.this)
+        staying.or(live.first()).copied().unwrap_or(self.own_address)
     }
 
     /// Whether messages pass in both directions. A controller whose heartbeats arrive, but which receives nothing itself,
@@ -176,6 +176,6 @@
 
     /// Whether this controller acts for a shard, whose group it has to know for that.
     fn owns(&self, shard: u8) -> bool {
-        !self.group(shard).is_empty() && self.owner(shard, &[shard]) == self.this
+        !self.group(shard).is_empty() && self.owner(shard, &[shard]) == self.own_address
     }
 }
--- a/crates/controller/src/controller/operator/control_calls.rs
+++ b/crates/controller/src/controller/operator/control_calls.rs
@@ -44,8 +44,11 @@
             return answer(call, Answer::error(404, "no such path"));
         }
         let alone = self.has_fault(ControllerFault::AcknowledgeDrainAlone);
-        let known =
-            if alone { KnownGroups::only(self.this) } else { self.known_groups(shards::CONFIGURATION) };
+        let known = if alone {
+            KnownGroups::only(self.own_address)
+        } else {
+            self.known_groups(shards::CONFIGURATION)
+        };
         let now = self.now();
         let alone = self.has_fault(ControllerFault::AcknowledgeHeartbeatAlone);
         let in_contact = alone || self.has_contact(shards::CONFIGURATION);
@@ -95,7 +98,7 @@
             return;
         }
         let owner = self.owner(shards::CONFIGURATION, &[shards::CONFIGURATION]);
-        let elsewhere = owner != self.this;
+        let elsewhere = owner != self.own_address;
         let now = self.now();
         let Some(request) = self.pending_changes.begin(now, command.clone(), call.reply, elsewhere) else {
             return;
@@ -136,7 +139,7 @@
             .collect();
         let live: Vec<String> = self.membership.live().map(|node| node.to_string()).collect();
         let status = serde_json::json!({
-            "Controller": self.this.to_string(),
+            "Controller": self.own_address.to_string(),
             "Name": self.settings.node_name,
             "Life": self.incarnation,
             "UptimeS": self.now().as_secs(),
--- a/crates/controller/src/controller/operator/http.rs
+++ b/crates/controller/src/controller/operator/http.rs
@@ -25,7 +25,7 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Serves calls on `listener` until the process ends. Must run inside a `LocalSet`.
-pub async fn serve(
+pub(crate) async fn serve(
     listener: TcpListener,
     events: mpsc::UnboundedSender<Event>,
     unavailable: Rc<UnavailableCounts>,
--- a/crates/controller/src/controller/operator/pending_changes.rs
+++ b/crates/controller/src/controller/operator/pending_changes.rs
@@ -11,9 +11,9 @@
 use tokio::sync::oneshot;
 
 /// How long the owner of the shard has before this controller proposes a change itself.
-pub const OWNER_TIMEOUT: Duration = Duration::from_millis(350);
+pub(crate) const OWNER_TIMEOUT: Duration = Duration::from_millis(350);
 /// Longest wait for a clear answer. The operator asks another controller after a second.
-pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(950);
+pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_millis(950);
 /// Changes in flight at a time.
 const MAX_PENDING: usize = 64;
 
@@ -36,7 +36,7 @@
 
 /// Who gets the outcome of a proposal.
 #[derive(Debug)]
-pub enum Completion {
+pub(crate) enum Completion {
     Answered,
     /// Send this outcome to the controller that asked.
     Return {
@@ -49,7 +49,7 @@
 
 /// Changes of the configuration in flight.
 #[derive(Debug, Default)]
-pub struct PendingChanges {
+pub(crate) struct PendingChanges {
     pending: BTreeMap<u64, Pending>,
     /// Number of the newest change.
     newest: u64,
@@ -60,13 +60,13 @@
 impl PendingChanges {
     /// Nothing is in flight. Numbers go on from `incarnation`, drawn at each start of the process: an owner may answer
     /// a change of an earlier incarnation, and that answer must not be taken for one to a change of this incarnation.
-    pub fn new(incarnation: u64) -> Self {
+    pub(crate) fn new(incarnation: u64) -> Self {
         PendingChanges { pending: BTreeMap::new(), newest: incarnation, timed_out: 0 }
     }
 
     /// Takes a change. It is proposed here at once, unless `owner_live`: then the owner is asked first.
     /// Returns its number, or `None` if too many are in flight.
-    pub fn begin(
+    pub(crate) fn begin(
         &mut self,
         now: Duration,
         command: Vec<u8>,
@@ -82,7 +82,7 @@
     }
 
     /// Takes a change that another controller handed over; it is proposed here at once.
-    pub fn begin_forwarded(
+    pub(crate) fn begin_forwarded(
         &mut self,
         now: Duration,
         peer: std::net::SocketAddr,
@@ -106,22 +106,22 @@
     }
 
     /// Changes in flight, those that another controller forwarded included.
-    pub fn in_flight(&self) -> usize {
+    pub(crate) fn in_flight(&self) -> usize {
         self.pending.len()
     }
 
     /// Changes that were answered 503 because there was no outcome in time.
-    pub fn timed_out(&self) -> u64 {
+    pub(crate) fn timed_out(&self) -> u64 {
         self.timed_out
     }
 
     /// The command of a change in flight.
-    pub fn command(&self, request: u64) -> Option<&[u8]> {
+    pub(crate) fn command(&self, request: u64) -> Option<&[u8]> {
         self.pending.get(&request).map(|pending| pending.command.as_slice())
     }
 
     /// An outcome has come, here or from the owner; `answer` is what the operator gets.
-    pub fn complete(&mut self, request: u64, answer: impl FnOnce() -> Answer) -> Completion {
+    pub(crate) fn complete(&mut self, request: u64, answer: impl FnOnce() -> Answer) -> Completion {
         match self.pending.remove(&request).map(|pending| pending.caller) {
             Some(Caller::Operator(reply)) => {
                 let _ = reply.send(answer());
@@ -133,7 +133,7 @@
     }
 
     /// Changes that the owner has not answered in time, to be proposed here now; ends those too late.
-    pub fn due(&mut self, now: Duration) -> Vec<u64> {
+    pub(crate) fn due(&mut self, now: Duration) -> Vec<u64> {
         let late: Vec<u64> =
             self.pending.iter().filter(|(_, pending)| pending.until <= now).map(|(id, _)| *id).collect();
         for request in late {
@@ -151,7 +151,7 @@
     }
 
     /// When [`PendingChanges::due`] is to be called next.
-    pub fn next_wake(&self) -> Option<Duration> {
+    pub(crate) fn next_wake(&self) -> Option<Duration> {
         self.pending.values().map(|p| p.propose_at.map_or(p.until, |at| at.min(p.until))).min()
     }
 }
--- a/crates/controller/src/controller/operator/pending_changes_test.rs
+++ b/crates/controller/src/controller/operator/pending_changes_test.rs
@@ -11,9 +11,9 @@
 const START: Duration = Duration::from_secs(7);
 const MILLISECOND: Duration = Duration::from_millis(1);
 
-fn started(operator: &mut PendingChanges, owner_live: bool) -> (u64, Receiver<Answer>) {
+fn started(changes: &mut PendingChanges, owner_live: bool) -> (u64, Receiver<Answer>) {
     let (reply, answer) = oneshot::channel();
-    let request = operator.begin(START, b"change".to_vec(), reply, owner_live);
+    let request = changes.begin(START, b"change".to_vec(), reply, owner_live);
     (request.expect("there is room"), answer)
 }
 
@@ -23,93 +23,93 @@
 
 #[test]
 fn a_change_of_the_owner_itself_is_not_proposed_a_second_time() {
-    let mut operator = PendingChanges::default();
-    let (request, mut answer) = started(&mut operator, false);
-    assert_eq!(operator.command(request), Some(&b"change"[..]));
-    assert_eq!(operator.due(START + OWNER_TIMEOUT), Vec::<u64>::new());
-    assert!(matches!(operator.complete(request, taken), Completion::Answered));
+    let mut changes = PendingChanges::default();
+    let (request, mut answer) = started(&mut changes, false);
+    assert_eq!(changes.command(request), Some(&b"change"[..]));
+    assert_eq!(changes.due(START + OWNER_TIMEOUT), Vec::<u64>::new());
+    assert!(matches!(changes.complete(request, taken), Completion::Answered));
     assert_eq!(answer.try_recv(), Ok(taken()));
-    assert_eq!(operator.next_wake(), None);
+    assert_eq!(changes.next_wake(), None);
 }
 
 #[test]
 fn the_owner_has_its_time_before_the_change_is_proposed_here_once() {
-    let mut operator = PendingChanges::default();
-    let (request, _answer) = started(&mut operator, true);
-    assert_eq!(operator.next_wake(), Some(START + OWNER_TIMEOUT));
-    assert_eq!(operator.due(START + OWNER_TIMEOUT - MILLISECOND), Vec::<u64>::new());
-    assert_eq!(operator.due(START + OWNER_TIMEOUT), vec![request]);
-    assert_eq!(operator.due(START + OWNER_TIMEOUT + MILLISECOND), Vec::<u64>::new());
-    assert_eq!(operator.next_wake(), Some(START + ANSWER_TIMEOUT));
+    let mut changes = PendingChanges::default();
+    let (request, _answer) = started(&mut changes, true);
+    assert_eq!(changes.next_wake(), Some(START + OWNER_TIMEOUT));
+    assert_eq!(changes.due(START + OWNER_TIMEOUT - MILLISECOND), Vec::<u64>::new());
+    assert_eq!(changes.due(START + OWNER_TIMEOUT), vec![request]);
+    assert_eq!(changes.due(START + OWNER_TIMEOUT + MILLISECOND), Vec::<u64>::new());
+    assert_eq!(changes.next_wake(), Some(START + ANSWER_TIMEOUT));
 }
 
 #[test]
 fn an_answer_of_the_owner_in_time_ends_the_matter() {
-    let mut operator = PendingChanges::default();
-    let (request, mut answer) = started(&mut operator, true);
-    operator.complete(request, taken);
+    let mut changes = PendingChanges::default();
+    let (request, mut answer) = started(&mut changes, true);
+    changes.complete(request, taken);
     assert_eq!(answer.try_recv(), Ok(taken()));
-    assert_eq!(operator.due(START + ANSWER_TIMEOUT), Vec::<u64>::new());
+    assert_eq!(changes.due(START + ANSWER_TIMEOUT), Vec::<u64>::new());
 }
 
 /// The owner was frozen with a change of this controller's earlier life before it, and answers now.
 #[test]
 fn an_outcome_for_an_earlier_incarnation_answers_nobody() {
     let mut earlier = PendingChanges::new(0x5151_0000_0000);
-    let mut operator = PendingChanges::new(0x7272_0000_0000);
+    let mut changes = PendingChanges::new(0x7272_0000_0000);
     let (old_request, _) = started(&mut earlier, true);
-    let (request, mut answer) = started(&mut operator, true);
+    let (request, mut answer) = started(&mut changes, true);
     assert_ne!(old_request, request);
-    assert!(matches!(operator.complete(old_request, taken), Completion::Unknown));
+    assert!(matches!(changes.complete(old_request, taken), Completion::Unknown));
     assert!(answer.try_recv().is_err());
-    operator.complete(request, taken);
+    changes.complete(request, taken);
     assert_eq!(answer.try_recv(), Ok(taken()));
 }
 
 #[test]
 fn the_first_of_two_outcomes_counts() {
-    let mut operator = PendingChanges::default();
-    let (request, mut answer) = started(&mut operator, true);
-    operator.due(START + OWNER_TIMEOUT);
-    operator.complete(request, taken);
-    assert!(matches!(operator.complete(request, || Answer::error(503, "late")), Completion::Unknown));
+    let mut changes = PendingChanges::default();
+    let (request, mut answer) = started(&mut changes, true);
+    changes.due(START + OWNER_TIMEOUT);
+    changes.complete(request, taken);
+    assert!(matches!(changes.complete(request, || Answer::error(503, "late")), Completion::Unknown));
     assert_eq!(answer.try_recv(), Ok(taken()));
 }
 
 #[test]
 fn a_change_without_an_outcome_ends_with_503() {
-    let mut operator = PendingChanges::default();
-    let (request, mut answer) = started(&mut operator, true);
-    assert_eq!(operator.due(START + ANSWER_TIMEOUT), Vec::<u64>::new(), "it is too late to propose it");
+    let mut changes = PendingChanges::default();
+    let (request, mut answer) = started(&mut changes, true);
+    assert_eq!(changes.due(START + ANSWER_TIMEOUT), Vec::<u64>::new(), "it is too late to propose it");
     assert_eq!(answer.try_recv().expect("it is answered").status, 503);
-    assert_eq!(operator.command(request), None);
-    assert_eq!(operator.next_wake(), None);
+    assert_eq!(changes.command(request), None);
+    assert_eq!(changes.next_wake(), None);
 }
 
 #[test]
 fn the_outcome_of_a_forwarded_change_goes_back_under_the_number_of_the_asker() {
-    let mut operator = PendingChanges::default();
+    let mut changes = PendingChanges::default();
     let peer: SocketAddr = "10.0.0.2:7000".parse().expect("an address");
-    let request = operator.begin_forwarded(START, peer, 41, b"change".to_vec());
-    assert_eq!(operator.command(request), Some(&b"change"[..]));
-    let completion = operator.complete(request, || unreachable!("no operator waits here"));
+    let request = changes.begin_forwarded(START, peer, 41, b"change".to_vec());
+    assert_eq!(changes.command(request), Some(&b"change"[..]));
+    let completion = changes.complete(request, || unreachable!("no operator waits here"));
     assert!(matches!(completion, Completion::Return { peer: to, request: 41 } if to == peer));
 }
 
 #[test]
 fn a_forwarded_change_is_forgotten_after_its_time() {
-    let mut operator = PendingChanges::default();
+    let mut changes = PendingChanges::default();
     let peer: SocketAddr = "10.0.0.2:7000".parse().expect("an address");
-    let request = operator.begin_forwarded(START, peer, 41, b"change".to_vec());
-    assert_eq!(operator.due(START + ANSWER_TIMEOUT), Vec::<u64>::new());
-    assert!(matches!(operator.complete(request, taken), Completion::Unknown));
+    let request = changes.begin_forwarded(START, peer, 41, b"change".to_vec());
+    assert_eq!(changes.due(START + ANSWER_TIMEOUT), Vec::<u64>::new());
+    assert!(matches!(changes.complete(request, taken), Completion::Unknown));
 }
 
 #[test]
 fn too_many_changes_at_once_are_refused() {
-    let mut operator = PendingChanges::default();
-    let _waiting: Vec<_> = (0..64).map(|_| started(&mut operator, false)).collect();
+    let mut changes = PendingChanges::default();
+    let _waiting: Vec<_> = (0..64).map(|_| started(&mut changes, false)).collect();
     let (reply, mut answer) = oneshot::channel();
-    assert_eq!(operator.begin(START, Vec::new(), reply, false), None);
+    assert_eq!(changes.begin(START, Vec::new(), reply, false), None);
     assert_eq!(answer.try_recv().expect("it is answered").status, 503);
 }
--- a/crates/controller/src/controller/operator/unavailable.rs
+++ b/crates/controller/src/controller/operator/unavailable.rs
@@ -4,7 +4,7 @@
 
 /// Why there is no clear answer to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unavailable {
+pub(crate) enum Unavailable {
     /// This controller is draining.
     Draining,
     /// Too many changes are in flight here.
@@ -23,7 +23,7 @@
 
 impl Unavailable {
     /// All reasons, in the order of their numbers.
-    pub const ALL: [Unavailable; 7] = [
+    pub(crate) const ALL: [Unavailable; 7] = [
         Unavailable::Draining,
         Unavailable::TooManyChanges,
         Unavailable::ChangeNotCommitted,
@@ -34,7 +34,7 @@
     ];
 
     /// Text of the answer.
-    pub fn text(self) -> &'static str {
+    pub(crate) fn text(self) -> &'static str {
         match self {
             Unavailable::Draining => "this controller is about to end",
             Unavailable::TooManyChanges => "too many calls are under way",
@@ -46,7 +46,7 @@
     }
 
     /// Its name as a label.
-    pub fn name(self) -> &'static str {
+    pub(crate) fn name(self) -> &'static str {
         match self {
             Unavailable::Draining => "leaving",
             Unavailable::TooManyChanges => "too_many_changes",
@@ -61,17 +61,17 @@
 
 /// Calls answered 503, by reason.
 #[derive(Debug, Default)]
-pub struct UnavailableCounts([Cell<u64>; Unavailable::ALL.len()]);
+pub(crate) struct UnavailableCounts([Cell<u64>; Unavailable::ALL.len()]);
 
 impl UnavailableCounts {
     /// Counts a call.
-    pub fn count(&self, reason: Unavailable) {
+    pub(crate) fn count(&self, reason: Unavailable) {
         let count = &self.0[reason as usize];
         count.set(count.get() + 1);
     }
 
     /// Calls answered 503 for this reason.
-    pub fn get(&self, reason: Unavailable) -> u64 {
+    pub(crate) fn get(&self, reason: Unavailable) -> u64 {
         self.0[reason as usize].get()
     }
 }
--- a/crates/controller/src/controller/placement/endpoint_client.rs
+++ b/crates/controller/src/controller/placement/endpoint_client.rs
@@ -23,9 +23,9 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 /// Longest time in which an order reaches its endpoint, once it may be sent: until it is sent, and on its way.
-pub const ORDER_WIRE_TIME: Duration = Duration::from_millis(300);
+pub(crate) const ORDER_WIRE_TIME: Duration = Duration::from_millis(300);
 /// Longest wait for the connection that carries an order.
-pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
+pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
 /// How long the kernel tries to deliver an order. Below its shortest retransmission timeout, so that what the
 /// link has swallowed is given up then and not delivered when the link heals, after the lease.
 const DELIVERY_TIMEOUT: Duration = Duration::from_millis(180);
@@ -72,7 +72,7 @@
 }
 
 /// Sends an order under the epoch `epoch`, unless it cannot be sent before `send_by`.
-pub async fn send_order(order: &Order, owner: &str, epoch: u64, send_by: Instant) -> OrderAnswer {
+pub(crate) async fn send_order(order: &Order, owner: &str, epoch: u64, send_by: Instant) -> OrderAnswer {
     let body = OrderBody {
         operation: order.operation,
         model: &order.model,
@@ -102,7 +102,7 @@
 }
 
 /// Requests the report of an endpoint; `None` where another incarnation answers.
-pub async fn request_report(instance: &str, address: SocketAddr) -> Option<EndpointReport> {
+pub(crate) async fn request_report(instance: &str, address: SocketAddr) -> Option<EndpointReport> {
     let request = addressed(Method::GET, "/report", address, instance).body(Full::new(Bytes::new())).ok()?;
     let response = call(address, request, Instant::now() + CONNECT_TIMEOUT).await.ok()?;
     let is_other = response.instance.is_some_and(|id| id.as_bytes() != instance.as_bytes());
--- a/crates/controller/src/controller/placement/placers.rs
+++ b/crates/controller/src/controller/placement/placers.rs
@@ -17,7 +17,7 @@
 
 /// The placers of the services whose shards this controller acts for.
 #[derive(Debug, Default)]
-pub struct Placers {
+pub(crate) struct Placers {
     placers: BTreeMap<String, Placer>,
     /// Epochs of the shards that this controller acts for.
     epochs: BTreeMap<u8, u64>,
@@ -27,7 +27,7 @@
 
 /// An action of the placer of `service`.
 #[derive(Debug)]
-pub struct ServiceAction {
+pub(crate) struct ServiceAction {
     pub service: String,
     pub shard: u8,
     pub action: Action,
@@ -35,35 +35,35 @@
 
 impl Placers {
     /// Shards of the services of `configuration` whose endpoints are engines.
-    pub fn wanted_shards(configuration: &Configuration) -> impl Iterator<Item = u8> {
+    pub(crate) fn wanted_shards(configuration: &Configuration) -> impl Iterator<Item = u8> {
         let engines = configuration.backends.iter().filter(|backend| backend.runtime.is_some());
         engines.map(|backend| shard_of(&backend.name))
     }
 
     /// This controller acts for `shard` from now on.
-    pub fn tenure_began(&mut self, shard: u8, epoch: u64) {
+    pub(crate) fn tenure_began(&mut self, shard: u8, epoch: u64) {
         self.epochs.insert(shard, epoch);
     }
 
     /// The epoch under which this controller acts for `shard`.
-    pub fn epoch(&self, shard: u8) -> Option<u64> {
+    pub(crate) fn epoch(&self, shard: u8) -> Option<u64> {
         self.epochs.get(&shard).copied()
     }
 
     /// Whether this controller acts for `shard`.
-    pub fn acts_for(&self, shard: u8) -> bool {
+    pub(crate) fn acts_for(&self, shard: u8) -> bool {
         self.epochs.contains_key(&shard)
     }
 
     /// This controller acts for `shard` no more.
-    pub fn tenure_ended(&mut self, shard: u8) {
+    pub(crate) fn tenure_ended(&mut self, shard: u8) {
         self.epochs.remove(&shard);
         self.retain_placers(|service| shard_of(service) != shard);
     }
 
     /// Creates missing placers, drops those whose service was removed, and configures all of them. New ones get the known
     /// `instances` and `demand`, and start as `start` says.
-    pub fn configure<'a>(
+    pub(crate) fn configure<'a>(
         &mut self,
         now: Duration,
         configuration: &Configuration,
@@ -107,51 +107,51 @@
     }
 
     /// Orders that placers of this process withheld because they would have broken a limit.
-    pub fn violations(&self) -> InvariantViolations {
+    pub(crate) fn violations(&self) -> InvariantViolations {
         let mut sum = self.ended_violations;
         self.placers.values().for_each(|placer| sum += placer.violations());
         sum
     }
 
     /// A registration was added or changed.
-    pub fn update_instance(&mut self, now: Duration, registered: &Registered) {
+    pub(crate) fn update_instance(&mut self, now: Duration, registered: &Registered) {
         if let Some(placer) = self.placers.get_mut(&registered.instance.backend) {
             placer.instance(now, &registered.instance);
         }
     }
 
     /// What an endpoint of a service was ordered to drop and may not have dropped yet.
-    pub fn evicting(&self, registered: &Registered) -> Option<Item> {
+    pub(crate) fn evicting(&self, registered: &Registered) -> Option<Item> {
         let instance = &registered.instance;
         self.placers.get(&instance.backend)?.leaving(&instance.id).cloned()
     }
 
     /// An incarnation was removed.
-    pub fn removed(&mut self, now: Duration, id: &str) {
+    pub(crate) fn removed(&mut self, now: Duration, id: &str) {
         self.placers.values_mut().for_each(|placer| placer.removed(now, id));
     }
 
     /// A router reported its demand.
-    pub fn demand(&mut self, now: Duration, router: &str, report: &DemandReport) {
+    pub(crate) fn demand(&mut self, now: Duration, router: &str, report: &DemandReport) {
         self.placers.values_mut().for_each(|placer| placer.demand(now, router, report));
     }
 
     /// An order was answered, or not.
-    pub fn answered(&mut self, now: Duration, service: &str, order: OrderId, answer: OrderAnswer) {
+    pub(crate) fn answered(&mut self, now: Duration, service: &str, order: OrderId, answer: OrderAnswer) {
         if let Some(placer) = self.placers.get_mut(service) {
             placer.order_answered(now, order, answer);
         }
     }
 
     /// An endpoint reported on itself.
-    pub fn reported(&mut self, now: Duration, service: &str, instance: &str, report: &EndpointReport) {
+    pub(crate) fn reported(&mut self, now: Duration, service: &str, instance: &str, report: &EndpointReport) {
         if let Some(placer) = self.placers.get_mut(service) {
             placer.report(now, instance, report);
         }
     }
 
     /// Runs the placers that are due, and collects their actions.
-    pub fn due(&mut self, now: Duration) -> Vec<ServiceAction> {
+    pub(crate) fn due(&mut self, now: Duration) -> Vec<ServiceAction> {
         let mut actions = Vec::new();
         for (service, placer) in &mut self.placers {
             if placer.next_wake().is_some_and(|at| at <= now) {
@@ -166,25 +166,25 @@
     }
 
     /// When [`Placers::due`] is to be called next.
-    pub fn next_wake(&self) -> Option<Duration> {
+    pub(crate) fn next_wake(&self) -> Option<Duration> {
         self.placers.values().filter_map(Placer::next_wake).min()
     }
 
     /// Whether this controller places for any service.
-    pub fn is_active(&self) -> bool {
+    pub(crate) fn is_active(&self) -> bool {
         !self.placers.is_empty()
     }
 }
 
 /// On whose behalf an endpoint is called.
 #[derive(Debug)]
-pub struct OrderTenure {
+pub(crate) struct OrderTenure {
     pub owner: String,
     pub epoch: u64,
 }
 
 /// Executes an action of a placer, and reports its outcome as an event. An order is not sent after `send_by`.
-pub async fn execute_action(
+pub(crate) async fn execute_action(
     action: ServiceAction,
     tenure: OrderTenure,
     send_by: Instant,
--- a/crates/controller/src/controller/placement/recent_demand.rs
+++ b/crates/controller/src/controller/placement/recent_demand.rs
@@ -20,13 +20,13 @@
 
 /// Reports of demand, the oldest first.
 #[derive(Debug, Default)]
-pub struct RecentDemand {
+pub(crate) struct RecentDemand {
     reports: VecDeque<ReceivedReport>,
 }
 
 impl RecentDemand {
     /// Records a report. One that is as old as what is known already comes twice and is left out.
-    pub fn record(&mut self, now: Duration, demand: &RouterDemand) {
+    pub(crate) fn record(&mut self, now: Duration, demand: &RouterDemand) {
         let at = now.saturating_sub(Duration::from_millis(demand.age_ms.into()));
         let position = self.reports.partition_point(|report| report.at <= at);
         let known = |report: &ReceivedReport| {
@@ -44,7 +44,7 @@
     }
 
     /// The retained reports, parsed, with their times.
-    pub fn reports(&self) -> Vec<(Duration, DemandReport)> {
+    pub(crate) fn reports(&self) -> Vec<(Duration, DemandReport)> {
         let read = |report: &ReceivedReport| {
             Some((report.at, serde_json::from_slice(&report.demand.report.bytes).ok()?))
         };
@@ -52,7 +52,7 @@
     }
 
     /// The retained reports as messages for a peer.
-    pub fn messages(&self, now: Duration) -> impl Iterator<Item = Message> {
+    pub(crate) fn messages(&self, now: Duration) -> impl Iterator<Item = Message> {
         self.reports.iter().map(move |report| {
             let age = now.saturating_sub(report.at).as_millis().max(1);
             let age_ms = u32::try_from(age).unwrap_or(u32::MAX);
--- a/crates/controller/src/controller/process.rs
+++ b/crates/controller/src/controller/process.rs
@@ -16,7 +16,7 @@
 
 /// A process. Must be used inside a `LocalSet`.
 #[derive(Debug)]
-pub struct Process {
+pub(super) struct Process {
     /// When the process started.
     pub started: Instant,
     /// Port at which controllers take links.
--- a/crates/controller/src/controller/run.rs
+++ b/crates/controller/src/controller/run.rs
@@ -28,6 +28,9 @@
 const LAST_WRITES: Duration = Duration::from_millis(10);
 
 /// Runs a controller until SIGTERM; it exports its metrics at `metrics_at`. Must run inside a `LocalSet`.
+///
+/// # Errors
+/// If the settings are incomplete, or the data directory, a listener or a signal handler cannot be set up.
 pub async fn run_controller(
     settings: Settings,
     metrics_at: Option<MetricsAddress>,
@@ -35,7 +38,8 @@
     let control = settings.listeners_map.control_plane;
     let control = control.ok_or(ControllerError::Missing("ListenersMap.ControlPlane"))?;
     let links_at = SocketAddr::new(control.ip(), settings.port_range.0);
-    let listen = |address| link::listen(address).map_err(|error| ControllerError::Listen { address, error });
+    let listen =
+        |address| link::listen(address).map_err(|source| ControllerError::Listen { address, source });
     let (calls, peer_links) = (listen(control)?, listen(links_at)?);
     let mut terminate = signal(SignalKind::terminate())?;
     let mut reload = signal(SignalKind::hangup())?;
@@ -81,7 +85,7 @@
     let incarnation = draw_incarnation();
     let folder = settings.data_dir.clone().ok_or(ControllerError::Missing("DataDir"))?;
     let mut directory =
-        Folder::open(&folder).map_err(|error| ControllerError::Folder { folder: folder.clone(), error })?;
+        Folder::open(&folder).map_err(|source| ControllerError::Folder { folder: folder.clone(), source })?;
     let (stores, records) = open_stores(&folder, &mut directory)?;
     let disk = Disk::start(directory, stores, events.clone(), counts)?;
     let hello = hello(&settings, control, incarnation);
--- a/crates/controller/src/controller/setup.rs
+++ b/crates/controller/src/controller/setup.rs
@@ -53,33 +53,33 @@
     pub(crate) fn new(start: Start, environment: Box<dyn Environment>) -> Result<Self, ControllerError> {
         let Start { settings, control, incarnation, records, fault } = start;
         let now = environment.now();
-        let this = ipv4(control)?;
+        let own_address = ipv4(control)?;
         let first = settings.bootstrap && records.is_empty();
-        let replicas = start_replicas(&settings, this, records, incarnation, fault)?;
-        let node = NodeId::new(this, incarnation);
+        let replicas = start_replicas(&settings, own_address, records, incarnation, fault)?;
+        let node = NodeId::new(own_address, incarnation);
         let skips = fault == Some(ControllerFault::SkipQuietPeriod);
         let quiet_ms = if skips { 1.0 } else { settings.bounds.lease_ms };
         let lease = lease_settings(Duration::from_secs_f64(quiet_ms / 1e3));
         let start = if first { GrantorStart::First } else { GrantorStart::Restarted };
         let heartbeat = Duration::from_secs_f64(settings.heartbeat_ms / 1e3);
         let mut controller = Controller {
-            this: control,
+            own_address: control,
             incarnation,
             environment,
             peers: Peers::new(control),
             subscribers: Subscribers::new(incarnation),
             endpoints: EndpointRegistry::new(heartbeat, control, incarnation)
-                .with_fault(fault.and_then(ControllerFault::of_endpoints)),
+                .with_fault(fault.and_then(ControllerFault::acknowledgement)),
             shards: Shards::new(replicas),
             pending_changes: PendingChanges::new(incarnation),
             membership: Membership::new(MembershipSettings::new(HEARTBEAT_INTERVAL, MONITORS), node, now),
             quorum_contact: QuorumContact::with_fault(
                 control,
                 incarnation,
-                fault.and_then(ControllerFault::of_contact),
+                fault.and_then(ControllerFault::quorum_contact),
             ),
             freshness: Freshness::default(),
-            replacement_planner: ReplacementPlanner::new(fault.and_then(ControllerFault::of_members)),
+            replacement_planner: ReplacementPlanner::new(fault.and_then(ControllerFault::replacement)),
             member_statuses: MemberStatuses::default(),
             tolerance_monitor: ToleranceMonitor::default(),
             handover: None,
@@ -128,7 +128,7 @@
 
 fn start_replicas(
     settings: &Settings,
-    this: SocketAddrV4,
+    own_address: SocketAddrV4,
     mut records: Records,
     incarnation: u64,
     fault: Option<ControllerFault>,
@@ -140,10 +140,10 @@
             shards::CONFIGURATION => Box::new(ConfigurationMachine),
             _ => Box::new(EpochCounter),
         };
-        let mut of_shard = register::Settings::new(this.into(), seeds.clone());
+        let mut of_shard = register::Settings::new(own_address.into(), seeds.clone());
         of_shard.bootstrap = settings.bootstrap;
         of_shard.seed = u64::from(shard);
-        of_shard.fault = fault.and_then(ControllerFault::of_register);
+        of_shard.fault = fault.and_then(ControllerFault::register);
         let nonce = incarnation.wrapping_add(u64::from(shard));
         let replica = Replica::new(of_shard, machine, records.remove(&shard), Duration::ZERO, nonce);
         (shard, replica)
--- a/crates/controller/src/incarnation.rs
+++ b/crates/controller/src/incarnation.rs
@@ -4,6 +4,6 @@
 use rand::{Rng, SeedableRng};
 
 /// Draws a number for this incarnation of the process; never 0.
-pub fn draw_incarnation() -> u64 {
+pub(crate) fn draw_incarnation() -> u64 {
     SmallRng::from_os_rng().random_range(1..=u64::MAX)
 }
--- a/crates/controller/src/link.rs
+++ b/crates/controller/src/link.rs
@@ -50,6 +50,9 @@
 }
 
 /// Dials `address` and sets the link's options.
+///
+/// # Errors
+/// If the connection is not up within [`CONNECT_TIMEOUT`], or a socket option cannot be set.
 pub async fn dial(address: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     let stream = timeout(CONNECT_TIMEOUT, socket.connect(address)).await??;
@@ -58,6 +61,9 @@
 }
 
 /// Listens on `address` for links.
+///
+/// # Errors
+/// If the address cannot be bound.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -66,6 +72,9 @@
 }
 
 /// Sets the socket options of every link: no delay, and time-outs that detect a peer that vanished.
+///
+/// # Errors
+/// If a socket option cannot be set.
 pub fn set_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
@@ -80,11 +89,15 @@
 }
 
 impl MessageReader {
+    /// Reads from this half of a connection.
     pub fn new(half: OwnedReadHalf) -> Self {
         MessageReader { stream: BufReader::new(half) }
     }
 
     /// The next message; an error once the link has ended.
+    ///
+    /// # Errors
+    /// If the link has ended, or a frame is too long or no message.
     pub async fn next(&mut self) -> Result<Message, MessageError> {
         let length = self.stream.read_u32_le().await? as usize;
         if length > MAX_FRAME_BYTES {
@@ -98,6 +111,9 @@
 
 /// Writes queued frames until the link fails or the outbox is dropped. Small frames that wait together leave
 /// together; a large one is written as it is, as all links share it.
+///
+/// # Errors
+/// If a write fails.
 pub async fn write_frames(
     mut half: OwnedWriteHalf,
     mut frames: mpsc::Receiver<Bytes>,
--- a/crates/controller/src/message.rs
+++ b/crates/controller/src/message.rs
@@ -19,6 +19,7 @@
 pub struct Blob {
     #[deku(update = "self.bytes.len()", assert = "*length as usize <= MAX_FRAME_BYTES")]
     length: u32,
+    /// The bytes.
     #[deku(count = "length")]
     pub bytes: Vec<u8>,
 }
@@ -46,10 +47,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub enum Role {
+    /// A controller, to a peer.
     #[deku(id = 1)]
     Controller,
+    /// An agent, to a controller.
     #[deku(id = 2)]
     Agent,
+    /// A router, to its agent.
     #[deku(id = 3)]
     Router,
 }
@@ -58,6 +62,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Hello {
+    /// Who opens the link.
     pub role: Role,
     /// `NodeName` of the process.
     pub name: Blob,
@@ -75,7 +80,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct ShardMessage {
+    /// The shard.
     pub shard: u8,
+    /// The encoded message.
     pub body: Blob,
 }
 
@@ -83,7 +90,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Registered {
+    /// Id of the incarnation.
     pub id: Blob,
+    /// Sequence of its newest heartbeat.
     pub sequence: u64,
     /// The registration as JSON, as the endpoint sent it.
     pub body: Blob,
@@ -93,7 +102,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Removed {
+    /// Id of the incarnation.
     pub id: Blob,
+    /// Registrations up to this sequence are void; `u64::MAX` for a deregistration.
     pub sequence: u64,
 }
 
@@ -101,7 +112,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct BatchedHeartbeat {
+    /// Id of the incarnation.
     pub id: Blob,
+    /// Sequence of the heartbeat.
     pub sequence: u64,
 }
 
@@ -111,6 +124,7 @@
 pub struct HeartbeatBatch {
     #[deku(update = "self.heartbeats.len()", assert = "*length <= MAX_BATCHED_HEARTBEATS")]
     length: u32,
+    /// The heartbeats.
     #[deku(count = "length")]
     pub heartbeats: Vec<BatchedHeartbeat>,
 }
@@ -147,7 +161,12 @@
 pub enum DeltaPart {
     /// Bytes of the older document.
     #[deku(id = 1)]
-    Copied { offset: u32, length: u32 },
+    Copied {
+        /// Position in the older document, bytes.
+        offset: u32,
+        /// Number of bytes.
+        length: u32,
+    },
     /// Bytes that are not copied.
     #[deku(id = 2)]
     Inserted(Blob),
@@ -159,6 +178,7 @@
 pub struct DeltaParts {
     #[deku(update = "self.parts.len()", assert = "*length <= MAX_DELTA_PARTS")]
     length: u32,
+    /// The parts.
     #[deku(count = "length")]
     pub parts: Vec<DeltaPart>,
 }
@@ -188,6 +208,7 @@
     pub base: u64,
     /// What the parts make.
     pub version: ConfigurationVersion,
+    /// The parts that make the document.
     pub parts: DeltaParts,
 }
 
@@ -199,6 +220,7 @@
     pub quorum: u8,
     /// Position of the subscriber once it has applied everything before.
     pub source: u64,
+    /// Offset in the journal of `source`.
     pub offset: u64,
     /// Live routers.
     pub routers: u32,
@@ -208,6 +230,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Controllers {
+    /// The addresses.
     pub addresses: Blob,
 }
 
@@ -217,6 +240,7 @@
 pub struct Forwarded {
     /// Number that the asking controller gave it.
     pub request: u64,
+    /// The encoded command or outcome.
     pub body: Blob,
 }
 
@@ -224,6 +248,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Token {
+    /// The number.
     pub token: u64,
 }
 
@@ -231,6 +256,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct GroupMembers {
+    /// The addresses.
     pub addresses: Blob,
 }
 
@@ -238,6 +264,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Confirmation {
+    /// Number of the flush that is confirmed.
     pub token: u64,
     /// Revision of the newest value of the configuration's shard that the sender has accepted.
     pub revision: u64,
@@ -271,7 +298,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct ResidencyUpdate {
+    /// Id of the incarnation.
     pub id: Blob,
+    /// Name of the model.
     pub model: Blob,
     /// Empty for the model itself.
     pub adapter: Blob,
@@ -299,6 +328,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", endian = "little")]
 pub enum Message {
+    /// The first message on a link.
     #[deku(id = 1)]
     Hello(Hello),
     /// The snapshot begins: what the receiver knows of this sender and is not in the snapshot is removed.
@@ -306,59 +336,86 @@
     SnapshotBegin,
     /// The snapshot ends: `complete` is 1 if the registry of the sender is complete.
     #[deku(id = 3)]
-    SnapshotEnd { complete: u8 },
+    SnapshotEnd {
+        /// 1 if the registry of the sender is complete.
+        complete: u8,
+    },
+    /// A complete configuration.
     #[deku(id = 4)]
     CommittedConfiguration(CommittedConfiguration),
+    /// A registration, or a newer state of it.
     #[deku(id = 5)]
     Registered(Registered),
+    /// The removal of an incarnation.
     #[deku(id = 6)]
     Removed(Removed),
+    /// Heartbeats that changed nothing.
     #[deku(id = 7)]
     HeartbeatBatch(HeartbeatBatch),
+    /// The heartbeat of a feed.
     #[deku(id = 8)]
     FeedHeartbeat(FeedHeartbeat),
+    /// Controllers that the sender knows.
     #[deku(id = 9)]
     Controllers(Controllers),
+    /// A message of the register of a shard.
     #[deku(id = 10)]
     Register(ShardMessage),
+    /// A message about the lease of a shard.
     #[deku(id = 11)]
     Lease(ShardMessage),
+    /// A forwarded change of the configuration.
     #[deku(id = 12)]
     Change(Forwarded),
+    /// The outcome of a forwarded change.
     #[deku(id = 13)]
     ChangeOutcome(Forwarded),
     /// Asks the receiver to acknowledge all that was sent before.
     #[deku(id = 14)]
     Flush(Token),
+    /// The answer to a flush.
     #[deku(id = 15)]
     Flushed(Confirmation),
+    /// A demand report of a router.
     #[deku(id = 16)]
     Demand(RouterDemand),
     /// A controller's heartbeat to another, as the membership writes it.
     #[deku(id = 17)]
-    Heartbeat { body: Blob },
+    Heartbeat {
+        /// The encoded heartbeat.
+        body: Blob,
+    },
+    /// A change of resident models.
     #[deku(id = 18)]
     ResidencyUpdate(ResidencyUpdate),
     /// A heartbeat of the receiver, sent back by a controller that it reached.
     #[deku(id = 19)]
-    HeartbeatEcho { body: Blob },
+    HeartbeatEcho {
+        /// The heartbeat as it was received.
+        body: Blob,
+    },
     /// The newest configuration that the sender has and can be asked for.
     #[deku(id = 20)]
     ConfigurationAnnounced(ConfigurationVersion),
     /// Asks for the newest configuration; names the one that the sender has.
     #[deku(id = 21)]
     ConfigurationFetch(ConfigurationVersion),
+    /// A configuration as a delta.
     #[deku(id = 22)]
     ConfigurationDelta(ConfigurationDelta),
     /// A configuration that the sender knows to exist and does not have yet.
     #[deku(id = 23)]
     ConfigurationKnown(ConfigurationVersion),
+    /// The status of a controller.
     #[deku(id = 24)]
     MemberStatus(MemberStatus),
 }
 
 impl Message {
     /// The message as one frame, its length first.
+    ///
+    /// # Panics
+    /// Never: every message that can be built can be encoded.
     pub fn frame(&self) -> bytes::Bytes {
         let body = self.to_bytes().expect("messages hold nothing that cannot be encoded");
         let mut frame = Vec::with_capacity(4 + body.len());
@@ -368,6 +425,9 @@
     }
 
     /// Reads the body of one frame; bytes left over are an error.
+    ///
+    /// # Errors
+    /// If the bytes are no message, or more than one.
     pub fn decode(body: &[u8]) -> Result<Message, MessageError> {
         let ((rest, _), message) = Message::from_bytes((body, 0))?;
         if rest.is_empty() { Ok(message) } else { Err(MessageError::Trailing(rest.len())) }
@@ -377,14 +437,19 @@
 /// A frame that is no message.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
+    /// The bytes are no message.
     #[error("not a message: {0}")]
     Unreadable(#[from] DekuError),
+    /// So many bytes follow the message.
     #[error("{0} bytes behind the message")]
     Trailing(usize),
+    /// The frame is longer than [`MAX_FRAME_BYTES`].
     #[error("a frame of {0} bytes")]
     TooLong(usize),
+    /// Nothing arrived in time.
     #[error("silent for too long")]
     Timeout,
+    /// The connection failed.
     #[error(transparent)]
     Link(#[from] std::io::Error),
 }
--- a/crates/controller/src/registration.rs
+++ b/crates/controller/src/registration.rs
@@ -9,6 +9,7 @@
 /// An endpoint's registration: read, and as it was sent.
 #[derive(Debug, Clone)]
 pub struct Registered {
+    /// The registration, parsed.
     pub instance: Instance,
     /// The body of the heartbeat.
     pub body: Bytes,
@@ -20,6 +21,9 @@
 
 impl Registered {
     /// Reads the body of a heartbeat of the incarnation `id`.
+    ///
+    /// # Errors
+    /// If the body is no registration.
     pub fn parse(id: &str, body: Bytes) -> Result<Self, serde_json::Error> {
         let mut instance: Instance = serde_json::from_slice(&body)?;
         id.clone_into(&mut instance.id);
--- a/crates/controller/src/simulation/expectation.rs
+++ b/crates/controller/src/simulation/expectation.rs
@@ -110,7 +110,7 @@
     }
 }
 
-fn change_status_word(status: ChangeStatus) -> &'static str {
+fn change_status_text(status: ChangeStatus) -> &'static str {
     match status {
         ChangeStatus::Open => "open",
         ChangeStatus::Taken => "taken",
@@ -120,7 +120,7 @@
     }
 }
 
-fn read_status_word(status: ReadStatus) -> &'static str {
+fn read_status_text(status: ReadStatus) -> &'static str {
     match status {
         ReadStatus::Open => "open",
         ReadStatus::Served => "served",
@@ -144,12 +144,12 @@
         match expectation {
             Expectation::Change { number, status } => {
                 let found =
-                    self.history.change(*number).map_or("nothing", |sent| change_status_word(sent.status));
+                    self.history.change(*number).map_or("nothing", |sent| change_status_text(sent.status));
                 (found == status, found.to_owned())
             }
             Expectation::Read { number, status } => {
                 let read = self.history.reads.get(number.wrapping_sub(1));
-                let found = read.map_or("nothing", |read| read_status_word(read.status));
+                let found = read.map_or("nothing", |read| read_status_text(read.status));
                 (found == status, found.to_owned())
             }
             Expectation::Router { router, change } => {
--- a/crates/controller/src/subscription.rs
+++ b/crates/controller/src/subscription.rs
@@ -11,11 +11,24 @@
 #[derive(Debug)]
 pub enum SourceEvent {
     /// The link is up; messages for the source go here.
-    Up { source: SocketAddr, outbox: Outbox },
+    Up {
+        /// Address of the source.
+        source: SocketAddr,
+        /// Messages for the source.
+        outbox: Outbox,
+    },
     /// The source sent a message.
-    Message { source: SocketAddr, message: Message },
+    Message {
+        /// Address of the source.
+        source: SocketAddr,
+        /// The message.
+        message: Message,
+    },
     /// The link is down; it is not dialled again by itself.
-    Down { source: SocketAddr },
+    Down {
+        /// Address of the source.
+        source: SocketAddr,
+    },
 }
 
 /// Follows `source` until the link fails or nothing arrives for `receive_timeout`, and sends what happens to `events`.
--- a/crates/controller/tests/common/digests.rs
+++ b/crates/controller/tests/common/digests.rs
@@ -18,7 +18,7 @@
 }
 
 /// Compares digests by name with those in `file`.
-pub fn compare(file: &str, digests: &[(String, u64)]) {
+pub(crate) fn compare(file: &str, digests: &[(String, u64)]) {
     let path = path_of(file);
     if std::env::var(UPDATE).is_ok_and(|value| value == "1") {
         let mut text = String::new();
--- a/crates/controller/tests/contact_mutants.rs
+++ b/crates/controller/tests/contact_mutants.rs
@@ -1,4 +1,4 @@
-//! Deliberate mistakes in what a controller does out of contact with a majority: each must be found by the
+//! Deliberate faults in what a controller does out of contact with a majority: each must be found by the
 //! scenarios that are named for it. Mistakes in the measure of contact itself that no link of the program can
 //! bring about are found by the tests beside `contact.rs`.
 
@@ -9,7 +9,7 @@
 use lanegate_controller::simulation::{Scenario, World};
 use scenarios::scenario;
 
-/// Every one of the scenarios finds the mistake.
+/// Every one of the scenarios finds the fault.
 fn found_by(fault: ControllerFault, scenarios: &[&str]) {
     for name in scenarios {
         assert!(World::play(&scenario(name), Some(fault)).is_err(), "{fault:?} is not found by {name}");
@@ -25,7 +25,7 @@
         "cut-router-begins-on-the-small-side",
         "cut-router-begins-behind-a-one-way-cut",
     ];
-    found_by(ControllerFault::Contact(ContactFault::SmallMajority), &scenarios);
+    found_by(ControllerFault::QuorumContact(ContactFault::SmallMajority), &scenarios);
 }
 
 #[test]
@@ -77,7 +77,7 @@
     found_by(ControllerFault::KeepEpoch, &["cut-of-the-placer", "frozen-source"]);
 }
 
-/// Scenarios of this page, played without a mistake on other chance as well.
+/// Scenarios of this page, played without a fault on other chance as well.
 const PARTITIONS: [&str; 14] = [
     "change-forwarded-over-a-healing-link",
     "cut-heals-during-a-snapshot",
--- a/crates/controller/tests/controller_faults.rs
+++ b/crates/controller/tests/controller_faults.rs
@@ -1,4 +1,4 @@
-//! Deliberate mistakes of a controller: a named scenario catches each of them, with its own seed or, where chance
+//! Deliberate faults of a controller: a named scenario catches each of them, with its own seed or, where chance
 //! decides which of two messages is first, with one of the next.
 
 #[path = "common/scenarios.rs"]
@@ -59,7 +59,7 @@
     a_controller_that_receives_nothing_acts:
         ControllerFault::CountUnreachedPeers, "owner-that-hears-nobody";
     contact_with_less_than_a_majority:
-        ControllerFault::Contact(ContactFault::SmallMajority), "cut-of-everyone";
+        ControllerFault::QuorumContact(ContactFault::SmallMajority), "cut-of-everyone";
     a_majority_that_is_too_small:
         ControllerFault::Register(Fault::SmallMajority), "rivals-on-both-sides-of-a-cut";
     votes_of_an_earlier_incarnation:
--- a/crates/controller/tests/golden_messages.rs
+++ b/crates/controller/tests/golden_messages.rs
@@ -1,7 +1,11 @@
 //! The bytes of every message, one example of each: `tests/golden/messages.txt` has a name and the frame in
 //! hexadecimal on each line.
 
-use lanegate_controller::message::*;
+use lanegate_controller::message::{
+    BatchedHeartbeat, CommittedConfiguration, ConfigurationDelta, ConfigurationVersion, Confirmation,
+    Controllers, DeltaPart, FeedHeartbeat, Forwarded, GroupMembers, HeartbeatBatch, Hello, MemberStatus,
+    Message, Registered, Removed, ResidencyUpdate, Role, RouterDemand, ShardMessage, Token,
+};
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -31,7 +35,7 @@
     })
 }
 
-fn heard() -> HeartbeatBatch {
+fn heartbeat_batch() -> HeartbeatBatch {
     vec![
         BatchedHeartbeat { id: "i-1".into(), sequence: 4 },
         BatchedHeartbeat { id: "i-2".into(), sequence: 5 },
@@ -78,7 +82,7 @@
         ),
         ("05", Message::Registered(Registered { id: "i-1".into(), sequence: 6, body: "{}".into() })),
         ("06", Message::Removed(Removed { id: "i-1".into(), sequence: u64::MAX })),
-        ("07", Message::HeartbeatBatch(heard())),
+        ("07", Message::HeartbeatBatch(heartbeat_batch())),
         ("08", Message::FeedHeartbeat(FeedHeartbeat { quorum: 1, source: 4, offset: 5, routers: 9 })),
         ("09", Message::Controllers(Controllers { addresses: "10.0.0.1:1 10.0.0.2:1".into() })),
         ("10", Message::Register(shard_message())),
--- a/crates/controller/tests/message.rs
+++ b/crates/controller/tests/message.rs
@@ -1,6 +1,10 @@
 //! Messages come back as they were written, and nothing else is taken for one.
 
-use lanegate_controller::message::*;
+use lanegate_controller::message::{
+    BatchedHeartbeat, CommittedConfiguration, ConfigurationDelta, ConfigurationVersion, Confirmation,
+    DeltaPart, FeedHeartbeat, GroupMembers, Hello, MemberStatus, Message, MessageError, Removed,
+    ResidencyUpdate, Role, Token,
+};
 use proptest::prelude::*;
 
 fn hello() -> Message {
--- a/crates/controller/tests/one_change.rs
+++ b/crates/controller/tests/one_change.rs
@@ -1,4 +1,4 @@
-//! Deliberate mistakes about changes of the configuration: the scenarios on one number must find them, with their own
+//! Deliberate faults about changes of the configuration: the scenarios on one number must find them, with their own
 //! seed or, where chance decides what is lost, with one of the following.
 
 #[path = "common/scenarios.rs"]
--- a/crates/controller/tests/repair_faults.rs
+++ b/crates/controller/tests/repair_faults.rs
@@ -1,4 +1,4 @@
-//! Deliberate mistakes in the replacement of members and in what makes an acknowledgement safe: each is found by
+//! Deliberate faults in the replacement of members and in what makes an acknowledgement safe: each is found by
 //! a scenario that holds without it.
 
 #[path = "common/scenarios.rs"]
@@ -11,7 +11,7 @@
 /// Seeds with which each scenario is played, its own the first.
 const SEEDS: u64 = 8;
 
-/// The scenario must hold with all seeds, and be broken by the mistake with one of them.
+/// The scenario must hold with all seeds, and be broken by the fault with one of them.
 #[track_caller]
 fn found_by(name: &str, fault: ControllerFault) {
     let scenario = scenario(name);
@@ -39,19 +39,19 @@
 
 found! {
     suspicions_of_one_shard_applied_to_all:
-        ControllerFault::Members(ReplacementFault::ShareSuspicions), "replaced-by-different-owners";
+        ControllerFault::Replacement(ReplacementFault::ShareSuspicions), "replaced-by-different-owners";
     a_spare_that_joins_before_it_can_vote:
-        ControllerFault::Members(ReplacementFault::JoinBeforeVoting), "spare-joins-once-it-votes";
+        ControllerFault::Replacement(ReplacementFault::JoinBeforeVoting), "spare-joins-once-it-votes";
     own_stall_counted_as_a_timeout:
-        ControllerFault::Members(ReplacementFault::CountOwnStall), "owner-frozen";
+        ControllerFault::Replacement(ReplacementFault::CountOwnStall), "owner-frozen";
     one_change_of_members_at_a_time:
-        ControllerFault::Members(ReplacementFault::OneChangeAtATime), "shards-changed-together";
+        ControllerFault::Replacement(ReplacementFault::OneChangeAtATime), "shards-changed-together";
     a_member_that_ends_without_handing_over:
         ControllerFault::ShutDownWithoutHandover, "leaving-while-another-is-down";
     an_end_that_others_ignore:
         ControllerFault::IgnoreDraining, "leaving-member-hands-over";
     confirmations_of_controllers_that_are_no_members:
-        ControllerFault::EndpointRegistry(AcknowledgementFault::CountNonMembers), "drain-at-one-with-spares-only";
+        ControllerFault::Acknowledgement(AcknowledgementFault::CountNonMembers), "drain-at-one-with-spares-only";
     a_drain_that_is_not_passed_on:
         ControllerFault::KeepDrainsFromPeers, "drain-passed-on";
 }
--- a/crates/controller/tests/sources.rs
+++ b/crates/controller/tests/sources.rs
@@ -15,7 +15,7 @@
 }
 
 /// An agent that follows two of `count` sources, both trusted.
-fn settled(count: u8) -> (Sources, SocketAddr, SocketAddr) {
+fn trusted_sources(count: u8) -> (Sources, SocketAddr, SocketAddr) {
     let mut sources = Sources::default();
     let plan = sources.plan(ms(0), AGENT, &known(count));
     let [first, second] = plan.start[..] else { panic!("two are begun: {plan:?}") };
@@ -26,7 +26,7 @@
 
 #[test]
 fn two_sources_are_followed_and_no_more() {
-    let (mut sources, first, second) = settled(5);
+    let (mut sources, first, second) = trusted_sources(5);
     assert_ne!(first, second);
     assert_eq!(sources.plan(ms(1), AGENT, &known(5)), Plan::default());
 }
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_partitioned_source_is_replaced_and_retained_until_two_others_are_trusted() {
-    let (mut sources, first, second) = settled(4);
+    let (mut sources, first, second) = trusted_sources(4);
     sources.report_quorum(first, false);
     let plan = sources.plan(ms(1), AGENT, &known(4));
     assert_eq!((plan.start.len(), plan.stop.len()), (1, 0), "{plan:?}");
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_source_that_is_trusted_again_before_it_was_replaced_stays() {
-    let (mut sources, first, _) = settled(2);
+    let (mut sources, first, _) = trusted_sources(2);
     sources.report_quorum(first, false);
     assert_eq!(sources.plan(ms(1), AGENT, &known(2)), Plan::default(), "there is no third");
     sources.report_quorum(first, true);
@@ -63,7 +63,7 @@
 
 #[test]
 fn with_every_source_partitioned_all_are_tried_and_none_is_dropped() {
-    let (mut sources, first, second) = settled(3);
+    let (mut sources, first, second) = trusted_sources(3);
     sources.report_quorum(first, false);
     sources.report_quorum(second, false);
     assert!(sources.has_no_trusted());
@@ -76,13 +76,13 @@
 
 #[test]
 fn a_source_that_fails_is_replaced_at_once_and_redialled_after_a_delay() {
-    let (mut sources, first, _) = settled(3);
+    let (mut sources, first, _) = trusted_sources(3);
     sources.link_down(ms(1_000), first);
     let plan = sources.plan(ms(1_000), AGENT, &known(3));
     assert_eq!(plan.start.len(), 1);
     assert_ne!(plan.start[0], first);
 
-    let (mut sources, first, _) = settled(2);
+    let (mut sources, first, _) = trusted_sources(2);
     sources.link_down(ms(1_000), first);
     assert_eq!(sources.plan(ms(1_000), AGENT, &known(2)), Plan::default());
     assert_eq!(sources.plan(ms(1_399), AGENT, &known(2)), Plan::default());
@@ -91,7 +91,7 @@
 
 #[test]
 fn own_messages_go_to_a_trusted_source() {
-    let (mut sources, first, second) = settled(2);
+    let (mut sources, first, second) = trusted_sources(2);
     sources.report_quorum(first.min(second), false);
     assert_eq!(sources.preferred(), Some(first.max(second)));
     assert!(!sources.has_no_trusted());
@@ -99,7 +99,7 @@
 
 #[test]
 fn a_report_of_a_source_that_is_not_followed_changes_nothing() {
-    let (mut sources, first, second) = settled(2);
+    let (mut sources, first, second) = trusted_sources(2);
     sources.link_down(ms(0), first);
     sources.report_quorum(first, true);
     sources.report_quorum(second, false);
@@ -116,7 +116,7 @@
     let again = sources.plan(ms(400), AGENT, &known(3));
     assert_eq!(again.start.len(), 1, "two at a time: {again:?}");
 
-    let (mut sources, first, second) = settled(2);
+    let (mut sources, first, second) = trusted_sources(2);
     sources.link_down(ms(1_000), first);
     assert_eq!(sources.plan(ms(1_100), AGENT, &known(2)), Plan::default(), "the other one is enough for now");
     sources.link_down(ms(1_100), second);
--- a/crates/controller/tests/view.rs
+++ b/crates/controller/tests/view.rs
@@ -27,7 +27,7 @@
     updates
 }
 
-fn tell(view: &mut View, source: SocketAddr, messages: &[Message]) -> Vec<Message> {
+fn send(view: &mut View, source: SocketAddr, messages: &[Message]) -> Vec<Message> {
     send_at(view, 0, source, messages)
 }
 
@@ -39,18 +39,18 @@
 #[test]
 fn a_source_that_lags_cannot_take_the_configuration_back() {
     let mut view = View::default();
-    tell(&mut view, controller(1), &[committed(4, "new")]);
-    assert_eq!(tell(&mut view, controller(2), &[committed(3, "old")]), vec![]);
-    assert_eq!(tell(&mut view, controller(2), &[committed(4, "new")]), vec![]);
+    send(&mut view, controller(1), &[committed(4, "new")]);
+    assert_eq!(send(&mut view, controller(2), &[committed(3, "old")]), vec![]);
+    assert_eq!(send(&mut view, controller(2), &[committed(4, "new")]), vec![]);
     assert_eq!(view.configuration().unwrap().document.text(), "new");
 }
 
 #[test]
 fn a_snapshot_of_a_source_that_lags_cannot_take_the_configuration_back() {
     let mut view = View::default();
-    tell(&mut view, controller(1), &[Message::SnapshotBegin, committed(4, "new"), end(true)]);
+    send(&mut view, controller(1), &[Message::SnapshotBegin, committed(4, "new"), end(true)]);
     view.source_lost(ms(0), controller(1));
-    tell(&mut view, controller(2), &[Message::SnapshotBegin, committed(3, "old"), end(true)]);
+    send(&mut view, controller(2), &[Message::SnapshotBegin, committed(3, "old"), end(true)]);
     assert_eq!(view.configuration().unwrap().revision, 4);
 }
 
@@ -58,8 +58,8 @@
 fn a_source_that_lags_cannot_take_a_registration_back() {
     let mut view = View::default();
     let newer = registered("i-1", 80, 6, &["b"]);
-    assert_eq!(tell(&mut view, controller(1), std::slice::from_ref(&newer)), vec![newer]);
-    assert_eq!(tell(&mut view, controller(2), &[registered("i-1", 80, 5, &["a"])]), vec![]);
+    assert_eq!(send(&mut view, controller(1), std::slice::from_ref(&newer)), vec![newer]);
+    assert_eq!(send(&mut view, controller(2), &[registered("i-1", 80, 5, &["a"])]), vec![]);
     assert_eq!(models(&view, "i-1"), ["b"]);
 }
 
@@ -67,33 +67,33 @@
 fn what_two_sources_send_is_an_update_once() {
     let mut view = View::default();
     let message = registered("i-1", 80, 1, &[]);
-    assert_eq!(tell(&mut view, controller(1), std::slice::from_ref(&message)).len(), 1);
-    assert_eq!(tell(&mut view, controller(2), &[message]), vec![]);
-    assert_eq!(tell(&mut view, controller(1), &[removed("i-1", 1)]).len(), 1);
-    assert_eq!(tell(&mut view, controller(2), &[removed("i-1", 1)]), vec![]);
+    assert_eq!(send(&mut view, controller(1), std::slice::from_ref(&message)).len(), 1);
+    assert_eq!(send(&mut view, controller(2), &[message]), vec![]);
+    assert_eq!(send(&mut view, controller(1), &[removed("i-1", 1)]).len(), 1);
+    assert_eq!(send(&mut view, controller(2), &[removed("i-1", 1)]), vec![]);
 }
 
 #[test]
 fn a_late_registration_does_not_undo_a_removal() {
     let mut view = View::default();
-    tell(&mut view, controller(1), &[registered("i-1", 80, 5, &[]), removed("i-1", 6)]);
-    assert_eq!(tell(&mut view, controller(2), &[registered("i-1", 80, 6, &[])]), vec![]);
+    send(&mut view, controller(1), &[registered("i-1", 80, 5, &[]), removed("i-1", 6)]);
+    assert_eq!(send(&mut view, controller(2), &[registered("i-1", 80, 6, &[])]), vec![]);
     assert!(view.registration("i-1").is_none());
 }
 
 #[test]
 fn a_removal_that_is_older_than_the_registration_changes_nothing() {
     let mut view = View::default();
-    tell(&mut view, controller(1), &[registered("i-1", 80, 6, &[])]);
-    assert_eq!(tell(&mut view, controller(2), &[removed("i-1", 5)]), vec![]);
+    send(&mut view, controller(1), &[registered("i-1", 80, 6, &[])]);
+    assert_eq!(send(&mut view, controller(2), &[removed("i-1", 5)]), vec![]);
     assert!(view.registration("i-1").is_some());
 }
 
 #[test]
 fn a_new_incarnation_at_an_address_ends_the_one_before() {
     let mut view = View::default();
-    tell(&mut view, controller(1), &[registered("i-1", 80, 9, &[])]);
-    let updates = tell(&mut view, controller(1), &[registered("i-2", 80, 1, &[])]);
+    send(&mut view, controller(1), &[registered("i-1", 80, 9, &[])]);
+    let updates = send(&mut view, controller(1), &[registered("i-2", 80, 1, &[])]);
     assert_eq!(updates, vec![registered("i-2", 80, 1, &[]), removed("i-1", u64::MAX)]);
 }
 
@@ -102,12 +102,12 @@
 fn what_only_a_lost_source_had_listed_is_removed_after_a_grace_period() {
     let mut view = View::default();
     let (stale, current) = (registered("i-1", 80, 3, &[]), registered("i-2", 81, 4, &[]));
-    tell(
+    send(
         &mut view,
         controller(1),
         &[Message::SnapshotBegin, stale, current.clone(), end(true), heartbeat(1, 1)],
     );
-    tell(&mut view, controller(2), &[Message::SnapshotBegin, current, end(true), heartbeat(1, 1)]);
+    send(&mut view, controller(2), &[Message::SnapshotBegin, current, end(true), heartbeat(1, 1)]);
     view.source_lost(ms(100), controller(1));
     assert_eq!(send_at(&mut view, 600, controller(2), &[heartbeat(1, 1)]), vec![]);
     assert_eq!(send_at(&mut view, 1_100, controller(2), &[heartbeat(1, 1)]), vec![removed("i-1", 3)]);
@@ -119,12 +119,12 @@
 #[test]
 fn what_a_lost_source_had_listed_stays_without_another_complete_one() {
     let mut view = View::default();
-    tell(
+    send(
         &mut view,
         controller(1),
         &[Message::SnapshotBegin, registered("i-1", 80, 3, &[]), end(true), heartbeat(1, 1)],
     );
-    tell(&mut view, controller(2), &[Message::SnapshotBegin, end(false), heartbeat(1, 1)]);
+    send(&mut view, controller(2), &[Message::SnapshotBegin, end(false), heartbeat(1, 1)]);
     view.source_lost(ms(100), controller(1));
     assert_eq!(send_at(&mut view, 5_000, controller(2), &[heartbeat(1, 1)]), vec![]);
     assert!(view.registration("i-1").is_some());
@@ -134,17 +134,17 @@
 fn what_has_vanished_goes_with_the_end_of_a_complete_snapshot_only() {
     let mut view = View::default();
     let both = [registered("i-1", 80, 3, &[]), registered("i-2", 81, 4, &[])];
-    tell(&mut view, controller(1), &both);
-    tell(&mut view, controller(1), &[end(true)]);
+    send(&mut view, controller(1), &both);
+    send(&mut view, controller(1), &[end(true)]);
     view.source_lost(ms(0), controller(1));
     assert!(view.registration("i-2").is_some(), "a lost source takes nothing along");
 
     let begun = [Message::SnapshotBegin, registered("i-1", 80, 3, &[])];
-    assert_eq!(tell(&mut view, controller(2), &begun), vec![]);
-    assert_eq!(tell(&mut view, controller(2), &[end(false)]), vec![]);
+    assert_eq!(send(&mut view, controller(2), &begun), vec![]);
+    assert_eq!(send(&mut view, controller(2), &[end(false)]), vec![]);
     assert!(view.registration("i-2").is_some(), "the source has not heard from everyone itself");
 
-    let updates = tell(&mut view, controller(2), &[end(true)]);
+    let updates = send(&mut view, controller(2), &[end(true)]);
     assert_eq!(updates, vec![removed("i-2", 4), end(true)]);
     assert!(view.registration("i-2").is_none());
 }
@@ -152,8 +152,8 @@
 #[test]
 fn what_another_complete_source_lists_stays() {
     let mut view = View::default();
-    tell(&mut view, controller(1), &[Message::SnapshotBegin, registered("i-1", 80, 3, &[]), end(true)]);
-    assert_eq!(tell(&mut view, controller(2), &[Message::SnapshotBegin, end(true)]), vec![]);
+    send(&mut view, controller(1), &[Message::SnapshotBegin, registered("i-1", 80, 3, &[]), end(true)]);
+    assert_eq!(send(&mut view, controller(2), &[Message::SnapshotBegin, end(true)]), vec![]);
     assert!(view.registration("i-1").is_some());
 }
 
@@ -161,49 +161,49 @@
 fn what_vanished_by_mistake_comes_back_with_the_same_sequence() {
     let mut view = View::default();
     let message = registered("i-1", 80, 3, &[]);
-    tell(&mut view, controller(1), std::slice::from_ref(&message));
-    tell(&mut view, controller(2), &[Message::SnapshotBegin, end(true)]);
+    send(&mut view, controller(1), std::slice::from_ref(&message));
+    send(&mut view, controller(2), &[Message::SnapshotBegin, end(true)]);
     assert!(view.registration("i-1").is_none());
-    assert_eq!(tell(&mut view, controller(2), std::slice::from_ref(&message)), vec![message]);
+    assert_eq!(send(&mut view, controller(2), std::slice::from_ref(&message)), vec![message]);
 }
 
 #[test]
 fn a_residency_update_amends_a_registration_until_the_next_heartbeat() {
     let mut view = View::default();
-    tell(&mut view, controller(1), &[registered("i-1", 80, 1, &["a"])]);
+    send(&mut view, controller(1), &[registered("i-1", 80, 1, &["a"])]);
     let loaded = residency_update("i-1", "b", true);
-    assert_eq!(tell(&mut view, controller(1), std::slice::from_ref(&loaded)), vec![loaded.clone()]);
+    assert_eq!(send(&mut view, controller(1), std::slice::from_ref(&loaded)), vec![loaded.clone()]);
     assert_eq!(models(&view, "i-1"), ["a", "b"]);
-    assert_eq!(tell(&mut view, controller(2), &[loaded]), vec![], "it is known already");
+    assert_eq!(send(&mut view, controller(2), &[loaded]), vec![], "it is known already");
 
-    tell(&mut view, controller(1), &[residency_update("i-1", "a", false)]);
+    send(&mut view, controller(1), &[residency_update("i-1", "a", false)]);
     assert_eq!(models(&view, "i-1"), ["b"]);
 
     let heartbeat = registered("i-1", 80, 2, &["a"]);
-    assert_eq!(tell(&mut view, controller(1), std::slice::from_ref(&heartbeat)), vec![heartbeat]);
+    assert_eq!(send(&mut view, controller(1), std::slice::from_ref(&heartbeat)), vec![heartbeat]);
     assert_eq!(models(&view, "i-1"), ["a"], "the endpoint itself knows best");
 }
 
 #[test]
 fn a_heartbeat_that_confirms_a_residency_update_changes_nothing() {
     let mut view = View::default();
-    tell(&mut view, controller(1), &[registered("i-1", 80, 1, &[]), residency_update("i-1", "b", true)]);
-    assert_eq!(tell(&mut view, controller(1), &[registered("i-1", 80, 2, &["b"])]), vec![]);
+    send(&mut view, controller(1), &[registered("i-1", 80, 1, &[]), residency_update("i-1", "b", true)]);
+    assert_eq!(send(&mut view, controller(1), &[registered("i-1", 80, 2, &["b"])]), vec![]);
     assert_eq!(models(&view, "i-1"), ["b"]);
 }
 
 #[test]
 fn a_residency_update_of_an_unknown_incarnation_is_dropped() {
     let mut view = View::default();
-    assert_eq!(tell(&mut view, controller(1), &[residency_update("i-9", "b", true)]), vec![]);
+    assert_eq!(send(&mut view, controller(1), &[residency_update("i-9", "b", true)]), vec![]);
 }
 
 #[test]
 fn a_new_subscriber_gets_the_complete_view() {
     let mut view = View::default();
     let known = [committed(2, "{}"), registered("i-1", 80, 1, &["a"]), residency_update("i-1", "b", true)];
-    tell(&mut view, controller(1), &known);
-    tell(&mut view, controller(1), &[registered("i-2", 81, 1, &[]), removed("i-2", 2), end(true)]);
+    send(&mut view, controller(1), &known);
+    send(&mut view, controller(1), &[registered("i-2", 81, 1, &[]), removed("i-2", 2), end(true)]);
     let [configuration, registration, amendment] = known;
     let expected = vec![Message::SnapshotBegin, configuration, registration, amendment, end(true)];
     assert_eq!(view.snapshot(), expected);
@@ -213,10 +213,10 @@
 fn a_source_says_who_else_is_there_and_how_many_routers() {
     let mut view = View::default();
     let addresses = "10.0.0.1:7000 10.0.0.2:7000 nonsense".into();
-    tell(&mut view, controller(1), &[Message::Controllers(Controllers { addresses })]);
+    send(&mut view, controller(1), &[Message::Controllers(Controllers { addresses })]);
     assert!(view.controllers().iter().eq(&[controller(1), controller(2)]));
     let heartbeat = FeedHeartbeat { quorum: 1, source: 5, offset: 9, routers: 3 };
-    tell(&mut view, controller(1), &[Message::FeedHeartbeat(heartbeat)]);
+    send(&mut view, controller(1), &[Message::FeedHeartbeat(heartbeat)]);
     assert_eq!(view.routers(), 3);
 }
 
@@ -224,7 +224,7 @@
 fn a_removal_is_forgotten_after_a_minute() {
     let mut view = View::default();
     let heartbeat = Message::FeedHeartbeat(FeedHeartbeat { quorum: 1, source: 5, offset: 9, routers: 0 });
-    tell(&mut view, controller(1), &[registered("i-1", 80, 1, &[]), removed("i-1", 5)]);
+    send(&mut view, controller(1), &[registered("i-1", 80, 1, &[]), removed("i-1", 5)]);
     send_at(&mut view, 59_000, controller(1), std::slice::from_ref(&heartbeat));
     assert_eq!(send_at(&mut view, 59_001, controller(1), &[registered("i-1", 80, 2, &[])]), vec![]);
     send_at(&mut view, 61_000, controller(1), &[heartbeat]);
@@ -315,47 +315,47 @@
 #[test]
 fn a_residency_update_of_an_older_registration_does_not_amend_a_newer_one() {
     let mut view = View::default();
-    tell(&mut view, controller(1), &[registered("i-1", 80, 6, &["a"])]);
-    assert_eq!(tell(&mut view, controller(2), &[residency_update_of("i-1", "b", true, 5, 3)]), vec![]);
+    send(&mut view, controller(1), &[registered("i-1", 80, 6, &["a"])]);
+    assert_eq!(send(&mut view, controller(2), &[residency_update_of("i-1", "b", true, 5, 3)]), vec![]);
     assert_eq!(models(&view, "i-1"), ["a"]);
     let newer = residency_update_of("i-1", "b", true, 6, 1);
-    assert_eq!(tell(&mut view, controller(2), std::slice::from_ref(&newer)), vec![newer]);
+    assert_eq!(send(&mut view, controller(2), std::slice::from_ref(&newer)), vec![newer]);
 }
 
 #[test]
 fn a_residency_update_that_overtook_its_registration_stays_when_that_arrives() {
     let mut view = View::default();
-    tell(
+    send(
         &mut view,
         controller(1),
         &[registered("i-1", 80, 5, &["a"]), residency_update_of("i-1", "b", true, 7, 1)],
     );
-    tell(&mut view, controller(2), &[registered("i-1", 80, 6, &["a", "c"])]);
+    send(&mut view, controller(2), &[registered("i-1", 80, 6, &["a", "c"])]);
     assert_eq!(models(&view, "i-1"), ["a", "c", "b"]);
-    tell(&mut view, controller(2), &[registered("i-1", 80, 7, &["a"])]);
+    send(&mut view, controller(2), &[registered("i-1", 80, 7, &["a"])]);
     assert_eq!(models(&view, "i-1"), ["a", "b"]);
-    tell(&mut view, controller(2), &[registered("i-1", 80, 8, &["a"])]);
+    send(&mut view, controller(2), &[registered("i-1", 80, 8, &["a"])]);
     assert_eq!(models(&view, "i-1"), ["a"], "the endpoint itself knows best");
 }
 
 #[test]
 fn holdings_of_one_registration_count_in_the_order_of_their_publication() {
     let mut view = View::default();
-    tell(&mut view, controller(1), &[registered("i-1", 80, 5, &[])]);
-    tell(
+    send(&mut view, controller(1), &[registered("i-1", 80, 5, &[])]);
+    send(
         &mut view,
         controller(1),
         &[residency_update_of("i-1", "b", true, 5, 1), residency_update_of("i-1", "b", false, 5, 2)],
     );
     assert_eq!(
-        tell(&mut view, controller(2), &[residency_update_of("i-1", "b", true, 5, 1)]),
+        send(&mut view, controller(2), &[residency_update_of("i-1", "b", true, 5, 1)]),
         vec![],
         "it lags"
     );
     assert!(models(&view, "i-1").is_empty());
-    tell(&mut view, controller(2), &[residency_update_of("i-1", "b", true, 5, 2)]);
+    send(&mut view, controller(2), &[residency_update_of("i-1", "b", true, 5, 2)]);
     assert!(models(&view, "i-1").is_empty(), "of two at once, the drop counts");
-    tell(&mut view, controller(2), &[residency_update_of("i-1", "b", true, 5, 3)]);
+    send(&mut view, controller(2), &[residency_update_of("i-1", "b", true, 5, 3)]);
     assert_eq!(models(&view, "i-1"), ["b"]);
 }
 
@@ -367,7 +367,7 @@
 fn a_feed_goes_on_where_its_last_heartbeat_stood() {
     let mut view = View::default();
     let one = controller(1);
-    tell(
+    send(
         &mut view,
         one,
         &[Message::SnapshotBegin, registered("i-1", 80, 3, &[]), end(true), heartbeat_at(9, 40)],
@@ -376,8 +376,8 @@
     view.source_lost(ms(0), one);
     assert_eq!((view.position(one).source, view.position(one).offset), (9, 40));
 
-    tell(&mut view, one, &[registered("i-2", 81, 1, &[]), heartbeat_at(9, 41)]);
-    tell(&mut view, controller(2), &[Message::SnapshotBegin, end(true)]);
+    send(&mut view, one, &[registered("i-2", 81, 1, &[]), heartbeat_at(9, 41)]);
+    send(&mut view, controller(2), &[Message::SnapshotBegin, end(true)]);
     assert!(view.registration("i-1").is_some(), "what it had listed is listed still");
     assert!(view.registration("i-2").is_some());
 }
@@ -386,9 +386,9 @@
 fn a_feed_that_ended_within_a_snapshot_begins_anew() {
     let mut view = View::default();
     let one = controller(1);
-    tell(&mut view, one, &[Message::SnapshotBegin, end(true), heartbeat_at(9, 40)]);
+    send(&mut view, one, &[Message::SnapshotBegin, end(true), heartbeat_at(9, 40)]);
     view.source_lost(ms(0), one);
-    tell(&mut view, one, &[Message::SnapshotBegin, registered("i-1", 80, 3, &[])]);
+    send(&mut view, one, &[Message::SnapshotBegin, registered("i-1", 80, 3, &[])]);
     view.source_lost(ms(1), one);
     assert_eq!(view.position(one).source, 0);
 }
@@ -397,13 +397,13 @@
 fn a_feed_begins_anew_when_something_that_it_listed_was_dropped_meanwhile() {
     let mut view = View::default();
     let one = controller(1);
-    tell(
+    send(
         &mut view,
         one,
         &[Message::SnapshotBegin, registered("i-1", 80, 3, &[]), end(true), heartbeat_at(9, 40)],
     );
     view.source_lost(ms(0), one);
-    tell(&mut view, controller(2), &[Message::SnapshotBegin, end(true)]);
+    send(&mut view, controller(2), &[Message::SnapshotBegin, end(true)]);
     assert!(view.registration("i-1").is_none());
     assert_eq!(view.position(one).source, 0, "its tail would not tell it again");
 }
@@ -411,7 +411,7 @@
 #[test]
 fn a_feed_begins_anew_after_half_a_minute() {
     let mut view = View::default();
-    tell(&mut view, controller(1), &[Message::SnapshotBegin, end(true), heartbeat_at(9, 40)]);
+    send(&mut view, controller(1), &[Message::SnapshotBegin, end(true), heartbeat_at(9, 40)]);
     view.source_lost(ms(0), controller(1));
     send_at(&mut view, 30_000, controller(2), &[heartbeat_at(8, 1)]);
     assert_eq!(view.position(controller(1)).source, 9);
@@ -428,8 +428,8 @@
 fn controllers_are_those_that_any_source_names_and_some_time_longer() {
     let mut view = View::default();
     let known = |view: &View| view.controllers().iter().copied().collect::<Vec<_>>();
-    tell(&mut view, controller(1), &[addresses(&[1, 2, 3])]);
-    tell(&mut view, controller(2), &[addresses(&[2])]);
+    send(&mut view, controller(1), &[addresses(&[1, 2, 3])]);
+    send(&mut view, controller(2), &[addresses(&[2])]);
     assert_eq!(known(&view), [1, 2, 3].map(controller), "one that is cut off takes none away");
     view.source_lost(ms(0), controller(1));
     send_at(&mut view, 30_000, controller(2), &[heartbeat_at(8, 1)]);
@@ -446,19 +446,19 @@
 fn a_view_is_behind_while_a_newer_configuration_is_known_or_nobody_would_know() {
     let mut view = View::new(Pace::LOOPBACK);
     assert!(view.may_be_behind(), "nobody is heard");
-    tell(&mut view, controller(1), &[committed(4, "a"), heartbeat_at(9, 1)]);
+    send(&mut view, controller(1), &[committed(4, "a"), heartbeat_at(9, 1)]);
     assert!(!view.may_be_behind());
     let known = Message::ConfigurationKnown(version(5, "b"));
-    assert_eq!(tell(&mut view, controller(1), std::slice::from_ref(&known)), vec![known.clone()]);
+    assert_eq!(send(&mut view, controller(1), std::slice::from_ref(&known)), vec![known.clone()]);
     assert!(view.may_be_behind());
     assert_eq!(view.fetch(ms(500), None), None, "the source does not have it yet");
-    tell(&mut view, controller(1), &[Message::ConfigurationAnnounced(version(5, "b"))]);
+    send(&mut view, controller(1), &[Message::ConfigurationAnnounced(version(5, "b"))]);
     assert!(view.fetch(ms(500), None).is_some());
-    tell(&mut view, controller(1), &[committed(5, "b")]);
+    send(&mut view, controller(1), &[committed(5, "b")]);
     assert!(!view.may_be_behind());
-    tell(&mut view, controller(1), &[heartbeat(0, 1)]);
+    send(&mut view, controller(1), &[heartbeat(0, 1)]);
     assert!(view.may_be_behind(), "the only source has no contact with a majority");
-    tell(&mut view, controller(1), &[heartbeat(1, 1)]);
+    send(&mut view, controller(1), &[heartbeat(1, 1)]);
     view.source_lost(ms(600), controller(1));
     assert!(view.may_be_behind(), "nobody is heard any more");
 }
