--- a/crates/controller/src/controller/endpoints/pending_loads.rs
+++ b/crates/controller/src/controller/endpoints/pending_loads.rs
@@ -1,5 +1,5 @@
-//! When an accepted order shows: routers hear of a loaded model or adapter as soon as it can be used, and
-//! not with the endpoint's next heartbeat, which may be a second away.
+//! Accepted loads whose model is not resident yet. Routers are notified of a loaded model or adapter as soon as it can
+//! be used, not with the endpoint's next heartbeat, which may be a second away.
 
 use crate::message::ResidencyUpdate;
 use lanegate_config::instance::ResidentModel;
@@ -12,12 +12,12 @@
 const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(25);
 /// By how much an endpoint's report on itself lags, beyond a load's usual time.
 const REPORT_LAG: Duration = Duration::from_millis(230);
-/// Pause before an endpoint that still loads is asked again.
+/// Delay before an endpoint that still loads is asked again.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Questions about one load, the last of which gets [`RETRY_DELAY`] for its answer; a heartbeat tells the rest.
+/// Report requests for one load, the last of which gets [`RETRY_DELAY`] for its answer; after that the heartbeat reports it.
 const MAX_REPORT_REQUESTS: u32 = 4;
 
-/// A load that an endpoint has accepted and does not show yet.
+/// A load that an endpoint has accepted and has not reported as resident yet.
 #[derive(Debug)]
 struct PendingLoad {
     service: String,
@@ -31,22 +31,22 @@
 
 /// What is due.
 #[derive(Debug, PartialEq, Eq)]
-pub enum PendingLoadStep {
-    /// Tell everyone.
+pub(crate) enum PendingLoadStep {
+    /// Publish to peers and subscribers.
     Publish(ResidencyUpdate),
     /// Ask the endpoint for its report.
     RequestReport { service: String, instance: Arc<str>, address: SocketAddr },
 }
 
-/// Accepted loads that do not show yet.
+/// Accepted loads that are not reported as resident yet.
 #[derive(Debug, Default)]
-pub struct PendingLoads {
+pub(crate) struct PendingLoads {
     pending: Vec<PendingLoad>,
 }
 
 impl PendingLoads {
     /// An order was accepted; `load_time` is the usual time of a load of the model from the store.
-    pub fn accepted(&mut self, now: Duration, service: &str, order: &Order, load_time: Duration) {
+    pub(crate) fn accepted(&mut self, now: Duration, service: &str, order: &Order, load_time: Duration) {
         if order.operation != Operation::Load {
             return;
         }
@@ -63,7 +63,7 @@
     }
 
     /// What is due now.
-    pub fn due(&mut self, now: Duration) -> Vec<PendingLoadStep> {
+    pub(crate) fn due(&mut self, now: Duration) -> Vec<PendingLoadStep> {
         self.pending.retain(|pending| pending.requests < MAX_REPORT_REQUESTS || pending.at > now);
         let mut steps = Vec::new();
         for pending in self.pending.iter_mut().filter(|pending| pending.at <= now) {
@@ -79,8 +79,8 @@
         steps
     }
 
-    /// An endpoint reported what it holds. Tells which awaited models are among that.
-    pub fn reported(&mut self, instance: &str, models: &[ResidentModel]) -> Vec<ResidencyUpdate> {
+    /// An endpoint reported its resident models. Returns the pending ones among them.
+    pub(crate) fn reported(&mut self, instance: &str, models: &[ResidentModel]) -> Vec<ResidencyUpdate> {
         let is_resident = |pending: &PendingLoad| {
             *pending.instance == *instance
                 && pending.adapter.is_none()
@@ -97,12 +97,12 @@
     }
 
     /// Forgets the loads of one service, for which another controller acts now.
-    pub fn clear(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.pending.clear();
     }
 
     /// When [`PendingLoads::due`] is to be called next.
-    pub fn next_wake(&self) -> Option<Duration> {
+    pub(crate) fn next_wake(&self) -> Option<Duration> {
         self.pending.iter().map(|pending| pending.at).min()
     }
 }
@@ -120,7 +120,7 @@
 
 /// What is known of a model or adapter at an endpoint, as a message; its sequence and order come with its
 /// publication.
-pub fn residency_update(
+pub(crate) fn residency_update(
     instance: &str,
     model: &str,
     adapter: Option<&str>,
--- a/crates/controller/src/controller/fault.rs
+++ b/crates/controller/src/controller/fault.rs
@@ -1,29 +1,29 @@
-//! Deliberate mistakes of a controller, each of which the simulation must find. A process makes none.
+//! Deliberate faults of a controller, each of which the simulation must find. A process has none.
 
 use crate::controller::consensus::quorum_contact::ContactFault;
-use crate::controller::endpoints::registry::AcknowledgementFault;
+use crate::controller::endpoints::acknowledgements::AcknowledgementFault;
 use crate::controller::membership::replacement::ReplacementFault;
 use lanegate_coordination::register;
 
-/// A deliberate mistake of a controller.
+/// A deliberate fault of a controller.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ControllerFault {
-    /// A mistake of the registers, in all shards.
+    /// A fault of the registers, in all shards.
     Register(register::Fault),
-    /// A mistake in what counts as contact with a majority.
-    Contact(ContactFault),
-    /// A mistake in the replacement of members.
-    Members(ReplacementFault),
-    /// A mistake in what makes an acknowledgement safe.
-    EndpointRegistry(AcknowledgementFault),
+    /// A fault in what counts as contact with a majority.
+    QuorumContact(ContactFault),
+    /// A fault in the replacement of members.
+    Replacement(ReplacementFault),
+    /// A fault in what makes an acknowledgement safe.
+    Acknowledgement(AcknowledgementFault),
     /// `GET /config` answers from what this controller knows, without asking a majority.
     ReadLocally,
     /// A change is acknowledged once it is proposed.
     AcknowledgeProposed,
     /// A drain is acknowledged before any other controller has it.
     AcknowledgeDrainAlone,
-    /// A removal that another controller tells of is not passed on to agents.
+    /// A removal that another controller sent is not forwarded to agents.
     KeepRemovalsFromAgents,
     /// Orders go on after the lease has ended.
     OrderWithoutLease,
@@ -33,7 +33,7 @@
     KeepEpoch,
     /// An epoch that the register did not give in time is not asked for again.
     GiveUpEpoch,
-    /// Members of the group are forgotten once they have been cut off for long.
+    /// Members of the group are forgotten once they have been partitioned for long.
     ForgetMembers,
     /// Endpoints are taken off the list without contact with a majority.
     ExpireWithoutContact,
@@ -41,20 +41,20 @@
     AcknowledgeHeartbeatAlone,
     /// A change is refused by what this controller knows, without asking a majority.
     RefuseLocally,
-    /// A drain that another controller tells of is not passed on to other controllers.
+    /// A drain that another controller sent is not relayed to other controllers.
     KeepDrainsFromPeers,
-    /// A controller that is told to end does not wait until its place is taken.
+    /// A controller that shuts down does not wait until it is replaced.
     ShutDownWithoutHandover,
-    /// What controllers say of their end is ignored: they replace members, and own shards, until they are silent.
+    /// The draining status of controllers is ignored: they own shards, and are not replaced, until they are suspected.
     IgnoreDraining,
-    /// A controller that is heard counts as one that acts, whether it hears anybody or not.
+    /// A controller whose heartbeats arrive counts as reachable, whether it receives anything or not.
     CountUnreachedPeers,
-    /// Agents are told that this controller is current whether it has contact or not.
+    /// The feed claims that this controller is current whether it has contact or not.
     AlwaysCurrent,
 }
 
 impl ControllerFault {
-    /// Every mistake, those of the parts included.
+    /// Every fault, those of the parts included.
     #[must_use]
     pub fn all() -> Vec<ControllerFault> {
         use ControllerFault as Own;
@@ -93,38 +93,38 @@
             Own::ForgetMembers,
             Own::AlwaysCurrent,
         ];
-        let parts = registers.map(Own::Register).into_iter().chain(contact.map(Own::Contact));
+        let parts = registers.map(Own::Register).into_iter().chain(contact.map(Own::QuorumContact));
         own.into_iter().chain(parts).collect()
     }
 
-    /// The mistake that the registers make.
-    pub(crate) fn of_register(self) -> Option<register::Fault> {
+    /// The fault of the registers.
+    pub(crate) fn register(self) -> Option<register::Fault> {
         match self {
             ControllerFault::Register(fault) => Some(fault),
             _ => None,
         }
     }
 
-    /// The mistake in what counts as contact.
-    pub(crate) fn of_contact(self) -> Option<ContactFault> {
+    /// The fault in what counts as contact.
+    pub(crate) fn quorum_contact(self) -> Option<ContactFault> {
         match self {
-            ControllerFault::Contact(fault) => Some(fault),
+            ControllerFault::QuorumContact(fault) => Some(fault),
             _ => None,
         }
     }
 
-    /// The mistake in the replacement of members.
-    pub(crate) fn of_members(self) -> Option<ReplacementFault> {
+    /// The fault in the replacement of members.
+    pub(crate) fn replacement(self) -> Option<ReplacementFault> {
         match self {
-            ControllerFault::Members(fault) => Some(fault),
+            ControllerFault::Replacement(fault) => Some(fault),
             _ => None,
         }
     }
 
-    /// The mistake in what makes an acknowledgement safe.
-    pub(crate) fn of_endpoints(self) -> Option<AcknowledgementFault> {
+    /// The fault in what makes an acknowledgement safe.
+    pub(crate) fn acknowledgement(self) -> Option<AcknowledgementFault> {
         match self {
-            ControllerFault::EndpointRegistry(fault) => Some(fault),
+            ControllerFault::Acknowledgement(fault) => Some(fault),
             _ => None,
         }
     }
--- a/crates/controller/src/controller/feed/subscribers.rs
+++ b/crates/controller/src/controller/feed/subscribers.rs
@@ -8,26 +8,35 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Changes kept for readers that come back: some minutes of an uneasy day.
+/// Changes retained for subscribers that reconnect: some minutes of frequent changes.
 const JOURNAL_CHANGES: usize = 2_048;
-/// Configurations kept as bases of differences: those of some seconds of a storm of changes.
+/// Configurations retained as bases of deltas: those of some seconds of frequent changes.
 const RETAINED_CONFIGURATIONS: usize = 32;
-/// Bytes of changes that a reader is sent without asking whether a snapshot were shorter.
+/// Bytes of changes that a subscriber is sent without comparing them with a snapshot.
 const SHORT_TAIL_BYTES: usize = 64 * 1024;
 
-/// The journal of the feed, and its readers. Configurations are not in the journal: readers fetch them.
+/// What a heartbeat of the feed reports.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct FeedStatus {
+    /// Whether subscribers may rely on this source.
+    pub is_trusted: bool,
+    /// Live routers, 0 while not known.
+    pub routers: u32,
+}
+
+/// The journal of the feed, and its subscribers. Configurations are not in the journal: subscribers fetch them.
 #[derive(Debug)]
-pub struct Subscribers {
+pub(crate) struct Subscribers {
     journal: Journal<Bytes>,
     configurations: ConfigurationPublisher,
     outboxes: BTreeMap<u64, Outbox>,
-    /// The last snapshot, as frames, and where in the journal it stands: readers that come together share it.
+    /// The last snapshot, as frames, and where in the journal it stands: subscribers that connect together share it.
     snapshot: Option<(Position, Arc<[Bytes]>)>,
 }
 
 impl Subscribers {
-    /// A feed whose source is this `incarnation` of the process.
-    pub fn new(incarnation: u64) -> Self {
+    /// A feed whose source is this incarnation of the process.
+    pub(crate) fn new(incarnation: u64) -> Self {
         Subscribers {
             journal: Journal::new(incarnation, JOURNAL_CHANGES),
             configurations: ConfigurationPublisher::retaining(RETAINED_CONFIGURATIONS),
@@ -36,22 +45,22 @@
         }
     }
 
-    /// Appends a change and sends it to all readers.
-    pub fn append(&mut self, message: &Message) {
+    /// Appends a change and sends it to all subscribers.
+    pub(crate) fn append(&mut self, message: &Message) {
         let frame = message.frame();
         self.journal.append(frame.clone());
         self.send_all(frame);
     }
 
-    /// Announces a configuration to all readers.
-    pub fn publish(&mut self, decided: CommittedConfiguration) {
-        if let Some(announcement) = self.configurations.publish(decided) {
+    /// Announces a configuration to all subscribers.
+    pub(crate) fn publish(&mut self, committed: CommittedConfiguration) {
+        if let Some(announcement) = self.configurations.publish(committed) {
             self.send_all(announcement.frame());
         }
     }
 
-    /// A reader that has `base` asks for the newest configuration.
-    pub fn fetch(&mut self, subscriber: u64, base: ConfigurationVersion) {
+    /// A subscriber that has `base` requests the newest configuration.
+    pub(crate) fn fetch(&mut self, subscriber: u64, base: ConfigurationVersion) {
         let Some(frame) = self.configurations.answer(base) else { return };
         if let Some(outbox) = self.outboxes.get(&subscriber) {
             outbox.send(frame);
@@ -59,19 +68,19 @@
     }
 
     /// Sends what is no change: heartbeats.
-    pub fn heartbeat(&mut self, quorum: bool, routers: u32) {
-        let frame = self.heartbeat_message(quorum, routers).frame();
+    pub(crate) fn heartbeat(&mut self, status: FeedStatus) {
+        let frame = self.heartbeat_message(status).frame();
         self.send_all(frame);
     }
 
-    /// Starts a reader: the changes that it lacks, or all of `snapshot`.
-    pub fn up(
+    /// Starts a subscriber: the changes that it lacks, or all of `snapshot`.
+    pub(crate) fn connected(
         &mut self,
         subscriber: u64,
         hello: &Hello,
         outbox: Outbox,
         snapshot: impl FnOnce() -> Vec<Message>,
-        heartbeat: (bool, u32),
+        status: FeedStatus,
     ) {
         let position = Position { source: hello.source, offset: hello.offset };
         for frame in self.start(position, snapshot) {
@@ -80,11 +89,11 @@
         if let Some(announcement) = self.configurations.announcement() {
             outbox.message(&announcement);
         }
-        outbox.message(&self.heartbeat_message(heartbeat.0, heartbeat.1));
+        outbox.message(&self.heartbeat_message(status));
         self.outboxes.insert(subscriber, outbox);
     }
 
-    /// What brings a reader at `position` up to date: the changes since, or a snapshot where that is shorter.
+    /// What brings a subscriber at `position` up to date: the changes since, or a snapshot where that is shorter.
     fn start(&mut self, position: Position, snapshot: impl FnOnce() -> Vec<Message>) -> Vec<Bytes> {
         let tail: Option<Vec<Bytes>> = match self.journal.start(position) {
             Start::Tail { from } => Some(self.journal.tail(from).cloned().collect()),
@@ -111,19 +120,24 @@
         frames
     }
 
-    /// A reader has gone.
-    pub fn down(&mut self, subscriber: u64) {
+    /// The link of a subscriber has ended.
+    pub(crate) fn disconnected(&mut self, subscriber: u64) {
         self.outboxes.remove(&subscriber);
     }
 
-    /// Readers now.
-    pub fn count(&self) -> usize {
+    /// Number of subscribers.
+    pub(crate) fn count(&self) -> usize {
         self.outboxes.len()
     }
 
-    fn heartbeat_message(&self, quorum: bool, routers: u32) -> Message {
+    fn heartbeat_message(&self, status: FeedStatus) -> Message {
         let Position { source, offset } = self.journal.end();
-        Message::FeedHeartbeat(FeedHeartbeat { quorum: u8::from(quorum), source, offset, routers })
+        Message::FeedHeartbeat(FeedHeartbeat {
+            quorum: u8::from(status.is_trusted),
+            source,
+            offset,
+            routers: status.routers,
+        })
     }
 
     fn send_all(&mut self, frame: Bytes) {
--- a/crates/controller/src/controller/membership/handover.rs
+++ b/crates/controller/src/controller/membership/handover.rs
@@ -1,4 +1,4 @@
-//! The end of a controller that was asked to end: it hands over what it alone holds.
+//! The handover at a graceful shutdown: members of replica groups are replaced, and the last messages are confirmed.
 //!
 //! Whether it is to be removed or only restarted it cannot know. While a controller that is no member is live,
 //! the others give it this one's place in every group; without one it ends at once and comes back with its disk.
@@ -12,10 +12,10 @@
 /// Share of the time until the process is killed that a replacement may take.
 const REPLACEMENT_FRACTION: f64 = 0.5;
 
-/// What a leaving controller waits for.
+/// What a draining controller waits for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Stage {
-    /// Its place in the groups is given to others.
+    /// Its replacement in the groups.
     Replacement { until: Duration },
     /// The others have all that it sent before.
     Flush { token: u64, missing: BTreeSet<SocketAddr>, until: Duration },
@@ -23,9 +23,9 @@
     Done,
 }
 
-/// Where the groups stand, as the leaving controller sees them.
+/// Whether the draining controller is still a member, and whether it can be replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct GroupMembership {
+pub(crate) struct GroupMembership {
     /// Some group in force has this controller as a member.
     pub is_member: bool,
     /// Some live controller could take its place.
@@ -34,18 +34,18 @@
 
 /// The handover of one controller.
 #[derive(Debug)]
-pub struct Handover {
+pub(crate) struct Handover {
     stage: Stage,
 }
 
 impl Handover {
     /// Begins at `now`, by a controller that is killed `grace` later.
-    pub fn begin(now: Duration, grace: Duration) -> Self {
+    pub(crate) fn begin(now: Duration, grace: Duration) -> Self {
         Handover { stage: Stage::Replacement { until: now + grace.mul_f64(REPLACEMENT_FRACTION) } }
     }
 
     /// Whether the replacement is over, or cannot be had: then [`Handover::flush`] is to be called.
-    pub fn is_replaced(&self, now: Duration, membership: GroupMembership) -> bool {
+    pub(crate) fn is_replaced(&self, now: Duration, membership: GroupMembership) -> bool {
         match &self.stage {
             Stage::Replacement { until } => !membership.is_member || !membership.has_spare || now >= *until,
             _ => false,
@@ -53,13 +53,13 @@
     }
 
     /// All is sent, the flush `token` last: waits for those of `peers`.
-    pub fn flush(&mut self, now: Duration, token: u64, peers: impl IntoIterator<Item = SocketAddr>) {
+    pub(crate) fn flush(&mut self, now: Duration, token: u64, peers: impl IntoIterator<Item = SocketAddr>) {
         let missing = peers.into_iter().collect();
         self.stage = Stage::Flush { token, missing, until: now + FLUSH_TIMEOUT };
     }
 
     /// A peer has everything up to the flush `token`.
-    pub fn flushed(&mut self, answered: u64, peer: SocketAddr) {
+    pub(crate) fn flushed(&mut self, answered: u64, peer: SocketAddr) {
         if let Stage::Flush { token, missing, .. } = &mut self.stage
             && *token == answered
         {
@@ -69,7 +69,7 @@
 
     /// Ends the handover once the last messages are confirmed, or cannot be. `idle` says that nobody waits for
     /// an answer, nor a lease to be given back.
-    pub fn end_if_flushed(&mut self, now: Duration, idle: bool) {
+    pub(crate) fn end_if_flushed(&mut self, now: Duration, idle: bool) {
         if let Stage::Flush { missing, until, .. } = &self.stage
             && (now >= *until || (idle && missing.is_empty()))
         {
@@ -78,12 +78,12 @@
     }
 
     /// Whether the process may end.
-    pub fn is_done(&self) -> bool {
+    pub(crate) fn is_done(&self) -> bool {
         self.stage == Stage::Done
     }
 
     /// When this is to be looked at next.
-    pub fn next_wake(&self) -> Option<Duration> {
+    pub(crate) fn next_wake(&self) -> Option<Duration> {
         match &self.stage {
             Stage::Replacement { until } | Stage::Flush { until, .. } => Some(*until),
             Stage::Done => None,
--- a/crates/controller/src/controller/placement/endpoint_client.rs
+++ b/crates/controller/src/controller/placement/endpoint_client.rs
@@ -23,9 +23,9 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 /// Longest time in which an order reaches its endpoint, once it may be sent: until it is sent, and on its way.
-pub const ORDER_WIRE_TIME: Duration = Duration::from_millis(300);
+pub(crate) const ORDER_WIRE_TIME: Duration = Duration::from_millis(300);
 /// Longest wait for the connection that carries an order.
-pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
+pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
 /// How long the kernel tries to deliver an order. Below its shortest retransmission timeout, so that what the
 /// link has swallowed is given up then and not delivered when the link heals, after the lease.
 const DELIVERY_TIMEOUT: Duration = Duration::from_millis(180);
@@ -60,19 +60,19 @@
     Unanswered,
 }
 
-/// A whole answer of an endpoint.
+/// A complete answer of an endpoint.
 #[derive(Debug)]
 struct EndpointResponse {
     status: StatusCode,
     /// Whether the endpoint says that it did nothing.
     is_not_executed: bool,
-    /// Who answered, where the endpoint tells.
+    /// Who answered, where the endpoint says so.
     instance: Option<HeaderValue>,
     body: Bytes,
 }
 
-/// Gives an order under the epoch `epoch`, unless it cannot be sent before `send_by`.
-pub async fn send_order(order: &Order, owner: &str, epoch: u64, send_by: Instant) -> OrderAnswer {
+/// Sends an order under the epoch `epoch`, unless it cannot be sent before `send_by`.
+pub(crate) async fn send_order(order: &Order, owner: &str, epoch: u64, send_by: Instant) -> OrderAnswer {
     let body = OrderBody {
         operation: order.operation,
         model: &order.model,
@@ -101,8 +101,8 @@
     }
 }
 
-/// Asks an endpoint for its report on itself; `None` where another incarnation answers.
-pub async fn request_report(instance: &str, address: SocketAddr) -> Option<EndpointReport> {
+/// Requests the report of an endpoint; `None` where another incarnation answers.
+pub(crate) async fn request_report(instance: &str, address: SocketAddr) -> Option<EndpointReport> {
     let request = addressed(Method::GET, "/report", address, instance).body(Full::new(Bytes::new())).ok()?;
     let response = call(address, request, Instant::now() + CONNECT_TIMEOUT).await.ok()?;
     let is_other = response.instance.is_some_and(|id| id.as_bytes() != instance.as_bytes());
@@ -143,7 +143,7 @@
     }
 }
 
-/// Sends the request and reads the whole answer.
+/// Sends the request and reads the complete answer.
 async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     connection: &mut Connection<TokioIo<TcpStream>, Full<Bytes>>,
@@ -171,9 +171,9 @@
     })
 }
 
-/// Lets the kernel forget what it has not delivered yet.
+/// Makes the kernel drop what it has not delivered yet.
 fn reset(stream: &TcpStream) {
     if let Err(error) = stream.set_zero_linger() {
-        log::warn!("an order without an answer may be delivered late: {error}");
+        log::warn!("connection of an unanswered order not reset, delivery may be late error={error}");
     }
 }
--- a/crates/controller/src/feed_client.rs
+++ b/crates/controller/src/feed_client.rs
@@ -19,13 +19,13 @@
 /// Pause before the agent is dialled again, which may just be starting.
 const REDIAL_DELAY: Duration = Duration::from_millis(100);
 
-/// Follows the agent for the life of the process. Must run inside a `LocalSet`.
+/// Follows the agent until the process ends. Must run inside a `LocalSet`.
 pub async fn feed_client(
     settings: Settings,
     events: mpsc::UnboundedSender<FeedEvent>,
     mut demand: mpsc::UnboundedReceiver<DemandReport>,
 ) {
-    let (owner, mut news) = mpsc::unbounded_channel();
+    let (owner, mut event) = mpsc::unbounded_channel();
     let (started, agent) = (Instant::now(), loopback_address(&settings));
     let mut client = Client::new(settings, draw_incarnation(), events);
     let dial = |client: &Client| tokio::task::spawn_local(follow(agent, client.hello(), None, owner.clone()));
@@ -33,8 +33,8 @@
     loop {
         let fetch = client.next_fetch(started.elapsed()).map(|at| started + at);
         tokio::select! {
-            Some(news) = news.recv() => {
-                if client.on_agent_event(started.elapsed(), news) {
+            Some(event) = event.recv() => {
+                if client.on_agent_event(started.elapsed(), event) {
                     tokio::time::sleep(REDIAL_DELAY).await;
                     dial(&client);
                 }
@@ -47,7 +47,7 @@
     }
 }
 
-/// What a router knows by its agent, and what it is told of it. Nothing in it waits or reads a clock.
+/// What a router knows from its agent, and the events that the router gets. Nothing in it waits or reads a clock.
 pub(crate) struct Client {
     settings: Settings,
     incarnation: u64,
@@ -55,12 +55,12 @@
     outbox: Option<Outbox>,
     events: mpsc::UnboundedSender<FeedEvent>,
     synchronized: bool,
-    /// What the router was told last of being behind.
+    /// Whether the router was last notified of being behind.
     behind: bool,
 }
 
 impl Client {
-    /// A router that knows nothing yet. `incarnation` tells this start of the process from all others.
+    /// A router that knows nothing yet. `incarnation` is drawn at random at each start of the process.
     pub(crate) fn new(
         settings: Settings,
         incarnation: u64,
@@ -96,9 +96,9 @@
         }
     }
 
-    /// Takes news of the link. True if it is down.
-    pub(crate) fn on_agent_event(&mut self, now: Duration, news: SourceEvent) -> bool {
-        let is_down = self.apply_event(now, news);
+    /// Handles an event of the link to the agent. Returns whether the link is down.
+    pub(crate) fn on_agent_event(&mut self, now: Duration, event: SourceEvent) -> bool {
+        let is_down = self.apply_event(now, event);
         let behind = self.view.may_be_behind();
         if behind != self.behind {
             self.behind = behind;
@@ -107,8 +107,8 @@
         is_down
     }
 
-    fn apply_event(&mut self, now: Duration, news: SourceEvent) -> bool {
-        match news {
+    fn apply_event(&mut self, now: Duration, event: SourceEvent) -> bool {
+        match event {
             SourceEvent::Up { outbox, .. } => {
                 self.outbox = Some(outbox);
                 self.send(FeedEvent::AgentLink { up: true });
@@ -125,7 +125,7 @@
             SourceEvent::Down { source } => {
                 self.outbox = None;
                 self.send(FeedEvent::AgentLink { up: false });
-                self.view.lost(now, source);
+                self.view.source_lost(now, source);
                 return true;
             }
         }
@@ -134,14 +134,16 @@
 
     fn pass_on(&mut self, message: Message) {
         match message {
-            Message::CommittedConfiguration(decided) => {
-                match serde_json::from_slice::<Configuration>(&decided.document.bytes) {
+            Message::CommittedConfiguration(committed) => {
+                match serde_json::from_slice::<Configuration>(&committed.document.bytes) {
                     Ok(configuration) => self.send(FeedEvent::Configuration(Arc::new(configuration))),
-                    Err(error) => log::error!("configuration of revision {}: {error}", decided.revision),
+                    Err(error) => {
+                        log::error!("configuration not parsed revision={} error={error}", committed.revision)
+                    }
                 }
             }
             Message::Registered(message) => self.pass_on_instance(&message.id.text()),
-            Message::ResidencyUpdate(holding) => self.pass_on_instance(&holding.id.text()),
+            Message::ResidencyUpdate(update) => self.pass_on_instance(&update.id.text()),
             Message::Removed(removed) => self.send(FeedEvent::Removed { id: removed.id.text() }),
             Message::SnapshotEnd { .. } if !self.synchronized => {
                 self.synchronized = true;
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Passes on an incarnation as it is known now; one that is gone is passed on as that.
+    /// Passes on an incarnation as it is known now; one that was removed is passed on as that.
     fn pass_on_instance(&self, id: &str) {
         if let Some(registered) = self.view.registration(id) {
             self.send(FeedEvent::Instance(registered.current_instance()));
@@ -170,7 +172,7 @@
                 let router = self.settings.node_name.as_str().into();
                 outbox.message(&Message::Demand(RouterDemand { router, report: report.into(), age_ms: 0 }));
             }
-            Err(error) => log::error!("demand report: {error}"),
+            Err(error) => log::error!("demand report not encoded error={error}"),
         }
     }
 }
--- a/crates/controller/src/registration.rs
+++ b/crates/controller/src/registration.rs
@@ -9,17 +9,21 @@
 /// An endpoint's registration: read, and as it was sent.
 #[derive(Debug, Clone)]
 pub struct Registered {
+    /// The registration, parsed.
     pub instance: Instance,
     /// The body of the heartbeat.
     pub body: Bytes,
     /// What the placer knows beyond it.
     residency_updates: Vec<ResidencyUpdate>,
-    /// Sequence of the first heartbeat that said what this one says.
+    /// Sequence of the first heartbeat with the contents of this one.
     changed_at: u64,
 }
 
 impl Registered {
     /// Reads the body of a heartbeat of the incarnation `id`.
+    ///
+    /// # Errors
+    /// If the body is no registration.
     pub fn parse(id: &str, body: Bytes) -> Result<Self, serde_json::Error> {
         let mut instance: Instance = serde_json::from_slice(&body)?;
         id.clone_into(&mut instance.id);
@@ -45,7 +49,7 @@
     }
 
     /// Takes what a placer knows of the endpoint's models, unless it was published before this registration or
-    /// before what is known of the same model. True if it is news.
+    /// before what is known of the same model. Returns whether the resident models changed.
     pub fn apply_residency(&mut self, update: ResidencyUpdate) -> bool {
         let same = |known: &ResidencyUpdate| known.model == update.model && known.adapter == update.adapter;
         let known = self.residency_updates.iter().find(|known| same(known));
--- a/crates/controller/tests/contact_mutants.rs
+++ b/crates/controller/tests/contact_mutants.rs
@@ -1,4 +1,4 @@
-//! Deliberate mistakes in what a controller does out of contact with a majority: each must be found by the
+//! Deliberate faults in what a controller does out of contact with a majority: each must be found by the
 //! scenarios that are named for it. Mistakes in the measure of contact itself that no link of the program can
 //! bring about are found by the tests beside `contact.rs`.
 
@@ -9,7 +9,7 @@
 use lanegate_controller::simulation::{Scenario, World};
 use scenarios::scenario;
 
-/// Every one of the scenarios finds the mistake.
+/// Every one of the scenarios finds the fault.
 fn found_by(fault: ControllerFault, scenarios: &[&str]) {
     for name in scenarios {
         assert!(World::play(&scenario(name), Some(fault)).is_err(), "{fault:?} is not found by {name}");
@@ -25,7 +25,7 @@
         "cut-router-begins-on-the-small-side",
         "cut-router-begins-behind-a-one-way-cut",
     ];
-    found_by(ControllerFault::Contact(ContactFault::SmallMajority), &scenarios);
+    found_by(ControllerFault::QuorumContact(ContactFault::SmallMajority), &scenarios);
 }
 
 #[test]
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_cut_off_controller_that_calls_itself_current_is_found() {
+fn a_partitioned_controller_that_claims_to_be_current_is_found() {
     let scenarios = [
         "cut-of-both-sources",
         "cut-router-begins-on-the-small-side",
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn orders_of_a_placer_that_is_cut_off_are_found() {
+fn orders_of_a_partitioned_placer_are_found() {
     found_by(ControllerFault::OrderWithoutLease, &["cut-of-the-placer", "cut-of-everyone"]);
 }
 
@@ -77,8 +77,8 @@
     found_by(ControllerFault::KeepEpoch, &["cut-of-the-placer", "frozen-source"]);
 }
 
-/// Scenarios of this page, played without a mistake on other chance as well.
-const CUTS: [&str; 14] = [
+/// Scenarios of this page, played without a fault on other chance as well.
+const PARTITIONS: [&str; 14] = [
     "change-forwarded-over-a-healing-link",
     "cut-heals-during-a-snapshot",
     "cut-heartbeats-go-elsewhere",
@@ -98,8 +98,8 @@
 const SEEDS: u64 = 6;
 
 #[test]
-fn cuts_hold_whatever_the_chance() {
-    let plays = CUTS.into_iter().flat_map(|name| (1..=SEEDS).map(move |seed| (name, seed)));
+fn partition_scenarios_hold_with_every_seed() {
+    let plays = PARTITIONS.into_iter().flat_map(|name| (1..=SEEDS).map(move |seed| (name, seed)));
     let broken: Vec<String> = plays
         .filter_map(|(name, seed)| {
             let play = Scenario { seed, ..scenario(name) };
