--- a/crates/placement/src/adapter_placement.rs
+++ b/crates/placement/src/adapter_placement.rs
@@ -4,11 +4,12 @@
 //! replica goes where a slot is free and only then refree_slots another adapter.
 
 use crate::catalog::Catalog;
-use crate::demand_rate::{DemandRates, DemandTable};
+use crate::demand_rate::DemandRates;
+use crate::demand_table::DemandTable;
 use crate::endpoint::Endpoint;
 use crate::interface::Item;
-use crate::model_placement::rendezvous;
 use crate::planning_view::{Endpoints, PlanningView};
+use crate::rendezvous::rendezvous;
 use crate::replica_target::{FleetLoad, ReplicaTarget};
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -46,6 +47,13 @@
     pub victim: Option<Item>,
 }
 
+/// A site with its cost and the rendezvous hash of its endpoint.
+struct ScoredSite {
+    cost: f64,
+    hash: u64,
+    site: AdapterSite,
+}
+
 /// Number of replicas of an adapter.
 #[derive(Debug, Clone, Copy, Default)]
 struct ReplicaCount {
@@ -171,12 +179,12 @@
     pub(crate) fn site(&self, desired: &DesiredAdapter, excluded: &[&Arc<str>]) -> Option<AdapterSite> {
         let hosts = self.hosts.get(&desired.item.model)?;
         let open = hosts.free.iter().filter(|host| !excluded.contains(&&host.endpoint.id));
-        let sites = open.filter_map(|host| self.score_site(desired, *host));
-        let best = sites.min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
-        best.map(|(_, _, site)| site)
+        let scored = open.filter_map(|host| self.score_site(desired, *host));
+        let best = scored.min_by(|a, b| a.cost.total_cmp(&b.cost).then(b.hash.cmp(&a.hash)));
+        best.map(|scored| scored.site)
     }
 
-    fn score_site(&self, desired: &DesiredAdapter, host: Host) -> Option<(f64, u64, AdapterSite)> {
+    fn score_site(&self, desired: &DesiredAdapter, host: Host) -> Option<ScoredSite> {
         let endpoint = host.endpoint;
         let is_reserved =
             endpoint.reserved_model(self.now).is_some() && desired.priority != AdapterPriority::First;
@@ -186,9 +194,10 @@
         let (cost, victim) = self.free_capacity(desired, host)?;
         let adapter = desired.item.adapter.as_deref().unwrap_or_default();
         let hash = rendezvous(self.seed, &desired.item.model, adapter, &endpoint.id);
-        Some((cost, hash, AdapterSite { endpoint: endpoint.id.clone(), victim }))
+        Some(ScoredSite { cost, hash, site: AdapterSite { endpoint: endpoint.id.clone(), victim } })
     }
 
+    /// Cost of the capacity for an adapter on a host, and the adapter to be evicted for it.
     fn free_capacity(&self, desired: &DesiredAdapter, host: Host) -> Option<(f64, Option<Item>)> {
         let Host { endpoint, free_mb, adapters } = host;
         let size = self.catalog.size_mb(&desired.item);
--- a/crates/placement/src/demand_rate.rs
+++ b/crates/placement/src/demand_rate.rs
@@ -2,9 +2,6 @@
 //!
 //! Rates are exponentially decayed counts. A report adds its requests; the decay is applied when a rate is read.
 
-use lanegate_config::demand::{DemandReport, ModelDemand};
-use std::collections::BTreeMap;
-use std::sync::Arc;
 use std::time::Duration;
 
 /// Time constant of the recent rate, s: a few reports of each router.
@@ -13,9 +10,6 @@
 /// Time constant of the long-term rate, s: long compared with a load.
 const LONG_TERM_S: f64 = 60.0;
 
-/// An item without a request for this long is removed from the table.
-const EXPIRY: Duration = Duration::from_secs(180);
-
 /// An item without a request for this long is no longer in demand: a few reports of each router.
 const DEMAND_TIMEOUT: Duration = Duration::from_secs(4);
 
@@ -37,9 +31,6 @@
 /// At most this many requests are expected in a time as long as the gap since the last one.
 const GAP_REQUESTS: f64 = 2.0;
 
-/// Demand that has been observed for this long is complete: two reports of each router.
-const ESTABLISHED_AFTER: Duration = Duration::from_millis(2_500);
-
 /// The interval in which a rate lies, requests/s.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct RateInterval {
@@ -60,7 +51,8 @@
 }
 
 impl DemandRates {
-    fn new(observed_since: Duration, now: Duration) -> DemandRates {
+    /// Rates of an item whose first request arrives now; demand is observed since `observed_since`.
+    pub(crate) fn new(observed_since: Duration, now: Duration) -> DemandRates {
         DemandRates {
             observed_since,
             updated: now,
@@ -72,6 +64,16 @@
         }
     }
 
+    /// Adds requests that a router reported: `requests` with `tokens` in all. `unplaced` tells whether one found no
+    /// endpoint.
+    pub(crate) fn record(&mut self, now: Duration, requests: f64, tokens: f64, unplaced: bool) {
+        self.add(now, requests, tokens + requests * REQUEST_WORK);
+        self.last_request = now;
+        if unplaced {
+            self.last_unplaced = Some(now);
+        }
+    }
+
     fn add(&mut self, now: Duration, requests: f64, work: f64) {
         let age = now.saturating_sub(self.updated).as_secs_f64();
         let decay = (-age / LONG_TERM_S).exp();
@@ -83,8 +85,9 @@
 
     fn decayed(&self, now: Duration, value: f64, constant: f64) -> f64 {
         let age = now.saturating_sub(self.updated).as_secs_f64();
-        let is_established = now.saturating_sub(self.observed_since).as_secs_f64().max(1.0);
-        value * (-age / constant).exp() / (1.0 - (-is_established / constant).exp())
+        // A count that began a short while ago has not reached its mean yet.
+        let observed = now.saturating_sub(self.observed_since).as_secs_f64().max(1.0);
+        value * (-age / constant).exp() / (1.0 - (-observed / constant).exp())
     }
 
     /// Recent rate, requests/s.
@@ -127,6 +130,11 @@
         rate >= STEADY_RATE && gap.as_secs_f64() < (MAX_MISSED_REQUESTS / rate).min(MAX_GAP_S)
     }
 
+    /// Whether there was a request within `span`.
+    pub(crate) fn requested_within(&self, span: Duration, now: Duration) -> bool {
+        now.saturating_sub(self.last_request) < span
+    }
+
     /// Whether a recent request found no endpoint.
     pub(crate) fn urgent(&self, now: Duration) -> bool {
         self.last_unplaced.is_some_and(|last| now.saturating_sub(last) < URGENT_FOR)
@@ -138,85 +146,14 @@
     rate * 2.0 * constant
 }
 
+/// Two standard deviations below a smoothed rate.
 fn lower(rate: f64, constant: f64) -> f64 {
     let count = sample_size(rate, constant);
     (count - 2.0 * count.sqrt()).max(0.0) / (2.0 * constant)
 }
 
+/// Three standard deviations and three requests above a smoothed rate.
 fn upper(rate: f64, constant: f64) -> f64 {
     let count = sample_size(rate, constant);
     (count + 3.0 * count.sqrt() + 3.0) / (2.0 * constant)
 }
-
-/// Rates of a model and of its requested adapters.
-#[derive(Debug)]
-pub(crate) struct ModelDemandRates {
-    pub total: DemandRates,
-    pub adapters: BTreeMap<Arc<str>, DemandRates>,
-}
-
-/// Rates of everything that was requested lately.
-#[derive(Debug, Default)]
-pub(crate) struct DemandTable {
-    observed_since: Option<Duration>,
-    pub models: BTreeMap<Arc<str>, ModelDemandRates>,
-}
-
-impl DemandTable {
-    /// Adds a report. `name` gives the shared string of a model's name, or `None` for an unknown model or adapter.
-    /// Returns whether a request found no endpoint.
-    pub(crate) fn add(
-        &mut self,
-        now: Duration,
-        report: &DemandReport,
-        backend: &str,
-        name: impl Fn(&str, Option<&str>) -> Option<Arc<str>>,
-    ) -> bool {
-        let observed_since = *self.observed_since.get_or_insert(now);
-        let mut unplaced = false;
-        let asks = |demand: &&ModelDemand| demand.requests > 0 || demand.unplaced > 0;
-        let demands = report.models.iter().filter(|demand| demand.backend == backend);
-        for demand in demands.filter(asks) {
-            let Some(model) = name(&demand.model, demand.adapter.as_deref()) else { continue };
-            let entry = self.models.entry(model).or_insert_with(|| ModelDemandRates {
-                total: DemandRates::new(observed_since, now),
-                adapters: BTreeMap::new(),
-            });
-            let requests = f64::from(demand.requests);
-            let work = demand.tokens as f64 + requests * REQUEST_WORK;
-            record(&mut entry.total, now, requests, work, demand.unplaced > 0);
-            if let Some(adapter) = &demand.adapter {
-                if !entry.adapters.contains_key(adapter.as_str()) {
-                    entry.adapters.insert(Arc::from(adapter.as_str()), DemandRates::new(observed_since, now));
-                }
-                if let Some(rates) = entry.adapters.get_mut(adapter.as_str()) {
-                    record(rates, now, requests, work, demand.unplaced > 0);
-                }
-            }
-            unplaced |= demand.unplaced > 0;
-        }
-        unplaced
-    }
-
-    /// Whether demand was observed long enough to conclude that what was not requested is not in demand.
-    pub(crate) fn is_established(&self, now: Duration) -> bool {
-        self.observed_since.is_some_and(|observed_since| now >= observed_since + ESTABLISHED_AFTER)
-    }
-
-    /// Removes items without a request for a long time.
-    pub(crate) fn expire(&mut self, now: Duration) {
-        let kept = |rates: &DemandRates| now.saturating_sub(rates.last_request) < EXPIRY;
-        self.models.retain(|_, rates| kept(&rates.total));
-        for rates in self.models.values_mut() {
-            rates.adapters.retain(|_, rates| kept(rates));
-        }
-    }
-}
-
-fn record(rates: &mut DemandRates, now: Duration, requests: f64, work: f64, unplaced: bool) {
-    rates.add(now, requests, work);
-    rates.last_request = now;
-    if unplaced {
-        rates.last_unplaced = Some(now);
-    }
-}
--- a/crates/placement/src/guard_test.rs
+++ b/crates/placement/src/guard_test.rs
@@ -1,6 +1,7 @@
 use crate::catalog::Catalog;
-use crate::guard::{OrderGuard, Violation};
+use crate::guard::OrderGuard;
 use crate::interface::{EndpointReport, Operation, Order, OrderAnswer, OrderId};
+use crate::violation::Violation;
 use lanegate_config::configuration::{Model, Runtime};
 use lanegate_config::instance::ResidentModel;
 use std::sync::Arc;
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -15,8 +15,8 @@
 //! # Where to begin
 //!
 //! `placer` takes the inputs. `planning` turns demand and contents into orders: `planning_view` is what a round works
-//! on, `demand_rate` and `replica_target` say how many replicas an item should have, `model_placement` and
-//! `adapter_placement` choose endpoints and victims. `order_completion` and `in_flight` follow an order to its end.
+//! on, `demand_table` and `replica_target` say how many replicas an item should have, `desired_replica` which models need
+//! one, `model_placement`, `eviction` and `adapter_placement` on which endpoint and in whose place. `order_completion` and `in_flight` follow an order to its end.
 //!
 //! # Tests
 //!
@@ -27,10 +27,13 @@
 mod catalog;
 mod contents;
 mod demand_rate;
+mod demand_table;
+mod desired_replica;
 mod drain_time;
 #[cfg(test)]
 mod drain_time_test;
 mod endpoint;
+mod eviction;
 mod guard;
 #[cfg(test)]
 mod guard_test;
@@ -47,12 +50,15 @@
 mod planning_view;
 #[cfg(test)]
 mod planning_view_test;
+mod removed_incarnations;
+mod rendezvous;
 mod replica_target;
 #[cfg(test)]
 mod replica_target_test;
 mod settings;
+mod violation;
 
-pub use guard::{InvariantViolations, Violation};
 pub use interface::{Action, EndpointReport, Item, Operation, Order, OrderAnswer, OrderId, PendingLoad};
 pub use placer::Placer;
 pub use settings::{PlacerSettings, Start};
+pub use violation::{InvariantViolations, Violation};
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -1,15 +1,17 @@
 //! The placer: takes registrations, demand, answers and reports, and returns orders.
 
 use crate::catalog::Catalog;
-use crate::demand_rate::DemandTable;
+use crate::demand_table::DemandTable;
 use crate::drain_time::DrainTimeEstimate;
 use crate::endpoint::{Endpoint, Verification};
-use crate::guard::{InvariantViolations, OrderGuard};
+use crate::guard::OrderGuard;
 use crate::interface::{Action, Item, Operation, OrderId, PendingLoad};
 use crate::load_limiter::LoadLimiter;
 use crate::order_log;
 use crate::planning_view::Endpoints;
+use crate::removed_incarnations::RemovedIncarnations;
 use crate::settings::{PlacerSettings, Start};
+use crate::violation::InvariantViolations;
 use lanegate_config::configuration::Runtime;
 use lanegate_config::demand::DemandReport;
 use lanegate_config::instance::Instance;
@@ -30,9 +32,6 @@
 /// Time after which an unanswered order counts as unacknowledged.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Number of removed incarnations that are remembered.
-const MAX_REMOVED_INCARNATIONS: usize = 256;
-
 /// Places the models and adapters of one service.
 ///
 /// Every input carries the time; after each, the caller takes [`Action`]s until there is none, and calls
@@ -50,8 +49,7 @@
     pub(crate) drain: DrainTimeEstimate,
     pub(crate) switched_off: SwitchedOff,
     pub(crate) actions: VecDeque<Action>,
-    /// Removed incarnations, each with its newest sequence number, the latest last.
-    removed_incarnations: VecDeque<(Arc<str>, u64)>,
+    removed_incarnations: RemovedIncarnations,
     pub(crate) last_order: u64,
     pub(crate) fenced: bool,
     pub(crate) last_plan: Option<Duration>,
@@ -84,7 +82,7 @@
             drain: DrainTimeEstimate::default(),
             switched_off: settings.switched_off,
             actions: VecDeque::new(),
-            removed_incarnations: VecDeque::new(),
+            removed_incarnations: RemovedIncarnations::default(),
             last_order: 0,
             fenced: false,
             last_plan: None,
@@ -115,8 +113,8 @@
             return;
         }
         if !self.endpoints.contains_key(instance.id.as_str()) {
-            match self.removed_incarnations.iter().find(|(id, _)| **id == *instance.id) {
-                Some((_, sequence)) if instance.sequence <= *sequence => return,
+            match self.removed_incarnations.sequence(&instance.id) {
+                Some(sequence) if instance.sequence <= sequence => return,
                 // It is still running, or this heartbeat was delayed: it is not known which incarnation has the
                 // address.
                 Some(_) => {}
@@ -153,11 +151,7 @@
     fn forget_endpoint(&mut self, now: Duration, id: &str) -> bool {
         let Some(endpoint) = self.endpoints.remove(id) else { return false };
         self.guard.forget(id);
-        self.removed_incarnations.retain(|(removed_incarnations, _)| *removed_incarnations != endpoint.id);
-        self.removed_incarnations.push_back((endpoint.id.clone(), endpoint.sequence()));
-        if self.removed_incarnations.len() > MAX_REMOVED_INCARNATIONS {
-            self.removed_incarnations.pop_front();
-        }
+        self.removed_incarnations.add(endpoint.id.clone(), endpoint.sequence());
         if let Some(order) = endpoint.order {
             self.orders.remove(&order.id);
             self.load_limiter.finish(order.id, now);
--- a/crates/placement/src/planning.rs
+++ b/crates/placement/src/planning.rs
@@ -1,12 +1,11 @@
 //! One planning round: from demand and contents to orders.
 
 use crate::adapter_placement::{AdapterPlanner, AdapterPriority, AdapterSite, DesiredAdapter};
+use crate::desired_replica::{DesiredReplica, Priority, desired_replica, desired_replicas};
 use crate::endpoint::Verification;
 use crate::in_flight::InFlightOrder;
 use crate::interface::{Action, Item, Operation, Order, OrderId};
-use crate::model_placement::{
-    DesiredReplica, Priority, Site, desired_replica, desired_replicas, expected_load_time,
-};
+use crate::model_placement::{Site, expected_load_time};
 use crate::order_completion::REPORT_RETRY_DELAY;
 use crate::order_log::{self, EndpointState};
 use crate::placer::Placer;
@@ -246,21 +245,36 @@
             endpoint.invalidate(now + REPORT_RETRY_DELAY);
             return;
         }
-        let load_time = match (operation, item.is_model()) {
-            (Operation::Load, true) => expected_load_time(&self.catalog, &item.model),
-            _ => ADAPTER_LOAD,
-        };
-        let mut in_flight = InFlightOrder::new(&order, now, load_time);
-        in_flight.urgent = urgent;
-        in_flight.request_rate = request_rate;
-        in_flight.uses_store =
-            operation == Operation::Load && item.is_model() && !endpoint.on_disk.contains(&item.model);
+        let in_flight = self.in_flight_order(now, &order, urgent, request_rate);
         if in_flight.uses_store {
-            self.load_limiter.start(order.id, now + load_time);
+            self.load_limiter.start(order.id, in_flight.expected);
+        }
+        if let Some(endpoint) = self.endpoints.get_mut(id) {
+            endpoint.order = Some(in_flight);
+            order_log::sent(now, &order, &EndpointState { endpoint, catalog: &self.catalog });
         }
-        endpoint.order = Some(in_flight);
-        order_log::sent(now, &order, &EndpointState { endpoint, catalog: &self.catalog });
         self.orders.insert(order.id, id.clone());
         self.actions.push_back(Action::Order(order));
     }
+
+    fn in_flight_order(
+        &self,
+        now: Duration,
+        order: &Order,
+        urgent: bool,
+        request_rate: f64,
+    ) -> InFlightOrder {
+        let loads_model = order.operation == Operation::Load && order.adapter.is_none();
+        let load_time =
+            if loads_model { expected_load_time(&self.catalog, &order.model) } else { ADAPTER_LOAD };
+        let on_disk = self
+            .endpoints
+            .get(&order.instance)
+            .is_some_and(|endpoint| endpoint.on_disk.contains(&order.model));
+        let mut in_flight = InFlightOrder::new(order, now, load_time);
+        in_flight.urgent = urgent;
+        in_flight.request_rate = request_rate;
+        in_flight.uses_store = loads_model && !on_disk;
+        in_flight
+    }
 }
--- a/crates/placement/src/planning_view.rs
+++ b/crates/placement/src/planning_view.rs
@@ -1,7 +1,7 @@
 //! What one planning round works on: demand, replicas and target of each model, and the endpoints that accept orders.
 
 use crate::catalog::Catalog;
-use crate::demand_rate::DemandTable;
+use crate::demand_table::DemandTable;
 use crate::drain_time::DrainTimeEstimate;
 use crate::endpoint::Endpoint;
 use crate::replica_target::{FleetLoad, ReplicaTarget};
--- a/crates/placement/src/replica_target_test.rs
+++ b/crates/placement/src/replica_target_test.rs
@@ -1,4 +1,5 @@
-use crate::demand_rate::{DemandRates, DemandTable};
+use crate::demand_rate::DemandRates;
+use crate::demand_table::DemandTable;
 use crate::replica_target::FleetLoad;
 use lanegate_config::demand::{DemandReport, ModelDemand};
 use std::sync::Arc;
