--- a/crates/config/src/configuration/document.rs
+++ b/crates/config/src/configuration/document.rs
@@ -41,6 +41,9 @@
 
 impl Document {
     /// Reads a whole configuration; finds everything that makes it invalid.
+    ///
+    /// # Errors
+    /// Every mistake in the document.
     pub fn parse(bytes: impl Into<Bytes>) -> Result<Self, Findings> {
         let bytes = bytes.into();
         let configuration = Arc::new(read_configuration(&bytes)?);
@@ -58,6 +61,9 @@
     ///
     /// `Upsert` is taken before `Delete`. Replaced items stay where they were, new ones come last;
     /// a name to remove that is not there is no mistake.
+    ///
+    /// # Errors
+    /// Every mistake in the form of the patch, or in the configuration that it makes.
     pub fn patch(&self, patch: &[u8]) -> Result<Self, Findings> {
         Document::parse(Patch::read(patch)?.apply(&self.bytes)?)
     }
@@ -78,6 +84,9 @@
     }
 
     /// Refuses a version that is not higher than `current`.
+    ///
+    /// # Errors
+    /// The version is not higher.
     pub fn check_follows(&self, current: u64) -> Result<(), Finding> {
         if self.version() > current {
             return Ok(());
--- a/crates/config/src/configuration/members.rs
+++ b/crates/config/src/configuration/members.rs
@@ -7,27 +7,27 @@
 
 /// The members of an object, in their order; of members with the same key, the last counts.
 #[derive(Debug, Default, Clone)]
-pub struct Members<'a>(Vec<(Cow<'a, str>, &'a RawValue)>);
+pub(super) struct Members<'a>(Vec<(Cow<'a, str>, &'a RawValue)>);
 
 impl<'a> Members<'a> {
     /// The value under `key`; `null` counts as absent.
-    pub fn get(&self, key: &str) -> Option<&'a RawValue> {
+    pub(super) fn get(&self, key: &str) -> Option<&'a RawValue> {
         let value = self.0.iter().find(|(name, _)| name == key)?.1;
         (value.get() != "null").then_some(value)
     }
 
     /// Keys and values in order.
-    pub fn iter(&self) -> impl Iterator<Item = (&str, &'a RawValue)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&str, &'a RawValue)> {
         self.0.iter().map(|(key, value)| (key.as_ref(), *value))
     }
 
     /// Whether there is a member `key`.
-    pub fn contains(&self, key: &str) -> bool {
+    pub(super) fn contains(&self, key: &str) -> bool {
         self.0.iter().any(|(name, _)| name == key)
     }
 
     /// The members that are not `null`.
-    pub fn without_null(mut self) -> Self {
+    pub(super) fn without_null(mut self) -> Self {
         self.0.retain(|(_, value)| value.get() != "null");
         self
     }
--- a/crates/config/src/configuration/mod.rs
+++ b/crates/config/src/configuration/mod.rs
@@ -22,10 +22,13 @@
     /// Rises with every change, in uneven steps; 0 stands for "none yet".
     #[serde(deserialize_with = "lenient::required_integer")]
     pub version: u64,
+    /// Routes, in the order of the document.
     #[serde(default, deserialize_with = "lenient::objects")]
     pub routes: Vec<Route>,
+    /// Services, in the order of the document.
     #[serde(default, deserialize_with = "lenient::objects")]
     pub backends: Vec<Backend>,
+    /// Limits for requests of clients.
     #[serde(default, deserialize_with = "lenient::object_or_default")]
     pub limits: Limits,
 }
@@ -34,10 +37,13 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Route {
+    /// Name of the route.
     pub name: String,
+    /// Host of the requests, compared without regard to case.
     pub hostname: String,
     /// Begins and ends with a slash.
     pub path_prefix: String,
+    /// What may be repeated.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub route_type: RouteType,
     /// Longest time that a request may be held, ms.
@@ -51,11 +57,13 @@
     /// The one service of the route, unless `traffic_split` names several.
     #[serde(default)]
     pub backend: Option<String>,
+    /// Services with their weights; empty where `backend` names the only one.
     #[serde(default, deserialize_with = "lenient::objects")]
     pub traffic_split: Vec<WeightedBackend>,
     /// Most endpoints to which one try of a client may be sent.
     #[serde(default = "one", deserialize_with = "lenient::integer_or_one")]
     pub max_attempts: u32,
+    /// `Sticky` of the route; not read.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub sticky: bool,
     /// Whether a stream may be taken up at another endpoint by `Last-Event-Id`.
@@ -94,7 +102,9 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WeightedBackend {
+    /// Name of the service.
     pub backend: String,
+    /// Weight of the service, relative to the sum of the split.
     pub weight: f64,
 }
 
@@ -102,7 +112,9 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Backend {
+    /// Name of the service.
     pub name: String,
+    /// Path of the endpoints' health check; not read, as health is learned from answers.
     #[serde(default)]
     pub health_path: Option<String>,
     /// Connections that one endpoint takes from all callers together.
@@ -125,6 +137,7 @@
     /// Tokens in one event of a stream.
     #[serde(default, rename = "stride")]
     pub stride: Option<f64>,
+    /// Models that may be placed.
     #[serde(default, deserialize_with = "lenient::objects")]
     pub models: Vec<Model>,
     /// Room of an endpoint for weights and adapters together, MB.
@@ -142,12 +155,16 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Model {
+    /// Name of the model.
     pub name: String,
+    /// Memory of the weights, MB.
     pub weights_mb: f64,
     /// Time of a load from the weight store, s.
     pub load_time_s: f64,
+    /// Number of adapters.
     #[serde(default, deserialize_with = "lenient::integer")]
     pub adapters: u32,
+    /// Memory of one adapter, MB.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub adapter_size_mb: f64,
 }
@@ -156,11 +173,15 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Limits {
+    /// Largest head of a request, bytes.
     #[serde(deserialize_with = "lenient::integer")]
     pub max_header_bytes: usize,
+    /// Largest body of a request, bytes.
     #[serde(deserialize_with = "lenient::integer")]
     pub max_body_bytes: usize,
+    /// Time within which the head has to arrive, ms.
     pub header_timeout_ms: f64,
+    /// Time after which an idle connection is closed, ms.
     pub idle_timeout_ms: f64,
 }
 
--- a/crates/config/src/configuration/patch.rs
+++ b/crates/config/src/configuration/patch.rs
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, HashSet};
 
 /// A change of a configuration, as the body of a `PATCH` describes it.
-pub struct Patch<'a> {
+pub(super) struct Patch<'a> {
     /// Members whose text is replaced: `Version`, and others that are no lists.
     members: Vec<(String, &'a RawValue)>,
     lists: Vec<ListChange<'a>>,
@@ -23,7 +23,7 @@
 
 impl<'a> Patch<'a> {
     /// Reads the body; finds everything that is wrong with its form.
-    pub fn read(bytes: &'a [u8]) -> Result<Self, Findings> {
+    pub(super) fn read(bytes: &'a [u8]) -> Result<Self, Findings> {
         let object = read_object(bytes)?;
         let mut findings = Findings::default();
         read_version(&object, &mut findings);
@@ -75,7 +75,7 @@
     }
 
     /// The text of the configuration that this change makes of the one in `base`.
-    pub fn apply(&self, base: &[u8]) -> Result<Vec<u8>, Findings> {
+    pub(super) fn apply(&self, base: &[u8]) -> Result<Vec<u8>, Findings> {
         let base = read_object(base)?;
         let mut text = ObjectText::new();
         for (key, raw) in base.iter() {
--- a/crates/config/src/configuration/reading.rs
+++ b/crates/config/src/configuration/reading.rs
@@ -15,7 +15,7 @@
 /// The typed view of a valid configuration.
 ///
 /// Nearly all are valid. Only for one that is not, each item is read by itself, so that all mistakes are found.
-pub fn read_configuration(bytes: &[u8]) -> Result<Configuration, Findings> {
+pub(super) fn read_configuration(bytes: &[u8]) -> Result<Configuration, Findings> {
     let text = std::str::from_utf8(bytes).map_err(unreadable)?;
     match serde_json::from_str(text) {
         Ok(Object(configuration)) => {
@@ -48,7 +48,7 @@
 }
 
 /// The members of the object that a whole body holds.
-pub fn read_object(bytes: &[u8]) -> Result<Members<'_>, Findings> {
+pub(super) fn read_object(bytes: &[u8]) -> Result<Members<'_>, Findings> {
     serde_json::from_slice(bytes).map_err(unreadable)
 }
 
@@ -63,7 +63,7 @@
 }
 
 /// The member `Version`, which every change has to hold.
-pub fn read_version(members: &Members, findings: &mut Findings) -> Option<u64> {
+pub(super) fn read_version(members: &Members, findings: &mut Findings) -> Option<u64> {
     #[derive(Deserialize)]
     struct Version(#[serde(deserialize_with = "crate::lenient::integer")] u64);
 
@@ -74,7 +74,7 @@
 }
 
 /// The items of a list as text; none where it is missing.
-pub fn read_list<'a>(members: &Members<'a>, key: &str, findings: &mut Findings) -> Vec<&'a RawValue> {
+pub(super) fn read_list<'a>(members: &Members<'a>, key: &str, findings: &mut Findings) -> Vec<&'a RawValue> {
     let Some(raw) = members.get(key) else {
         return Vec::new();
     };
@@ -104,7 +104,7 @@
 }
 
 /// Reads the value that stands at `place`.
-pub fn read_borrowed<'a, T: Deserialize<'a>>(
+pub(super) fn read_borrowed<'a, T: Deserialize<'a>>(
     raw: &'a RawValue,
     place: &str,
     findings: &mut Findings,
@@ -137,7 +137,7 @@
 }
 
 /// The `Name` of an item.
-pub fn name_of(item: &RawValue) -> Option<Cow<'_, str>> {
+pub(super) fn name_of(item: &RawValue) -> Option<Cow<'_, str>> {
     #[derive(Deserialize)]
     struct Named<'a> {
         #[serde(rename = "Name", borrow)]
--- a/crates/config/src/control_state/command.rs
+++ b/crates/config/src/control_state/command.rs
@@ -20,9 +20,11 @@
 /// A change as it was asked for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Command {
+    /// How the body describes the change.
     pub method: Method,
     /// The version that the change builds on.
     pub if_match: Option<u64>,
+    /// Body of the call, as it was sent.
     pub body: Vec<u8>,
 }
 
@@ -42,6 +44,9 @@
 
 impl Command {
     /// The command as bytes.
+    ///
+    /// # Panics
+    /// Never: a head has no field that cannot be written.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = self.head().to_bytes().expect("a head has no field that cannot be written");
         bytes.extend_from_slice(&self.body);
@@ -49,6 +54,9 @@
     }
 
     /// Reads a command.
+    ///
+    /// # Errors
+    /// The bytes are no command.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let ((body, _), head) =
             CommandHead::from_bytes((bytes, 0)).map_err(|error| DecodeError::new("a command", &error))?;
--- a/crates/config/src/control_state/mod.rs
+++ b/crates/config/src/control_state/mod.rs
@@ -83,6 +83,7 @@
 /// What a command did to a state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Applied {
+    /// What became of the command.
     pub outcome: Outcome,
     /// The state after the command; absent where nothing changed.
     pub state: Option<ControlState>,
@@ -106,6 +107,9 @@
     }
 
     /// The state as bytes.
+    ///
+    /// # Panics
+    /// Never: a head has no field that cannot be written.
     pub fn encode(&self) -> Vec<u8> {
         let head = Head {
             version: self.version,
@@ -118,6 +122,9 @@
     }
 
     /// Reads a state; no bytes at all are the state before the first configuration.
+    ///
+    /// # Errors
+    /// The bytes are no control state.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         if bytes.is_empty() {
             return Ok(ControlState::default());
@@ -208,6 +215,9 @@
 }
 
 /// The outcome of an encoded command on an encoded state, and the new state's bytes where there is one.
+///
+/// # Errors
+/// One of the two cannot be decoded.
 pub fn apply(state: &[u8], command: &[u8]) -> Result<(Outcome, Option<Vec<u8>>), DecodeError> {
     let applied = ControlState::decode(state)?.apply(&Command::decode(command)?);
     Ok((applied.outcome, applied.state.map(|state| state.encode())))
--- a/crates/config/src/control_state/outcome.rs
+++ b/crates/config/src/control_state/outcome.rs
@@ -14,11 +14,20 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// It is in force as `version`.
-    Taken { version: u64 },
+    Taken {
+        /// The version that is in force now.
+        version: u64,
+    },
     /// It was taken before; `current` is in force now.
-    AlreadyTaken { current: u64 },
+    AlreadyTaken {
+        /// The version in force.
+        current: u64,
+    },
     /// It builds on another version than `current`.
-    Conflict { current: u64 },
+    Conflict {
+        /// The version in force.
+        current: u64,
+    },
     /// It cannot be read or makes no valid configuration.
     Invalid(Findings),
     /// It may have been taken before or not, for these reasons.
@@ -80,11 +89,17 @@
     }
 
     /// The outcome as bytes; of many findings only the first are kept.
+    ///
+    /// # Panics
+    /// Never: an outcome has no field that cannot be written.
     pub fn encode(&self) -> Vec<u8> {
         EncodedOutcome::from(self).to_bytes().expect("an outcome has no field that cannot be written")
     }
 
     /// Reads an outcome.
+    ///
+    /// # Errors
+    /// The bytes are no outcome.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let (_, outcome) =
             EncodedOutcome::from_bytes((bytes, 0)).map_err(|error| DecodeError::new("an outcome", &error))?;
--- a/crates/config/src/demand.rs
+++ b/crates/config/src/demand.rs
@@ -24,5 +24,6 @@
 pub struct DemandReport {
     /// Length of the period, ms.
     pub period_ms: u32,
+    /// Demand by model and adapter.
     pub models: Vec<ModelDemand>,
 }
--- a/crates/config/src/feed.rs
+++ b/crates/config/src/feed.rs
@@ -12,13 +12,25 @@
     /// The newest registration of an endpoint; replaces what was known of that incarnation.
     Instance(Instance),
     /// An endpoint is gone: it said so, or its heartbeats stopped.
-    Removed { id: String },
+    Removed {
+        /// Id of the incarnation.
+        id: String,
+    },
     /// How many routers are live, this one included.
-    Routers { live: u32 },
+    Routers {
+        /// Number of live routers.
+        live: u32,
+    },
     /// Whether a newer configuration is known to exist than any told here, or nobody is heard who would know.
-    Behind { behind: bool },
+    Behind {
+        /// Whether this view may be outdated.
+        behind: bool,
+    },
     /// Whether the link to the agent of this machine is up.
-    AgentLink { up: bool },
+    AgentLink {
+        /// Whether the link is up.
+        up: bool,
+    },
     /// Everything that was known at the source when the feed began has been told.
     Synchronized,
 }
--- a/crates/config/src/findings.rs
+++ b/crates/config/src/findings.rs
@@ -7,6 +7,7 @@
 pub struct Finding {
     /// Path of the field, as in `Routes[3].Backend`; empty for the document as a whole.
     pub location: String,
+    /// What is wrong.
     pub message: String,
 }
 
@@ -57,6 +58,9 @@
     }
 
     /// `Ok` where nothing was found.
+    ///
+    /// # Errors
+    /// The findings, if there are any.
     pub fn into_result(self) -> Result<(), Findings> {
         if self.is_empty() { Ok(()) } else { Err(self) }
     }
--- a/crates/config/src/instance.rs
+++ b/crates/config/src/instance.rs
@@ -13,14 +13,18 @@
     pub id: String,
     /// The service under which the endpoint registers.
     pub backend: String,
+    /// Address at which the endpoint takes requests and orders.
     pub address: SocketAddr,
+    /// Zone of the endpoint; may be empty.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub zone: String,
+    /// Release of the endpoint; may be empty.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub version: String,
     /// Requests that the endpoint works on at the same time.
     #[serde(default, deserialize_with = "lenient::integer")]
     pub capacity: u32,
+    /// Whether it takes new requests.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub state: InstanceState,
     /// Time during which the endpoint is still slow after its start, ms.
@@ -29,6 +33,7 @@
     /// What the engine is doing; absent for endpoints without engines.
     #[serde(default)]
     pub phase: Option<String>,
+    /// Resident models, with their adapters.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub models: Vec<ResidentModel>,
     /// Rises with each heartbeat, so that a late one is recognised.
@@ -51,8 +56,10 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
+    /// Takes new requests.
     #[default]
     Ready,
+    /// Finishes the requests that it has and takes no new ones.
     Draining,
 }
 
@@ -60,9 +67,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ResidentModel {
+    /// Name of the model.
     pub name: String,
+    /// Version of the model.
     #[serde(default, deserialize_with = "lenient::integer")]
     pub version: u64,
+    /// Names of the resident adapters.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub adapters: Vec<String>,
 }
--- a/crates/config/src/lenient.rs
+++ b/crates/config/src/lenient.rs
@@ -6,7 +6,7 @@
 use std::marker::PhantomData;
 
 /// `null` stands for the default.
-pub fn null_as_default<'de, D, T>(deserializer: D) -> Result<T, D::Error>
+pub(crate) fn null_as_default<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
     T: Deserialize<'de> + Default,
@@ -15,7 +15,7 @@
 }
 
 /// A whole number, also where it is written as a fraction; `null` stands for 0.
-pub fn integer<'de, D, T>(deserializer: D) -> Result<T, D::Error>
+pub(crate) fn integer<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
     T: TryFrom<u64> + Default,
@@ -24,7 +24,7 @@
 }
 
 /// As [`integer`], but `null` is refused.
-pub fn required_integer<'de, D, T>(deserializer: D) -> Result<T, D::Error>
+pub(crate) fn required_integer<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
     T: TryFrom<u64>,
@@ -33,7 +33,7 @@
 }
 
 /// As [`integer`], but `null` and 0 stand for 1.
-pub fn integer_or_one<'de, D>(deserializer: D) -> Result<u32, D::Error>
+pub(crate) fn integer_or_one<'de, D>(deserializer: D) -> Result<u32, D::Error>
 where
     D: Deserializer<'de>,
 {
@@ -42,7 +42,7 @@
 }
 
 /// As [`integer`], but `null` stands for "not given".
-pub fn optional_integer<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
+pub(crate) fn optional_integer<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
 where
     D: Deserializer<'de>,
     T: TryFrom<u64>,
@@ -65,7 +65,7 @@
 }
 
 /// A value that is written as an object; what is derived would take a list of the fields' values as well.
-pub struct Object<T>(pub T);
+pub(crate) struct Object<T>(pub T);
 
 impl<'de, T: Deserialize<'de>> Deserialize<'de> for Object<T> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
@@ -88,7 +88,7 @@
 }
 
 /// An object; `null` stands for "not given".
-pub fn object_or_none<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
+pub(crate) fn object_or_none<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
 where
     D: Deserializer<'de>,
     T: Deserialize<'de>,
@@ -98,7 +98,7 @@
 }
 
 /// An object; `null` stands for the default.
-pub fn object_or_default<'de, D, T>(deserializer: D) -> Result<T, D::Error>
+pub(crate) fn object_or_default<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
     T: Deserialize<'de> + Default,
@@ -107,7 +107,7 @@
 }
 
 /// A list of objects; `null` stands for an empty one.
-pub fn objects<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
+pub(crate) fn objects<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: Deserializer<'de>,
     T: Deserialize<'de>,
--- a/crates/config/src/settings/checks.rs
+++ b/crates/config/src/settings/checks.rs
@@ -6,8 +6,11 @@
 /// What a process is started as.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessRole {
+    /// Routes requests.
     Router,
+    /// Follows controllers for the router of its machine.
     Agent,
+    /// Has a replica of the control state.
     Controller,
 }
 
--- a/crates/config/src/settings/loading.rs
+++ b/crates/config/src/settings/loading.rs
@@ -20,10 +20,20 @@
     NotNamed,
     /// The settings file could not be read at all.
     #[error("{}: {source}", path.display())]
-    Unreadable { path: PathBuf, source: std::io::Error },
+    Unreadable {
+        /// The settings file.
+        path: PathBuf,
+        /// Why it could not be read.
+        source: std::io::Error,
+    },
     /// Fields are missing, ill-typed or do not fit one another.
     #[error("{}:\n{findings}", path.display())]
-    Invalid { path: PathBuf, findings: Findings },
+    Invalid {
+        /// The settings file.
+        path: PathBuf,
+        /// Everything that is wrong with it.
+        findings: Findings,
+    },
 }
 
 /// Bound on mistakes that are named, so that a file that is no settings file ends the search.
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -21,16 +21,22 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Settings {
+    /// Name of the process, unique in the system.
     pub node_name: String,
+    /// Role of the process; not read, as the command line names it.
     #[serde(default)]
     pub role: String,
+    /// Address of the machine.
     pub ip: IpAddr,
+    /// Zone of the machine.
     pub zone: String,
+    /// Region of the machine.
     #[serde(default)]
     pub region: String,
     /// Region of each zone.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
+    /// Addresses for callers from outside.
     #[serde(default)]
     pub listeners_map: Listeners,
     /// First and last port free for what processes say to one another.
@@ -41,16 +47,22 @@
     /// True only at the first start of the whole system.
     #[serde(default)]
     pub bootstrap: bool,
+    /// Whether the machine counts for a majority; not read.
     #[serde(default)]
     pub counts_for_quorum: bool,
+    /// What the machine grants the process.
     #[serde(default)]
     pub limits: ProcessLimits,
+    /// Directory for what has to survive a restart.
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
+    /// Time between two heartbeats of an endpoint, ms.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: f64,
+    /// Failures that have to be borne.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
+    /// Bounds of the platform's rules.
     #[serde(default)]
     pub bounds: Bounds,
     /// Mechanisms that the command line switches off; no part of the file.
@@ -60,16 +72,25 @@
 
 impl Settings {
     /// Reads the settings file at `path`; names everything that is missing or ill-typed at once.
+    ///
+    /// # Errors
+    /// The file cannot be read, or fields are missing, ill-typed or contradictory.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         loading::load(path)
     }
 
     /// Reads settings from the text of a settings file.
+    ///
+    /// # Errors
+    /// Everything that is missing, ill-typed or contradictory.
     pub fn from_yaml(text: &str) -> Result<Self, Findings> {
         loading::from_yaml(text)
     }
 
     /// Reads the settings file that [`SETTINGS_VARIABLE`] names.
+    ///
+    /// # Errors
+    /// The variable is not set, or the file is not valid.
     pub fn from_environment() -> Result<Self, SettingsError> {
         let path = std::env::var_os(SETTINGS_VARIABLE).ok_or(SettingsError::NotNamed)?;
         loading::load(Path::new(&path))
@@ -89,8 +110,11 @@
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Listeners {
+    /// Requests of clients.
     pub frontend: Option<SocketAddr>,
+    /// Readiness probes and metrics.
     pub readiness: Option<SocketAddr>,
+    /// Operators, endpoints and other processes.
     pub control_plane: Option<SocketAddr>,
 }
 
@@ -98,13 +122,19 @@
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct ProcessLimits {
+    /// Share of a core; not read.
     pub cpu_quota: f64,
+    /// Number of cores; not read.
     #[serde(deserialize_with = "lenient::integer")]
     pub cores: u32,
+    /// Memory, MB; not read.
     pub memory_mb: f64,
+    /// Number of file descriptors that may be open.
     #[serde(deserialize_with = "lenient::integer")]
     pub max_fds: u32,
+    /// Bandwidth of the network link, Mbit/s; not read.
     pub link_mbps: f64,
+    /// Disk space, MB; not read.
     pub disk_mb: f64,
 }
 
@@ -112,10 +142,13 @@
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct FaultTolerance {
+    /// Number of machines.
     #[serde(deserialize_with = "lenient::integer")]
     pub machines: u32,
+    /// Number of zones.
     #[serde(deserialize_with = "lenient::integer")]
     pub zones: u32,
+    /// Number of regions.
     #[serde(deserialize_with = "lenient::integer")]
     pub regions: u32,
 }
@@ -124,28 +157,49 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Bounds {
+    /// `SeedLagS`, s; not read.
     pub seed_lag_s: f64,
+    /// `ReuseAfterS`, s; not read.
     pub reuse_after_s: f64,
+    /// Time without a connection after which a process counts as out of touch, ms; not read.
     pub contact_ms: f64,
+    /// Time within which a change has to be acknowledged, ms; not read.
     pub ack_ms: f64,
+    /// Time within which a group has to be complete after a loss, s; not read.
     pub catch_up_s: f64,
+    /// Time within which routers have to stop sending to a draining endpoint, ms; not read.
     pub drain_ms: f64,
+    /// Time from SIGTERM to the end of a process, s.
     pub grace_s: f64,
+    /// `LossSlackMs`, ms; not read.
     pub loss_slack_ms: f64,
+    /// Time within which routers have to apply an acknowledged configuration, ms; not read.
     pub config_apply_ms: f64,
+    /// `RollbackSlackMs`, ms; not read, as a view never takes an older configuration.
     pub rollback_slack_ms: f64,
+    /// `MaxStretchMs`, ms; not read.
     pub max_stretch_ms: f64,
+    /// Retries per request in the retry window.
     pub retry_ratio: f64,
+    /// Length of the retry window, s.
     pub retry_window_s: f64,
+    /// Retries that are allowed beyond the ratio.
     pub retry_slack: f64,
+    /// Time within which the system has to work again after faults, s; not read.
     pub recover_s: f64,
+    /// `pass_ms`, ms; not read.
     #[serde(rename = "pass_ms")]
     pub pass_ms: f64,
+    /// Whether endpoints refuse orders with a lower fencing token; not read, as orders always carry one.
     pub fencing: bool,
+    /// Time that has to pass between the orders of two lease holders, ms.
     pub lease_ms: f64,
+    /// `ThawMs`, ms; not read.
     pub thaw_ms: f64,
+    /// Window in which loads from the weight store are counted, s.
     #[serde(rename = "CeilingWindowS")]
     pub rate_limit_window_s: f64,
+    /// Factor by which the loads of a window may exceed the permitted rate.
     #[serde(rename = "CeilingOvershoot")]
     pub rate_limit_overshoot: f64,
 }
--- a/crates/control-http/src/activity.rs
+++ b/crates/control-http/src/activity.rs
@@ -27,27 +27,27 @@
 pub(crate) struct Activity(Rc<Cell<Phase>>);
 
 impl Activity {
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         Activity(Rc::new(Cell::new(Phase::Idle(Instant::now()))))
     }
 
     /// The head is whole.
-    pub fn head_arrived(&self) {
+    pub(crate) fn head_arrived(&self) {
         self.0.set(Phase::Body(Instant::now()));
     }
 
     /// The body has ended.
-    pub fn body_ended(&self) {
+    pub(crate) fn body_ended(&self) {
         self.0.set(Phase::Handling);
     }
 
     /// The response is ready to be sent.
-    pub fn responded(&self) {
+    pub(crate) fn responded(&self) {
         self.0.set(Phase::Idle(Instant::now()));
     }
 
     /// When the connection is to be given up, unless its phase changes before.
-    pub fn deadline(&self, limits: &ServerLimits) -> Option<Instant> {
+    pub(crate) fn deadline(&self, limits: &ServerLimits) -> Option<Instant> {
         match self.0.get() {
             Phase::Idle(since) | Phase::Body(since) => Some(since + limits.idle_timeout),
             Phase::Head(since) => Some(since + limits.header_timeout),
@@ -71,7 +71,7 @@
 }
 
 impl<S> WatchedStream<S> {
-    pub fn new(stream: S, activity: Activity) -> Self {
+    pub(crate) fn new(stream: S, activity: Activity) -> Self {
         WatchedStream { stream, activity }
     }
 }
--- a/crates/control-http/src/client.rs
+++ b/crates/control-http/src/client.rs
@@ -26,8 +26,11 @@
 /// A call; a body is JSON.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientRequest {
+    /// Method of the call.
     pub method: ControlMethod,
+    /// Path, with its query.
     pub path: String,
+    /// Body; may be empty.
     pub body: Bytes,
     /// Version that the call builds on.
     pub if_match: Option<u64>,
@@ -72,26 +75,36 @@
 /// The whole answer to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientResponse {
+    /// Status of the answer.
     pub status: u16,
+    /// `Location` of the answer.
     pub location: Option<String>,
+    /// Body of the answer.
     pub body: Bytes,
 }
 
 /// A call has no whole answer.
 #[derive(Debug, Error)]
 pub enum CallError {
+    /// Method, path or a header is invalid; nothing was sent.
     #[error("the call has no valid method, path or header")]
     Malformed,
+    /// The connection was refused, or failed.
     #[error("no connection: {0}")]
     Connect(#[source] io::Error),
+    /// The connection was not established in time.
     #[error("no connection in time")]
     ConnectTimeout,
+    /// The connection closed before the call was sent.
     #[error("the connection closed before the call was sent: {0}")]
     NotSent(#[source] hyper::Error),
+    /// The answer was not complete in time.
     #[error("no whole answer in time")]
     Timeout,
+    /// The connection broke before the answer was complete.
     #[error("the connection broke before the whole answer: {0}")]
     Broken(#[source] hyper::Error),
+    /// The body of the answer is larger than 4 MiB.
     #[error("the answer is too long")]
     TooLong,
 }
@@ -104,6 +117,9 @@
 }
 
 /// Makes one call on a connection of its own.
+///
+/// # Errors
+/// The call could not be made, or has no complete answer.
 pub async fn call(
     address: SocketAddr,
     request: &ClientRequest,
@@ -124,6 +140,9 @@
 
 impl ClientConnection {
     /// Opens a connection within `timeout`.
+    ///
+    /// # Errors
+    /// [`CallError::Connect`], [`CallError::ConnectTimeout`] or [`CallError::NotSent`].
     pub async fn open(address: SocketAddr, timeout: Duration) -> Result<Self, CallError> {
         Self::open_until(address, Instant::now() + timeout).await
     }
@@ -143,6 +162,9 @@
     }
 
     /// Makes a call and waits for its whole answer for `timeout`. After any error the connection is closed.
+    ///
+    /// # Errors
+    /// The call could not be made, or has no complete answer.
     pub async fn call(
         &mut self,
         request: &ClientRequest,
--- a/crates/control-http/src/message.rs
+++ b/crates/control-http/src/message.rs
@@ -8,10 +8,15 @@
 /// Method of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ControlMethod {
+    /// `GET`
     Get,
+    /// `PUT`
     Put,
+    /// `PATCH`
     Patch,
+    /// `POST`
     Post,
+    /// `DELETE`
     Delete,
     /// Any other; the interface knows none.
     Other,
@@ -49,6 +54,7 @@
 pub enum IfMatch {
     /// The request names none.
     Absent,
+    /// The request names this version.
     Version(u64),
     /// The request names something that is no version, or several.
     Malformed,
@@ -74,10 +80,13 @@
 /// A request as its handler gets it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlRequest {
+    /// Method of the request.
     pub method: ControlMethod,
     /// Path without a query.
     pub path: String,
+    /// Version that the request builds on.
     pub if_match: IfMatch,
+    /// Body, or its beginning.
     pub body: Bytes,
     /// Whether the whole body arrived; if not, `body` holds its beginning and must not be acted on.
     pub complete: bool,
@@ -88,6 +97,7 @@
 /// What a body holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ContentType {
+    /// JSON.
     Json,
     /// Text in the Prometheus exposition format.
     Metrics,
@@ -105,12 +115,15 @@
 /// The response to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlResponse {
+    /// Status of the response.
     pub status: u16,
     /// Where the caller is to go instead.
     pub location: Option<String>,
     /// Whole seconds after which the caller may ask again.
     pub retry_after_s: Option<u32>,
+    /// Body; may be empty.
     pub body: Bytes,
+    /// What the body holds.
     pub content_type: ContentType,
     /// Whether the connection ends with this response.
     pub close: bool,
--- a/crates/metrics/src/exposition.rs
+++ b/crates/metrics/src/exposition.rs
@@ -75,6 +75,9 @@
     }
 
     /// The text of all figures.
+    ///
+    /// # Errors
+    /// The text could not be written; a string always takes it.
     pub fn render(self) -> Result<String, fmt::Error> {
         let mut registry = Registry::default();
         registry.register_collector(Box::new(self));
--- a/crates/metrics/src/metric.rs
+++ b/crates/metrics/src/metric.rs
@@ -16,6 +16,7 @@
     pub name: &'static str,
     /// What it counts or measures, without a full stop.
     pub help: &'static str,
+    /// Whether it is a counter or a gauge.
     pub kind: Kind,
 }
 
@@ -45,7 +46,9 @@
 /// The value of one sample.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Value {
+    /// A whole number.
     Whole(u64),
+    /// A fraction.
     Real(f64),
 }
 
--- a/crates/metrics/tests/common/text_format.rs
+++ b/crates/metrics/tests/common/text_format.rs
@@ -5,11 +5,11 @@
 use std::collections::BTreeMap;
 
 /// Labels of a sample, by name.
-pub type Labels = BTreeMap<String, String>;
+pub(crate) type Labels = BTreeMap<String, String>;
 
 /// One metric with its samples.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Family {
+pub(crate) struct Family {
     pub help: String,
     pub kind: String,
     pub samples: Vec<(Labels, f64)>,
@@ -17,11 +17,11 @@
 
 /// All metrics of a text, by name.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Figures(pub BTreeMap<String, Family>);
+pub(crate) struct Figures(pub BTreeMap<String, Family>);
 
 impl Figures {
     /// Reads a text; panics with the line that is wrong.
-    pub fn parse(text: &str) -> Figures {
+    pub(crate) fn parse(text: &str) -> Figures {
         assert!(text.ends_with('\n'), "the last line has no end");
         let mut figures = Figures::default();
         let mut lines = text.lines().peekable();
@@ -46,7 +46,7 @@
     }
 
     /// The value of the sample with exactly these labels.
-    pub fn value(&self, name: &str, labels: &[(&str, &str)]) -> f64 {
+    pub(crate) fn value(&self, name: &str, labels: &[(&str, &str)]) -> f64 {
         let wanted: Labels = labels.iter().map(|(name, value)| ((*name).into(), (*value).into())).collect();
         let family = self.0.get(name).unwrap_or_else(|| panic!("no metric {name}"));
         let found = family.samples.iter().find(|(labels, _)| *labels == wanted);
@@ -54,7 +54,7 @@
     }
 
     /// The sum of all samples of a metric.
-    pub fn sum(&self, name: &str) -> f64 {
+    pub(crate) fn sum(&self, name: &str) -> f64 {
         self.0[name].samples.iter().map(|(_, value)| value).sum()
     }
 }
--- a/tests/common/golden.rs
+++ b/tests/common/golden.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 /// Compares forms with those in a file; with `UPDATE_DIGESTS=1` the file is written instead.
-pub fn compare(file: &Path, forms: &[(&str, Vec<u8>)]) {
+pub(crate) fn compare(file: &Path, forms: &[(&str, Vec<u8>)]) {
     let line = |(name, bytes): &(&str, Vec<u8>)| format!("{name} {}\n", hex(bytes));
     if std::env::var_os("UPDATE_DIGESTS").is_some_and(|value| value == "1") {
         std::fs::create_dir_all(file.parent().expect("a file has a directory")).expect("it can be made");
