--- a/crates/config/src/configuration/document.rs
+++ b/crates/config/src/configuration/document.rs
@@ -1,4 +1,4 @@
-//! The configuration as it was sent, with what the system reads in it.
+//! The configuration document: its bytes as they were sent, and a typed view.
 
 use super::patch::Patch;
 use super::reading::read_configuration;
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use std::sync::Arc;
 
-/// A valid configuration: its text, kept byte for byte, and the typed view of it.
+/// A valid configuration: its text, byte for byte, and a typed view of it.
 ///
 /// Cloning is cheap.
 ///
@@ -36,11 +36,11 @@
     configuration: Arc<Configuration>,
 }
 
-/// Text of the configuration that stands for "none yet".
+/// Text of the configuration before the first.
 const EMPTY: &[u8] = br#"{"Version":0}"#;
 
 impl Document {
-    /// Reads a whole configuration; finds everything that makes it invalid.
+    /// Parses a complete configuration.
     ///
     /// # Errors
     /// Every mistake in the document.
@@ -59,8 +59,8 @@
 
     /// This configuration with items added, replaced by name or removed.
     ///
-    /// `Upsert` is taken before `Delete`. Replaced items stay where they were, new ones come last;
-    /// a name to remove that is not there is no mistake.
+    /// `Upsert` is applied before `Delete`. Replaced items stay where they were, new ones come last; deleting a name
+    /// that does not exist is not an error.
     ///
     /// # Errors
     /// Every mistake in the form of the patch, or in the configuration that it makes.
--- a/crates/config/src/configuration/mod.rs
+++ b/crates/config/src/configuration/mod.rs
@@ -1,6 +1,6 @@
-//! The operator's configuration: routes, services and limits, as the control interface takes it.
+//! The operator's configuration: routes, services and limits, as the control interface accepts it.
 //!
-//! These types hold what the system reads; the document itself is kept and returned as it was sent.
+//! These types are the fields that the system reads; the document itself is stored and returned as it was sent.
 
 mod document;
 mod members;
@@ -15,11 +15,11 @@
 use crate::lenient;
 use serde::Deserialize;
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Configuration {
-    /// Rises with every change, in uneven steps; 0 stands for "none yet".
+    /// Rises with every change, in uneven steps; 0 before the first configuration.
     #[serde(deserialize_with = "lenient::required_integer")]
     pub version: u64,
     /// Routes, in the order of the document.
@@ -46,30 +46,30 @@
     /// What may be repeated.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub route_type: RouteType,
-    /// Longest time that a request may be held, ms.
+    /// Time-out of a request, ms.
     pub timeout_ms: f64,
-    /// Time within which an answer earns its full worth (streams: its first event), ms.
+    /// Latency target: time within which an answer (of a stream, its first event) earns its full value, ms.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub target_ms: f64,
-    /// Rank, 0 is the highest.
+    /// Priority; 0 is the highest.
     #[serde(default, deserialize_with = "lenient::integer")]
     pub priority: u8,
-    /// The one service of the route, unless `traffic_split` names several.
+    /// The only service of the route, unless `traffic_split` names several.
     #[serde(default)]
     pub backend: Option<String>,
     /// Services with their weights; empty where `backend` names the only one.
     #[serde(default, deserialize_with = "lenient::objects")]
     pub traffic_split: Vec<WeightedBackend>,
-    /// Most endpoints to which one try of a client may be sent.
+    /// Number of endpoints to which a client's request may be sent at most.
     #[serde(default = "one", deserialize_with = "lenient::integer_or_one")]
     pub max_attempts: u32,
     /// `Sticky` of the route; not read.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub sticky: bool,
-    /// Whether a stream may be taken up at another endpoint by `Last-Event-Id`.
+    /// Whether a stream may be resumed at another endpoint with `Last-Event-Id`.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub resumable: bool,
-    /// Longest pause between two events of a stream that is in time, ms.
+    /// Latency target of the gap between two events of a stream, ms.
     #[serde(default, rename = "gap_aim_ms")]
     pub token_gap_target_ms: Option<f64>,
 }
@@ -91,14 +91,14 @@
 pub enum RouteType {
     /// May run more than once.
     Idempotent,
-    /// Runs at most once for each try.
+    /// Runs at most once for each request of a client.
     #[default]
     NonIdempotent,
     /// Answers with events; runs at most once unless it may be resumed.
     Streaming,
 }
 
-/// One part of a route's traffic.
+/// A weighted part of a route's traffic.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct WeightedBackend {
@@ -117,7 +117,7 @@
     /// Path of the endpoints' health check; not read, as health is learned from answers.
     #[serde(default)]
     pub health_path: Option<String>,
-    /// Connections that one endpoint takes from all callers together.
+    /// Connections that one endpoint accepts from all clients together.
     #[serde(default, deserialize_with = "lenient::optional_integer")]
     pub max_conns: Option<u32>,
     /// Present where the endpoints are model engines.
@@ -125,7 +125,7 @@
     pub runtime: Option<Runtime>,
 }
 
-/// The engines of a service and the models that they may hold.
+/// The engines of a service and the models that may be loaded on them.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Runtime {
@@ -140,10 +140,10 @@
     /// Models that may be placed.
     #[serde(default, deserialize_with = "lenient::objects")]
     pub models: Vec<Model>,
-    /// Room of an endpoint for weights and adapters together, MB.
+    /// Memory of an endpoint for weights and adapters together, MB.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub weights_mb: f64,
-    /// Adapters that an endpoint holds at most.
+    /// Adapters that may be resident on an endpoint.
     #[serde(default, deserialize_with = "lenient::integer")]
     pub max_adapters: u32,
     /// Loads a second that the weight store allows over all endpoints.
@@ -169,7 +169,7 @@
     pub adapter_size_mb: f64,
 }
 
-/// What a client may send and how long it may take.
+/// Limits on the requests of clients.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Limits {
--- a/crates/config/src/configuration/patch.rs
+++ b/crates/config/src/configuration/patch.rs
@@ -9,12 +9,12 @@
 
 /// A change of a configuration, as the body of a `PATCH` describes it.
 pub(super) struct Patch<'a> {
-    /// Members whose text is replaced: `Version`, and others that are no lists.
+    /// Members whose text is replaced: `Version`, and others that are not lists.
     members: Vec<(String, &'a RawValue)>,
     lists: Vec<ListChange<'a>>,
 }
 
-/// What becomes of one list of items, as `Routes`.
+/// The change of one list of items, such as `Routes`.
 struct ListChange<'a> {
     key: String,
     upsert: Vec<(Cow<'a, str>, &'a RawValue)>,
@@ -22,7 +22,7 @@
 }
 
 impl<'a> Patch<'a> {
-    /// Reads the body; finds everything that is wrong with its form.
+    /// Parses the body of a `PATCH`; reports every mistake in its form.
     pub(super) fn read(bytes: &'a [u8]) -> Result<Self, Findings> {
         let object = read_object(bytes)?;
         let mut findings = Findings::default();
@@ -50,13 +50,13 @@
         if is_object && !matches!(key, "Routes" | "Backends") {
             return self.replace_member(key, Some(raw));
         }
-        let place = format!("Upsert.{key}");
-        let items: Option<Vec<&'a RawValue>> = read_borrowed(raw, &place, findings);
+        let location = format!("Upsert.{key}");
+        let items: Option<Vec<&'a RawValue>> = read_borrowed(raw, &location, findings);
         let list = self.list(key);
         for (index, item) in items.unwrap_or_default().into_iter().enumerate() {
             match name_of(item) {
                 Some(name) => list.upsert.push((name, item)),
-                None => findings.add(format!("{place}[{index}].Name"), "is missing or no string"),
+                None => findings.add(format!("{location}[{index}].Name"), "is missing or no string"),
             }
         }
     }
@@ -74,7 +74,7 @@
         &mut self.lists[index]
     }
 
-    /// The text of the configuration that this change makes of the one in `base`.
+    /// The text of the configuration that results when this change is applied to `base`.
     pub(super) fn apply(&self, base: &[u8]) -> Result<Vec<u8>, Findings> {
         let base = read_object(base)?;
         let mut text = ObjectText::new();
@@ -135,7 +135,7 @@
                 continue;
             }
             match newest.get_key_value(name.as_ref()) {
-                // A name that stood there twice stands there once from now on.
+                // Of two items with the same name only the first is replaced, the other is dropped.
                 Some((name, _)) if !written.insert(*name) => {}
                 Some((_, item)) => texts.push(item.get()),
                 None => texts.push(item.get()),
--- a/crates/config/src/configuration/reading.rs
+++ b/crates/config/src/configuration/reading.rs
@@ -1,4 +1,4 @@
-//! From the text of a configuration to its typed view, with the place of every mistake.
+//! Parses a configuration, with the location of every mistake.
 
 use super::members::Members;
 use super::validation::{validate, validate_routes};
@@ -14,7 +14,7 @@
 
 /// The typed view of a valid configuration.
 ///
-/// Nearly all are valid. Only for one that is not, each item is read by itself, so that all mistakes are found.
+/// An invalid configuration is parsed again item by item, so that all mistakes are found.
 pub(super) fn read_configuration(bytes: &[u8]) -> Result<Configuration, Findings> {
     let text = std::str::from_utf8(bytes).map_err(unreadable)?;
     match serde_json::from_str(text) {
@@ -41,13 +41,13 @@
     findings.into_result()?;
     Ok(Configuration {
         version: version.unwrap_or_default(),
-        routes: without_places(routes),
-        backends: without_places(backends),
+        routes: without_indices(routes),
+        backends: without_indices(backends),
         limits: limits.map(|Object(limits)| limits).unwrap_or_default(),
     })
 }
 
-/// The members of the object that a whole body holds.
+/// The members of the object in a body.
 pub(super) fn read_object(bytes: &[u8]) -> Result<Members<'_>, Findings> {
     serde_json::from_slice(bytes).map_err(unreadable)
 }
@@ -56,13 +56,13 @@
     Findings::one("", format!("cannot be read as a JSON object: {error}"))
 }
 
-/// The `Version` of a whole configuration or of a change of one, if the body can be read so far.
+/// The `Version` of a configuration or of a patch, if the body can be parsed that far.
 pub fn version_of(body: &[u8]) -> Option<u64> {
     let members = read_object(body).ok()?;
     read_version(&members, &mut Findings::default())
 }
 
-/// The member `Version`, which every change has to hold.
+/// The member `Version`, which every change must have.
 pub(super) fn read_version(members: &Members, findings: &mut Findings) -> Option<u64> {
     #[derive(Deserialize)]
     struct Version(#[serde(deserialize_with = "crate::lenient::integer")] u64);
@@ -85,7 +85,7 @@
     read_borrowed(members.get(key)?, key, findings)
 }
 
-/// Each item that can be read, with its place in the list.
+/// Each item that can be parsed, with its index in the list.
 fn read_items<T: DeserializeOwned>(
     raw: &[&RawValue],
     list: &str,
@@ -99,31 +99,31 @@
     items
 }
 
-fn without_places<T>(items: Vec<(usize, T)>) -> Vec<T> {
+fn without_indices<T>(items: Vec<(usize, T)>) -> Vec<T> {
     items.into_iter().map(|(_, item)| item).collect()
 }
 
-/// Reads the value that stands at `place`.
+/// Parses the value at `location`.
 pub(super) fn read_borrowed<'a, T: Deserialize<'a>>(
     raw: &'a RawValue,
-    place: &str,
+    location: &str,
     findings: &mut Findings,
 ) -> Option<T> {
     let mut deserializer = serde_json::Deserializer::from_str(raw.get());
     match serde_path_to_error::deserialize(&mut deserializer) {
         Ok(value) => Some(value),
         Err(error) => {
-            findings.add(join(place, &error.path().to_string()), message_of(error.inner()));
+            findings.add(join(location, &error.path().to_string()), message_of(error.inner()));
             None
         }
     }
 }
 
-fn join(place: &str, path: &str) -> String {
+fn join(location: &str, path: &str) -> String {
     match path {
-        "." => place.to_owned(),
-        _ if path.starts_with('[') => format!("{place}{path}"),
-        _ => format!("{place}.{path}"),
+        "." => location.to_owned(),
+        _ if path.starts_with('[') => format!("{location}{path}"),
+        _ => format!("{location}.{path}"),
     }
 }
 
--- a/crates/config/src/configuration/validation.rs
+++ b/crates/config/src/configuration/validation.rs
@@ -1,14 +1,14 @@
-//! What makes a configuration invalid, and what is only odd.
+//! Validation of a configuration: errors, and warnings.
 
 use super::{Configuration, Route, WeightedBackend};
 use crate::findings::Findings;
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet};
 
-/// Everything for which `configuration` has to be refused.
+/// Every error for which `configuration` is rejected.
 ///
-/// Whether its version is higher than the current one is not looked at: that is for whoever knows the
-/// current one.
+/// Whether its version is higher than the current one is not checked: that is for the caller, who knows the current
+/// one.
 pub fn validate(configuration: &Configuration) -> Findings {
     let backends = configuration.backends.iter().map(|backend| backend.name.as_str()).collect();
     let mut findings = Findings::default();
@@ -16,13 +16,13 @@
     findings
 }
 
-/// Checks routes, each given with its place in the list.
+/// Checks routes, each with its index in the list.
 pub(super) fn validate_routes<'a>(
     routes: impl Iterator<Item = (usize, &'a Route)>,
     backends: &HashSet<&str>,
     findings: &mut Findings,
 ) {
-    let mut places = HashMap::with_capacity(routes.size_hint().0);
+    let mut first_index = HashMap::with_capacity(routes.size_hint().0);
     for (index, route) in routes {
         if route.timeout_ms <= 0.0 {
             let message = format!("must be above 0, is {}", route.timeout_ms);
@@ -30,7 +30,7 @@
         }
         check_backends(route, index, backends, findings);
         let key = (without_case(&route.hostname), route.path_prefix.as_str());
-        if let Some(first) = places.insert(key, index) {
+        if let Some(first) = first_index.insert(key, index) {
             let path = format!("{}{}", route.hostname, route.path_prefix);
             let message = format!("same host and prefix as Routes[{first}]: {path}");
             findings.add(format!("Routes[{index}].PathPrefix"), message);
@@ -69,51 +69,51 @@
 
 fn check_part(
     part: &WeightedBackend,
-    place: impl Fn() -> String,
+    location: impl Fn() -> String,
     backends: &HashSet<&str>,
     findings: &mut Findings,
 ) {
     if !backends.contains(part.backend.as_str()) {
-        findings.add(format!("{}.Backend", place()), format!("unknown service \"{}\"", part.backend));
+        findings.add(format!("{}.Backend", location()), format!("unknown service \"{}\"", part.backend));
     }
     if part.weight < 0.0 {
-        findings.add(format!("{}.Weight", place()), format!("must not be below 0, is {}", part.weight));
+        findings.add(format!("{}.Weight", location()), format!("must not be below 0, is {}", part.weight));
     }
 }
 
-/// What is odd in `configuration`, though no reason to refuse it.
+/// Warnings: suspicious values for which `configuration` is not rejected.
 pub fn warnings(configuration: &Configuration) -> Findings {
     let mut warnings = Findings::default();
     let routes = configuration.routes.iter().map(|route| route.name.as_str());
-    warn_of_names(routes, "Routes", &mut warnings);
+    warn_about_names(routes, "Routes", &mut warnings);
     let backends = configuration.backends.iter().map(|backend| backend.name.as_str());
-    warn_of_names(backends, "Backends", &mut warnings);
+    warn_about_names(backends, "Backends", &mut warnings);
     for (index, route) in configuration.routes.iter().enumerate() {
-        warn_of_route(route, &format!("Routes[{index}]"), &mut warnings);
+        warn_about_route(route, &format!("Routes[{index}]"), &mut warnings);
     }
     warnings
 }
 
-fn warn_of_names<'a>(names: impl Iterator<Item = &'a str>, list: &str, warnings: &mut Findings) {
-    let mut places = HashMap::new();
+fn warn_about_names<'a>(names: impl Iterator<Item = &'a str>, list: &str, warnings: &mut Findings) {
+    let mut first_index = HashMap::new();
     for (index, name) in names.enumerate() {
-        let place = format!("{list}[{index}].Name");
+        let location = format!("{list}[{index}].Name");
         if name.is_empty() {
-            warnings.add(place, "is empty");
-        } else if let Some(first) = places.insert(name, index) {
-            warnings.add(place, format!("same name as {list}[{first}]: \"{name}\""));
+            warnings.add(location, "is empty");
+        } else if let Some(first) = first_index.insert(name, index) {
+            warnings.add(location, format!("same name as {list}[{first}]: \"{name}\""));
         }
     }
 }
 
-fn warn_of_route(route: &Route, place: &str, warnings: &mut Findings) {
+fn warn_about_route(route: &Route, location: &str, warnings: &mut Findings) {
     if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
-        warnings.add(format!("{place}.PathPrefix"), "should begin and end with a slash");
+        warnings.add(format!("{location}.PathPrefix"), "should begin and end with a slash");
     }
     if route.hostname.is_empty() {
-        warnings.add(format!("{place}.Hostname"), "is empty");
+        warnings.add(format!("{location}.Hostname"), "is empty");
     }
     if route.named_backend().is_some() && !route.traffic_split.is_empty() {
-        warnings.add(format!("{place}.Backend"), "has no effect beside TrafficSplit");
+        warnings.add(format!("{location}.Backend"), "has no effect beside TrafficSplit");
     }
 }
--- a/crates/config/src/control_state/command.rs
+++ b/crates/config/src/control_state/command.rs
@@ -1,4 +1,4 @@
-//! Changes that an operator asks for.
+//! Changes that operators request.
 
 use super::DecodeError;
 use crate::configuration::version_of;
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
 pub enum Method {
-    /// The body is the whole configuration.
+    /// The body is the complete configuration.
     #[deku(id = 1)]
     Put,
     /// The body names what changes.
@@ -17,7 +17,7 @@
     Patch,
 }
 
-/// A change as it was asked for.
+/// A requested change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Command {
     /// How the body describes the change.
@@ -28,7 +28,7 @@
     pub body: Vec<u8>,
 }
 
-/// All of an encoded command but the body, which comes last.
+/// An encoded command without the body, which comes last.
 #[derive(DekuRead, DekuWrite)]
 struct CommandHead {
     method: Method,
@@ -37,7 +37,7 @@
     if_match: u64,
 }
 
-/// Half of a SHA-256 over a change, enough to tell any two apart.
+/// The first 128 bits of the SHA-256 of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub(super) struct RequestDigest(u128);
@@ -77,9 +77,9 @@
         version_of(&self.body)
     }
 
-    /// What tells this change from every other.
+    /// Digest that identifies this change.
     ///
-    /// A whole configuration is the same change whatever it was built on.
+    /// A complete configuration is the same change whatever version it was built on.
     pub(super) fn digest(&self) -> RequestDigest {
         let mut hasher = Sha256::new();
         match self.method {
--- a/crates/config/src/control_state/mod.rs
+++ b/crates/config/src/control_state/mod.rs
@@ -1,5 +1,5 @@
-//! The value of the configuration's register, and its compare-and-set as a pure function of two byte
-//! strings: the value in force and a command.
+//! The value of the configuration's register, and its compare-and-set as a pure function of two byte strings: the
+//! value in force and a command.
 //!
 //! ```
 //! use lanegate_config::control_state::{Command, ControlState, Method, Outcome};
@@ -28,16 +28,16 @@
 use deku::{DekuContainerRead, DekuContainerWrite, DekuError, DekuRead, DekuWrite};
 use thiserror::Error;
 
-/// Accepted changes that are remembered, so that one sent again is acknowledged again. They take 24 KB of
-/// every version of the state. A change is sent again for seconds; at 12 changes a second these last 85 s.
+/// Number of accepted changes that are remembered, so that a repeated one is acknowledged again. They take 24 KB of
+/// every version of the state. Clients repeat a change for a few seconds; at 12 changes/s these last 85 s.
 ///
 /// A state with fewer has forgotten none.
 pub const HISTORY_LENGTH: usize = 1_024;
 
-/// Most accepted changes in an encoded state; earlier releases remembered so many.
-const MOST_ENCODED_CHANGES: usize = 4_096;
+/// Limit on accepted changes in an encoded state; earlier releases remembered so many.
+const MAX_ENCODED_CHANGES: usize = 4_096;
 
-/// Why bytes are no state, command or outcome.
+/// Why bytes cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("not readable as {what}: {reason}")]
 pub struct DecodeError {
@@ -69,12 +69,12 @@
     request: RequestDigest,
 }
 
-/// All of an encoded state but the document, which comes last.
+/// An encoded state without the document, which comes last.
 #[derive(DekuRead, DekuWrite)]
 #[deku(endian = "little", magic = b"LGC1")]
 struct Head {
     version: u64,
-    #[deku(assert = "*history_length as usize <= MOST_ENCODED_CHANGES")]
+    #[deku(assert = "*history_length as usize <= MAX_ENCODED_CHANGES")]
     history_length: u32,
     #[deku(count = "history_length")]
     history: Vec<AcceptedChange>,
@@ -139,7 +139,7 @@
     /// The same state and command give the same result on every machine.
     pub fn apply(&self, command: &Command) -> Applied {
         let request = command.digest();
-        if self.has_taken(&request) || self.is_current(command) {
+        if self.was_accepted(&request) || self.is_current(command) {
             return Applied::unchanged(Outcome::AlreadyTaken { current: self.version });
         }
         if let Some(finding) = self.may_have_forgotten(command) {
@@ -153,20 +153,20 @@
             Some(_) => {}
         }
         match self.next_document(command) {
-            Ok(document) => self.take(request, &document),
+            Ok(document) => self.accept(request, &document),
             Err(findings) => Applied::unchanged(Outcome::Invalid(findings)),
         }
     }
 
-    fn has_taken(&self, request: &RequestDigest) -> bool {
+    fn was_accepted(&self, request: &RequestDigest) -> bool {
         self.history.iter().rev().any(|change| change.request == *request)
     }
 
-    /// Why it can't be told whether `command` was taken, if it can't.
+    /// Why it is unknown whether `command` was accepted, if it is.
     ///
-    /// Every change that was taken made the version in its body, above the one that it was built on, and
-    /// no two made the same. So what makes a version below all remembered ones may have been taken and
-    /// forgotten; everything else that is not remembered was never taken.
+    /// Every accepted change made the version in its body, higher than the one that it was built on, and no two made
+    /// the same. So a change to a version below all remembered ones may have been accepted and forgotten; everything
+    /// else that is not remembered was never accepted.
     fn may_have_forgotten(&self, command: &Command) -> Option<Findings> {
         let oldest = self.history.first().filter(|_| self.history.len() >= HISTORY_LENGTH)?.version;
         let version = command.version().filter(|version| *version < oldest)?;
@@ -200,7 +200,7 @@
         }
     }
 
-    fn take(&self, request: RequestDigest, document: &Document) -> Applied {
+    fn accept(&self, request: RequestDigest, document: &Document) -> Applied {
         let version = document.version();
         let forgotten = (self.history.len() + 1).saturating_sub(HISTORY_LENGTH);
         let mut history = self.history[forgotten..].to_vec();
--- a/crates/config/src/control_state/outcome.rs
+++ b/crates/config/src/control_state/outcome.rs
@@ -1,16 +1,16 @@
-//! What became of a change.
+//! The outcome of a change.
 
 use super::DecodeError;
 use crate::findings::{Finding, Findings};
 use deku::{DekuContainerRead, DekuContainerWrite, DekuRead, DekuWrite};
 
-/// Bound on findings that an encoded outcome holds; the others are only counted.
-const MOST_ENCODED_FINDINGS: usize = 50;
+/// Limit on the findings of an encoded outcome; further ones are only counted.
+const MAX_ENCODED_FINDINGS: usize = 50;
 
-/// Bound on a text of an encoded finding, bytes.
-const MOST_TEXT_BYTES: usize = 1_000;
+/// Limit on a text of an encoded finding, bytes.
+const MAX_TEXT_BYTES: usize = 1_000;
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// It is in force as `version`.
@@ -18,7 +18,7 @@
         /// The version that is in force now.
         version: u64,
     },
-    /// It was taken before; `current` is in force now.
+    /// It was accepted before; `current` is in force now.
     AlreadyTaken {
         /// The version in force.
         current: u64,
@@ -30,7 +30,7 @@
     },
     /// It cannot be read or makes no valid configuration.
     Invalid(Findings),
-    /// It may have been taken before or not, for these reasons.
+    /// It is unknown whether it was accepted before, for these reasons.
     Unclear(Findings),
 }
 
@@ -60,7 +60,7 @@
 #[derive(DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 struct EncodedFinding {
-    place: EncodedText,
+    location: EncodedText,
     message: EncodedText,
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl Outcome {
-    /// Whether the change is in force, or was.
+    /// Whether the change was accepted.
     pub fn is_acknowledged(&self) -> bool {
         matches!(self, Outcome::Taken { .. } | Outcome::AlreadyTaken { .. })
     }
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The outcome as bytes; of many findings only the first are kept.
+    /// The outcome as bytes, with the first findings only.
     ///
     /// # Panics
     /// Never: an outcome has no field that cannot be written.
@@ -121,11 +121,11 @@
 
 impl From<&Findings> for EncodedFindings {
     fn from(findings: &Findings) -> Self {
-        let kept = findings.iter().take(MOST_ENCODED_FINDINGS);
-        let mut encoded: Vec<_> = kept.map(EncodedFinding::from).collect();
-        let left_out = findings.iter().count() - encoded.len();
-        if left_out > 0 {
-            encoded.push((&Finding::new("", format!("{left_out} more"))).into());
+        let first = findings.iter().take(MAX_ENCODED_FINDINGS);
+        let mut encoded: Vec<_> = first.map(EncodedFinding::from).collect();
+        let omitted = findings.iter().count() - encoded.len();
+        if omitted > 0 {
+            encoded.push((&Finding::new("", format!("{omitted} more"))).into());
         }
         EncodedFindings { length: encoded.len() as u16, findings: encoded }
     }
@@ -133,13 +133,13 @@
 
 impl From<&Finding> for EncodedFinding {
     fn from(finding: &Finding) -> Self {
-        EncodedFinding { place: (&*finding.location).into(), message: (&*finding.message).into() }
+        EncodedFinding { location: (&*finding.location).into(), message: (&*finding.message).into() }
     }
 }
 
 impl From<&str> for EncodedText {
     fn from(text: &str) -> Self {
-        let mut end = text.len().min(MOST_TEXT_BYTES);
+        let mut end = text.len().min(MAX_TEXT_BYTES);
         while !text.is_char_boundary(end) {
             end -= 1;
         }
@@ -163,7 +163,7 @@
     fn from(encoded: EncodedFindings) -> Self {
         let mut findings = Findings::default();
         for finding in encoded.findings {
-            findings.add(String::from(finding.place), String::from(finding.message));
+            findings.add(String::from(finding.location), String::from(finding.message));
         }
         findings
     }
--- a/crates/config/src/demand.rs
+++ b/crates/config/src/demand.rs
@@ -1,8 +1,8 @@
-//! What routers tell the control plane of the demand that they see.
+//! Demand that routers report to the control plane.
 
 use serde::{Deserialize, Serialize};
 
-/// Requests for one model, or one adapter of it, that a router saw since its last report.
+/// Requests for a model, or for an adapter of it, that a router received since its last report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ModelDemand {
     /// Name of the service.
@@ -15,11 +15,12 @@
     pub requests: u32,
     /// Prompt and output tokens that those requests asked for.
     pub tokens: u64,
-    /// Requests for which no endpoint held the model (and adapter): of `requests`, and of earlier ones that still wait.
+    /// Requests that found no endpoint with the model (and adapter): of `requests`, and of earlier ones that still
+    /// wait.
     pub unplaced: u32,
 }
 
-/// The demand that one router saw over one period.
+/// Demand that a router received in one period.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandReport {
     /// Length of the period, ms.
--- a/crates/config/src/feed.rs
+++ b/crates/config/src/feed.rs
@@ -1,17 +1,17 @@
-//! What a router hears from the control plane.
+//! What a router receives from the control plane.
 
 use crate::configuration::Configuration;
 use crate::instance::Instance;
 use std::sync::Arc;
 
-/// One piece of news, in the order in which it is to be applied.
+/// An event of the feed; events are applied in order.
 #[derive(Debug, Clone)]
 pub enum FeedEvent {
     /// A configuration newer than any before.
     Configuration(Arc<Configuration>),
-    /// The newest registration of an endpoint; replaces what was known of that incarnation.
+    /// The newest registration of an endpoint; replaces the previous one of that incarnation.
     Instance(Instance),
-    /// An endpoint is gone: it said so, or its heartbeats stopped.
+    /// An endpoint was removed: it deregistered, or its heartbeats timed out.
     Removed {
         /// Id of the incarnation.
         id: String,
@@ -21,7 +21,8 @@
         /// Number of live routers.
         live: u32,
     },
-    /// Whether a newer configuration is known to exist than any told here, or nobody is heard who would know.
+    /// Whether a newer configuration than any in this feed is known to exist, or no source that would know is
+    /// connected.
     Behind {
         /// Whether this view may be outdated.
         behind: bool,
@@ -31,6 +32,6 @@
         /// Whether the link is up.
         up: bool,
     },
-    /// Everything that was known at the source when the feed began has been told.
+    /// Everything that the source knew when the feed began has been sent.
     Synchronized,
 }
--- a/crates/config/src/findings.rs
+++ b/crates/config/src/findings.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a document: every mistake with its location, all at once.
+//! Mistakes in a document: each with its location, all reported at once.
 
 use std::fmt;
 
@@ -27,12 +27,12 @@
     }
 }
 
-/// All mistakes of a document, in the order in which they stand in it.
+/// All mistakes of a document, in the order of their locations.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Findings(Vec<Finding>);
 
 impl Findings {
-    /// Findings that hold only one.
+    /// A single finding.
     pub fn one(location: impl Into<String>, message: impl Into<String>) -> Self {
         Findings(vec![Finding::new(location, message)])
     }
--- a/crates/config/src/instance.rs
+++ b/crates/config/src/instance.rs
@@ -1,4 +1,4 @@
-//! Registrations of endpoints: what one incarnation of an endpoint says of itself in a heartbeat.
+//! Registrations of endpoints, as they are sent in heartbeats.
 
 use crate::lenient;
 use serde::{Deserialize, Serialize};
@@ -8,12 +8,12 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Instance {
-    /// The `InstanceId`; it stands in the path of a heartbeat and may be missing from its body.
+    /// The `InstanceId`; it is in the path of a heartbeat and may be missing from its body.
     #[serde(default)]
     pub id: String,
     /// The service under which the endpoint registers.
     pub backend: String,
-    /// Address at which the endpoint takes requests and orders.
+    /// Address for requests and orders.
     pub address: SocketAddr,
     /// Zone of the endpoint; may be empty.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
@@ -21,13 +21,13 @@
     /// Release of the endpoint; may be empty.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub version: String,
-    /// Requests that the endpoint works on at the same time.
+    /// Requests that the endpoint runs concurrently.
     #[serde(default, deserialize_with = "lenient::integer")]
     pub capacity: u32,
-    /// Whether it takes new requests.
+    /// Whether the endpoint accepts new requests.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub state: InstanceState,
-    /// Time during which the endpoint is still slow after its start, ms.
+    /// Remaining warm-up time after the start of the endpoint, ms.
     #[serde(rename = "ColdLeftMs", default, deserialize_with = "lenient::null_as_default")]
     pub warmup_remaining_ms: f64,
     /// What the engine is doing; absent for endpoints without engines.
@@ -36,15 +36,15 @@
     /// Resident models, with their adapters.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub models: Vec<ResidentModel>,
-    /// Rises with each heartbeat, so that a late one is recognised.
+    /// Rises with each heartbeat, so that a delayed one is recognised.
     #[serde(default, deserialize_with = "lenient::integer")]
     pub sequence: u64,
-    /// Time until the endpoint is gone whatever it runs, ms; only in a short notice.
+    /// Time until the endpoint is terminated whatever it runs, ms; only in a termination notice.
     #[serde(default)]
     pub remaining_ms: Option<f64>,
 }
 
-/// Whether a model and, where one is named, an adapter of it are among the held ones.
+/// Whether a model and, if one is named, its adapter are among the resident ones.
 pub fn is_resident(models: &[ResidentModel], model: &str, adapter: Option<&str>) -> bool {
     let Some(held) = models.iter().find(|held| held.name == model) else {
         return false;
@@ -52,18 +52,18 @@
     adapter.is_none_or(|name| held.adapters.iter().any(|held| held == name))
 }
 
-/// Whether an endpoint takes new requests.
+/// Whether an endpoint accepts new requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
-    /// Takes new requests.
+    /// Accepts new requests.
     #[default]
     Ready,
-    /// Finishes the requests that it has and takes no new ones.
+    /// Finishes its open requests and accepts no new ones.
     Draining,
 }
 
-/// A model that an endpoint holds, with its adapters.
+/// A model that an endpoint has in memory, with its adapters.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ResidentModel {
--- a/crates/config/src/lenient.rs
+++ b/crates/config/src/lenient.rs
@@ -1,11 +1,11 @@
-//! Fields that other writers spell in several ways: `null` for "not given", `5.0` for 5.
+//! Deserializers for fields that clients write in several ways: `null` for a missing field, `5.0` for 5.
 
 use serde::de::value::MapAccessDeserializer;
 use serde::de::{Deserialize, Deserializer, Error, MapAccess, Visitor};
 use std::fmt;
 use std::marker::PhantomData;
 
-/// `null` stands for the default.
+/// `null` means the default.
 pub(crate) fn null_as_default<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
@@ -14,7 +14,7 @@
     Ok(Option::deserialize(deserializer)?.unwrap_or_default())
 }
 
-/// A whole number, also where it is written as a fraction; `null` stands for 0.
+/// An integer, also if it is written as a float; `null` means 0.
 pub(crate) fn integer<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
@@ -23,7 +23,7 @@
     Ok(optional_integer(deserializer)?.unwrap_or_default())
 }
 
-/// As [`integer`], but `null` is refused.
+/// As [`integer`], but `null` is an error.
 pub(crate) fn required_integer<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
@@ -32,7 +32,7 @@
     optional_integer(deserializer)?.ok_or_else(|| D::Error::custom("null is no whole number"))
 }
 
-/// As [`integer`], but `null` and 0 stand for 1.
+/// As [`integer`], but `null` and 0 mean 1.
 pub(crate) fn integer_or_one<'de, D>(deserializer: D) -> Result<u32, D::Error>
 where
     D: Deserializer<'de>,
@@ -41,7 +41,7 @@
     Ok(number.unwrap_or(1).max(1))
 }
 
-/// As [`integer`], but `null` stands for "not given".
+/// As [`integer`], but `null` means `None`.
 pub(crate) fn optional_integer<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
 where
     D: Deserializer<'de>,
@@ -57,14 +57,14 @@
         .ok_or_else(|| D::Error::custom(format!("{number} is no whole number of this field's range")))
 }
 
-/// `fraction` as a whole number, if it is one that a fraction holds exactly.
+/// `fraction` as an integer, if it is one that a float represents exactly.
 fn integral_fraction(fraction: f64) -> Option<u64> {
     const EXACT: f64 = 9_007_199_254_740_992.0;
     let exact = fraction.fract() == 0.0 && (0.0..=EXACT).contains(&fraction);
     exact.then_some(fraction as u64)
 }
 
-/// A value that is written as an object; what is derived would take a list of the fields' values as well.
+/// A value that must be a JSON object; derived implementations also accept an array of the fields' values.
 pub(crate) struct Object<T>(pub T);
 
 impl<'de, T: Deserialize<'de>> Deserialize<'de> for Object<T> {
@@ -87,7 +87,7 @@
     }
 }
 
-/// An object; `null` stands for "not given".
+/// An object; `null` means `None`.
 pub(crate) fn object_or_none<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
 where
     D: Deserializer<'de>,
@@ -97,7 +97,7 @@
     Ok(object.map(|Object(value)| value))
 }
 
-/// An object; `null` stands for the default.
+/// An object; `null` means the default.
 pub(crate) fn object_or_default<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
@@ -106,7 +106,7 @@
     Ok(object_or_none(deserializer)?.unwrap_or_default())
 }
 
-/// A list of objects; `null` stands for an empty one.
+/// A list of objects; `null` means an empty one.
 pub(crate) fn objects<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: Deserializer<'de>,
--- a/crates/config/src/mechanism.rs
+++ b/crates/config/src/mechanism.rs
@@ -1,56 +1,56 @@
-//! The mechanisms of routing and placement that can be switched off, one by one, to measure what each is worth.
+//! Mechanisms of routing and placement that can be switched off one by one, to measure the value of each (ablation).
 
 use std::fmt;
 use std::str::FromStr;
 
-/// One mechanism. What each is for stands where it works; what each is worth, in `docs/policy/ablation.md`.
+/// A mechanism. The measured value of each is in `docs/policy/ablation.md`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
     /// Requests wait for a router's first configuration.
     ConfigurationWait,
-    /// Held requests that no chart can meet are refused early.
+    /// Queued requests that no timeline can meet are rejected early.
     EarlyRefusal,
-    /// The class that missed least gives way.
+    /// The class with the lowest miss ratio is rejected first.
     MissRatioVictim,
-    /// A request is offered to an endpoint in time for its objective, whatever the load.
+    /// A request is offered to an endpoint in time for its latency target, whatever the load.
     LastOffer,
-    /// Endpoints are preferred that are believed to keep a prompt's prefix.
+    /// Endpoints are preferred that are believed to have a prompt's prefix in their cache.
     PrefixCache,
-    /// One endpoint for each prefix, the same in all routers, is preferred among equals.
+    /// Among equal endpoints the owner of the prefix is preferred, the same in all routers.
     PrefixOwner,
     /// A full batch adds to the cost of an endpoint.
     BatchCost,
-    /// The streams that stand still while a prompt is read add to the cost of an endpoint.
+    /// Streams that stall during the prefill of a prompt add to the cost of an endpoint.
     StallCost,
-    /// First bytes that come later than expected add to the cost of an endpoint for a while.
+    /// First bytes that arrive later than expected add to the cost of an endpoint for a while.
     ExcessDelay,
-    /// Engines hear how urgent a prompt is by the time that it takes to read.
+    /// Engines are told the urgency of a prompt, which includes its prefill time.
     EngineUrgency,
-    /// Endpoints that fail or are silent are left out.
+    /// Endpoints that fail or do not respond are ejected.
     Ejection,
-    /// An endpoint that comes back gets few requests at first.
+    /// An endpoint that returns gets few requests at first (slow start).
     SlowReturn,
-    /// A request that may run twice leaves an endpoint that is silent.
+    /// An idempotent request is retried elsewhere if its endpoint does not respond.
     ResponseTimeoutRetry,
-    /// Streams end when their client gives up.
+    /// Streams end when their client times out.
     ClientTimeout,
-    /// Requests for a model that is held nowhere wait for its load.
+    /// Requests for a model that is resident nowhere wait for its load.
     LoadWait,
-    /// A try that none of its endpoints will take ends at once.
+    /// An attempt that none of its endpoints will accept ends at once.
     ExhaustedAttempt,
-    /// What is being evicted is hidden from routers until it is gone.
+    /// Models that are being evicted are hidden from routers.
     EvictionHiding,
-    /// Victims whose runs last long cost more.
+    /// Victims with long running requests cost more.
     DrainCost,
-    /// A new holder of the lease begins with the demand of before.
+    /// A new lease holder starts with the demand of its predecessor.
     DemandRecall,
-    /// Copies that demand needs are not taken for less.
+    /// Replicas that demand needs are not evicted for less.
     NeededCopies,
-    /// Models that have lost their last copy are loaded before they are asked for.
+    /// Models that have lost their last replica are loaded before they are requested.
     Restore,
 }
 
-/// All of them, with their names on the command line.
+/// All mechanisms, with their names on the command line.
 const NAMES: [(&str, Mechanism); 21] = [
     ("configuration-wait", Mechanism::ConfigurationWait),
     ("early-refusal", Mechanism::EarlyRefusal),
@@ -75,7 +75,7 @@
     ("restore", Mechanism::Restore),
 ];
 
-/// A name that no mechanism has.
+/// The name of an unknown mechanism.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{name:?} is no mechanism; there are {}", names())]
 pub struct UnknownMechanism {
@@ -116,7 +116,7 @@
 }
 
 impl SwitchedOff {
-    /// Whether a mechanism works.
+    /// Whether a mechanism is switched on.
     pub fn leaves(&self, mechanism: Mechanism) -> bool {
         self.bits & (1 << mechanism as u32) == 0
     }
--- a/crates/config/src/routes.rs
+++ b/crates/config/src/routes.rs
@@ -1,13 +1,13 @@
 //! The route table: host and longest path prefix to a route.
 //!
-//! A look-up costs one hash of the host and one of each part of the path that ends with a slash and is
-//! as long as some prefix of that host, however many routes there are.
+//! A look-up costs one hash of the host and one of each part of the path that ends with a slash and is as long as
+//! some prefix of that host, however many routes there are.
 
 use crate::configuration::{Backend, Configuration, Route};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Longest host that is folded to lower case without an allocation, bytes.
+/// Longest host that is converted to lower case without an allocation, bytes.
 const FOLDED_HOST_BYTES: usize = 255;
 
 /// The routes of one configuration, ready for look-ups.
@@ -37,44 +37,44 @@
 /// The routes of one host.
 #[derive(Debug, Default)]
 struct Host {
-    /// Place of the route of each prefix.
+    /// Index of the route of each prefix.
     prefixes: HashMap<Box<str>, usize>,
-    /// Lengths that prefixes have, the longest first.
+    /// Lengths of the prefixes, the longest first.
     lengths: Vec<usize>,
 }
 
 impl Host {
-    fn insert(&mut self, prefix: &str, place: usize) {
-        self.prefixes.insert(prefix.into(), place);
-        if let Err(index) = self.lengths.binary_search_by(|length| prefix.len().cmp(length)) {
-            self.lengths.insert(index, prefix.len());
+    fn insert(&mut self, prefix: &str, index: usize) {
+        self.prefixes.insert(prefix.into(), index);
+        if let Err(position) = self.lengths.binary_search_by(|length| prefix.len().cmp(length)) {
+            self.lengths.insert(position, prefix.len());
         }
     }
 
     fn lookup(&self, path: &str) -> Option<usize> {
         let lengths = self.lengths.iter();
-        let mut parts = lengths.filter_map(|length| path.get(..*length));
-        parts.find_map(|part| self.prefixes.get(part).copied())
+        let mut candidates = lengths.filter_map(|length| path.get(..*length));
+        candidates.find_map(|prefix| self.prefixes.get(prefix).copied())
     }
 }
 
 impl RouteTable {
-    /// Builds the table; of two routes with the same host and prefix, the last counts.
+    /// Builds the table; of two routes with the same host and prefix, the last one wins.
     pub fn new(configuration: Arc<Configuration>) -> Self {
         let mut hosts: HashMap<Box<str>, Host> = HashMap::new();
-        for (place, route) in configuration.routes.iter().enumerate() {
+        for (index, route) in configuration.routes.iter().enumerate() {
             let host = route.hostname.to_ascii_lowercase();
-            hosts.entry(host.into()).or_default().insert(&route.path_prefix, place);
+            hosts.entry(host.into()).or_default().insert(&route.path_prefix, index);
         }
         let named = configuration.backends.iter().enumerate();
-        let backends = named.map(|(place, backend)| (backend.name.as_str().into(), place)).collect();
+        let backends = named.map(|(index, backend)| (backend.name.as_str().into(), index)).collect();
         RouteTable { configuration, hosts, backends }
     }
 
     /// The route of `host` (without port, in any case) whose prefix begins `path` and is the longest.
     pub fn lookup(&self, host: &str, path: &str) -> Option<&Route> {
-        let place = self.host(host)?.lookup(path)?;
-        self.configuration.routes.get(place)
+        let index = self.host(host)?.lookup(path)?;
+        self.configuration.routes.get(index)
     }
 
     fn host(&self, host: &str) -> Option<&Host> {
@@ -93,7 +93,7 @@
         self.configuration.backends.get(*self.backends.get(name)?)
     }
 
-    /// The configuration that the table was built of.
+    /// The configuration from which the table was built.
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.configuration
     }
--- a/crates/config/src/settings/checks.rs
+++ b/crates/config/src/settings/checks.rs
@@ -1,9 +1,9 @@
-//! Checks of settings whose fields all have their types.
+//! Checks of settings beyond the types of their fields.
 
 use super::Settings;
 use crate::findings::Findings;
 
-/// What a process is started as.
+/// The role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessRole {
     /// Routes requests.
@@ -14,7 +14,7 @@
     Controller,
 }
 
-/// Mistakes whatever the role.
+/// Findings that do not depend on the role.
 pub(super) fn check(settings: &Settings) -> Findings {
     let mut findings = Findings::default();
     if settings.node_name.is_empty() {
@@ -36,7 +36,7 @@
     findings
 }
 
-/// What a process of `role` needs beyond that.
+/// What is missing for a process of `role`.
 pub(super) fn check_for(settings: &Settings, role: ProcessRole) -> Findings {
     let mut findings = Findings::default();
     let listeners = &settings.listeners_map;
--- a/crates/config/src/settings/loading.rs
+++ b/crates/config/src/settings/loading.rs
@@ -1,7 +1,7 @@
 //! Reading of a settings file.
 //!
-//! Deserialization ends at the first mistake. So that all are named at once, each field that is found
-//! wrong is put right and the rest is tried again.
+//! Deserialization stops at the first error. To report all at once, each field in error is replaced by a stand-in and
+//! the rest is deserialized again.
 
 use super::{Settings, checks};
 use crate::findings::Findings;
@@ -36,10 +36,10 @@
     },
 }
 
-/// Bound on mistakes that are named, so that a file that is no settings file ends the search.
-const MOST_FINDINGS: usize = 100;
+/// Limit on reported findings, so that a file that is not a settings file ends the search.
+const MAX_FINDINGS: usize = 100;
 
-/// Stands in for required fields that are missing or wrong while the others are tried.
+/// Replaces required fields that are missing or invalid while the others are checked.
 const STAND_IN: &str = "
 NodeName: stand-in
 Ip: 127.0.0.1
@@ -47,7 +47,7 @@
 PortRange: [1, 1]
 ";
 
-/// Stands in for an item of a list of addresses.
+/// Replaces an invalid item of a list of addresses.
 const STAND_IN_ITEM: &str = "127.0.0.1:1";
 
 /// Reads the settings file at `path`.
@@ -64,7 +64,7 @@
     let settings = loop {
         match Value::from(fields.clone()).deserialize::<Settings>() {
             Ok(settings) => break settings,
-            Err(error) => put_right(&error, &mut fields, &mut findings)?,
+            Err(error) => replace_invalid(&error, &mut fields, &mut findings)?,
         }
     };
     findings.append(checks::check(&settings));
@@ -77,7 +77,7 @@
     Ok(without_empty(fields))
 }
 
-/// Empty fields count as not given.
+/// Drops fields without a value.
 fn without_empty(fields: Dict) -> Dict {
     let given = fields.into_iter().filter(|(_, value)| !matches!(value, Value::Empty(..)));
     given
@@ -88,13 +88,17 @@
         .collect()
 }
 
-/// Names the mistakes in `error` and puts stand-ins, or nothing, in the place of the wrong fields.
-fn put_right(error: &figment::Error, fields: &mut Dict, findings: &mut Findings) -> Result<(), Findings> {
+/// Records the findings in `error`, and replaces the fields by stand-ins or removes them.
+fn replace_invalid(
+    error: &figment::Error,
+    fields: &mut Dict,
+    findings: &mut Findings,
+) -> Result<(), Findings> {
     for error in error.clone() {
         let (path, message) = describe(&error);
         findings.add(path.join("."), message);
         let replaced = !path.is_empty() && replace(fields, &path, &stand_in());
-        if !replaced || findings.iter().count() >= MOST_FINDINGS {
+        if !replaced || findings.iter().count() >= MAX_FINDINGS {
             return Err(std::mem::take(findings));
         }
     }
@@ -114,7 +118,7 @@
     Figment::from(Yaml::string(STAND_IN)).extract().unwrap_or_default()
 }
 
-/// Replaces the field at `path` by its stand-in, or removes it where there is none.
+/// Replaces the field at `path` by its stand-in, or removes it if there is none.
 fn replace(fields: &mut Dict, path: &[String], stand_in: &Dict) -> bool {
     let Some((key, rest)) = path.split_first() else {
         return false;
@@ -130,7 +134,7 @@
     nested || fields.remove(key).is_some()
 }
 
-/// Replaces the item at the index that `path` is, so that the others keep theirs.
+/// Replaces the item at the index in `path`, so that the others keep their index.
 fn replace_item(items: &mut [Value], path: &[String]) -> bool {
     let index = path.first().and_then(|index| index.parse::<usize>().ok());
     let Some(item) = index.and_then(|index| items.get_mut(index)) else {
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -23,7 +23,7 @@
 pub struct Settings {
     /// Name of the process, unique in the system.
     pub node_name: String,
-    /// Role of the process; not read, as the command line names it.
+    /// Role that the process is meant for; only `lanegate check` reads it.
     #[serde(default)]
     pub role: String,
     /// Address of the machine.
@@ -39,18 +39,18 @@
     /// Addresses for callers from outside.
     #[serde(default)]
     pub listeners_map: Listeners,
-    /// First and last port free for what processes say to one another.
+    /// First and last port that processes may use among themselves.
     pub port_range: (u16, u16),
     /// `ControlPlane` addresses of up to three machines.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// True only at the first start of the whole system.
+    /// True only at the first start of the system.
     #[serde(default)]
     pub bootstrap: bool,
     /// Whether the machine counts for a majority; not read.
     #[serde(default)]
     pub counts_for_quorum: bool,
-    /// What the machine grants the process.
+    /// Resources that the machine grants the process.
     #[serde(default)]
     pub limits: ProcessLimits,
     /// Directory for what has to survive a restart.
@@ -71,7 +71,7 @@
 }
 
 impl Settings {
-    /// Reads the settings file at `path`; names everything that is missing or ill-typed at once.
+    /// Reads the settings file at `path`.
     ///
     /// # Errors
     /// The file cannot be read, or fields are missing, ill-typed or contradictory.
@@ -118,7 +118,7 @@
     pub control_plane: Option<SocketAddr>,
 }
 
-/// What the machine grants the process.
+/// Resources that the machine grants the process.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct ProcessLimits {
@@ -138,7 +138,7 @@
     pub disk_mb: f64,
 }
 
-/// What may be lost at once while all rules are kept.
+/// Simultaneous failures that the system has to tolerate.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct FaultTolerance {
@@ -153,7 +153,7 @@
     pub regions: u32,
 }
 
-/// Figures of the rules in force; the defaults hold where a file names none.
+/// Bounds of the platform's rules, with the defaults for those that a file does not name.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Bounds {
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -1,9 +1,9 @@
-//! The configuration document: kept as sent, read, refused, patched.
+//! The configuration document: preserved text, parsing, validation, patches.
 
 use lanegate_config::configuration::{Document, RouteType, warnings};
 use lanegate_config::findings::Findings;
 
-const WHOLE: &str = r#"{"Version":7,"Note":{"b":1,"a":[2.50]},
+const COMPLETE: &str = r#"{"Version":7,"Note":{"b":1,"a":[2.50]},
 "Routes":[
  {"Name":"r1","Hostname":"a.example","PathPrefix":"/x/","RouteType":"streaming","TimeoutMs":6000,"TargetMs":1500,"Priority":0,"Backend":"b1","MaxAttempts":2,"Sticky":true,"Resumable":true,"gap_aim_ms":400},
  {"Name":"r2","Hostname":"a.example","PathPrefix":"/y/","RouteType":"idempotent","TimeoutMs":5000.5,"TrafficSplit":[{"Backend":"b1","Weight":90},{"Backend":"b2","Weight":10}]}],
@@ -33,13 +33,13 @@
 }
 
 #[test]
-fn text_is_kept_byte_for_byte() {
-    assert_eq!(parse(WHOLE).unwrap().serialize(), WHOLE);
+fn document_text_is_preserved() {
+    assert_eq!(parse(COMPLETE).unwrap().serialize(), COMPLETE);
 }
 
 #[test]
 fn fields_are_read() {
-    let document = parse(WHOLE).unwrap();
+    let document = parse(COMPLETE).unwrap();
     let configuration = document.configuration();
     assert_eq!(document.version(), 7);
     let route = &configuration.routes[0];
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn other_spellings_are_read() {
+fn null_and_float_spellings_are_accepted() {
     let text = with_routes(
         r#"{"Name":"r","Hostname":"a","PathPrefix":"/p/","TimeoutMs":9,"Backend":"b","Priority":2.0,
             "TrafficSplit":null,"MaxAttempts":null,"Sticky":null,"gap_aim_ms":null,"RouteType":null}"#,
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn what_cannot_be_read_whole_is_refused() {
-    for text in ["", "{", "[]", "null", "7", &WHOLE[..WHOLE.len() - 1], r#"{"Version":1} {}"#] {
+fn unparsable_document_is_rejected() {
+    for text in ["", "{", "[]", "null", "7", &COMPLETE[..COMPLETE.len() - 1], r#"{"Version":1} {}"#] {
         assert_eq!(places(text), [""], "{text}");
     }
     assert_eq!(places("{}"), ["Version"]);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn values_without_their_names_are_refused() {
+fn arrays_instead_of_objects_are_rejected() {
     assert_eq!(places("[1]"), [""]);
     assert_eq!(places(&with_routes(r#"["r","a","/p/","idempotent",9,0,0,"b"]"#)), ["Routes[0]"]);
     assert_eq!(places(r#"{"Version":1,"Limits":[1,2]}"#), ["Limits"]);
@@ -91,20 +91,20 @@
 }
 
 #[test]
-fn of_members_that_stand_there_twice_the_last_counts() {
+fn last_of_duplicate_members_wins() {
     let document = parse(r#"{"Version":1,"Limits":{"MaxBodyBytes":1},"Version":2,"Limits":null}"#).unwrap();
     assert_eq!(document.version(), 2);
     assert_eq!(document.configuration().limits.max_body_bytes, 4 * 1024 * 1024);
 }
 
 #[test]
-fn ill_typed_fields_are_named_with_their_place() {
-    let text = WHOLE.replace("\"LoadTimeS\":0.6", "\"LoadTimeS\":\"x\"").replace("5000.5", "true");
+fn ill_typed_fields_are_reported_with_location() {
+    let text = COMPLETE.replace("\"LoadTimeS\":0.6", "\"LoadTimeS\":\"x\"").replace("5000.5", "true");
     assert_eq!(places(&text), ["Backends[0].Runtime.Models[0].LoadTimeS", "Routes[1].TimeoutMs"]);
 }
 
 #[test]
-fn every_kind_of_mistake_is_found_at_once() {
+fn all_mistakes_are_reported_at_once() {
     let text = with_routes(
         r#"{"Name":"r1","Hostname":"a","PathPrefix":"/p/","TimeoutMs":9,"Backend":"c"},
            {"Name":"r2","Hostname":"A","PathPrefix":"/p/","TimeoutMs":9,"Backend":"b"},
@@ -128,13 +128,13 @@
 }
 
 #[test]
-fn a_service_with_a_mistake_is_still_known() {
+fn invalid_service_still_counts_as_defined() {
     let text = with_routes(ROUTE).replace(r#"{"Name":"b"}"#, r#"{"Name":"b","MaxConns":"x"}"#);
     assert_eq!(places(&text), ["Backends[0].MaxConns"]);
 }
 
 #[test]
-fn oddities_are_no_reason_to_refuse() {
+fn warnings_do_not_reject_a_document() {
     let text = with_routes(
         r#"{"Name":"r","Hostname":"a","PathPrefix":"/p","TimeoutMs":9,"Backend":"b"},
            {"Name":"r","Hostname":"","PathPrefix":"/p/","TimeoutMs":9,"Backend":"b",
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_patch_replaces_in_place_adds_last_and_removes() {
+fn patch_replaces_appends_and_deletes() {
     let base = r#"{"Version":1,"Extra":1.0,"Routes":[],"Backends":[{"Name":"a"},{"Name":"b"},{"Name":"c"}],"Limits":{}}"#;
     let patch = r#"{"Version":4,"Upsert":{"Backends":[{"Name":"d"},{"Name":"b","MaxConns": 7}]},"Delete":{"Backends":["a","none"]}}"#;
     let expected = r#"{"Version":4,"Extra":1.0,"Routes":[],"Backends":[{"Name":"b","MaxConns": 7},{"Name":"c"},{"Name":"d"}],"Limits":{}}"#;
@@ -156,8 +156,8 @@
 }
 
 #[test]
-fn a_patch_keeps_what_it_does_not_name_as_it_was_sent() {
-    let text = patched(WHOLE, r#"{"Version":9,"Delete":{"Routes":["r2"]}}"#);
+fn patch_preserves_text_it_does_not_name() {
+    let text = patched(COMPLETE, r#"{"Version":9,"Delete":{"Routes":["r2"]}}"#);
     assert!(text.contains(r#""Note":{"b":1,"a":[2.50]}"#));
     assert!(text.contains("65099.99999999999"));
     assert!(text.contains(r#""Protocol":"h1""#));
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_patch_may_add_lists_and_replace_limits() {
+fn patch_may_add_lists_and_replace_limits() {
     let patch =
         r#"{"Version":2,"Upsert":{"Limits":{"MaxBodyBytes":5},"Routes":[],"Backends":[{"Name":"z"}]}}"#;
     let expected = r#"{"Version":2,"Limits":{"MaxBodyBytes":5},"Routes":[],"Backends":[{"Name":"z"}]}"#;
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn of_two_items_with_one_name_the_last_counts() {
+fn last_of_duplicate_items_wins() {
     let patch = r#"{"Version":2,"Upsert":{"Backends":[{"Name":"a","x":1},{"Name":"a","x":2}]}}"#;
     assert_eq!(patched(r#"{"Version":1}"#, patch), r#"{"Version":2,"Backends":[{"Name":"a","x":2}]}"#);
     let base = r#"{"Version":1,"Backends":[{"Name":"a"},{"Name":"a"}]}"#;
@@ -184,30 +184,30 @@
 }
 
 #[test]
-fn escaped_names_are_the_same_names() {
+fn escaped_names_are_equal() {
     let base = r#"{"Version":1,"Backends":[{"Name":"a\u0062"}]}"#;
     let patch = r#"{"Version":2,"Delete":{"Backends":["ab"]}}"#;
     assert_eq!(patched(base, patch), r#"{"Version":2,"Backends":[]}"#);
 }
 
 #[test]
-fn a_patch_that_makes_the_configuration_invalid_is_refused() {
-    let base = parse(WHOLE).unwrap();
+fn patch_that_makes_configuration_invalid_is_rejected() {
+    let base = parse(COMPLETE).unwrap();
     let findings = base.patch(br#"{"Version":9,"Delete":{"Backends":["b2"]}}"#).unwrap_err();
     assert_eq!(findings.iter().next().unwrap().location, "Routes[1].TrafficSplit[1].Backend");
 }
 
 #[test]
-fn mistakes_in_the_form_of_a_patch_are_all_named() {
+fn all_mistakes_in_a_patch_are_reported() {
     let patch = br#"{"Upsert":{"Routes":[{"x":1}],"Backends":{}},"Delete":{"Routes":[1]}}"#;
-    let findings = parse(WHOLE).unwrap().patch(patch).unwrap_err();
+    let findings = parse(COMPLETE).unwrap().patch(patch).unwrap_err();
     let places: Vec<_> = findings.iter().map(|finding| finding.location.as_str()).collect();
     assert_eq!(places, ["Version", "Upsert.Routes[0].Name", "Upsert.Backends", "Delete.Routes[0]"]);
 }
 
 #[test]
-fn versions_have_to_rise() {
-    let document = parse(WHOLE).unwrap();
+fn versions_must_rise() {
+    let document = parse(COMPLETE).unwrap();
     assert!(document.check_follows(6).is_ok());
     assert_eq!(document.check_follows(7).unwrap_err().location, "Version");
     assert!(document.check_follows(8).is_err());
--- a/crates/config/tests/control_state.rs
+++ b/crates/config/tests/control_state.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration: taken once, acknowledged again, refused.
+//! Changes of the configuration: accepted once, acknowledged again, rejected.
 
 use lanegate_config::control_state::{
     Applied, Command, ControlState, HISTORY_LENGTH, Method, Outcome, apply,
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_first_configuration_builds_on_version_0() {
+fn first_configuration_builds_on_version_0() {
     let state = after(&[put(0, &version(3))]);
     assert_eq!(state.version(), 3);
     assert_eq!(state.document(), Some(version(3).as_bytes()));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_change_sent_again_is_acknowledged_again_also_after_later_ones() {
+fn repeated_change_is_acknowledged_again() {
     let first = put(0, &version(3));
     let second = patch(3, &version(5));
     let state = after(&[first.clone(), second.clone()]);
@@ -58,14 +58,14 @@
 }
 
 #[test]
-fn what_is_in_force_may_be_put_whatever_it_builds_on() {
+fn put_of_current_configuration_is_acknowledged() {
     let state = after(&[put(0, &version(3)), patch(3, &version(5))]);
     assert_eq!(outcome(&state, &put(3, &version(5))), Outcome::AlreadyTaken { current: 5 });
     assert_eq!(outcome(&state, &put(77, &version(5))), Outcome::AlreadyTaken { current: 5 });
 }
 
 #[test]
-fn of_two_changes_on_one_version_one_wins() {
+fn one_of_two_changes_on_a_version_wins() {
     let state = after(&[put(0, &version(3)), put(3, &version(5))]);
     let other = put(3, r#"{"Version":5,"Other":true}"#);
     assert_eq!(outcome(&state, &other), Outcome::Conflict { current: 5 });
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_version_that_does_not_rise_is_invalid() {
+fn version_that_does_not_rise_is_invalid() {
     let state = after(&[put(0, &version(3))]);
     assert_eq!(place(outcome(&state, &put(3, r#"{"Version":3,"Other":1}"#))), "Version");
     assert_eq!(place(outcome(&state, &patch(3, &version(2)))), "Version");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn invalid_changes_name_their_mistakes() {
+fn invalid_changes_are_reported() {
     let state = after(&[put(0, &version(3))]);
     assert_eq!(place(outcome(&state, &put(3, "{"))), "");
     let route = r#"{"Name":"r","Hostname":"a","PathPrefix":"/p/","TimeoutMs":9,"Backend":"b"}"#;
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_version_that_a_change_builds_on_has_to_be_named() {
+fn missing_precondition_is_reported() {
     let command = Command { if_match: None, ..put(0, &version(3)) };
     assert_eq!(place(outcome(&ControlState::default(), &command)), "If-Match");
     let state = after(&[put(0, &version(3))]);
@@ -99,22 +99,22 @@
 }
 
 #[test]
-fn a_patch_may_come_first() {
+fn patch_may_be_the_first_change() {
     let state = after(&[patch(0, r#"{"Version":2,"Upsert":{"Backends":[{"Name":"b"}]}}"#)]);
     assert_eq!(state.document().unwrap(), br#"{"Version":2,"Backends":[{"Name":"b"}]}"#);
 }
 
-/// A state that has taken one change more than it remembers, and those changes; each makes the version that
-/// is two above the one before.
-fn with_one_forgotten() -> (ControlState, Vec<Command>) {
+/// A state that has accepted one change more than it remembers, and those changes; each makes the version that is two
+/// higher than the previous one.
+fn state_with_one_forgotten_change() -> (ControlState, Vec<Command>) {
     let bases = (0..=HISTORY_LENGTH as u64).map(|number| 2 * number);
     let changes: Vec<_> = bases.map(|base| put(base, &version(base + 2))).collect();
     (after(&changes), changes)
 }
 
 #[test]
-fn a_change_that_is_no_longer_remembered_is_never_refused() {
-    let (state, changes) = with_one_forgotten();
+fn forgotten_put_is_not_rejected() {
+    let (state, changes) = state_with_one_forgotten_change();
     assert!(matches!(outcome(&state, &changes[0]), Outcome::Unclear(_)));
     for change in &changes[1..] {
         assert!(outcome(&state, change).is_acknowledged());
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_patch_that_is_no_longer_remembered_is_never_refused() {
+fn forgotten_patch_is_not_rejected() {
     let first = patch(0, &version(1));
     let bases = 1..=HISTORY_LENGTH as u64;
     let rest: Vec<_> = bases.map(|base| patch(base, &version(base + 1))).collect();
@@ -133,16 +133,16 @@
 }
 
 #[test]
-fn what_was_surely_never_taken_is_refused_however_many_changes_came_after() {
-    let (state, changes) = with_one_forgotten();
+fn change_that_was_never_accepted_is_rejected_after_many_others() {
+    let (state, changes) = state_with_one_forgotten_change();
     let current = state.version();
-    // Another body under a version that a remembered change made, and one between two of them.
+    // Another body for the version of a remembered change, and a version between two remembered ones.
     let same_number = put(2, r#"{"Version":4,"Other":true}"#);
     assert_eq!(outcome(&state, &same_number), Outcome::Conflict { current });
     assert_eq!(outcome(&state, &put(4, &version(5))), Outcome::Conflict { current });
     // A new version on an old one.
     assert_eq!(outcome(&state, &put(0, &version(current + 2))), Outcome::Conflict { current });
-    // Not above what it says it builds on: it was invalid at any time.
+    // Not higher than the version it builds on: it was never valid.
     assert_eq!(outcome(&state, &put(1, &version(1))), Outcome::Conflict { current });
     assert_eq!(outcome(&state, &put(1, "{")), Outcome::Conflict { current });
     assert_eq!(place(outcome(&state, &put(current, &version(1)))), "Version");
@@ -151,8 +151,8 @@
 }
 
 #[test]
-fn a_state_that_is_just_full_tells_the_oldest_change() {
-    let (_, changes) = with_one_forgotten();
+fn full_history_still_has_oldest_change() {
+    let (_, changes) = state_with_one_forgotten_change();
     let full = after(&changes[..HISTORY_LENGTH]);
     assert!(outcome(&full, &changes[0]).is_acknowledged());
     let almost_full = after(&changes[..HISTORY_LENGTH - 1]);
@@ -161,8 +161,8 @@
 }
 
 #[test]
-fn a_state_does_not_grow_with_the_changes_before_it() {
-    let (state, _) = with_one_forgotten();
+fn state_size_is_bounded() {
+    let (state, _) = state_with_one_forgotten_change();
     let size = state.encode().len();
     let changed = taken(state.apply(&put(state.version(), &version(state.version() + 2))));
     assert_eq!(changed.encode().len(), size);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn the_longer_history_of_an_earlier_release_is_read_and_cut() {
+fn longer_history_of_earlier_release_is_truncated() {
     let state = ControlState::decode(&state_of_an_earlier_release(4_096)).unwrap();
     assert_eq!(state.version(), 4_096);
     let next = taken(state.apply(&put(4_096, &version(4_097))));
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn bytes_are_applied_to_bytes() {
+fn encoded_command_applies_to_encoded_state() {
     let command = put(0, &version(3)).encode();
     let (outcome, state) = apply(&[], &command).unwrap();
     assert_eq!(outcome, Outcome::Taken { version: 3 });
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn outcomes_have_their_status() {
+fn outcomes_map_to_status() {
     assert_eq!(Outcome::Taken { version: 1 }.status(), 200);
     assert_eq!(Outcome::AlreadyTaken { current: 1 }.status(), 200);
     assert_eq!(Outcome::Conflict { current: 1 }.status(), 412);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn long_lists_of_findings_are_cut_when_encoded() {
+fn encoded_findings_are_truncated() {
     let mut findings = Findings::default();
     for index in 0..60 {
         findings.add(format!("Routes[{index}]"), "é".repeat(2_000));
@@ -247,7 +247,7 @@
 
 proptest! {
     #[test]
-    fn commands_survive_encoding(
+    fn commands_round_trip(
         is_put: bool,
         if_match: Option<u64>,
         body in prop::collection::vec(any::<u8>(), 0..50),
@@ -258,12 +258,12 @@
     }
 
     #[test]
-    fn outcomes_survive_encoding(outcome in outcomes()) {
+    fn outcomes_round_trip(outcome in outcomes()) {
         prop_assert_eq!(Outcome::decode(&outcome.encode()).unwrap(), outcome);
     }
 
     #[test]
-    fn any_bytes_are_read_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..80)) {
+    fn decoding_any_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..80)) {
         let _ = ControlState::decode(&bytes);
         let _ = Command::decode(&bytes);
         let _ = Outcome::decode(&bytes);
--- a/crates/config/tests/control_state_model.rs
+++ b/crates/config/tests/control_state_model.rs
@@ -1,4 +1,4 @@
-//! Rows of changes of two operators, some sent again, against a plain model.
+//! Sequences of changes of two operators, some repeated, against a simple model.
 
 use lanegate_config::control_state::{Command, ControlState, Method, Outcome};
 use proptest::prelude::*;
@@ -8,7 +8,7 @@
 enum Call {
     /// A new change on top of the version that is current, or of one before it.
     Change { operator: u8, is_put: bool, behind: u64, step: u64 },
-    /// The same as the call of that number.
+    /// A repetition of the call with that index.
     Again { of: prop::sample::Index },
 }
 
@@ -25,14 +25,14 @@
     Command { method, if_match: Some(current.saturating_sub(behind)), body: body.into_bytes() }
 }
 
-/// The limit that tells whose change it is.
+/// The limit that identifies the operator of a change.
 fn limit(text: &str) -> &str {
     text.split("\"MaxBodyBytes\":").nth(1).unwrap().trim_end_matches('}')
 }
 
 proptest! {
     #[test]
-    fn changes_are_taken_once_in_order_and_acknowledged_ever_after(
+    fn changes_are_accepted_once_and_acknowledged_ever_after(
         calls in prop::collection::vec(calls(), 1..30),
     ) {
         let mut state = ControlState::default();
--- a/crates/config/tests/instance.rs
+++ b/crates/config/tests/instance.rs
@@ -1,4 +1,4 @@
-//! Registrations as endpoints write them.
+//! Registrations as endpoints send them.
 
 use lanegate_config::instance::{Instance, InstanceState};
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_whole_heartbeat_is_read() {
+fn complete_heartbeat_is_parsed() {
     let instance = read(
         r#"{"Backend":"b","Address":"10.128.0.9:8080","Zone":"z","Version":"v1","Capacity":64,"State":"draining",
             "ColdLeftMs":12.5,"Phase":"prefill_decode","Models":[{"Name":"m","Version":1,"Adapters":["a1"]}],
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_is_not_given_may_be_missing_or_null() {
+fn optional_fields_may_be_missing_or_null() {
     let least = read(r#"{"Backend":"b","Address":"10.0.0.1:80"}"#);
     let nulls = read(
         r#"{"Backend":"b","Address":"10.0.0.1:80","Zone":null,"Version":null,"Capacity":null,"State":null,
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_again() {
+fn registrations_round_trip() {
     let instance = read(r#"{"Backend":"b","Address":"10.0.0.1:80","Models":[{"Name":"m"}],"Sequence":7}"#);
     assert_eq!(read(&serde_json::to_string(&instance).unwrap()), instance);
 }
--- a/crates/config/tests/mechanism.rs
+++ b/crates/config/tests/mechanism.rs
@@ -1,22 +1,22 @@
-//! Mechanisms by their names, and sets of those that are switched off.
+//! Names of mechanisms, and sets of those that are switched off.
 
 use lanegate_config::mechanism::{Mechanism, SwitchedOff};
 
 #[test]
-fn each_mechanism_is_read_by_the_name_that_it_is_written_with() {
+fn mechanism_names_round_trip() {
     for mechanism in Mechanism::all() {
         assert_eq!(mechanism.to_string().parse(), Ok(mechanism));
     }
 }
 
 #[test]
-fn an_unknown_name_is_refused_with_those_that_there_are() {
+fn unknown_mechanism_error_lists_known_ones() {
     let error = "prefix".parse::<Mechanism>().unwrap_err().to_string();
     assert!(error.starts_with("\"prefix\" is no mechanism; there are configuration-wait, "), "{error}");
 }
 
 #[test]
-fn only_what_was_named_is_switched_off() {
+fn only_named_mechanisms_are_switched_off() {
     assert!(Mechanism::all().all(|mechanism| SwitchedOff::default().leaves(mechanism)));
     for off in Mechanism::all() {
         let switched_off: SwitchedOff = [off].into_iter().collect();
--- a/crates/config/tests/patch_model.rs
+++ b/crates/config/tests/patch_model.rs
@@ -1,10 +1,10 @@
-//! Patches against a plain model of lists of items.
+//! Patches against a simple model of lists of items.
 
 use lanegate_config::configuration::Document;
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
-/// One item: its name, and something that tells it from others of that name.
+/// An item: its name, and a value that distinguishes it from others of that name.
 type Item = (u8, u8);
 
 #[derive(Debug, Clone)]
@@ -41,7 +41,7 @@
 
 proptest! {
     #[test]
-    fn a_row_of_patches_agrees_with_the_model(
+    fn sequence_of_patches_matches_model(
         marks in prop::collection::vec(any::<u8>(), 0..6),
         changes in prop::collection::vec(changes(), 1..6),
     ) {
--- a/crates/config/tests/routes.rs
+++ b/crates/config/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Look-ups of the route table against a plain search.
+//! Look-ups of the route table against a linear search.
 
 use lanegate_config::configuration::{Configuration, Document, Route};
 use lanegate_config::routes::RouteTable;
@@ -36,7 +36,7 @@
 
 proptest! {
     #[test]
-    fn agrees_with_a_plain_search(
+    fn lookup_matches_linear_search(
         mut routes in prop::collection::vec((hosts(), paths()), 0..20),
         host in hosts(),
         path in "/([ab%é]{0,2}/){0,4}[ab]{0,2}",
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn paths_are_compared_raw() {
+fn paths_are_compared_without_normalization() {
     let routes = [("a".to_owned(), "/x/".to_owned())];
     let table = RouteTable::new(configuration(&routes));
     assert!(table.lookup("a", "/x/?q=/y/").is_some());
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn hosts_too_long_for_any_name_have_no_route() {
+fn overlong_hosts_have_no_route() {
     let routes = [("a".to_owned(), "/".to_owned())];
     let table = RouteTable::new(configuration(&routes));
     assert!(table.lookup(&"A".repeat(10_000), "/").is_none());
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,10 +1,10 @@
-//! Settings files: what is read, and what is said of those that cannot be.
+//! Settings files: parsing, and the findings for invalid ones.
 
 use lanegate_config::findings::Findings;
 use lanegate_config::settings::{ProcessRole, Settings, SettingsError};
 use std::path::Path;
 
-const WHOLE: &str = r#"
+const COMPLETE: &str = r#"
 NodeName: "edge-1"
 Role: "router"
 Serves: ["edge"]
@@ -56,8 +56,8 @@
 }
 
 #[test]
-fn reads_a_whole_file() {
-    let settings = Settings::from_yaml(WHOLE).unwrap();
+fn complete_file_is_parsed() {
+    let settings = Settings::from_yaml(COMPLETE).unwrap();
     assert_eq!(settings.node_name, "edge-1");
     assert_eq!(settings.ip.to_string(), "10.1.0.35");
     assert_eq!(settings.zones["south"], "lower");
@@ -86,13 +86,13 @@
 }
 
 #[test]
-fn whole_numbers_may_be_written_as_fractions() {
+fn integers_may_be_written_as_floats() {
     let settings = Settings::from_yaml(&format!("{SMALLEST}Limits: {{Cores: 2.0, MaxFds: 4100}}\n")).unwrap();
     assert_eq!((settings.limits.cores, settings.limits.max_fds), (2, 4100));
 }
 
 #[test]
-fn three_mistakes_are_all_named() {
+fn all_mistakes_are_reported() {
     let text = "NodeName: a\nIp: not-an-address\nPortRange: [10, 20]\nBounds: {GraceS: soon}\n";
     let mut places = places_in(text);
     places.sort();
@@ -100,20 +100,20 @@
 }
 
 #[test]
-fn an_empty_file_lacks_every_required_field() {
+fn empty_file_lacks_every_required_field() {
     let mut places = places_in("");
     places.sort();
     assert_eq!(places, ["Ip", "NodeName", "PortRange", "Zone"]);
 }
 
 #[test]
-fn items_of_lists_are_named_by_index() {
+fn list_items_are_reported_by_index() {
     let text = format!("{SMALLEST}Seeds: ['10.0.0.1:1', nowhere, '10.0.0.2:1', '10.0.0.3']\n");
     assert_eq!(places_in(&text), ["Seeds.1", "Seeds.3"]);
 }
 
 #[test]
-fn a_message_tells_what_was_found() {
+fn finding_quotes_the_invalid_value() {
     let findings = Settings::from_yaml(&format!("{SMALLEST}HeartbeatMs: often\n")).unwrap_err();
     let text = findings.to_string();
     assert!(text.starts_with("HeartbeatMs: "), "{text}");
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn ports_are_in_order() {
+fn port_range_must_be_ordered() {
     let text = SMALLEST.replace("[10, 20]", "[20, 10]");
     assert_eq!(places_in(&text), ["PortRange"]);
     let text = SMALLEST.replace("[10, 20]", "[20]");
@@ -131,24 +131,24 @@
 }
 
 #[test]
-fn a_role_needs_its_listeners() {
+fn roles_require_their_listeners() {
     let settings = Settings::from_yaml(SMALLEST).unwrap();
     let router = settings.check_for(ProcessRole::Router);
     assert_eq!(places(&router), ["ListenersMap.Frontend", "ListenersMap.Readiness"]);
     let controller = settings.check_for(ProcessRole::Controller);
     assert_eq!(places(&controller), ["ListenersMap.ControlPlane", "DataDir"]);
     assert!(settings.check_for(ProcessRole::Agent).is_empty());
-    assert!(Settings::from_yaml(WHOLE).unwrap().check_for(ProcessRole::Router).is_empty());
+    assert!(Settings::from_yaml(COMPLETE).unwrap().check_for(ProcessRole::Router).is_empty());
 }
 
 #[test]
-fn text_that_is_no_yaml_is_one_finding() {
+fn invalid_yaml_is_one_finding() {
     assert_eq!(places_in("NodeName: [unclosed"), [""]);
     assert_eq!(places_in("just words"), [""]);
 }
 
 #[test]
-fn a_missing_file_is_told_apart() {
+fn missing_file_is_a_distinct_error() {
     let error = Settings::load(Path::new("/nonexistent/settings.yaml")).unwrap_err();
     assert!(matches!(error, SettingsError::Unreadable { .. }));
     assert!(error.to_string().contains("/nonexistent/settings.yaml"));
--- a/crates/control-http/src/activity.rs
+++ b/crates/control-http/src/activity.rs
@@ -31,12 +31,12 @@
         Activity(Rc::new(Cell::new(Phase::Idle(Instant::now()))))
     }
 
-    /// The head is whole.
+    /// The head is complete.
     pub(crate) fn head_arrived(&self) {
         self.0.set(Phase::Body(Instant::now()));
     }
 
-    /// The body has ended.
+    /// The body is complete, or ended early.
     pub(crate) fn body_ended(&self) {
         self.0.set(Phase::Handling);
     }
@@ -46,7 +46,7 @@
         self.0.set(Phase::Idle(Instant::now()));
     }
 
-    /// When the connection is to be given up, unless its phase changes before.
+    /// When the connection times out, unless its phase changes before.
     pub(crate) fn deadline(&self, limits: &ServerLimits) -> Option<Instant> {
         match self.0.get() {
             Phase::Idle(since) | Phase::Body(since) => Some(since + limits.idle_timeout),
@@ -64,7 +64,7 @@
     }
 }
 
-/// A stream that tells its activity when bytes arrive.
+/// A stream that records in its activity when bytes arrive.
 pub(crate) struct WatchedStream<S> {
     stream: S,
     activity: Activity,
--- a/crates/control-http/src/body.rs
+++ b/crates/control-http/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading a body whole, within a limit.
+//! Reads a body completely, within a limit.
 
 use bytes::{Buf, Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -7,16 +7,17 @@
 /// How the reading of a body ended.
 #[derive(Debug)]
 pub(crate) enum BodyEnd {
-    Whole(Bytes),
-    /// The stream ended or broke before the body did; here is its beginning.
-    Cut(Bytes),
-    /// The body is longer than the limit; its rest was dropped as far as that is worth it.
+    Complete(Bytes),
+    /// The stream ended or failed before the body was complete; holds its beginning.
+    Truncated(Bytes),
+    /// The body is longer than the limit; a part of the rest was dropped.
     TooLong,
 }
 
 /// Reads a body of at most `limit` bytes.
 ///
-/// Up to as much again is read and dropped, so that the caller reads the refusal before it meets a reset.
+/// Up to as many more bytes are read and dropped, so that the client reads the rejection before its connection is
+/// reset.
 pub(crate) async fn read_body(mut body: Incoming, limit: usize) -> BodyEnd {
     let mut collected = Collected::default();
     loop {
@@ -25,8 +26,8 @@
         }
         match body.frame().await {
             None if collected.length > limit => return BodyEnd::TooLong,
-            None => return BodyEnd::Whole(collected.into_bytes()),
-            Some(Err(_)) => return BodyEnd::Cut(collected.into_bytes()),
+            None => return BodyEnd::Complete(collected.into_bytes()),
+            Some(Err(_)) => return BodyEnd::Truncated(collected.into_bytes()),
             Some(Ok(frame)) => {
                 let Ok(data) = frame.into_data() else { continue };
                 collected.add(data, limit, expected_rest(&body));
@@ -35,12 +36,12 @@
     }
 }
 
-/// Bytes that the body says are still to come.
+/// Bytes of the body that are still expected, by its declared length.
 fn expected_rest(body: &Incoming) -> usize {
     usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX)
 }
 
-/// The pieces of a body; a body that came in one piece is never copied.
+/// The chunks of a body; a body that arrives in one chunk is not copied.
 #[derive(Debug, Default)]
 struct Collected {
     length: usize,
--- a/crates/control-http/src/client.rs
+++ b/crates/control-http/src/client.rs
@@ -16,9 +16,9 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-/// Longest answer that is taken, bytes: that of a whole configuration.
+/// Largest answer, bytes: a complete configuration.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// Header by which a caller makes any other endpoint at that address refuse the call.
+/// Header that names the incarnation; any other one at the address rejects the call.
 const EXPECT_INSTANCE: &str = "expect-instance";
 
 type HttpConnection = Connection<TokioIo<TcpStream>, Full<Bytes>>;
@@ -34,7 +34,7 @@
     pub body: Bytes,
     /// Version that the call builds on.
     pub if_match: Option<u64>,
-    /// The one endpoint that may take the call.
+    /// The only incarnation that may accept the call.
     pub expect_instance: Option<String>,
 }
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// The whole answer to a call.
+/// The complete answer to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClientResponse {
     /// Status of the answer.
@@ -83,7 +83,7 @@
     pub body: Bytes,
 }
 
-/// A call has no whole answer.
+/// Why a call has no complete answer.
 #[derive(Debug, Error)]
 pub enum CallError {
     /// Method, path or a header is invalid; nothing was sent.
@@ -99,10 +99,10 @@
     #[error("the connection closed before the call was sent: {0}")]
     NotSent(#[source] hyper::Error),
     /// The answer was not complete in time.
-    #[error("no whole answer in time")]
+    #[error("the answer was not complete in time")]
     Timeout,
     /// The connection broke before the answer was complete.
-    #[error("the connection broke before the whole answer: {0}")]
+    #[error("the connection broke before the answer was complete: {0}")]
     Broken(#[source] hyper::Error),
     /// The body of the answer is larger than 4 MiB.
     #[error("the answer is too long")]
@@ -110,7 +110,7 @@
 }
 
 impl CallError {
-    /// Whether the call may have been carried out.
+    /// Whether the call may have been executed.
     pub fn may_have_run(&self) -> bool {
         matches!(self, CallError::Timeout | CallError::Broken(_) | CallError::TooLong)
     }
@@ -130,7 +130,7 @@
     connection.call_until(request, deadline).await
 }
 
-/// A connection that takes one call after the other. Nothing runs between calls.
+/// A connection for one call after the other. It is only driven while a call is open.
 #[derive(Debug)]
 pub struct ClientConnection {
     address: SocketAddr,
@@ -150,18 +150,21 @@
     async fn open_until(address: SocketAddr, deadline: Instant) -> Result<Self, CallError> {
         let connecting = timeout_at(deadline, TcpStream::connect(address)).await;
         let stream = connecting.map_err(|_| CallError::ConnectTimeout)?.map_err(CallError::Connect)?;
-        let _ = stream.set_nodelay(true).inspect_err(|error| log::debug!("no TCP_NODELAY: {error}"));
+        let _ = stream
+            .set_nodelay(true)
+            .inspect_err(|error| log::debug!("TCP_NODELAY not set error=\"{error}\""));
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(CallError::NotSent)?;
         Ok(ClientConnection { address, sender, driver: Driver { connection: Some(Box::pin(connection)) } })
     }
 
-    /// Whether another call can be made; a peer that closed meanwhile shows only in the next call, as `NotSent`.
+    /// Whether another call can be made. A peer that has closed meanwhile is only noticed at the next call, which
+    /// fails with `NotSent`.
     pub fn is_open(&self) -> bool {
         self.driver.connection.is_some() && !self.sender.is_closed()
     }
 
-    /// Makes a call and waits for its whole answer for `timeout`. After any error the connection is closed.
+    /// Makes a call and waits for its complete answer for `timeout`. After any error the connection is closed.
     ///
     /// # Errors
     /// The call could not be made, or has no complete answer.
@@ -189,7 +192,7 @@
     }
 }
 
-/// Moves the bytes of a connection while a call waits for them.
+/// Drives the I/O of a connection while a call is open.
 struct Driver {
     connection: Option<Pin<Box<HttpConnection>>>,
 }
@@ -215,7 +218,7 @@
     }
 }
 
-/// Sends a request once the connection is ready, and reads the whole answer.
+/// Sends a request once the connection is ready, and reads the complete answer.
 async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
--- a/crates/control-http/src/connection.rs
+++ b/crates/control-http/src/connection.rs
@@ -22,10 +22,10 @@
 /// Most bytes of heads and waiting body that a connection buffers.
 const BUFFER_BYTES: usize = 64 * 1024;
 
-/// Serves one connection until it ends, stalls, or is idle once `stop` is done.
+/// Serves one connection until it closes, times out, or is idle after `stop` is done.
 ///
-/// A caller that shuts down its sending side still gets its responses, and a request that was read is handled to
-/// its end whether or not the caller is still there.
+/// A client that shuts down its sending side still gets its responses. A request that was read is handled to its end
+/// even if the client has disconnected.
 pub async fn serve_connection<S, H, F>(
     stream: S,
     remote: SocketAddr,
@@ -52,7 +52,8 @@
             connection.as_mut().graceful_shutdown();
         }
         if let Poll::Ready(end) = connection.as_mut().poll(cx) {
-            let _ = end.inspect_err(|error| log::debug!("connection of {remote} broke: {error}"));
+            let _ =
+                end.inspect_err(|error| log::debug!("connection failed remote={remote} error=\"{error}\""));
             return Poll::Ready(());
         }
         poll_timeout(timer.as_mut(), &activity, limits, cx)
@@ -60,7 +61,7 @@
     .await;
 }
 
-/// Ready once the present phase of the connection has lasted too long.
+/// Ready once the current phase of the connection has timed out.
 ///
 /// The timer is moved only when it fires or when it would fire too late, not with every request.
 fn poll_timeout(
@@ -85,7 +86,7 @@
     }
 }
 
-/// Reads the rest of a request and lets the handler answer it.
+/// Reads the body of a request and passes the request to the handler.
 async fn answer<H, F>(
     request: Request<Incoming>,
     remote: SocketAddr,
@@ -100,8 +101,8 @@
     activity.head_arrived();
     let (head, body) = request.into_parts();
     let (body, complete) = match read_body(body, limits.max_body_bytes).await {
-        BodyEnd::Whole(body) => (body, true),
-        BodyEnd::Cut(body) => (body, false),
+        BodyEnd::Complete(body) => (body, true),
+        BodyEnd::Truncated(body) => (body, false),
         BodyEnd::TooLong => {
             activity.responded();
             return Ok(encode(too_long()));
--- a/crates/control-http/src/lib.rs
+++ b/crates/control-http/src/lib.rs
@@ -1,8 +1,12 @@
 //! HTTP/1.1 of the control interface: a small server and a small client, both on one thread.
 //!
-//! Every caller of this interface is known and well behaved, but machines freeze and links are cut: bodies that
-//! end early are told apart from whole ones, stalled callers are let go, and a call that got no answer says
-//! whether it may have been carried out. Why this is built on `hyper`: `docs/findings/async-h1.md`.
+//! Clients of this interface are trusted, but machines freeze and links are partitioned. Therefore truncated bodies
+//! are distinguished from complete ones, stalled clients are disconnected, and a failed call says whether it may have
+//! been executed. Why this is built on `hyper`: `docs/findings/async-h1.md`.
+//!
+//! Begin with [`serve`] (server) and [`ClientConnection`] (client). Tests: `tests/connection.rs` plays raw bytes
+//! against one connection, `tests/server_and_client.rs` uses sockets, `tests/system_calls.rs` bounds the system calls
+//! of a request.
 
 mod activity;
 mod body;
--- a/crates/control-http/src/limits.rs
+++ b/crates/control-http/src/limits.rs
@@ -1,19 +1,19 @@
-//! What callers may cost a server.
+//! Limits on the resources that clients may use.
 
 use std::time::Duration;
 
-/// What callers may cost a server; all figures are set by whoever starts it.
+/// Limits on the resources that clients of a server may use.
 #[derive(Debug, Clone)]
 pub struct ServerLimits {
-    /// Longest body that is taken, bytes; longer ones are answered with 413.
+    /// Largest body, bytes; a larger one is answered 413.
     pub max_body_bytes: usize,
-    /// Longest time from the first byte of a head to its last.
+    /// Time from the first byte of a head to its last.
     pub header_timeout: Duration,
-    /// Longest time without a byte between requests, or within a body.
+    /// Time without a byte between requests, or within a body.
     pub idle_timeout: Duration,
-    /// Connections that are open at once; further ones wait in the queue of the listener.
+    /// Number of open connections; further ones wait in the backlog of the listener.
     pub max_connections: usize,
-    /// Longest time that open requests have after the server is told to stop.
+    /// Time that open requests have to finish at a shutdown.
     pub shutdown_timeout: Duration,
 }
 
--- a/crates/control-http/src/message.rs
+++ b/crates/control-http/src/message.rs
@@ -56,7 +56,7 @@
     Absent,
     /// The request names this version.
     Version(u64),
-    /// The request names something that is no version, or several.
+    /// The header is not a version, or there are several.
     Malformed,
 }
 
@@ -88,9 +88,9 @@
     pub if_match: IfMatch,
     /// Body, or its beginning.
     pub body: Bytes,
-    /// Whether the whole body arrived; if not, `body` holds its beginning and must not be acted on.
+    /// Whether the body arrived completely; if not, `body` holds its beginning and must not be acted on.
     pub complete: bool,
-    /// The caller.
+    /// Address of the client.
     pub remote: SocketAddr,
 }
 
@@ -117,9 +117,9 @@
 pub struct ControlResponse {
     /// Status of the response.
     pub status: u16,
-    /// Where the caller is to go instead.
+    /// Where the client should go instead.
     pub location: Option<String>,
-    /// Whole seconds after which the caller may ask again.
+    /// Seconds after which the client may retry.
     pub retry_after_s: Option<u32>,
     /// Body; may be empty.
     pub body: Bytes,
--- a/crates/control-http/src/server.rs
+++ b/crates/control-http/src/server.rs
@@ -1,4 +1,4 @@
-//! The server: takes connections and stops in good order.
+//! The server: accepts connections, and shuts down gracefully.
 
 use crate::connection::serve_connection;
 use crate::limits::ServerLimits;
@@ -14,12 +14,12 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// Pause after a failed `accept`, which fails again at once while descriptors are short.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed `accept`, which fails again at once while file descriptors are short.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Serves the control interface until `stop` is done; open requests then have a time to end.
+/// Serves the control interface until `stop` is done; then open requests have `shutdown_timeout` to finish.
 ///
-/// Has to run inside a `LocalSet`: connections are tasks of this thread.
+/// Must run inside a `LocalSet`: connections are tasks of this thread.
 pub async fn serve<H, F>(
     listener: TcpListener,
     limits: ServerLimits,
@@ -34,11 +34,11 @@
     let mut connections = JoinSet::new();
     let mut stop = pin!(stop);
     loop {
-        let room = connections.len() < server.limits.max_connections;
+        let has_capacity = connections.len() < server.limits.max_connections;
         tokio::select! {
             () = &mut stop => break,
             Some(_) = connections.join_next() => {}
-            accepted = listener.accept(), if room => server.begin(accepted, &mut connections, &stopped).await,
+            accepted = listener.accept(), if has_capacity => server.accepted(accepted, &mut connections, &stopped).await,
         }
     }
     drop(listener);
@@ -57,7 +57,7 @@
     H: Fn(ControlRequest) -> F + 'static,
     F: Future<Output = ControlResponse> + 'static,
 {
-    async fn begin(
+    async fn accepted(
         &self,
         accepted: io::Result<(TcpStream, SocketAddr)>,
         connections: &mut JoinSet<()>,
@@ -66,8 +66,8 @@
         match accepted {
             Ok((stream, remote)) => self.spawn(stream, remote, connections, stopped.clone()),
             Err(error) => {
-                log::warn!("no new connection: {error}");
-                sleep(ACCEPT_PAUSE).await;
+                log::warn!("accept failed error=\"{error}\"");
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -79,7 +79,9 @@
         connections: &mut JoinSet<()>,
         mut stopped: watch::Receiver<bool>,
     ) {
-        let _ = stream.set_nodelay(true).inspect_err(|error| log::debug!("no TCP_NODELAY: {error}"));
+        let _ = stream
+            .set_nodelay(true)
+            .inspect_err(|error| log::debug!("TCP_NODELAY not set error=\"{error}\""));
         let (limits, handler) = (self.limits.clone(), self.handler.clone());
         connections.spawn_local(async move {
             let stop = async { drop(stopped.wait_for(|stopped| *stopped).await) };
--- a/crates/control-http/tests/connection.rs
+++ b/crates/control-http/tests/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the server: what callers send in pieces, cut short, too long or too late.
+//! One connection of the server: requests that arrive in parts, truncated, too long or too late.
 
 use lanegate_control_http::{
     ControlMethod, ControlRequest, ControlResponse, IfMatch, ServerLimits, serve_connection,
@@ -14,7 +14,7 @@
 
 const PIPE_BYTES: usize = 16 << 20;
 
-/// A served connection, the caller's end of it, and what its handler got.
+/// A served connection, the client's end of it, and the requests that its handler received.
 struct Fixture {
     caller: DuplexStream,
     requests: Rc<RefCell<Vec<ControlRequest>>>,
@@ -29,7 +29,7 @@
     ServerLimits { max_body_bytes: 1_000, ..ServerLimits::default() }
 }
 
-/// Serves with a handler that answers 200 to whole requests and 400 to cut ones, after `work`.
+/// Serves with a handler that answers 200 to complete requests and 400 to truncated ones, after `work`.
 fn served_slowly(limits: ServerLimits, work: Duration) -> Fixture {
     let (caller, server) = duplex(PIPE_BYTES);
     let requests = Rc::new(RefCell::new(Vec::new()));
@@ -59,7 +59,7 @@
         self.caller.write_all(bytes.as_bytes()).await.expect("a pipe with room");
     }
 
-    /// Reads up to `end`, which an answer of the handler ends with.
+    /// Reads up to `end`, the end of the handler's response.
     async fn read_to(&mut self, end: &str) -> String {
         let mut read = Vec::new();
         while !read.ends_with(end.as_bytes()) {
@@ -76,13 +76,18 @@
         read
     }
 
-    /// Shuts down the caller's sending side.
+    /// Shuts down the client's sending side.
     async fn finish(&mut self) {
         self.caller.shutdown().await.expect("an open pipe");
     }
 }
 
-fn whole_request(method: ControlMethod, path: &str, if_match: IfMatch, body: &'static str) -> ControlRequest {
+fn complete_request(
+    method: ControlMethod,
+    path: &str,
+    if_match: IfMatch,
+    body: &'static str,
+) -> ControlRequest {
     let body = body.into();
     ControlRequest { method, path: path.to_owned(), if_match, body, complete: true, remote: remote() }
 }
@@ -97,17 +102,17 @@
     };
 }
 
-local_test!(a_patch_arrives_with_all_its_parts, {
+local_test!(patch_request_is_passed_to_the_handler, {
     let mut fixture = served(small_limits());
     fixture.send("PATCH /config?x=1 HTTP/1.1\r\nHost: a\r\nIf-Match: 7\r\nContent-Length: 2\r\n\r\n{}").await;
     let answer = fixture.read_to("\"/config\"").await;
     assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
     assert!(answer.contains("content-type: application/json\r\n"), "{answer}");
-    let expected = whole_request(ControlMethod::Patch, "/config", IfMatch::Version(7), "{}");
+    let expected = complete_request(ControlMethod::Patch, "/config", IfMatch::Version(7), "{}");
     assert_eq!(*fixture.requests.borrow(), vec![expected]);
 });
 
-local_test!(the_version_to_build_on_is_read_or_called_malformed, {
+local_test!(if_match_is_parsed_or_malformed, {
     let cases = [
         ("", IfMatch::Absent),
         ("If-Match: 0\r\n", IfMatch::Version(0)),
@@ -126,7 +131,7 @@
     }
 });
 
-local_test!(requests_share_a_connection_one_after_the_other, {
+local_test!(sequential_requests_share_a_connection, {
     let mut fixture = served(small_limits());
     for path in ["/status", "/config"] {
         fixture.send(&format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n")).await;
@@ -134,7 +139,7 @@
     }
 });
 
-local_test!(requests_that_arrive_together_are_all_answered_in_order, {
+local_test!(pipelined_requests_are_answered_in_order, {
     let mut fixture = served(small_limits());
     let put = "PUT /instances/i-1 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}";
     fixture.send(&format!("{put}GET /status HTTP/1.1\r\nHost: a\r\n\r\n")).await;
@@ -142,7 +147,7 @@
     fixture.read_to("\"/status\"").await;
 });
 
-local_test!(a_body_with_a_length_that_is_cut_is_told_apart, {
+local_test!(truncated_body_with_length_is_incomplete, {
     let mut fixture = served(small_limits());
     fixture.send("PUT /config HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhel").await;
     fixture.finish().await;
@@ -153,7 +158,7 @@
     assert_eq!(&requests[0].body[..], b"hel");
 });
 
-local_test!(a_chunked_body_that_is_cut_is_told_apart, {
+local_test!(truncated_chunked_body_is_incomplete, {
     let mut fixture = served(small_limits());
     fixture.send("PUT /config HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n").await;
     fixture.finish().await;
@@ -161,7 +166,7 @@
     assert!(!fixture.requests.borrow()[0].complete);
 });
 
-local_test!(a_chunked_body_may_be_split_anywhere, {
+local_test!(chunked_body_may_be_split_anywhere, {
     let request = "PUT /config HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n";
     for split in 1..request.len() {
         let mut fixture = served(small_limits());
@@ -169,12 +174,12 @@
         tokio::task::yield_now().await;
         fixture.send(&request[split..]).await;
         fixture.read_to("\"/config\"").await;
-        let expected = whole_request(ControlMethod::Put, "/config", IfMatch::Absent, "{}");
+        let expected = complete_request(ControlMethod::Put, "/config", IfMatch::Absent, "{}");
         assert_eq!(*fixture.requests.borrow(), vec![expected]);
     }
 });
 
-local_test!(a_caller_that_stops_sending_is_still_answered, {
+local_test!(half_closed_connection_still_gets_its_response, {
     let mut fixture = served_slowly(small_limits(), Duration::from_secs(1));
     fixture.send("GET /status HTTP/1.1\r\nHost: a\r\n\r\n").await;
     fixture.finish().await;
@@ -182,7 +187,7 @@
     assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
 });
 
-local_test!(a_body_of_the_longest_length_is_taken_whole, {
+local_test!(body_of_maximum_length_is_accepted, {
     let limits = ServerLimits::default();
     let length = limits.max_body_bytes;
     let mut fixture = served(limits);
@@ -194,7 +199,7 @@
     assert_eq!(requests[0].body.len(), length);
 });
 
-local_test!(a_body_that_is_too_long_is_refused_without_the_handler, {
+local_test!(too_long_body_is_rejected_without_the_handler, {
     let body = "x".repeat(1_001);
     let requests = [
         format!("PUT /config HTTP/1.1\r\nHost: a\r\nContent-Length: 1001\r\n\r\n{body}"),
@@ -213,7 +218,7 @@
     }
 });
 
-local_test!(a_caller_that_waits_for_leave_to_send_its_body_gets_it, {
+local_test!(expect_continue_is_answered, {
     let mut fixture = served(small_limits());
     fixture
         .send("PUT /config HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
@@ -225,7 +230,7 @@
     assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
 });
 
-local_test!(a_head_that_stalls_ends_the_connection_after_the_header_timeout, {
+local_test!(stalled_head_times_out, {
     let mut fixture = served(small_limits());
     let start = Instant::now();
     sleep(Duration::from_secs(2)).await;
@@ -235,7 +240,7 @@
     assert!(fixture.requests.borrow().is_empty());
 });
 
-local_test!(a_body_that_stalls_ends_the_connection_after_the_idle_timeout, {
+local_test!(stalled_body_times_out, {
     let mut fixture = served(small_limits());
     let start = Instant::now();
     fixture.send("PUT /config HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n").await;
@@ -248,7 +253,7 @@
     assert!(fixture.requests.borrow().is_empty());
 });
 
-local_test!(an_idle_connection_is_kept_for_the_idle_timeout, {
+local_test!(idle_connection_stays_open_until_the_idle_timeout, {
     let mut fixture = served(small_limits());
     for _ in 0..3 {
         sleep(Duration::from_secs(12)).await;
@@ -261,20 +266,20 @@
     fixture.serving.await.expect("an end without a panic");
 });
 
-local_test!(a_slow_handler_is_waited_for, {
+local_test!(slow_handler_does_not_time_out, {
     let mut fixture = served_slowly(small_limits(), Duration::from_secs(100));
     fixture.send("GET /status HTTP/1.1\r\nHost: a\r\n\r\n").await;
     fixture.read_to("\"/status\"").await;
 });
 
-local_test!(bytes_that_are_no_request_are_refused, {
+local_test!(invalid_request_is_rejected, {
     let mut fixture = served(small_limits());
     fixture.send("\x16\x03\x01 hello\r\n\r\n").await;
     let answer = fixture.read_to_end().await;
     assert!(answer.starts_with("HTTP/1.1 400 "), "{answer}");
 });
 
-local_test!(a_location_and_a_pause_are_sent, {
+local_test!(location_and_retry_after_are_sent, {
     let (mut caller, server) = duplex(PIPE_BYTES);
     let handler = Rc::new(|_| async {
         let redirect = ControlResponse::redirect("http://10.0.0.4:8080/config");
--- a/crates/control-http/tests/server_and_client.rs
+++ b/crates/control-http/tests/server_and_client.rs
@@ -1,4 +1,4 @@
-//! Server and client over sockets: keeping connections, stopping, and calls that get no whole answer.
+//! Server and client over sockets: persistent connections, shutdown, and calls without a complete answer.
 
 use bytes::Bytes;
 use lanegate_control_http::{
@@ -15,10 +15,10 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::{LocalSet, spawn_local};
 
-/// Far beyond what any call here takes.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// For calls that are meant to get no answer.
-const BRIEFLY: Duration = Duration::from_millis(20);
+/// Much longer than any call here takes.
+const TIMEOUT: Duration = Duration::from_secs(60);
+/// For calls that are expected to get no answer.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(20);
 
 async fn listen() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -71,42 +71,42 @@
     };
 }
 
-local_test!(a_call_is_answered, {
+local_test!(call_is_answered, {
     let address = echo_server().await;
     let request = ClientRequest { if_match: Some(7), ..ClientRequest::post("/order", "{}") };
-    let answer = call(address, &request, PATIENCE).await.expect("an answer");
+    let answer = call(address, &request, TIMEOUT).await.expect("an answer");
     assert_eq!(answer, response("Post /order 7 2"));
 });
 
-local_test!(a_connection_takes_one_call_after_the_other, {
+local_test!(connection_serves_sequential_calls, {
     let address = echo_server().await;
-    let mut connection = ClientConnection::open(address, PATIENCE).await.expect("a connection");
+    let mut connection = ClientConnection::open(address, TIMEOUT).await.expect("a connection");
     for path in ["/report", "/status"] {
-        let answer = connection.call(&ClientRequest::get(path), PATIENCE).await.expect("an answer");
+        let answer = connection.call(&ClientRequest::get(path), TIMEOUT).await.expect("an answer");
         assert_eq!(answer, response(&format!("Get {path} Absent 0")));
         assert!(connection.is_open());
     }
 });
 
-local_test!(a_long_body_goes_both_ways, {
+local_test!(large_bodies_are_transferred, {
     let (listener, address) = listen().await;
     let handler = |request: ControlRequest| async move { ControlResponse::json(200, request.body) };
     spawn_local(serve(listener, ServerLimits::default(), handler, pending()));
     let body = Bytes::from(vec![b'x'; 4 << 20]);
     let request =
         ClientRequest { method: ControlMethod::Put, ..ClientRequest::post("/config", body.clone()) };
-    let answer = call(address, &request, PATIENCE).await.expect("an answer");
+    let answer = call(address, &request, TIMEOUT).await.expect("an answer");
     assert_eq!(answer.body, body);
 });
 
-local_test!(the_expected_instance_is_named, {
+local_test!(expected_instance_is_sent, {
     let (listener, address) = listen().await;
     let calling = spawn_local(async move {
         let request = ClientRequest {
             expect_instance: Some("i-7f3a91c2".into()),
             ..ClientRequest::post("/order", "{}")
         };
-        call(address, &request, PATIENCE).await
+        call(address, &request, TIMEOUT).await
     });
     let (mut stream, _) = listener.accept().await.expect("a connection");
     let mut head = Vec::new();
@@ -122,15 +122,15 @@
     assert_eq!(calling.await.expect("no panic").expect("an answer").status, 202);
 });
 
-local_test!(a_location_is_read, {
+local_test!(location_is_returned, {
     let answer =
         "HTTP/1.1 307 Temporary Redirect\r\nLocation: http://10.0.0.4:8080/x\r\nContent-Length: 0\r\n\r\n";
     let address = canned_server(answer).await;
-    let answer = call(address, &ClientRequest::get("/x"), PATIENCE).await.expect("an answer");
+    let answer = call(address, &ClientRequest::get("/x"), TIMEOUT).await.expect("an answer");
     assert_eq!(answer.location.as_deref(), Some("http://10.0.0.4:8080/x"));
 });
 
-local_test!(an_answer_that_is_cut_is_no_answer_and_the_call_may_have_run, {
+local_test!(truncated_answer_is_an_error_and_call_may_have_run, {
     for answer in [
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n",
@@ -139,47 +139,47 @@
         "something else\r\n\r\n",
     ] {
         let address = canned_server(answer).await;
-        let error = call(address, &ClientRequest::post("/order", ""), PATIENCE).await.expect_err(answer);
+        let error = call(address, &ClientRequest::post("/order", ""), TIMEOUT).await.expect_err(answer);
         assert!(matches!(error, CallError::Broken(_)), "{answer}: {error:?}");
         assert!(error.may_have_run());
     }
 });
 
-local_test!(a_silent_server_times_the_call_out_and_the_call_may_have_run, {
+local_test!(call_to_silent_server_times_out_and_may_have_run, {
     let (listener, address) = listen().await;
-    let mut connection = ClientConnection::open(address, PATIENCE).await.expect("a connection");
-    let error = connection.call(&ClientRequest::get("/report"), BRIEFLY).await.expect_err("no answer");
+    let mut connection = ClientConnection::open(address, TIMEOUT).await.expect("a connection");
+    let error = connection.call(&ClientRequest::get("/report"), SHORT_TIMEOUT).await.expect_err("no answer");
     assert!(matches!(error, CallError::Timeout), "{error:?}");
     assert!(error.may_have_run());
     assert!(!connection.is_open());
     drop(listener);
 });
 
-local_test!(a_call_to_a_dead_port_has_not_run, {
+local_test!(call_to_closed_port_has_not_run, {
     let (listener, address) = listen().await;
     drop(listener);
-    let error = call(address, &ClientRequest::get("/report"), PATIENCE).await.expect_err("no server");
+    let error = call(address, &ClientRequest::get("/report"), TIMEOUT).await.expect_err("no server");
     assert!(matches!(error, CallError::Connect(_)), "{error:?}");
     assert!(!error.may_have_run());
 });
 
-local_test!(a_call_on_a_connection_that_was_closed_meanwhile_has_not_run, {
+local_test!(call_on_closed_connection_has_not_run, {
     let (listener, address) = listen().await;
-    let mut connection = ClientConnection::open(address, PATIENCE).await.expect("a connection");
+    let mut connection = ClientConnection::open(address, TIMEOUT).await.expect("a connection");
     let (stream, _) = listener.accept().await.expect("a connection");
     drop(stream);
-    let error = connection.call(&ClientRequest::get("/report"), PATIENCE).await.expect_err("no server");
+    let error = connection.call(&ClientRequest::get("/report"), TIMEOUT).await.expect_err("no server");
     assert!(matches!(error, CallError::NotSent(_)), "{error:?}");
     assert!(!error.may_have_run());
 });
 
-local_test!(a_path_that_is_none_is_refused, {
+local_test!(invalid_path_is_rejected, {
     let address = echo_server().await;
-    let error = call(address, &ClientRequest::get("/a b"), PATIENCE).await.expect_err("no path");
+    let error = call(address, &ClientRequest::get("/a b"), TIMEOUT).await.expect_err("no path");
     assert!(matches!(error, CallError::Malformed), "{error:?}");
 });
 
-local_test!(a_stopped_server_ends_open_requests_and_idle_connections_and_takes_no_more, {
+local_test!(stopped_server_finishes_requests_and_accepts_no_more, {
     let (listener, address) = listen().await;
     let (stop, stopped) = oneshot::channel::<()>();
     let (begun, proceed) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
@@ -195,18 +195,18 @@
     let serving =
         spawn_local(serve(listener, ServerLimits::default(), handler, async { drop(stopped.await) }));
     let mut idle = TcpStream::connect(address).await.expect("a connection");
-    let calling = spawn_local(async move { call(address, &ClientRequest::get("/status"), PATIENCE).await });
+    let calling = spawn_local(async move { call(address, &ClientRequest::get("/status"), TIMEOUT).await });
     begun.notified().await;
     stop.send(()).expect("a running server");
     assert_eq!(idle.read(&mut [0]).await.expect("an end"), 0);
     proceed.notify_one();
     assert_eq!(calling.await.expect("no panic").expect("an answer"), response("Get /status Absent 0"));
     serving.await.expect("no panic");
-    let error = call(address, &ClientRequest::get("/status"), PATIENCE).await.expect_err("no server");
+    let error = call(address, &ClientRequest::get("/status"), TIMEOUT).await.expect_err("no server");
     assert!(!error.may_have_run());
 });
 
-local_test!(connections_beyond_the_limit_wait_for_one_to_end, {
+local_test!(excess_connections_wait_for_a_slot, {
     let (listener, address) = listen().await;
     let served = Rc::new(Cell::new(0));
     let count = served.clone();
@@ -216,17 +216,17 @@
     };
     let limits = ServerLimits { max_connections: 1, ..ServerLimits::default() };
     spawn_local(serve(listener, limits, handler, pending()));
-    let mut first = ClientConnection::open(address, PATIENCE).await.expect("a connection");
-    first.call(&ClientRequest::get("/status"), PATIENCE).await.expect("an answer");
-    let mut second = ClientConnection::open(address, PATIENCE).await.expect("a place in the queue");
-    let error = second.call(&ClientRequest::get("/status"), BRIEFLY).await.expect_err("no room");
+    let mut first = ClientConnection::open(address, TIMEOUT).await.expect("a connection");
+    first.call(&ClientRequest::get("/status"), TIMEOUT).await.expect("an answer");
+    let mut second = ClientConnection::open(address, TIMEOUT).await.expect("a place in the queue");
+    let error = second.call(&ClientRequest::get("/status"), SHORT_TIMEOUT).await.expect_err("no room");
     assert!(matches!(error, CallError::Timeout), "{error:?}");
     assert_eq!(served.get(), 1);
     drop(first);
-    call(address, &ClientRequest::get("/status"), PATIENCE).await.expect("an answer");
+    call(address, &ClientRequest::get("/status"), TIMEOUT).await.expect("an answer");
 });
 
-/// The whole interface runs on the thread that it was started on.
+/// The interface runs on the thread on which it was started.
 #[cfg(target_os = "linux")]
 #[test]
 fn no_thread_is_started() {
@@ -239,7 +239,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let address = echo_server().await;
-        call(address, &ClientRequest::post("/order", "{}"), PATIENCE).await.expect("an answer");
+        call(address, &ClientRequest::post("/order", "{}"), TIMEOUT).await.expect("an answer");
     });
     assert_eq!(names(), 0, "of {} threads", threads());
 }
--- a/crates/control-http/tests/system_calls.rs
+++ b/crates/control-http/tests/system_calls.rs
@@ -1,4 +1,4 @@
-//! What a request costs in reads and writes; on a socket each is a system call.
+//! The reads and writes of a request; on a socket each is a system call.
 
 use lanegate_control_http::{ControlRequest, ControlResponse, ServerLimits, serve_connection};
 use std::cell::Cell;
@@ -47,7 +47,7 @@
     ControlResponse::json(200, "{}")
 }
 
-/// Serves one request that arrives in one piece, with the caller gone afterwards.
+/// Serves one request that arrives in one read, after which the client disconnects.
 async fn calls_for(request: &str) -> (u32, u32) {
     let (mut caller, stream) = duplex(1 << 16);
     let (reads, writes) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn a_small_request_takes_one_read_besides_that_of_the_end_and_one_write() {
+async fn small_request_takes_two_reads_and_one_write() {
     let put = "PUT /instances/i-1 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}";
     assert_eq!(calls_for(put).await, (2, 1));
     assert_eq!(calls_for("GET /readyz HTTP/1.1\r\nHost: a\r\n\r\n").await, (2, 1));
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,39 +1,39 @@
 //! Invariants that the processes check while they run.
 //!
-//! A check that fails is a fault of this program, never of a caller or of the network. It is counted, and the
-//! process goes on. This crate depends on nothing, so that state machines without I/O can use it; the counts are
-//! exported by `lanegate-metrics`.
+//! A violation is a bug in this program, never a fault of a client or of the network. It is counted, and the process
+//! goes on. This crate depends on nothing, so that state machines without I/O can use it; the counts are exported by
+//! `lanegate-metrics`.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What must hold at all times. To add one, add a variant, its place in [`Invariant::ALL`], its name and its
-/// description; it is exported from then on.
+/// A condition that must hold at all times. To add one, add a variant, its entry in [`Invariant::ALL`], its name and
+/// its description; it is exported from then on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Invariant {
     /// A request that may have run is not sent again, unless its route allows that.
-    UnrepeatableSentOnce,
+    NonIdempotentSentOnce,
     /// A request is sent to no more endpoints than its route allows.
     AttemptsWithinLimit,
     /// A request of a client has one outcome.
     OneOutcome,
-    /// A request that comes after the process was asked to end is refused, or answered before the process ends.
-    TakenOnIsAnsweredBeforeEnd,
+    /// A request that arrives after SIGTERM is rejected, or answered before the process ends.
+    AcceptedRequestAnsweredBeforeShutdown,
     /// The configuration in force at a process never gets older.
     ConfigurationVersionRises,
-    /// The decided revision of a shard, as one controller learns it, never falls.
+    /// The committed revision of a shard, as one controller learns it, never falls.
     RevisionRises,
     /// Each tenure of a lease has a higher epoch than those before it.
     EpochRises,
 }
 
 impl Invariant {
-    /// All invariants, in the order of their numbers.
+    /// All invariants, in the order of their discriminants.
     pub const ALL: [Invariant; 7] = [
-        Invariant::UnrepeatableSentOnce,
+        Invariant::NonIdempotentSentOnce,
         Invariant::AttemptsWithinLimit,
         Invariant::OneOutcome,
-        Invariant::TakenOnIsAnsweredBeforeEnd,
+        Invariant::AcceptedRequestAnsweredBeforeShutdown,
         Invariant::ConfigurationVersionRises,
         Invariant::RevisionRises,
         Invariant::EpochRises,
@@ -42,25 +42,25 @@
     /// The name under which it is exported.
     pub fn name(self) -> &'static str {
         match self {
-            Invariant::UnrepeatableSentOnce => "unrepeatable_sent_once",
+            Invariant::NonIdempotentSentOnce => "unrepeatable_sent_once",
             Invariant::AttemptsWithinLimit => "attempts_within_limit",
             Invariant::OneOutcome => "one_outcome",
-            Invariant::TakenOnIsAnsweredBeforeEnd => "taken_on_is_answered_before_end",
+            Invariant::AcceptedRequestAnsweredBeforeShutdown => "taken_on_is_answered_before_end",
             Invariant::ConfigurationVersionRises => "configuration_version_rises",
             Invariant::RevisionRises => "revision_rises",
             Invariant::EpochRises => "epoch_rises",
         }
     }
 
-    /// What it demands, for operators.
+    /// What it requires, for operators.
     pub fn description(self) -> &'static str {
         match self {
-            Invariant::UnrepeatableSentOnce => {
+            Invariant::NonIdempotentSentOnce => {
                 "a request that may have run is sent again only where its route allows that"
             }
             Invariant::AttemptsWithinLimit => "a request goes to at most MaxAttempts endpoints",
             Invariant::OneOutcome => "a request of a client has one outcome",
-            Invariant::TakenOnIsAnsweredBeforeEnd => {
+            Invariant::AcceptedRequestAnsweredBeforeShutdown => {
                 "a request that comes after the process was asked to end is refused, or answered before it ends"
             }
             Invariant::ConfigurationVersionRises => {
--- a/crates/invariants/tests/violations.rs
+++ b/crates/invariants/tests/violations.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn every_invariant_has_a_place_a_name_and_a_description_of_its_own() {
+fn every_invariant_has_unique_index_name_and_description() {
     let names: BTreeSet<&str> = Invariant::ALL.iter().map(|invariant| invariant.name()).collect();
     let descriptions: BTreeSet<&str> =
         Invariant::ALL.iter().map(|invariant| invariant.description()).collect();
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn clones_count_together_and_each_invariant_by_itself() {
+fn clones_share_counters_per_invariant() {
     let violations = Violations::default();
     let other = violations.clone();
     assert!(other.check(Invariant::OneOutcome, true));
--- a/crates/lanegate/tests/metrics.rs
+++ b/crates/lanegate/tests/metrics.rs
@@ -151,7 +151,8 @@
         let output = terminate(child);
         assert_eq!(output.status.code(), Some(0), "{}", err(&output));
         let log = err(&output);
-        let warnings = log.lines().filter(|line| line.contains(" WARN ") && line.contains("no metrics at"));
+        let warnings =
+            log.lines().filter(|line| line.contains(" WARN ") && line.contains("metrics endpoint not bound"));
         assert_eq!(warnings.count(), 1, "{log}");
         drop(taken);
     }
@@ -170,7 +171,7 @@
         assert!(!answer.starts_with("HTTP/1.1 404 "), "{answer}");
         let output = terminate(child);
         assert_eq!(output.status.code(), Some(0), "{}", err(&output));
-        assert!(err(&output).contains("no metrics at"), "{}", err(&output));
+        assert!(err(&output).contains("metrics endpoint not bound"), "{}", err(&output));
     }
 }
 
--- a/crates/metrics/src/endpoint.rs
+++ b/crates/metrics/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Where a process tells its figures: `GET /metrics`.
+//! The HTTP endpoint of a process's metrics: `GET /metrics`.
 
 use crate::exposition::Exposition;
 use crate::process::ProcessIdentity;
@@ -11,20 +11,20 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Path of the figures.
+/// Path of the metrics.
 pub const METRICS_PATH: &str = "/metrics";
-/// Connections that may wait to be accepted.
+/// Connections that may wait in the backlog.
 const BACKLOG: u32 = 8;
-/// Connections at once; whoever reads the figures needs one.
+/// Number of open connections; a scraper needs one.
 const MAX_CONNECTIONS: usize = 4;
-/// Longest time for a request to arrive, once it has begun.
+/// Time for a request to arrive, once it has begun.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time for an answer to be taken and the next request to begin: figures are read each 5 s.
+/// Time for an answer to be read and the next request to begin; metrics are scraped every 5 s.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
-/// Longest body of a request; a request for figures has none.
+/// Largest body of a request, bytes; a scrape has none.
 const MAX_BODY_BYTES: usize = 1_024;
 
-/// Where a process is to tell its figures. Nothing is bound yet, so that the role can bind first what it serves.
+/// The address of a process's metrics. Nothing is bound yet, so that the role can bind its own listeners first.
 #[derive(Debug, Clone, Copy)]
 pub struct MetricsAddress {
     identity: ProcessIdentity,
@@ -32,18 +32,18 @@
 }
 
 impl MetricsAddress {
-    /// The figures of a process at this address.
+    /// The metrics of a process at this address.
     pub fn new(identity: ProcessIdentity, address: SocketAddr) -> Self {
         MetricsAddress { identity, address }
     }
 
-    /// Listens. Where that fails the log says so once, and the process goes on without.
+    /// Binds the address. If that fails, a warning is logged once and the process goes on without metrics.
     pub fn bind(self) -> MetricsEndpoint {
         MetricsEndpoint::bind(self.identity, self.address)
     }
 }
 
-/// The socket on which a process tells its figures; there may be none.
+/// The bound listener of a process's metrics; there may be none.
 #[derive(Debug)]
 pub struct MetricsEndpoint {
     identity: ProcessIdentity,
@@ -51,21 +51,24 @@
 }
 
 impl MetricsEndpoint {
-    /// Listens at `address`. Where that fails the log says so once, and the process goes on without.
+    /// Binds `address`. If that fails, a warning is logged once and the process goes on without metrics.
     pub fn bind(identity: ProcessIdentity, address: SocketAddr) -> Self {
         let listener = listen(address);
-        let listener = listener.inspect_err(|error| log::warn!("no metrics at {address}: {error}")).ok();
+        let listener = listener
+            .inspect_err(|error| log::warn!("metrics endpoint not bound address={address} error=\"{error}\""))
+            .ok();
         MetricsEndpoint { identity, listener }
     }
 
-    /// The address that is listened at, if any.
+    /// The bound address, if any.
     pub fn local_address(&self) -> Option<SocketAddr> {
         self.listener.as_ref()?.local_addr().ok()
     }
 
-    /// Answers for as long as it is polled. `collect` gives the figures of the role, or `None` while it cannot.
+    /// Answers scrapes for as long as it is polled. `collect` returns the metrics of the role, or `None` while it
+    /// cannot.
     ///
-    /// Has to run inside a `LocalSet`: connections are tasks of this thread.
+    /// Must run inside a `LocalSet`: connections are tasks of this thread.
     pub async fn serve<C, F>(self, collect: C)
     where
         C: Fn() -> F + Clone + 'static,
@@ -114,7 +117,7 @@
     match exposition.render() {
         Ok(text) => ControlResponse::text(200, ContentType::Metrics, text),
         Err(error) => {
-            log::warn!("figures cannot be told: {error}");
+            log::warn!("metrics not rendered error=\"{error}\"");
             ControlResponse::status(500)
         }
     }
--- a/crates/metrics/src/exposition.rs
+++ b/crates/metrics/src/exposition.rs
@@ -1,4 +1,4 @@
-//! The figures of one moment, and their text.
+//! The metrics of one scrape, and their text.
 
 use crate::metric::{Kind, Metric, Value};
 use lanegate_invariants::{Invariant, Violations};
@@ -18,7 +18,7 @@
 /// A label and its value.
 type Label = (&'static str, String);
 
-/// The figures of one moment, in the order in which they were set.
+/// The metrics of one scrape, in the order in which they were set.
 #[derive(Debug, Default)]
 pub struct Exposition {
     families: Vec<Family>,
@@ -31,7 +31,7 @@
     samples: Vec<Sample>,
 }
 
-/// One value, told apart from others of its metric by its labels.
+/// One value, distinguished from others of its metric by its labels.
 #[derive(Debug)]
 struct Sample {
     labels: Vec<Label>,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Sets the violations of all invariants, those that have none too.
+    /// Sets the violations of all invariants, including those without any.
     pub fn set_violations(&mut self, violations: &Violations) {
         for invariant in Invariant::ALL {
             let labels = [("invariant", invariant.name())];
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The text of all figures.
+    /// The text of all metrics.
     ///
     /// # Errors
     /// The text could not be written; a string always takes it.
@@ -114,10 +114,10 @@
 impl Sample {
     fn encode(&self, kind: Kind, encoder: MetricEncoder) -> Result<(), fmt::Error> {
         match (kind, self.value) {
-            (Kind::Counter, Value::Whole(value)) => ConstCounter::new(value).encode(encoder),
-            (Kind::Counter, Value::Real(value)) => ConstCounter::new(value).encode(encoder),
-            (Kind::Gauge, Value::Whole(value)) => ConstGauge::new(value).encode(encoder),
-            (Kind::Gauge, Value::Real(value)) => ConstGauge::new(value).encode(encoder),
+            (Kind::Counter, Value::Integer(value)) => ConstCounter::new(value).encode(encoder),
+            (Kind::Counter, Value::Float(value)) => ConstCounter::new(value).encode(encoder),
+            (Kind::Gauge, Value::Integer(value)) => ConstGauge::new(value).encode(encoder),
+            (Kind::Gauge, Value::Float(value)) => ConstGauge::new(value).encode(encoder),
         }
     }
 }
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,7 +1,8 @@
-//! The figures of a process, as text in the Prometheus exposition format (version 0.0.4).
+//! Metrics of a process, as text in the Prometheus exposition format (version 0.0.4).
 //!
-//! Nothing is kept here: a role keeps plain counters where it works and fills an [`Exposition`] from its state
-//! when it is asked. [`MetricsEndpoint`] asks, renders and answers.
+//! The crate has no state: a role has plain counters where it works and fills an [`Exposition`] from its state at
+//! each scrape. [`MetricsEndpoint`] answers scrapes over HTTP; [`Scrapes`] passes them to the task that owns the
+//! state. Names and labels are read by dashboards and never change.
 
 mod endpoint;
 mod exposition;
--- a/crates/metrics/src/metric.rs
+++ b/crates/metrics/src/metric.rs
@@ -46,45 +46,45 @@
 /// The value of one sample.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Value {
-    /// A whole number.
-    Whole(u64),
-    /// A fraction.
-    Real(f64),
+    /// An integer.
+    Integer(u64),
+    /// A floating-point number.
+    Float(f64),
 }
 
 impl From<u64> for Value {
     fn from(value: u64) -> Self {
-        Value::Whole(value)
+        Value::Integer(value)
     }
 }
 
 impl From<u32> for Value {
     fn from(value: u32) -> Self {
-        Value::Whole(value.into())
+        Value::Integer(value.into())
     }
 }
 
 impl From<usize> for Value {
     fn from(value: usize) -> Self {
-        Value::Whole(value as u64)
+        Value::Integer(value as u64)
     }
 }
 
 impl From<bool> for Value {
     fn from(value: bool) -> Self {
-        Value::Whole(value.into())
+        Value::Integer(value.into())
     }
 }
 
 impl From<f64> for Value {
     fn from(value: f64) -> Self {
-        Value::Real(value)
+        Value::Float(value)
     }
 }
 
 impl From<std::time::Duration> for Value {
     /// Seconds, the base unit of times.
     fn from(value: std::time::Duration) -> Self {
-        Value::Real(value.as_secs_f64())
+        Value::Float(value.as_secs_f64())
     }
 }
--- a/crates/metrics/src/process.rs
+++ b/crates/metrics/src/process.rs
@@ -1,4 +1,4 @@
-//! What every process tells of itself.
+//! Metrics that every process has.
 
 use crate::exposition::Exposition;
 use crate::metric::Metric;
@@ -11,7 +11,7 @@
 const BUILD_INFO: Metric =
     Metric::gauge("lanegate_build_info", "Always 1; the labels name the version and the role");
 
-/// Which process the figures are of.
+/// Identity of the process whose metrics are exported.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessIdentity {
     role: &'static str,
@@ -20,7 +20,7 @@
 }
 
 impl ProcessIdentity {
-    /// A process of this role that starts now; `version` is that of the program.
+    /// A process of this role that starts now; `version` is the release of the program.
     pub fn starting(role: &'static str, version: &'static str) -> Self {
         ProcessIdentity { role, version, started: SystemTime::now() }
     }
--- a/crates/metrics/src/scrapes.rs
+++ b/crates/metrics/src/scrapes.rs
@@ -1,52 +1,51 @@
-//! Requests for the figures of a process whose state belongs to one task.
+//! Scrapes of a process whose state belongs to one task.
 
 use crate::endpoint::MetricsAddress;
 use crate::exposition::Exposition;
 use tokio::sync::{mpsc, oneshot};
 
-/// Requests that may wait at a time: one for each connection of the endpoint.
-const MAX_WAITING: usize = 4;
+/// Scrapes that may wait: one for each connection of the endpoint.
+const MAX_PENDING: usize = 4;
 
-/// A request for the figures; whoever asked gets 503 when this is dropped without an answer.
+/// A scrape; the client gets 503 if this is dropped without an answer.
 #[derive(Debug)]
 pub struct Scrape(oneshot::Sender<Exposition>);
 
 impl Scrape {
-    /// Answers it.
+    /// Answers the scrape.
     pub fn answer(self, exposition: Exposition) {
-        // Whoever asked may have left.
+        // The client may have disconnected.
         let _ = self.0.send(exposition);
     }
 }
 
-/// The requests that come to an endpoint, for the task that can answer them.
+/// The scrapes of an endpoint, for the task that can answer them.
 #[derive(Debug)]
 pub struct Scrapes {
     requests: mpsc::Receiver<Scrape>,
-    /// Kept so that `next` waits for ever where there is no endpoint.
-    _requester: mpsc::Sender<Scrape>,
+    /// Keeps the channel open, so that `next` waits forever if there is no endpoint.
+    _sender: mpsc::Sender<Scrape>,
 }
 
 impl Scrapes {
-    /// Listens at `address`, if there is one, and serves it by a task of its own. Has to be called inside a
-    /// `LocalSet`.
+    /// Binds `address`, if there is one, and serves it in a task of its own. Must be called inside a `LocalSet`.
     pub fn at(address: Option<MetricsAddress>) -> Self {
-        let (requester, requests) = mpsc::channel(MAX_WAITING);
+        let (sender, requests) = mpsc::channel(MAX_PENDING);
         if let Some(address) = address {
-            let (endpoint, requester) = (address.bind(), requester.clone());
-            tokio::task::spawn_local(endpoint.serve(move || ask(requester.clone())));
+            let (endpoint, sender) = (address.bind(), sender.clone());
+            tokio::task::spawn_local(endpoint.serve(move || scrape(sender.clone())));
         }
-        Scrapes { requests, _requester: requester }
+        Scrapes { requests, _sender: sender }
     }
 
-    /// Waits for the next request; it may be dropped and called again.
+    /// Waits for the next scrape. Cancel safe.
     pub async fn next(&mut self) -> Option<Scrape> {
         self.requests.recv().await
     }
 }
 
-async fn ask(requester: mpsc::Sender<Scrape>) -> Option<Exposition> {
+async fn scrape(sender: mpsc::Sender<Scrape>) -> Option<Exposition> {
     let (answer, exposition) = oneshot::channel();
-    requester.send(Scrape(answer)).await.ok()?;
+    sender.send(Scrape(answer)).await.ok()?;
     exposition.await.ok()
 }
--- a/crates/metrics/tests/common/text_format.rs
+++ b/crates/metrics/tests/common/text_format.rs
@@ -20,7 +20,7 @@
 pub(crate) struct Figures(pub BTreeMap<String, Family>);
 
 impl Figures {
-    /// Reads a text; panics with the line that is wrong.
+    /// Parses a text; panics with the invalid line.
     pub(crate) fn parse(text: &str) -> Figures {
         assert!(text.ends_with('\n'), "the last line has no end");
         let mut figures = Figures::default();
@@ -81,7 +81,7 @@
     (labels, value)
 }
 
-/// Reads labels up to their closing brace, and tells what follows it.
+/// Parses labels up to their closing brace, and returns the rest.
 fn labels<'a>(mut rest: &'a str, line: &str) -> (Labels, &'a str) {
     let mut labels = Labels::new();
     loop {
--- a/crates/metrics/tests/endpoint.rs
+++ b/crates/metrics/tests/endpoint.rs
@@ -1,4 +1,4 @@
-//! Where a process tells its figures, and what callers may cost it.
+//! The metrics endpoint, and the limits on its clients.
 
 #[path = "common/text_format.rs"]
 mod text_format;
@@ -30,7 +30,7 @@
     ProcessIdentity::starting("router", "1.2.3")
 }
 
-/// An endpoint that counts how often it was asked.
+/// An endpoint that counts its scrapes.
 fn start() -> (SocketAddr, Rc<Cell<u64>>) {
     let endpoint = MetricsEndpoint::bind(identity(), "127.0.0.1:0".parse().unwrap());
     let address = endpoint.local_address().unwrap();
@@ -59,7 +59,7 @@
     answer.split_once("\r\n\r\n").unwrap().1
 }
 
-/// Lets `time` go by in steps, with the tasks at work in between.
+/// Advances the clock by `time` in steps, running the tasks in between.
 async fn pass_time(time: Duration) {
     tokio::time::pause();
     let end = Instant::now() + time;
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn the_figures_are_told_as_text_with_those_of_the_process() {
+fn scrape_returns_role_and_process_metrics() {
     play(async {
         let (address, _) = start();
         let answer = ask(address, ASK).await;
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn other_paths_and_methods_are_answered_without_figures() {
+fn other_paths_and_methods_are_rejected() {
     play(async {
         let (address, scrapes) = start();
         assert!(ask(address, "GET / HTTP/1.1\r\nHost: a\r\n\r\n").await.starts_with("HTTP/1.1 404 "));
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_process_that_has_no_figures_to_tell_now_says_503() {
+fn unavailable_metrics_are_answered_503() {
     play(async {
         let endpoint = MetricsEndpoint::bind(identity(), "127.0.0.1:0".parse().unwrap());
         let address = endpoint.local_address().unwrap();
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_port_that_is_taken_ends_nothing() {
+fn occupied_port_does_not_end_the_process() {
     play(async {
         let taken = BlockingListener::bind("127.0.0.1:0").unwrap();
         let endpoint = MetricsEndpoint::bind(identity(), taken.local_addr().unwrap());
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_caller_whose_request_stalls_is_cut_off() {
+fn stalled_request_is_disconnected() {
     play(async {
         let (address, scrapes) = start();
         let mut stalled = TcpStream::connect(address).await.unwrap();
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_caller_that_says_nothing_is_cut_off() {
+fn silent_client_is_disconnected() {
     play(async {
         let (address, _) = start();
         let mut silent = TcpStream::connect(address).await.unwrap();
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn callers_beyond_the_bound_wait_until_others_are_cut_off() {
+fn excess_clients_wait_until_others_are_disconnected() {
     play(async {
         let (address, scrapes) = start();
         let mut silent = Vec::new();
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_caller_that_asks_again_and_again_and_takes_no_answer_is_cut_off() {
+fn client_that_never_reads_is_disconnected() {
     play(async {
         let endpoint = MetricsEndpoint::bind(identity(), "127.0.0.1:0".parse().unwrap());
         let address = endpoint.local_address().unwrap();
--- a/crates/metrics/tests/exposition.rs
+++ b/crates/metrics/tests/exposition.rs
@@ -1,4 +1,4 @@
-//! The text of the figures.
+//! The text of the metrics.
 
 #[path = "common/text_format.rs"]
 mod text_format;
@@ -13,7 +13,7 @@
 const AGE: Metric = Metric::gauge("lanegate_test_age_seconds", "How old the newest value is");
 
 #[test]
-fn the_text_is_what_the_format_demands() {
+fn exposition_text_follows_the_format() {
     let mut exposition = Exposition::default();
     exposition.set_labelled(&ORDERS, &[("kind", "load"), ("outcome", "placed")], 3_u64);
     exposition.set_labelled(&ORDERS, &[("kind", "evict"), ("outcome", "placed")], 0_u64);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn samples_of_one_metric_stand_together_in_whatever_order_they_are_set() {
+fn samples_are_grouped_by_metric() {
     let mut exposition = Exposition::default();
     exposition.set_labelled(&ORDERS, &[("kind", "load")], 1_u64);
     exposition.set(&DEPTH, 2_u64);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn values_of_labels_are_escaped() {
+fn label_values_are_escaped() {
     let odd = "a\"b\\c\nd,e}";
     let mut exposition = Exposition::default();
     exposition.set_labelled(&DEPTH, &[("kind", odd)], 1_u64);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_metric_without_a_sample_is_described_all_the_same() {
+fn declared_metric_without_sample_is_described() {
     let mut exposition = Exposition::default();
     exposition.declare(&DEPTH);
     let figures = Figures::parse(&exposition.render().unwrap());
--- a/crates/router/src/carry.rs
+++ b/crates/router/src/carry.rs
@@ -97,7 +97,7 @@
             Some(destination) if request.repeatable || !may_have_run => Ok(destination),
             _ => {
                 log::error!("{:?} may have run and would have been sent again", request.attempt_id);
-                ticket.state().violations.record(Invariant::UnrepeatableSentOnce);
+                ticket.state().violations.record(Invariant::NonIdempotentSentOnce);
                 Err(refuse(UNSENT_RETRY_AFTER, Outcome::RefusedNotSent, Outcome::FailedMayHaveRun))
             }
         },
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -234,7 +234,8 @@
         for request in &open {
             self.counters.cut_at_end.count(now.saturating_sub(request.arrived()));
             let came_late = ending_since.is_some_and(|since| request.arrived() > since);
-            self.violations.check(Invariant::TakenOnIsAnsweredBeforeEnd, !(came_late && request.is_begun()));
+            self.violations
+                .check(Invariant::AcceptedRequestAnsweredBeforeShutdown, !(came_late && request.is_begun()));
             request.mailbox.stop();
         }
     }
