--- a/crates/placement/src/order_completion.rs
+++ b/crates/placement/src/order_completion.rs
@@ -56,7 +56,7 @@
                     order.unacknowledged(now);
                 }
             }
-            refusal => self.order_rejected(now, &instance, id, refusal),
+            rejection => self.order_rejected(now, &instance, id, rejection),
         }
         self.plan_soon(now);
     }
--- a/crates/placement/src/order_log.rs
+++ b/crates/placement/src/order_log.rs
@@ -29,16 +29,16 @@
         let EndpointState { endpoint, catalog } = self;
         write!(f, "used_mb={} capacity_mb={} ", endpoint.used_mb(catalog), catalog.capacity_mb)?;
         write!(f, "adapters={} max_adapters={} resident=[", endpoint.adapters(), catalog.max_adapters)?;
-        list(f, endpoint.contents.models().map(ResidentLine))?;
+        list(f, endpoint.contents.models().map(ResidentFormat))?;
         write!(f, "] advertised=[")?;
-        list(f, endpoint.advertised.models().map(ResidentLine))?;
+        list(f, endpoint.advertised.models().map(ResidentFormat))?;
         write!(f, "]")
     }
 }
 
-struct ResidentLine<'a>(&'a Resident);
+struct ResidentFormat<'a>(&'a Resident);
 
-impl fmt::Display for ResidentLine<'_> {
+impl fmt::Display for ResidentFormat<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0.model)?;
         self.0.adapters.iter().try_for_each(|adapter| write!(f, "+{adapter}"))
@@ -50,13 +50,13 @@
 
 impl fmt::Display for ListedModels<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        list(f, self.0.iter().map(ListedModelLine))
+        list(f, self.0.iter().map(ListedModelFormat))
     }
 }
 
-struct ListedModelLine<'a>(&'a ResidentModel);
+struct ListedModelFormat<'a>(&'a ResidentModel);
 
-impl fmt::Display for ListedModelLine<'_> {
+impl fmt::Display for ListedModelFormat<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0.name)?;
         self.0.adapters.iter().try_for_each(|adapter| write!(f, "+{adapter}"))
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -242,13 +242,13 @@
         let order = endpoint.order.as_ref().and_then(|order| {
             if order.is_unanswered() { Some(order.sent + ORDER_TIMEOUT) } else { order.next_wake() }
         });
-        let refused = Some(endpoint.not_before);
+        let backoff = Some(endpoint.not_before);
         let verification = match endpoint.verification {
             Verification::Verified { .. } => None,
             Verification::Unverified { not_before } => endpoint.reservation.is_some().then_some(not_before),
             Verification::Requested { at } => Some(at + REPORT_TIMEOUT),
         };
-        [order, refused, verification].into_iter().flatten().filter(|at| *at > self.now).min()
+        [order, backoff, verification].into_iter().flatten().filter(|at| *at > self.now).min()
     }
 
     /// The item that an endpoint was ordered to evict and may still list: it refuses requests for it, and lists it
--- a/crates/placement/src/planning.rs
+++ b/crates/placement/src/planning.rs
@@ -20,7 +20,7 @@
 const URGENT_EXTRA_LOADS: usize = 1;
 
 /// Models that may be requested again are loaded up to this fraction of the window.
-const RESTORE_SHARE: f64 = 0.5;
+const RESTORE_FRACTION: f64 = 0.5;
 
 /// Expected time of an adapter load.
 const ADAPTER_LOAD: Duration = Duration::from_millis(100);
@@ -95,7 +95,7 @@
             Some(victims) => {
                 let victim = victims.into_iter().next().map(|victim| victim.model);
                 let site = Site { endpoint: id.clone(), victim };
-                self.order_next(view, &desired, &site);
+                self.send_next_order(view, &desired, &site);
             }
         }
     }
@@ -119,7 +119,7 @@
         let Some(endpoint) = self.endpoints.get(&site.endpoint) else { return false };
         let zone = endpoint.zone.clone();
         let uses_store = !endpoint.on_disk.contains(model);
-        let later = site.victim.is_some() || endpoint.revision().is_none();
+        let reserves = site.victim.is_some() || endpoint.revision().is_none();
         if uses_store && !self.may_load(view.now, desired.priority) {
             self.load_blocked = true;
             return false;
@@ -130,12 +130,12 @@
             {
                 view.remove_replica(&reservation.model, &zone);
             }
-            if later {
+            if reserves {
                 endpoint.reserve_for(model.clone(), desired.priority.urgent(), view.now);
             }
         }
         view.add_replica(model, &zone);
-        self.order_next(view, &desired, &site);
+        self.send_next_order(view, &desired, &site);
         true
     }
 
@@ -147,15 +147,15 @@
             }
             Priority::Additional => self.load_limiter.available(now, RESERVED_LOADS, 0) > 0,
             Priority::Restore => {
-                self.load_limiter.utilization(now) < RESTORE_SHARE
+                self.load_limiter.utilization(now) < RESTORE_FRACTION
                     && self.load_limiter.available(now, 0, 0) > 0
             }
         }
     }
 
     /// Sends the next order for a replica at a site: an eviction, or the load.
-    fn order_next(&mut self, view: &mut PlanningView, desired: &DesiredReplica, site: &Site) {
-        if !self.request_verification(view.now, &site.endpoint) {
+    fn send_next_order(&mut self, view: &mut PlanningView, desired: &DesiredReplica, site: &Site) {
+        if !self.ensure_verified(view.now, &site.endpoint) {
             return;
         }
         let Some(endpoint) = self.endpoints.get(&site.endpoint) else { return };
@@ -197,7 +197,7 @@
     }
 
     fn place_adapter(&mut self, now: Duration, desired: &DesiredAdapter, site: &AdapterSite) {
-        if !self.request_verification(now, &site.endpoint) {
+        if !self.ensure_verified(now, &site.endpoint) {
             return;
         }
         let urgent = desired.priority == AdapterPriority::First;
@@ -209,7 +209,7 @@
     }
 
     /// Whether the contents of an endpoint are verified; otherwise a report is requested.
-    fn request_verification(&mut self, now: Duration, id: &Arc<str>) -> bool {
+    fn ensure_verified(&mut self, now: Duration, id: &Arc<str>) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(id) else { return false };
         match endpoint.verification {
             Verification::Verified { .. } => true,
--- a/crates/placement/tests/any_order.rs
+++ b/crates/placement/tests/any_order.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use support::fleet::Partition;
-use support::simulation::{Demanded, Simulation, runtime};
+use support::simulation::{ItemDemand, Simulation, runtime};
 
 /// One thing that happens.
 #[derive(Debug, Clone)]
@@ -69,7 +69,7 @@
     let name = |number: &usize| format!("e{}", number + 1);
     match event {
         Event::Demand(items) => {
-            let demanded = |(model, adapter, rate): &(usize, Option<u32>, f64)| Demanded {
+            let demanded = |(model, adapter, rate): &(usize, Option<u32>, f64)| ItemDemand {
                 model: format!("m{model}"),
                 adapter: adapter.map(|number| format!("a{number}")),
                 rate: *rate,
@@ -120,7 +120,7 @@
             apply(&mut simulation, event);
             let until = simulation.now_ms + duration_ms;
             simulation.run_until(until);
-            prop_assert!(simulation.checks.violations_found.is_empty(), "{:?}", simulation.checks.violations_found);
+            prop_assert!(simulation.checks.violations.is_empty(), "{:?}", simulation.checks.violations);
         }
     }
 
@@ -144,7 +144,7 @@
         for number in 0..ENDPOINTS / 2 {
             simulation.restart(&format!("e{}", number + 1));
         }
-        let demanded = wanted.iter().map(|model| Demanded { model: format!("m{model}"), adapter: None, rate: 1.5 });
+        let demanded = wanted.iter().map(|model| ItemDemand { model: format!("m{model}"), adapter: None, rate: 1.5 });
         simulation.demand = demanded.collect();
         let until = simulation.now_ms + 60_000;
         simulation.run_until(until);
@@ -152,7 +152,7 @@
             let model = format!("m{model}");
             prop_assert!(simulation.replicas(&model, None) >= 1, "{model} is resident nowhere");
         }
-        prop_assert!(simulation.checks.violations_found.is_empty(), "{:?}", simulation.checks.violations_found);
+        prop_assert!(simulation.checks.violations.is_empty(), "{:?}", simulation.checks.violations);
         // The expected rate of earlier demand decays, and additional replicas are loaded one by one.
         let until = simulation.now_ms + 120_000;
         simulation.run_until(until);
--- a/crates/placement/tests/delayed_reports.rs
+++ b/crates/placement/tests/delayed_reports.rs
@@ -37,7 +37,7 @@
     orders_arrive: bool,
     history: VecDeque<EndpointReport>,
     given: Vec<Order>,
-    violations_found: Vec<String>,
+    violations: Vec<String>,
 }
 
 fn placer(now_ms: u64, start: Start) -> Placer {
@@ -83,7 +83,7 @@
             orders_arrive: true,
             history: VecDeque::new(),
             given: Vec::new(),
-            violations_found: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
@@ -191,7 +191,7 @@
     /// Finally the endpoint has `model` resident, and its capacity was never exceeded.
     fn expect_in_the_end(&mut self, model: &str) {
         self.run_for(15_000);
-        assert!(self.violations_found.is_empty(), "{:?}", self.violations_found);
+        assert!(self.violations.is_empty(), "{:?}", self.violations);
         assert_eq!(self.placer.violations().total(), 0);
         assert!(self.endpoint.is_resident(model, None), "{:?}", self.given);
     }
@@ -206,7 +206,7 @@
         let adapters = self.endpoint.adapters() + usize::from(is_adapter);
         if used_mb > runtime.weights_mb || adapters > runtime.max_adapters as usize {
             let held: BTreeMap<_, _> = self.endpoint.models.clone();
-            self.violations_found.push(format!("{}: {order:?} beside {held:?}", self.now_ms));
+            self.violations.push(format!("{}: {order:?} beside {held:?}", self.now_ms));
         }
     }
 }
--- a/crates/placement/tests/digests.rs
+++ b/crates/placement/tests/digests.rs
@@ -7,20 +7,20 @@
 use support::digest::compare;
 use support::fleet::Partition;
 use support::random::Random;
-use support::simulation::{Demanded, Simulation, runtime};
+use support::simulation::{ItemDemand, Simulation, runtime};
 
 const SEEDS: u64 = 240;
 const MODELS: u64 = 20;
 const ADAPTERS: u64 = 12;
 
-fn demand(random: &mut Random) -> Vec<Demanded> {
+fn demand(random: &mut Random) -> Vec<ItemDemand> {
     let items = random.below(25);
     let mut demanded = Vec::new();
     for _ in 0..items {
         let model = format!("m{}", 1 + random.below(MODELS));
         let adapter = (random.below(3) == 0).then(|| format!("a{}", 1 + random.below(ADAPTERS)));
         let rate = [0.3, 2.0, 14.0][random.below(3) as usize] * (0.2 + random.unit());
-        demanded.push(Demanded { model, adapter, rate });
+        demanded.push(ItemDemand { model, adapter, rate });
     }
     demanded
 }
--- a/crates/placement/tests/scenarios.rs
+++ b/crates/placement/tests/scenarios.rs
@@ -7,7 +7,7 @@
 use lanegate_placement::Operation;
 use std::path::Path;
 use support::fleet::Partition;
-use support::simulation::{Demanded, Simulation, runtime};
+use support::simulation::{ItemDemand, Simulation, runtime};
 
 /// A parsed line, with its location for messages.
 struct Line<'a> {
@@ -37,21 +37,21 @@
     }
 }
 
-fn demanded(line: &Line) -> Vec<Demanded> {
+fn demanded(line: &Line) -> Vec<ItemDemand> {
     let pairs = line.words[3..].chunks(2);
     pairs
         .map(|pair| {
             let (model, adapter) = split(pair[0]);
             let rate =
                 pair[1].parse().unwrap_or_else(|_| panic!("{}: {} is no rate", line.location, pair[1]));
-            Demanded { model: model.into(), adapter: adapter.map(str::to_string), rate }
+            ItemDemand { model: model.into(), adapter: adapter.map(str::to_string), rate }
         })
         .collect()
 }
 
 /// `zipf MODELS RATE EXPONENT SHIFT`: demand for many models, most of it for a few; the most popular is the one after
 /// `SHIFT`. A quarter of it is for adapters, skewed in the same way.
-fn zipf(line: &Line) -> Vec<Demanded> {
+fn zipf(line: &Line) -> Vec<ItemDemand> {
     let (models, rate, exponent) = (line.number(3) as usize, line.number(4), line.number(5));
     let shift = line.number(6) as usize;
     let weight = |rank: usize| 1.0 / (rank as f64).powf(exponent);
@@ -60,12 +60,12 @@
     for rank in 1..=models {
         let model = format!("m{}", (rank - 1 + shift) % models + 1);
         let rate = rate * weight(rank) / total;
-        demanded.push(Demanded { model: model.clone(), adapter: None, rate: rate * 0.75 });
+        demanded.push(ItemDemand { model: model.clone(), adapter: None, rate: rate * 0.75 });
         if rank <= 8 {
             let adapters: f64 = (1..=8).map(weight).sum();
             for number in 1..=8 {
                 let rate = rate * 0.25 * weight(number) / adapters;
-                demanded.push(Demanded { model: model.clone(), adapter: Some(format!("a{number}")), rate });
+                demanded.push(ItemDemand { model: model.clone(), adapter: Some(format!("a{number}")), rate });
             }
         }
     }
@@ -93,10 +93,10 @@
         simulation.run_until((line.number(1) * 1_000.0) as u64);
         command(&mut simulation, line);
         assert!(
-            simulation.checks.violations_found.is_empty(),
+            simulation.checks.violations.is_empty(),
             "{}: {:?}",
             line.location,
-            simulation.checks.violations_found
+            simulation.checks.violations
         );
     }
 }
--- a/crates/placement/tests/support/check.rs
+++ b/crates/placement/tests/support/check.rs
@@ -22,7 +22,7 @@
     pub store_loads: Vec<u64>,
     pub open: BTreeMap<String, u64>,
     pub last_requested: BTreeMap<String, u64>,
-    pub violations_found: Vec<String>,
+    pub violations: Vec<String>,
     pub most_at_once: usize,
     /// Endpoints that have registered as draining.
     pub known_draining: BTreeSet<String>,
@@ -31,17 +31,16 @@
 }
 
 impl Checks {
-    pub(crate) fn demanded(&mut self, now_ms: u64, model: &str) {
+    pub(crate) fn requested(&mut self, now_ms: u64, model: &str) {
         self.last_requested.insert(model.into(), now_ms);
     }
 
     pub(crate) fn order_sent(&mut self, now_ms: u64, order: &Order, endpoints: &[Endpoint]) {
         if self.open.insert(order.instance.to_string(), order.id.0).is_some() {
-            self.violations_found.push(format!("{now_ms}: two orders at once to {}", order.instance));
+            self.violations.push(format!("{now_ms}: two orders at once to {}", order.instance));
         }
         if self.known_draining.contains(&*order.instance) {
-            self.violations_found
-                .push(format!("{now_ms}: order to the draining endpoint {}", order.instance));
+            self.violations.push(format!("{now_ms}: order to the draining endpoint {}", order.instance));
         }
         if order.operation == Operation::Evict && order.adapter.is_none() {
             self.last_copy(now_ms, order, endpoints);
@@ -55,7 +54,7 @@
         let kept = others.filter(|endpoint| endpoint.will_be_resident(&order.model, None)).count();
         let calm = now_ms > self.last_fault_ms + FAULT_RECOVERY_MS;
         if calm && wanted && kept == 0 {
-            self.violations_found.push(format!(
+            self.violations.push(format!(
                 "{now_ms}: last replica in demand of {} is evicted from {}",
                 order.model, order.instance
             ));
@@ -75,11 +74,11 @@
         }
         let used = endpoint.used_mb(runtime) + size(runtime, &order.model, order.adapter.is_some());
         if used > runtime.weights_mb {
-            self.violations_found.push(format!("{now_ms}: {used} MB at {}", order.instance));
+            self.violations.push(format!("{now_ms}: {used} MB at {}", order.instance));
         }
         let adapters = endpoint.adapters() + usize::from(order.adapter.is_some());
         if adapters > runtime.max_adapters as usize {
-            self.violations_found.push(format!("{now_ms}: {adapters} adapters at {}", order.instance));
+            self.violations.push(format!("{now_ms}: {adapters} adapters at {}", order.instance));
         }
         if order.adapter.is_none() && !endpoint.disk.contains(&*order.model) {
             self.store_load(now_ms, runtime);
@@ -91,19 +90,19 @@
         let window = self.store_loads.iter().filter(|at| **at + WINDOW_MS > now_ms).count() as f64;
         let permitted = runtime.loads_per_s * WINDOW_MS as f64 / 1_000.0;
         if window > permitted * OVERSHOOT + 3.0 {
-            self.violations_found.push(format!("{now_ms}: {window} loads in the window"));
+            self.violations.push(format!("{now_ms}: {window} loads in the window"));
         }
     }
 
     /// The guard blocked orders: the planner was wrong.
-    pub(crate) fn orders_blocked(&mut self, now_ms: u64, violations: InvariantViolations) {
+    pub(crate) fn check_blocked_orders(&mut self, now_ms: u64, violations: InvariantViolations) {
         if violations.total() > 0 {
-            self.violations_found.push(format!("{now_ms}: {violations:?}"));
+            self.violations.push(format!("{now_ms}: {violations:?}"));
         }
     }
 
     /// An order was answered: the endpoint may get another.
-    pub(crate) fn order_settled(&mut self, instance: &str, order: u64) {
+    pub(crate) fn order_closed(&mut self, instance: &str, order: u64) {
         if self.open.get(instance) == Some(&order) {
             self.open.remove(instance);
         }
--- a/crates/placement/tests/support/simulation.rs
+++ b/crates/placement/tests/support/simulation.rs
@@ -43,14 +43,14 @@
 
 /// Requests a second for one item.
 #[derive(Clone)]
-pub(crate) struct Demanded {
+pub(crate) struct ItemDemand {
     pub model: String,
     pub adapter: Option<String>,
     pub rate: f64,
 }
 
 /// The newest registration of an incarnation.
-struct Listed {
+struct Registration {
     instance: Instance,
     last_heartbeat_ms: u64,
 }
@@ -60,7 +60,7 @@
     pub runtime: Runtime,
     pub placer: Placer,
     pub endpoints: Vec<Endpoint>,
-    pub demand: Vec<Demanded>,
+    pub demand: Vec<ItemDemand>,
     pub checks: Checks,
     pub orders: Vec<(u64, Order)>,
     /// Digest of the placer's actions and their times.
@@ -81,9 +81,9 @@
     switched_off: SwitchedOff,
     messages: BTreeMap<(u64, u64), (u32, Message)>,
     sent: u64,
-    histories: BTreeMap<(u64, String), EndpointReport>,
+    past_reports: BTreeMap<(u64, String), EndpointReport>,
     /// The newest registration of each incarnation, which every controller has.
-    list: BTreeMap<String, Listed>,
+    registry: BTreeMap<String, Registration>,
 }
 
 pub(crate) fn runtime(models: usize, size_mb: f64, load_s: f64, adapters: u32, adapter_mb: f64) -> Runtime {
@@ -153,8 +153,8 @@
             switched_off,
             messages: BTreeMap::new(),
             sent: 0,
-            histories: BTreeMap::new(),
-            list: BTreeMap::new(),
+            past_reports: BTreeMap::new(),
+            registry: BTreeMap::new(),
         }
     }
 
@@ -179,7 +179,7 @@
         self.remove_silent();
         self.deliver();
         if now_ms.is_multiple_of(100) {
-            self.remember();
+            self.record_reports();
         }
         for router in 0..self.routers {
             if now_ms % DEMAND_MS == router as u64 * DEMAND_MS / self.routers as u64 / 10 * 10 {
@@ -189,10 +189,10 @@
         if self.placer.next_wake().is_some_and(|at| at <= self.now()) {
             self.placer.wake(self.now());
         }
-        self.drain();
+        self.process_actions();
         self.record_placer();
         self.checks.loading(&self.endpoints);
-        self.checks.orders_blocked(now_ms, self.placer.violations());
+        self.checks.check_blocked_orders(now_ms, self.placer.violations());
     }
 
     fn send(&mut self, delay_ms: u64, message: Message) {
@@ -204,11 +204,11 @@
         10 + self.random.below(3) * 10
     }
 
-    fn drain(&mut self) {
+    fn process_actions(&mut self) {
         while let Some(action) = self.placer.next_action() {
             self.record_action(&action);
             match action {
-                Action::Order(order) => self.order_leaves(order),
+                Action::Order(order) => self.order_sent(order),
                 Action::RequestReport { instance, address } => {
                     let first = self.first_report_requests.insert((self.generation, instance.to_string()));
                     self.report_requests += u64::from(!first);
@@ -262,7 +262,7 @@
         }
     }
 
-    fn order_leaves(&mut self, order: Order) {
+    fn order_sent(&mut self, order: Order) {
         self.checks.order_sent(self.now_ms, &order, &self.endpoints);
         self.orders.push((self.now_ms, order.clone()));
         if self.random.unit() < self.loss {
@@ -295,7 +295,7 @@
             Message::Order(order) => self.order_arrives(order),
             Message::LateOrder(order) => self.late_order_arrives(&order),
             Message::Answer(id, instance, answer) if current => {
-                self.checks.order_settled(&instance, id.0);
+                self.checks.order_closed(&instance, id.0);
                 self.placer.order_answered(now, id, answer);
             }
             Message::Instance(instance) => {
@@ -309,24 +309,24 @@
             Message::DelayedInstance(instance) => self.deliver_heartbeat(&instance),
             Message::Removed(id) => {
                 self.checks.open.remove(&id);
-                self.list.remove(&id);
+                self.registry.remove(&id);
                 self.placer.removed(now, &id);
             }
             Message::Report(id, report) if current => self.placer.report(now, &id, &report),
             Message::ReportRequest(address, id) => self.report_request_arrives(address, &id),
             Message::Answer(..) | Message::Report(..) => {}
         }
-        self.drain();
+        self.process_actions();
     }
 
     fn deliver_heartbeat(&mut self, instance: &Instance) {
         if instance.state == InstanceState::Draining {
             self.checks.known_draining.insert(instance.id.clone());
         }
-        let known = self.list.get(&instance.id);
+        let known = self.registry.get(&instance.id);
         if known.is_none_or(|known| known.instance.sequence < instance.sequence) {
-            let listed = Listed { instance: instance.clone(), last_heartbeat_ms: self.now_ms };
-            self.list.insert(instance.id.clone(), listed);
+            let registration = Registration { instance: instance.clone(), last_heartbeat_ms: self.now_ms };
+            self.registry.insert(instance.id.clone(), registration);
         }
         self.placer.instance(self.now(), instance);
     }
@@ -334,11 +334,13 @@
     /// Removes endpoints without a heartbeat for too long, running or not.
     fn remove_silent(&mut self) {
         let now_ms = self.now_ms;
-        let silent =
-            self.list.iter().filter(|(_, listed)| listed.last_heartbeat_ms + REMOVAL_TIMEOUT_MS < now_ms);
+        let silent = self
+            .registry
+            .iter()
+            .filter(|(_, registration)| registration.last_heartbeat_ms + REMOVAL_TIMEOUT_MS < now_ms);
         let silent: Vec<String> = silent.map(|(id, _)| id.clone()).collect();
         for id in silent {
-            self.list.remove(&id);
+            self.registry.remove(&id);
             self.send(0, Message::Removed(id));
         }
         if self.endpoints.iter().any(|endpoint| endpoint.partition.is_some()) {
@@ -420,18 +422,18 @@
         let lost = self.random.unit() < self.loss || self.is_partitioned(address);
         let there = self.endpoints.iter().any(|e| e.up && e.address == address && e.id() == id);
         let as_of = self.now_ms.saturating_sub(REPORT_LAG_MS) / 100 * 100;
-        let report = self.histories.get(&(as_of, id.to_string())).cloned();
+        let report = self.past_reports.get(&(as_of, id.to_string())).cloned();
         if let Some(report) = report.filter(|_| there && !lost) {
             let delay = self.delay();
             self.send(delay, Message::Report(id.to_string(), report));
         }
     }
 
-    fn remember(&mut self) {
+    fn record_reports(&mut self) {
         let now_ms = self.now_ms;
-        self.histories.retain(|(at, _), _| *at + 2_000 > now_ms);
+        self.past_reports.retain(|(at, _), _| *at + 2_000 > now_ms);
         for endpoint in self.endpoints.iter().filter(|endpoint| endpoint.up) {
-            self.histories.insert((now_ms, endpoint.id()), endpoint.report());
+            self.past_reports.insert((now_ms, endpoint.id()), endpoint.report());
         }
     }
 
@@ -461,7 +463,7 @@
             let placed = self.replicas(&demanded.model, demanded.adapter.as_deref()) > 0;
             let unplaced = if placed { 0 } else { requests };
             self.requests += u64::from(requests);
-            self.checks.demanded(self.now_ms, &demanded.model);
+            self.checks.requested(self.now_ms, &demanded.model);
             if unplaced > 0 {
                 let name = format!("{}/{}", demanded.model, demanded.adapter.as_deref().unwrap_or(""));
                 self.unplaced.push((self.now_ms, name, unplaced));
@@ -477,7 +479,7 @@
         }
         let report = DemandReport { period_ms: DEMAND_MS as u32, models };
         self.placer.demand(self.now(), &format!("router-{router}"), &report);
-        self.drain();
+        self.process_actions();
     }
 
     /// Ready endpoints that have an item resident.
@@ -506,7 +508,7 @@
 
     /// Fills the endpoints as they begin: the models in demand on many, the rest on one each.
     pub(crate) fn fill(&mut self) {
-        let mut models: Vec<Demanded> =
+        let mut models: Vec<ItemDemand> =
             self.demand.iter().filter(|demanded| demanded.adapter.is_none()).cloned().collect();
         models.sort_by(|a, b| b.rate.total_cmp(&a.rate));
         let total: f64 = models.iter().map(|demanded| demanded.rate).sum();
@@ -606,8 +608,8 @@
         let seed = self.random.next();
         self.placer = Placer::new(now, BACKEND, seed, &settings(Start::Takeover, self.switched_off));
         self.placer.configure(now, &self.runtime);
-        for listed in self.list.values() {
-            self.placer.instance(now, &listed.instance);
+        for registration in self.registry.values() {
+            self.placer.instance(now, &registration.instance);
         }
     }
 }
