--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -3,6 +3,7 @@
 #![allow(dead_code)]
 
 pub(crate) mod check;
+pub(crate) mod decision_digest;
 pub(crate) mod digest;
 pub(crate) mod fleet;
 pub(crate) mod random;
