--- a/crates/config/src/control_state/command.rs
+++ b/crates/config/src/control_state/command.rs
@@ -58,8 +58,7 @@
     /// # Errors
     /// The bytes are no command.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        let ((body, _), head) =
-            CommandHead::from_bytes((bytes, 0)).map_err(|error| DecodeError::new("a command", &error))?;
+        let ((body, _), head) = CommandHead::from_bytes((bytes, 0)).map_err(DecodeError::Command)?;
         let if_match = (head.has_if_match != 0).then_some(head.if_match);
         Ok(Command { method: head.method, if_match, body: body.to_vec() })
     }
--- a/crates/config/src/control_state/mod.rs
+++ b/crates/config/src/control_state/mod.rs
@@ -39,16 +39,16 @@
 
 /// Why bytes cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("not readable as {what}: {reason}")]
-pub struct DecodeError {
-    what: &'static str,
-    reason: String,
-}
-
-impl DecodeError {
-    fn new(what: &'static str, error: &DekuError) -> Self {
-        DecodeError { what, reason: error.to_string() }
-    }
+pub enum DecodeError {
+    /// The bytes are no command.
+    #[error("not readable as a command: {0}")]
+    Command(#[source] DekuError),
+    /// The bytes are no control state.
+    #[error("not readable as a control state: {0}")]
+    ControlState(#[source] DekuError),
+    /// The bytes are no outcome.
+    #[error("not readable as an outcome: {0}")]
+    Outcome(#[source] DekuError),
 }
 
 /// The newest configuration and what is needed to answer changes of it.
@@ -129,8 +129,7 @@
         if bytes.is_empty() {
             return Ok(ControlState::default());
         }
-        let ((document, _), head) =
-            Head::from_bytes((bytes, 0)).map_err(|error| DecodeError::new("a control state", &error))?;
+        let ((document, _), head) = Head::from_bytes((bytes, 0)).map_err(DecodeError::ControlState)?;
         Ok(ControlState { version: head.version, document: document.to_vec(), history: head.history })
     }
 
--- a/crates/config/src/control_state/outcome.rs
+++ b/crates/config/src/control_state/outcome.rs
@@ -101,8 +101,7 @@
     /// # Errors
     /// The bytes are no outcome.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        let (_, outcome) =
-            EncodedOutcome::from_bytes((bytes, 0)).map_err(|error| DecodeError::new("an outcome", &error))?;
+        let (_, outcome) = EncodedOutcome::from_bytes((bytes, 0)).map_err(DecodeError::Outcome)?;
         Ok(outcome.into())
     }
 }
--- a/crates/config/src/settings/checks.rs
+++ b/crates/config/src/settings/checks.rs
@@ -2,6 +2,7 @@
 
 use super::Settings;
 use crate::findings::Findings;
+use std::net::SocketAddr;
 
 /// The role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,15 +41,18 @@
 pub(super) fn check_for(settings: &Settings, role: ProcessRole) -> Findings {
     let mut findings = Findings::default();
     let listeners = &settings.listeners_map;
-    let needed = match role {
-        ProcessRole::Router => {
-            vec![("Frontend", listeners.frontend.is_some()), ("Readiness", listeners.readiness.is_some())]
+    let mut require = |name: &str, listener: Option<SocketAddr>| {
+        if listener.is_none() {
+            findings.add(format!("ListenersMap.{name}"), format!("is missing, and {role:?} needs it"));
         }
-        ProcessRole::Controller => vec![("ControlPlane", listeners.control_plane.is_some())],
-        ProcessRole::Agent => Vec::new(),
     };
-    for (name, _) in needed.into_iter().filter(|(_, given)| !given) {
-        findings.add(format!("ListenersMap.{name}"), format!("is missing, and {role:?} needs it"));
+    match role {
+        ProcessRole::Router => {
+            require("Frontend", listeners.frontend);
+            require("Readiness", listeners.readiness);
+        }
+        ProcessRole::Controller => require("ControlPlane", listeners.control_plane),
+        ProcessRole::Agent => {}
     }
     if role == ProcessRole::Controller && settings.data_dir.is_none() {
         findings.add("DataDir", "is missing, and Controller needs it");
