--- a/crates/config/src/control_state/outcome.rs
+++ b/crates/config/src/control_state/outcome.rs
@@ -1,27 +1,36 @@
-//! What became of a change.
+//! The outcome of a change.
 
 use super::DecodeError;
 use crate::findings::{Finding, Findings};
 use deku::{DekuContainerRead, DekuContainerWrite, DekuRead, DekuWrite};
 
-/// Bound on findings that an encoded outcome holds; the others are only counted.
-const MOST_ENCODED_FINDINGS: usize = 50;
+/// Limit on the findings of an encoded outcome; further ones are only counted.
+const MAX_ENCODED_FINDINGS: usize = 50;
 
-/// Bound on a text of an encoded finding, bytes.
-const MOST_TEXT_BYTES: usize = 1_000;
+/// Limit on a text of an encoded finding, bytes.
+const MAX_TEXT_BYTES: usize = 1_000;
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// It is in force as `version`.
-    Taken { version: u64 },
-    /// It was taken before; `current` is in force now.
-    AlreadyTaken { current: u64 },
+    Taken {
+        /// The version that is in force now.
+        version: u64,
+    },
+    /// It was accepted before; `current` is in force now.
+    AlreadyTaken {
+        /// The version in force.
+        current: u64,
+    },
     /// It builds on another version than `current`.
-    Conflict { current: u64 },
+    Conflict {
+        /// The version in force.
+        current: u64,
+    },
     /// It cannot be read or makes no valid configuration.
     Invalid(Findings),
-    /// It may have been taken before or not, for these reasons.
+    /// It is unknown whether it was accepted before, for these reasons.
     Unclear(Findings),
 }
 
@@ -51,7 +60,7 @@
 #[derive(DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 struct EncodedFinding {
-    place: EncodedText,
+    location: EncodedText,
     message: EncodedText,
 }
 
@@ -64,7 +73,7 @@
 }
 
 impl Outcome {
-    /// Whether the change is in force, or was.
+    /// Whether the change was accepted.
     pub fn is_acknowledged(&self) -> bool {
         matches!(self, Outcome::Taken { .. } | Outcome::AlreadyTaken { .. })
     }
@@ -79,15 +88,20 @@
         }
     }
 
-    /// The outcome as bytes; of many findings only the first are kept.
+    /// The outcome as bytes, with the first findings only.
+    ///
+    /// # Panics
+    /// Never: an outcome has no field that cannot be written.
     pub fn encode(&self) -> Vec<u8> {
         EncodedOutcome::from(self).to_bytes().expect("an outcome has no field that cannot be written")
     }
 
     /// Reads an outcome.
+    ///
+    /// # Errors
+    /// The bytes are no outcome.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        let (_, outcome) =
-            EncodedOutcome::from_bytes((bytes, 0)).map_err(|error| DecodeError::new("an outcome", &error))?;
+        let (_, outcome) = EncodedOutcome::from_bytes((bytes, 0)).map_err(DecodeError::Outcome)?;
         Ok(outcome.into())
     }
 }
@@ -106,11 +120,11 @@
 
 impl From<&Findings> for EncodedFindings {
     fn from(findings: &Findings) -> Self {
-        let kept = findings.iter().take(MOST_ENCODED_FINDINGS);
-        let mut encoded: Vec<_> = kept.map(EncodedFinding::from).collect();
-        let left_out = findings.iter().count() - encoded.len();
-        if left_out > 0 {
-            encoded.push((&Finding::new("", format!("{left_out} more"))).into());
+        let first = findings.iter().take(MAX_ENCODED_FINDINGS);
+        let mut encoded: Vec<_> = first.map(EncodedFinding::from).collect();
+        let omitted = findings.iter().count() - encoded.len();
+        if omitted > 0 {
+            encoded.push((&Finding::new("", format!("{omitted} more"))).into());
         }
         EncodedFindings { length: encoded.len() as u16, findings: encoded }
     }
@@ -118,13 +132,13 @@
 
 impl From<&Finding> for EncodedFinding {
     fn from(finding: &Finding) -> Self {
-        EncodedFinding { place: (&*finding.location).into(), message: (&*finding.message).into() }
+        EncodedFinding { location: (&*finding.location).into(), message: (&*finding.message).into() }
     }
 }
 
 impl From<&str> for EncodedText {
     fn from(text: &str) -> Self {
-        let mut end = text.len().min(MOST_TEXT_BYTES);
+        let mut end = text.len().min(MAX_TEXT_BYTES);
         while !text.is_char_boundary(end) {
             end -= 1;
         }
@@ -148,7 +162,7 @@
     fn from(encoded: EncodedFindings) -> Self {
         let mut findings = Findings::default();
         for finding in encoded.findings {
-            findings.add(String::from(finding.place), String::from(finding.message));
+            findings.add(String::from(finding.location), String::from(finding.message));
         }
         findings
     }
--- a/crates/config/src/findings.rs
+++ b/crates/config/src/findings.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a document: every mistake with its location, all at once.
+//! Mistakes in a document: each with its location, all reported at once.
 
 use std::fmt;
 
@@ -7,6 +7,7 @@
 pub struct Finding {
     /// Path of the field, as in `Routes[3].Backend`; empty for the document as a whole.
     pub location: String,
+    /// What is wrong.
     pub message: String,
 }
 
@@ -26,12 +27,12 @@
     }
 }
 
-/// All mistakes of a document, in the order in which they stand in it.
+/// All mistakes of a document, in the order of their locations.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Findings(Vec<Finding>);
 
 impl Findings {
-    /// Findings that hold only one.
+    /// A single finding.
     pub fn one(location: impl Into<String>, message: impl Into<String>) -> Self {
         Findings(vec![Finding::new(location, message)])
     }
@@ -57,6 +58,9 @@
     }
 
     /// `Ok` where nothing was found.
+    ///
+    /// # Errors
+    /// The findings, if there are any.
     pub fn into_result(self) -> Result<(), Findings> {
         if self.is_empty() { Ok(()) } else { Err(self) }
     }
--- a/crates/placement/src/planning.rs
+++ b/crates/placement/src/planning.rs
@@ -1,12 +1,11 @@
 //! One planning round: from demand and contents to orders.
 
 use crate::adapter_placement::{AdapterPlanner, AdapterPriority, AdapterSite, DesiredAdapter};
+use crate::desired_replica::{DesiredReplica, Priority, desired_replica, desired_replicas};
 use crate::endpoint::Verification;
 use crate::in_flight::InFlightOrder;
 use crate::interface::{Action, Item, Operation, Order, OrderId};
-use crate::model_placement::{
-    DesiredReplica, Priority, Site, desired_replica, desired_replicas, expected_load_time,
-};
+use crate::model_placement::{Site, expected_load_time};
 use crate::order_completion::REPORT_RETRY_DELAY;
 use crate::order_log::{self, EndpointState};
 use crate::placer::Placer;
@@ -21,7 +20,7 @@
 const URGENT_EXTRA_LOADS: usize = 1;
 
 /// Models that may be requested again are loaded up to this fraction of the window.
-const RESTORE_SHARE: f64 = 0.5;
+const RESTORE_FRACTION: f64 = 0.5;
 
 /// Expected time of an adapter load.
 const ADAPTER_LOAD: Duration = Duration::from_millis(100);
@@ -96,7 +95,7 @@
             Some(victims) => {
                 let victim = victims.into_iter().next().map(|victim| victim.model);
                 let site = Site { endpoint: id.clone(), victim };
-                self.order_next(view, &desired, &site);
+                self.send_next_order(view, &desired, &site);
             }
         }
     }
@@ -120,7 +119,7 @@
         let Some(endpoint) = self.endpoints.get(&site.endpoint) else { return false };
         let zone = endpoint.zone.clone();
         let uses_store = !endpoint.on_disk.contains(model);
-        let later = site.victim.is_some() || endpoint.revision().is_none();
+        let reserves = site.victim.is_some() || endpoint.revision().is_none();
         if uses_store && !self.may_load(view.now, desired.priority) {
             self.load_blocked = true;
             return false;
@@ -131,12 +130,12 @@
             {
                 view.remove_replica(&reservation.model, &zone);
             }
-            if later {
+            if reserves {
                 endpoint.reserve_for(model.clone(), desired.priority.urgent(), view.now);
             }
         }
         view.add_replica(model, &zone);
-        self.order_next(view, &desired, &site);
+        self.send_next_order(view, &desired, &site);
         true
     }
 
@@ -148,15 +147,15 @@
             }
             Priority::Additional => self.load_limiter.available(now, RESERVED_LOADS, 0) > 0,
             Priority::Restore => {
-                self.load_limiter.utilization(now) < RESTORE_SHARE
+                self.load_limiter.utilization(now) < RESTORE_FRACTION
                     && self.load_limiter.available(now, 0, 0) > 0
             }
         }
     }
 
     /// Sends the next order for a replica at a site: an eviction, or the load.
-    fn order_next(&mut self, view: &mut PlanningView, desired: &DesiredReplica, site: &Site) {
-        if !self.request_verification(view.now, &site.endpoint) {
+    fn send_next_order(&mut self, view: &mut PlanningView, desired: &DesiredReplica, site: &Site) {
+        if !self.ensure_verified(view.now, &site.endpoint) {
             return;
         }
         let Some(endpoint) = self.endpoints.get(&site.endpoint) else { return };
@@ -198,7 +197,7 @@
     }
 
     fn place_adapter(&mut self, now: Duration, desired: &DesiredAdapter, site: &AdapterSite) {
-        if !self.request_verification(now, &site.endpoint) {
+        if !self.ensure_verified(now, &site.endpoint) {
             return;
         }
         let urgent = desired.priority == AdapterPriority::First;
@@ -210,7 +209,7 @@
     }
 
     /// Whether the contents of an endpoint are verified; otherwise a report is requested.
-    fn request_verification(&mut self, now: Duration, id: &Arc<str>) -> bool {
+    fn ensure_verified(&mut self, now: Duration, id: &Arc<str>) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(id) else { return false };
         match endpoint.verification {
             Verification::Verified { .. } => true,
@@ -246,21 +245,36 @@
             endpoint.invalidate(now + REPORT_RETRY_DELAY);
             return;
         }
-        let load_time = match (operation, item.is_model()) {
-            (Operation::Load, true) => expected_load_time(&self.catalog, &item.model),
-            _ => ADAPTER_LOAD,
-        };
-        let mut in_flight = InFlightOrder::new(&order, now, load_time);
-        in_flight.urgent = urgent;
-        in_flight.request_rate = request_rate;
-        in_flight.uses_store =
-            operation == Operation::Load && item.is_model() && !endpoint.on_disk.contains(&item.model);
+        let in_flight = self.in_flight_order(now, &order, urgent, request_rate);
         if in_flight.uses_store {
-            self.load_limiter.start(order.id, now + load_time);
+            self.load_limiter.start(order.id, in_flight.expected);
+        }
+        if let Some(endpoint) = self.endpoints.get_mut(id) {
+            endpoint.order = Some(in_flight);
+            order_log::sent(now, &order, &EndpointState { endpoint, catalog: &self.catalog });
         }
-        endpoint.order = Some(in_flight);
-        order_log::sent(now, &order, &EndpointState { endpoint, catalog: &self.catalog });
         self.orders.insert(order.id, id.clone());
         self.actions.push_back(Action::Order(order));
     }
+
+    fn in_flight_order(
+        &self,
+        now: Duration,
+        order: &Order,
+        urgent: bool,
+        request_rate: f64,
+    ) -> InFlightOrder {
+        let loads_model = order.operation == Operation::Load && order.adapter.is_none();
+        let load_time =
+            if loads_model { expected_load_time(&self.catalog, &order.model) } else { ADAPTER_LOAD };
+        let on_disk = self
+            .endpoints
+            .get(&order.instance)
+            .is_some_and(|endpoint| endpoint.on_disk.contains(&order.model));
+        let mut in_flight = InFlightOrder::new(order, now, load_time);
+        in_flight.urgent = urgent;
+        in_flight.request_rate = request_rate;
+        in_flight.uses_store = loads_model && !on_disk;
+        in_flight
+    }
 }
