--- a/crates/lanegate/examples/small_system/client.rs
+++ b/crates/lanegate/examples/small_system/client.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 
 /// Status and body of the answer to one request.
-pub async fn get(address: SocketAddr, path: &str, attempt: &str) -> Outcome<(u16, String)> {
+pub(crate) async fn get(address: SocketAddr, path: &str, attempt: &str) -> Outcome<(u16, String)> {
     let stream = TokioIo::new(TcpStream::connect(address).await?);
     let (mut sender, connection) = handshake(stream).await?;
     tokio::task::spawn_local(connection);
--- a/crates/lanegate/examples/small_system/endpoint.rs
+++ b/crates/lanegate/examples/small_system/endpoint.rs
@@ -19,7 +19,7 @@
 const HEARTBEAT: Duration = Duration::from_millis(500);
 
 /// Starts the endpoint `id` of `service`.
-pub async fn start(id: &'static str, service: &'static str, control: SocketAddr) -> Outcome<()> {
+pub(crate) async fn start(id: &'static str, service: &'static str, control: SocketAddr) -> Outcome<()> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     println!("endpoint {id}: {service} at {address}");
--- a/crates/lanegate/examples/small_system/main.rs
+++ b/crates/lanegate/examples/small_system/main.rs
@@ -14,7 +14,7 @@
 use tokio::time::{sleep, timeout};
 
 /// Pause between questions whether something has happened.
-const PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Longest wait for the whole system to come up.
 const START_TIME: Duration = Duration::from_secs(20);
 /// Requests sent each time.
@@ -48,7 +48,7 @@
 
 async fn ready(addresses: &Addresses) {
     while !matches!(client::get(addresses.readiness, "/readyz", "ready").await, Ok((200, _))) {
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -56,7 +56,7 @@
     let mut attempt = 0;
     while !ask(addresses, &format!("moved-{attempt}")).await?.1.contains(service) {
         attempt += 1;
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/crates/lanegate/examples/small_system/operator.rs
+++ b/crates/lanegate/examples/small_system/operator.rs
@@ -1,13 +1,13 @@
 //! The operator: puts a configuration in force, then moves its route to another service.
 
-use crate::{Outcome, PAUSE};
+use crate::{Outcome, POLL_INTERVAL};
 use lanegate_control_http::{ClientRequest, ControlMethod, call};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::sleep;
 
 /// Longest wait for one answer.
-const PATIENCE: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 const CONFIGURATION: &str = r#"{"Version":1,
     "Routes":[{"Name":"chat","Hostname":"models.example","PathPrefix":"/chat/","RouteType":"idempotent",
@@ -19,12 +19,12 @@
                "TimeoutMs":2000,"TargetMs":500,"Backend":"large","MaxAttempts":2}]}}"#;
 
 /// Sends the first configuration until it is taken.
-pub async fn put(control: SocketAddr) -> Outcome<String> {
+pub(crate) async fn put(control: SocketAddr) -> Outcome<String> {
     send(control, ControlMethod::Put, 0, CONFIGURATION).await
 }
 
 /// Moves the route.
-pub async fn patch(control: SocketAddr) -> Outcome<String> {
+pub(crate) async fn patch(control: SocketAddr) -> Outcome<String> {
     send(control, ControlMethod::Patch, 1, MOVE).await
 }
 
@@ -37,12 +37,12 @@
     let request =
         ClientRequest { method, if_match: Some(version), body: body.into(), ..ClientRequest::get("/config") };
     loop {
-        match call(control, &request, PATIENCE).await {
+        match call(control, &request, CALL_TIMEOUT).await {
             Ok(answer) if answer.status < 500 => {
                 return Ok(format!("{} {}", answer.status, String::from_utf8_lossy(&answer.body)));
             }
             // No clear answer: the same is sent again.
-            _ => sleep(PAUSE).await,
+            _ => sleep(POLL_INTERVAL).await,
         }
     }
 }
--- a/crates/lanegate/examples/small_system/processes.rs
+++ b/crates/lanegate/examples/small_system/processes.rs
@@ -19,7 +19,7 @@
 const CORE: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
 
 /// Where the processes are.
-pub struct Addresses {
+pub(crate) struct Addresses {
     pub frontend: SocketAddr,
     pub readiness: SocketAddr,
     pub control: SocketAddr,
@@ -28,7 +28,7 @@
 
 impl Addresses {
     /// Addresses that nobody listens on.
-    pub fn free() -> io::Result<Self> {
+    pub(crate) fn free() -> io::Result<Self> {
         let ports: Vec<TcpListener> = (0..4).map(|_| free_listener()).collect::<io::Result<_>>()?;
         let port = |index: usize| ports[index].local_addr().map(|address| address.port());
         Ok(Addresses {
@@ -62,7 +62,7 @@
 }
 
 /// Starts all three.
-pub fn start(addresses: &Addresses, data: &Path) -> Outcome<()> {
+pub(crate) fn start(addresses: &Addresses, data: &Path) -> Outcome<()> {
     run("controller", addresses.settings("core-1", CORE, data)?, |settings| run_controller(settings, None));
     let edge = addresses.settings("edge-1", EDGE, data)?;
     run("agent", edge.clone(), |settings| run_agent(settings, None));
--- a/crates/lanegate/src/command_line.rs
+++ b/crates/lanegate/src/command_line.rs
@@ -11,14 +11,14 @@
 
 /// What the command line asks for.
 #[derive(Debug, Clone)]
-pub struct Arguments {
+pub(crate) struct Arguments {
     pub log_level: LevelFilter,
     pub command: Command,
 }
 
 /// One command.
 #[derive(Debug, Clone)]
-pub enum Command {
+pub(crate) enum Command {
     Router(Serving),
     Agent { metrics_port: Option<u16> },
     Controller(Serving),
@@ -28,14 +28,14 @@
 
 /// How a process serves that decides for requests or models.
 #[derive(Debug, Clone)]
-pub struct Serving {
+pub(crate) struct Serving {
     pub metrics_port: Option<u16>,
     /// Mechanisms that are switched off.
     pub without: Vec<Mechanism>,
 }
 
 /// A command line, read.
-pub enum Parsed {
+pub(crate) enum Parsed {
     Arguments(Arguments),
     /// Help or version.
     Information(String),
@@ -44,7 +44,7 @@
 }
 
 /// Reads the command line of this process.
-pub fn parse() -> Parsed {
+pub(crate) fn parse() -> Parsed {
     match options().run_inner(Args::current_args()) {
         Ok(arguments) => Parsed::Arguments(arguments),
         Err(ParseFailure::Stdout(text, full)) => Parsed::Information(text.monochrome(full)),
--- a/crates/lanegate/src/commands/check.rs
+++ b/crates/lanegate/src/commands/check.rs
@@ -14,7 +14,7 @@
 }
 
 /// Prints every finding of `files` with its place; fails where one is a mistake.
-pub fn run(files: &[PathBuf]) -> Result<(), CommandError> {
+pub(super) fn run(files: &[PathBuf]) -> Result<(), CommandError> {
     let mut mistakes = 0;
     for file in files {
         let report = check(file);
--- a/crates/lanegate/src/commands/controller.rs
+++ b/crates/lanegate/src/commands/controller.rs
@@ -6,7 +6,7 @@
 use lanegate_config::settings::ProcessRole;
 
 /// Serves until SIGTERM.
-pub fn run(serving: &Serving) -> Result<(), CommandError> {
+pub(super) fn run(serving: &Serving) -> Result<(), CommandError> {
     let Serving { metrics_port, without } = serving;
     process::run(ProcessRole::Controller, *metrics_port, without, lanegate_controller::run_controller)
 }
--- a/crates/lanegate/src/commands/mod.rs
+++ b/crates/lanegate/src/commands/mod.rs
@@ -16,7 +16,7 @@
 
 /// Why a command failed.
 #[derive(Debug, Error)]
-pub enum CommandError {
+pub(crate) enum CommandError {
     /// There are no settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
@@ -36,7 +36,7 @@
 
 impl CommandError {
     /// The exit code that tells of it.
-    pub fn exit_code(&self) -> u8 {
+    pub(crate) fn exit_code(&self) -> u8 {
         match self {
             CommandError::Settings(_) | CommandError::RoleSettings(_) => exit::SETTINGS,
             CommandError::Process(_) | CommandError::Findings { .. } | CommandError::Status(_) => {
@@ -47,7 +47,7 @@
 }
 
 /// Does what `command` asks for.
-pub fn run(command: Command) -> Result<(), CommandError> {
+pub(crate) fn run(command: Command) -> Result<(), CommandError> {
     match command {
         Command::Router(serving) => router::run(&serving),
         Command::Agent { metrics_port } => agent::run(metrics_port),
--- a/crates/lanegate/src/commands/process.rs
+++ b/crates/lanegate/src/commands/process.rs
@@ -12,7 +12,7 @@
 /// Reads the settings and runs `serve` with them until it ends.
 ///
 /// The mechanisms of `without` are switched off. Where a port is given, the process tells its figures there, at the address of its machine.
-pub fn run<F, E>(
+pub(super) fn run<F, E>(
     role: ProcessRole,
     metrics_port: Option<u16>,
     without: &[Mechanism],
@@ -25,10 +25,14 @@
     let mut settings = load(role)?;
     settings.switched_off = without.iter().copied().collect();
     for mechanism in without {
-        log::warn!("{mechanism} is switched off");
+        log::warn!("mechanism switched off name={mechanism}");
     }
     let (first_port, last_port) = settings.port_range;
-    log::info!("{} starts as {role:?}, ports {first_port} to {last_port}", settings.node_name);
+    log::info!(
+        "process started role={} node={} first_port={first_port} last_port={last_port}",
+        role_name(role),
+        settings.node_name
+    );
     let identity = ProcessIdentity::starting(role_name(role), env!("CARGO_PKG_VERSION"));
     let work = async {
         let address = metrics_port.map(|port| SocketAddr::new(settings.ip, port));
@@ -36,12 +40,14 @@
         serve(settings, metrics).await.map_err(Into::into)
     };
     block_on(work).map_err(CommandError::Process)?;
-    log::info!("ended");
+    log::info!("process ended role={}", role_name(role));
     Ok(())
 }
 
 /// Runs `work` on a runtime of this thread.
-pub fn block_on<T>(work: impl Future<Output = Result<T, Box<dyn Error>>>) -> Result<T, Box<dyn Error>> {
+pub(super) fn block_on<T>(
+    work: impl Future<Output = Result<T, Box<dyn Error>>>,
+) -> Result<T, Box<dyn Error>> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, work)
 }
--- a/crates/lanegate/src/commands/router.rs
+++ b/crates/lanegate/src/commands/router.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 
 /// Serves until SIGTERM.
-pub fn run(serving: &Serving) -> Result<(), CommandError> {
+pub(super) fn run(serving: &Serving) -> Result<(), CommandError> {
     process::run(ProcessRole::Router, serving.metrics_port, &serving.without, serve)
 }
 
--- a/crates/lanegate/src/commands/status.rs
+++ b/crates/lanegate/src/commands/status.rs
@@ -16,7 +16,7 @@
 
 /// Why there is no status to print.
 #[derive(Debug, Error)]
-pub enum StatusError {
+pub(crate) enum StatusError {
     /// No whole answer.
     #[error("{address}: {source}")]
     NoAnswer { address: SocketAddr, source: CallError },
@@ -26,7 +26,7 @@
 }
 
 /// Prints the answer of the controller at `address`.
-pub fn run(address: SocketAddr) -> Result<(), CommandError> {
+pub(super) fn run(address: SocketAddr) -> Result<(), CommandError> {
     let request = ClientRequest::get(PATH);
     let answer = block_on(async { Ok(call(address, &request, TIME_OUT).await) });
     let answer = answer.map_err(CommandError::Process)?;
--- a/crates/lanegate/src/exit.rs
+++ b/crates/lanegate/src/exit.rs
@@ -1,8 +1,8 @@
 //! Exit codes; 0 is success, a stop by SIGTERM included.
 
 /// The process ended by an error, or a checked file has findings.
-pub const FAILURE: u8 = 1;
+pub(crate) const FAILURE: u8 = 1;
 /// The command line makes no sense.
-pub const USAGE: u8 = 2;
+pub(crate) const USAGE: u8 = 2;
 /// The settings file cannot be used.
-pub const SETTINGS: u8 = 3;
+pub(crate) const SETTINGS: u8 = 3;
--- a/crates/lanegate/src/logging.rs
+++ b/crates/lanegate/src/logging.rs
@@ -15,7 +15,7 @@
 const STANDARD_ERROR: &str = "stderr";
 
 /// Writes events of `level` and above from now on; nothing is set up where the log is off.
-pub fn start(level: LevelFilter) {
+pub(crate) fn start(level: LevelFilter) {
     if level == LevelFilter::Off {
         return;
     }
--- a/crates/lanegate/tests/check.rs
+++ b/crates/lanegate/tests/check.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn every_finding_of_every_file_is_printed_with_its_place() {
+fn every_finding_of_every_file_is_printed_with_its_location() {
     let settings = file("bad.yaml", "NodeName: a\nPortRange: [2, 1]\n");
     let configuration = file(
         "bad_configuration",
--- a/crates/lanegate/tests/command_line.rs
+++ b/crates/lanegate/tests/command_line.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn mistakes_on_the_command_line_end_with_2() {
+fn usage_errors_exit_with_status_2() {
     let mistakes: [&[&str]; 6] = [
         &[],
         &["fly"],
--- a/crates/lanegate/tests/common/mod.rs
+++ b/crates/lanegate/tests/common/mod.rs
@@ -1,41 +1,41 @@
 //! Runs of the program.
 #![allow(dead_code)]
 
-pub mod processes;
+pub(crate) mod processes;
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
 /// Settings that lack nothing but what single roles need.
-pub const SETTINGS: &str = "NodeName: a\nIp: 127.0.0.1\nZone: z\nPortRange: [10, 20]\n";
+pub(crate) const SETTINGS: &str = "NodeName: a\nIp: 127.0.0.1\nZone: z\nPortRange: [10, 20]\n";
 
 /// The program with `arguments` and nothing of this process's environment that it reads.
-pub fn lanegate(arguments: &[&str]) -> Command {
+pub(crate) fn lanegate(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lanegate"));
     command.args(arguments).env_remove("LANEGATE_LOG").env_remove("LANEGATE_NODE_FILE");
     command
 }
 
 /// What a run to the end gives.
-pub fn run(arguments: &[&str]) -> Output {
+pub(crate) fn run(arguments: &[&str]) -> Output {
     lanegate(arguments).output().unwrap()
 }
 
 /// A file of that name and text.
-pub fn file(name: &str, text: &str) -> PathBuf {
+pub(crate) fn file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
     path
 }
 
-pub fn code(output: &Output) -> i32 {
+pub(crate) fn code(output: &Output) -> i32 {
     output.status.code().unwrap()
 }
 
-pub fn out(output: &Output) -> String {
+pub(crate) fn out(output: &Output) -> String {
     String::from_utf8(output.stdout.clone()).unwrap()
 }
 
-pub fn err(output: &Output) -> String {
+pub(crate) fn err(output: &Output) -> String {
     String::from_utf8(output.stderr.clone()).unwrap()
 }
--- a/crates/lanegate/tests/common/processes.rs
+++ b/crates/lanegate/tests/common/processes.rs
@@ -13,7 +13,7 @@
 const FEED_PORTS: u16 = 8_000;
 
 /// Addresses of a machine that is a loopback address of its own, and its settings file.
-pub struct Place {
+pub(crate) struct ProcessAddresses {
     pub frontend: SocketAddr,
     pub readiness: SocketAddr,
     pub control: SocketAddr,
@@ -44,8 +44,8 @@
     }
 }
 
-/// A place of that name, whose settings suit every role, with nothing on its disk.
-pub fn place(name: &str) -> Place {
+/// A addresses of that name, whose settings suit every role, with nothing on its disk.
+pub(crate) fn addresses(name: &str) -> ProcessAddresses {
     let ip = own_address();
     let at = |port| SocketAddr::new(ip, port);
     let (frontend, readiness, control, metrics) = (at(8144), at(8140), at(8146), at(9464));
@@ -61,15 +61,15 @@
         data.display()
     );
     let settings = file(&format!("{name}.yaml"), &text);
-    Place { frontend, readiness, control, metrics, feed, settings }
+    ProcessAddresses { frontend, readiness, control, metrics, feed, settings }
 }
 
 /// A process; it is killed when this is dropped.
-pub struct Process(Option<Child>);
+pub(crate) struct Process(Option<Child>);
 
 impl Process {
     /// Waits for the end of the process.
-    pub fn output(mut self) -> Output {
+    pub(crate) fn output(mut self) -> Output {
         self.0.take().expect("a process").wait_with_output().unwrap()
     }
 
@@ -87,24 +87,24 @@
     }
 }
 
-/// Starts a role at a place.
-pub fn start(role: &str, place: &Place) -> Process {
-    start_with(&[role], place)
+/// Starts a role at a addresses.
+pub(crate) fn start(role: &str, addresses: &ProcessAddresses) -> Process {
+    start_with(&[role], addresses)
 }
 
 /// Starts a role that tells its figures at `port`.
-pub fn start_with_metrics(role: &str, place: &Place, port: u16) -> Process {
-    start_with(&[role, "--metrics-port", &port.to_string()], place)
+pub(crate) fn start_with_metrics(role: &str, addresses: &ProcessAddresses, port: u16) -> Process {
+    start_with(&[role, "--metrics-port", &port.to_string()], addresses)
 }
 
-fn start_with(arguments: &[&str], place: &Place) -> Process {
+fn start_with(arguments: &[&str], addresses: &ProcessAddresses) -> Process {
     let mut program = lanegate(&[&["--log-level", "info"], arguments].concat());
-    let program = program.env("LANEGATE_NODE_FILE", &place.settings).stderr(Stdio::piped());
+    let program = program.env("LANEGATE_NODE_FILE", &addresses.settings).stderr(Stdio::piped());
     Process(Some(program.spawn().unwrap()))
 }
 
 /// Waits until the process listens at `address`.
-pub fn connect(address: SocketAddr, process: &mut Process) -> TcpStream {
+pub(crate) fn connect(address: SocketAddr, process: &mut Process) -> TcpStream {
     loop {
         if let Ok(stream) = TcpStream::connect(address) {
             return stream;
@@ -119,7 +119,7 @@
 }
 
 /// Waits until the process answers a call at `address`.
-pub fn call(address: SocketAddr, path: &str, process: &mut Process) -> String {
+pub(crate) fn call(address: SocketAddr, path: &str, process: &mut Process) -> String {
     let mut stream = connect(address, process);
     write!(stream, "GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").unwrap();
     let mut answer = String::new();
@@ -128,13 +128,13 @@
 }
 
 /// Sends a signal, as `-TERM`.
-pub fn send(signal: &str, process: &mut Process) {
+pub(crate) fn send(signal: &str, process: &mut Process) {
     let id = process.child().id().to_string();
     assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
 }
 
 /// Asks a process to end and waits for that.
-pub fn terminate(mut process: Process) -> Output {
+pub(crate) fn terminate(mut process: Process) -> Output {
     send("-TERM", &mut process);
     process.output()
 }
--- a/crates/lanegate/tests/metrics.rs
+++ b/crates/lanegate/tests/metrics.rs
@@ -5,7 +5,7 @@
 mod text_format;
 
 use common::err;
-use common::processes::{Place, Process, call, connect, place, start_with_metrics, terminate};
+use common::processes::{Process, ProcessAddresses, addresses, call, connect, start_with_metrics, terminate};
 use lanegate_invariants::Invariant;
 use lanegate_metrics::METRICS_PATH;
 use std::collections::{BTreeMap, BTreeSet};
@@ -64,9 +64,9 @@
 fn every_metric_stands_on_the_operators_page_and_no_other() {
     let mut told = BTreeSet::new();
     for role in ROLES {
-        let place = place(&format!("metrics-names-{role}"));
-        let mut child = start_with_metrics(role, &place, place.metrics.port());
-        let figures = figures(place.metrics, &mut child);
+        let addresses = addresses(&format!("metrics-names-{role}"));
+        let mut child = start_with_metrics(role, &addresses, addresses.metrics.port());
+        let figures = figures(addresses.metrics, &mut child);
         let build = [("role", role), ("version", env!("CARGO_PKG_VERSION"))];
         assert_eq!(figures.value("lanegate_build_info", &build), 1.0);
         assert_eq!(figures.sum("lanegate_invariant_violations_total"), 0.0);
@@ -86,18 +86,18 @@
 
 #[test]
 fn the_figures_of_the_three_roles_agree_on_the_configuration() {
-    let place = place("metrics-system");
-    let at = |port| SocketAddr::new(place.metrics.ip(), port);
+    let addresses = addresses("metrics-system");
+    let at = |port| SocketAddr::new(addresses.metrics.ip(), port);
     let (metrics_of_router, metrics_of_agent) = (at(9465), at(9466));
-    let mut controller = start_with_metrics("controller", &place, place.metrics.port());
-    change(&place, &mut controller);
-    let mut agent = start_with_metrics("agent", &place, metrics_of_agent.port());
-    let mut router = start_with_metrics("router", &place, metrics_of_router.port());
+    let mut controller = start_with_metrics("controller", &addresses, addresses.metrics.port());
+    change(&addresses, &mut controller);
+    let mut agent = start_with_metrics("agent", &addresses, metrics_of_agent.port());
+    let mut router = start_with_metrics("router", &addresses, metrics_of_router.port());
     let version = "lanegate_router_configuration_version";
     let of_router = wait_until(metrics_of_router, &mut router, |told| told.value(version, &[]) == 7.0);
     assert_eq!(of_router.value("lanegate_router_agent_link_up", &[]), 1.0);
     let of_agent = figures(metrics_of_agent, &mut agent);
-    let of_controller = figures(place.metrics, &mut controller);
+    let of_controller = figures(addresses.metrics, &mut controller);
     assert_eq!(of_agent.value("lanegate_agent_router_links", &[]), 1.0);
     assert_eq!(of_agent.value("lanegate_agent_sources", &[("standing", "trusted")]), 1.0);
     assert_eq!(of_agent.value("lanegate_agent_links_started_total", &[]), 1.0);
@@ -116,10 +116,10 @@
     }
 }
 
-fn change(place: &Place, controller: &mut Process) {
+fn change(addresses: &ProcessAddresses, controller: &mut Process) {
     let began = Instant::now();
     loop {
-        let mut stream = connect(place.control, controller);
+        let mut stream = connect(addresses.control, controller);
         let length = CONFIGURATION.len();
         write!(
             stream,
@@ -129,9 +129,10 @@
         .unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).unwrap();
-        match answer.starts_with("HTTP/1.1 200 ") {
-            true => return,
-            false => assert!(answer.starts_with("HTTP/1.1 503 ") && began.elapsed() < PATIENCE, "{answer}"),
+        if answer.starts_with("HTTP/1.1 200 ") {
+            return;
+        } else {
+            assert!(answer.starts_with("HTTP/1.1 503 ") && began.elapsed() < PATIENCE, "{answer}")
         }
     }
 }
@@ -139,13 +140,13 @@
 #[test]
 fn a_process_whose_port_for_metrics_is_taken_says_so_once_and_serves() {
     for role in ROLES {
-        let place = place(&format!("metrics-taken-{role}"));
-        let taken = TcpListener::bind(place.metrics).unwrap();
-        let mut child = start_with_metrics(role, &place, place.metrics.port());
+        let addresses = addresses(&format!("metrics-taken-{role}"));
+        let taken = TcpListener::bind(addresses.metrics).unwrap();
+        let mut child = start_with_metrics(role, &addresses, addresses.metrics.port());
         let serves_at = BTreeMap::from([
-            ("router", place.readiness),
-            ("agent", place.feed),
-            ("controller", place.control),
+            ("router", addresses.readiness),
+            ("agent", addresses.feed),
+            ("controller", addresses.control),
         ]);
         connect(serves_at[role], &mut child);
         let output = terminate(child);
@@ -161,12 +162,12 @@
 #[test]
 fn a_port_for_metrics_that_is_one_of_the_roles_own_stays_with_the_role() {
     for role in ["router", "controller"] {
-        let place = place(&format!("metrics-own-{role}"));
+        let addresses = addresses(&format!("metrics-own-{role}"));
         let (served, path) = match role {
-            "router" => (place.readiness, "/readyz"),
-            _ => (place.control, "/status"),
+            "router" => (addresses.readiness, "/readyz"),
+            _ => (addresses.control, "/status"),
         };
-        let mut child = start_with_metrics(role, &place, served.port());
+        let mut child = start_with_metrics(role, &addresses, served.port());
         let answer = call(served, path, &mut child);
         assert!(!answer.starts_with("HTTP/1.1 404 "), "{answer}");
         let output = terminate(child);
@@ -177,10 +178,10 @@
 
 #[test]
 fn a_process_without_a_port_for_metrics_listens_at_none() {
-    let place = place("metrics-none");
-    let mut child = common::processes::start("router", &place);
-    connect(place.readiness, &mut child);
-    assert!(std::net::TcpStream::connect(place.metrics).is_err());
+    let addresses = addresses("metrics-none");
+    let mut child = common::processes::start("router", &addresses);
+    connect(addresses.readiness, &mut child);
+    assert!(std::net::TcpStream::connect(addresses.metrics).is_err());
     assert_eq!(terminate(child).status.code(), Some(0));
 }
 
--- a/crates/lanegate/tests/signals.rs
+++ b/crates/lanegate/tests/signals.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::err;
-use common::processes::{call, connect, place, send, start, terminate};
+use common::processes::{addresses, call, connect, send, start, terminate};
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::process::Output;
@@ -18,24 +18,24 @@
 
 #[test]
 fn a_router_ends_well_at_sigterm() {
-    let place = place("signals-router");
-    let mut child = start("router", &place);
-    let answer = call(place.readiness, "/readyz", &mut child);
+    let addresses = addresses("signals-router");
+    let mut child = start("router", &addresses);
+    let answer = call(addresses.readiness, "/readyz", &mut child);
     assert!(answer.starts_with("HTTP/1.1 503 "), "it knows no configuration yet: {answer}");
     assert_ended_well(&terminate(child));
 }
 
 #[test]
 fn a_router_stays_at_sighup_and_answers_the_request_that_was_on_its_way() {
-    let place = place("signals-router-hup");
-    let mut child = start("router", &place);
-    call(place.readiness, "/readyz", &mut child);
-    let mut client = connect(place.frontend, &mut child);
+    let addresses = addresses("signals-router-hup");
+    let mut child = start("router", &addresses);
+    call(addresses.readiness, "/readyz", &mut child);
+    let mut client = connect(addresses.frontend, &mut child);
     client
         .write_all(b"POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nConnection: close\r\n\r\nbo")
         .unwrap();
     send("-HUP", &mut child);
-    call(place.readiness, "/readyz", &mut child);
+    call(addresses.readiness, "/readyz", &mut child);
     client.write_all(b"dy").unwrap();
     let mut answer = String::new();
     client.read_to_string(&mut answer).unwrap();
@@ -45,30 +45,30 @@
 
 #[test]
 fn an_agent_ends_well_at_sigterm_and_stays_at_sighup() {
-    let place = place("signals-agent");
-    let mut child = start("agent", &place);
-    connect(place.feed, &mut child);
+    let addresses = addresses("signals-agent");
+    let mut child = start("agent", &addresses);
+    connect(addresses.feed, &mut child);
     send("-HUP", &mut child);
-    connect(place.feed, &mut child);
+    connect(addresses.feed, &mut child);
     assert_ended_well(&terminate(child));
 }
 
 #[test]
 fn a_controller_ends_well_at_sigterm_and_stays_at_sighup() {
-    let place = place("signals-controller");
-    let mut child = start("controller", &place);
-    call(place.control, "/status", &mut child);
+    let addresses = addresses("signals-controller");
+    let mut child = start("controller", &addresses);
+    call(addresses.control, "/status", &mut child);
     send("-HUP", &mut child);
-    let answer = call(place.control, "/status", &mut child);
+    let answer = call(addresses.control, "/status", &mut child);
     assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
     assert_ended_well(&terminate(child));
 }
 
 #[test]
 fn an_address_that_is_taken_ends_with_1() {
-    let place = place("signals-taken");
-    let _taken = TcpListener::bind(place.control).unwrap();
-    let output = start("controller", &place).output();
+    let addresses = addresses("signals-taken");
+    let _taken = TcpListener::bind(addresses.control).unwrap();
+    let output = start("controller", &addresses).output();
     assert_eq!(output.status.code(), Some(1));
-    assert!(err(&output).contains(&place.control.to_string()), "{}", err(&output));
+    assert!(err(&output).contains(&addresses.control.to_string()), "{}", err(&output));
 }
--- a/crates/lanegate/tests/soak.rs
+++ b/crates/lanegate/tests/soak.rs
@@ -28,6 +28,6 @@
 }
 
 #[test]
-fn troubles_of_the_control_plane_break_no_invariant() {
+fn faults_of_the_control_plane_break_no_invariant() {
     soak(2);
 }
--- a/crates/lanegate/tests/status.rs
+++ b/crates/lanegate/tests/status.rs
@@ -36,14 +36,14 @@
 }
 
 #[test]
-fn a_refusal_is_told() {
+fn a_rejection_is_reported() {
     let (_, output) = ask("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(code(&output), 1);
     assert!(err(&output).contains("503"), "{}", err(&output));
 }
 
 #[test]
-fn what_is_no_answer_is_told() {
+fn a_malformed_answer_is_reported() {
     let (_, output) = ask("nonsense\r\n\r\n");
     assert_eq!(code(&output), 1);
     assert_eq!(out(&output), "");
