--- a/crates/coordination/src/simulation/schedule.rs
+++ b/crates/coordination/src/simulation/schedule.rs
@@ -54,186 +54,181 @@
     }
 }
 
-/// The machines of a random scenario.
-struct Participants {
+/// Draws the steps of a random scenario.
+struct Generator {
+    random: SmallRng,
     mix: FaultMix,
+    bootstrap_members: usize,
+    /// Number of all machines.
     count: usize,
-    /// Gets most of the requests.
+    /// The machine that gets most of the requests.
     favourite: MachineIndex,
 }
 
 /// The random scenario of a seed: requests and faults in any order, then all faults end.
 #[must_use]
 pub fn random_scenario(seed: u64) -> Scenario {
-    let mut random = SmallRng::seed_from_u64(seed);
-    let mix = FaultMix::of(seed);
-    let bootstrap_members = if mix != FaultMix::Any || random.random_bool(0.6) { 3 } else { 5 };
-    let fewest_spares = usize::from(matches!(mix, FaultMix::Members | FaultMix::SecondLoss));
-    let spares = random.random_range(fewest_spares..=2);
-    let count = bootstrap_members + spares;
-    let participants = Participants { mix, count, favourite: random.random_range(0..count) };
+    let mut generator = Generator::new(seed);
     let mut steps = vec![Step::Wait(FIRST_DELAY)];
     while steps.len() < STEPS {
-        match mix {
-            FaultMix::Any => add_steps(&mut steps, &mut random, bootstrap_members, count),
-            _ => add_round(&mut steps, &mut random, &participants),
-        }
+        steps.extend(match generator.mix {
+            FaultMix::Any => generator.any_steps(),
+            _ => generator.round(),
+        });
     }
     steps.push(Step::Quiesce);
-    Scenario { bootstrap_members, spares, seed, steps }
+    let Generator { bootstrap_members, count, .. } = generator;
+    Scenario { bootstrap_members, spares: count - bootstrap_members, seed, steps }
 }
 
-fn add_steps(steps: &mut Vec<Step>, random: &mut SmallRng, bootstrap_members: usize, count: usize) {
-    let at = random.random_range(0..count);
-    match random.random_range(0..100) {
-        0..45 => add_request(steps, random, at),
-        45..70 => steps.push(Step::Wait(random_delay(random))),
-        70..86 => add_process_fault(steps, random, at),
-        86..94 => add_network_fault(steps, random, at, count),
-        94..98 => add_disk_fault(steps, random, at),
-        _ => add_membership_change(steps, random, bootstrap_members, count),
+impl Generator {
+    fn new(seed: u64) -> Self {
+        let mut random = SmallRng::seed_from_u64(seed);
+        let mix = FaultMix::of(seed);
+        let bootstrap_members = if mix != FaultMix::Any || random.random_bool(0.6) { 3 } else { 5 };
+        let fewest_spares = usize::from(matches!(mix, FaultMix::Members | FaultMix::SecondLoss));
+        let count = bootstrap_members + random.random_range(fewest_spares..=2);
+        let favourite = random.random_range(0..count);
+        Self { random, mix, bootstrap_members, count, favourite }
     }
-}
 
-/// A round of few kinds of steps close together, so that more of their orders are covered: a change on one side of
-/// a partition, a fault while its messages are in flight, and what the other side then sees.
-fn add_round(steps: &mut Vec<Step>, random: &mut SmallRng, participants: &Participants) {
-    let proposer = if random.random_bool(FAVOURITE_PROBABILITY) {
-        participants.favourite
-    } else {
-        random.random_range(0..participants.count)
-    };
-    let any = |random: &mut SmallRng| random.random_range(0..participants.count);
-    let mut round =
-        vec![partition(random, participants.count), Step::Append(proposer), Step::Wait(short_delay(random))];
-    add_focus(&mut round, random, participants);
-    round.extend([
-        Step::Wait(short_delay(random)),
-        partition(random, participants.count),
-        Step::Wait(ROUND_TRIPS),
-    ]);
-    round.extend([Step::Append(any(random)), partition(random, participants.count), Step::Wait(RETRY)]);
-    round.push(Step::Read(any(random)));
-    steps.extend(round.into_iter().filter(|_| random.random_bool(KEEP_PROBABILITY)));
-}
+    /// Any machine.
+    fn machine(&mut self) -> MachineIndex {
+        self.random.random_range(0..self.count)
+    }
 
-/// The steps of a round that are particular to the fault mix.
-fn add_focus(steps: &mut Vec<Step>, random: &mut SmallRng, participants: &Participants) {
-    let at = random.random_range(0..participants.count);
-    match participants.mix {
-        FaultMix::Any => {}
-        FaultMix::Wipes => {
-            steps.extend([Step::WipeDisk(at), partition(random, participants.count), Step::Start(at)])
-        }
-        FaultMix::Restarts => {
-            // A proposer that restarts proposes again, while its earlier messages may still be in flight.
-            let at = if random.random_bool(FAVOURITE_PROBABILITY) { participants.favourite } else { at };
-            steps.extend([
-                Step::Kill(at),
-                partition(random, participants.count),
-                Step::Start(at),
-                Step::Append(at),
-            ]);
-        }
-        FaultMix::Members => {
-            let (old, new) = (at, random.random_range(0..participants.count));
-            steps.push(Step::Replace { old, new, via: participants.favourite });
-        }
-        FaultMix::SecondLoss => {
-            let (old, new) = (at, random.random_range(0..participants.count));
-            let lost = random.random_range(0..participants.count);
-            steps.push(match random.random_range(0..3) {
-                0 => Step::Leave { old, via: participants.favourite },
-                _ => Step::Replace { old, new, via: participants.favourite },
-            });
-            steps.extend([
-                Step::Wait(short_delay(random)),
-                Step::WipeDisk(lost),
-                Step::Wait(short_delay(random)),
-            ]);
-            steps.push(if random.random_bool(0.5) { Step::Start(lost) } else { Step::Retire(lost) });
+    fn any_steps(&mut self) -> Vec<Step> {
+        let at = self.machine();
+        match self.random.random_range(0..100) {
+            0..45 => self.request(at),
+            45..70 => vec![Step::Wait(self.random_delay())],
+            70..86 => self.process_fault(at),
+            86..94 => self.network_fault(at),
+            94..98 => self.disk_fault(at),
+            _ => self.membership_change(),
         }
     }
-}
 
-/// A delay about as long as a message or a write takes.
-fn short_delay(random: &mut SmallRng) -> u64 {
-    random.random_range(1..=MAX_SHORT_DELAY)
-}
+    /// A round of few kinds of steps close together, so that more of their orders are covered: a change on one side of
+    /// a partition, a fault while its messages are in flight, and what the other side then sees.
+    fn round(&mut self) -> Vec<Step> {
+        let proposer =
+            if self.random.random_bool(FAVOURITE_PROBABILITY) { self.favourite } else { self.machine() };
+        let mut round = vec![self.partition(), Step::Append(proposer), Step::Wait(self.short_delay())];
+        round.extend(self.focus());
+        round.extend([Step::Wait(self.short_delay()), self.partition(), Step::Wait(ROUND_TRIPS)]);
+        round.extend([Step::Append(self.machine()), self.partition(), Step::Wait(RETRY)]);
+        round.push(Step::Read(self.machine()));
+        round.retain(|_| self.random.random_bool(KEEP_PROBABILITY));
+        round
+    }
 
-/// A partition between a random set of machines and the others.
-fn partition(random: &mut SmallRng, count: usize) -> Step {
-    let set = (0..count).filter(|_| random.random_bool(0.5));
-    Step::Partition(set.fold(Machines::default(), Machines::with))
-}
+    /// The steps of a round that are particular to the fault mix.
+    fn focus(&mut self) -> Vec<Step> {
+        let at = self.machine();
+        match self.mix {
+            FaultMix::Any => Vec::new(),
+            FaultMix::Wipes => {
+                vec![Step::WipeDisk(at), self.partition(), Step::Start(at)]
+            }
+            FaultMix::Restarts => {
+                // A proposer that restarts proposes again, while its earlier messages may still be in flight.
+                let at = if self.random.random_bool(FAVOURITE_PROBABILITY) { self.favourite } else { at };
+                vec![Step::Kill(at), self.partition(), Step::Start(at), Step::Append(at)]
+            }
+            FaultMix::Members => {
+                let (old, new) = (at, self.machine());
+                vec![Step::Replace { old, new, via: self.favourite }]
+            }
+            FaultMix::SecondLoss => {
+                let (old, new) = (at, self.machine());
+                let lost = self.machine();
+                let change = match self.random.random_range(0..3) {
+                    0 => Step::Leave { old, via: self.favourite },
+                    _ => Step::Replace { old, new, via: self.favourite },
+                };
+                let (before, after) = (Step::Wait(self.short_delay()), Step::Wait(self.short_delay()));
+                let end = if self.random.random_bool(0.5) { Step::Start(lost) } else { Step::Retire(lost) };
+                vec![change, before, Step::WipeDisk(lost), after, end]
+            }
+        }
+    }
 
-fn add_request(steps: &mut Vec<Step>, random: &mut SmallRng, at: MachineIndex) {
-    steps.push(match random.random_range(0..10) {
-        0..5 => Step::Append(at),
-        5 => Step::Ensure(at),
-        6 => Step::AppendIfEven(at),
-        _ => Step::Read(at),
-    });
-}
+    /// A delay about as long as a message or a write takes.
+    fn short_delay(&mut self) -> u64 {
+        self.random.random_range(1..=MAX_SHORT_DELAY)
+    }
 
-/// A delay in milliseconds; short ones are as likely as long ones.
-fn random_delay(random: &mut SmallRng) -> u64 {
-    let longest = [1, 4, 15, 60, 250, 1_000][random.random_range(0..6)];
-    random.random_range(1..=longest)
-}
+    /// A partition between a random set of machines and the others.
+    fn partition(&mut self) -> Step {
+        let random = &mut self.random;
+        let set = (0..self.count).filter(|_| random.random_bool(0.5));
+        Step::Partition(set.fold(Machines::default(), Machines::with))
+    }
 
-fn add_process_fault(steps: &mut Vec<Step>, random: &mut SmallRng, at: MachineIndex) {
-    match random.random_range(0..12) {
-        0..2 => steps.push(Step::Freeze(at)),
-        2..4 => steps.push(Step::Thaw(at)),
-        4..6 => steps.push(Step::Start(at)),
-        6 => steps.extend([Step::Kill(at), Step::Wait(random_delay(random)), Step::Start(at)]),
-        7 => steps.extend([Step::LosePower(at), Step::Wait(random_delay(random)), Step::Start(at)]),
-        8 => steps.push(Step::Kill(at)),
-        9 => steps.push(Step::LosePower(at)),
-        10 => steps.extend([Step::WipeDisk(at), Step::Start(at)]),
-        _ => steps.extend([Step::WipeDisk(at), Step::Wait(random_delay(random)), Step::Start(at)]),
+    fn request(&mut self, at: MachineIndex) -> Vec<Step> {
+        vec![match self.random.random_range(0..10) {
+            0..5 => Step::Append(at),
+            5 => Step::Ensure(at),
+            6 => Step::AppendIfEven(at),
+            _ => Step::Read(at),
+        }]
     }
-}
 
-fn add_network_fault(steps: &mut Vec<Step>, random: &mut SmallRng, at: MachineIndex, count: usize) {
-    let other = random.random_range(0..count);
-    match random.random_range(0..10) {
-        0..3 => steps.push(Step::Heal),
-        3 => steps.push(Step::BlockLink(at, other)),
-        4 => steps.extend([Step::BlockLink(at, other), Step::BlockLink(other, at)]),
-        5 => steps.push(Step::Isolate(at)),
-        6 => steps.push(partition(random, count)),
-        7 => steps.push(Step::Loss(random.random_range(0..30))),
-        8 => steps.push(Step::Duplicate(random.random_range(0..30))),
-        _ => steps.push(Step::Delay(random_delay(random))),
+    /// A delay in milliseconds; short ones are as likely as long ones.
+    fn random_delay(&mut self) -> u64 {
+        let longest = [1, 4, 15, 60, 250, 1_000][self.random.random_range(0..6)];
+        self.random.random_range(1..=longest)
     }
-}
 
-fn add_disk_fault(steps: &mut Vec<Step>, random: &mut SmallRng, at: MachineIndex) {
-    steps.push(match random.random_range(0..6) {
-        0 => Step::StallDisk(at),
-        1 => Step::FillDisk(at),
-        2 => Step::SlowDisk(at, random_delay(random)),
-        _ => Step::RepairDisk(at),
-    });
-}
+    fn process_fault(&mut self, at: MachineIndex) -> Vec<Step> {
+        match self.random.random_range(0..12) {
+            0..2 => vec![Step::Freeze(at)],
+            2..4 => vec![Step::Thaw(at)],
+            4..6 => vec![Step::Start(at)],
+            6 => vec![Step::Kill(at), Step::Wait(self.random_delay()), Step::Start(at)],
+            7 => vec![Step::LosePower(at), Step::Wait(self.random_delay()), Step::Start(at)],
+            8 => vec![Step::Kill(at)],
+            9 => vec![Step::LosePower(at)],
+            10 => vec![Step::WipeDisk(at), Step::Start(at)],
+            _ => vec![Step::WipeDisk(at), Step::Wait(self.random_delay()), Step::Start(at)],
+        }
+    }
 
-fn add_membership_change(
-    steps: &mut Vec<Step>,
-    random: &mut SmallRng,
-    bootstrap_members: usize,
-    count: usize,
-) {
-    let (old, via) = (random.random_range(0..count), random.random_range(0..count));
-    if bootstrap_members == count || random.random_range(0..5) == 0 {
-        return steps.push(Step::Leave { old, via });
+    fn network_fault(&mut self, at: MachineIndex) -> Vec<Step> {
+        let other = self.machine();
+        match self.random.random_range(0..10) {
+            0..3 => vec![Step::Heal],
+            3 => vec![Step::BlockLink(at, other)],
+            4 => vec![Step::BlockLink(at, other), Step::BlockLink(other, at)],
+            5 => vec![Step::Isolate(at)],
+            6 => vec![self.partition()],
+            7 => vec![Step::Loss(self.random.random_range(0..30))],
+            8 => vec![Step::Duplicate(self.random.random_range(0..30))],
+            _ => vec![Step::Delay(self.random_delay())],
+        }
+    }
+
+    fn disk_fault(&mut self, at: MachineIndex) -> Vec<Step> {
+        vec![match self.random.random_range(0..6) {
+            0 => Step::StallDisk(at),
+            1 => Step::FillDisk(at),
+            2 => Step::SlowDisk(at, self.random_delay()),
+            _ => Step::RepairDisk(at),
+        }]
     }
-    let new = random.random_range(bootstrap_members..count);
-    match random.random_range(0..4) {
-        0 => steps.push(Step::Grow { new, via }),
-        1 => steps.extend([Step::Retire(old), Step::Replace { old, new, via }]),
-        2 => steps.push(Step::Replace { old, new, via }),
-        _ => steps.push(Step::Replace { old: new, new: old, via }),
+
+    fn membership_change(&mut self) -> Vec<Step> {
+        let (old, via) = (self.machine(), self.machine());
+        if self.bootstrap_members == self.count || self.random.random_range(0..5) == 0 {
+            return vec![Step::Leave { old, via }];
+        }
+        let new = self.random.random_range(self.bootstrap_members..self.count);
+        match self.random.random_range(0..4) {
+            0 => vec![Step::Grow { new, via }],
+            1 => vec![Step::Retire(old), Step::Replace { old, new, via }],
+            2 => vec![Step::Replace { old, new, via }],
+            _ => vec![Step::Replace { old: new, new: old, via }],
+        }
     }
 }
