--- a/crates/coordination/tests/register_model.rs
+++ b/crates/coordination/tests/register_model.rs
@@ -7,10 +7,10 @@
 //! bring about (retransmission, another try after preemption) is left out, as any message may be on its way for
 //! any time.
 
-mod modelled_register;
+mod register_model_states;
 
 use lanegate_coordination::register::Fault;
-use modelled_register::{A, B, Change, FaultStep, Register};
+use register_model_states::{A, B, Change, FaultStep, Register};
 use stateright::{Checker, HasDiscoveries, Model};
 
 /// States that a bounded search comes to, each as often as there are ways to it.
--- a/crates/coordination/tests/same_number.rs
+++ b/crates/coordination/tests/version_conflicts.rs
@@ -1,5 +1,5 @@
-//! One number, one change: operators that send at several controllers, answers that are lost, calls that are sent
-//! again much later. A change that was taken is acknowledged again or gets no clear answer, never a refusal.
+//! One version, one change: operators that send to several controllers, lost answers, calls that are sent again much
+//! later. An accepted change is acknowledged again or gets an unknown outcome, but is never rejected.
 
 mod cluster;
 
