--- a/crates/coordination/src/lease/holder.rs
+++ b/crates/coordination/src/lease/holder.rs
@@ -66,7 +66,7 @@
 pub struct LeaseHolder {
     settings: LeaseSettings,
     shard: u32,
-    this: NodeId,
+    local_node: NodeId,
     group: GrantorGroup,
     is_candidate: bool,
     rounds: Rounds,
@@ -84,11 +84,11 @@
 
 impl LeaseHolder {
     /// A process that is not a candidate and knows no group yet.
-    pub fn new(settings: LeaseSettings, shard: u32, this: NodeId) -> Self {
+    pub fn new(settings: LeaseSettings, shard: u32, local_node: NodeId) -> Self {
         LeaseHolder {
             settings,
             shard,
-            this,
+            local_node,
             group: GrantorGroup::default(),
             is_candidate: false,
             rounds: Rounds::default(),
@@ -150,7 +150,7 @@
     /// Processes the reply of the grantor at `from`.
     pub fn on_reply(&mut self, now: Duration, from: SocketAddr, reply: &LeaseReply) -> Vec<Output> {
         let mut outputs = self.end_if_expired(now);
-        if !self.is_candidate || reply.candidate != self.this || reply.shard != self.shard {
+        if !self.is_candidate || reply.candidate != self.local_node || reply.shard != self.shard {
             return outputs;
         }
         let Some(round) = self.rounds.record_reply(from, reply) else {
@@ -251,7 +251,7 @@
         self.next_round_at = now + self.settings.round_interval;
         let request = LeaseRequest {
             shard: self.shard,
-            candidate: self.this,
+            candidate: self.local_node,
             round: self.rounds.begin(now),
             generation: self.group.generation,
             valid_ms: millis_rounded_up(self.settings.validity),
@@ -275,7 +275,7 @@
         }
         let release = LeaseRelease {
             shard: self.shard,
-            candidate: self.this,
+            candidate: self.local_node,
             round: self.rounds.newest(),
             idle_ms: self.idle_ms(now),
         };
--- a/crates/coordination/src/lease/node.rs
+++ b/crates/coordination/src/lease/node.rs
@@ -48,16 +48,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseNode {
     settings: LeaseSettings,
-    this: NodeId,
+    local_node: NodeId,
     grantor: LeaseGrantor,
     holders: BTreeMap<u32, LeaseHolder>,
 }
 
 impl LeaseNode {
     /// A process that starts `now` and is not a candidate yet.
-    pub fn new(settings: LeaseSettings, this: NodeId, start: GrantorStart, now: Duration) -> Self {
+    pub fn new(settings: LeaseSettings, local_node: NodeId, start: GrantorStart, now: Duration) -> Self {
         let grantor = LeaseGrantor::new(settings.clone(), start, now);
-        LeaseNode { settings, this, grantor, holders: BTreeMap::new() }
+        LeaseNode { settings, local_node, grantor, holders: BTreeMap::new() }
     }
 
     /// Sets the group of a shard; see [`LeaseHolder::set_group`].
@@ -132,13 +132,13 @@
     }
 
     fn holder(&mut self, shard: u32) -> &mut LeaseHolder {
-        let (settings, this) = (&self.settings, self.this);
-        self.holders.entry(shard).or_insert_with(|| LeaseHolder::new(settings.clone(), shard, this))
+        let (settings, local_node) = (&self.settings, self.local_node);
+        self.holders.entry(shard).or_insert_with(|| LeaseHolder::new(settings.clone(), shard, local_node))
     }
 
     /// Delivers messages to this process's own grantor and returns the other outputs.
     fn deliver(&mut self, now: Duration, shard: u32, outputs: Vec<HolderOutput>) -> Vec<Output> {
-        let own = self.this.address();
+        let own = self.local_node.address();
         let mut pending = VecDeque::from(outputs);
         let mut external = Vec::new();
         while let Some(output) = pending.pop_front() {
--- a/crates/coordination/src/membership/detector.rs
+++ b/crates/coordination/src/membership/failure_detector.rs
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct FailureDetector {
     settings: MembershipSettings,
-    this: NodeId,
+    local_node: NodeId,
     nodes: Vec<SocketAddr>,
     /// Nodes that monitor this one; heartbeats go to them.
     monitors: Vec<SocketAddr>,
@@ -53,11 +53,11 @@
 
 impl FailureDetector {
     /// A process that knows only itself.
-    pub fn new(settings: MembershipSettings, this: NodeId, now: Duration) -> Self {
+    pub fn new(settings: MembershipSettings, local_node: NodeId, now: Duration) -> Self {
         FailureDetector {
             settings,
-            this,
-            nodes: vec![this.address()],
+            local_node,
+            nodes: vec![local_node.address()],
             monitors: Vec::new(),
             peers: BTreeMap::new(),
             sequence: 0,
@@ -69,13 +69,13 @@
     /// Replaces the known nodes. This process belongs to them in any case; the state of peers that stay is retained.
     pub fn set_nodes(&mut self, now: Duration, nodes: &[SocketAddr]) {
         self.detect_suspension(now);
-        let this = self.this.address();
+        let local_address = self.local_node.address();
         self.nodes = nodes.to_vec();
-        self.nodes.push(this);
+        self.nodes.push(local_address);
         self.nodes.sort_unstable();
         self.nodes.dedup();
-        self.monitors = monitors_of(this, &self.nodes, self.settings.monitors);
-        let monitored = monitored_peers(this, &self.nodes, self.settings.monitors);
+        self.monitors = monitors_of(local_address, &self.nodes, self.settings.monitors);
+        let monitored = monitored_peers(local_address, &self.nodes, self.settings.monitors);
         self.peers.retain(|address, _| monitored.contains(address));
         for address in monitored {
             self.peers.entry(address).or_insert_with(|| Peer::new(now, &self.settings));
@@ -141,7 +141,7 @@
     /// The first live node in the rendezvous order of `key`, this process included.
     pub fn first_live(&self, key: &[u8]) -> SocketAddr {
         let order = rendezvous_order(key, &self.nodes);
-        order.into_iter().find(|node| self.is_live(*node)).unwrap_or(self.this.address())
+        order.into_iter().find(|node| self.is_live(*node)).unwrap_or(self.local_node.address())
     }
 
     /// If this process itself was suspended, missing heartbeats say nothing about the peers: their timeouts restart.
@@ -162,7 +162,7 @@
         }
         self.next_heartbeat = now + self.settings.heartbeat_interval;
         self.sequence += 1;
-        let heartbeat = Heartbeat { sender: self.this, sequence: self.sequence };
+        let heartbeat = Heartbeat { sender: self.local_node, sequence: self.sequence };
         self.monitors.iter().map(|to| Output::Send { to: *to, heartbeat }).collect()
     }
 }
--- a/crates/coordination/src/membership/mod.rs
+++ b/crates/coordination/src/membership/mod.rs
@@ -5,7 +5,7 @@
 //! follows the mean and deviation of the gaps between its heartbeats. No clock is read here: time is the reading
 //! of the caller's monotonic clock, counted from any fixed origin.
 
-mod detector;
+mod failure_detector;
 mod hash;
 mod heartbeat;
 mod node;
@@ -13,7 +13,7 @@
 mod rendezvous;
 mod settings;
 
-pub use detector::{FailureDetector, Output};
+pub use failure_detector::{FailureDetector, Output};
 pub use hash::stable_hash;
 pub use heartbeat::{Heartbeat, HeartbeatError};
 pub use node::NodeId;
