--- a/crates/router/src/cut_requests.rs
+++ b/crates/router/src/aborted_requests.rs
@@ -15,9 +15,9 @@
 
 /// Requests cut at the end of the process, by classes of age.
 #[derive(Debug, Default)]
-pub struct CutRequests([Count; CLASSES.len() + 1]);
+pub struct AbortedRequests([Count; CLASSES.len() + 1]);
 
-impl CutRequests {
+impl AbortedRequests {
     /// Counts a request that is cut at this age.
     pub fn count(&self, age: Duration) {
         self.0[CLASSES.partition_point(|(below, _)| *below <= age)].increment();
--- a/crates/router/src/activity.rs
+++ b/crates/router/src/activity.rs
@@ -24,10 +24,10 @@
 
 /// What the task of a connection is asked to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Order {
-    Continue,
+pub enum CloseMode {
+    KeepOpen,
     /// Close once no request is under way.
-    Finish,
+    Graceful,
     /// Close at once.
     Abort,
 }
@@ -41,10 +41,10 @@
     /// When the first byte of the present request arrived.
     request_began: Cell<Instant>,
     /// When the present answer has to be over.
-    answer_by: Cell<Instant>,
-    order: Cell<Order>,
+    answer_deadline: Cell<Instant>,
+    close_mode: Cell<CloseMode>,
     /// Whether the client tells the end of an answer by the end of the connection.
-    reads_to_end: Cell<bool>,
+    is_close_delimited: Cell<bool>,
     /// Whether the connection is to end by a reset.
     is_reset: Cell<bool>,
     waker: RefCell<Option<Waker>>,
@@ -57,9 +57,9 @@
             phase: Cell::new(Phase::Idle),
             since: Cell::new(now),
             request_began: Cell::new(now),
-            answer_by: Cell::new(now),
-            order: Cell::new(Order::Continue),
-            reads_to_end: Cell::new(false),
+            answer_deadline: Cell::new(now),
+            close_mode: Cell::new(CloseMode::KeepOpen),
+            is_close_delimited: Cell::new(false),
             is_reset: Cell::new(false),
             waker: RefCell::new(None),
         })
@@ -89,7 +89,7 @@
     }
 
     /// Notes that a head is complete; tells when its first byte arrived.
-    pub fn head_complete(&self, now: Instant) -> Instant {
+    pub fn on_head_complete(&self, now: Instant) -> Instant {
         let began = match self.phase.get() {
             Phase::Head => self.request_began.get(),
             Phase::Idle | Phase::Body | Phase::Answering => now,
@@ -99,23 +99,23 @@
     }
 
     /// Notes that the client speaks a version in which an answer without a length ends with its connection.
-    pub fn reads_to_end(&self) {
-        self.reads_to_end.set(true);
+    pub fn mark_close_delimited(&self) {
+        self.is_close_delimited.set(true);
     }
 
     /// Notes that the connection broke within an answer, which must not look whole.
-    pub fn broke(&self) {
-        self.is_reset.set(self.reads_to_end.get());
+    pub fn mark_broken(&self) {
+        self.is_reset.set(self.is_close_delimited.get());
     }
 
     /// Notes when the present answer has to be over.
-    pub fn expect_answer_by(&self, deadline: Instant) {
-        self.answer_by.set(deadline);
+    pub fn set_answer_deadline(&self, deadline: Instant) {
+        self.answer_deadline.set(deadline);
     }
 
     /// When the present answer has to be over.
-    pub fn answer_by(&self) -> Instant {
-        self.answer_by.get()
+    pub fn answer_deadline(&self) -> Instant {
+        self.answer_deadline.get()
     }
 
     /// Notes that a phase begins.
@@ -125,39 +125,39 @@
     }
 
     /// Asks the task of the connection to end it; a stronger order is not taken back.
-    pub fn ask(&self, order: Order) {
-        if order <= self.order.get() {
+    pub fn request_close(&self, close_mode: CloseMode) {
+        if close_mode <= self.close_mode.get() {
             return;
         }
-        self.order.set(order);
+        self.close_mode.set(close_mode);
         if let Some(waker) = self.waker.borrow_mut().take() {
             waker.wake();
         }
     }
 
     /// The present order; the task is woken when it changes.
-    pub fn order(&self, cx: &Context<'_>) -> Order {
+    pub fn close_mode(&self, cx: &Context<'_>) -> CloseMode {
         let mut waker = self.waker.borrow_mut();
         if !waker.as_ref().is_some_and(|known| known.will_wake(cx.waker())) {
             *waker = Some(cx.waker().clone());
         }
-        self.order.get()
+        self.close_mode.get()
     }
 }
 
 /// Marks the connection as idle again once the answer is handed over or given up.
 #[derive(Debug)]
-pub struct AnswerGuard(Rc<Activity>);
+pub struct BusyGuard(Rc<Activity>);
 
-impl AnswerGuard {
+impl BusyGuard {
     /// Marks the connection as busy with an answer.
     pub fn new(activity: Rc<Activity>) -> Self {
         activity.enter(Phase::Answering, Instant::now());
-        AnswerGuard(activity)
+        BusyGuard(activity)
     }
 }
 
-impl Drop for AnswerGuard {
+impl Drop for BusyGuard {
     fn drop(&mut self) {
         self.0.enter(Phase::Idle, Instant::now());
     }
--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -5,7 +5,7 @@
 use crate::headers::{
     DEADLINE_MS, EXPECT_INSTANCE, LAST_EVENT_ID, PRIORITY, instance_load, keep_alive, milliseconds,
 };
-use crate::pool::{ConnectionNumber, Standing};
+use crate::pool::{Availability, ConnectionNumber};
 use crate::state::RouterState;
 use crate::verify::{self, Expected};
 use bytes::Bytes;
@@ -38,12 +38,12 @@
     /// Whether it asks something of an engine.
     pub engine: bool,
     /// Whether it may run more than once.
-    pub repeatable: bool,
+    pub retryable: bool,
     /// Whether a stream that broke off may be taken up elsewhere.
     pub resumable: bool,
     /// Connections on which it was sent. It is never sent again on one of these: a second answer to the
     /// earlier send could not be told from the answer to the later one.
-    pub carried_by: RefCell<Vec<ConnectionNumber>>,
+    pub used_connections: RefCell<Vec<ConnectionNumber>>,
 }
 
 /// Where the dispatcher sends a request.
@@ -81,7 +81,7 @@
     state: Rc<RouterState>,
     connection: Option<EndpointConnection>,
     incoming: Incoming,
-    told_idle: Option<Duration>,
+    idle_timeout: Option<Duration>,
     /// Whether it has neither a length nor chunks, and so ends with its connection.
     ends_with_connection: bool,
     /// Whether the connection may carry other requests afterwards.
@@ -95,13 +95,13 @@
             return Poll::Ready(None);
         };
         let mut next = ready!(connection.poll_body(&mut self.incoming, cx));
-        if self.state.makes(RouterFault::ResetIsEnd) {
+        if self.state.has_fault(RouterFault::ResetIsEnd) {
             next = next.filter(Result::is_ok);
         }
         match &next {
-            Some(Ok(data)) => self.state.counters.bytes_passed.add(data.len() as u64),
+            Some(Ok(data)) => self.state.counters.forwarded_bytes.add(data.len() as u64),
             Some(Err(_)) => self.connection = None,
-            None => self.give_back(),
+            None => self.release(),
         }
         Poll::Ready(next)
     }
@@ -121,9 +121,9 @@
         self.ends_with_connection
     }
 
-    fn give_back(&mut self) {
+    fn release(&mut self) {
         if let Some(connection) = self.connection.take().filter(|_| self.is_reusable) {
-            self.state.pool.give_back(connection, self.told_idle);
+            self.state.pool.release(connection, self.idle_timeout);
         }
     }
 }
@@ -142,7 +142,7 @@
     if let Err(end) = &result {
         state.counters.failed_attempts.increment();
         if *end == AttemptEnd::Garbled {
-            state.pool.distrust(&destination.instance);
+            state.pool.quarantine(&destination.instance);
         }
         log::debug!("attempt {:?} at {} ended: {end:?}", request.attempt_id, destination.instance);
     }
@@ -158,20 +158,20 @@
 ) -> Result<EndpointAnswer, AttemptEnd> {
     loop {
         let (mut connection, used_before) = connect(state, request, destination).await?;
-        let stale_before = connection.stale_answers();
+        let late_before = connection.late_responses();
         let Some(left) = time_left(state, request) else {
             return Err(AttemptEnd::NotSent);
         };
-        if state.pool.standing(&destination.instance) == Standing::Closed {
+        if state.pool.availability(&destination.instance) == Availability::Unavailable {
             return Err(AttemptEnd::NotSent);
         }
         sent.set(true);
-        request.carried_by.borrow_mut().push(connection.lease().number());
-        if state.makes(RouterFault::PassStaleAnswers) {
-            connection.pass_stale_answers();
+        request.used_connections.borrow_mut().push(connection.lease().number());
+        if state.has_fault(RouterFault::PassStaleAnswers) {
+            connection.forward_late_responses();
         }
         let mut message = compose(request, destination, &last_event, left);
-        if state.makes(RouterFault::KeepDeadline) {
+        if state.has_fault(RouterFault::KeepDeadline) {
             let told = request.headers.get(DEADLINE_MS).cloned();
             told.and_then(|told| message.headers_mut().insert(DEADLINE_MS, told));
         }
@@ -185,7 +185,9 @@
                 }
             }
             Err(ExchangeError::Garbled(_)) => return Err(AttemptEnd::Garbled),
-            Err(ExchangeError::Broken(_)) if used_before && state.makes(RouterFault::RepeatAfterReset) => {
+            Err(ExchangeError::Broken(_))
+                if used_before && state.has_fault(RouterFault::RepeatAfterReset) =>
+            {
                 continue;
             }
             Err(ExchangeError::Broken(_)) => return Err(AttemptEnd::Broken),
@@ -198,14 +200,14 @@
         };
         let verdict = verify::check(expected, &answer);
         let ends_with_connection = verify::ends_with_connection(&answer);
-        state.counters.stale_answers.add(connection.stale_answers() - stale_before);
+        state.counters.late_responses.add(connection.late_responses() - late_before);
         let (head, incoming) = answer.into_parts();
-        let told_idle = keep_alive(&head.headers);
+        let idle_timeout = keep_alive(&head.headers);
         let body = EndpointBody {
             state: state.clone(),
             connection: Some(connection),
             incoming,
-            told_idle,
+            idle_timeout,
             ends_with_connection,
             is_reusable: request.attempt_id.is_some(),
         };
@@ -260,11 +262,11 @@
     destination: &Destination,
 ) -> Option<EndpointConnection> {
     request.attempt_id.as_ref()?;
-    let carried_by = match state.makes(RouterFault::ReuseCarrier) {
+    let used_connections = match state.has_fault(RouterFault::ReuseCarrier) {
         true => Vec::new(),
-        false => request.carried_by.borrow().clone(),
+        false => request.used_connections.borrow().clone(),
     };
-    state.pool.take_idle(&destination.instance, destination.address, &carried_by)
+    state.pool.take_idle(&destination.instance, destination.address, &used_connections)
 }
 
 fn time_left(state: &RouterState, request: &Outbound) -> Option<Duration> {
--- a/crates/router/src/body.rs
+++ b/crates/router/src/body.rs
@@ -2,8 +2,8 @@
 //!
 //! Above `stream`; `answers` and `carry` make bodies and nothing below here knows of them.
 
-use crate::activity::AnswerGuard;
-use crate::stream::{AnswerCut, AnswerStream};
+use crate::activity::BusyGuard;
+use crate::stream::{AnswerStream, TruncatedAnswer};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::pin::Pin;
@@ -12,18 +12,18 @@
 /// Body of an answer: whole, or passed on as it arrives.
 pub struct RouterBody {
     content: Content,
-    _guard: Option<AnswerGuard>,
+    _guard: Option<BusyGuard>,
 }
 
 enum Content {
-    Whole(Bytes),
+    Complete(Bytes),
     Stream(Box<AnswerStream>),
 }
 
 impl RouterBody {
     /// A body that is there as a whole.
-    pub fn whole(bytes: Bytes) -> Self {
-        RouterBody { content: Content::Whole(bytes), _guard: None }
+    pub fn complete(bytes: Bytes) -> Self {
+        RouterBody { content: Content::Complete(bytes), _guard: None }
     }
 
     /// A body that arrives yet.
@@ -32,22 +32,22 @@
     }
 
     /// Keeps the client's connection marked as busy until the body is handed over.
-    pub fn guarded(self, guard: AnswerGuard) -> Self {
+    pub fn guarded(self, guard: BusyGuard) -> Self {
         RouterBody { _guard: Some(guard), ..self }
     }
 }
 
 impl Body for RouterBody {
     type Data = Bytes;
-    type Error = AnswerCut;
+    type Error = TruncatedAnswer;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, AnswerCut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswer>>> {
         match &mut self.content {
-            Content::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Content::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            Content::Complete(bytes) if bytes.is_empty() => Poll::Ready(None),
+            Content::Complete(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
             Content::Stream(stream) => {
                 stream.poll_data(cx).map(|next| next.map(|data| data.map(Frame::data)))
             }
@@ -55,12 +55,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(&self.content, Content::Whole(bytes) if bytes.is_empty())
+        matches!(&self.content, Content::Complete(bytes) if bytes.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.content {
-            Content::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Content::Complete(bytes) => SizeHint::with_exact(bytes.len() as u64),
             Content::Stream(_) => SizeHint::default(),
         }
     }
--- a/crates/router/src/chunks.rs
+++ b/crates/router/src/chunk_scanner.rs
@@ -8,11 +8,11 @@
 /// How far a chunked body has been read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChunkScanner {
-    place: Place,
+    position: Position,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Place {
+enum Position {
     /// In the length of a chunk, of which this much is read.
     Length(u64),
     /// Behind the length, on the same line.
@@ -31,7 +31,7 @@
 
 impl Default for ChunkScanner {
     fn default() -> Self {
-        ChunkScanner { place: Place::Length(0) }
+        ChunkScanner { position: Position::Length(0) }
     }
 }
 
@@ -40,10 +40,10 @@
     pub fn scan(&mut self, bytes: &[u8]) -> Result<usize, NotChunked> {
         let mut taken = 0;
         while taken < bytes.len() && !self.is_over() {
-            taken += match self.place {
-                Place::Data(left) => self.skip(left, bytes.len() - taken),
+            taken += match self.position {
+                Position::Data(left) => self.skip(left, bytes.len() - taken),
                 _ => {
-                    self.place = self.place.after(bytes[taken])?;
+                    self.position = self.position.next(bytes[taken])?;
                     1
                 }
             };
@@ -53,39 +53,41 @@
 
     /// Whether the end of the body was reached.
     pub fn is_over(&self) -> bool {
-        self.place == Place::End
+        self.position == Position::End
     }
 
     fn skip(&mut self, left: u64, available: usize) -> usize {
         let skipped = left.min(available as u64);
-        self.place = match left - skipped {
-            0 => Place::Length(0),
-            rest => Place::Data(rest),
+        self.position = match left - skipped {
+            0 => Position::Length(0),
+            rest => Position::Data(rest),
         };
         skipped as usize
     }
 }
 
-impl Place {
+impl Position {
     /// Where the reading stands after one byte outside of a chunk's data.
-    fn after(self, byte: u8) -> Result<Place, NotChunked> {
+    fn next(self, byte: u8) -> Result<Position, NotChunked> {
         match (self, byte) {
-            (Place::Length(length) | Place::Extension(length), b'\n') => Ok(Place::behind_length(length)),
-            (Place::Length(length), b'\r' | b';' | b' ') => Ok(Place::Extension(length)),
-            (Place::Length(length), digit) => Ok(Place::Length(with_digit(length, digit)?)),
-            (Place::Extension(length), _) => Ok(Place::Extension(length)),
-            (Place::Trailer { line_is_empty: true }, b'\n') => Ok(Place::End),
-            (Place::Trailer { .. }, b'\n') => Ok(Place::Trailer { line_is_empty: true }),
-            (Place::Trailer { line_is_empty }, b'\r') => Ok(Place::Trailer { line_is_empty }),
-            (Place::Trailer { .. }, _) => Ok(Place::Trailer { line_is_empty: false }),
-            (Place::Data(_) | Place::End, _) => Err(NotChunked),
+            (Position::Length(length) | Position::Extension(length), b'\n') => {
+                Ok(Position::after_length(length))
+            }
+            (Position::Length(length), b'\r' | b';' | b' ') => Ok(Position::Extension(length)),
+            (Position::Length(length), digit) => Ok(Position::Length(with_digit(length, digit)?)),
+            (Position::Extension(length), _) => Ok(Position::Extension(length)),
+            (Position::Trailer { line_is_empty: true }, b'\n') => Ok(Position::End),
+            (Position::Trailer { .. }, b'\n') => Ok(Position::Trailer { line_is_empty: true }),
+            (Position::Trailer { line_is_empty }, b'\r') => Ok(Position::Trailer { line_is_empty }),
+            (Position::Trailer { .. }, _) => Ok(Position::Trailer { line_is_empty: false }),
+            (Position::Data(_) | Position::End, _) => Err(NotChunked),
         }
     }
 
-    fn behind_length(length: u64) -> Place {
+    fn after_length(length: u64) -> Position {
         match length {
-            0 => Place::Trailer { line_is_empty: true },
-            length => Place::Data(length.saturating_add(LINE_END)),
+            0 => Position::Trailer { line_is_empty: true },
+            length => Position::Data(length.saturating_add(LINE_END)),
         }
     }
 }
--- a/crates/router/src/connection.rs
+++ b/crates/router/src/connection.rs
@@ -2,8 +2,8 @@
 //! it closes it at once and an idle one costs nothing.
 
 use crate::headers::ATTEMPT_ID;
+use crate::late_responses::LateResponseFilter;
 use crate::pool::Lease;
-use crate::stale::StaleAnswers;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
@@ -56,7 +56,7 @@
     sender: SendRequest<Full<Bytes>>,
     driver: Pin<Box<Connection<TokioIo<EndpointStream>, Full<Bytes>>>>,
     progress: Progress,
-    wire: Rc<Wire>,
+    shared: Rc<SharedStream>,
     lease: Lease,
     /// When the connection may no longer be used again.
     usable_until: Instant,
@@ -67,15 +67,15 @@
     pub async fn open(address: SocketAddr, lease: Lease) -> io::Result<Self> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
         configure(&stream)?;
-        let wire = Rc::new(Wire::new(stream));
-        let io = TokioIo::new(EndpointStream(wire.clone()));
+        let shared = Rc::new(SharedStream::new(stream));
+        let io = TokioIo::new(EndpointStream(shared.clone()));
         let (sender, connection) = http1::handshake(io).await.map_err(io::Error::other)?;
         let driver = Box::pin(connection);
         Ok(EndpointConnection {
             sender,
             driver,
             progress: Progress::Open,
-            wire,
+            shared,
             lease,
             usable_until: Instant::now(),
         })
@@ -92,7 +92,7 @@
     }
 
     /// Whether the endpoint is told to keep the connection for longer than until `now`.
-    pub fn is_fresh(&self, now: Instant) -> bool {
+    pub fn is_unexpired(&self, now: Instant) -> bool {
         now < self.usable_until
     }
 
@@ -101,8 +101,8 @@
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, ExchangeError> {
-        let written_before = self.wire.written.get();
-        self.wire.stale.borrow_mut().expect(request.headers().get(&ATTEMPT_ID), request.method());
+        let written_before = self.shared.written.get();
+        self.shared.late_responses.borrow_mut().expect(request.headers().get(&ATTEMPT_ID), request.method());
         let mut answer = pin!(self.sender.try_send_request(request));
         let driver = &mut self.driver;
         let progress = &mut self.progress;
@@ -112,7 +112,7 @@
         });
         result.await.map_err(|mut failed| match failed.take_message() {
             Some(_) => ExchangeError::NotSent,
-            None if self.wire.written.get() == written_before => ExchangeError::NotSent,
+            None if self.shared.written.get() == written_before => ExchangeError::NotSent,
             None => match failed.into_error() {
                 error if error.is_parse() => ExchangeError::Garbled(error),
                 error => ExchangeError::Broken(error),
@@ -141,46 +141,46 @@
 
     /// Whether a request may be sent: the last request was taken whole and its answer came whole, and since
     /// then nothing came that belongs to no request and the endpoint did not close.
-    pub fn is_clean(&mut self) -> bool {
+    pub fn is_reusable(&mut self) -> bool {
         drive(&mut self.driver, &mut self.progress, &mut Context::from_waker(Waker::noop()));
-        self.progress == Progress::Open && self.sender.is_ready() && !self.wire.is_blocked.get()
+        self.progress == Progress::Open && self.sender.is_ready() && !self.shared.is_blocked.get()
     }
 
     /// Drops no late answers any more, for tests.
     #[doc(hidden)]
-    pub fn pass_stale_answers(&self) {
-        self.wire.stale.borrow_mut().pass_all();
+    pub fn forward_late_responses(&self) {
+        self.shared.late_responses.borrow_mut().forward_all();
     }
 
     /// Answers to earlier requests that came late and were dropped.
-    pub fn stale_answers(&self) -> u64 {
-        self.wire.stale.borrow().dropped()
+    pub fn late_responses(&self) -> u64 {
+        self.shared.late_responses.borrow().discarded()
     }
 
     /// Whether bytes came that belong to no request, or the connection broke.
-    pub fn is_spoilt(&self) -> bool {
+    pub fn is_tainted(&self) -> bool {
         self.progress == Progress::Failed
     }
 
     /// Asks the kernel what the peer has done; its news may not have reached the runtime yet.
-    pub fn peer(&self) -> Peer {
-        let stream = self.wire.stream.borrow();
+    pub fn peer_state(&self) -> PeerState {
+        let stream = self.shared.stream.borrow();
         let mut byte = [MaybeUninit::uninit()];
         match SockRef::from(&*stream).peek(&mut byte) {
-            Ok(0) => Peer::Closed,
-            Ok(_) => Peer::Speaking,
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Peer::Silent,
-            Err(_) => Peer::Closed,
+            Ok(0) => PeerState::Closed,
+            Ok(_) => PeerState::Sending,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => PeerState::Idle,
+            Err(_) => PeerState::Closed,
         }
     }
 }
 
 /// What the peer of an idle connection has done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Peer {
-    Silent,
+pub enum PeerState {
+    Idle,
     /// It has sent bytes that belong to no request.
-    Speaking,
+    Sending,
     Closed,
 }
 
@@ -217,26 +217,26 @@
 
 /// What a connection shares with the library that speaks on it.
 #[derive(Debug)]
-struct Wire {
+struct SharedStream {
     stream: RefCell<TcpStream>,
     /// Bytes that the kernel took.
     written: Cell<u64>,
     /// Whether some of a request is not taken yet, as its endpoint reads no further.
     is_blocked: Cell<bool>,
-    stale: RefCell<StaleAnswers>,
+    late_responses: RefCell<LateResponseFilter>,
 }
 
-impl Wire {
+impl SharedStream {
     fn new(stream: TcpStream) -> Self {
-        Wire {
+        SharedStream {
             stream: RefCell::new(stream),
             written: Cell::new(0),
             is_blocked: Cell::new(false),
-            stale: RefCell::default(),
+            late_responses: RefCell::default(),
         }
     }
 
-    fn note_written(&self, result: &Poll<io::Result<usize>>) {
+    fn record_written(&self, result: &Poll<io::Result<usize>>) {
         self.is_blocked.set(result.is_pending());
         if let Poll::Ready(Ok(written)) = result {
             self.written.set(self.written.get().wrapping_add(*written as u64));
@@ -244,21 +244,21 @@
     }
 }
 
-impl Wire {
+impl SharedStream {
     /// Reads what is for the library.
     fn poll_read(&self, cx: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let mut stream = self.stream.borrow_mut();
-        let mut stale = self.stale.borrow_mut();
-        while !stale.is_passing() {
-            if stale.hand_out(buffer) {
+        let mut late_responses = self.late_responses.borrow_mut();
+        while !late_responses.is_forwarding() {
+            if late_responses.read_ready(buffer) {
                 return Poll::Ready(Ok(()));
             }
             let mut space = [MaybeUninit::uninit(); HEAD_READ_BYTES];
             let mut read = ReadBuf::uninit(&mut space);
             ready!(Pin::new(&mut *stream).poll_read(cx, &mut read))?;
             match read.filled() {
-                [] => stale.end(),
-                bytes => stale.take_in(bytes),
+                [] => late_responses.end(),
+                bytes => late_responses.push(bytes),
             }
         }
         Pin::new(&mut *stream).poll_read(cx, buffer)
@@ -267,7 +267,7 @@
 
 /// The stream of a connection, as the library sees it.
 #[derive(Debug)]
-struct EndpointStream(Rc<Wire>);
+struct EndpointStream(Rc<SharedStream>);
 
 impl AsyncRead for EndpointStream {
     fn poll_read(
@@ -282,7 +282,7 @@
 impl AsyncWrite for EndpointStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write(cx, bytes);
-        self.0.note_written(&result);
+        self.0.record_written(&result);
         result
     }
 
@@ -292,7 +292,7 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write_vectored(cx, slices);
-        self.0.note_written(&result);
+        self.0.record_written(&result);
         result
     }
 
--- a/crates/router/src/counters.rs
+++ b/crates/router/src/counters.rs
@@ -1,6 +1,6 @@
 //! Counts of what the router did, for its log and its metrics.
 
-use crate::cut_requests::CutRequests;
+use crate::aborted_requests::AbortedRequests;
 use crate::outcome::{Outcome, OutcomeCounts};
 use std::cell::Cell;
 
@@ -11,14 +11,14 @@
     pub requests: Count,
     pub outcomes: OutcomeCounts,
     /// Requests that the end of the process cut.
-    pub cut_at_end: CutRequests,
+    pub aborted_at_shutdown: AbortedRequests,
     pub attempts: Count,
     pub failed_attempts: Count,
     pub resumed: Count,
     pub connections_opened: Count,
     /// Answers of endpoints to requests that had an answer already.
-    pub stale_answers: Count,
-    pub bytes_passed: Count,
+    pub late_responses: Count,
+    pub forwarded_bytes: Count,
 }
 
 /// One count.
@@ -59,10 +59,10 @@
             self.failed_attempts.get(),
             self.resumed.get(),
             self.outcomes.of_kind("broken_off"),
-            self.outcomes.get(Outcome::ClientLeft),
+            self.outcomes.get(Outcome::ClientDisconnected),
             self.connections_opened.get(),
-            self.stale_answers.get(),
-            self.bytes_passed.get(),
+            self.late_responses.get(),
+            self.forwarded_bytes.get(),
         );
     }
 }
--- a/crates/router/src/events.rs
+++ b/crates/router/src/event_splitter.rs
@@ -10,22 +10,22 @@
     partial: BytesMut,
     last_id: Option<Bytes>,
     /// Events up to this id were passed on by an earlier run and are dropped when they come again.
-    passed_before: Option<u64>,
+    already_forwarded: Option<u64>,
 }
 
 impl EventSplitter {
     /// Takes bytes in and hands out the whole events, in order; empty while none is whole.
     pub fn push(&mut self, mut data: Bytes) -> Bytes {
-        let whole = if self.partial.is_empty() {
-            let whole = data.split_to(events_end(&data));
+        let complete = if self.partial.is_empty() {
+            let complete = data.split_to(events_end(&data));
             self.partial.extend_from_slice(&data);
-            whole
+            complete
         } else {
             self.partial.extend_from_slice(&data);
             let end = events_end(&self.partial);
             self.partial.split_to(end).freeze()
         };
-        let new = self.without_repeats(whole);
+        let new = self.drop_duplicates(complete);
         if let Some(id) = last_id(&new) {
             self.last_id = Some(id);
         }
@@ -48,32 +48,32 @@
     }
 
     /// Forgets the event that the run broke off in; what comes next is of another run.
-    pub fn begin_run(&mut self) {
+    pub fn begin_resumed_run(&mut self) {
         self.partial.clear();
-        self.passed_before = self.last_id.as_deref().and_then(number);
+        self.already_forwarded = self.last_id.as_deref().and_then(number);
     }
 
     /// Drops events of a new run that an earlier one has passed on.
-    fn without_repeats(&mut self, events: Bytes) -> Bytes {
-        let Some(passed) = self.passed_before else {
+    fn drop_duplicates(&mut self, events: Bytes) -> Bytes {
+        let Some(passed) = self.already_forwarded else {
             return events;
         };
         let mut rest = events;
-        let mut kept = BytesMut::new();
+        let mut new = BytesMut::new();
         while !rest.is_empty() {
             let event = rest.split_to(first_event_end(&rest));
             match last_id(&event).as_deref().and_then(number) {
                 Some(id) if id <= passed => {}
                 Some(_) => {
-                    self.passed_before = None;
-                    kept.extend_from_slice(&event);
-                    kept.extend_from_slice(&rest);
+                    self.already_forwarded = None;
+                    new.extend_from_slice(&event);
+                    new.extend_from_slice(&rest);
                     break;
                 }
-                None => kept.extend_from_slice(&event),
+                None => new.extend_from_slice(&event),
             }
         }
-        kept.freeze()
+        new.freeze()
     }
 }
 
--- a/crates/router/src/carry.rs
+++ b/crates/router/src/forward.rs
@@ -3,15 +3,15 @@
 //! The top of the layers `attempt` < `resume` < `stream` < `body` < `answers` < `carry`: each knows only those
 //! before it.
 
-use crate::answers::OwnAnswer;
 use crate::attempt::{self, Destination, EndpointAnswer, EndpointBody, Outbound};
 use crate::body::RouterBody;
-use crate::events::EventSplitter;
+use crate::event_splitter::EventSplitter;
 use crate::headers::remove_hop_by_hop;
+use crate::local_reply::LocalReply;
 use crate::mailbox::Instruction;
 use crate::outcome::Outcome;
+use crate::request_handle::RequestHandle;
 use crate::stream::{AnswerKind, AnswerStream, Opened};
-use crate::ticket::Ticket;
 use bytes::{Bytes, BytesMut};
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode, Version};
@@ -26,28 +26,28 @@
 
 /// Largest answer that is read whole before any of it is passed on, bytes: until then a break can be mended
 /// by another attempt.
-const WHOLE_ANSWER_BYTES: u64 = 64 * 1024;
+const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
 /// When to come back after a request that was given up without being sent.
 const UNSENT_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// When to come back to a process that ends.
-const STOPPED_RETRY_AFTER: Duration = Duration::from_millis(50);
+const SHUTDOWN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Follows the dispatcher until there is an answer for the client.
-pub async fn carry(ticket: Rc<Ticket>, request: Rc<Outbound>) -> Response<RouterBody> {
+pub async fn forward(handle: Rc<RequestHandle>, request: Rc<Outbound>) -> Response<RouterBody> {
     let mut may_have_run = false;
-    let mut instruction = ticket.next().await;
+    let mut instruction = handle.next().await;
     loop {
-        let destination = match conclude(&ticket, &request, instruction, may_have_run) {
+        let destination = match next_destination(&handle, &request, instruction, may_have_run) {
             Ok(destination) => destination,
             Err(answer) => return answer.into(),
         };
         let sent = Cell::new(false);
-        instruction = match attempt_once(&ticket, &request, &destination, &sent).await {
+        instruction = match attempt_once(&handle, &request, &destination, &sent).await {
             Step::Answer(answer) => return answer,
             Step::Ended(end) => {
-                may_have_run |= !is_proof_of_rest(end);
-                ticket.ended(destination.attempt, end);
-                ticket.next().await
+                may_have_run |= !proves_not_executed(end);
+                handle.ended(destination.attempt, end);
+                handle.next().await
             }
             Step::Superseded(instruction) => {
                 may_have_run |= sent.get();
@@ -58,46 +58,46 @@
 }
 
 /// Whether the end proves that the request did not run there.
-fn is_proof_of_rest(end: AttemptEnd) -> bool {
+fn proves_not_executed(end: AttemptEnd) -> bool {
     matches!(end, AttemptEnd::NotExecuted { .. } | AttemptEnd::NotSent)
 }
 
 /// Where to send the request next, or the answer that ends it.
-fn conclude(
-    ticket: &Ticket,
+fn next_destination(
+    handle: &RequestHandle,
     request: &Outbound,
     instruction: Instruction,
     may_have_run: bool,
-) -> Result<Destination, OwnAnswer> {
+) -> Result<Destination, LocalReply> {
     let refuse = |retry_after, unsent: Outcome, sent: Outcome| match may_have_run {
         false => {
-            ticket.conclude(unsent);
-            OwnAnswer::Refusal { retry_after }
+            handle.record_outcome(unsent);
+            LocalReply::Refusal { retry_after }
         }
         true => {
-            ticket.conclude(sent);
-            OwnAnswer::Failure(StatusCode::BAD_GATEWAY)
+            handle.record_outcome(sent);
+            LocalReply::Failure(StatusCode::BAD_GATEWAY)
         }
     };
     match instruction {
-        Instruction::Stopped => {
-            Err(refuse(STOPPED_RETRY_AFTER, Outcome::RefusedEnding, Outcome::FailedEnding))
+        Instruction::Shutdown => {
+            Err(refuse(SHUTDOWN_RETRY_AFTER, Outcome::RefusedShutdown, Outcome::FailedShutdown))
         }
         Instruction::Decided(Decision::Refuse { retry_after, .. }) => {
-            Err(refuse(retry_after, Outcome::RefusedNoRoom, Outcome::FailedMayHaveRun))
+            Err(refuse(retry_after, Outcome::RefusedNoCapacity, Outcome::FailedMayHaveRun))
         }
         Instruction::Decided(Decision::Fail { reason, .. }) if !may_have_run => {
             Err(refuse(UNSENT_RETRY_AFTER, Outcome::RefusedNotSent, outcome_of(reason)))
         }
         Instruction::Decided(Decision::Fail { reason, .. }) => {
-            ticket.conclude(outcome_of(reason));
-            Err(OwnAnswer::Failure(status_of(reason)))
+            handle.record_outcome(outcome_of(reason));
+            Err(LocalReply::Failure(status_of(reason)))
         }
         Instruction::Decided(decision @ Decision::Send { .. }) => match Destination::of(decision) {
-            Some(destination) if request.repeatable || !may_have_run => Ok(destination),
+            Some(destination) if request.retryable || !may_have_run => Ok(destination),
             _ => {
                 log::error!("{:?} may have run and would have been sent again", request.attempt_id);
-                ticket.state().violations.record(Invariant::UnrepeatableSentOnce);
+                handle.state().violations.record(Invariant::UnrepeatableSentOnce);
                 Err(refuse(UNSENT_RETRY_AFTER, Outcome::RefusedNotSent, Outcome::FailedMayHaveRun))
             }
         },
@@ -127,15 +127,15 @@
 }
 
 async fn attempt_once(
-    ticket: &Rc<Ticket>,
+    handle: &Rc<RequestHandle>,
     request: &Rc<Outbound>,
     destination: &Destination,
     sent: &Cell<bool>,
 ) -> Step {
-    let mut opening = pin!(open(ticket, request, destination, sent));
+    let mut opening = pin!(open(handle, request, destination, sent));
     let result = poll_fn(|cx| match opening.as_mut().poll(cx) {
         Poll::Ready(result) => Poll::Ready(Ok(result)),
-        Poll::Pending => ticket.poll_next(cx).map(Err),
+        Poll::Pending => handle.poll_next(cx).map(Err),
     });
     match result.await {
         Ok(Ok(answer)) => Step::Answer(answer),
@@ -147,65 +147,65 @@
 /// Sends the request and waits until there is something to pass on: the whole answer where it is small,
 /// otherwise its first bytes.
 async fn open(
-    ticket: &Rc<Ticket>,
+    handle: &Rc<RequestHandle>,
     request: &Rc<Outbound>,
     destination: &Destination,
     sent: &Cell<bool>,
 ) -> Result<Response<RouterBody>, AttemptEnd> {
-    let answer = attempt::send(ticket.state(), request, destination, None, sent).await?;
-    ticket.progress(destination.attempt, Progress::Head { load: answer.load });
-    match AnswerKind::of(&answer.head) == AnswerKind::Events || !is_gathered(&answer.body) {
-        true => open_stream(ticket, request, destination, answer).await,
-        false => open_whole(ticket, request, destination, answer).await,
+    let answer = attempt::send(handle.state(), request, destination, None, sent).await?;
+    handle.progress(destination.attempt, Progress::Head { load: answer.load });
+    match AnswerKind::of(&answer.head) == AnswerKind::Events || !is_buffered(&answer.body) {
+        true => begin_stream(handle, request, destination, answer).await,
+        false => buffer_answer(handle, request, destination, answer).await,
     }
 }
 
 /// Whether an answer is read whole before any of it is passed on, unless it turns out to be large.
-fn is_gathered(body: &EndpointBody) -> bool {
+fn is_buffered(body: &EndpointBody) -> bool {
     match body.exact_length() {
-        Some(length) => length <= WHOLE_ANSWER_BYTES,
+        Some(length) => length <= MAX_BUFFERED_BYTES,
         None => body.ends_with_connection(),
     }
 }
 
-async fn open_whole(
-    ticket: &Rc<Ticket>,
+async fn buffer_answer(
+    handle: &Rc<RequestHandle>,
     request: &Rc<Outbound>,
     destination: &Destination,
     mut answer: EndpointAnswer,
 ) -> Result<Response<RouterBody>, AttemptEnd> {
     let first = answer.body.next().await.transpose().map_err(|_| AttemptEnd::Broken)?.unwrap_or_default();
-    ticket.progress(destination.attempt, Progress::FirstByte);
+    handle.progress(destination.attempt, Progress::FirstByte);
     match read_rest(first, &mut answer.body).await.map_err(|_| AttemptEnd::Broken)? {
-        Gathered::Whole(body) => Ok(finished(ticket, destination, answer, body)),
-        Gathered::Beginning(first) => Ok(passed_on(ticket, request, destination, answer, first, None)),
+        Buffered::Complete(body) => Ok(complete_answer(handle, destination, answer, body)),
+        Buffered::Prefix(first) => Ok(streaming_answer(handle, request, destination, answer, first, None)),
     }
 }
 
 /// What was read of a body before any of it is passed on.
-enum Gathered {
-    Whole(Bytes),
+enum Buffered {
+    Complete(Bytes),
     /// The body is too long to be read whole first.
-    Beginning(Bytes),
+    Prefix(Bytes),
 }
 
 /// The body, of which the first bytes are there.
-async fn read_rest(first: Bytes, body: &mut EndpointBody) -> hyper::Result<Gathered> {
-    let mut gathered = BytesMut::new();
+async fn read_rest(first: Bytes, body: &mut EndpointBody) -> hyper::Result<Buffered> {
+    let mut buffered = BytesMut::new();
     while let Some(more) = body.next().await.transpose()? {
-        if gathered.is_empty() {
-            gathered.extend_from_slice(&first);
+        if buffered.is_empty() {
+            buffered.extend_from_slice(&first);
         }
-        gathered.extend_from_slice(&more);
-        if gathered.len() as u64 > WHOLE_ANSWER_BYTES {
-            return Ok(Gathered::Beginning(gathered.freeze()));
+        buffered.extend_from_slice(&more);
+        if buffered.len() as u64 > MAX_BUFFERED_BYTES {
+            return Ok(Buffered::Prefix(buffered.freeze()));
         }
     }
-    Ok(Gathered::Whole(if gathered.is_empty() { first } else { gathered.freeze() }))
+    Ok(Buffered::Complete(if buffered.is_empty() { first } else { buffered.freeze() }))
 }
 
-async fn open_stream(
-    ticket: &Rc<Ticket>,
+async fn begin_stream(
+    handle: &Rc<RequestHandle>,
     request: &Rc<Outbound>,
     destination: &Destination,
     mut answer: EndpointAnswer,
@@ -220,25 +220,25 @@
             if answer.body.ends_with_connection() && !rest.is_empty() {
                 return Err(AttemptEnd::Broken);
             }
-            return Ok(finished(ticket, destination, answer, rest));
+            return Ok(complete_answer(handle, destination, answer, rest));
         };
         if !std::mem::replace(&mut reported, true) {
-            ticket.progress(destination.attempt, Progress::FirstByte);
+            handle.progress(destination.attempt, Progress::FirstByte);
         }
-        let passed = match &mut splitter {
+        let forwarded = match &mut splitter {
             Some(splitter) => splitter.push(data),
             None => data,
         };
-        if !passed.is_empty() {
-            break passed;
+        if !forwarded.is_empty() {
+            break forwarded;
         }
     };
-    Ok(passed_on(ticket, request, destination, answer, first, splitter))
+    Ok(streaming_answer(handle, request, destination, answer, first, splitter))
 }
 
 /// The answer to the client of which the first bytes are there and the rest is passed on as it comes.
-fn passed_on(
-    ticket: &Rc<Ticket>,
+fn streaming_answer(
+    handle: &Rc<RequestHandle>,
     request: &Rc<Outbound>,
     destination: &Destination,
     answer: EndpointAnswer,
@@ -246,7 +246,7 @@
     splitter: Option<EventSplitter>,
 ) -> Response<RouterBody> {
     let opened = Opened {
-        ticket: ticket.clone(),
+        handle: handle.clone(),
         request: request.clone(),
         attempt: destination.attempt,
         load: answer.load,
@@ -259,16 +259,16 @@
 }
 
 /// The answer to the client after a whole answer of the endpoint.
-fn finished(
-    ticket: &Ticket,
+fn complete_answer(
+    handle: &RequestHandle,
     destination: &Destination,
     answer: EndpointAnswer,
     body: Bytes,
 ) -> Response<RouterBody> {
     let success = answer.head.status.is_success();
-    ticket.conclude(if success { Outcome::Answered } else { Outcome::AnsweredWithError });
-    ticket.ended(destination.attempt, AttemptEnd::Answered { success, load: answer.load });
-    compose(answer.head, RouterBody::whole(body))
+    handle.record_outcome(if success { Outcome::Answered } else { Outcome::AnsweredWithError });
+    handle.ended(destination.attempt, AttemptEnd::Answered { success, load: answer.load });
+    compose(answer.head, RouterBody::complete(body))
 }
 
 fn compose(mut head: Parts, body: RouterBody) -> Response<RouterBody> {
--- a/crates/router/src/frontend.rs
+++ b/crates/router/src/frontend.rs
@@ -1,15 +1,15 @@
 //! Takes clients' requests: reads them whole, finds their route and hands them to the dispatcher.
 
-use crate::activity::{Activity, AnswerGuard};
-use crate::answers::OwnAnswer;
+use crate::activity::{Activity, BusyGuard};
 use crate::attempt::Outbound;
 use crate::body::RouterBody;
-use crate::carry::carry;
+use crate::forward::forward;
 use crate::headers::{ATTEMPT_ID, client_deadline, generation, remove_framing, remove_hop_by_hop};
+use crate::local_reply::LocalReply;
 use crate::outcome::Outcome;
+use crate::request_handle::RequestHandle;
 use crate::routing::{Resolved, host};
 use crate::state::RouterState;
-use crate::ticket::Ticket;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -28,7 +28,7 @@
 /// ways between machines of a region.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
 /// Largest part of a request's time that the margin may take.
-const ANSWER_MARGIN_SHARE: u32 = 10;
+const ANSWER_MARGIN_DIVISOR: u32 = 10;
 /// When to come back to a router that has no configuration yet.
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(250);
 
@@ -38,13 +38,13 @@
     activity: Rc<Activity>,
     request: Request<Incoming>,
 ) -> Result<Response<RouterBody>, Infallible> {
-    let began = state.time_of(activity.head_complete(Instant::now()));
+    let began = state.time_of(activity.on_head_complete(Instant::now()));
     state.counters.requests.increment();
     if request.version() == Version::HTTP_10 {
-        activity.reads_to_end();
+        activity.mark_close_delimited();
     }
     let answer = answer(&state, &activity, request, began).await;
-    let mut answer = answer.map(|body| body.guarded(AnswerGuard::new(activity)));
+    let mut answer = answer.map(|body| body.guarded(BusyGuard::new(activity)));
     if state.is_draining() {
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -64,10 +64,10 @@
         Err(_) if state.routing().is_none() => return unconfigured(state).into(),
         Err(status) => {
             state.counters.outcomes.count(Outcome::RejectedMalformed);
-            return OwnAnswer::Closing(status).into();
+            return LocalReply::FailureAndClose(status).into();
         }
     };
-    let _guard = AnswerGuard::new(activity.clone());
+    let _guard = BusyGuard::new(activity.clone());
     if state.routing().is_none() {
         state.await_configuration(began, client_deadline(&head.headers), body.len()).await;
     }
@@ -75,15 +75,15 @@
         Ok(prepared) => prepared,
         Err(answer) => return answer.into(),
     };
-    activity.expect_answer_by(state.instant_of(request.deadline));
-    let ticket = Ticket::open(state.clone(), request, outbound.attempt_id.clone());
-    carry(Rc::new(ticket), Rc::new(outbound)).await
+    activity.set_answer_deadline(state.instant_of(request.deadline));
+    let handle = RequestHandle::open(state.clone(), request, outbound.attempt_id.clone());
+    forward(Rc::new(handle), Rc::new(outbound)).await
 }
 
 /// What a router says that knows no configuration yet, to whatever it is asked.
-fn unconfigured(state: &RouterState) -> OwnAnswer {
+fn unconfigured(state: &RouterState) -> LocalReply {
     state.counters.outcomes.count(Outcome::RefusedUnconfigured);
-    OwnAnswer::Refusal { retry_after: UNCONFIGURED_RETRY_AFTER }
+    LocalReply::Refusal { retry_after: UNCONFIGURED_RETRY_AFTER }
 }
 
 /// Reads the whole body; the error is the status to answer with.
@@ -93,24 +93,24 @@
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
     let mut first = Bytes::new();
-    let mut gathered = BytesMut::new();
+    let mut buffered = BytesMut::new();
     while let Some(frame) = incoming.frame().await {
         let Ok(data) = frame.map_err(|_| StatusCode::BAD_REQUEST)?.into_data() else {
             continue;
         };
-        if first.len().max(gathered.len()) + data.len() > bound {
+        if first.len().max(buffered.len()) + data.len() > bound {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
         if first.is_empty() {
             first = data;
             continue;
         }
-        if gathered.is_empty() {
-            gathered.extend_from_slice(&first);
+        if buffered.is_empty() {
+            buffered.extend_from_slice(&first);
         }
-        gathered.extend_from_slice(&data);
+        buffered.extend_from_slice(&data);
     }
-    Ok(if gathered.is_empty() { first } else { gathered.freeze() })
+    Ok(if buffered.is_empty() { first } else { buffered.freeze() })
 }
 
 /// Finds the route of a request that was read whole.
@@ -119,22 +119,22 @@
     head: Parts,
     body: Bytes,
     began: Duration,
-) -> Result<(interface::Request, Outbound), OwnAnswer> {
+) -> Result<(interface::Request, Outbound), LocalReply> {
     let Some(routing) = state.routing() else {
         return Err(unconfigured(state));
     };
     let Some(host) = host(&head.uri, &head.headers) else {
         state.counters.outcomes.count(Outcome::RejectedMalformed);
-        return Err(OwnAnswer::Failure(StatusCode::BAD_REQUEST));
+        return Err(LocalReply::Failure(StatusCode::BAD_REQUEST));
     };
     let Some(resolved) = routing.resolve(host, head.uri.path(), |route| state.split_position(route)) else {
         if state.is_behind() {
             // A newer configuration may have the route.
             state.counters.outcomes.count(Outcome::RefusedBehind);
-            return Err(OwnAnswer::Refusal { retry_after: UNCONFIGURED_RETRY_AFTER });
+            return Err(LocalReply::Refusal { retry_after: UNCONFIGURED_RETRY_AFTER });
         }
         state.counters.outcomes.count(Outcome::RejectedUnrouted);
-        return Err(OwnAnswer::Failure(StatusCode::NOT_FOUND));
+        return Err(LocalReply::Failure(StatusCode::NOT_FOUND));
     };
     let request = describe(state, resolved, &head, body.len() as u64, began);
     let outbound = outbound(resolved, head, body, request.deadline);
@@ -152,7 +152,7 @@
     let route = resolved.route;
     let allowed = milliseconds(route.timeout_ms);
     let time = client_deadline(&head.headers).map_or(allowed, |told| told.min(allowed));
-    let margin = ANSWER_MARGIN.min(time / ANSWER_MARGIN_SHARE);
+    let margin = ANSWER_MARGIN.min(time / ANSWER_MARGIN_DIVISOR);
     interface::Request {
         id: state.new_request_id(),
         backend: resolved.backend.into(),
@@ -183,9 +183,9 @@
         body,
         deadline,
         engine: resolved.engine,
-        repeatable: resumable || route.route_type == RouteType::Idempotent,
+        retryable: resumable || route.route_type == RouteType::Idempotent,
         resumable,
-        carried_by: RefCell::default(),
+        used_connections: RefCell::default(),
     }
 }
 
--- a/crates/router/src/stale.rs
+++ b/crates/router/src/late_responses.rs
@@ -4,7 +4,7 @@
 //! connection. `Attempt-Id` tells which request an answer belongs to. What answers an earlier request of this
 //! connection is dropped here, below the HTTP library; whatever else comes is passed on and checked there.
 
-use crate::chunks::ChunkScanner;
+use crate::chunk_scanner::ChunkScanner;
 use crate::headers::ATTEMPT_ID;
 use hyper::Method;
 use hyper::header::{CONTENT_LENGTH, HeaderValue, TRANSFER_ENCODING};
@@ -13,15 +13,15 @@
 use tokio::io::ReadBuf;
 
 /// Requests of a connection whose late answers are known: an endpoint answers one at a time.
-const REMEMBERED: usize = 8;
+const MAX_REMEMBERED: usize = 8;
 /// Longest head that is read here, bytes; longer ones are left to the library.
-const LONGEST_HEAD: usize = 32 * 1024;
+const MAX_HEAD_BYTES: usize = 32 * 1024;
 /// Most header fields of an answer that are read here.
-const MOST_FIELDS: usize = 64;
+const MAX_FIELDS: usize = 64;
 
 /// A request that was sent on a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Carried {
+struct SentRequest {
     attempt_id: HeaderValue,
     /// Whether its answer has no body, whatever its head says.
     is_head: bool,
@@ -29,25 +29,25 @@
 
 /// What the bytes of a connection are, up to the head of the answer that is waited for.
 #[derive(Debug, Default)]
-pub struct StaleAnswers {
-    current: Option<Carried>,
-    earlier: VecDeque<Carried>,
+pub struct LateResponseFilter {
+    current: Option<SentRequest>,
+    earlier: VecDeque<SentRequest>,
     state: State,
     /// Bytes for the library that were read here.
     ready: VecDeque<u8>,
-    dropped: u64,
-    passes_all: bool,
+    discarded: u64,
+    forwards_all: bool,
 }
 
 #[derive(Debug, Default)]
 enum State {
     /// Everything goes to the library.
     #[default]
-    Passing,
+    Forwarding,
     /// The beginning of an answer's head.
     Head(Vec<u8>),
     /// Inside the body of an answer that is dropped.
-    Dropping(Remainder),
+    Discarding(Remainder),
 }
 
 /// What is left of a body.
@@ -58,50 +58,50 @@
 }
 
 /// What becomes of an answer whose head is known.
-enum Fate {
-    Pass,
-    Drop(Remainder),
+enum Disposition {
+    Forward,
+    Discard(Remainder),
 }
 
-impl StaleAnswers {
+impl LateResponseFilter {
     /// A request is about to be sent: the next answer is to be its own.
     pub fn expect(&mut self, attempt_id: Option<&HeaderValue>, method: &Method) {
         if let Some(before) = self.current.take() {
             self.earlier.push_back(before);
         }
-        if self.earlier.len() > REMEMBERED {
+        if self.earlier.len() > MAX_REMEMBERED {
             self.earlier.pop_front();
         }
         self.current =
-            attempt_id.map(|id| Carried { attempt_id: id.clone(), is_head: method == Method::HEAD });
-        if !self.earlier.is_empty() && !self.passes_all {
+            attempt_id.map(|id| SentRequest { attempt_id: id.clone(), is_head: method == Method::HEAD });
+        if !self.earlier.is_empty() && !self.forwards_all {
             self.state = State::Head(Vec::new());
         }
     }
 
     /// Passes everything on from now on, for tests.
     #[doc(hidden)]
-    pub fn pass_all(&mut self) {
-        self.passes_all = true;
+    pub fn forward_all(&mut self) {
+        self.forwards_all = true;
     }
 
     /// Whether all that comes may go to the library directly.
-    pub fn is_passing(&self) -> bool {
-        self.ready.is_empty() && matches!(self.state, State::Passing)
+    pub fn is_forwarding(&self) -> bool {
+        self.ready.is_empty() && matches!(self.state, State::Forwarding)
     }
 
     /// Answers that were dropped so far.
-    pub fn dropped(&self) -> u64 {
-        self.dropped
+    pub fn discarded(&self) -> u64 {
+        self.discarded
     }
 
     /// Takes in bytes that came on the connection.
-    pub fn take_in(&mut self, mut bytes: &[u8]) {
+    pub fn push(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             bytes = match mem::take(&mut self.state) {
-                State::Passing => self.pass(bytes),
+                State::Forwarding => self.forward(bytes),
                 State::Head(head) => self.read_head(head, bytes),
-                State::Dropping(remainder) => self.drop_body(remainder, bytes),
+                State::Discarding(remainder) => self.discard_body(remainder, bytes),
             };
         }
     }
@@ -114,7 +114,7 @@
     }
 
     /// Hands bytes to the library; tells whether there were any.
-    pub fn hand_out(&mut self, buffer: &mut ReadBuf<'_>) -> bool {
+    pub fn read_ready(&mut self, buffer: &mut ReadBuf<'_>) -> bool {
         let (front, _) = self.ready.as_slices();
         let length = front.len().min(buffer.remaining());
         buffer.put_slice(&front[..length]);
@@ -122,7 +122,7 @@
         length > 0
     }
 
-    fn pass<'a>(&mut self, bytes: &[u8]) -> &'a [u8] {
+    fn forward<'a>(&mut self, bytes: &[u8]) -> &'a [u8] {
         self.ready.extend(bytes);
         &[]
     }
@@ -131,27 +131,27 @@
     fn read_head<'a>(&mut self, mut head: Vec<u8>, bytes: &'a [u8]) -> &'a [u8] {
         let known = head.len();
         head.extend_from_slice(bytes);
-        let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+        let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut answer = httparse::Response::new(&mut fields);
         let length = match answer.parse(&head) {
             Ok(httparse::Status::Complete(length)) => length,
-            Ok(httparse::Status::Partial) if head.len() <= LONGEST_HEAD => {
+            Ok(httparse::Status::Partial) if head.len() <= MAX_HEAD_BYTES => {
                 self.state = State::Head(head);
                 return &[];
             }
-            Ok(httparse::Status::Partial) | Err(_) => return self.pass(&head),
+            Ok(httparse::Status::Partial) | Err(_) => return self.forward(&head),
         };
-        match self.fate(&answer) {
-            Fate::Pass => self.pass(&head),
-            Fate::Drop(remainder) => {
-                self.dropped += 1;
-                self.begin_dropping(remainder);
+        match self.disposition(&answer) {
+            Disposition::Forward => self.forward(&head),
+            Disposition::Discard(remainder) => {
+                self.discarded += 1;
+                self.begin_discarding(remainder);
                 &bytes[length.saturating_sub(known)..]
             }
         }
     }
 
-    fn drop_body<'a>(&mut self, remainder: Remainder, bytes: &'a [u8]) -> &'a [u8] {
+    fn discard_body<'a>(&mut self, remainder: Remainder, bytes: &'a [u8]) -> &'a [u8] {
         let (taken, left) = match remainder {
             Remainder::Bytes(left) => {
                 let taken = left.min(bytes.len() as u64);
@@ -160,32 +160,32 @@
             Remainder::Chunks(mut scanner) => match scanner.scan(bytes) {
                 Ok(taken) => (taken, Remainder::Chunks(scanner)),
                 // What follows is no answer either: the library says so.
-                Err(_) => return self.pass(bytes),
+                Err(_) => return self.forward(bytes),
             },
         };
-        self.begin_dropping(left);
+        self.begin_discarding(left);
         &bytes[taken..]
     }
 
-    fn begin_dropping(&mut self, remainder: Remainder) {
+    fn begin_discarding(&mut self, remainder: Remainder) {
         self.state = match remainder.is_over() {
             true => State::Head(Vec::new()),
-            false => State::Dropping(remainder),
+            false => State::Discarding(remainder),
         };
     }
 
-    fn fate(&self, answer: &httparse::Response<'_, '_>) -> Fate {
+    fn disposition(&self, answer: &httparse::Response<'_, '_>) -> Disposition {
         let mut ids =
             answer.headers.iter().filter(|field| field.name.eq_ignore_ascii_case(ATTEMPT_ID.as_str()));
         let Some(id) = ids.next().map(|field| field.value).filter(|_| ids.next().is_none()) else {
-            return Fate::Pass;
+            return Disposition::Forward;
         };
         if self.current.as_ref().is_some_and(|current| current.attempt_id.as_bytes() == id) {
-            return Fate::Pass;
+            return Disposition::Forward;
         }
-        let carried = self.earlier.iter().find(|carried| carried.attempt_id.as_bytes() == id);
-        let remainder = carried.and_then(|carried| remainder(answer, carried.is_head));
-        remainder.map_or(Fate::Pass, Fate::Drop)
+        let sent = self.earlier.iter().find(|sent| sent.attempt_id.as_bytes() == id);
+        let remainder = sent.and_then(|sent| remainder(answer, sent.is_head));
+        remainder.map_or(Disposition::Forward, Disposition::Discard)
     }
 }
 
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/listener.rs
@@ -1,6 +1,6 @@
 //! Listening sockets and the clients that come to them.
 
-use crate::activity::{Activity, ClientStream, Order, Phase};
+use crate::activity::{Activity, ClientStream, CloseMode, Phase};
 use crate::frontend;
 use crate::state::RouterState;
 use hyper::server::conn::http1::Builder;
@@ -23,7 +23,7 @@
 /// Connections that may wait to be accepted; whoever finds no place comes back only after a second.
 const BACKLOG: i32 = 4_096;
 /// Pause after a failed accept, mostly for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// Smallest buffer that the library takes, bytes.
 const SMALLEST_BUFFER: usize = 8 * 1024;
 
@@ -38,27 +38,32 @@
 }
 
 /// The clients' connections.
-pub struct Clients {
+pub struct ClientConnections {
     open: RefCell<HashMap<u64, Rc<Activity>>>,
     next: Cell<u64>,
-    most: usize,
+    max_open: usize,
     /// Woken when a connection has ended.
-    left: Notify,
+    closed: Notify,
 }
 
-impl Clients {
+impl ClientConnections {
     /// Room for `most` connections.
-    pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Clients { open: RefCell::default(), next: Cell::new(0), most, left: Notify::new() })
+    pub fn new(max_open: usize) -> Rc<Self> {
+        Rc::new(ClientConnections {
+            open: RefCell::default(),
+            next: Cell::new(0),
+            max_open,
+            closed: Notify::new(),
+        })
     }
 
     /// Asks all connections to close once their requests are answered.
-    pub fn finish(&self) {
-        self.each(|activity| activity.ask(Order::Finish));
+    pub fn close_gracefully(&self) {
+        self.for_each(|activity| activity.request_close(CloseMode::Graceful));
     }
 
     /// Calls `act` with each open connection.
-    pub fn each(&self, act: impl FnMut(&Activity)) {
+    pub fn for_each(&self, act: impl FnMut(&Activity)) {
         self.open.borrow().values().map(Rc::as_ref).for_each(act);
     }
 
@@ -68,69 +73,69 @@
     }
 
     /// Waits until no connection is open.
-    pub async fn all_left(&self) {
+    pub async fn all_closed(&self) {
         while !self.open.borrow().is_empty() {
-            self.left.notified().await;
+            self.closed.notified().await;
         }
     }
 
-    async fn room(&self) {
-        while self.open.borrow().len() >= self.most {
-            self.evict();
-            self.left.notified().await;
+    async fn wait_for_capacity(&self) {
+        while self.open.borrow().len() >= self.max_open {
+            self.close_longest_idle();
+            self.closed.notified().await;
         }
     }
 
     /// Closes the connection that has been idle for longest.
-    fn evict(&self) {
+    fn close_longest_idle(&self) {
         let open = self.open.borrow();
         let idle = open.values().filter(|activity| activity.phase() == Phase::Idle);
         if let Some(longest) = idle.min_by_key(|activity| activity.since()) {
-            longest.ask(Order::Finish);
+            longest.request_close(CloseMode::Graceful);
         }
     }
 
-    fn enter(self: &Rc<Self>, activity: Rc<Activity>) -> Presence {
+    fn register(self: &Rc<Self>, activity: Rc<Activity>) -> Registration {
         let number = self.next.get();
         self.next.set(number + 1);
         self.open.borrow_mut().insert(number, activity);
-        Presence { clients: self.clone(), number }
+        Registration { clients: self.clone(), number }
     }
 }
 
 /// A client that is there; it leaves when this is dropped.
-struct Presence {
-    clients: Rc<Clients>,
+struct Registration {
+    clients: Rc<ClientConnections>,
     number: u64,
 }
 
-impl Drop for Presence {
+impl Drop for Registration {
     fn drop(&mut self) {
         self.clients.open.borrow_mut().remove(&self.number);
-        self.clients.left.notify_one();
+        self.clients.closed.notify_one();
     }
 }
 
 /// Accepts clients for as long as it is polled.
-pub async fn accept(listener: TcpListener, state: Rc<RouterState>, clients: Rc<Clients>) {
+pub async fn accept(listener: TcpListener, state: Rc<RouterState>, clients: Rc<ClientConnections>) {
     loop {
-        clients.room().await;
+        clients.wait_for_capacity().await;
         match listener.accept().await {
             Ok((stream, _)) => {
                 state.counters.accepted.increment();
                 let activity = Activity::new(Instant::now());
-                let presence = clients.enter(activity.clone());
-                tokio::task::spawn_local(serve(stream, state.clone(), activity, presence));
+                let registration = clients.register(activity.clone());
+                tokio::task::spawn_local(serve(stream, state.clone(), activity, registration));
             }
             Err(error) => {
                 log::warn!("a client was not accepted: {error}");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-async fn serve(stream: TcpStream, state: Rc<RouterState>, activity: Rc<Activity>, _presence: Presence) {
+async fn serve(stream: TcpStream, state: Rc<RouterState>, activity: Rc<Activity>, _presence: Registration) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("a client left at once: {error}");
         return;
@@ -140,13 +145,17 @@
     let mut connection = pin!(builder(&state).serve_connection(io, service));
     let mut finishing = false;
     poll_fn(|cx| {
-        let order = activity.order(cx);
-        if order == Order::Abort {
+        let close_mode = activity.close_mode(cx);
+        if close_mode == CloseMode::Abort {
             return Poll::Ready(());
         }
         let mut polled = connection.as_mut().poll(cx);
         // A request that has come, or has begun to, is read and answered before the connection is closed.
-        if order == Order::Finish && !finishing && polled.is_pending() && activity.phase() != Phase::Head {
+        if close_mode == CloseMode::Graceful
+            && !finishing
+            && polled.is_pending()
+            && activity.phase() != Phase::Head
+        {
             finishing = true;
             connection.as_mut().graceful_shutdown();
             polled = connection.as_mut().poll(cx);
@@ -154,7 +163,7 @@
         polled.map(|result| {
             if let Err(error) = result {
                 log::debug!("a client's connection ended: {error}");
-                activity.broke();
+                activity.mark_broken();
             }
         })
     })
--- a/crates/router/src/answers.rs
+++ b/crates/router/src/local_reply.rs
@@ -8,27 +8,27 @@
 
 /// An answer that no endpoint gave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OwnAnswer {
+pub enum LocalReply {
     /// The request has not run and never will; says when to come back.
     Refusal { retry_after: Duration },
     /// The request cannot be served, or may have run.
     Failure(StatusCode),
     /// The same, and the connection is closed: the rest of the request stays unread.
-    Closing(StatusCode),
+    FailureAndClose(StatusCode),
 }
 
-impl From<OwnAnswer> for Response<RouterBody> {
-    fn from(answer: OwnAnswer) -> Self {
+impl From<LocalReply> for Response<RouterBody> {
+    fn from(answer: LocalReply) -> Self {
         match answer {
-            OwnAnswer::Refusal { retry_after } => refusal(retry_after),
-            OwnAnswer::Failure(status) => empty(status),
-            OwnAnswer::Closing(status) => closing(status),
+            LocalReply::Refusal { retry_after } => refusal(retry_after),
+            LocalReply::Failure(status) => empty(status),
+            LocalReply::FailureAndClose(status) => closing(status),
         }
     }
 }
 
 fn empty(status: StatusCode) -> Response<RouterBody> {
-    let mut answer = Response::new(RouterBody::whole(Bytes::new()));
+    let mut answer = Response::new(RouterBody::complete(Bytes::new()));
     *answer.status_mut() = status;
     answer
 }
--- a/crates/router/src/mailbox.rs
+++ b/crates/router/src/mailbox.rs
@@ -11,14 +11,14 @@
     /// What the dispatcher decided.
     Decided(Decision),
     /// The process ends: answer now.
-    Stopped,
+    Shutdown,
 }
 
 /// Decisions that a request's task has not taken yet.
 #[derive(Debug, Default)]
 pub struct Mailbox {
     decisions: RefCell<VecDeque<Decision>>,
-    stopped: Cell<bool>,
+    shutting_down: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
@@ -30,8 +30,8 @@
     }
 
     /// Says that the process ends.
-    pub fn stop(&self) {
-        self.stopped.set(true);
+    pub fn shut_down(&self) {
+        self.shutting_down.set(true);
         self.wake();
     }
 
@@ -40,8 +40,8 @@
         if let Some(decision) = self.decisions.borrow_mut().pop_front() {
             return Poll::Ready(Instruction::Decided(decision));
         }
-        if self.stopped.get() {
-            return Poll::Ready(Instruction::Stopped);
+        if self.shutting_down.get() {
+            return Poll::Ready(Instruction::Shutdown);
         }
         let mut waker = self.waker.borrow_mut();
         if !waker.as_ref().is_some_and(|known| known.will_wake(cx.waker())) {
--- a/crates/router/src/maintenance.rs
+++ b/crates/router/src/maintenance.rs
@@ -1,9 +1,9 @@
 //! What has to be done from time to time, all on one tick: ends clients that stall, closes connections that
 //! are not used, reports demand and writes the counts to the log.
 
-use crate::activity::{Activity, Order, Phase};
+use crate::activity::{Activity, CloseMode, Phase};
 use crate::fault::RouterFault;
-use crate::listener::Clients;
+use crate::listener::ClientConnections;
 use crate::state::RouterState;
 use lanegate_config::configuration::Limits;
 use lanegate_config::demand::DemandReport;
@@ -15,16 +15,20 @@
 /// Pause between two ticks: limits are met within a second, for one wake-up a second.
 const TICK: Duration = Duration::from_secs(1);
 /// Shortest pause between two reports of demand that no endpoint can serve; requests wait for these.
-const URGENT_PAUSE: Duration = Duration::from_millis(20);
+const URGENT_REPORT_INTERVAL: Duration = Duration::from_millis(20);
 /// Time after a request's deadline at which a client that does not take its answer is left.
-const STALLED_ANSWER: Duration = Duration::from_secs(2);
+const STALLED_ANSWER_GRACE: Duration = Duration::from_secs(2);
 /// Idle times after which a client that has not even taken its last answer is left.
-const STALLED_IDLE_TIMES: f64 = 2.0;
+const STALLED_IDLE_FACTOR: f64 = 2.0;
 /// Ticks between two lines of counts in the log.
 const TICKS_PER_LOG: u32 = 60;
 
 /// Ticks for as long as it is polled.
-pub async fn maintain(state: Rc<RouterState>, clients: Rc<Clients>, demand: UnboundedSender<DemandReport>) {
+pub async fn maintain(
+    state: Rc<RouterState>,
+    clients: Rc<ClientConnections>,
+    demand: UnboundedSender<DemandReport>,
+) {
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut until_log = TICKS_PER_LOG;
@@ -32,16 +36,16 @@
         let now = tokio::select! {
             now = ticks.tick() => now,
             () = state.unplaced.notified() => {
-                report(&state, &demand);
-                sleep(URGENT_PAUSE).await;
+                report_demand(&state, &demand);
+                sleep(URGENT_REPORT_INTERVAL).await;
                 continue;
             }
         };
         let limits = state.routing().map(|routing| routing.limits().clone()).unwrap_or_default();
-        let swept_at = if state.makes(RouterFault::SweepByPresentTime) { Instant::now() } else { now };
-        clients.each(|activity| sweep(activity, &limits, swept_at));
-        state.pool.close_stale(now);
-        report(&state, &demand);
+        let checked_at = if state.has_fault(RouterFault::SweepByPresentTime) { Instant::now() } else { now };
+        clients.for_each(|activity| close_if_stalled(activity, &limits, checked_at));
+        state.pool.close_expired(now);
+        report_demand(&state, &demand);
         until_log -= 1;
         if until_log == 0 {
             until_log = TICKS_PER_LOG;
@@ -50,8 +54,8 @@
     }
 }
 
-fn report(state: &RouterState, demand: &UnboundedSender<DemandReport>) {
-    let report = state.decide(|dispatcher, now| dispatcher.demand_report(now));
+fn report_demand(state: &RouterState, demand: &UnboundedSender<DemandReport>) {
+    let report = state.with_dispatcher(|dispatcher, now| dispatcher.demand_report(now));
     if demand.send(report).is_err() {
         log::trace!("nobody listens for demand");
     }
@@ -61,25 +65,27 @@
 ///
 /// `now` is the time at which the tick was due. After a standstill of the process that is long ago, so what came
 /// meanwhile, and what the dispatcher has to end, is answered before any connection is judged by the present time.
-fn sweep(activity: &Activity, limits: &Limits, now: Instant) {
+fn close_if_stalled(activity: &Activity, limits: &Limits, now: Instant) {
     let spent = now.saturating_duration_since(activity.since());
     let over = |milliseconds: f64| spent.as_secs_f64() * 1_000.0 > milliseconds;
     match activity.phase() {
-        Phase::Idle if over(limits.idle_timeout_ms * STALLED_IDLE_TIMES) => activity.ask(Order::Abort),
-        Phase::Idle if over(limits.idle_timeout_ms) => activity.ask(Order::Finish),
-        Phase::Head if over(limits.header_timeout_ms) => activity.ask(Order::Abort),
-        Phase::Body if over(limits.idle_timeout_ms) => activity.ask(Order::Abort),
-        Phase::Answering if now > activity.answer_by().max(activity.since()) + STALLED_ANSWER => {
-            activity.ask(Order::Abort);
+        Phase::Idle if over(limits.idle_timeout_ms * STALLED_IDLE_FACTOR) => {
+            activity.request_close(CloseMode::Abort)
+        }
+        Phase::Idle if over(limits.idle_timeout_ms) => activity.request_close(CloseMode::Graceful),
+        Phase::Head if over(limits.header_timeout_ms) => activity.request_close(CloseMode::Abort),
+        Phase::Body if over(limits.idle_timeout_ms) => activity.request_close(CloseMode::Abort),
+        Phase::Answering if now > activity.answer_deadline().max(activity.since()) + STALLED_ANSWER_GRACE => {
+            activity.request_close(CloseMode::Abort);
         }
         Phase::Idle | Phase::Head | Phase::Body | Phase::Answering => {}
     }
 }
 
 /// Calls the dispatcher when it has asked for that, for as long as it is polled.
-pub async fn keep_time(state: Rc<RouterState>) {
+pub async fn run_dispatcher_timer(state: Rc<RouterState>) {
     loop {
-        let Some(wake) = state.armed() else {
+        let Some(wake) = state.timer_at() else {
             state.rearm.notified().await;
             continue;
         };
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -1,6 +1,6 @@
 //! The figures of a router, read from its state when they are asked for.
 
-use crate::listener::Clients;
+use crate::listener::ClientConnections;
 use crate::outcome::Outcome;
 use crate::state::RouterState;
 use lanegate_metrics::{Exposition, Metric};
@@ -75,12 +75,12 @@
     Metric::gauge("lanegate_router_agent_link_up", "1 while the link to the agent of this machine is up");
 
 /// The figures now.
-pub fn collect(state: &RouterState, clients: &Clients) -> Exposition {
+pub fn collect(state: &RouterState, clients: &ClientConnections) -> Exposition {
     let mut exposition = Exposition::default();
     add_requests(&mut exposition, state);
     add_attempts(&mut exposition, state);
     add_connections(&mut exposition, state, clients);
-    add_standing(&mut exposition, state);
+    add_status(&mut exposition, state);
     exposition.set_violations(&state.violations);
     exposition
 }
@@ -94,7 +94,7 @@
         exposition.set_labelled(&REQUESTS, &labels, counters.outcomes.get(outcome));
     }
     exposition.set(&REQUESTS_OPEN, state.open_requests());
-    for (age, requests) in counters.cut_at_end.by_age() {
+    for (age, requests) in counters.aborted_at_shutdown.by_age() {
         exposition.set_labelled(&REQUESTS_CUT, &[("age", age)], requests);
     }
 }
@@ -111,8 +111,8 @@
         exposition.set(&RETRY_BUDGET_LEFT, left);
     }
     exposition.set(&STREAMS_RESUMED, counters.resumed.get());
-    exposition.set(&STALE_ANSWERS, counters.stale_answers.get());
-    exposition.set(&BYTES_PASSED, counters.bytes_passed.get());
+    exposition.set(&STALE_ANSWERS, counters.late_responses.get());
+    exposition.set(&BYTES_PASSED, counters.forwarded_bytes.get());
     let endpoints = dispatch.endpoints;
     for (standing, count) in
         [("serving", endpoints.serving), ("ejected", endpoints.ejected), ("leaving", endpoints.draining)]
@@ -121,7 +121,7 @@
     }
 }
 
-fn add_connections(exposition: &mut Exposition, state: &RouterState, clients: &Clients) {
+fn add_connections(exposition: &mut Exposition, state: &RouterState, clients: &ClientConnections) {
     exposition.set(&CLIENTS_ACCEPTED, state.counters.accepted.get());
     exposition.set(&CLIENTS_OPEN, clients.count());
     exposition.set(&CONNECTIONS_OPENED, state.counters.connections_opened.get());
@@ -130,7 +130,7 @@
     exposition.set(&CONNECTIONS_IDLE, connections.idle);
 }
 
-fn add_standing(exposition: &mut Exposition, state: &RouterState) {
+fn add_status(exposition: &mut Exposition, state: &RouterState) {
     exposition.set(&READY, state.is_ready());
     exposition.set(&DRAINING, state.is_draining());
     exposition.set(&DRAINING_TIME, state.draining_time().unwrap_or_default());
--- a/crates/router/src/open_request.rs
+++ b/crates/router/src/open_request.rs
@@ -17,7 +17,7 @@
     arrived: Duration,
     endpoint: RefCell<Option<Arc<str>>>,
     answer: Cell<AnswerState>,
-    last_passed: Cell<Option<Duration>>,
+    last_forwarded: Cell<Option<Duration>>,
 }
 
 /// How far the answer to a client has come.
@@ -28,7 +28,7 @@
     /// The head was passed on.
     Begun,
     /// All of it was passed on; the client has not taken all of it.
-    Whole,
+    Complete,
 }
 
 impl OpenRequest {
@@ -41,12 +41,12 @@
             arrived: request.arrived,
             endpoint: RefCell::new(None),
             answer: Cell::new(AnswerState::NotBegun),
-            last_passed: Cell::new(None),
+            last_forwarded: Cell::new(None),
         }
     }
 
     /// Hands a decision of the dispatcher over.
-    pub fn decided(&self, decision: Decision) {
+    pub fn on_decision(&self, decision: Decision) {
         if let Decision::Send { instance, .. } = &decision {
             *self.endpoint.borrow_mut() = Some(instance.clone());
         }
@@ -54,18 +54,18 @@
     }
 
     /// Notes that bytes of the answer were passed on at `now`.
-    pub fn passed(&self, now: Duration) {
+    pub fn record_forwarded(&self, now: Duration) {
         self.answer.set(AnswerState::Begun);
-        self.last_passed.set(Some(now));
+        self.last_forwarded.set(Some(now));
     }
 
     /// Notes that the endpoint's answer is whole.
-    pub fn completed(&self) {
-        self.answer.set(AnswerState::Whole);
+    pub fn record_completed(&self) {
+        self.answer.set(AnswerState::Complete);
     }
 
     /// Whether the client has got some of the answer, and not all of it is there.
-    pub fn is_begun(&self) -> bool {
+    pub fn has_begun(&self) -> bool {
         self.answer.get() == AnswerState::Begun
     }
 
@@ -99,7 +99,7 @@
         write!(formatter, " since_sigterm_ms={}", self.milliseconds_since(self.ending_since))?;
         write!(formatter, " sent_before_sigterm={}", request.arrived <= self.ending_since)?;
         write!(formatter, " answer={}", request.answer.get())?;
-        match request.last_passed.get() {
+        match request.last_forwarded.get() {
             Some(passed) => write!(formatter, " last_event_ms_ago={}", self.milliseconds_since(passed)),
             None => write!(formatter, " last_event_ms_ago=none"),
         }
@@ -117,7 +117,7 @@
         formatter.write_str(match self {
             AnswerState::NotBegun => "not_begun",
             AnswerState::Begun => "begun",
-            AnswerState::Whole => "whole",
+            AnswerState::Complete => "whole",
         })
     }
 }
--- a/crates/router/src/outcome.rs
+++ b/crates/router/src/outcome.rs
@@ -10,11 +10,11 @@
     /// The same with another status.
     AnsweredWithError,
     /// Refused by the dispatcher: no endpoint could take it in time.
-    RefusedNoRoom,
+    RefusedNoCapacity,
     /// Refused: no attempt was sent to its end, and none is left.
     RefusedNotSent,
     /// Refused as the process ends.
-    RefusedEnding,
+    RefusedShutdown,
     /// Refused as no configuration is known yet.
     RefusedUnconfigured,
     /// Refused as a newer configuration may have its route.
@@ -30,15 +30,15 @@
     /// It may have run, and no attempt is left.
     FailedAttempts,
     /// It may have run, and the process ends.
-    FailedEnding,
+    FailedShutdown,
     /// Its answer had begun and its time was over.
-    BrokenOffDeadline,
+    TruncatedDeadline,
     /// Its answer had begun, the endpoint broke it off, and it could not be taken up elsewhere.
-    BrokenOffEndpoint,
+    TruncatedEndpoint,
     /// Its answer had begun and the process ended.
-    BrokenOffEnding,
+    TruncatedShutdown,
     /// The client left.
-    ClientLeft,
+    ClientDisconnected,
 }
 
 impl Outcome {
@@ -46,9 +46,9 @@
     pub const ALL: [Outcome; 17] = [
         Outcome::Answered,
         Outcome::AnsweredWithError,
-        Outcome::RefusedNoRoom,
+        Outcome::RefusedNoCapacity,
         Outcome::RefusedNotSent,
-        Outcome::RefusedEnding,
+        Outcome::RefusedShutdown,
         Outcome::RefusedUnconfigured,
         Outcome::RefusedBehind,
         Outcome::RejectedUnrouted,
@@ -56,11 +56,11 @@
         Outcome::FailedDeadline,
         Outcome::FailedMayHaveRun,
         Outcome::FailedAttempts,
-        Outcome::FailedEnding,
-        Outcome::BrokenOffDeadline,
-        Outcome::BrokenOffEndpoint,
-        Outcome::BrokenOffEnding,
-        Outcome::ClientLeft,
+        Outcome::FailedShutdown,
+        Outcome::TruncatedDeadline,
+        Outcome::TruncatedEndpoint,
+        Outcome::TruncatedShutdown,
+        Outcome::ClientDisconnected,
     ];
 
     /// The kind of the outcome and its reason, as labels of a metric.
@@ -68,9 +68,9 @@
         match self {
             Outcome::Answered => ("answered", "success"),
             Outcome::AnsweredWithError => ("answered", "endpoint_error"),
-            Outcome::RefusedNoRoom => ("refused", "no_room"),
+            Outcome::RefusedNoCapacity => ("refused", "no_room"),
             Outcome::RefusedNotSent => ("refused", "not_sent"),
-            Outcome::RefusedEnding => ("refused", "process_ending"),
+            Outcome::RefusedShutdown => ("refused", "process_ending"),
             Outcome::RefusedUnconfigured => ("refused", "no_configuration"),
             Outcome::RefusedBehind => ("refused", "configuration_behind"),
             Outcome::RejectedUnrouted => ("rejected", "no_route"),
@@ -78,11 +78,11 @@
             Outcome::FailedDeadline => ("failed", "deadline"),
             Outcome::FailedMayHaveRun => ("failed", "may_have_run"),
             Outcome::FailedAttempts => ("failed", "attempts"),
-            Outcome::FailedEnding => ("failed", "process_ending"),
-            Outcome::BrokenOffDeadline => ("broken_off", "deadline"),
-            Outcome::BrokenOffEndpoint => ("broken_off", "endpoint"),
-            Outcome::BrokenOffEnding => ("broken_off", "process_ending"),
-            Outcome::ClientLeft => ("client_left", "client"),
+            Outcome::FailedShutdown => ("failed", "process_ending"),
+            Outcome::TruncatedDeadline => ("broken_off", "deadline"),
+            Outcome::TruncatedEndpoint => ("broken_off", "endpoint"),
+            Outcome::TruncatedShutdown => ("broken_off", "process_ending"),
+            Outcome::ClientDisconnected => ("client_left", "client"),
         }
     }
 }
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -1,6 +1,6 @@
 //! Connections to endpoints: idle ones are used again, and each endpoint has a bound for this router.
 
-use crate::connection::{EndpointConnection, Peer};
+use crate::connection::{EndpointConnection, PeerState};
 use crate::fault::RouterFault;
 use lanegate_config::configuration::Configuration;
 use lanegate_config::feed::FeedEvent;
@@ -15,24 +15,24 @@
 
 /// Time for which an idle connection is used again where the endpoint tells none: it tells whole seconds, so
 /// it closes in under a second.
-const UNTOLD_IDLE: Duration = Duration::from_millis(400);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Part of the told time for which an idle connection is used again; the rest is for the way of the request.
-const IDLE_SHARE: f64 = 0.8;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 /// Time for which an endpoint that sent bytes belonging to no request is not trusted to be done after an answer.
-const DISTRUST: Duration = Duration::from_secs(10);
+const QUARANTINE: Duration = Duration::from_secs(10);
 /// Idle time after which even such an endpoint counts as done with an answer.
-const DISTRUSTED_REST: Duration = Duration::from_millis(300);
+const QUARANTINE_IDLE_TIME: Duration = Duration::from_millis(300);
 /// Part of an endpoint's connections that routers take; the rest is for health checks and orders.
-const ROUTERS_SHARE: f64 = 0.9;
+const ROUTER_FRACTION: f64 = 0.9;
 /// Connections that one router may open to an endpoint whose service names no bound.
-const UNTOLD_CONNECTIONS: u32 = 256;
+const DEFAULT_MAX_CONNECTIONS: u32 = 256;
 
 /// Whether a request may be sent to an endpoint now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
-    Serving,
+pub enum Availability {
+    Available,
     /// Leaving, gone, or never heard of.
-    Closed,
+    Unavailable,
 }
 
 /// Connections to all endpoints.
@@ -65,7 +65,7 @@
     serving: bool,
     open: Rc<Cell<u32>>,
     /// Until when its connections rest after an answer.
-    distrusted_until: Option<Instant>,
+    quarantined_until: Option<Instant>,
     /// The one used last comes last.
     idle: Vec<IdleConnection>,
 }
@@ -76,8 +76,8 @@
 }
 
 impl IdleConnection {
-    fn is_none_of(&self, barred: &[ConnectionNumber]) -> bool {
-        !barred.contains(&self.connection.lease().number)
+    fn is_not_among(&self, excluded: &[ConnectionNumber]) -> bool {
+        !excluded.contains(&self.connection.lease().number)
     }
 }
 
@@ -109,29 +109,37 @@
 }
 
 impl Endpoint {
-    fn is_distrusted(&self, now: Instant) -> bool {
-        self.distrusted_until.is_some_and(|until| now < until)
+    fn is_quarantined(&self, now: Instant) -> bool {
+        self.quarantined_until.is_some_and(|until| now < until)
     }
 
-    fn distrust(&mut self, now: Instant) {
-        self.distrusted_until = Some(now + DISTRUST);
+    fn quarantine(&mut self, now: Instant) {
+        self.quarantined_until = Some(now + QUARANTINE);
     }
 
     /// The connection that has rested longest, if that is long enough for late bytes to have come.
-    fn take_rested(&mut self, now: Instant, barred: &[ConnectionNumber]) -> Option<EndpointConnection> {
-        let place = self.idle.iter().position(|idle| idle.is_none_of(barred))?;
-        if now.saturating_duration_since(self.idle[place].since) < DISTRUSTED_REST {
+    fn take_longest_idle(
+        &mut self,
+        now: Instant,
+        excluded: &[ConnectionNumber],
+    ) -> Option<EndpointConnection> {
+        let index = self.idle.iter().position(|idle| idle.is_not_among(excluded))?;
+        if now.saturating_duration_since(self.idle[index].since) < QUARANTINE_IDLE_TIME {
             return None;
         }
-        let candidate = self.idle.remove(place);
-        self.checked(candidate, now)
+        let candidate = self.idle.remove(index);
+        self.validated(candidate, now)
     }
 
     /// The connection that was used last, if a request may be sent on it.
-    fn take_latest(&mut self, now: Instant, barred: &[ConnectionNumber]) -> Option<EndpointConnection> {
-        while let Some(place) = self.idle.iter().rposition(|idle| idle.is_none_of(barred)) {
-            let candidate = self.idle.remove(place);
-            if let Some(connection) = self.checked(candidate, now) {
+    fn take_most_recent(
+        &mut self,
+        now: Instant,
+        excluded: &[ConnectionNumber],
+    ) -> Option<EndpointConnection> {
+        while let Some(index) = self.idle.iter().rposition(|idle| idle.is_not_among(excluded)) {
+            let candidate = self.idle.remove(index);
+            if let Some(connection) = self.validated(candidate, now) {
                 return Some(connection);
             }
         }
@@ -139,23 +147,23 @@
     }
 
     /// The connection that was used last, whatever has come on it: a deliberate mistake.
-    fn take_unchecked(&mut self, barred: &[ConnectionNumber]) -> Option<EndpointConnection> {
-        let place = self.idle.iter().rposition(|idle| idle.is_none_of(barred))?;
-        Some(self.idle.remove(place).connection)
+    fn take_unchecked(&mut self, excluded: &[ConnectionNumber]) -> Option<EndpointConnection> {
+        let index = self.idle.iter().rposition(|idle| idle.is_not_among(excluded))?;
+        Some(self.idle.remove(index).connection)
     }
 
     /// The connection, if a request may be sent on it.
-    fn checked(&mut self, mut candidate: IdleConnection, now: Instant) -> Option<EndpointConnection> {
+    fn validated(&mut self, mut candidate: IdleConnection, now: Instant) -> Option<EndpointConnection> {
         let connection = &mut candidate.connection;
-        if !connection.is_fresh(now) {
+        if !connection.is_unexpired(now) {
             return None;
         }
-        let clean = connection.is_clean();
-        let peer = connection.peer();
-        if connection.is_spoilt() || peer == Peer::Speaking {
-            self.distrust(now);
+        let reusable = connection.is_reusable();
+        let peer = connection.peer_state();
+        if connection.is_tainted() || peer == PeerState::Sending {
+            self.quarantine(now);
         }
-        (clean && peer == Peer::Silent).then_some(candidate.connection)
+        (reusable && peer == PeerState::Idle).then_some(candidate.connection)
     }
 }
 
@@ -187,7 +195,7 @@
             address: instance.address,
             serving: true,
             open: Rc::default(),
-            distrusted_until: None,
+            quarantined_until: None,
             idle: Vec::new(),
         });
         endpoint.serving = instance.state == InstanceState::Ready;
@@ -201,10 +209,10 @@
     }
 
     /// Whether a request may be sent to the endpoint now.
-    pub fn standing(&self, instance: &str) -> Standing {
+    pub fn availability(&self, instance: &str) -> Availability {
         match self.endpoints.borrow().get(instance) {
-            Some(endpoint) if endpoint.serving => Standing::Serving,
-            _ => Standing::Closed,
+            Some(endpoint) if endpoint.serving => Availability::Available,
+            _ => Availability::Unavailable,
         }
     }
 
@@ -213,24 +221,24 @@
         &self,
         instance: &str,
         address: SocketAddr,
-        barred: &[ConnectionNumber],
+        excluded: &[ConnectionNumber],
     ) -> Option<EndpointConnection> {
         let now = Instant::now();
         let mut endpoints = self.endpoints.borrow_mut();
         let endpoint = endpoints.get_mut(instance).filter(|endpoint| endpoint.address == address)?;
         if self.fault == Some(RouterFault::IgnoreUnread) {
-            return endpoint.take_unchecked(barred);
+            return endpoint.take_unchecked(excluded);
         }
-        if endpoint.is_distrusted(now) {
-            return endpoint.take_rested(now, barred);
+        if endpoint.is_quarantined(now) {
+            return endpoint.take_longest_idle(now, excluded);
         }
-        endpoint.take_latest(now, barred)
+        endpoint.take_most_recent(now, excluded)
     }
 
     /// Notes that the endpoint sent what is no answer to a request.
-    pub fn distrust(&self, instance: &str) {
+    pub fn quarantine(&self, instance: &str) {
         if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(instance) {
-            endpoint.distrust(Instant::now());
+            endpoint.quarantine(Instant::now());
         }
     }
 
@@ -238,7 +246,7 @@
     pub fn lease(&self, instance: &Arc<str>, address: SocketAddr) -> Option<Lease> {
         let endpoints = self.endpoints.borrow();
         let endpoint = endpoints.get(&**instance)?;
-        let free = endpoint.open.get() < self.bound(&endpoint.backend);
+        let free = endpoint.open.get() < self.connection_limit(&endpoint.backend);
         free.then(|| Lease::new(instance.clone(), address, self.new_number(), endpoint.open.clone()))
     }
 
@@ -249,30 +257,32 @@
     }
 
     /// Connections that this router may have to one endpoint of the service.
-    fn bound(&self, backend: &str) -> u32 {
+    fn connection_limit(&self, backend: &str) -> u32 {
         let configuration = self.configuration.borrow();
         let services = configuration.iter().flat_map(|configuration| &configuration.backends);
-        let mut bounds =
+        let mut limits =
             services.filter(|service| service.name == backend).filter_map(|service| service.max_conns);
-        match bounds.next() {
-            Some(bound) => share(bound, self.routers.get()),
-            None => UNTOLD_CONNECTIONS,
+        match limits.next() {
+            Some(limit) => connection_quota(limit, self.routers.get()),
+            None => DEFAULT_MAX_CONNECTIONS,
         }
     }
 
     /// Takes a connection back after a whole answer.
-    pub fn give_back(&self, mut connection: EndpointConnection, told_idle: Option<Duration>) {
-        let clean = connection.is_clean() || self.fault == Some(RouterFault::IgnoreUnread);
+    pub fn release(&self, mut connection: EndpointConnection, idle_timeout: Option<Duration>) {
+        let reusable = connection.is_reusable() || self.fault == Some(RouterFault::IgnoreUnread);
         let now = Instant::now();
         let mut endpoints = self.endpoints.borrow_mut();
         let Some(endpoint) = endpoints.get_mut(&*connection.lease().instance) else {
             return;
         };
-        if connection.is_spoilt() {
-            endpoint.distrust(now);
+        if connection.is_tainted() {
+            endpoint.quarantine(now);
         }
-        if clean && endpoint.serving && endpoint.address == connection.lease().address {
-            connection.usable_for(told_idle.map_or(UNTOLD_IDLE, |told| told.mul_f64(IDLE_SHARE)));
+        if reusable && endpoint.serving && endpoint.address == connection.lease().address {
+            connection.usable_for(
+                idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, |told| told.mul_f64(IDLE_TIMEOUT_FRACTION)),
+            );
             endpoint.idle.push(IdleConnection { connection, since: now });
         }
     }
@@ -288,15 +298,15 @@
     }
 
     /// Closes connections that will not be used again.
-    pub fn close_stale(&self, now: Instant) {
+    pub fn close_expired(&self, now: Instant) {
         for endpoint in self.endpoints.borrow_mut().values_mut() {
-            endpoint.idle.retain(|idle| idle.connection.is_fresh(now));
+            endpoint.idle.retain(|idle| idle.connection.is_unexpired(now));
         }
     }
 }
 
 /// This router's share of the connections that an endpoint takes.
-pub fn share(bound: u32, routers: u32) -> u32 {
-    let shared = f64::from(bound) * ROUTERS_SHARE / f64::from(routers.max(1));
+pub fn connection_quota(limit: u32, routers: u32) -> u32 {
+    let shared = f64::from(limit) * ROUTER_FRACTION / f64::from(routers.max(1));
     (shared as u32).max(1)
 }
--- a/crates/router/src/readiness.rs
+++ b/crates/router/src/readiness.rs
@@ -17,9 +17,9 @@
 /// Path that the platform asks for.
 const READY_PATH: &str = "/readyz";
 /// Longest time that a connection is kept: the platform asks each second.
-const LONGEST_CONNECTION: Duration = Duration::from_secs(60);
+const MAX_CONNECTION_TIME: Duration = Duration::from_secs(60);
 /// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Answers for as long as it is polled.
 pub async fn accept(listener: TcpListener, state: Rc<RouterState>) {
@@ -30,7 +30,7 @@
             }
             Err(error) => {
                 log::warn!("a question for readiness was not accepted: {error}");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
@@ -43,7 +43,7 @@
     });
     let mut builder = Builder::new();
     let connection = builder.auto_date_header(false).serve_connection(TokioIo::new(stream), service);
-    if let Ok(Err(error)) = timeout(LONGEST_CONNECTION, connection).await {
+    if let Ok(Err(error)) = timeout(MAX_CONNECTION_TIME, connection).await {
         log::debug!("a question for readiness ended: {error}");
     }
 }
--- a/crates/router/src/ticket.rs
+++ b/crates/router/src/request_handle.rs
@@ -13,24 +13,24 @@
 use std::task::{Context, Poll};
 
 /// Stands for one request at the dispatcher; the request is cancelled there when this is dropped early.
-pub struct Ticket {
+pub struct RequestHandle {
     state: Rc<RouterState>,
     id: RequestId,
     open: Rc<OpenRequest>,
     /// Whether nothing more will be decided for the request.
-    settled: Cell<bool>,
+    has_ended: Cell<bool>,
     /// How the request ended, once it has.
     outcome: Cell<Option<Outcome>>,
 }
 
-impl Ticket {
+impl RequestHandle {
     /// Hands the request to the dispatcher; `attempt_id` is as the client sent it.
     pub fn open(state: Rc<RouterState>, request: Request, attempt_id: Option<HeaderValue>) -> Self {
         let id = request.id;
         let open = Rc::new(OpenRequest::new(&request, attempt_id));
         state.register(id, open.clone());
-        state.decide(|dispatcher, now| dispatcher.submit(now, request));
-        Ticket { state, id, open, settled: Cell::new(false), outcome: Cell::new(None) }
+        state.with_dispatcher(|dispatcher, now| dispatcher.submit(now, request));
+        RequestHandle { state, id, open, has_ended: Cell::new(false), outcome: Cell::new(None) }
     }
 
     /// The router that the request belongs to.
@@ -39,7 +39,7 @@
     }
 
     /// Counts how the request ended.
-    pub fn conclude(&self, outcome: Outcome) {
+    pub fn record_outcome(&self, outcome: Outcome) {
         if self.state.violations.check(Invariant::OneOutcome, self.outcome.get().is_none()) {
             self.outcome.set(Some(outcome));
             self.state.counters.outcomes.count(outcome);
@@ -47,29 +47,29 @@
     }
 
     /// Notes that bytes of the answer are passed on.
-    pub fn passed(&self) {
-        self.open.passed(self.state.now());
+    pub fn record_forwarded(&self) {
+        self.open.record_forwarded(self.state.now());
     }
 
     /// Reports news of an attempt.
     pub fn progress(&self, attempt: u32, progress: Progress) {
-        self.state.decide(|dispatcher, now| dispatcher.progress(now, self.id, attempt, progress));
+        self.state.with_dispatcher(|dispatcher, now| dispatcher.progress(now, self.id, attempt, progress));
     }
 
     /// Reports the end of an attempt.
     pub fn ended(&self, attempt: u32, end: AttemptEnd) {
         if matches!(end, AttemptEnd::Answered { .. }) {
-            self.settled.set(true);
-            self.open.completed();
+            self.has_ended.set(true);
+            self.open.record_completed();
         }
-        self.state.decide(|dispatcher, now| dispatcher.ended(now, self.id, attempt, end));
+        self.state.with_dispatcher(|dispatcher, now| dispatcher.ended(now, self.id, attempt, end));
     }
 
     /// The next instruction; the task is woken when there is one.
     pub fn poll_next(&self, cx: &mut Context<'_>) -> Poll<Instruction> {
         let next = self.open.mailbox.poll_next(cx);
         if let Poll::Ready(Instruction::Decided(Decision::Refuse { .. } | Decision::Fail { .. })) = next {
-            self.settled.set(true);
+            self.has_ended.set(true);
         }
         next
     }
@@ -80,14 +80,14 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for RequestHandle {
     fn drop(&mut self) {
         self.state.unregister(self.id);
-        if !self.settled.get() {
-            self.state.decide(|dispatcher, now| dispatcher.cancel(now, self.id));
+        if !self.has_ended.get() {
+            self.state.with_dispatcher(|dispatcher, now| dispatcher.cancel(now, self.id));
         }
         if self.outcome.get().is_none() {
-            self.conclude(Outcome::ClientLeft);
+            self.record_outcome(Outcome::ClientDisconnected);
         }
     }
 }
--- a/crates/router/src/resume.rs
+++ b/crates/router/src/resume.rs
@@ -6,7 +6,7 @@
 use crate::headers::is_event_stream;
 use crate::mailbox::Instruction;
 use crate::outcome::Outcome;
-use crate::ticket::Ticket;
+use crate::request_handle::RequestHandle;
 use hyper::header::HeaderValue;
 use lanegate_dispatch::interface::{AttemptEnd, Decision, FailReason, InstanceLoad, Progress};
 use std::cell::Cell;
@@ -24,20 +24,20 @@
 
 /// Follows the dispatcher until another run has begun; an error tells why the answer ends without one.
 pub async fn resume(
-    ticket: Rc<Ticket>,
+    handle: Rc<RequestHandle>,
     request: Rc<Outbound>,
     last_event: HeaderValue,
 ) -> Result<Resumed, Outcome> {
-    let mut instruction = ticket.next().await;
+    let mut instruction = handle.next().await;
     loop {
-        let outcome = broken_off_by(&instruction);
+        let outcome = truncation_outcome(&instruction);
         let Instruction::Decided(decision) = instruction else { return Err(outcome) };
         let destination = Destination::of(decision).ok_or(outcome)?;
-        instruction = match send(&ticket, &request, &destination, &last_event).await {
+        instruction = match send(&handle, &request, &destination, &last_event).await {
             Sent::Resumed(resumed) => return Ok(resumed),
             Sent::Ended(end) => {
-                ticket.ended(destination.attempt, end);
-                ticket.next().await
+                handle.ended(destination.attempt, end);
+                handle.next().await
             }
             Sent::Superseded(instruction) => instruction,
         };
@@ -45,13 +45,13 @@
 }
 
 /// How an answer that has begun ends by an instruction that is followed by no other run.
-pub fn broken_off_by(instruction: &Instruction) -> Outcome {
+pub fn truncation_outcome(instruction: &Instruction) -> Outcome {
     match instruction {
-        Instruction::Stopped => Outcome::BrokenOffEnding,
+        Instruction::Shutdown => Outcome::TruncatedShutdown,
         Instruction::Decided(Decision::Fail { reason: FailReason::Deadline, .. }) => {
-            Outcome::BrokenOffDeadline
+            Outcome::TruncatedDeadline
         }
-        Instruction::Decided(_) => Outcome::BrokenOffEndpoint,
+        Instruction::Decided(_) => Outcome::TruncatedEndpoint,
     }
 }
 
@@ -62,29 +62,29 @@
 }
 
 async fn send(
-    ticket: &Ticket,
+    handle: &RequestHandle,
     request: &Outbound,
     destination: &Destination,
     last_event: &HeaderValue,
 ) -> Sent {
     let sent = Cell::new(false);
     let last_event = Some(last_event.clone());
-    let mut attempt = pin!(attempt::send(ticket.state(), request, destination, last_event, &sent));
+    let mut attempt = pin!(attempt::send(handle.state(), request, destination, last_event, &sent));
     let result = poll_fn(|cx| match attempt.as_mut().poll(cx) {
         Poll::Ready(result) => Poll::Ready(Ok(result)),
-        Poll::Pending => ticket.poll_next(cx).map(Err),
+        Poll::Pending => handle.poll_next(cx).map(Err),
     });
     match result.await {
-        Ok(Ok(answer)) => take_up(ticket, destination, answer),
+        Ok(Ok(answer)) => accept_resumed(handle, destination, answer),
         Ok(Err(end)) => Sent::Ended(end),
         Err(instruction) => Sent::Superseded(instruction),
     }
 }
 
-fn take_up(ticket: &Ticket, destination: &Destination, answer: EndpointAnswer) -> Sent {
+fn accept_resumed(handle: &RequestHandle, destination: &Destination, answer: EndpointAnswer) -> Sent {
     if !answer.head.status.is_success() || !is_event_stream(&answer.head.headers) {
         return Sent::Ended(AttemptEnd::Broken);
     }
-    ticket.progress(destination.attempt, Progress::Head { load: answer.load });
+    handle.progress(destination.attempt, Progress::Head { load: answer.load });
     Sent::Resumed(Resumed { attempt: destination.attempt, load: answer.load, body: answer.body })
 }
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -1,7 +1,7 @@
 //! Puts the router together and runs it until the process is asked to end.
 
 use crate::fault::RouterFault;
-use crate::listener::{self, Clients};
+use crate::listener::{self, ClientConnections};
 use crate::maintenance;
 use crate::metrics;
 use crate::readiness;
@@ -25,9 +25,9 @@
 use tokio::task::{LocalSet, spawn_local};
 
 /// Part of the process's descriptors that clients may hold; the rest is for endpoints and files.
-const CLIENTS_SHARE: f64 = 0.6;
+const CLIENT_DESCRIPTOR_FRACTION: f64 = 0.6;
 /// Clients at most where the settings name no bound of descriptors.
-const UNTOLD_CLIENTS: usize = 2_000;
+const DEFAULT_MAX_CLIENTS: usize = 2_000;
 
 /// Why a router could not run.
 #[derive(Debug, thiserror::Error)]
@@ -95,11 +95,11 @@
 ) {
     let seed = SmallRng::from_os_rng().next_u64();
     let state = RouterState::new(DispatchSettings::from(&settings), seed, fault);
-    let clients = Clients::new(most_clients(&settings));
+    let clients = ClientConnections::new(max_clients(&settings));
     let grace = Duration::try_from_secs_f64(settings.bounds.grace_s).unwrap_or_default();
     let work = async {
-        spawn_local(follow(feed, state.clone()));
-        spawn_local(maintenance::keep_time(state.clone()));
+        spawn_local(apply_feed(feed, state.clone()));
+        spawn_local(maintenance::run_dispatcher_timer(state.clone()));
         spawn_local(maintenance::maintain(state.clone(), clients.clone(), demand));
         if let Some(socket) = sockets.readiness {
             spawn_local(readiness::accept(socket, state.clone()));
@@ -115,15 +115,15 @@
     LocalSet::new().run_until(work).await;
 }
 
-fn most_clients(settings: &Settings) -> usize {
+fn max_clients(settings: &Settings) -> usize {
     match settings.limits.max_fds {
-        0 => UNTOLD_CLIENTS,
-        descriptors => (f64::from(descriptors) * CLIENTS_SHARE) as usize,
+        0 => DEFAULT_MAX_CLIENTS,
+        descriptors => (f64::from(descriptors) * CLIENT_DESCRIPTOR_FRACTION) as usize,
     }
 }
 
 /// Takes the news of the control plane in; when it ends, what is known stays in force.
-async fn follow(mut feed: UnboundedReceiver<FeedEvent>, state: Rc<RouterState>) {
+async fn apply_feed(mut feed: UnboundedReceiver<FeedEvent>, state: Rc<RouterState>) {
     while let Some(event) = feed.recv().await {
         state.apply(event);
     }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -6,7 +6,7 @@
 use crate::open_request::OpenRequest;
 use crate::pool::Pool;
 use crate::routing::Routing;
-use crate::split::SplitSequences;
+use crate::traffic_split::SplitSequences;
 use lanegate_config::feed::FeedEvent;
 use lanegate_config::mechanism::Mechanism;
 use lanegate_dispatch::interface::{Decision, RequestId};
@@ -21,7 +21,7 @@
 
 /// Whether the process takes requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Service {
+pub enum Lifecycle {
     /// All is as usual.
     Running,
     /// The process was asked to end and finishes what runs.
@@ -38,10 +38,10 @@
     routing: RefCell<Option<Rc<Routing>>>,
     synchronized: Cell<bool>,
     /// Requests that came before the first configuration.
-    unconfigured: ConfigurationWait,
+    configuration_wait: ConfigurationWait,
     /// Whether a newer configuration may be in force elsewhere.
     behind: Cell<bool>,
-    service: Cell<Service>,
+    lifecycle: Cell<Lifecycle>,
     /// When the process was asked to end.
     draining_since: Cell<Option<Instant>>,
     /// When the configuration in force was taken.
@@ -72,9 +72,9 @@
             splits: RefCell::new(SplitSequences::new(seed, fault)),
             routing: RefCell::new(None),
             synchronized: Cell::new(false),
-            unconfigured: ConfigurationWait::default(),
+            configuration_wait: ConfigurationWait::default(),
             behind: Cell::new(false),
-            service: Cell::new(Service::Running),
+            lifecycle: Cell::new(Lifecycle::Running),
             draining_since: Cell::new(None),
             configured_at: Cell::new(None),
             agent_linked: Cell::new(false),
@@ -94,7 +94,7 @@
     }
 
     /// Whether this is the deliberate mistake that the router makes.
-    pub fn makes(&self, fault: RouterFault) -> bool {
+    pub fn has_fault(&self, fault: RouterFault) -> bool {
         self.fault == Some(fault)
     }
 
@@ -137,14 +137,14 @@
                 self.splits.borrow_mut().retain(configuration);
                 *self.routing.borrow_mut() = Some(Rc::new(Routing::new(configuration.clone())));
                 self.configured_at.set(Some(Instant::now()));
-                self.unconfigured.wake();
+                self.configuration_wait.wake();
             }
             FeedEvent::Behind { behind } => self.behind.set(*behind),
             FeedEvent::AgentLink { up } => self.agent_linked.set(*up),
             FeedEvent::Synchronized => self.synchronized.set(true),
             FeedEvent::Instance(_) | FeedEvent::Removed { .. } | FeedEvent::Routers { .. } => {}
         }
-        self.decide(|dispatcher, now| dispatcher.apply(now, &event));
+        self.with_dispatcher(|dispatcher, now| dispatcher.apply(now, &event));
     }
 
     /// Whether the news is a configuration older than the one in force, which never comes back.
@@ -174,8 +174,8 @@
             return;
         }
         let began = self.instant_of(began);
-        let end = self.unconfigured.wait(began, client_time, body_bytes).await;
-        log::debug!("waited for a configuration: {end:?}, {} still wait", self.unconfigured.waiting());
+        let end = self.configuration_wait.wait(began, client_time, body_bytes).await;
+        log::debug!("waited for a configuration: {end:?}, {} still wait", self.configuration_wait.waiting());
     }
 
     /// Whether a newer configuration may be in force elsewhere: what is not known here may be known there.
@@ -190,15 +190,15 @@
 
     /// Whether the process was asked to end.
     pub fn is_draining(&self) -> bool {
-        self.service.get() == Service::Draining
+        self.lifecycle.get() == Lifecycle::Draining
     }
 
     /// Notes that the process was asked to end, and by when answers have to be whole.
-    pub fn drain(&self, end: Duration) {
-        self.service.set(Service::Draining);
+    pub fn begin_drain(&self, end: Duration) {
+        self.lifecycle.set(Lifecycle::Draining);
         self.draining_since.set(Some(Instant::now()));
-        self.unconfigured.wake();
-        self.decide(|dispatcher, now| dispatcher.end_by(now, end));
+        self.configuration_wait.wake();
+        self.with_dispatcher(|dispatcher, now| dispatcher.end_by(now, end));
     }
 
     /// Time since the process was asked to end.
@@ -227,15 +227,15 @@
     }
 
     /// Tells all open requests that the process ends.
-    pub fn stop_requests(&self) {
+    pub fn abort_requests(&self) {
         let now = self.now();
         let ending_since = self.draining_since.get().map(|since| self.time_of(since));
         let open: Vec<Rc<OpenRequest>> = self.requests.borrow().values().cloned().collect();
         for request in &open {
-            self.counters.cut_at_end.count(now.saturating_sub(request.arrived()));
+            self.counters.aborted_at_shutdown.count(now.saturating_sub(request.arrived()));
             let came_late = ending_since.is_some_and(|since| request.arrived() > since);
-            self.violations.check(Invariant::TakenOnIsAnsweredBeforeEnd, !(came_late && request.is_begun()));
-            request.mailbox.stop();
+            self.violations.check(Invariant::TakenOnIsAnsweredBeforeEnd, !(came_late && request.has_begun()));
+            request.mailbox.shut_down();
         }
     }
 
@@ -262,7 +262,7 @@
     }
 
     /// Calls the dispatcher and hands out what it decides.
-    pub fn decide<T>(&self, act: impl FnOnce(&mut Dispatcher, Duration) -> T) -> T {
+    pub fn with_dispatcher<T>(&self, act: impl FnOnce(&mut Dispatcher, Duration) -> T) -> T {
         let now = self.now();
         let mut dispatcher = self.dispatcher.borrow_mut();
         let result = act(&mut dispatcher, now);
@@ -285,7 +285,7 @@
             | Decision::Fail { request, .. } => *request,
         };
         if let Some(open) = self.requests.borrow().get(&id) {
-            open.decided(decision);
+            open.on_decision(decision);
         }
     }
 
@@ -301,13 +301,13 @@
     }
 
     /// When the timer task is to call the dispatcher.
-    pub fn armed(&self) -> Option<Duration> {
+    pub fn timer_at(&self) -> Option<Duration> {
         self.armed.get()
     }
 
     /// Calls the dispatcher because its time has come.
     pub fn wake_dispatcher(&self) {
         self.armed.set(None);
-        self.decide(|dispatcher, now| dispatcher.wake(now));
+        self.with_dispatcher(|dispatcher, now| dispatcher.wake(now));
     }
 }
--- a/crates/router/src/stream.rs
+++ b/crates/router/src/stream.rs
@@ -3,12 +3,12 @@
 //! Above `resume`, which finds another run, and below `body`, which hands the bytes to the HTTP library.
 
 use crate::attempt::{EndpointBody, Outbound};
-use crate::events::EventSplitter;
+use crate::event_splitter::EventSplitter;
 use crate::fault::RouterFault;
 use crate::headers::is_event_stream;
 use crate::outcome::Outcome;
+use crate::request_handle::RequestHandle;
 use crate::resume::{self, Resumed};
-use crate::ticket::Ticket;
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use hyper::http::response::Parts;
@@ -21,7 +21,7 @@
 /// The answer ends here though it is not whole; the client's connection is to be broken off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the answer ended early")]
-pub struct AnswerCut;
+pub struct TruncatedAnswer;
 
 /// What the head of an endpoint's answer tells of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -47,7 +47,7 @@
 
 /// Passes the bytes of an endpoint on; takes the answer up at another endpoint where the route allows that.
 pub struct AnswerStream {
-    ticket: Rc<Ticket>,
+    handle: Rc<RequestHandle>,
     request: Rc<Outbound>,
     attempt: u32,
     load: Option<InstanceLoad>,
@@ -68,7 +68,7 @@
 
 /// An answer of which the first bytes are there.
 pub struct Opened {
-    pub ticket: Rc<Ticket>,
+    pub handle: Rc<RequestHandle>,
     pub request: Rc<Outbound>,
     pub attempt: u32,
     pub load: Option<InstanceLoad>,
@@ -81,9 +81,9 @@
 impl AnswerStream {
     /// Passes on `opened.first` and what follows.
     pub fn new(opened: Opened) -> Self {
-        opened.ticket.passed();
+        opened.handle.record_forwarded();
         AnswerStream {
-            ticket: opened.ticket,
+            handle: opened.handle,
             request: opened.request,
             attempt: opened.attempt,
             load: opened.load,
@@ -95,7 +95,7 @@
     }
 
     /// The next bytes for the client.
-    pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, AnswerCut>>> {
+    pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, TruncatedAnswer>>> {
         if let Some(first) = self.first.take() {
             return Poll::Ready(Some(Ok(first)));
         }
@@ -103,15 +103,15 @@
             match &mut self.source {
                 Source::Endpoint(body) => match body.poll_data(cx) {
                     Poll::Ready(Some(Ok(data))) => {
-                        let passed = self.pass(data);
-                        if !passed.is_empty() {
-                            self.ticket.passed();
-                            return Poll::Ready(Some(Ok(passed)));
+                        let forwarded = self.split_events(data);
+                        if !forwarded.is_empty() {
+                            self.handle.record_forwarded();
+                            return Poll::Ready(Some(Ok(forwarded)));
                         }
                     }
                     Poll::Ready(None) if body.ends_with_connection() && is_inside_event(&self.splitter) => {
-                        if self.broken_off().is_err() {
-                            return self.cut(Outcome::BrokenOffEndpoint);
+                        if self.begin_resume().is_err() {
+                            return self.truncate(Outcome::TruncatedEndpoint);
                         }
                     }
                     Poll::Ready(None) => {
@@ -120,25 +120,25 @@
                     }
                     Poll::Ready(Some(Err(error))) => {
                         log::debug!("answer to {:?} broke off: {error}", self.request.attempt_id);
-                        if self.broken_off().is_err() {
-                            return self.cut(Outcome::BrokenOffEndpoint);
+                        if self.begin_resume().is_err() {
+                            return self.truncate(Outcome::TruncatedEndpoint);
                         }
                     }
                     Poll::Pending => {
-                        let instruction = ready!(self.ticket.poll_next(cx));
-                        return self.cut(resume::broken_off_by(&instruction));
+                        let instruction = ready!(self.handle.poll_next(cx));
+                        return self.truncate(resume::truncation_outcome(&instruction));
                     }
                 },
                 Source::Resuming(resuming) => match ready!(resuming.as_mut().poll(cx)) {
-                    Ok(resumed) => self.take_up(resumed),
-                    Err(outcome) => return self.cut(outcome),
+                    Ok(resumed) => self.continue_with(resumed),
+                    Err(outcome) => return self.truncate(outcome),
                 },
                 Source::Ended => return Poll::Ready(None),
             }
         }
     }
 
-    fn pass(&mut self, data: Bytes) -> Bytes {
+    fn split_events(&mut self, data: Bytes) -> Bytes {
         match &mut self.splitter {
             Some(splitter) => splitter.push(data),
             None => data,
@@ -149,39 +149,39 @@
     fn finish(&mut self) -> Bytes {
         self.source = Source::Ended;
         let success = self.kind != AnswerKind::Failure;
-        self.ticket.conclude(if success { Outcome::Answered } else { Outcome::AnsweredWithError });
-        self.ticket.ended(self.attempt, AttemptEnd::Answered { success, load: self.load });
+        self.handle.record_outcome(if success { Outcome::Answered } else { Outcome::AnsweredWithError });
+        self.handle.ended(self.attempt, AttemptEnd::Answered { success, load: self.load });
         self.splitter.as_mut().map(EventSplitter::finish).unwrap_or_default()
     }
 
     /// The endpoint's answer broke off: looks for another run where that is allowed.
-    fn broken_off(&mut self) -> Result<(), AnswerCut> {
+    fn begin_resume(&mut self) -> Result<(), TruncatedAnswer> {
         self.source = Source::Ended;
-        self.ticket.ended(self.attempt, AttemptEnd::BrokenMidway);
-        let splitter = self.splitter.as_mut().filter(|_| self.request.resumable).ok_or(AnswerCut)?;
-        splitter.begin_run();
-        let last = splitter.last_id().ok_or(AnswerCut)?;
-        let last = HeaderValue::from_bytes(last).map_err(|_| AnswerCut)?;
+        self.handle.ended(self.attempt, AttemptEnd::BrokenMidway);
+        let splitter = self.splitter.as_mut().filter(|_| self.request.resumable).ok_or(TruncatedAnswer)?;
+        splitter.begin_resumed_run();
+        let last = splitter.last_id().ok_or(TruncatedAnswer)?;
+        let last = HeaderValue::from_bytes(last).map_err(|_| TruncatedAnswer)?;
         self.source =
-            Source::Resuming(Box::pin(resume::resume(self.ticket.clone(), self.request.clone(), last)));
+            Source::Resuming(Box::pin(resume::resume(self.handle.clone(), self.request.clone(), last)));
         Ok(())
     }
 
-    fn take_up(&mut self, resumed: Resumed) {
-        self.ticket.state().counters.resumed.increment();
+    fn continue_with(&mut self, resumed: Resumed) {
+        self.handle.state().counters.resumed.increment();
         self.attempt = resumed.attempt;
         self.load = resumed.load;
         self.source = Source::Endpoint(resumed.body);
     }
 
     /// Ends the answer so that it does not look whole.
-    fn cut(&mut self, outcome: Outcome) -> Poll<Option<Result<Bytes, AnswerCut>>> {
+    fn truncate(&mut self, outcome: Outcome) -> Poll<Option<Result<Bytes, TruncatedAnswer>>> {
         self.source = Source::Ended;
-        self.ticket.conclude(outcome);
-        if self.ticket.state().makes(RouterFault::EndCut) {
+        self.handle.record_outcome(outcome);
+        if self.handle.state().has_fault(RouterFault::EndCut) {
             return Poll::Ready(None);
         }
-        Poll::Ready(Some(Err(AnswerCut)))
+        Poll::Ready(Some(Err(TruncatedAnswer)))
     }
 }
 
--- a/crates/router/src/verify.rs
+++ b/crates/router/src/verify.rs
@@ -21,8 +21,8 @@
 /// Checks the head of an answer; an error says what becomes of the attempt.
 pub fn check(expected: Expected<'_>, answer: &Response<Incoming>) -> Result<(), AttemptEnd> {
     let headers = answer.headers();
-    let is_own = headers.get(&ATTEMPT_ID) == expected.attempt_id;
-    if !is_own && expected.fault != Some(RouterFault::AnyAttemptId) {
+    let matches_request = headers.get(&ATTEMPT_ID) == expected.attempt_id;
+    if !matches_request && expected.fault != Some(RouterFault::AnyAttemptId) {
         return Err(AttemptEnd::Garbled);
     }
     let status = answer.status();
@@ -37,7 +37,7 @@
     if status.is_success() && !headers.contains_key(&SERVER_SIGNATURE) {
         return Err(AttemptEnd::Garbled);
     }
-    if promises_not_to_have_run(status) {
+    if implies_not_executed(status) {
         if expected.fault == Some(RouterFault::TrustStatus) {
             return Err(AttemptEnd::NotExecuted {
                 status: status.as_u16(),
@@ -67,7 +67,7 @@
 
 /// Whether clients take the status for a promise that the request never runs. An endpoint that did not say
 /// so by `Not-Executed` may have run it, so the status cannot be passed on.
-fn promises_not_to_have_run(status: StatusCode) -> bool {
+fn implies_not_executed(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE
--- a/crates/router/tests/before_configuration.rs
+++ b/crates/router/tests/before_configuration.rs
@@ -4,7 +4,7 @@
 
 use common::{CONFIGURATION, Client, Endpoint, Router, pass_time, play, settle};
 use lanegate_config::feed::FeedEvent;
-use lanegate_router::configuration_wait::{ConfigurationWait, WaitEnd};
+use lanegate_router::configuration_wait::{ConfigurationWait, WaitOutcome};
 use std::time::Duration;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
@@ -112,7 +112,7 @@
             };
             settle().await;
             wait.wake();
-            let end = if fits { WaitEnd::Woken } else { WaitEnd::NoRoom };
+            let end = if fits { WaitOutcome::Notified } else { WaitOutcome::Full };
             assert_eq!(further.await.unwrap(), end, "{requests} requests of {bytes} bytes");
         }
     });
--- a/crates/router/tests/connections.rs
+++ b/crates/router/tests/connections.rs
@@ -9,7 +9,7 @@
 use lanegate_config::feed::FeedEvent;
 use lanegate_router::connection::{EndpointConnection, ExchangeError};
 use lanegate_router::fault::RouterFault;
-use lanegate_router::pool::{Pool, Standing, share};
+use lanegate_router::pool::{Availability, Pool, connection_quota};
 use std::future::poll_fn;
 use std::sync::Arc;
 use std::time::Duration;
@@ -47,7 +47,7 @@
     let answer = connection.exchange(request).await.unwrap();
     let mut body = answer.into_body();
     assert!(poll_fn(|cx| connection.poll_body(&mut body, cx)).await.is_none());
-    pool.give_back(connection, Some(Duration::from_secs(5)));
+    pool.release(connection, Some(Duration::from_secs(5)));
     upstream.write("HTTP/1.1 200 OK\r\n").await;
     pool.take_idle("i-1", endpoint.address, &[]).is_some()
 }
@@ -70,7 +70,7 @@
         pool.apply(&endpoint.registration("plain"));
         let id: Arc<str> = Arc::from("i-1");
         let mut leases: Vec<_> =
-            (0..share(50, 9)).map(|_| pool.lease(&id, endpoint.address).unwrap()).collect();
+            (0..connection_quota(50, 9)).map(|_| pool.lease(&id, endpoint.address).unwrap()).collect();
         assert!(pool.lease(&id, endpoint.address).is_none());
         leases.pop();
         assert!(pool.lease(&id, endpoint.address).is_some());
@@ -81,12 +81,12 @@
 fn shares_of_all_routers_leave_room_and_nobody_is_left_without() {
     for bound in [1, 6, 96, 370] {
         for routers in 1..20 {
-            let own = share(bound, routers);
+            let own = connection_quota(bound, routers);
             assert!(own >= 1);
             assert!(own == 1 || own * routers < bound, "{own} of {bound} for {routers}");
         }
     }
-    assert_eq!(share(100, 0), share(100, 1));
+    assert_eq!(connection_quota(100, 0), connection_quota(100, 1));
 }
 
 #[test]
@@ -94,14 +94,14 @@
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let pool = Pool::default();
-        assert_eq!(pool.standing("i-1"), Standing::Closed);
+        assert_eq!(pool.availability("i-1"), Availability::Unavailable);
         pool.apply(&endpoint.registration("plain"));
-        assert_eq!(pool.standing("i-1"), Standing::Serving);
+        assert_eq!(pool.availability("i-1"), Availability::Available);
         pool.apply(&endpoint.registration_as("plain", "draining"));
-        assert_eq!(pool.standing("i-1"), Standing::Closed);
+        assert_eq!(pool.availability("i-1"), Availability::Unavailable);
         pool.apply(&endpoint.registration("plain"));
         pool.apply(&FeedEvent::Removed { id: "i-1".into() });
-        assert_eq!(pool.standing("i-1"), Standing::Closed);
+        assert_eq!(pool.availability("i-1"), Availability::Unavailable);
         assert!(pool.lease(&Arc::from("i-1"), endpoint.address).is_none());
     });
 }
--- a/crates/router/tests/exchanges/endpoint.rs
+++ b/crates/router/tests/exchanges/endpoint.rs
@@ -33,16 +33,16 @@
 
 async fn serve_connection(mut upstream: Upstream, record: Rc<Record>) {
     let mut late = Vec::new();
-    let mut is_spoilt = false;
+    let mut is_tainted = false;
     while let Some(request) = upstream.next_request().await {
         write(&mut upstream.stream, &std::mem::take(&mut late), &[]).await;
         let after = answer(&mut upstream.stream, &request, &record).await;
-        if is_spoilt {
+        if is_tainted {
             record.has_no_answer(&request);
         }
         match after {
             After::Goes { late: next } => late = next,
-            After::Spoilt => is_spoilt = true,
+            After::Spoilt => is_tainted = true,
             After::Ends => return,
         }
     }
--- a/crates/router/tests/open_requests.rs
+++ b/crates/router/tests/open_requests.rs
@@ -3,7 +3,7 @@
 use hyper::header::HeaderValue;
 use lanegate_config::configuration::RouteType;
 use lanegate_dispatch::interface::{Decision, Request, RequestId};
-use lanegate_router::cut_requests::CutRequests;
+use lanegate_router::aborted_requests::AbortedRequests;
 use lanegate_router::open_request::OpenRequest;
 use std::time::Duration;
 
@@ -51,8 +51,8 @@
 #[test]
 fn a_stream_names_its_endpoint_and_the_time_of_its_last_event() {
     let open = open_request();
-    open.decided(sent());
-    open.passed(Duration::from_millis(10_900));
+    open.on_decision(sent());
+    open.record_forwarded(Duration::from_millis(10_900));
     let line = open.summary(NOW, SIGTERM).to_string();
     assert!(line.contains(" endpoint=i-1 "), "{line}");
     assert!(line.ends_with(" answer=begun last_event_ms_ago=500"), "{line}");
@@ -61,15 +61,15 @@
 #[test]
 fn an_answer_that_the_client_has_not_taken_is_told_as_whole() {
     let open = open_request();
-    open.decided(sent());
-    open.passed(Duration::from_millis(10_900));
-    open.completed();
+    open.on_decision(sent());
+    open.record_forwarded(Duration::from_millis(10_900));
+    open.record_completed();
     assert!(open.summary(NOW, SIGTERM).to_string().contains(" answer=whole "));
 }
 
 #[test]
 fn requests_cut_at_the_end_are_counted_by_age() {
-    let cut = CutRequests::default();
+    let cut = AbortedRequests::default();
     for milliseconds in [0, 999, 1_000, 5_999, 6_000, 12_000, 90_000] {
         cut.count(Duration::from_millis(milliseconds));
     }
--- a/crates/router/tests/parsing.rs
+++ b/crates/router/tests/parsing.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hyper::header::{CONNECTION, HeaderMap, HeaderName, HeaderValue};
-use lanegate_router::events::EventSplitter;
+use lanegate_router::event_splitter::EventSplitter;
 use lanegate_router::headers;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -68,7 +68,7 @@
             passed.extend_from_slice(&splitter.push(piece));
         }
         let last: u64 = splitter.last_id().map_or(0, |id| std::str::from_utf8(id).unwrap().parse().unwrap());
-        splitter.begin_run();
+        splitter.begin_resumed_run();
         let from = (last + 1).saturating_sub(repeated).max(1);
         let second: String = (from..=events).map(|id| event(id, "x", "\n")).collect();
         for piece in cut(&second, &places) {
--- a/crates/router/tests/splits.rs
+++ b/crates/router/tests/traffic_splits.rs
@@ -7,7 +7,7 @@
 use lanegate_config::feed::FeedEvent;
 use lanegate_router::fault::RouterFault;
 use lanegate_router::routing::Routing;
-use lanegate_router::split::SplitSequences;
+use lanegate_router::traffic_split::SplitSequences;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cell::Cell;
