--- a/crates/router/src/connection.rs
+++ b/crates/router/src/connection.rs
@@ -2,8 +2,8 @@
 //! idle connection costs nothing.
 
 use crate::headers::ATTEMPT_ID;
-use crate::late_responses::LateResponseFilter;
-use crate::pool::Lease;
+use crate::lease::Lease;
+use crate::shared_stream::{EndpointStream, SharedStream};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
@@ -11,16 +11,13 @@
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use socket2::{SockRef, TcpKeepalive};
-use std::cell::{Cell, RefCell};
 use std::future::{Future, poll_fn};
 use std::io;
-use std::mem::MaybeUninit;
 use std::net::SocketAddr;
 use std::pin::{Pin, pin};
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker, ready};
 use std::time::Duration;
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
@@ -33,9 +30,6 @@
 /// TCP keepalive time and interval; one second is the shortest that can be set.
 const KEEPALIVE: Duration = Duration::from_secs(1);
 
-/// Bytes that are read at a time while waiting for the head of an answer.
-const HEAD_READ_BYTES: usize = 4 * 1024;
-
 /// Why an exchange failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
@@ -108,8 +102,8 @@
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, ExchangeError> {
-        let written_before = self.shared.written.get();
-        self.shared.late_responses.borrow_mut().expect(request.headers().get(&ATTEMPT_ID), request.method());
+        let written_before = self.shared.written_bytes();
+        self.shared.late_responses().expect(request.headers().get(&ATTEMPT_ID), request.method());
         let mut answer = pin!(self.sender.try_send_request(request));
         let driver = &mut self.driver;
         let progress = &mut self.progress;
@@ -119,7 +113,7 @@
         });
         result.await.map_err(|mut failed| match failed.take_message() {
             Some(_) => ExchangeError::NotSent,
-            None if self.shared.written.get() == written_before => ExchangeError::NotSent,
+            None if self.shared.written_bytes() == written_before => ExchangeError::NotSent,
             None => match failed.into_error() {
                 error if error.is_parse() => ExchangeError::Garbled(error),
                 error => ExchangeError::Broken(error),
@@ -150,18 +144,18 @@
     /// and the endpoint did not close.
     pub fn is_reusable(&mut self) -> bool {
         drive(&mut self.driver, &mut self.progress, &mut Context::from_waker(Waker::noop()));
-        self.progress == Progress::Open && self.sender.is_ready() && !self.shared.is_blocked.get()
+        self.progress == Progress::Open && self.sender.is_ready() && !self.shared.is_blocked()
     }
 
     /// Discards no late responses any more, for tests.
     #[doc(hidden)]
     pub fn forward_late_responses(&self) {
-        self.shared.late_responses.borrow_mut().forward_all();
+        self.shared.late_responses().forward_all();
     }
 
     /// Number of late responses to earlier requests that were discarded.
     pub fn late_responses(&self) -> u64 {
-        self.shared.late_responses.borrow().discarded()
+        self.shared.late_responses().discarded()
     }
 
     /// Whether bytes arrived that belong to no request, or the connection broke.
@@ -171,9 +165,7 @@
 
     /// Asks the kernel what the peer has done. The runtime may not have been notified yet.
     pub fn peer_state(&self) -> PeerState {
-        let stream = self.shared.stream.borrow();
-        let mut byte = [MaybeUninit::uninit()];
-        match SockRef::from(&*stream).peek(&mut byte) {
+        match self.shared.peek() {
             Ok(0) => PeerState::Closed,
             Ok(_) => PeerState::Sending,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => PeerState::Idle,
@@ -223,97 +215,3 @@
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
     socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(KEEPALIVE).with_interval(KEEPALIVE))
 }
-
-/// The stream that a connection shares with the HTTP library.
-#[derive(Debug)]
-struct SharedStream {
-    stream: RefCell<TcpStream>,
-    /// Bytes written to the kernel.
-    written: Cell<u64>,
-    /// Whether the last write is pending because the endpoint does not read.
-    is_blocked: Cell<bool>,
-    late_responses: RefCell<LateResponseFilter>,
-}
-
-impl SharedStream {
-    fn new(stream: TcpStream) -> Self {
-        SharedStream {
-            stream: RefCell::new(stream),
-            written: Cell::new(0),
-            is_blocked: Cell::new(false),
-            late_responses: RefCell::default(),
-        }
-    }
-
-    fn record_written(&self, result: &Poll<io::Result<usize>>) {
-        self.is_blocked.set(result.is_pending());
-        if let Poll::Ready(Ok(written)) = result {
-            self.written.set(self.written.get().wrapping_add(*written as u64));
-        }
-    }
-}
-
-impl SharedStream {
-    /// Reads input for the HTTP library.
-    fn poll_read(&self, cx: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let mut stream = self.stream.borrow_mut();
-        let mut late_responses = self.late_responses.borrow_mut();
-        while !late_responses.is_forwarding() {
-            if late_responses.read_ready(buffer) {
-                return Poll::Ready(Ok(()));
-            }
-            let mut space = [MaybeUninit::uninit(); HEAD_READ_BYTES];
-            let mut read = ReadBuf::uninit(&mut space);
-            ready!(Pin::new(&mut *stream).poll_read(cx, &mut read))?;
-            match read.filled() {
-                [] => late_responses.end(),
-                bytes => late_responses.push(bytes),
-            }
-        }
-        Pin::new(&mut *stream).poll_read(cx, buffer)
-    }
-}
-
-/// The stream as the HTTP library sees it.
-#[derive(Debug)]
-struct EndpointStream(Rc<SharedStream>);
-
-impl AsyncRead for EndpointStream {
-    fn poll_read(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buffer: &mut ReadBuf<'_>,
-    ) -> Poll<io::Result<()>> {
-        self.0.poll_read(cx, buffer)
-    }
-}
-
-impl AsyncWrite for EndpointStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let result = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write(cx, bytes);
-        self.0.record_written(&result);
-        result
-    }
-
-    fn poll_write_vectored(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        slices: &[io::IoSlice<'_>],
-    ) -> Poll<io::Result<usize>> {
-        let result = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write_vectored(cx, slices);
-        self.0.record_written(&result);
-        result
-    }
-
-    fn is_write_vectored(&self) -> bool {
-        self.0.stream.borrow().is_write_vectored()
-    }
-
-    fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut *self.0.stream.borrow_mut()).poll_flush(cx)
-    }
-
-    fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut *self.0.stream.borrow_mut()).poll_shutdown(cx)
-    }
-}
--- /dev/null
+++ b/crates/router/src/endpoint_answer.rs
@@ -0,0 +1,77 @@
+//! The answer of an endpoint.
+
+use crate::connection::EndpointConnection;
+use crate::fault::RouterFault;
+use crate::state::RouterState;
+use bytes::Bytes;
+use hyper::body::{Body, Incoming};
+use hyper::http::response::Parts;
+use lanegate_dispatch::interface::InstanceLoad;
+use std::future::poll_fn;
+use std::rc::Rc;
+use std::task::{Context, Poll, ready};
+use std::time::Duration;
+
+/// The verified head of the answer of an endpoint, and its body, which still arrives.
+pub struct EndpointAnswer {
+    /// The head.
+    pub head: Parts,
+    /// The load that the endpoint reported.
+    pub load: Option<InstanceLoad>,
+    /// The body.
+    pub body: EndpointBody,
+}
+
+/// The body of the answer of an endpoint. Its connection returns to the pool after the last byte, and is closed if this is
+/// dropped before.
+pub struct EndpointBody {
+    pub(crate) state: Rc<RouterState>,
+    pub(crate) connection: Option<EndpointConnection>,
+    pub(crate) incoming: Incoming,
+    /// How long the endpoint keeps the connection when it is idle.
+    pub(crate) idle_timeout: Option<Duration>,
+    /// Whether it has neither a length nor chunks and so ends with its connection.
+    pub(crate) ends_with_connection: bool,
+    /// Whether the connection may be used for other requests afterwards.
+    pub(crate) is_reusable: bool,
+}
+
+impl EndpointBody {
+    /// The next bytes. After an error or the end the connection is no longer held.
+    pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<hyper::Result<Bytes>>> {
+        let Some(connection) = &mut self.connection else {
+            return Poll::Ready(None);
+        };
+        let mut next = ready!(connection.poll_body(&mut self.incoming, cx));
+        if self.state.has_fault(RouterFault::ResetIsEnd) {
+            next = next.filter(Result::is_ok);
+        }
+        match &next {
+            Some(Ok(data)) => self.state.counters.forwarded_bytes.add(data.len() as u64),
+            Some(Err(_)) => self.connection = None,
+            None => self.release(),
+        }
+        Poll::Ready(next)
+    }
+
+    /// Waits for the next bytes.
+    pub async fn next(&mut self) -> Option<hyper::Result<Bytes>> {
+        poll_fn(|cx| self.poll_data(cx)).await
+    }
+
+    /// Length of the body, if the head has it.
+    pub fn exact_length(&self) -> Option<u64> {
+        self.incoming.size_hint().exact()
+    }
+
+    /// Whether the body ends with its connection, so that an end inside an event does not prove completeness.
+    pub fn ends_with_connection(&self) -> bool {
+        self.ends_with_connection
+    }
+
+    fn release(&mut self) {
+        if let Some(connection) = self.connection.take().filter(|_| self.is_reusable) {
+            self.state.pool.release(connection, self.idle_timeout);
+        }
+    }
+}
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/forward.rs
@@ -3,12 +3,14 @@
 //! The top of the layers `attempt` < `resume` < `stream` < `body` < `local_reply` < `forward`: each uses only those before
 //! it.
 
-use crate::attempt::{self, Destination, EndpointAnswer, EndpointBody, Outbound};
+use crate::attempt;
 use crate::body::RouterBody;
+use crate::endpoint_answer::{EndpointAnswer, EndpointBody};
 use crate::event_splitter::EventSplitter;
 use crate::headers::remove_hop_by_hop;
 use crate::local_reply::LocalReply;
 use crate::mailbox::Instruction;
+use crate::outbound::{Destination, Outbound};
 use crate::outcome::Outcome;
 use crate::request_handle::RequestHandle;
 use crate::stream::{AnswerKind, AnswerStream, Opened};
--- a/crates/router/src/frontend.rs
+++ b/crates/router/src/frontend.rs
@@ -1,11 +1,11 @@
 //! The front end: reads requests completely, finds their route and submits them to the dispatcher.
 
 use crate::activity::{Activity, BusyGuard};
-use crate::attempt::Outbound;
 use crate::body::RouterBody;
 use crate::forward::forward;
 use crate::headers::{ATTEMPT_ID, client_deadline, generation, remove_framing, remove_hop_by_hop};
 use crate::local_reply::LocalReply;
+use crate::outbound::Outbound;
 use crate::outcome::Outcome;
 use crate::request_handle::RequestHandle;
 use crate::routing::{Resolved, host};
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -2,6 +2,7 @@
 
 use crate::connection::{EndpointConnection, PeerState};
 use crate::fault::RouterFault;
+use crate::lease::{ConnectionNumber, Lease};
 use lanegate_config::configuration::Configuration;
 use lanegate_config::feed::FeedEvent;
 use lanegate_config::instance::{Instance, InstanceState};
@@ -55,10 +56,6 @@
     pub idle: u64,
 }
 
-/// Id of a connection; never reused in a process.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ConnectionNumber(u64);
-
 /// Connections to one endpoint.
 struct Endpoint {
     backend: String,
@@ -78,34 +75,7 @@
 
 impl IdleConnection {
     fn is_not_among(&self, excluded: &[ConnectionNumber]) -> bool {
-        !excluded.contains(&self.connection.lease().number)
-    }
-}
-
-/// One of the limited number of connections to an endpoint, released on drop.
-#[derive(Debug)]
-pub struct Lease {
-    instance: Arc<str>,
-    address: SocketAddr,
-    number: ConnectionNumber,
-    open: Rc<Cell<u32>>,
-}
-
-impl Lease {
-    fn new(instance: Arc<str>, address: SocketAddr, number: ConnectionNumber, open: Rc<Cell<u32>>) -> Self {
-        open.set(open.get() + 1);
-        Lease { instance, address, number, open }
-    }
-
-    /// The id of the connection.
-    pub fn number(&self) -> ConnectionNumber {
-        self.number
-    }
-}
-
-impl Drop for Lease {
-    fn drop(&mut self) {
-        self.open.set(self.open.get().saturating_sub(1));
+        !excluded.contains(&self.connection.lease().number())
     }
 }
 
@@ -254,7 +224,7 @@
     fn new_number(&self) -> ConnectionNumber {
         let number = self.next_connection.get();
         self.next_connection.set(number + 1);
-        ConnectionNumber(number)
+        ConnectionNumber::new(number)
     }
 
     /// Limit of the connections of this router to one endpoint of the service.
@@ -274,13 +244,13 @@
         let reusable = connection.is_reusable() || self.fault == Some(RouterFault::IgnoreUnread);
         let now = Instant::now();
         let mut endpoints = self.endpoints.borrow_mut();
-        let Some(endpoint) = endpoints.get_mut(&*connection.lease().instance) else {
+        let Some(endpoint) = endpoints.get_mut(connection.lease().instance()) else {
             return;
         };
         if connection.is_tainted() {
             endpoint.quarantine(now);
         }
-        if reusable && endpoint.serving && endpoint.address == connection.lease().address {
+        if reusable && endpoint.serving && endpoint.address == connection.lease().address() {
             connection.usable_for(
                 idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, |told| told.mul_f64(IDLE_TIMEOUT_FRACTION)),
             );
--- a/crates/router/src/resume.rs
+++ b/crates/router/src/resume.rs
@@ -2,9 +2,11 @@
 //!
 //! Above `attempt`, which sends, and below `stream`, which forwards the bytes.
 
-use crate::attempt::{self, Destination, EndpointAnswer, EndpointBody, Outbound};
+use crate::attempt;
+use crate::endpoint_answer::{EndpointAnswer, EndpointBody};
 use crate::headers::is_event_stream;
 use crate::mailbox::Instruction;
+use crate::outbound::{Destination, Outbound};
 use crate::outcome::Outcome;
 use crate::request_handle::RequestHandle;
 use hyper::header::HeaderValue;
--- /dev/null
+++ b/crates/router/src/shared_stream.rs
@@ -0,0 +1,130 @@
+//! The TCP stream below the HTTP library, with the filter of late responses between them.
+
+use crate::late_responses::LateResponseFilter;
+use socket2::SockRef;
+use std::cell::{Cell, RefCell, RefMut};
+use std::io;
+use std::mem::MaybeUninit;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll, ready};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+
+/// Bytes that are read at a time while waiting for the head of an answer.
+const HEAD_READ_BYTES: usize = 4 * 1024;
+
+/// The stream that a connection shares with the HTTP library.
+#[derive(Debug)]
+pub(crate) struct SharedStream {
+    stream: RefCell<TcpStream>,
+    /// Bytes written to the kernel.
+    written: Cell<u64>,
+    /// Whether the last write is pending because the endpoint does not read.
+    is_blocked: Cell<bool>,
+    late_responses: RefCell<LateResponseFilter>,
+}
+
+impl SharedStream {
+    /// Takes over a connected stream.
+    pub(crate) fn new(stream: TcpStream) -> Self {
+        SharedStream {
+            stream: RefCell::new(stream),
+            written: Cell::new(0),
+            is_blocked: Cell::new(false),
+            late_responses: RefCell::default(),
+        }
+    }
+
+    /// Bytes written to the kernel so far.
+    pub(crate) fn written_bytes(&self) -> u64 {
+        self.written.get()
+    }
+
+    /// Whether the last write is pending because the endpoint does not read.
+    pub(crate) fn is_blocked(&self) -> bool {
+        self.is_blocked.get()
+    }
+
+    /// The filter of late responses.
+    pub(crate) fn late_responses(&self) -> RefMut<'_, LateResponseFilter> {
+        self.late_responses.borrow_mut()
+    }
+
+    /// Looks for a byte in the receive buffer of the kernel without reading it; returns 0 at the end of the stream.
+    pub(crate) fn peek(&self) -> io::Result<usize> {
+        let stream = self.stream.borrow();
+        let mut byte = [MaybeUninit::uninit()];
+        SockRef::from(&*stream).peek(&mut byte)
+    }
+
+    fn record_written(&self, result: &Poll<io::Result<usize>>) {
+        self.is_blocked.set(result.is_pending());
+        if let Poll::Ready(Ok(written)) = result {
+            self.written.set(self.written.get().wrapping_add(*written as u64));
+        }
+    }
+
+    /// Reads input for the HTTP library.
+    fn poll_read(&self, cx: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let mut stream = self.stream.borrow_mut();
+        let mut late_responses = self.late_responses.borrow_mut();
+        while !late_responses.is_forwarding() {
+            if late_responses.read_ready(buffer) {
+                return Poll::Ready(Ok(()));
+            }
+            let mut space = [MaybeUninit::uninit(); HEAD_READ_BYTES];
+            let mut read = ReadBuf::uninit(&mut space);
+            ready!(Pin::new(&mut *stream).poll_read(cx, &mut read))?;
+            match read.filled() {
+                [] => late_responses.end(),
+                bytes => late_responses.push(bytes),
+            }
+        }
+        Pin::new(&mut *stream).poll_read(cx, buffer)
+    }
+}
+
+/// The stream as the HTTP library sees it.
+#[derive(Debug)]
+pub(crate) struct EndpointStream(pub(crate) Rc<SharedStream>);
+
+impl AsyncRead for EndpointStream {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        self.0.poll_read(cx, buffer)
+    }
+}
+
+impl AsyncWrite for EndpointStream {
+    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        let result = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write(cx, bytes);
+        self.0.record_written(&result);
+        result
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        slices: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        let result = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write_vectored(cx, slices);
+        self.0.record_written(&result);
+        result
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.0.stream.borrow().is_write_vectored()
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut *self.0.stream.borrow_mut()).poll_flush(cx)
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut *self.0.stream.borrow_mut()).poll_shutdown(cx)
+    }
+}
--- a/crates/router/src/stream.rs
+++ b/crates/router/src/stream.rs
@@ -2,10 +2,11 @@
 //!
 //! Above `resume`, which begins another attempt, and below `body`, which hands the bytes to the HTTP library.
 
-use crate::attempt::{EndpointBody, Outbound};
+use crate::endpoint_answer::EndpointBody;
 use crate::event_splitter::EventSplitter;
 use crate::fault::RouterFault;
 use crate::headers::is_event_stream;
+use crate::outbound::Outbound;
 use crate::outcome::Outcome;
 use crate::request_handle::RequestHandle;
 use crate::resume::{self, Resumed};
