--- a/crates/router/src/body.rs
+++ b/crates/router/src/client/body.rs
@@ -2,8 +2,8 @@
 //!
 //! Above `stream`; `local_reply` and `forward` create bodies.
 
-use crate::activity::BusyGuard;
-use crate::stream::{AnswerStream, TruncatedAnswer};
+use crate::client::activity::BusyGuard;
+use crate::request::stream::{AnswerStream, TruncatedAnswer};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::pin::Pin;
--- a/crates/router/src/frontend.rs
+++ b/crates/router/src/client/frontend.rs
@@ -1,14 +1,14 @@
 //! The front end: reads requests completely, finds their route and submits them to the dispatcher.
 
-use crate::activity::{Activity, BusyGuard};
-use crate::body::RouterBody;
-use crate::forward::forward;
+use crate::client::activity::{Activity, BusyGuard};
+use crate::client::body::RouterBody;
+use crate::client::local_reply::LocalReply;
+use crate::endpoint::outbound::Outbound;
 use crate::headers::{ATTEMPT_ID, client_deadline, generation, remove_framing, remove_hop_by_hop};
-use crate::local_reply::LocalReply;
-use crate::outbound::Outbound;
-use crate::outcome::Outcome;
-use crate::request_handle::RequestHandle;
-use crate::routing::{Resolved, host};
+use crate::request::forward::forward;
+use crate::request::handle::RequestHandle;
+use crate::request::outcome::Outcome;
+use crate::routing::table::{Resolved, host};
 use crate::state::RouterState;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
--- a/crates/router/src/listener.rs
+++ b/crates/router/src/client/listener.rs
@@ -1,7 +1,7 @@
 //! Listening sockets and client connections.
 
-use crate::activity::{Activity, ClientStream, CloseMode, Phase};
-use crate::frontend;
+use crate::client::activity::{Activity, ClientStream, CloseMode, Phase};
+use crate::client::frontend;
 use crate::state::RouterState;
 use hyper::server::conn::http1::Builder;
 use hyper::service::service_fn;
--- a/crates/router/src/local_reply.rs
+++ b/crates/router/src/client/local_reply.rs
@@ -1,6 +1,6 @@
 //! Replies of the router itself: refusals and failures. Above `body`, below `forward` and `frontend`.
 
-use crate::body::RouterBody;
+use crate::client::body::RouterBody;
 use bytes::Bytes;
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
--- a/crates/router/src/endpoint_answer.rs
+++ b/crates/router/src/endpoint/answer.rs
@@ -1,6 +1,6 @@
 //! The answer of an endpoint.
 
-use crate::connection::EndpointConnection;
+use crate::endpoint::connection::EndpointConnection;
 use crate::fault::RouterFault;
 use crate::state::RouterState;
 use bytes::Bytes;
--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/endpoint/attempt.rs
@@ -1,15 +1,15 @@
 //! One attempt to send a request to an endpoint. The lowest of the forwarding layers.
 
-use crate::connection::{EndpointConnection, ExchangeError};
-use crate::endpoint_answer::{EndpointAnswer, EndpointBody};
+use crate::endpoint::answer::{EndpointAnswer, EndpointBody};
+use crate::endpoint::connection::{EndpointConnection, ExchangeError};
+use crate::endpoint::outbound::{Destination, Outbound};
+use crate::endpoint::pool::Availability;
+use crate::endpoint::verify::{self, Expected};
 use crate::fault::RouterFault;
 use crate::headers::{
     DEADLINE_MS, EXPECT_INSTANCE, LAST_EVENT_ID, PRIORITY, instance_load, keep_alive, milliseconds,
 };
-use crate::outbound::{Destination, Outbound};
-use crate::pool::Availability;
 use crate::state::RouterState;
-use crate::verify::{self, Expected};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
--- a/crates/router/src/connection.rs
+++ b/crates/router/src/endpoint/connection.rs
@@ -1,9 +1,9 @@
 //! One connection to an endpoint. Its user drives it; it has no task of its own. So dropping it closes it at once, and an
 //! idle connection costs nothing.
 
+use crate::endpoint::lease::Lease;
+use crate::endpoint::shared_stream::{EndpointStream, SharedStream};
 use crate::headers::ATTEMPT_ID;
-use crate::lease::Lease;
-use crate::shared_stream::{EndpointStream, SharedStream};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
--- a/crates/router/src/late_responses.rs
+++ b/crates/router/src/endpoint/late_responses.rs
@@ -4,7 +4,7 @@
 //! shows which request a response belongs to. A response to an earlier request of the connection is discarded here, below
 //! the HTTP library. Everything else is forwarded to the library and verified above it.
 
-use crate::chunk_scanner::ChunkScanner;
+use crate::endpoint::chunk_scanner::ChunkScanner;
 use crate::headers::ATTEMPT_ID;
 use hyper::Method;
 use hyper::header::{CONTENT_LENGTH, HeaderValue, TRANSFER_ENCODING};
--- a/crates/router/src/outbound.rs
+++ b/crates/router/src/endpoint/outbound.rs
@@ -1,6 +1,6 @@
 //! A request on its way to endpoints.
 
-use crate::lease::ConnectionNumber;
+use crate::endpoint::lease::ConnectionNumber;
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, Uri};
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/endpoint/pool.rs
@@ -1,8 +1,8 @@
 //! The connection pool: idle connections are reused, and their number for each endpoint is limited.
 
-use crate::connection::{EndpointConnection, PeerState};
+use crate::endpoint::connection::{EndpointConnection, PeerState};
+use crate::endpoint::lease::{ConnectionNumber, Lease};
 use crate::fault::RouterFault;
-use crate::lease::{ConnectionNumber, Lease};
 use lanegate_config::configuration::Configuration;
 use lanegate_config::feed::FeedEvent;
 use lanegate_config::instance::{Instance, InstanceState};
--- a/crates/router/src/shared_stream.rs
+++ b/crates/router/src/endpoint/shared_stream.rs
@@ -1,6 +1,6 @@
 //! The TCP stream below the HTTP library, with the filter of late responses between them.
 
-use crate::late_responses::LateResponseFilter;
+use crate::endpoint::late_responses::LateResponseFilter;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell, RefMut};
 use std::io;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -5,18 +5,18 @@
 //!
 //! # Invariants
 //!
-//! - Each request has exactly one [`outcome`].
-//! - An answer reaches a client only if its `Attempt-Id` is that of the request ([`verify`], [`late_responses`]).
+//! - Each request has exactly one [`request::outcome`].
+//! - An answer reaches a client only if its `Attempt-Id` is that of the request ([`endpoint::verify`], [`endpoint::late_responses`]).
 //! - A request that may have run is sent again only if its route allows that, and never on a connection on which it was sent
-//!   before ([`attempt`], [`pool`]).
-//! - An incomplete answer never looks complete to the client ([`stream`], [`activity`]).
+//!   before ([`endpoint::attempt`], [`endpoint::pool`]).
+//! - An incomplete answer never looks complete to the client ([`request::stream`], [`client::activity`]).
 //!
 //! # Where to begin
 //!
-//! The way of a request: [`listener`] accepts the connection, [`frontend`] reads the request, finds its route ([`routing`],
-//! [`traffic_split`]) and submits it through a [`request_handle`]. The dispatcher's decisions arrive in its [`mailbox`].
-//! [`forward`] executes them: [`attempt`] sends the request on a connection of the [`pool`], [`stream`] forwards the body, and
-//! [`resume`] continues a broken stream elsewhere. [`state`] is what all tasks share; [`run`] assembles everything.
+//! The way of a request: [`client::listener`] accepts the connection, [`client::frontend`] reads the request, finds its route ([`routing::table`],
+//! [`routing::traffic_split`]) and submits it through a [`request::handle`]. The dispatcher's decisions arrive in its [`request::mailbox`].
+//! [`request::forward`] executes them: [`endpoint::attempt`] sends the request on a connection of the [`endpoint::pool`], [`request::stream`] forwards the body, and
+//! [`request::resume`] continues a broken stream elsewhere. [`state`] is what all tasks share; [`process::run`] assembles everything.
 //!
 //! # Tests
 //!
@@ -24,45 +24,16 @@
 //! `tests/byte_streams.rs` runs random exchanges and checks that each mutation of the router is detected.
 //! `tests/golden.rs` compares the written bytes with committed files.
 
-pub mod aborted_requests;
-pub mod activity;
-pub mod attempt;
-pub mod body;
-pub mod chunk_scanner;
-pub mod configuration_wait;
-pub mod connection;
-pub mod counters;
-pub mod endpoint_answer;
-pub mod event_splitter;
+pub mod client;
+pub mod endpoint;
 #[doc(hidden)]
 pub mod fault;
-pub mod forward;
-pub mod frontend;
 pub mod headers;
-pub mod late_responses;
-pub mod lease;
-pub mod listener;
-pub mod local_reply;
-pub mod mailbox;
-pub mod maintenance;
-pub mod metrics;
-pub mod open_request;
-pub mod outbound;
-pub mod outcome;
-pub mod pool;
-pub mod readiness;
-pub mod request_handle;
-pub mod resume;
+pub mod process;
+pub mod request;
 pub mod routing;
-pub mod run;
-mod shared_stream;
-pub mod shutdown;
-pub mod signals;
 pub mod state;
-pub mod stream;
-pub mod traffic_split;
-pub mod verify;
 
 #[doc(hidden)]
-pub use run::run_with_fault;
-pub use run::{RouterError, run, run_on};
+pub use process::run::run_with_fault;
+pub use process::run::{RouterError, run, run_on};
--- a/crates/router/src/aborted_requests.rs
+++ b/crates/router/src/process/aborted_requests.rs
@@ -1,6 +1,6 @@
 //! Counters of the requests that shutdown aborts, by their age.
 
-use crate::counters::Count;
+use crate::process::counters::Count;
 use std::time::Duration;
 
 /// Upper bounds of the age classes, with their names.
--- a/crates/router/src/counters.rs
+++ b/crates/router/src/process/counters.rs
@@ -1,7 +1,7 @@
 //! Counters for the log and the metrics.
 
-use crate::aborted_requests::AbortedRequests;
-use crate::outcome::{Outcome, OutcomeCounts};
+use crate::process::aborted_requests::AbortedRequests;
+use crate::request::outcome::{Outcome, OutcomeCounts};
 use std::cell::Cell;
 
 /// Counters since the start of the process.
--- a/crates/router/src/maintenance.rs
+++ b/crates/router/src/process/maintenance.rs
@@ -1,9 +1,9 @@
 //! Periodic work on one timer: closes stalled client connections and expired endpoint connections, reports demand and logs
 //! the counters.
 
-use crate::activity::{Activity, CloseMode, Phase};
+use crate::client::activity::{Activity, CloseMode, Phase};
+use crate::client::listener::ClientConnections;
 use crate::fault::RouterFault;
-use crate::listener::ClientConnections;
 use crate::state::RouterState;
 use lanegate_config::configuration::Limits;
 use lanegate_config::demand::DemandReport;
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/process/metrics.rs
@@ -1,7 +1,7 @@
 //! The metrics of a router, computed from its state for each scrape.
 
-use crate::listener::ClientConnections;
-use crate::outcome::Outcome;
+use crate::client::listener::ClientConnections;
+use crate::request::outcome::Outcome;
 use crate::state::RouterState;
 use lanegate_metrics::{Exposition, Metric};
 
--- a/crates/router/src/run.rs
+++ b/crates/router/src/process/run.rs
@@ -1,12 +1,12 @@
 //! Assembles the router and runs it until shutdown.
 
+use crate::client::listener::{self, ClientConnections};
 use crate::fault::RouterFault;
-use crate::listener::{self, ClientConnections};
-use crate::maintenance;
-use crate::metrics;
-use crate::readiness;
-use crate::shutdown;
-use crate::signals::Signals;
+use crate::process::maintenance;
+use crate::process::metrics;
+use crate::process::readiness;
+use crate::process::shutdown;
+use crate::process::signals::Signals;
 use crate::state::RouterState;
 use lanegate_config::demand::DemandReport;
 use lanegate_config::feed::FeedEvent;
--- a/crates/router/src/shutdown.rs
+++ b/crates/router/src/process/shutdown.rs
@@ -1,6 +1,6 @@
 //! Graceful shutdown: new clients are turned to other routers and open requests are finished.
 
-use crate::listener::ClientConnections;
+use crate::client::listener::ClientConnections;
 use crate::state::RouterState;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/router/src/forward.rs
+++ b/crates/router/src/request/forward.rs
@@ -3,17 +3,17 @@
 //! The top of the layers `attempt` < `resume` < `stream` < `body` < `local_reply` < `forward`: each uses only those before
 //! it.
 
-use crate::attempt;
-use crate::body::RouterBody;
-use crate::endpoint_answer::{EndpointAnswer, EndpointBody};
-use crate::event_splitter::EventSplitter;
+use crate::client::body::RouterBody;
+use crate::client::local_reply::LocalReply;
+use crate::endpoint::answer::{EndpointAnswer, EndpointBody};
+use crate::endpoint::attempt;
+use crate::endpoint::outbound::{Destination, Outbound};
 use crate::headers::remove_hop_by_hop;
-use crate::local_reply::LocalReply;
-use crate::mailbox::Instruction;
-use crate::outbound::{Destination, Outbound};
-use crate::outcome::Outcome;
-use crate::request_handle::RequestHandle;
-use crate::stream::{AnswerKind, AnswerStream, Opened};
+use crate::request::event_splitter::EventSplitter;
+use crate::request::handle::RequestHandle;
+use crate::request::mailbox::Instruction;
+use crate::request::outcome::Outcome;
+use crate::request::stream::{AnswerKind, AnswerStream, Opened};
 use bytes::{Bytes, BytesMut};
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode, Version};
--- a/crates/router/src/request_handle.rs
+++ b/crates/router/src/request/handle.rs
@@ -1,8 +1,8 @@
 //! The handle of a request task on its request at the dispatcher.
 
-use crate::mailbox::Instruction;
-use crate::open_request::OpenRequest;
-use crate::outcome::Outcome;
+use crate::request::mailbox::Instruction;
+use crate::request::open_request::OpenRequest;
+use crate::request::outcome::Outcome;
 use crate::state::RouterState;
 use hyper::header::HeaderValue;
 use lanegate_dispatch::interface::{AttemptEnd, Decision, Progress, Request, RequestId};
--- /dev/null
+++ b/crates/router/src/request/mod.rs
@@ -0,0 +1,10 @@
+//! The life of one request: executing the decisions about it and forwarding its answer.
+
+pub mod event_splitter;
+pub mod forward;
+pub mod handle;
+pub mod mailbox;
+pub mod open_request;
+pub mod outcome;
+pub mod resume;
+pub mod stream;
--- a/crates/router/src/open_request.rs
+++ b/crates/router/src/request/open_request.rs
@@ -1,6 +1,6 @@
 //! An open request: its mailbox, and its state for the log in case shutdown aborts it.
 
-use crate::mailbox::Mailbox;
+use crate::request::mailbox::Mailbox;
 use hyper::header::HeaderValue;
 use lanegate_dispatch::interface::{Decision, Request};
 use std::cell::{Cell, RefCell};
--- a/crates/router/src/outcome.rs
+++ b/crates/router/src/request/outcome.rs
@@ -1,6 +1,6 @@
 //! The outcomes of client requests.
 
-use crate::counters::Count;
+use crate::process::counters::Count;
 
 /// The outcome of a request. Each has exactly one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/router/src/resume.rs
+++ b/crates/router/src/request/resume.rs
@@ -2,13 +2,13 @@
 //!
 //! Above `attempt`, which sends, and below `stream`, which forwards the bytes.
 
-use crate::attempt;
-use crate::endpoint_answer::{EndpointAnswer, EndpointBody};
+use crate::endpoint::answer::{EndpointAnswer, EndpointBody};
+use crate::endpoint::attempt;
+use crate::endpoint::outbound::{Destination, Outbound};
 use crate::headers::is_event_stream;
-use crate::mailbox::Instruction;
-use crate::outbound::{Destination, Outbound};
-use crate::outcome::Outcome;
-use crate::request_handle::RequestHandle;
+use crate::request::handle::RequestHandle;
+use crate::request::mailbox::Instruction;
+use crate::request::outcome::Outcome;
 use hyper::header::HeaderValue;
 use lanegate_dispatch::interface::{AttemptEnd, Decision, FailReason, InstanceLoad, Progress};
 use std::cell::Cell;
--- a/crates/router/src/stream.rs
+++ b/crates/router/src/request/stream.rs
@@ -2,14 +2,14 @@
 //!
 //! Above `resume`, which begins another attempt, and below `body`, which hands the bytes to the HTTP library.
 
-use crate::endpoint_answer::EndpointBody;
-use crate::event_splitter::EventSplitter;
+use crate::endpoint::answer::EndpointBody;
+use crate::endpoint::outbound::Outbound;
 use crate::fault::RouterFault;
 use crate::headers::is_event_stream;
-use crate::outbound::Outbound;
-use crate::outcome::Outcome;
-use crate::request_handle::RequestHandle;
-use crate::resume::{self, Resumed};
+use crate::request::event_splitter::EventSplitter;
+use crate::request::handle::RequestHandle;
+use crate::request::outcome::Outcome;
+use crate::request::resume::{self, Resumed};
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use hyper::http::response::Parts;
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -1,12 +1,12 @@
 //! The state that all tasks of the router share: the dispatcher, the configuration in force and the connection pool.
 
-use crate::configuration_wait::ConfigurationWait;
-use crate::counters::Counters;
+use crate::endpoint::pool::Pool;
 use crate::fault::RouterFault;
-use crate::open_request::OpenRequest;
-use crate::pool::Pool;
-use crate::routing::Routing;
-use crate::traffic_split::SplitSequences;
+use crate::process::counters::Counters;
+use crate::request::open_request::OpenRequest;
+use crate::routing::configuration_wait::ConfigurationWait;
+use crate::routing::table::Routing;
+use crate::routing::traffic_split::SplitSequences;
 use lanegate_config::feed::FeedEvent;
 use lanegate_config::mechanism::Mechanism;
 use lanegate_dispatch::interface::{Decision, RequestId};
--- a/crates/router/tests/before_configuration.rs
+++ b/crates/router/tests/before_configuration.rs
@@ -4,7 +4,7 @@
 
 use common::{CONFIGURATION, Client, Endpoint, Router, pass_time, play, settle};
 use lanegate_config::feed::FeedEvent;
-use lanegate_router::configuration_wait::{ConfigurationWait, WaitOutcome};
+use lanegate_router::routing::configuration_wait::{ConfigurationWait, WaitOutcome};
 use std::time::Duration;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use lanegate_config::settings::Settings;
 use lanegate_metrics::{MetricsEndpoint, ProcessIdentity};
 use lanegate_router::fault::RouterFault;
-use lanegate_router::run::Sockets;
+use lanegate_router::process::run::Sockets;
 use lanegate_router::run_with_fault;
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/router/tests/exchanges/client.rs
+++ b/crates/router/tests/exchanges/client.rs
@@ -3,7 +3,7 @@
 use super::record::Record;
 use super::script::{Ask, Route, answer_body, request_body, split};
 use hyper::header::HeaderMap;
-use lanegate_router::chunk_scanner::ChunkScanner;
+use lanegate_router::endpoint::chunk_scanner::ChunkScanner;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/router/tests/open_requests.rs
+++ b/crates/router/tests/open_requests.rs
@@ -3,8 +3,8 @@
 use hyper::header::HeaderValue;
 use lanegate_config::configuration::RouteType;
 use lanegate_dispatch::interface::{Decision, Request, RequestId};
-use lanegate_router::aborted_requests::AbortedRequests;
-use lanegate_router::open_request::OpenRequest;
+use lanegate_router::process::aborted_requests::AbortedRequests;
+use lanegate_router::request::open_request::OpenRequest;
 use std::time::Duration;
 
 const SIGTERM: Duration = Duration::from_millis(4_000);
--- a/crates/router/tests/parsing.rs
+++ b/crates/router/tests/parsing.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use hyper::header::{CONNECTION, HeaderMap, HeaderName, HeaderValue};
-use lanegate_router::event_splitter::EventSplitter;
 use lanegate_router::headers;
+use lanegate_router::request::event_splitter::EventSplitter;
 use proptest::collection::vec;
 use proptest::prelude::*;
 use std::time::Duration;
