--- a/crates/router/tests/attempts.rs
+++ b/crates/router/tests/attempts.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_request_that_was_turned_away_goes_to_another_endpoint() {
+fn a_rejected_request_is_sent_to_another_endpoint() {
     play(async {
         for (status, id) in [("421 Misdirected Request", "1"), ("503 Service Unavailable", "2")] {
             let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_request_that_nobody_ran_is_refused_with_a_time_and_without_a_stamp() {
+fn a_request_that_never_ran_is_refused_with_retry_after_and_without_a_signature() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_is_not_sent_again_unless_it_may_be() {
+fn a_request_that_may_have_run_is_retried_only_if_its_route_allows_it() {
     play(async {
         for path in ["/once/a", "/stream/a"] {
             let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn what_is_no_answer_to_the_request_never_reaches_the_client() {
+fn invalid_and_foreign_answers_never_reach_the_client() {
     play(async {
         let spoilt = [
             "HTTP/1.1 200 OK\r\nAttempt-Id: 2\r\nServer-Signature: s\r\nContent-Length: 2\r\n\r\nno",
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn an_answer_that_ends_early_is_not_passed_on() {
+fn an_incomplete_answer_is_not_forwarded() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn bytes_behind_a_whole_answer_belong_to_no_request() {
+fn bytes_after_a_complete_answer_belong_to_no_request() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_late_extra_answer_belongs_to_no_request() {
+fn a_late_second_answer_belongs_to_no_request() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_connection_that_the_endpoint_closed_is_not_used_again() {
+fn a_connection_that_the_endpoint_closed_is_not_reused() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_connection_idle_for_longer_than_told_is_not_used_again() {
+fn a_connection_idle_for_longer_than_its_keep_alive_is_not_reused() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_request_along() {
+fn a_client_that_disconnects_cancels_its_request() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn an_address_where_nobody_listens_is_not_the_end_of_a_request() {
+fn a_refused_connection_does_not_end_the_request() {
     play(async {
         let gone = Endpoint::start("i-0").await;
         let gone_registration = gone.registration("plain");
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn a_request_that_ran_until_its_deadline_is_told_so() {
+fn a_request_that_runs_past_its_deadline_gets_504() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
--- a/crates/router/tests/before_configuration.rs
+++ b/crates/router/tests/before_configuration.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_longest_time_does_not_make_a_request_wait_for_long() {
+fn a_long_client_deadline_does_not_extend_the_wait_beyond_its_limit() {
     play(async {
         let router = Router::start().await;
         let mut client = router.client().await;
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_process_that_is_to_end_lets_nothing_wait() {
+fn no_request_waits_during_shutdown() {
     play(async {
         let mut router = Router::start().await;
         let mut waiting = router.client().await;
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_gives_its_place_back() {
+fn a_client_that_disconnects_releases_its_slot() {
     play(async {
         let wait = std::rc::Rc::new(ConfigurationWait::default());
         let began = Instant::now();
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn so_many_wait_at_once_and_so_many_bytes_and_no_more() {
+fn the_number_and_size_of_waiting_requests_are_bounded() {
     play(async {
         let began = Instant::now();
         let time = Some(Duration::from_secs(6));
--- a/crates/router/tests/byte_streams.rs
+++ b/crates/router/tests/byte_streams.rs
@@ -52,43 +52,43 @@
 }
 
 #[test]
-fn an_answer_that_is_not_held_to_its_id_is_found() {
+fn an_answer_that_is_not_matched_by_its_id_is_detected() {
     let wrong = found(RouterFault::AnyAttemptId);
     assert!(wrong.contains("was told 200"), "{wrong}");
 }
 
 #[test]
-fn a_request_that_is_sent_again_after_a_reset_is_found() {
+fn a_retry_after_a_reset_is_detected() {
     let wrong = found(RouterFault::RepeatAfterReset);
     assert!(wrong.contains("ran 2 times"), "{wrong}");
 }
 
 #[test]
-fn a_late_answer_that_is_passed_on_is_found() {
+fn a_forwarded_late_answer_is_detected() {
     let wrong = found(RouterFault::PassStaleAnswers);
     assert!(wrong.contains("its client told 502"), "{wrong}");
 }
 
 #[test]
-fn a_request_that_is_sent_again_on_its_old_connection_is_found() {
+fn a_retry_on_the_same_connection_is_detected() {
     let wrong = found(RouterFault::ReuseCarrier);
     assert!(wrong.contains("ran 2 times"), "{wrong}");
 }
 
 #[test]
-fn a_reset_body_that_counts_as_whole_is_found() {
+fn a_reset_body_that_counts_as_complete_is_detected() {
     let wrong = found(RouterFault::ResetIsEnd);
     assert!(wrong.contains("was told 200"), "{wrong}");
 }
 
 #[test]
-fn a_cut_answer_that_looks_whole_is_found() {
+fn a_truncated_answer_that_looks_complete_is_detected() {
     let wrong = found(RouterFault::EndCut);
     assert!(wrong.contains("was told 200"), "{wrong}");
 }
 
 #[test]
-fn a_503_that_proves_nothing_and_is_trusted_is_found() {
+fn a_trusted_503_without_not_executed_is_detected() {
     let wrong = found(RouterFault::TrustStatus);
     assert!(wrong.contains("ran 2 times") || wrong.contains("was refused and ran"), "{wrong}");
 }
--- a/crates/router/tests/clients.rs
+++ b/crates/router/tests/clients.rs
@@ -13,7 +13,7 @@
 const A_WHILE: Duration = Duration::from_millis(60);
 
 #[test]
-fn pipelined_requests_are_answered_in_order_and_sent_one_by_one() {
+fn pipelined_requests_are_sent_one_by_one_and_answered_in_order() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_client_that_waits_for_100_continue_is_told_to_go_on() {
+fn a_client_that_expects_100_continue_gets_it() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_client_that_closes_its_sending_side_has_left() {
+fn a_client_that_shuts_down_its_write_side_has_disconnected() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_left_while_its_request_was_held() {
+fn a_queued_request_of_a_disconnected_client_is_not_sent() {
     play(async {
         let router = Router::serving(&[]).await;
         let mut client = router.client().await;
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn nothing_is_sent_again_for_a_client_that_left_after_a_break() {
+fn a_broken_request_of_a_disconnected_client_is_not_retried() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn an_answer_that_is_cut_is_reset_for_a_client_that_reads_to_the_end() {
+fn a_truncated_answer_resets_the_connection_of_an_http_1_0_client() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn what_runs_at_an_endpoint_that_deregisters_runs_to_its_end() {
+fn requests_in_flight_at_a_removed_endpoint_complete() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn what_runs_on_a_route_that_is_taken_away_runs_to_its_end() {
+fn requests_in_flight_on_a_removed_route_complete() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_router_that_knows_no_configuration_says_503_to_whatever_it_is_asked() {
+fn a_router_without_a_configuration_answers_503_to_any_request() {
     play(async {
         let router = Router::start().await;
         let large =
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_request_held_beyond_the_end_of_its_connection_leaves_nothing_behind() {
+fn a_queued_request_of_a_closed_connection_leaves_no_state() {
     play(async {
         let mut router = Router::serving(&[]).await;
         let mut client = router.client().await;
--- a/crates/router/tests/close_delimited.rs
+++ b/crates/router/tests/close_delimited.rs
@@ -8,7 +8,7 @@
 const EVENTS: &str = "text/event-stream";
 
 #[test]
-fn an_answer_without_a_length_is_whole_once_its_connection_is_closed() {
+fn an_answer_without_a_length_is_complete_once_its_connection_is_closed() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_answer_without_a_length_that_is_reset_is_not_whole() {
+fn an_answer_without_a_length_that_is_reset_is_incomplete() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_answer_without_a_length_that_is_reset_is_asked_for_again_where_that_is_allowed() {
+fn an_answer_without_a_length_that_is_reset_is_retried_if_allowed() {
     play(async {
         let endpoints = two_endpoints().await;
         let router = Router::serving(&[&endpoints[0], &endpoints[1]]).await;
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_large_answer_without_a_length_that_is_reset_does_not_look_whole() {
+fn a_large_answer_without_a_length_that_is_reset_does_not_look_complete() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_stream_without_a_length_is_whole_at_the_end_of_an_event() {
+fn a_stream_without_a_length_is_complete_at_the_end_of_an_event() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_stream_without_a_length_is_not_whole_inside_an_event_or_after_a_reset() {
+fn a_stream_without_a_length_is_incomplete_inside_an_event_or_after_a_reset() {
     play(async {
         for is_reset in [false, true] {
             let endpoint = Endpoint::start("i-1").await;
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_stream_without_a_length_that_ends_inside_an_event_is_taken_up_elsewhere() {
+fn a_stream_without_a_length_that_ends_inside_an_event_is_resumed_elsewhere() {
     play(async {
         let endpoints = two_endpoints().await;
         let router = Router::serving(&[&endpoints[0], &endpoints[1]]).await;
--- a/crates/router/tests/configuration_behind.rs
+++ b/crates/router/tests/configuration_behind.rs
@@ -6,7 +6,7 @@
 use lanegate_config::feed::FeedEvent;
 
 #[test]
-fn an_unknown_route_is_refused_with_a_time_while_a_newer_configuration_may_have_it() {
+fn an_unknown_route_is_refused_with_retry_after_while_a_newer_configuration_may_have_it() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
--- a/crates/router/tests/connections.rs
+++ b/crates/router/tests/connections.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_connection_on_which_unread_bytes_wait_is_not_handed_out() {
+fn a_connection_with_unread_bytes_is_not_reused() {
     play(async {
         assert!(!is_handed_out_unread(None).await);
         assert!(is_handed_out_unread(Some(RouterFault::IgnoreUnread)).await, "the mistake is not found");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_endpoint_has_no_more_connections_than_this_routers_share() {
+fn an_endpoint_has_no_more_connections_than_the_quota_of_the_router() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let pool = Pool::default();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn shares_of_all_routers_leave_room_and_nobody_is_left_without() {
+fn connection_quotas_fit_the_limit_and_are_at_least_one() {
     for bound in [1, 6, 96, 370] {
         for routers in 1..20 {
             let own = connection_quota(bound, routers);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_endpoint_that_leaves_takes_no_more_requests() {
+fn a_draining_endpoint_gets_no_new_requests() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let pool = Pool::default();
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn idle_connections_to_an_endpoint_that_leaves_are_closed() {
+fn idle_connections_to_a_draining_endpoint_are_closed() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn an_older_configuration_does_not_come_back() {
+fn an_older_configuration_is_ignored() {
     play(async {
         let router = Router::serving(&[]).await;
         router
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_request_that_has_begun_is_answered_though_its_connection_is_to_be_closed() {
+fn a_request_that_has_begun_is_answered_before_its_connection_closes() {
     play(async {
         let mut router = Router::serving(&[]).await;
         let mut client = router.client().await;
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_client_that_does_not_take_its_answer_is_left() {
+fn the_connection_of_a_client_that_does_not_read_its_answer_is_closed() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn an_endpoint_that_sent_an_extra_answer_gets_time_before_its_connections_are_used_again() {
+fn an_endpoint_that_sent_an_extra_answer_is_quarantined() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
--- a/crates/router/tests/deadlines.rs
+++ b/crates/router/tests/deadlines.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn every_send_tells_what_is_left_of_the_clients_time() {
+fn every_attempt_carries_the_remaining_time() {
     play(async {
         let began = Instant::now();
         let [first, second] = told_by_two_sends(None).await;
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_send_that_tells_the_whole_time_again_is_found() {
+fn an_attempt_that_carries_the_full_time_is_detected() {
     play(async {
         let [first, second] = told_by_two_sends(Some(RouterFault::KeepDeadline)).await;
         assert!(second > first - 250, "{second} after {first}");
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_stream_that_is_taken_up_elsewhere_tells_what_is_left() {
+fn a_resumed_stream_carries_the_remaining_time() {
     play(async {
         let endpoints = two_endpoints().await;
         let router = Router::serving(&[&endpoints[0], &endpoints[1]]).await;
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn without_a_deadline_of_the_client_the_routes_time_is_handed_on() {
+fn without_a_client_deadline_the_timeout_of_the_route_is_sent() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = short_routes(&[&endpoint]).await;
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_request_that_no_endpoint_takes_is_answered_at_its_routes_timeout() {
+fn a_request_without_an_endpoint_is_answered_at_the_timeout_of_its_route() {
     play(async {
         let router = short_routes(&[]).await;
         let mut client = router.client().await;
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_request_that_an_endpoint_does_not_answer_ends_at_its_routes_timeout() {
+fn an_unanswered_request_ends_at_the_timeout_of_its_route() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = short_routes(&[&endpoint]).await;
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_stream_that_outlasts_its_routes_timeout_is_cut_there() {
+fn a_stream_is_truncated_at_the_timeout_of_its_route() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = short_routes(&[&endpoint]).await;
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_stream_that_waits_to_be_taken_up_ends_at_its_routes_timeout() {
+fn a_stream_that_waits_to_be_resumed_ends_at_the_timeout_of_its_route() {
     play(async {
         let endpoints = two_endpoints().await;
         let router = short_routes(&[&endpoints[0], &endpoints[1]]).await;
--- a/crates/router/tests/exchanges/endpoint.rs
+++ b/crates/router/tests/exchanges/endpoint.rs
@@ -27,7 +27,7 @@
         late: Vec<u8>,
     },
     /// Bytes that belong to nothing may meet the next request, which then has no proper answer.
-    Spoilt,
+    Tainted,
     Ends,
 }
 
@@ -42,7 +42,7 @@
         }
         match after {
             After::Goes { late: next } => late = next,
-            After::Spoilt => is_tainted = true,
+            After::Tainted => is_tainted = true,
             After::Ends => return,
         }
     }
@@ -77,7 +77,7 @@
         Reply::Trailing(bytes) if framing != Framing::Absent => {
             write(stream, &[&whole[..], &bytes].concat(), &cuts).await;
             record.answered(&id, 200);
-            After::Spoilt
+            After::Tainted
         }
         Reply::Twice { .. } | Reply::Trailing(_) => {
             write(stream, &whole, &cuts).await;
--- a/crates/router/tests/forwarding.rs
+++ b/crates/router/tests/forwarding.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_failure_of_the_endpoint_is_passed_on_with_status_body_and_stamp() {
+fn an_error_of_the_endpoint_is_forwarded_with_status_body_and_signature() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn connections_on_both_sides_serve_many_requests() {
+fn connections_on_both_sides_are_reused() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_longest_prefix_decides_and_unknown_routes_are_told_so() {
+fn the_longest_prefix_matches_and_unknown_routes_get_404() {
     play(async {
         let plain = Endpoint::start("i-1").await;
         let other = Endpoint::start("i-2").await;
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_request_before_any_configuration_is_refused_with_a_time() {
+fn a_request_before_the_first_configuration_is_refused_with_retry_after() {
     play(async {
         let router = Router::start().await;
         assert_eq!(router.readiness().await, 503);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_router_is_ready_with_a_configuration_and_a_whole_feed() {
+fn a_router_is_ready_with_a_configuration_and_a_complete_feed() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn what_a_request_asks_of_a_model_is_passed_on_unchanged_each_time_and_gets_a_priority() {
+fn model_headers_are_forwarded_unchanged_with_each_attempt_and_a_priority_is_added() {
     play(async {
         let endpoints = two_endpoints().await;
         let router = Router::serving(&[]).await;
--- a/crates/router/tests/framing.rs
+++ b/crates/router/tests/framing.rs
@@ -5,7 +5,7 @@
 use common::{Endpoint, Router, play};
 
 #[test]
-fn a_request_behind_a_chunked_one_on_the_same_connection_is_its_own() {
+fn a_request_after_a_chunked_one_is_separate() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn two_lengths_that_differ_are_no_request() {
+fn two_different_lengths_are_rejected() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn nothing_is_smuggled_behind_a_length_and_chunks_that_contradict_each_other() {
+fn no_request_is_smuggled_after_a_contradictory_length_and_encoding() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_encoding_that_does_not_end_in_chunks_is_no_request() {
+fn an_encoding_that_does_not_end_in_chunked_is_rejected() {
     play(async {
         let router = Router::serving(&[]).await;
         let mut client = router.client().await;
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn two_hosts_are_no_request() {
+fn two_hosts_are_rejected() {
     play(async {
         let router = Router::serving(&[]).await;
         let mut client = router.client().await;
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_chunk_without_a_readable_length_is_no_request() {
+fn a_chunk_with_an_invalid_length_is_rejected() {
     play(async {
         let router = Router::serving(&[]).await;
         let mut client = router.client().await;
--- a/crates/router/tests/limits.rs
+++ b/crates/router/tests/limits.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_head_over_the_limit_is_told_so() {
+fn a_head_over_the_limit_gets_431() {
     play(async {
         let router = Router::serving(&[]).await;
         tokio::task::yield_now().await;
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_body_over_the_limit_is_told_so_with_a_length_and_in_chunks() {
+fn a_body_over_the_limit_gets_413_with_a_length_and_chunked() {
     play(async {
         let router = Router::serving(&[]).await;
         let mut client = router.client().await;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_body_at_the_limit_is_taken() {
+fn a_body_at_the_limit_is_accepted() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_idle_connection_is_kept_for_its_time_and_closed_after() {
+fn an_idle_connection_is_closed_after_its_timeout() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_head_that_does_not_end_is_given_up() {
+fn an_incomplete_head_times_out() {
     play(async {
         let router = Router::serving(&[]).await;
         let mut client = router.client().await;
--- a/crates/router/tests/metrics.rs
+++ b/crates/router/tests/metrics.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_router_that_knows_nothing_tells_zeros() {
+fn a_new_router_exposes_zeros() {
     play(async {
         let router = Router::start().await;
         let told = figures(&router).await;
@@ -45,7 +45,7 @@
 
 /// A failure whose length is not told is passed on as it comes.
 #[test]
-fn a_failure_in_chunks_counts_as_one_of_the_endpoint() {
+fn a_chunked_error_answer_counts_as_an_endpoint_error() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn requests_are_counted_by_how_they_ended() {
+fn requests_are_counted_by_outcome() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_request_that_was_sent_again_is_counted_against_the_budget() {
+fn a_retry_is_counted_against_the_budget() {
     play(async {
         let endpoints = common::two_endpoints().await;
         let router = Router::serving(&[&endpoints[0], &endpoints[1]]).await;
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_is_counted_once() {
+fn a_disconnected_client_is_counted_once() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_held_request_is_told_and_refused_ones_are_counted() {
+fn queued_and_refused_requests_are_counted() {
     play(async {
         let router = Router::serving(&[]).await;
         let mut client = router.client().await;
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_router_that_ends_tells_so() {
+fn a_draining_router_exposes_that() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let mut router = Router::serving(&[&endpoint]).await;
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn callers_that_stall_hold_up_neither_requests_nor_other_callers() {
+fn stalled_scrapes_block_neither_requests_nor_other_scrapes() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
--- a/crates/router/tests/open_requests.rs
+++ b/crates/router/tests/open_requests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_request_that_is_held_names_no_endpoint() {
+fn a_queued_request_has_no_endpoint() {
     assert_eq!(
         open_request().summary(NOW, SIGTERM).to_string(),
         "attempt_id=q-1 route=stream endpoint=none age_ms=8400 since_sigterm_ms=7400 \
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn requests_cut_at_the_end_are_counted_by_age() {
+fn requests_aborted_at_shutdown_are_counted_by_age() {
     let cut = AbortedRequests::default();
     for milliseconds in [0, 999, 1_000, 5_999, 6_000, 12_000, 90_000] {
         cut.count(Duration::from_millis(milliseconds));
--- a/crates/router/tests/parsing.rs
+++ b/crates/router/tests/parsing.rs
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn missing_and_unreadable_figures_are_tolerated() {
+fn missing_and_invalid_numbers_are_tolerated() {
     assert_eq!(headers::generation(&map([])), None);
     let generation =
         headers::generation(&map([("model", "m/"), ("token-usage", "many"), ("prompt-prefix", "-")]));
--- a/crates/router/tests/response_matching.rs
+++ b/crates/router/tests/response_matching.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_second_answer_to_an_earlier_request_is_dropped_though_the_next_is_under_way() {
+fn a_second_answer_to_an_earlier_request_is_discarded_while_the_next_is_in_flight() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_answer_to_a_request_that_the_connection_never_carried_is_a_failure() {
+fn an_answer_to_a_request_that_was_never_sent_on_the_connection_is_a_failure() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn answers_that_two_endpoints_exchange_reach_nobody() {
+fn answers_swapped_between_two_endpoints_reach_no_client() {
     play(async {
         let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
         let router = Router::serving(&[&endpoints[0], &endpoints[1]]).await;
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_request_is_not_sent_again_on_a_connection_that_carried_it() {
+fn a_request_is_not_retried_on_the_same_connection() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_connection_whose_request_was_not_read_to_its_end_gets_no_other() {
+fn a_connection_with_a_partly_read_request_is_not_reused() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_long_request_that_an_endpoint_rejects_early_goes_elsewhere_whole() {
+fn a_long_request_that_is_rejected_early_is_sent_elsewhere_completely() {
     play(async {
         let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
         let router = Router::serving(&[&endpoints[0], &endpoints[1]]).await;
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_reset_while_a_request_is_being_sent_is_no_reason_to_send_it_again() {
+fn a_reset_during_a_send_does_not_cause_a_retry() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_reset_on_a_connection_in_use_again_is_no_reason_to_send_a_request_again() {
+fn a_reset_on_a_reused_connection_does_not_cause_a_retry() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn informational_answers_are_not_the_answer() {
+fn informational_responses_are_skipped() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
--- a/crates/router/tests/shutdown.rs
+++ b/crates/router/tests/shutdown.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_stream_is_refused_after_sigterm_before_it_is_sent() {
+fn a_stream_that_was_not_sent_is_refused_after_sigterm() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         for tokens in [1, 50, 900, u32::MAX] {
@@ -69,7 +69,7 @@
 
 /// The process may notice a client and the end of the time for new ones at once.
 #[test]
-fn a_request_that_was_sent_before_clients_are_no_longer_taken_is_answered() {
+fn a_request_that_arrives_before_the_listener_closes_is_answered() {
     play(async {
         let mut router = Router::serving(&[]).await;
         router.terminate();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn what_is_answered_as_a_whole_is_served_after_sigterm() {
+fn requests_without_a_stream_are_served_after_sigterm() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let mut router = Router::serving(&[&endpoint]).await;
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn what_runs_has_nearly_the_whole_grace_to_end() {
+fn requests_in_flight_have_nearly_the_full_grace_time() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let mut router = serving_engine(&endpoint).await;
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_router_that_ends_finishes_streams_and_tells_clients_to_go() {
+fn a_draining_router_finishes_streams_and_closes_client_connections() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let mut router = Router::serving(&[&endpoint]).await;
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn what_never_ran_is_refused_before_the_process_ends() {
+fn requests_that_never_ran_are_refused_before_the_process_ends() {
     play(async {
         let mut router = Router::serving(&[]).await;
         let mut client = router.client().await;
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_stream_that_outlasts_the_process_does_not_look_whole() {
+fn a_stream_that_outlasts_the_grace_time_does_not_look_complete() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let mut router = Router::serving(&[&endpoint]).await;
--- a/crates/router/tests/stalls.rs
+++ b/crates/router/tests/stalls.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_deadline_that_passed_while_the_process_stood_still_is_answered() {
+fn a_deadline_that_passed_during_a_stall_is_answered() {
     play(async {
         let answer = answer_after_a_standstill(None).await;
         assert!(answer.starts_with("HTTP/1.1 504 "), "{answer:?}");
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_connection_that_is_judged_by_the_present_time_after_a_standstill_is_found() {
+fn a_connection_that_is_checked_by_the_current_time_after_a_stall_is_detected() {
     play(async {
         assert_eq!(answer_after_a_standstill(Some(RouterFault::SweepByPresentTime)).await, "");
     });
@@ -40,7 +40,7 @@
 
 /// The connection had served before, and the answer came while the process stood still.
 #[test]
-fn an_answer_that_came_while_the_process_stood_still_reaches_its_client_or_a_504_does() {
+fn an_answer_that_arrived_during_a_stall_reaches_its_client_or_504_does() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -60,7 +60,7 @@
 
 /// Whoever does not take an answer that is there is left all the same.
 #[test]
-fn a_client_that_takes_no_answer_is_left() {
+fn the_connection_of_a_client_that_reads_no_answer_is_aborted() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
--- a/crates/router/tests/streams.rs
+++ b/crates/router/tests/streams.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn events_are_passed_on_one_by_one() {
+fn events_are_forwarded_one_by_one() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_stream_that_breaks_off_does_not_look_whole() {
+fn a_broken_stream_does_not_look_complete() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_stream_is_taken_up_elsewhere_inside_the_same_answer() {
+fn a_stream_is_resumed_elsewhere_within_the_same_answer() {
     play(async {
         let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
         let router = Router::serving(&[&endpoints[0]]).await;
@@ -74,7 +74,7 @@
 
 /// Silence of the second run within an answer is no reason to end that, nor to look for a third run.
 #[test]
-fn a_stream_that_was_taken_up_may_be_silent_for_long() {
+fn a_resumed_stream_may_be_idle_for_long() {
     play(async {
         let endpoints =
             [Endpoint::start("i-1").await, Endpoint::start("i-2").await, Endpoint::start("i-3").await];
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn events_that_a_second_run_repeats_are_passed_on_once() {
+fn events_repeated_by_a_second_attempt_are_forwarded_once() {
     play(async {
         let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
         let router = Router::serving(&[&endpoints[0]]).await;
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_stream_that_nobody_takes_up_does_not_look_whole() {
+fn a_stream_that_cannot_be_resumed_does_not_look_complete() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_a_stream_ends_it_at_the_endpoint() {
+fn a_client_that_disconnects_ends_its_stream_at_the_endpoint() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_stream_of_nothing_is_whole() {
+fn an_empty_stream_is_complete() {
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_stream_that_a_client_takes_up_goes_on_from_there_and_from_what_came_since() {
+fn a_stream_resumed_by_the_client_may_be_resumed_again_by_the_router() {
     play(async {
         let endpoints = two_endpoints().await;
         let router = Router::serving(&[&endpoints[0], &endpoints[1]]).await;
--- a/crates/router/tests/traffic_splits.rs
+++ b/crates/router/tests/traffic_splits.rs
@@ -107,17 +107,17 @@
 }
 
 #[test]
-fn each_part_gets_its_share_at_a_few_routers() {
+fn each_part_gets_its_weight_at_a_few_routers() {
     assert_eq!(first_miss(&FEW_ROUTERS, SHARE_BOUND, None), None);
 }
 
 #[test]
-fn each_part_gets_its_share_where_routers_see_few_requests_each() {
+fn each_part_gets_its_weight_when_routers_see_few_requests() {
     assert_eq!(first_miss(&MANY_ROUTERS, SHARE_BOUND_MANY_ROUTERS, None), None);
 }
 
 #[test]
-fn shares_that_are_drawn_by_chance_are_found() {
+fn independent_random_draws_are_detected() {
     let fault = Some(RouterFault::DrawSplits);
     assert!(first_miss(&FEW_ROUTERS, SHARE_BOUND, fault).is_some());
     assert!(first_miss(&MANY_ROUTERS, SHARE_BOUND_MANY_ROUTERS, fault).is_some());
@@ -125,7 +125,7 @@
 
 /// The weights change again and again while requests come; each change holds for as many requests as are judged.
 #[test]
-fn each_part_gets_its_share_after_a_change_of_the_weights() {
+fn each_part_gets_its_weight_after_a_change_of_the_weights() {
     for seed in 0..SEEDS {
         let mut routers = Routers::new(6, seed, None);
         for weights in WEIGHTS {
@@ -137,7 +137,7 @@
 
 /// A configuration comes every few requests, without a change of the weights.
 #[test]
-fn a_storm_of_configurations_does_not_move_the_shares() {
+fn many_configuration_changes_do_not_shift_the_weights() {
     const REQUESTS_PER_CONFIGURATION: usize = 3;
     for seed in 0..SEEDS {
         let mut sequences = SplitSequences::new(seed, None);
@@ -172,7 +172,7 @@
 
 /// Over the wire, through a router that hears a new configuration now and then.
 #[test]
-fn a_router_splits_what_clients_send() {
+fn a_router_splits_traffic() {
     const SENT: u64 = 40;
     play(async {
         let router = Router::serving(&[]).await;
