--- a/crates/router/src/endpoint/attempt.rs
+++ b/crates/router/src/endpoint/attempt.rs
@@ -61,7 +61,7 @@
     loop {
         let (mut connection, used_before) = connect(state, request, destination).await?;
         let late_before = connection.late_responses();
-        let left = time_left(state, request).ok_or(AttemptEnd::NotSent)?;
+        let remaining = remaining_time(state, request).ok_or(AttemptEnd::NotSent)?;
         if state.pool.availability(&destination.instance) == Availability::Unavailable {
             return Err(AttemptEnd::NotSent);
         }
@@ -70,7 +70,7 @@
         if state.has_fault(RouterFault::PassStaleAnswers) {
             connection.forward_late_responses();
         }
-        let message = compose(state, request, destination, &last_event, left);
+        let message = compose(state, request, destination, &last_event, remaining);
         match connection.exchange(message).await {
             Ok(answer) => {
                 state.counters.late_responses.add(connection.late_responses() - late_before);
@@ -179,8 +179,8 @@
     state.pool.take_idle(&destination.instance, destination.address, &used_connections)
 }
 
-fn time_left(state: &RouterState, request: &Outbound) -> Option<Duration> {
-    request.deadline.checked_sub(state.now()).filter(|left| !left.is_zero())
+fn remaining_time(state: &RouterState, request: &Outbound) -> Option<Duration> {
+    request.deadline.checked_sub(state.now()).filter(|remaining| !remaining.is_zero())
 }
 
 fn compose(
@@ -188,14 +188,14 @@
     request: &Outbound,
     destination: &Destination,
     last_event: &Option<HeaderValue>,
-    left: Duration,
+    remaining: Duration,
 ) -> Request<Full<Bytes>> {
     let mut message = Request::new(Full::new(request.body.clone()));
     *message.method_mut() = request.method.clone();
     *message.uri_mut() = request.target.clone();
     let mut headers = request.headers.clone();
     if !state.has_fault(RouterFault::KeepDeadline) || !headers.contains_key(DEADLINE_MS) {
-        headers.insert(DEADLINE_MS, milliseconds(left));
+        headers.insert(DEADLINE_MS, milliseconds(remaining));
     }
     if let Ok(instance) = HeaderValue::from_str(&destination.instance) {
         headers.insert(EXPECT_INSTANCE, instance);
--- a/crates/router/src/process/metrics.rs
+++ b/crates/router/src/process/metrics.rs
@@ -13,9 +13,9 @@
     Metric::counter("lanegate_router_requests_received_total", "Requests of clients whose head has arrived");
 const REQUESTS_OPEN: Metric =
     Metric::gauge("lanegate_router_requests_open", "Requests that were read whole and have no end yet");
-const REQUESTS_HELD: Metric =
+const REQUESTS_QUEUED: Metric =
     Metric::gauge("lanegate_router_requests_held", "Open requests that are at no endpoint now");
-const REQUESTS_CUT: Metric = Metric::counter(
+const REQUESTS_ABORTED: Metric = Metric::counter(
     "lanegate_router_requests_cut_total",
     "Requests that were open when the time to end the process was over, by their age",
 );
@@ -26,7 +26,7 @@
 );
 const RETRIES: Metric =
     Metric::counter("lanegate_router_retries_total", "Sends that were counted against the retry budget");
-const RETRY_BUDGET_LEFT: Metric = Metric::gauge(
+const RETRY_BUDGET_REMAINING: Metric = Metric::gauge(
     "lanegate_router_retry_budget_left",
     "Retries that the service with the least budget may still make now",
 );
@@ -95,20 +95,20 @@
     }
     exposition.set(&REQUESTS_OPEN, state.open_requests());
     for (age, requests) in counters.aborted_at_shutdown.by_age() {
-        exposition.set_labelled(&REQUESTS_CUT, &[("age", age)], requests);
+        exposition.set_labelled(&REQUESTS_ABORTED, &[("age", age)], requests);
     }
 }
 
 fn add_attempts(exposition: &mut Exposition, state: &RouterState) {
     let counters = &state.counters;
     let dispatch = state.dispatch_summary();
-    exposition.set(&REQUESTS_HELD, dispatch.queued_requests);
+    exposition.set(&REQUESTS_QUEUED, dispatch.queued_requests);
     exposition.set(&ATTEMPTS, counters.attempts.get());
     exposition.set(&ATTEMPTS_FAILED, counters.failed_attempts.get());
     exposition.set(&RETRIES, dispatch.retries);
-    exposition.declare(&RETRY_BUDGET_LEFT);
+    exposition.declare(&RETRY_BUDGET_REMAINING);
     if let Some(left) = dispatch.min_retry_budget {
-        exposition.set(&RETRY_BUDGET_LEFT, left);
+        exposition.set(&RETRY_BUDGET_REMAINING, left);
     }
     exposition.set(&STREAMS_RESUMED, counters.resumed.get());
     exposition.set(&STALE_ANSWERS, counters.late_responses.get());
--- a/crates/router/src/request/open_request.rs
+++ b/crates/router/src/request/open_request.rs
@@ -25,9 +25,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerState {
     /// Nothing was forwarded.
-    NotBegun,
+    NotStarted,
     /// Some of it was forwarded.
-    Begun,
+    Started,
     /// All of it was forwarded; the client has not read all of it.
     Complete,
 }
@@ -41,7 +41,7 @@
             route: request.route.clone(),
             arrived: request.arrived,
             endpoint: RefCell::new(None),
-            answer: Cell::new(AnswerState::NotBegun),
+            answer: Cell::new(AnswerState::NotStarted),
             last_forwarded: Cell::new(None),
         }
     }
@@ -56,7 +56,7 @@
 
     /// Records that bytes of the answer were forwarded at `now`.
     pub fn record_forwarded(&self, now: Duration) {
-        self.answer.set(AnswerState::Begun);
+        self.answer.set(AnswerState::Started);
         self.last_forwarded.set(Some(now));
     }
 
@@ -66,8 +66,8 @@
     }
 
     /// Whether some of the answer was forwarded and the rest has not arrived.
-    pub fn has_begun(&self) -> bool {
-        self.answer.get() == AnswerState::Begun
+    pub fn has_started(&self) -> bool {
+        self.answer.get() == AnswerState::Started
     }
 
     /// When the first byte of the request arrived.
@@ -75,9 +75,9 @@
         self.arrived
     }
 
-    /// The state of the request for the log, at `now`; shutdown began at `ending_since`.
-    pub fn summary(&self, now: Duration, ending_since: Duration) -> OpenRequestSummary<'_> {
-        OpenRequestSummary { request: self, now, ending_since }
+    /// The state of the request for the log, at `now`; shutdown began at `shutdown_since`.
+    pub fn summary(&self, now: Duration, shutdown_since: Duration) -> OpenRequestSummary<'_> {
+        OpenRequestSummary { request: self, now, shutdown_since }
     }
 }
 
@@ -86,7 +86,7 @@
 pub struct OpenRequestSummary<'a> {
     request: &'a OpenRequest,
     now: Duration,
-    ending_since: Duration,
+    shutdown_since: Duration,
 }
 
 impl fmt::Display for OpenRequestSummary<'_> {
@@ -97,8 +97,8 @@
         write!(formatter, " route={}", request.route)?;
         write!(formatter, " endpoint={}", endpoint.as_deref().unwrap_or("none"))?;
         write!(formatter, " age_ms={}", self.milliseconds_since(request.arrived))?;
-        write!(formatter, " since_sigterm_ms={}", self.milliseconds_since(self.ending_since))?;
-        write!(formatter, " sent_before_sigterm={}", request.arrived <= self.ending_since)?;
+        write!(formatter, " since_sigterm_ms={}", self.milliseconds_since(self.shutdown_since))?;
+        write!(formatter, " sent_before_sigterm={}", request.arrived <= self.shutdown_since)?;
         write!(formatter, " answer={}", request.answer.get())?;
         match request.last_forwarded.get() {
             Some(passed) => write!(formatter, " last_event_ms_ago={}", self.milliseconds_since(passed)),
@@ -116,8 +116,8 @@
 impl fmt::Display for AnswerState {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            AnswerState::NotBegun => "not_begun",
-            AnswerState::Begun => "begun",
+            AnswerState::NotStarted => "not_begun",
+            AnswerState::Started => "begun",
             AnswerState::Complete => "complete",
         })
     }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -232,24 +232,25 @@
     /// Aborts all open requests because of shutdown.
     pub fn abort_requests(&self) {
         let now = self.now();
-        let ending_since = self.draining_since.get().map(|since| self.time_of(since));
+        let shutdown_since = self.draining_since.get().map(|since| self.time_of(since));
         let open: Vec<Rc<OpenRequest>> = self.requests.borrow().values().cloned().collect();
         for request in &open {
             self.counters.aborted_at_shutdown.count(now.saturating_sub(request.arrived()));
-            let came_late = ending_since.is_some_and(|since| request.arrived() > since);
-            self.violations.check(Invariant::TakenOnIsAnsweredBeforeEnd, !(came_late && request.has_begun()));
+            let came_late = shutdown_since.is_some_and(|since| request.arrived() > since);
+            self.violations
+                .check(Invariant::TakenOnIsAnsweredBeforeEnd, !(came_late && request.has_started()));
             request.mailbox.shut_down();
         }
     }
 
-    /// Logs one line for each of the oldest open requests, at most `most` lines; shutdown began at `ending_since`.
-    pub fn log_open_requests(&self, ending_since: Instant, most: usize) {
-        let (now, ending_since) = (self.now(), self.time_of(ending_since));
+    /// Logs one line for each of the oldest open requests, at most `most` lines; shutdown began at `shutdown_since`.
+    pub fn log_open_requests(&self, shutdown_since: Instant, most: usize) {
+        let (now, shutdown_since) = (self.now(), self.time_of(shutdown_since));
         let requests = self.requests.borrow();
         let mut open: Vec<&OpenRequest> = requests.values().map(Rc::as_ref).collect();
         open.sort_unstable_by_key(|request| request.arrived());
         for request in open.into_iter().take(most) {
-            log::warn!("request aborted {}", request.summary(now, ending_since));
+            log::warn!("request aborted {}", request.summary(now, shutdown_since));
         }
     }
 
--- a/crates/router/tests/attempts.rs
+++ b/crates/router/tests/attempts.rs
@@ -243,10 +243,10 @@
         drop(gone);
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[]).await;
-        router.tell(gone_registration);
+        router.send_event(gone_registration);
         let mut client = router.client().await;
         client.get("/once/a", "1").await;
-        router.tell(endpoint.registration("plain"));
+        router.send_event(endpoint.registration("plain"));
         let (mut upstream, request) = endpoint.request().await;
         upstream.answer(&request, "done").await;
         assert_eq!(client.answer().await.text(), "done");
--- a/crates/router/tests/before_configuration.rs
+++ b/crates/router/tests/before_configuration.rs
@@ -20,9 +20,9 @@
 
 fn begin(router: &Router, endpoint: &Endpoint) {
     router.configure(CONFIGURATION);
-    router.tell(endpoint.registration("plain"));
-    router.tell(FeedEvent::Routers { live: 1 });
-    router.tell(FeedEvent::Synchronized);
+    router.send_event(endpoint.registration("plain"));
+    router.send_event(FeedEvent::Routers { live: 1 });
+    router.send_event(FeedEvent::Synchronized);
 }
 
 #[test]
--- a/crates/router/tests/clients.rs
+++ b/crates/router/tests/clients.rs
@@ -81,7 +81,7 @@
         drop(client);
         settle().await;
         let endpoint = Endpoint::start("i-1").await;
-        router.tell(endpoint.registration("plain"));
+        router.send_event(endpoint.registration("plain"));
         assert!(timeout(A_WHILE, endpoint.accept()).await.is_err(), "sent though the client had left");
     });
 }
@@ -136,7 +136,7 @@
         events.begin_events(&events_request).await;
         events.chunk("id: 1\n\n").await;
         streaming.read_through("id: 1\n\n\r\n").await;
-        router.tell(FeedEvent::Removed { id: "i-1".into() });
+        router.send_event(FeedEvent::Removed { id: "i-1".into() });
         settle().await;
         let mut late = router.client().await;
         late.get("/once/a", "3").await;
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -110,18 +110,18 @@
     pub(crate) async fn serving_with(fault: Option<RouterFault>, endpoints: &[&Endpoint]) -> Router {
         let router = Router::start_with(fault).await;
         router.configure(CONFIGURATION);
-        endpoints.iter().for_each(|endpoint| router.tell(endpoint.registration("plain")));
-        router.tell(FeedEvent::Routers { live: 1 });
-        router.tell(FeedEvent::Synchronized);
+        endpoints.iter().for_each(|endpoint| router.send_event(endpoint.registration("plain")));
+        router.send_event(FeedEvent::Routers { live: 1 });
+        router.send_event(FeedEvent::Synchronized);
         router
     }
 
     pub(crate) fn configure(&self, json: &str) {
         let configuration: Configuration = serde_json::from_str(json).unwrap();
-        self.tell(FeedEvent::Configuration(Arc::new(configuration)));
+        self.send_event(FeedEvent::Configuration(Arc::new(configuration)));
     }
 
-    pub(crate) fn tell(&self, event: FeedEvent) {
+    pub(crate) fn send_event(&self, event: FeedEvent) {
         self.feed.send(event).unwrap();
     }
 
--- a/crates/router/tests/configuration_behind.rs
+++ b/crates/router/tests/configuration_behind.rs
@@ -10,7 +10,7 @@
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
-        router.tell(FeedEvent::Behind { behind: true });
+        router.send_event(FeedEvent::Behind { behind: true });
         let mut client = router.client().await;
         client.get("/new/x", "1").await;
         let answer = client.answer().await;
@@ -23,7 +23,7 @@
 
         let newer = CONFIGURATION.replace("\"Version\": 1", "\"Version\": 2").replace("/once/", "/new/");
         router.configure(&newer);
-        router.tell(FeedEvent::Behind { behind: false });
+        router.send_event(FeedEvent::Behind { behind: false });
         client.get("/new/x", "3").await;
         let request = upstream.request().await;
         upstream.answer(&request, "new").await;
--- a/crates/router/tests/connections.rs
+++ b/crates/router/tests/connections.rs
@@ -116,7 +116,7 @@
         let (mut upstream, request) = endpoint.request().await;
         upstream.answer(&request, "first").await;
         assert_eq!(client.answer().await.text(), "first");
-        router.tell(endpoint.registration_as("plain", "draining"));
+        router.send_event(endpoint.registration_as("plain", "draining"));
         upstream.closed().await;
     });
 }
--- a/crates/router/tests/deadlines.rs
+++ b/crates/router/tests/deadlines.rs
@@ -14,7 +14,7 @@
 /// Time after the route's in which the final answer has to be there.
 const ANSWERED_WITHIN: Duration = Duration::from_millis(500);
 
-fn told_ms(request: &Message) -> u64 {
+fn deadline_ms(request: &Message) -> u64 {
     request.header("Deadline-Ms").unwrap().parse().unwrap()
 }
 
@@ -36,7 +36,7 @@
 }
 
 /// What two sends of a request tell, 250 ms apart, of 4,000 ms that its client has.
-async fn told_by_two_sends(fault: Option<RouterFault>) -> [u64; 2] {
+async fn deadlines_of_two_attempts(fault: Option<RouterFault>) -> [u64; 2] {
     let endpoints = two_endpoints().await;
     let router = Router::serving_with(fault, &[&endpoints[0], &endpoints[1]]).await;
     let mut client = router.client().await;
@@ -49,14 +49,14 @@
     let (mut upstream, second) = either(&endpoints).await;
     upstream.answer(&second, "done").await;
     assert_eq!(client.answer().await.text(), "done");
-    [told_ms(&first), told_ms(&second)]
+    [deadline_ms(&first), deadline_ms(&second)]
 }
 
 #[test]
 fn every_attempt_carries_the_remaining_time() {
     play(async {
         let began = Instant::now();
-        let [first, second] = told_by_two_sends(None).await;
+        let [first, second] = deadlines_of_two_attempts(None).await;
         assert!(first <= 4_000);
         assert!(second <= first - 250, "{second} after {first}");
         let elapsed = began.elapsed().as_millis() as u64;
@@ -67,7 +67,7 @@
 #[test]
 fn an_attempt_that_carries_the_full_time_is_detected() {
     play(async {
-        let [first, second] = told_by_two_sends(Some(RouterFault::KeepDeadline)).await;
+        let [first, second] = deadlines_of_two_attempts(Some(RouterFault::KeepDeadline)).await;
         assert!(second > first - 250, "{second} after {first}");
     });
 }
@@ -86,7 +86,7 @@
         sleep(Duration::from_millis(150)).await;
         upstream.reset();
         let (_upstream, second) = either(&endpoints).await;
-        assert!(told_ms(&second) <= told_ms(&first) - 150);
+        assert!(deadline_ms(&second) <= deadline_ms(&first) - 150);
     });
 }
 
@@ -103,7 +103,7 @@
                 ))
                 .await;
             let (mut upstream, request) = endpoint.request().await;
-            assert!(told_ms(&request) <= 300);
+            assert!(deadline_ms(&request) <= 300);
             upstream.answer(&request, "").await;
             client.answer().await;
         }
--- a/crates/router/tests/forwarding.rs
+++ b/crates/router/tests/forwarding.rs
@@ -80,7 +80,7 @@
         let plain = Endpoint::start("i-1").await;
         let other = Endpoint::start("i-2").await;
         let router = Router::serving(&[&plain]).await;
-        router.tell(other.registration("other"));
+        router.send_event(other.registration("other"));
         let mut client = router.client().await;
         client.get("/again/deeper/x", "1").await;
         let (mut upstream, request) = other.request().await;
@@ -134,7 +134,7 @@
                 "Id": endpoint.id, "Backend": "plain", "Address": endpoint.address, "Zone": "z1", "Capacity": 8,
                 "State": "ready", "Sequence": 1, "Models": [{"Name": "m1", "Version": 1, "Adapters": ["a1"]}],
             });
-            router.tell(FeedEvent::Instance(serde_json::from_value(instance).unwrap()));
+            router.send_event(FeedEvent::Instance(serde_json::from_value(instance).unwrap()));
         }
         let asked = [("Model", "m1/a1"), ("Token-Usage", "1460,80"), ("Prompt-Prefix", "5c1e:800,91bd:410")];
         let lines: String = asked.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
--- a/crates/router/tests/golden.rs
+++ b/crates/router/tests/golden.rs
@@ -107,7 +107,7 @@
             "Id": endpoint.id, "Backend": "plain", "Address": endpoint.address, "Zone": "z1", "Capacity": 8,
             "State": "ready", "Sequence": 1, "Models": [{"Name": "m1", "Version": 1, "Adapters": ["a1"]}],
         });
-        router.tell(FeedEvent::Instance(serde_json::from_value(instance).expect("an instance")));
+        router.send_event(FeedEvent::Instance(serde_json::from_value(instance).expect("an instance")));
         let mut client = router.client().await;
         client
             .write(
@@ -128,7 +128,7 @@
         let mut client = router.client().await;
         client.get("/resumable/a", "1").await;
         let (mut upstream, request) = endpoints[0].request().await;
-        router.tell(endpoints[1].registration("plain"));
+        router.send_event(endpoints[1].registration("plain"));
         upstream.begin_events(&request).await;
         upstream.chunk("id: 1\ndata: a\n\n").await;
         let mut answer = read_through(&mut client.stream, "data: a\n\n\r\n").await;
@@ -162,7 +162,7 @@
         let refused = answer_to(&router, &get("/once/a", 40)).await;
         assert_golden("refused_no_endpoint.txt", &without_number(&refused, "retry-after: "));
 
-        router.tell(FeedEvent::Behind { behind: true });
+        router.send_event(FeedEvent::Behind { behind: true });
         settle().await;
         assert_golden("refused_behind.txt", &answer_to(&router, &get("/unknown/a", 100)).await);
     });
--- a/crates/router/tests/metrics.rs
+++ b/crates/router/tests/metrics.rs
@@ -164,7 +164,7 @@
     play(async {
         let endpoint = Endpoint::start("i-1").await;
         let mut router = Router::serving(&[&endpoint]).await;
-        router.tell(FeedEvent::AgentLink { up: true });
+        router.send_event(FeedEvent::AgentLink { up: true });
         let mut client = router.client().await;
         client.get("/stream/a", "1").await;
         let (_upstream, _) = endpoint.request().await;
--- a/crates/router/tests/parsing.rs
+++ b/crates/router/tests/parsing.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Cuts `text` after the given shares of its length.
-fn cut(text: &str, places: &[usize]) -> Vec<Bytes> {
+fn segments(text: &str, places: &[usize]) -> Vec<Bytes> {
     let mut ends: Vec<usize> = places.iter().map(|place| place % (text.len() + 1)).collect();
     ends.push(text.len());
     ends.sort_unstable();
@@ -26,13 +26,13 @@
     format!("id: {id}{feed}data: {data}{feed}{feed}")
 }
 
-fn is_whole(text: &str) -> bool {
+fn is_complete(text: &str) -> bool {
     text.is_empty() || text.ends_with("\n\n") || text.ends_with("\n\r\n")
 }
 
 proptest! {
     #[test]
-    fn events_come_out_whole_and_in_order_however_they_are_cut(
+    fn events_are_released_complete_and_in_order_for_any_segmentation(
         data in vec("[a-z :]{0,12}", 1..12),
         places in vec(0_usize..400, 0..20),
         carriage in any::<bool>(),
@@ -42,9 +42,9 @@
             data.iter().enumerate().map(|(id, data)| event(id as u64, data, feed)).collect();
         let mut splitter = EventSplitter::default();
         let mut passed = String::new();
-        for piece in cut(&text, &places) {
+        for piece in segments(&text, &places) {
             let whole = splitter.push(piece);
-            prop_assert!(is_whole(std::str::from_utf8(&whole).unwrap()));
+            prop_assert!(is_complete(std::str::from_utf8(&whole).unwrap()));
             passed.push_str(std::str::from_utf8(&whole).unwrap());
         }
         prop_assert_eq!(&passed, &text);
@@ -54,7 +54,7 @@
     }
 
     #[test]
-    fn a_stream_that_breaks_anywhere_and_is_taken_up_is_the_same_stream(
+    fn a_stream_that_breaks_anywhere_and_is_resumed_is_the_same_stream(
         events in 1_u64..12,
         break_at in 0_usize..400,
         repeated in 0_u64..4,
@@ -64,14 +64,14 @@
         let break_at = break_at % (whole.len() + 1);
         let mut splitter = EventSplitter::default();
         let mut passed = Vec::new();
-        for piece in cut(&whole[..break_at], &places) {
+        for piece in segments(&whole[..break_at], &places) {
             passed.extend_from_slice(&splitter.push(piece));
         }
         let last: u64 = splitter.last_id().map_or(0, |id| std::str::from_utf8(id).unwrap().parse().unwrap());
         splitter.begin_resumed_run();
         let from = (last + 1).saturating_sub(repeated).max(1);
         let second: String = (from..=events).map(|id| event(id, "x", "\n")).collect();
-        for piece in cut(&second, &places) {
+        for piece in segments(&second, &places) {
             passed.extend_from_slice(&splitter.push(piece));
         }
         prop_assert_eq!(String::from_utf8(passed).unwrap(), whole);
--- a/crates/router/tests/shutdown.rs
+++ b/crates/router/tests/shutdown.rs
@@ -30,9 +30,9 @@
         unreachable!("a registration is an instance");
     };
     instance.models = vec![serde_json::from_str(r#"{"Name": "m1", "Version": 1, "Adapters": []}"#).unwrap()];
-    router.tell(FeedEvent::Instance(instance));
-    router.tell(FeedEvent::Routers { live: 1 });
-    router.tell(FeedEvent::Synchronized);
+    router.send_event(FeedEvent::Instance(instance));
+    router.send_event(FeedEvent::Routers { live: 1 });
+    router.send_event(FeedEvent::Synchronized);
     router
 }
 
--- a/crates/router/tests/streams.rs
+++ b/crates/router/tests/streams.rs
@@ -57,7 +57,7 @@
         let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
         let router = Router::serving(&[&endpoints[0]]).await;
         let (mut client, mut upstream, _) = begun(&router, &endpoints[0], "/resumable/a").await;
-        router.tell(endpoints[1].registration("plain"));
+        router.send_event(endpoints[1].registration("plain"));
         upstream.chunk("id: 2\ndata: b\n\nid: 3\ndata: lost").await;
         client.read_through("id: 2\ndata: b\n\n\r\n").await;
         drop(upstream);
@@ -80,12 +80,12 @@
             [Endpoint::start("i-1").await, Endpoint::start("i-2").await, Endpoint::start("i-3").await];
         let router = Router::serving(&[&endpoints[0]]).await;
         let (mut client, upstream, _) = begun(&router, &endpoints[0], "/resumable/a").await;
-        router.tell(endpoints[1].registration("plain"));
+        router.send_event(endpoints[1].registration("plain"));
         drop(upstream);
         let (mut upstream, request) = endpoints[1].request().await;
         upstream.begin_events(&request).await;
         settle().await;
-        router.tell(endpoints[2].registration("plain"));
+        router.send_event(endpoints[2].registration("plain"));
         for _ in 0..120 {
             settle().await;
             pass_time(Duration::from_millis(100)).await;
@@ -102,7 +102,7 @@
         let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
         let router = Router::serving(&[&endpoints[0]]).await;
         let (mut client, upstream, _) = begun(&router, &endpoints[0], "/resumable/a").await;
-        router.tell(endpoints[1].registration("plain"));
+        router.send_event(endpoints[1].registration("plain"));
         drop(upstream);
         let (mut upstream, request) = endpoints[1].request().await;
         upstream.begin_events(&request).await;
@@ -127,7 +127,7 @@
         upstream.begin_events(&request).await;
         upstream.chunk("id: 1\ndata: a\n\n").await;
         client.read_through("data: a\n\n\r\n").await;
-        router.tell(lanegate_config::feed::FeedEvent::Removed { id: "i-1".into() });
+        router.send_event(lanegate_config::feed::FeedEvent::Removed { id: "i-1".into() });
         drop((upstream, endpoint));
         assert_eq!(client.rest().await, "");
     });
--- a/crates/router/tests/traffic_splits.rs
+++ b/crates/router/tests/traffic_splits.rs
@@ -19,9 +19,9 @@
 /// Requests for which shares are held to their weights, at the least.
 const REQUESTS: usize = 300;
 /// Largest part of all requests by which a share may be off, with as many routers as a small deployment has.
-const SHARE_BOUND: f64 = 0.03;
+const MAX_DEVIATION: f64 = 0.03;
 /// The same where each router sees some three requests.
-const SHARE_BOUND_MANY_ROUTERS: f64 = 0.07;
+const MAX_DEVIATION_MANY_ROUTERS: f64 = 0.07;
 /// Routers of a small deployment, and of one that leaves each router a few requests.
 const FEW_ROUTERS: [usize; 4] = [1, 3, 6, 9];
 const MANY_ROUTERS: [usize; 2] = [30, 90];
@@ -76,7 +76,7 @@
     }
 
     /// How far the share of a part lies off its weight's, at most, over [`REQUESTS`] requests.
-    fn worst_share(&mut self, weights: &[f64]) -> f64 {
+    fn largest_deviation(&mut self, weights: &[f64]) -> f64 {
         let routing = Routing::new(configuration(1, weights));
         let mut counts: BTreeMap<String, usize> = BTreeMap::new();
         for _ in 0..REQUESTS {
@@ -96,7 +96,7 @@
     for weights in WEIGHTS {
         for count in routers {
             for seed in 0..SEEDS {
-                let off = Routers::new(*count, seed, fault).worst_share(weights);
+                let off = Routers::new(*count, seed, fault).largest_deviation(weights);
                 if off > bound {
                     return Some(format!("{weights:?}, {count} routers, seed {seed}: off by {off:.3}"));
                 }
@@ -108,19 +108,19 @@
 
 #[test]
 fn each_part_gets_its_weight_at_a_few_routers() {
-    assert_eq!(first_miss(&FEW_ROUTERS, SHARE_BOUND, None), None);
+    assert_eq!(first_miss(&FEW_ROUTERS, MAX_DEVIATION, None), None);
 }
 
 #[test]
 fn each_part_gets_its_weight_when_routers_see_few_requests() {
-    assert_eq!(first_miss(&MANY_ROUTERS, SHARE_BOUND_MANY_ROUTERS, None), None);
+    assert_eq!(first_miss(&MANY_ROUTERS, MAX_DEVIATION_MANY_ROUTERS, None), None);
 }
 
 #[test]
 fn independent_random_draws_are_detected() {
     let fault = Some(RouterFault::DrawSplits);
-    assert!(first_miss(&FEW_ROUTERS, SHARE_BOUND, fault).is_some());
-    assert!(first_miss(&MANY_ROUTERS, SHARE_BOUND_MANY_ROUTERS, fault).is_some());
+    assert!(first_miss(&FEW_ROUTERS, MAX_DEVIATION, fault).is_some());
+    assert!(first_miss(&MANY_ROUTERS, MAX_DEVIATION_MANY_ROUTERS, fault).is_some());
 }
 
 /// The weights change again and again while requests come; each change holds for as many requests as are judged.
@@ -129,8 +129,8 @@
     for seed in 0..SEEDS {
         let mut routers = Routers::new(6, seed, None);
         for weights in WEIGHTS {
-            let off = routers.worst_share(weights);
-            assert!(off <= SHARE_BOUND, "{weights:?}, seed {seed}: off by {off:.3}");
+            let off = routers.largest_deviation(weights);
+            assert!(off <= MAX_DEVIATION, "{weights:?}, seed {seed}: off by {off:.3}");
         }
     }
 }
@@ -152,7 +152,7 @@
             }
         }
         let off = (first_part as f64 / REQUESTS as f64 - 0.5).abs();
-        assert!(off <= SHARE_BOUND, "seed {seed}: off by {off:.3}");
+        assert!(off <= MAX_DEVIATION, "seed {seed}: off by {off:.3}");
     }
 }
 
@@ -179,14 +179,14 @@
         let mut counts = Vec::new();
         for backend in ["b0", "b1"] {
             let endpoint = Endpoint::start(backend).await;
-            router.tell(endpoint.registration(backend));
+            router.send_event(endpoint.registration(backend));
             let count = Rc::new(Cell::new(0));
             counts.push(count.clone());
             spawn_local(serve(endpoint, count));
         }
         for number in 0..SENT {
             if number % 10 == 0 {
-                router.tell(FeedEvent::Configuration(configuration(2 + number, &[90.0, 10.0])));
+                router.send_event(FeedEvent::Configuration(configuration(2 + number, &[90.0, 10.0])));
                 settle().await;
             }
             let mut client = router.client().await;
