--- a/crates/controller/src/agent/sources.rs
+++ b/crates/controller/src/agent/sources.rs
@@ -6,26 +6,26 @@
 use std::time::Duration;
 
 /// Sources followed at a time: one may fail, lag or be cut off unnoticed, and news still arrive at once.
-const WANTED: usize = 2;
+const WANTED_SOURCES: usize = 2;
 /// Pause before a source whose link failed is dialled again.
-const RETRY_PAUSE: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 /// The same while no source is in touch with a majority, as after a start of everything at once.
-const URGENT_RETRY_PAUSE: Duration = Duration::from_millis(100);
+const URGENT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
+enum SourceStatus {
     /// Being dialled, or up without a word on its quorum yet.
     Starting,
     /// Up, and in touch with more than half of its group.
     Trusted,
     /// Up, but cut off from its group.
-    CutOff,
+    Partitioned,
 }
 
 /// The sources in use and those that failed lately.
 #[derive(Debug, Default)]
 pub struct Sources {
-    followed: BTreeMap<SocketAddr, Standing>,
+    followed: BTreeMap<SocketAddr, SourceStatus>,
     retry_at: BTreeMap<SocketAddr, Duration>,
 }
 
@@ -37,7 +37,7 @@
     /// In touch with a majority.
     pub trusted: usize,
     /// Up, but not in touch with a majority.
-    pub cut_off: usize,
+    pub partitioned: usize,
 }
 
 /// What to change.
@@ -49,43 +49,43 @@
 
 impl Sources {
     /// Notes what a source says of its quorum. True if that is new: the choice has to be looked at again.
-    pub fn heard(&mut self, source: SocketAddr, quorum: bool) -> bool {
-        let Some(standing) = self.followed.get_mut(&source) else { return false };
-        let told = if quorum { Standing::Trusted } else { Standing::CutOff };
-        std::mem::replace(standing, told) != told
+    pub fn report_quorum(&mut self, source: SocketAddr, quorum: bool) -> bool {
+        let Some(status) = self.followed.get_mut(&source) else { return false };
+        let reported = if quorum { SourceStatus::Trusted } else { SourceStatus::Partitioned };
+        std::mem::replace(status, reported) != reported
     }
 
     /// Whether a source has said last that it is in touch with a majority and knows what that knows.
     pub fn is_trusted(&self, source: SocketAddr) -> bool {
-        self.followed.get(&source) == Some(&Standing::Trusted)
+        self.followed.get(&source) == Some(&SourceStatus::Trusted)
     }
 
     /// Notes that a source's link has ended.
-    pub fn ended(&mut self, now: Duration, source: SocketAddr) {
+    pub fn link_down(&mut self, now: Duration, source: SocketAddr) {
         self.followed.remove(&source);
-        let pause = if self.none_trusted() { URGENT_RETRY_PAUSE } else { RETRY_PAUSE };
-        self.retry_at.insert(source, now + pause);
+        let delay = if self.has_no_trusted() { URGENT_RETRY_DELAY } else { RETRY_DELAY };
+        self.retry_at.insert(source, now + delay);
     }
 
     /// The source to which this agent's own messages go.
     pub fn preferred(&self) -> Option<SocketAddr> {
-        let trusted = self.followed.iter().find(|(_, standing)| **standing == Standing::Trusted);
+        let trusted = self.followed.iter().find(|(_, status)| **status == SourceStatus::Trusted);
         trusted.or_else(|| self.followed.iter().next()).map(|(source, _)| *source)
     }
 
     /// Whether nobody who can be trusted is followed.
-    pub fn none_trusted(&self) -> bool {
-        !self.followed.values().any(|standing| *standing == Standing::Trusted)
+    pub fn has_no_trusted(&self) -> bool {
+        !self.followed.values().any(|status| *status == SourceStatus::Trusted)
     }
 
     /// Sources in use, by what they said last.
     pub fn counts(&self) -> SourceCounts {
         let mut counts = SourceCounts::default();
-        for standing in self.followed.values() {
-            match standing {
-                Standing::Starting => counts.starting += 1,
-                Standing::Trusted => counts.trusted += 1,
-                Standing::CutOff => counts.cut_off += 1,
+        for status in self.followed.values() {
+            match status {
+                SourceStatus::Starting => counts.starting += 1,
+                SourceStatus::Trusted => counts.trusted += 1,
+                SourceStatus::Partitioned => counts.partitioned += 1,
             }
         }
         counts
@@ -95,23 +95,25 @@
     pub fn plan(&mut self, now: Duration, name: &str, known: &BTreeSet<SocketAddr>) -> Plan {
         self.retry_at.retain(|_, at| *at > now);
         let mut plan = Plan::default();
-        let mut useful = self.followed.values().filter(|standing| **standing != Standing::CutOff).count();
+        let mut useful =
+            self.followed.values().filter(|status| **status != SourceStatus::Partitioned).count();
         let all: Vec<SocketAddr> = known.iter().copied().collect();
         for source in rendezvous_order(name.as_bytes(), &all) {
-            if useful >= WANTED {
+            if useful >= WANTED_SOURCES {
                 break;
             }
             if self.followed.contains_key(&source) || self.retry_at.contains_key(&source) {
                 continue;
             }
-            self.followed.insert(source, Standing::Starting);
+            self.followed.insert(source, SourceStatus::Starting);
             plan.start.push(source);
             useful += 1;
         }
-        let trusted = self.followed.values().filter(|standing| **standing == Standing::Trusted).count();
-        if trusted >= WANTED {
-            let cut_off = self.followed.iter().filter(|(_, standing)| **standing == Standing::CutOff);
-            plan.stop = cut_off.map(|(source, _)| *source).collect();
+        let trusted = self.followed.values().filter(|status| **status == SourceStatus::Trusted).count();
+        if trusted >= WANTED_SOURCES {
+            let partitioned =
+                self.followed.iter().filter(|(_, status)| **status == SourceStatus::Partitioned);
+            plan.stop = partitioned.map(|(source, _)| *source).collect();
             self.followed.retain(|source, _| !plan.stop.contains(source));
         }
         plan
--- a/crates/controller/src/controller/readers.rs
+++ b/crates/controller/src/controller/feed/subscribers.rs
@@ -2,7 +2,7 @@
 
 use crate::configuration_feed::publisher::ConfigurationPublisher;
 use crate::link::Outbox;
-use crate::message::{ConfigurationVersion, Decided, FeedBeat, Hello, Message};
+use crate::message::{CommittedConfiguration, ConfigurationVersion, FeedHeartbeat, Hello, Message};
 use bytes::Bytes;
 use lanegate_coordination::feed::{Journal, Position, Start};
 use std::collections::BTreeMap;
@@ -11,13 +11,13 @@
 /// Changes kept for readers that come back: some minutes of an uneasy day.
 const JOURNAL_CHANGES: usize = 2_048;
 /// Configurations kept as bases of differences: those of some seconds of a storm of changes.
-const KEPT_CONFIGURATIONS: usize = 32;
+const RETAINED_CONFIGURATIONS: usize = 32;
 /// Bytes of changes that a reader is sent without asking whether a snapshot were shorter.
 const SHORT_TAIL_BYTES: usize = 64 * 1024;
 
 /// The journal of the feed, and its readers. Configurations are not in the journal: readers fetch them.
 #[derive(Debug)]
-pub struct Readers {
+pub struct Subscribers {
     journal: Journal<Bytes>,
     configurations: ConfigurationPublisher,
     outboxes: BTreeMap<u64, Outbox>,
@@ -25,12 +25,12 @@
     snapshot: Option<(Position, Arc<[Bytes]>)>,
 }
 
-impl Readers {
-    /// A feed whose source is this `life` of the process.
-    pub fn new(life: u64) -> Self {
-        Readers {
-            journal: Journal::new(life, JOURNAL_CHANGES),
-            configurations: ConfigurationPublisher::keeping(KEPT_CONFIGURATIONS),
+impl Subscribers {
+    /// A feed whose source is this `incarnation` of the process.
+    pub fn new(incarnation: u64) -> Self {
+        Subscribers {
+            journal: Journal::new(incarnation, JOURNAL_CHANGES),
+            configurations: ConfigurationPublisher::retaining(RETAINED_CONFIGURATIONS),
             outboxes: BTreeMap::new(),
             snapshot: None,
         }
@@ -44,34 +44,34 @@
     }
 
     /// Announces a configuration to all readers.
-    pub fn publish(&mut self, decided: Decided) {
+    pub fn publish(&mut self, decided: CommittedConfiguration) {
         if let Some(announcement) = self.configurations.publish(decided) {
             self.send_all(announcement.frame());
         }
     }
 
     /// A reader that has `base` asks for the newest configuration.
-    pub fn fetch(&mut self, reader: u64, base: ConfigurationVersion) {
+    pub fn fetch(&mut self, subscriber: u64, base: ConfigurationVersion) {
         let Some(frame) = self.configurations.answer(base) else { return };
-        if let Some(outbox) = self.outboxes.get(&reader) {
+        if let Some(outbox) = self.outboxes.get(&subscriber) {
             outbox.send(frame);
         }
     }
 
     /// Sends what is no change: heartbeats.
-    pub fn beat(&mut self, quorum: bool, routers: u32) {
-        let frame = self.beat_message(quorum, routers).frame();
+    pub fn heartbeat(&mut self, quorum: bool, routers: u32) {
+        let frame = self.heartbeat_message(quorum, routers).frame();
         self.send_all(frame);
     }
 
     /// Starts a reader: the changes that it lacks, or all of `snapshot`.
     pub fn up(
         &mut self,
-        reader: u64,
+        subscriber: u64,
         hello: &Hello,
         outbox: Outbox,
         snapshot: impl FnOnce() -> Vec<Message>,
-        beat: (bool, u32),
+        heartbeat: (bool, u32),
     ) {
         let position = Position { source: hello.source, offset: hello.offset };
         for frame in self.start(position, snapshot) {
@@ -80,8 +80,8 @@
         if let Some(announcement) = self.configurations.announcement() {
             outbox.message(&announcement);
         }
-        outbox.message(&self.beat_message(beat.0, beat.1));
-        self.outboxes.insert(reader, outbox);
+        outbox.message(&self.heartbeat_message(heartbeat.0, heartbeat.1));
+        self.outboxes.insert(subscriber, outbox);
     }
 
     /// What brings a reader at `position` up to date: the changes since, or a snapshot where that is shorter.
@@ -112,8 +112,8 @@
     }
 
     /// A reader has gone.
-    pub fn down(&mut self, reader: u64) {
-        self.outboxes.remove(&reader);
+    pub fn down(&mut self, subscriber: u64) {
+        self.outboxes.remove(&subscriber);
     }
 
     /// Readers now.
@@ -121,9 +121,9 @@
         self.outboxes.len()
     }
 
-    fn beat_message(&self, quorum: bool, routers: u32) -> Message {
+    fn heartbeat_message(&self, quorum: bool, routers: u32) -> Message {
         let Position { source, offset } = self.journal.end();
-        Message::FeedBeat(FeedBeat { quorum: u8::from(quorum), source, offset, routers })
+        Message::FeedHeartbeat(FeedHeartbeat { quorum: u8::from(quorum), source, offset, routers })
     }
 
     fn send_all(&mut self, frame: Bytes) {
--- a/crates/controller/src/controller/members.rs
+++ b/crates/controller/src/controller/membership/replacement.rs
@@ -4,15 +4,15 @@
 //! Every shard has a group of its own and is judged by itself: the owner of one may have replaced a member that
 //! the owner of another has not replaced yet.
 
-use super::groups::KnownGroups;
-use super::standing::Standings;
+use crate::controller::consensus::replica_groups::KnownGroups;
+use crate::controller::membership::member_status::MemberStatuses;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// How long a member has to be silent, after it was first suspected, before a spare takes its place. A
 /// spare has to count within the time that a new machine is given to catch up, which is some seconds.
-pub const REPLACEMENT_PATIENCE: Duration = Duration::from_millis(1_200);
+pub const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// The shard whose silence a deliberate mistake holds against all.
 const FIRST_SHARD: u8 = 0;
@@ -33,74 +33,74 @@
     /// Controllers that the failure detector has nothing against.
     pub live: &'a [SocketAddr],
     /// What controllers said of themselves.
-    pub standings: &'a Standings,
+    pub member_statuses: &'a MemberStatuses,
 }
 
 /// Deliberate mistakes: each must be found by a test.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MembersFault {
+pub enum ReplacementFault {
     /// Silence is noted against the members of the first shard, and held against those of all shards.
-    SilenceOfOneShard,
+    ShareTimeouts,
     /// A change of the members of one shard holds up those of all others.
     OneChangeAtATime,
     /// A spare takes the place of a member before its replica can vote.
     JoinBeforeVoting,
     /// Silence before a pause of this process counts.
-    KeepSilenceInPause,
+    CountOwnPause,
 }
 
 /// Watches members and spares.
 #[derive(Debug, Default)]
-pub struct Members {
+pub struct ReplacementPlanner {
     /// For each shard, since when each silent member has been silent.
-    silent_since: BTreeMap<u8, BTreeMap<SocketAddr, Duration>>,
+    suspected_since: BTreeMap<u8, BTreeMap<SocketAddr, Duration>>,
     /// When the members were last looked at.
-    looked: Duration,
+    observed_at: Duration,
     /// Shards of which a change is under way.
     changing: BTreeSet<u8>,
     /// The groups of each shard that were decided last.
-    decided: BTreeMap<u8, Vec<Vec<SocketAddr>>>,
-    fault: Option<MembersFault>,
+    committed_groups: BTreeMap<u8, Vec<Vec<SocketAddr>>>,
+    fault: Option<ReplacementFault>,
 }
 
-impl Members {
+impl ReplacementPlanner {
     /// Nobody is known to be silent yet. `fault` is a deliberate mistake, for tests.
-    pub fn new(fault: Option<MembersFault>) -> Self {
-        Members { fault, ..Members::default() }
+    pub fn new(fault: Option<ReplacementFault>) -> Self {
+        ReplacementPlanner { fault, ..ReplacementPlanner::default() }
     }
 
     /// Notes who is live among the members of a shard.
     pub fn observe(&mut self, now: Duration, shard: u8, group: &[SocketAddr], live: &[SocketAddr]) {
-        self.looked = now;
-        if self.has(MembersFault::SilenceOfOneShard) && shard != FIRST_SHARD {
+        self.observed_at = now;
+        if self.has(ReplacementFault::ShareTimeouts) && shard != FIRST_SHARD {
             return;
         }
-        let silent = self.silent_since.entry(shard).or_default();
-        silent.retain(|member, _| group.contains(member) && !live.contains(member));
+        let suspected = self.suspected_since.entry(shard).or_default();
+        suspected.retain(|member, _| group.contains(member) && !live.contains(member));
         for member in group.iter().filter(|member| !live.contains(member)) {
-            silent.entry(*member).or_insert(now);
+            suspected.entry(*member).or_insert(now);
         }
     }
 
     /// Notes the groups of a shard that a decided value names. True if they differ from those before.
-    pub fn learned(&mut self, shard: u8, groups: &KnownGroups) -> bool {
-        let before = self.decided.insert(shard, groups.groups.clone());
+    pub fn groups_committed(&mut self, shard: u8, groups: &KnownGroups) -> bool {
+        let before = self.committed_groups.insert(shard, groups.groups.clone());
         before.is_none_or(|before| before != groups.groups)
     }
 
     /// This process could not listen for a while: silence up to now says nothing of the others.
-    pub fn excuse(&mut self) {
-        if !self.has(MembersFault::KeepSilenceInPause) {
-            self.silent_since.clear();
+    pub fn excuse_silence(&mut self) {
+        if !self.has(ReplacementFault::CountOwnPause) {
+            self.suspected_since.clear();
         }
     }
 
     /// When a member's patience ends next. Patience that ended before the last look needs none: what was due
     /// has been proposed, or waits for a spare to be told of.
     pub fn next_wake(&self) -> Option<Duration> {
-        let silent = self.silent_since.values().flat_map(BTreeMap::values);
-        silent.map(|since| *since + REPLACEMENT_PATIENCE).filter(|end| *end > self.looked).min()
+        let suspected = self.suspected_since.values().flat_map(BTreeMap::values);
+        suspected.map(|since| *since + REPLACEMENT_TIMEOUT).filter(|end| *end > self.observed_at).min()
     }
 
     /// A change of the members of `shard` has been proposed.
@@ -122,37 +122,37 @@
         if view.group.len() < size {
             return Some(MemberChange { remove: None, add });
         }
-        let remove = self.gone(now, view).or_else(|| leaving(view))?;
+        let remove = self.longest_suspected(now, view).or_else(|| draining_member(view))?;
         Some(MemberChange { remove: Some(remove), add })
     }
 
     fn is_changing(&self, shard: u8) -> bool {
-        let one_at_a_time = self.has(MembersFault::OneChangeAtATime);
+        let one_at_a_time = self.has(ReplacementFault::OneChangeAtATime);
         self.changing.contains(&shard) || (one_at_a_time && !self.changing.is_empty())
     }
 
     /// The spare that joins next. All owners choose alike, so that the shards keep the same members.
     fn next_spare(&self, view: GroupView<'_>) -> Option<SocketAddr> {
         let outside = view.live.iter().copied().filter(|node| !view.group.contains(node));
-        let early = self.has(MembersFault::JoinBeforeVoting);
-        outside.filter(|node| early || view.standings.can_join(*node, view.shard)).min()
+        let early = self.has(ReplacementFault::JoinBeforeVoting);
+        outside.filter(|node| early || view.member_statuses.can_join(*node, view.shard)).min()
     }
 
     /// The member that has been silent longest, beyond patience.
-    fn gone(&self, now: Duration, view: GroupView<'_>) -> Option<SocketAddr> {
-        let one_record = self.has(MembersFault::SilenceOfOneShard);
+    fn longest_suspected(&self, now: Duration, view: GroupView<'_>) -> Option<SocketAddr> {
+        let one_record = self.has(ReplacementFault::ShareTimeouts);
         let record = if one_record { FIRST_SHARD } else { view.shard };
-        let silent = self.silent_since.get(&record)?.iter();
-        let gone = silent.filter(|(_, since)| now >= **since + REPLACEMENT_PATIENCE);
-        gone.min_by_key(|(_, since)| **since).map(|(member, _)| *member)
+        let suspected = self.suspected_since.get(&record)?.iter();
+        let longest_suspected = suspected.filter(|(_, since)| now >= **since + REPLACEMENT_TIMEOUT);
+        longest_suspected.min_by_key(|(_, since)| **since).map(|(member, _)| *member)
     }
 
-    fn has(&self, fault: MembersFault) -> bool {
+    fn has(&self, fault: ReplacementFault) -> bool {
         self.fault == Some(fault)
     }
 }
 
 /// A member that said that it leaves; it needs no patience.
-fn leaving(view: GroupView<'_>) -> Option<SocketAddr> {
-    view.group.iter().copied().filter(|member| view.standings.is_leaving(*member)).min()
+fn draining_member(view: GroupView<'_>) -> Option<SocketAddr> {
+    view.group.iter().copied().filter(|member| view.member_statuses.is_draining(*member)).min()
 }
--- a/crates/controller/src/controller/ending.rs
+++ b/crates/controller/src/controller/membership/shutdown.rs
@@ -1,15 +1,16 @@
 //! The end of the process: what it alone holds is handed over first.
 
-use super::handover::{Handover, Place};
-use super::{Controller, ControllerFault, shards};
+use crate::controller::consensus::shards;
+use crate::controller::membership::handover::{GroupMembership, Handover};
+use crate::controller::{Controller, ControllerFault};
 use crate::message::{Message, Token};
 use std::time::Duration;
 
 impl Controller {
     /// The process has been asked to end. It acts for nothing any more, takes no more calls, tells agents to
     /// turn elsewhere, and tells the other controllers, which give its place to a spare if there is one.
-    pub(crate) fn leave(&mut self) {
-        if self.is_leaving() {
+    pub(crate) fn begin_shutdown(&mut self) {
+        if self.is_draining() {
             return;
         }
         let now = self.now();
@@ -19,27 +20,27 @@
             let outputs = self.leases.set_candidate(now, u32::from(shard), false);
             self.lease_outputs(outputs);
         }
-        self.tell_standing();
-        self.beat();
+        self.broadcast_status();
+        self.send_feed_heartbeat();
     }
 
     /// Whether the process has been asked to end.
-    pub(super) fn is_leaving(&self) -> bool {
+    pub(crate) fn is_draining(&self) -> bool {
         self.handover.is_some()
     }
 
     /// Whether the process may end.
-    pub(crate) fn has_left(&self) -> bool {
+    pub(crate) fn has_shut_down(&self) -> bool {
         self.handover.as_ref().is_some_and(Handover::is_done)
     }
 
     /// Goes on with the handover, if one is under way.
-    pub(super) fn hand_over(&mut self, now: Duration) {
+    pub(crate) fn advance_handover(&mut self, now: Duration) {
         let Some(handover) = &self.handover else { return };
-        let at_once = self.has_fault(ControllerFault::LeaveWithoutHandover);
-        let mut place = self.place_in_groups();
-        place.has_spare &= !at_once;
-        if handover.is_replaced(now, place) {
+        let at_once = self.has_fault(ControllerFault::ShutDownWithoutHandover);
+        let mut membership = self.group_membership();
+        membership.has_spare &= !at_once;
+        if handover.is_replaced(now, membership) {
             self.flush_last(now);
         }
         let idle = self.is_idle();
@@ -49,18 +50,20 @@
     }
 
     /// Where this controller stands in the groups.
-    fn place_in_groups(&self) -> Place {
-        let is_member = shards::all().any(|shard| self.known_groups(shard).contain(self.this));
+    fn group_membership(&self) -> GroupMembership {
+        let is_member = shards::all().any(|shard| self.known_groups(shard).contains(self.this));
         let could_join = |shard| {
             let group = self.group(shard);
-            self.membership.live().any(|node| !group.contains(&node) && !self.standings.is_leaving(node))
+            self.membership
+                .live()
+                .any(|node| !group.contains(&node) && !self.member_statuses.is_draining(node))
         };
-        Place { is_member, has_spare: shards::all().any(could_join) }
+        GroupMembership { is_member, has_spare: shards::all().any(could_join) }
     }
 
     /// Sends what the others do not have yet, and asks them to confirm it.
     fn flush_last(&mut self, now: Duration) {
-        if let Some(heard) = self.endpoints.take_heard() {
+        if let Some(heard) = self.endpoints.take_heartbeat_batch() {
             self.peers.broadcast(&heard);
         }
         let token = self.endpoints.next_token();
@@ -73,8 +76,8 @@
 
     /// Whether nobody waits for an answer, and every lease is given back.
     fn is_idle(&self) -> bool {
-        self.asked.is_empty()
-            && self.operator.next_wake().is_none()
+        self.in_flight.is_empty()
+            && self.pending_changes.next_wake().is_none()
             && self.endpoints.next_wake().is_none()
             && self.leases.next_wake().is_none()
     }
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -1,121 +1,61 @@
 //! A controller: keeps the configuration and the list of endpoints with its peers, answers operators and
 //! endpoints, and feeds agents.
 
-#[cfg(test)]
-mod answers_test;
-#[cfg(test)]
-mod callers_test;
-mod calls;
-mod contact;
-#[cfg(test)]
-mod contact_test;
+mod consensus;
 mod counters;
 #[cfg(test)]
 mod counters_test;
-mod demand;
-#[cfg(test)]
-mod demand_test;
-mod disk;
-mod ending;
 mod endpoints;
-#[cfg(test)]
-mod endpoints_test;
 mod environment;
 mod event;
+mod event_loop;
 mod fault;
 mod feed;
-mod groups;
-#[cfg(test)]
-mod groups_test;
-mod handover;
-#[cfg(test)]
-mod handover_test;
-mod holdings;
-#[cfg(test)]
-mod holdings_test;
-mod housekeeping;
-mod http;
-#[cfg(test)]
-mod http_test;
 mod inspect;
-mod links;
-mod margin;
-#[cfg(test)]
-mod margin_test;
-mod members;
-#[cfg(test)]
-mod members_test;
 mod membership;
 mod metrics;
 mod operator;
-#[cfg(test)]
-mod operator_test;
-mod orders;
-#[cfg(test)]
-mod orders_test;
-mod peer_links;
-mod peer_messages;
-mod peers;
 mod placement;
-mod placing;
 mod process;
-mod readers;
-#[cfg(test)]
-mod readers_storm_test;
-#[cfg(test)]
-mod readers_test;
-mod registers;
-mod routers;
-#[cfg(test)]
-mod routers_test;
 mod setup;
-mod shards;
-mod standing;
-#[cfg(test)]
-mod standing_test;
-mod trust;
-#[cfg(test)]
-mod trust_test;
-mod turn;
-mod unavailable;
 
-pub use contact::ContactFault;
-pub use endpoints::EndpointsFault;
+pub use consensus::quorum_contact::ContactFault;
+pub use endpoints::registry::AcknowledgementFault;
 pub(crate) use environment::Environment;
 pub(crate) use event::{Answer, Call, Event, Method};
 pub use fault::ControllerFault;
-pub use members::MembersFault;
-pub(crate) use placement::ServiceAction;
+pub use membership::replacement::ReplacementFault;
+pub(crate) use placement::placers::ServiceAction;
 pub use setup::{ControllerError, run_controller};
 pub(crate) use setup::{Records, Start, Stores, open_stores};
 
-use crate::message::Decided;
-use contact::Contact;
+use crate::message::CommittedConfiguration;
+use consensus::fault_tolerance::ToleranceMonitor;
+use consensus::freshness::Freshness;
+use consensus::quorum_contact::QuorumContact;
+use consensus::replica_groups::KnownGroups;
+use consensus::shards::Shards;
 use counters::Counters;
-use demand::RecentDemand;
-use endpoints::Endpoints;
-use groups::KnownGroups;
-use handover::Handover;
-use holdings::Holdings;
+use endpoints::pending_loads::PendingLoads;
+use endpoints::registry::EndpointRegistry;
+use feed::live_routers::LiveRouters;
+use feed::subscribers::Subscribers;
 use lanegate_config::configuration::Configuration;
 use lanegate_config::settings::Settings;
 use lanegate_coordination::lease::LeaseNode;
-use lanegate_coordination::membership::Membership;
+use lanegate_coordination::membership::FailureDetector;
 use lanegate_invariants::Violations;
-use margin::Margins;
-use members::Members;
-use operator::Operator;
-use peers::Peers;
-use placement::Placements;
-use readers::Readers;
-use routers::LiveRouters;
-use shards::Shards;
-use standing::Standings;
+use membership::handover::Handover;
+use membership::member_status::MemberStatuses;
+use membership::peers::Peers;
+use membership::replacement::ReplacementPlanner;
+use operator::pending_changes::PendingChanges;
+use placement::placers::Placers;
+use placement::recent_demand::RecentDemand;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use trust::Trust;
 
 /// One controller. All of its state belongs to one task; nothing in it waits, and its clock, links and disk
 /// are those of its [`Environment`].
@@ -124,24 +64,24 @@
     /// Control address, which names this controller to its peers.
     this: SocketAddr,
     /// Drawn at each start of the process.
-    life: u64,
+    incarnation: u64,
     environment: Box<dyn Environment>,
     peers: Peers,
-    readers: Readers,
-    endpoints: Endpoints,
+    subscribers: Subscribers,
+    endpoints: EndpointRegistry,
     shards: Shards,
-    operator: Operator,
-    membership: Membership,
-    contact: Contact,
-    trust: Trust,
-    members: Members,
-    standings: Standings,
-    margins: Margins,
+    pending_changes: PendingChanges,
+    membership: FailureDetector,
+    quorum_contact: QuorumContact,
+    freshness: Freshness,
+    replacement_planner: ReplacementPlanner,
+    member_statuses: MemberStatuses,
+    tolerance_monitor: ToleranceMonitor,
     /// Under way once the process has been asked to end.
     handover: Option<Handover>,
     leases: LeaseNode,
-    placements: Placements,
-    holdings: Holdings,
+    placers: Placers,
+    pending_loads: PendingLoads,
     recent_demand: RecentDemand,
     /// The newest configuration, read.
     configuration: Option<Arc<Configuration>>,
@@ -150,16 +90,16 @@
     /// A deliberate mistake, in a simulation only.
     fault: Option<ControllerFault>,
     /// The newest decided configuration, as readers get it.
-    decided: Option<Decided>,
+    decided: Option<CommittedConfiguration>,
     /// Reads and changes of members under way, by the number of their request.
-    asked: BTreeMap<u64, Asked>,
+    in_flight: BTreeMap<u64, InFlightRequest>,
     next_request: u64,
     /// Whether everyone that registers with the system has been heard, here or by a peer.
     complete: bool,
     routers: LiveRouters,
-    next_housekeeping: Duration,
-    next_beat: Duration,
-    last_turn: Duration,
+    next_periodic_tasks: Duration,
+    next_feed_heartbeat: Duration,
+    last_tick: Duration,
     counters: Counters,
     violations: Violations,
     /// Newest revision learned of each shard.
@@ -170,13 +110,13 @@
 
 /// What a request to a register was for.
 #[derive(Debug)]
-enum Asked {
+enum InFlightRequest {
     /// The operator reads the configuration.
     Read(tokio::sync::oneshot::Sender<event::Answer>),
     /// A read that tells whether what is known of the configuration is current.
     Barrier,
     /// A change of the group of a shard.
-    Members(u8),
+    MemberChange(u8),
     /// A change of the operator, by its number there.
     Change(u64),
     /// An epoch for a lease.
@@ -200,7 +140,7 @@
 
     /// Members of the group of a shard, as far as this controller knows them.
     fn group(&self, shard: u8) -> Vec<SocketAddr> {
-        let decided = self.shards.get(shard).decided();
+        let decided = self.shards.get(shard).committed();
         let members = decided.map(|value| value.newest_group().to_vec()).unwrap_or_default();
         members.into_iter().map(|node| SocketAddr::V4(node.into())).collect()
     }
@@ -218,15 +158,16 @@
         let now = self.now();
         let live: Vec<SocketAddr> =
             order.into_iter().filter(|member| self.is_reached(now, *member)).collect();
-        let staying = live.iter().find(|member| !self.standings.is_leaving(**member));
+        let staying = live.iter().find(|member| !self.member_statuses.is_draining(**member));
         staying.or(live.first()).copied().unwrap_or(self.this)
     }
 
     /// Whether a controller may be counted on: it is heard, and it hears this one. One that is heard and hears
     /// nobody would keep its shards from being acted for.
     fn is_reached(&self, now: Duration, controller: SocketAddr) -> bool {
-        let answers = self.contact.is_answered_by(now, controller);
-        self.membership.is_live(controller) && (answers || self.has_fault(ControllerFault::HeardActs))
+        let answers = self.quorum_contact.is_answered_by(now, controller);
+        self.membership.is_live(controller)
+            && (answers || self.has_fault(ControllerFault::CountUnreachedPeers))
     }
 
     /// Whether this controller acts for a shard, whose group it has to know for that.
--- a/crates/controller/src/controller/calls.rs
+++ b/crates/controller/src/controller/operator/control_calls.rs
@@ -1,10 +1,11 @@
 //! Calls on the control interface.
 
-use super::event::{Answer, Call, Method};
-use super::groups::KnownGroups;
-use super::operator::ANSWER_TIMEOUT;
-use super::unavailable::Unavailable;
-use super::{Asked, Controller, ControllerFault, shards};
+use crate::controller::consensus::replica_groups::KnownGroups;
+use crate::controller::consensus::shards;
+use crate::controller::event::{Answer, Call, Method};
+use crate::controller::operator::pending_changes::ANSWER_TIMEOUT;
+use crate::controller::operator::unavailable::Unavailable;
+use crate::controller::{Controller, ControllerFault, InFlightRequest};
 use crate::message::{Forwarded, Message, Token};
 use lanegate_config::control_state::{Command, Method as ChangeMethod, Outcome, apply};
 use lanegate_config::findings::Findings;
@@ -20,9 +21,9 @@
 
 impl Controller {
     /// Answers a call, at once or later.
-    pub(super) fn call(&mut self, call: Call) {
-        if self.is_leaving() && call.path != STATUS_PATH {
-            return answer(call, Answer::unavailable(Unavailable::Leaving));
+    pub(crate) fn call(&mut self, call: Call) {
+        if self.is_draining() && call.path != STATUS_PATH {
+            return answer(call, Answer::unavailable(Unavailable::Draining));
         }
         if let Some(id) = call.path.strip_prefix(INSTANCES_PATH) {
             let id = id.to_owned();
@@ -49,15 +50,15 @@
         let alone = self.has_fault(ControllerFault::AcknowledgeHeartbeatAlone);
         let in_contact = alone || self.has_contact(shards::CONFIGURATION);
         let changes = match call.method {
-            Method::Put => self.endpoints.put(now, id, call.body, &known, in_contact, call.reply),
-            Method::Delete => self.endpoints.delete(now, id, &known, call.reply),
+            Method::Put => self.endpoints.register(now, id, call.body, &known, in_contact, call.reply),
+            Method::Delete => self.endpoints.deregister(now, id, &known, call.reply),
             _ => return answer(call, Answer::error(405, "no such method here")),
         };
         for message in &changes.messages {
-            self.readers.append(message);
+            self.subscribers.append(message);
             self.peers.broadcast(message);
         }
-        self.tell_placers(id);
+        self.update_placers(id);
         if let Some(token) = changes.flush {
             self.peers.broadcast(&Message::Flush(Token { token }));
         }
@@ -71,10 +72,10 @@
         }
         let now = self.now();
         let request = self.request_number();
-        self.asked.insert(request, Asked::Read(call.reply));
+        self.in_flight.insert(request, InFlightRequest::Read(call.reply));
         let deadline = now + ANSWER_TIMEOUT;
         let outputs = self.shards.handle(now, shards::CONFIGURATION, Input::Read { request, deadline });
-        self.follow(shards::CONFIGURATION, outputs);
+        self.execute_outputs(shards::CONFIGURATION, outputs);
     }
 
     fn change_configuration(&mut self, method: ChangeMethod, call: Call) {
@@ -95,23 +96,25 @@
         let owner = self.owner(shards::CONFIGURATION, &[shards::CONFIGURATION]);
         let elsewhere = owner != self.this;
         let now = self.now();
-        let Some(request) = self.operator.begin(now, command.clone(), call.reply, elsewhere) else { return };
+        let Some(request) = self.pending_changes.begin(now, command.clone(), call.reply, elsewhere) else {
+            return;
+        };
         if elsewhere {
             self.peers.send(owner, &Message::Change(Forwarded { request, body: command.into() }));
         } else {
-            self.propose(request);
+            self.propose_change(request);
         }
     }
 
     /// What [`ControllerFault::RefuseLocally`] answers.
     fn local_refusal(&self, command: &[u8]) -> Option<Answer> {
-        let known = self.shards.get(shards::CONFIGURATION).decided()?;
+        let known = self.shards.get(shards::CONFIGURATION).committed()?;
         let wrong = self.has_fault(ControllerFault::RefuseLocally);
         let (outcome, _) = wrong.then(|| apply(&known.state, command).ok())??;
         (!outcome.is_acknowledged()).then(|| change_answer(&outcome.encode()))
     }
 
-    pub(super) fn status(&self) -> Answer {
+    pub(crate) fn status(&self) -> Answer {
         let shards: Vec<serde_json::Value> = self
             .shards
             .iter()
@@ -121,10 +124,10 @@
                 serde_json::json!({
                     "Shard": shard,
                     "Replica": format!("{:?}", replica.status()),
-                    "Revision": replica.decided().map(|value| value.revision),
+                    "Revision": replica.committed().map(|value| value.revision),
                     "Members": members,
                     "MemberStates": states,
-                    "Margin": self.margin(shard),
+                    "Margin": self.fault_tolerance(shard),
                     "Owner": self.owner(shard, &[shard]).to_string(),
                     "Contact": self.has_contact(shard),
                 })
@@ -134,15 +137,15 @@
         let status = serde_json::json!({
             "Controller": self.this.to_string(),
             "Name": self.settings.node_name,
-            "Life": self.life,
+            "Life": self.incarnation,
             "UptimeS": self.now().as_secs(),
             "Quorum": self.has_contact(shards::CONFIGURATION),
             "Current": self.is_current(),
             "Complete": self.complete,
-            "Leaving": self.is_leaving(),
+            "Leaving": self.is_draining(),
             "LiveControllers": live,
             "Instances": self.endpoints.live().count(),
-            "Readers": self.readers.count(),
+            "Readers": self.subscribers.count(),
             "Routers": self.routers.count(self.now()),
             "Shards": shards,
         });
@@ -160,7 +163,7 @@
 }
 
 /// What the operator gets for the encoded outcome of a change.
-pub(super) fn change_answer(encoded: &[u8]) -> Answer {
+pub(crate) fn change_answer(encoded: &[u8]) -> Answer {
     let outcome = match Outcome::decode(encoded) {
         Ok(outcome) => outcome,
         Err(error) => {
--- a/crates/controller/src/controller/placing.rs
+++ b/crates/controller/src/controller/placement/placement_control.rs
@@ -1,11 +1,11 @@
 //! What a controller does for the services that it places: leases, news for the placers, orders.
 
-use super::holdings::{Step, holding};
-use super::orders::{CONNECT_TIMEOUT, ORDER_WIRE_TIME};
-use super::placement::{Placements, ServiceAction};
-use super::shards;
-use super::{Asked, Controller, ControllerFault};
-use crate::message::{Holding, Message, RouterDemand, ShardMessage};
+use crate::controller::consensus::shards;
+use crate::controller::endpoints::pending_loads::{PendingLoadStep, residency_update};
+use crate::controller::placement::endpoint_client::{CONNECT_TIMEOUT, ORDER_WIRE_TIME};
+use crate::controller::placement::placers::{Placers, ServiceAction};
+use crate::controller::{Controller, ControllerFault, InFlightRequest};
+use crate::message::{Message, ResidencyUpdate, RouterDemand, ShardMessage};
 use lanegate_config::demand::DemandReport;
 use lanegate_config::mechanism::Mechanism;
 use lanegate_coordination::lease::Output;
@@ -22,22 +22,22 @@
 
 impl Controller {
     /// Stands for the leases of the shards that have engines and that this controller owns.
-    pub(super) fn stand_for_leases(&mut self) {
+    pub(crate) fn campaign_for_leases(&mut self) {
         let Some(configuration) = self.configuration.clone() else { return };
         let now = self.now();
-        let wanted: BTreeSet<u8> = Placements::wanted_shards(&configuration).collect();
+        let wanted: BTreeSet<u8> = Placers::wanted_shards(&configuration).collect();
         for shard in shards::all().filter(|shard| *shard != shards::CONFIGURATION) {
             // Who acts goes on while it can: handing over to the first in order costs a quiet period.
-            let acts = self.placements.acts_for(shard);
+            let acts = self.placers.acts_for(shard);
             let stands = wanted.contains(&shard) && (acts || self.owns(shard));
-            let stands = stands && self.has_contact(shard) && !self.is_leaving();
+            let stands = stands && self.has_contact(shard) && !self.is_draining();
             let outputs = self.leases.set_candidate(now, u32::from(shard), stands);
             self.lease_outputs(outputs);
         }
     }
 
     /// Does what the leases ask for.
-    pub(super) fn lease_outputs(&mut self, outputs: Vec<Output>) {
+    pub(crate) fn lease_outputs(&mut self, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send { to, message } => match message.encode() {
@@ -50,65 +50,65 @@
                 Output::AcquireEpoch { shard, tenure } => {
                     let now = self.now();
                     let request = self.request_number();
-                    self.asked.insert(request, Asked::Epoch(shard, tenure));
+                    self.in_flight.insert(request, InFlightRequest::Epoch(shard, tenure));
                     let input =
                         Input::Propose { request, command: Vec::new(), deadline: now + EPOCH_TIMEOUT };
                     let outputs = self.shards.handle(now, shard as u8, input);
-                    self.follow(shard as u8, outputs);
+                    self.execute_outputs(shard as u8, outputs);
                 }
                 Output::Began { shard, epoch, .. } => {
                     log::info!("acts for shard {shard}, epoch {epoch}");
                     self.counters.tenures += 1;
                     let newest = self.newest_epochs.insert(shard, epoch).unwrap_or_default();
                     self.violations.check(Invariant::EpochRises, epoch > newest);
-                    self.placements.began(shard as u8, epoch);
+                    self.placers.tenure_began(shard as u8, epoch);
                     self.configure_placements(epoch);
                 }
                 Output::Ended { .. } if self.has_fault(ControllerFault::OrderWithoutLease) => {}
                 Output::Ended { shard, .. } => {
                     log::info!("acts no more for shard {shard}");
-                    self.placements.ended(shard as u8);
-                    self.holdings.clear();
+                    self.placers.tenure_ended(shard as u8);
+                    self.pending_loads.clear();
                 }
             }
         }
     }
 
     /// Tells the placers of the configuration; `epoch` is that of a tenure that has just begun, else 0.
-    pub(super) fn configure_placements(&mut self, epoch: u64) {
+    pub(crate) fn configure_placements(&mut self, epoch: u64) {
         let Some(configuration) = self.configuration.clone() else { return };
         let first = self.first_start && epoch == FIRST_EPOCH;
         let start = if first { Start::First } else { Start::Takeover };
         let now = self.now();
         let instances = self.endpoints.live().map(|(_, registered)| registered);
         let demand = &self.recent_demand;
-        self.placements.configure(now, &configuration, &self.settings, start, instances, demand);
+        self.placers.configure(now, &configuration, &self.settings, start, instances, demand);
     }
 
     /// A router told its demand.
-    pub(super) fn demand(&mut self, demand: &RouterDemand) {
+    pub(crate) fn on_demand(&mut self, demand: &RouterDemand) {
         let now = self.now();
         let router = demand.router.text();
-        self.recent_demand.keep(now, demand);
-        self.routers.heard(now, router.clone());
-        if demand.age_ms > 0 || !self.placements.is_active() {
+        self.recent_demand.record(now, demand);
+        self.routers.record_report(now, router.clone());
+        if demand.age_ms > 0 || !self.placers.is_active() {
             return;
         }
         match serde_json::from_slice::<DemandReport>(&demand.report.bytes) {
-            Ok(report) => self.placements.demand(now, &router, &report),
+            Ok(report) => self.placers.demand(now, &router, &report),
             Err(error) => log::warn!("demand of {router}: {error}"),
         }
     }
 
     /// Does what the placers want done.
-    pub(super) fn place(&mut self, now: Duration) {
-        for action in self.placements.due(now) {
+    pub(crate) fn run_placers(&mut self, now: Duration) {
+        for action in self.placers.due(now) {
             self.start_action(action);
         }
-        for step in self.holdings.due(now) {
+        for step in self.pending_loads.due(now) {
             match step {
-                Step::Publish(holding) => self.publish(holding),
-                Step::Ask { service, instance, address } => {
+                PendingLoadStep::Publish(residency_update) => self.publish(residency_update),
+                PendingLoadStep::RequestReport { service, instance, address } => {
                     let shard = shards::shard_of(&service);
                     let action = Action::RequestReport { instance, address };
                     self.start_action(ServiceAction { service, shard, action });
@@ -118,14 +118,14 @@
     }
 
     /// An order was answered, or not.
-    pub(super) fn order_answered(&mut self, service: &str, order: &Order, answer: OrderAnswer) {
+    pub(crate) fn order_answered(&mut self, service: &str, order: &Order, answer: OrderAnswer) {
         let now = self.now();
         self.counters.order_answered(order.operation, answer);
         if answer == OrderAnswer::Accepted {
             let load_time = self.load_time(service, &order.model);
-            self.holdings.accepted(now, service, order, load_time);
+            self.pending_loads.accepted(now, service, order, load_time);
         }
-        self.placements.answered(now, service, order.id, answer);
+        self.placers.answered(now, service, order.id, answer);
     }
 
     fn load_time(&self, service: &str, model: &str) -> Duration {
@@ -137,10 +137,10 @@
     }
 
     /// Tells everyone what is known of a model at an endpoint.
-    pub(super) fn publish(&mut self, holding: Holding) {
-        if let Some(holding) = self.endpoints.publish(holding) {
-            let message = Message::Holding(holding);
-            self.readers.append(&message);
+    pub(crate) fn publish(&mut self, residency_update: ResidencyUpdate) {
+        if let Some(residency_update) = self.endpoints.publish(residency_update) {
+            let message = Message::ResidencyUpdate(residency_update);
+            self.subscribers.append(&message);
             self.peers.broadcast(&message);
         }
     }
@@ -151,22 +151,27 @@
         let shard = u32::from(action.shard);
         let epoch = match &action.action {
             Action::Order(_) => self.leases.authorize(now, shard, ORDER_WIRE_TIME),
-            Action::RequestReport { .. } => self.leases.may_act(now, shard, ORDER_WIRE_TIME),
+            Action::RequestReport { .. } => self.leases.current_epoch(now, shard, ORDER_WIRE_TIME),
         };
-        let goes_on = self.has_fault(ControllerFault::OrderWithoutLease);
-        let epoch = if goes_on { self.placements.epoch(action.shard) } else { epoch };
+        let ignores_lease = self.has_fault(ControllerFault::OrderWithoutLease);
+        let epoch = if ignores_lease { self.placers.epoch(action.shard) } else { epoch };
         match (epoch, &action.action) {
             (Some(epoch), action_kind) => {
                 if matches!(action_kind, Action::Order(_)) {
                     self.counters.order_given();
                 }
                 self.announce_eviction(&action.action);
-                self.environment.carry_out(action, &self.settings.node_name, epoch, now + CONNECT_TIMEOUT);
+                self.environment.execute_action(
+                    action,
+                    &self.settings.node_name,
+                    epoch,
+                    now + CONNECT_TIMEOUT,
+                );
             }
             (None, Action::Order(order)) => {
                 let id = order.id;
                 self.counters.order_withheld(order.operation);
-                self.placements.answered(now, &action.service, id, OrderAnswer::Unavailable);
+                self.placers.answered(now, &action.service, id, OrderAnswer::Unavailable);
             }
             (None, Action::RequestReport { .. }) => {}
         }
@@ -176,33 +181,33 @@
     fn announce_eviction(&mut self, action: &Action) {
         let Action::Order(order) = action else { return };
         if order.operation == Operation::Evict {
-            self.publish(holding(&order.instance, &order.model, order.adapter.as_deref(), false));
+            self.publish(residency_update(&order.instance, &order.model, order.adapter.as_deref(), false));
         }
     }
 
     /// Tells the placers of an endpoint, as the registry has it now.
-    pub(super) fn tell_placers(&mut self, id: &str) {
-        if !self.placements.is_active() {
+    pub(crate) fn update_placers(&mut self, id: &str) {
+        if !self.placers.is_active() {
             return;
         }
         let now = self.now();
         match self.endpoints.registration(id) {
-            Some(registered) => self.placements.heard(now, registered),
-            None => self.placements.removed(now, id),
+            Some(registered) => self.placers.update_instance(now, registered),
+            None => self.placers.removed(now, id),
         }
-        self.announce_leaving(id);
+        self.republish_evictions(id);
     }
 
     /// An endpoint lists what it was ordered to drop until the last run with it has ended, and refuses requests for
     /// it all that time. Its heartbeats meanwhile do not bring routers back.
-    fn announce_leaving(&mut self, id: &str) {
+    fn republish_evictions(&mut self, id: &str) {
         if !self.settings.switched_off.leaves(Mechanism::EvictionHiding) {
             return;
         }
         let Some(registered) = self.endpoints.registration(id) else { return };
-        let Some(item) = self.placements.leaving(registered) else { return };
-        if registered.shows(&item.model, item.adapter.as_deref()) {
-            self.publish(holding(id, &item.model, item.adapter.as_deref(), false));
+        let Some(item) = self.placers.leaving(registered) else { return };
+        if registered.has_resident(&item.model, item.adapter.as_deref()) {
+            self.publish(residency_update(id, &item.model, item.adapter.as_deref(), false));
         }
     }
 }
--- a/crates/coordination/src/lease/grantor.rs
+++ b/crates/coordination/src/lease/grantor.rs
@@ -1,6 +1,6 @@
-//! The member of a group that grants leases.
+//! The grantor: a member of a group, which grants the lease of each shard to one candidate at a time.
 
-use super::message::{LeaseRelease, LeaseReply, LeaseRequest};
+use super::message::{LeaseRelease, LeaseReply, LeaseRequest, millis_rounded_up};
 use super::settings::LeaseSettings;
 use crate::membership::NodeId;
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 pub enum GrantorStart {
     /// The first start of the whole system: nothing was ever granted.
     First,
-    /// Any other start: what was granted is forgotten, so nothing is granted until it has run out.
+    /// Any other start: earlier grants are forgotten, so nothing is granted until they have expired.
     Restarted,
 }
 
@@ -19,47 +19,49 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Grant {
     candidate: NodeId,
-    /// Rounds of the candidate up to this one count for nothing any more.
+    /// The newest round of the candidate that was granted or released.
     round: u64,
-    /// When another candidate may have a grant.
-    free_at: Duration,
+    /// When another candidate may get a grant.
+    expires_at: Duration,
 }
 
-/// Grants leases, for each shard to one life at a time.
+/// Grants leases, for each shard to one incarnation at a time.
+///
+/// All times are readings of the caller's monotonic clock.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseGrantor {
     settings: LeaseSettings,
     /// Newest known generation of each shard's group.
     generations: BTreeMap<u32, u64>,
-    /// Before this time nothing is granted.
-    silent_until: Duration,
+    /// Earliest time of a grant after a restart.
+    no_grants_before: Duration,
     grants: BTreeMap<u32, Grant>,
 }
 
 impl LeaseGrantor {
     /// A grantor that starts `now`.
     pub fn new(settings: LeaseSettings, start: GrantorStart, now: Duration) -> Self {
-        let silent_until = match start {
+        let no_grants_before = match start {
             GrantorStart::First => now,
-            GrantorStart::Restarted => now + settings.hold_off(settings.validity),
+            GrantorStart::Restarted => now + settings.lockout_period(settings.validity),
         };
-        LeaseGrantor { settings, generations: BTreeMap::new(), silent_until, grants: BTreeMap::new() }
+        LeaseGrantor { settings, generations: BTreeMap::new(), no_grants_before, grants: BTreeMap::new() }
     }
 
-    /// Learns the generation of a shard's group; requests that know only an older one are refused from now on.
+    /// Sets the generation of a shard's group. Requests of an older generation are refused from now on.
     pub fn set_generation(&mut self, shard: u32, generation: u64) {
         let known = self.generations.entry(shard).or_default();
         *known = generation.max(*known);
     }
 
-    /// Grants or refuses; a late or doubled request has no answer.
+    /// Grants or refuses a request. A late or duplicate request gets no reply.
     pub fn on_request(&mut self, now: Duration, request: &LeaseRequest) -> Option<LeaseReply> {
         let known = self.grants.get(&request.shard);
         let known = known.filter(|grant| grant.candidate == request.candidate);
         if known.is_some_and(|grant| request.round <= grant.round) {
             return None;
         }
-        let wait = self.wait(now, request);
+        let wait = self.remaining_wait(now, request);
         let generation = self.generations.get(&request.shard).copied().unwrap_or_default();
         let granted = wait.is_zero() && request.generation >= generation;
         if granted {
@@ -70,42 +72,37 @@
             candidate: request.candidate,
             round: request.round,
             granted,
-            wait_ms: whole_ms(wait),
+            wait_ms: millis_rounded_up(wait),
         })
     }
 
-    /// Frees the shard as soon as the quiet period after the last act of the candidate has passed.
+    /// Ends a grant once the quiet period after the candidate's last action has passed.
     pub fn on_release(&mut self, now: Duration, release: &LeaseRelease) {
         let Some(grant) = self.grants.get_mut(&release.shard) else { return };
         if grant.candidate != release.candidate || release.round < grant.round {
             return;
         }
-        let quiet = self.settings.stretched(self.settings.quiet_period);
+        let quiet = self.settings.with_clock_drift(self.settings.quiet_period);
         let idle = Duration::from_millis(release.idle_ms.into());
-        let free_at = now + quiet.saturating_sub(idle);
+        let expires_at = now + quiet.saturating_sub(idle);
         grant.round = release.round;
-        grant.free_at = grant.free_at.min(free_at);
+        grant.expires_at = grant.expires_at.min(expires_at);
     }
 
-    /// How long this candidate has to wait for a grant; zero if it may have one.
-    fn wait(&self, now: Duration, request: &LeaseRequest) -> Duration {
+    /// How long this candidate has to wait for a grant; zero if it can get one now.
+    fn remaining_wait(&self, now: Duration, request: &LeaseRequest) -> Duration {
         let grant = self.grants.get(&request.shard);
         let others = grant.filter(|grant| grant.candidate != request.candidate);
-        let free_at = others.map_or(Duration::ZERO, |grant| grant.free_at);
-        free_at.max(self.silent_until).saturating_sub(now)
+        let expires_at = others.map_or(Duration::ZERO, |grant| grant.expires_at);
+        expires_at.max(self.no_grants_before).saturating_sub(now)
     }
 
     fn grant(&mut self, now: Duration, request: &LeaseRequest) {
         let validity = Duration::from_millis(request.valid_ms.into());
         let known = self.grants.get(&request.shard);
-        let earlier = known.map_or(Duration::ZERO, |grant| grant.free_at);
-        let free_at = earlier.max(now + self.settings.hold_off(validity));
-        let grant = Grant { candidate: request.candidate, round: request.round, free_at };
+        let earlier = known.map_or(Duration::ZERO, |grant| grant.expires_at);
+        let expires_at = earlier.max(now + self.settings.lockout_period(validity));
+        let grant = Grant { candidate: request.candidate, round: request.round, expires_at };
         self.grants.insert(request.shard, grant);
     }
 }
-
-/// A wait in the unit of the messages, rounded up.
-fn whole_ms(wait: Duration) -> u32 {
-    u32::try_from(wait.as_micros().div_ceil(1_000)).unwrap_or(u32::MAX)
-}
--- a/crates/coordination/src/lease/group.rs
+++ b/crates/coordination/src/lease/group.rs
@@ -1,69 +1,73 @@
-//! The group whose majority grants a lease, across changes of its members.
+//! The group whose majority grants a lease, across membership changes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A group, and the one before it for as long as grants of that one may be in use.
+/// A group, with the previous ones for as long as grants of theirs may be valid.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub(super) struct Group {
+pub(super) struct GrantorGroup {
     pub generation: u64,
     members: Vec<SocketAddr>,
-    /// Earlier groups, each with the time up to which its majority is needed too.
-    earlier: Vec<EarlierGroup>,
+    previous: Vec<PreviousGroup>,
 }
 
+/// A group whose majority is required too, up to some time.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct EarlierGroup {
+struct PreviousGroup {
     members: Vec<SocketAddr>,
-    needed_until: Duration,
+    required_until: Duration,
 }
 
-impl Group {
-    /// Moves to a newer generation; until `needed_until` the majority of the present one is needed as well.
-    ///
-    /// A generation that is not newer changes nothing.
-    pub fn change(&mut self, generation: u64, members: &[SocketAddr], needed_until: Duration) -> bool {
+impl GrantorGroup {
+    /// Changes to a newer generation; until `required_until` a majority of the present group is required as well.
+    /// Returns whether the generation is newer; otherwise nothing changes.
+    pub(super) fn change(
+        &mut self,
+        generation: u64,
+        members: &[SocketAddr],
+        required_until: Duration,
+    ) -> bool {
         if generation <= self.generation && !self.members.is_empty() {
             return false;
         }
         let members = std::mem::replace(&mut self.members, members.to_vec());
         self.generation = generation;
         if !members.is_empty() {
-            self.earlier.push(EarlierGroup { members, needed_until });
+            self.previous.push(PreviousGroup { members, required_until });
         }
         true
     }
 
-    /// Forgets earlier groups whose grants have run out.
-    pub fn on_time(&mut self, now: Duration) {
-        self.earlier.retain(|group| now < group.needed_until);
+    /// Drops previous groups whose grants have expired.
+    pub(super) fn on_tick(&mut self, now: Duration) {
+        self.previous.retain(|group| now < group.required_until);
     }
 
-    /// Everyone who is to be asked.
-    pub fn everyone(&self) -> Vec<SocketAddr> {
+    /// The members of all groups, each once, in ascending order.
+    pub(super) fn all_members(&self) -> Vec<SocketAddr> {
         let mut all: Vec<_> = self.groups().flatten().copied().collect();
         all.sort_unstable();
         all.dedup();
         all
     }
 
-    /// Whether `granted` holds a majority of every group that counts.
-    pub fn is_majority(&self, granted: &[SocketAddr]) -> bool {
+    /// Whether `granted` contains a majority of every group.
+    pub(super) fn is_majority(&self, granted: &[SocketAddr]) -> bool {
         !self.members.is_empty() && self.groups().all(|members| count(members, granted) > members.len() / 2)
     }
 
-    /// Whether, with `refused`, no majority can come together.
-    pub fn is_lost(&self, refused: &[SocketAddr]) -> bool {
+    /// Whether so many have refused that no majority is possible in some group.
+    pub(super) fn is_majority_refused(&self, refused: &[SocketAddr]) -> bool {
         self.groups().any(|members| members.len() - count(members, refused) <= members.len() / 2)
     }
 
     fn groups(&self) -> impl Iterator<Item = &[SocketAddr]> {
-        let earlier = self.earlier.iter().map(|group| group.members.as_slice());
-        std::iter::once(self.members.as_slice()).chain(earlier)
+        let previous = self.previous.iter().map(|group| group.members.as_slice());
+        std::iter::once(self.members.as_slice()).chain(previous)
     }
 }
 
-/// How many of `members` are among `chosen`.
-fn count(members: &[SocketAddr], chosen: &[SocketAddr]) -> usize {
-    members.iter().filter(|member| chosen.contains(member)).count()
+/// How many of `members` are in `set`.
+fn count(members: &[SocketAddr], set: &[SocketAddr]) -> usize {
+    members.iter().filter(|member| set.contains(member)).count()
 }
--- a/crates/coordination/src/lease/round.rs
+++ b/crates/coordination/src/lease/round.rs
@@ -1,11 +1,11 @@
-//! Rounds of requests that may still be answered in time.
+//! Rounds of requests to the grantors.
 
-use super::group::Group;
+use super::group::GrantorGroup;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Rounds that are open at once at most: answers to older ones come too late to be of use.
-const MOST_OPEN: usize = 4;
+/// Largest number of open rounds: replies to older ones come too late to be of use.
+const MAX_OPEN_ROUNDS: usize = 4;
 
 /// One round of requests to all grantors.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -19,22 +19,22 @@
 }
 
 impl Round {
-    /// Whether a majority granted.
-    pub fn is_won(&self, group: &Group) -> bool {
+    /// Whether a majority of every group has granted.
+    pub(super) fn has_majority(&self, group: &GrantorGroup) -> bool {
         group.is_majority(&self.granted)
     }
 
-    /// Whether so many refused that no majority can come together.
-    pub fn is_lost(&self, group: &Group) -> bool {
-        group.is_lost(&self.refused)
+    /// Whether so many have refused that no majority is possible.
+    pub(super) fn is_refused(&self, group: &GrantorGroup) -> bool {
+        group.is_majority_refused(&self.refused)
     }
 
-    /// Shortest wait that a refusing grantor named.
-    pub fn shortest_wait(&self) -> Duration {
+    /// The shortest wait that a refusing grantor named.
+    pub(super) fn shortest_wait(&self) -> Duration {
         self.waits.iter().min().copied().unwrap_or_default()
     }
 
-    fn note(&mut self, from: SocketAddr, granted: bool, wait: Duration) {
+    fn record_reply(&mut self, from: SocketAddr, granted: bool, wait: Duration) {
         if self.granted.contains(&from) || self.refused.contains(&from) {
             return;
         }
@@ -56,14 +56,14 @@
 
 impl Rounds {
     /// Number of the newest round; 0 before the first.
-    pub fn newest(&self) -> u64 {
+    pub(super) fn newest(&self) -> u64 {
         self.newest
     }
 
-    /// Opens a round that is sent `now`.
-    pub fn begin(&mut self, now: Duration) -> u64 {
+    /// Opens a round whose requests are sent `now`, and returns its number.
+    pub(super) fn begin(&mut self, now: Duration) -> u64 {
         self.newest += 1;
-        if self.open.len() == MOST_OPEN {
+        if self.open.len() == MAX_OPEN_ROUNDS {
             self.open.remove(0);
         }
         let round = Round {
@@ -77,15 +77,21 @@
         self.newest
     }
 
-    /// Notes an answer and hands back its round, if that is still open.
-    pub fn note(&mut self, number: u64, from: SocketAddr, granted: bool, wait: Duration) -> Option<&Round> {
+    /// Records a reply and returns its round, if that is still open.
+    pub(super) fn record_reply(
+        &mut self,
+        number: u64,
+        from: SocketAddr,
+        granted: bool,
+        wait: Duration,
+    ) -> Option<&Round> {
         let round = self.open.iter_mut().find(|round| round.number == number)?;
-        round.note(from, granted, wait);
+        round.record_reply(from, granted, wait);
         Some(round)
     }
 
     /// Closes all rounds.
-    pub fn close(&mut self) {
+    pub(super) fn close_all(&mut self) {
         self.open.clear();
     }
 }
--- a/crates/coordination/src/register/reader.rs
+++ b/crates/coordination/src/register/reader.rs
@@ -3,241 +3,250 @@
 use std::time::Duration;
 
 use super::ballot::Ballot;
-use super::batch::{Item, Work, expired};
-use super::core::{Core, Proposal, earlier};
+use super::context::{Context, Proposal, earlier};
 use super::event::{Applied, Outcome};
 use super::message::Message;
-use super::node::{Floors, Node};
-use super::proposer::Proposer;
-use super::quorum::{Votes, members, union};
+use super::node::Node;
+use super::quorum::{Voter, Votes, members, union};
+use super::retry::RetryTimer;
 use super::settings::Fault;
-use super::value::{Carried, Group};
+use super::task::{Operation, Task};
+use super::value::{Group, Value, ValueTransfer};
 
 /// Spreads the nonces of successive processes, so that the numbers of their queries lie far apart: an answer to
 /// a query of an earlier process must not count, as it may be older than what was acknowledged since.
 const NONCE_SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What a replica told of itself.
+/// The state of a replica as it replied to a query.
+pub(super) struct ReadReply {
+    pub(super) voter: Voter,
+    pub(super) promised: Ballot,
+    pub(super) accepted: Ballot,
+    pub(super) value: ValueTransfer,
+}
+
+/// What a reply says about the newest value.
 #[derive(Clone, Hash)]
-struct Told {
+struct AcceptorState {
     promised: Ballot,
     accepted: Ballot,
 }
 
+/// One query in flight, which serves several tasks.
 #[derive(Clone, Hash)]
 struct Query {
     request: u64,
-    items: Vec<Item>,
-    start: Proposal,
+    tasks: Vec<Task>,
+    /// The newest value that was known here at the start, or was committed since.
+    known: Proposal,
+    /// The newest value that was found.
     newest: Proposal,
-    votes: Votes<Told>,
-    asked: Vec<Node>,
-    resend_at: Duration,
-    interval: Duration,
+    votes: Votes<AcceptorState>,
+    sent_to: Vec<Node>,
+    retry: RetryTimer,
 }
 
+/// Tasks that a read could not answer: they are to be proposed.
+pub(super) type TasksToPropose = Vec<Task>;
+
 #[derive(Clone, Default, Hash)]
 pub(super) struct Reader {
-    waiting: Vec<Item>,
+    waiting: Vec<Task>,
     query: Option<Query>,
-    /// Queries of this process so far.
+    /// Number of queries that this process has started.
     started: u64,
 }
 
 impl Reader {
-    /// Takes a read, or a command that seems to change nothing.
-    pub(super) fn push(&mut self, item: Item) {
-        self.waiting.push(item);
+    /// Queues a read, or a command that seems to change nothing.
+    pub(super) fn enqueue(&mut self, task: Task) {
+        self.waiting.push(task);
     }
 
-    /// Whether a query could start, if the group is known.
+    /// Whether a query could start, if a group is known.
     pub(super) fn is_ready(&self) -> bool {
         self.query.is_none() && !self.waiting.is_empty()
     }
 
     pub(super) fn next_wake(&self) -> Option<Duration> {
-        let started = self.query.iter().flat_map(|query| query.items.iter());
-        let deadline = self.waiting.iter().chain(started).map(|item| item.deadline).min();
-        let resend = self.query.as_ref().map(|query| query.resend_at);
-        earlier(deadline, resend).filter(|at| *at != Duration::MAX)
+        let started = self.query.iter().flat_map(|query| query.tasks.iter());
+        let deadline = self.waiting.iter().chain(started).map(|task| task.deadline).min();
+        let retry = self.query.as_ref().map(|query| query.retry.due_at());
+        earlier(deadline, retry).filter(|at| *at != Duration::MAX)
     }
 
-    /// Starts a query for all that wait, if none is under way.
-    pub(super) fn start(&mut self, core: &mut Core, known: Option<Proposal>) {
-        if !self.is_ready() {
-            return;
-        }
-        let Some(known) = known else {
+    /// Starts a query for all waiting tasks, if none is in flight.
+    pub(super) fn start_query(&mut self, context: &mut Context, known: Option<Proposal>) {
+        let Some(known) = known.filter(|_| self.is_ready()) else {
             return;
         };
         self.started += 1;
         let mut query = Query {
-            request: core.nonce.wrapping_mul(NONCE_SPREAD).wrapping_add(self.started),
-            items: std::mem::take(&mut self.waiting),
-            start: known.clone(),
+            request: context.nonce.wrapping_mul(NONCE_SPREAD).wrapping_add(self.started),
+            tasks: std::mem::take(&mut self.waiting),
+            known: known.clone(),
             newest: known,
-            votes: Votes::new(&core.settings),
-            asked: Vec::new(),
-            resend_at: core.now + core.settings.retry_interval,
-            interval: core.settings.retry_interval,
+            votes: Votes::new(&context.settings),
+            sent_to: Vec::new(),
+            retry: RetryTimer::start(context),
         };
-        query.ask(core, &query.start.value.members());
+        query.send_to_new(context, &query.known.value.members());
         self.query = Some(query);
     }
 
-    pub(super) fn on_state(
+    /// Counts a reply; answers the tasks once the newest value is known to be committed.
+    pub(super) fn on_read_reply(
         &mut self,
-        core: &mut Core,
-        proposer: &mut Proposer,
+        context: &mut Context,
         from: Node,
         request: u64,
-        voter: (u64, Floors),
-        state: (Ballot, Ballot, Carried),
-    ) {
+        reply: ReadReply,
+    ) -> TasksToPropose {
         let Some(query) = self.query.as_mut().filter(|query| query.request == request) else {
-            return;
+            return Vec::new();
         };
-        let (promised, accepted, value) = state;
+        let ReadReply { voter, promised, accepted, value } = reply;
         match value.into_value() {
             Some(value) if accepted > query.newest.ballot => {
                 query.newest = Proposal { ballot: accepted, value };
             }
-            None if accepted > query.newest.ballot => return,
+            None if accepted > query.newest.ballot => return Vec::new(),
             _ => {}
         }
-        query.votes.insert(from, voter.0, voter.1, Told { promised, accepted });
+        query.votes.insert(from, voter, AcceptorState { promised, accepted });
         let groups = query.groups();
-        query.ask(core, &members(&groups));
-        if !query.votes.satisfy(&groups, |_| true) {
-            return;
+        query.send_to_new(context, &members(&groups));
+        if !query.votes.have_majorities(&groups, |_| true) {
+            return Vec::new();
         }
-        if query.is_decided(core) {
-            self.finish(core, proposer);
+        if query.is_committed(context) {
+            self.answer_tasks(context)
         } else if members(&groups).iter().all(|node| query.votes.counts(*node)) {
-            self.repair(proposer);
+            self.abandon_query()
+        } else {
+            Vec::new()
         }
     }
 
-    /// A replica can be reached again: it is asked again unless it has answered.
-    pub(super) fn reach(&self, core: &mut Core, node: Node) {
-        if let Some(query) = self.query.as_ref().filter(|query| query.awaits(node)) {
-            core.send(node, query.message());
+    /// A replica is reachable again: it gets the query again unless it has replied.
+    pub(super) fn on_reachable(&self, context: &mut Context, node: Node) {
+        if let Some(query) = self.query.as_ref().filter(|query| query.is_awaiting(node)) {
+            context.send(node, query.message());
         }
     }
 
-    /// Gives up what is late, asks the silent again, repairs what stays undecided.
-    pub(super) fn on_tick(&mut self, core: &mut Core, proposer: &mut Proposer) {
-        self.expire(core);
-        let Some(query) = &mut self.query else {
-            return;
+    /// Expires tasks and sends the query again to those that have not replied. A query that a majority has
+    /// answered without showing the newest value to be committed is abandoned.
+    pub(super) fn on_tick(&mut self, context: &mut Context) -> TasksToPropose {
+        self.expire_tasks(context);
+        let Some(query) = self.query.as_mut().filter(|query| query.retry.is_due(context)) else {
+            return Vec::new();
         };
-        if query.resend_at > core.now {
-            return;
+        if query.votes.have_majorities(&query.groups(), |_| true) {
+            return self.abandon_query();
         }
-        if query.votes.satisfy(&query.groups(), |_| true) {
-            return self.repair(proposer);
-        }
-        query.interval = core.longer(query.interval);
-        query.resend_at = core.now + query.interval;
-        let silent: Vec<Node> = query.asked.iter().copied().filter(|node| query.awaits(*node)).collect();
-        for node in silent {
-            core.send(node, query.message());
+        query.retry.back_off(context);
+        for node in query.sent_to.iter().filter(|node| query.is_awaiting(**node)) {
+            context.send(*node, query.message());
         }
+        Vec::new()
     }
 
-    fn expire(&mut self, core: &mut Core) {
-        let now = core.now;
-        let started = self.query.as_mut().map(|query| &mut query.items);
-        for items in started.into_iter().chain([&mut self.waiting]) {
-            for item in items.iter_mut().filter(|item| item.deadline <= now) {
-                core.done(item.request.take(), expired(&item.work, false));
+    fn expire_tasks(&mut self, context: &mut Context) {
+        let now = context.now;
+        let started = self.query.as_mut().map(|query| &mut query.tasks);
+        for tasks in started.into_iter().chain([&mut self.waiting]) {
+            for task in tasks.iter_mut().filter(|task| task.deadline <= now) {
+                context.complete(task.request.take(), task.timeout_outcome(false));
             }
-            items.retain(|item| item.deadline > now);
+            tasks.retain(|task| task.deadline > now);
         }
-        self.query.take_if(|query| query.items.is_empty());
+        self.query.take_if(|query| query.tasks.is_empty());
     }
 
-    /// A decided value learned from elsewhere may settle the query, or show it newer groups.
-    pub(super) fn on_learned(&mut self, core: &mut Core, proposer: &mut Proposer) {
-        let Some((query, decided)) = self.query.as_mut().zip(core.decided.clone()) else {
-            return;
+    /// A committed value that was learned from elsewhere may complete the query, or show it newer groups.
+    pub(super) fn on_committed(&mut self, context: &mut Context) -> TasksToPropose {
+        let Some((query, committed)) = self.query.as_mut().zip(context.committed.clone()) else {
+            return Vec::new();
         };
-        if decided.ballot < query.newest.ballot {
-            return;
+        if committed.ballot < query.newest.ballot {
+            return Vec::new();
         }
-        query.start = decided.clone();
-        query.newest = decided;
+        query.known = committed.clone();
+        query.newest = committed;
         let groups = query.groups();
-        query.ask(core, &members(&groups));
-        if query.votes.satisfy(&groups, |_| true) {
-            self.finish(core, proposer);
-        }
+        query.send_to_new(context, &members(&groups));
+        if query.votes.have_majorities(&groups, |_| true) { self.answer_tasks(context) } else { Vec::new() }
     }
 
-    /// Answers with the newest value.
-    fn finish(&mut self, core: &mut Core, proposer: &mut Proposer) {
+    /// Answers the tasks from the newest value; commands that would change it are left over.
+    fn answer_tasks(&mut self, context: &mut Context) -> TasksToPropose {
         let Some(query) = self.query.take() else {
-            return;
+            return Vec::new();
         };
         let Proposal { ballot, value } = query.newest;
-        core.learn(ballot, &value);
-        for item in query.items {
-            match &item.work {
-                Work::Command(command) => match core.machine.apply(&value.state, command) {
-                    Applied::Changed { .. } => proposer.push(item),
-                    Applied::Unchanged { answer } => {
-                        core.done(item.request, Outcome::Unchanged { revision: value.revision, answer });
-                    }
-                    Applied::Refused { answer } => {
-                        core.done(item.request, Outcome::Refused { revision: value.revision, answer });
-                    }
-                },
-                _ => {
-                    let (revision, state) = (value.revision, value.state.clone());
-                    core.done(item.request, Outcome::Value { revision, state });
-                }
+        context.record_committed(ballot, &value);
+        let mut to_propose = Vec::new();
+        for task in query.tasks {
+            match read_outcome(context, &task, &value) {
+                Some(outcome) => context.complete(task.request, outcome),
+                None => to_propose.push(task),
             }
         }
+        to_propose
     }
 
-    /// Leaves the items to the proposer, which gets the newest value decided.
-    fn repair(&mut self, proposer: &mut Proposer) {
-        for item in self.query.take().into_iter().flat_map(|query| query.items) {
-            proposer.push(item);
-        }
+    /// Gives the query up: the proposer has to get the newest value committed.
+    fn abandon_query(&mut self) -> TasksToPropose {
+        self.query.take().map(|query| query.tasks).unwrap_or_default()
+    }
+}
+
+/// The outcome of a task that changes nothing; `None` for a command that would change the value.
+fn read_outcome(context: &Context, task: &Task, value: &Value) -> Option<Outcome> {
+    let revision = value.revision;
+    let Operation::Command(command) = &task.operation else {
+        return Some(Outcome::Value { revision, state: value.state.clone() });
+    };
+    match context.state_machine.apply(&value.state, command) {
+        Applied::Changed { .. } => None,
+        Applied::Unchanged { answer } => Some(Outcome::Unchanged { revision, answer }),
+        Applied::Refused { answer } => Some(Outcome::Refused { revision, answer }),
     }
 }
 
 impl Query {
     fn message(&self) -> Message {
-        Message::Query { request: self.request, known: self.start.ballot }
+        Message::ReadQuery { request: self.request, known: self.known.ballot }
     }
 
-    fn awaits(&self, node: Node) -> bool {
-        self.asked.contains(&node) && !self.votes.counts(node)
+    fn is_awaiting(&self, node: Node) -> bool {
+        self.sent_to.contains(&node) && !self.votes.counts(node)
     }
 
+    /// Groups of which a majority has to reply.
     fn groups(&self) -> Vec<Group> {
-        union(&self.start.value.groups, &self.newest.value.groups)
+        union(&self.known.value.groups, &self.newest.value.groups)
     }
 
-    fn ask(&mut self, core: &mut Core, nodes: &[Node]) {
+    /// Sends the query to those that have not got it.
+    fn send_to_new(&mut self, context: &mut Context, nodes: &[Node]) {
         for node in nodes {
-            if !self.asked.contains(node) {
-                self.asked.push(*node);
-                core.send(*node, self.message());
+            if !self.sent_to.contains(node) {
+                self.sent_to.push(*node);
+                context.send(*node, self.message());
             }
         }
     }
 
-    /// Whether the newest value is decided. A recovered replica may hold a value below its promise that it
+    /// Whether the newest value is committed. A recovered replica may hold a value below its promise that it
     /// never voted for, so only those count whose promise is that same ballot.
-    fn is_decided(&self, core: &Core) -> bool {
+    fn is_committed(&self, context: &Context) -> bool {
         let newest = self.newest.ballot;
-        let known = core.decided.as_ref().is_some_and(|decided| decided.ballot == newest);
-        let accepted = |told: &Told| told.accepted == newest && told.promised == newest;
+        let known = context.committed.as_ref().is_some_and(|committed| committed.ballot == newest);
+        let accepted = |state: &AcceptorState| state.accepted == newest && state.promised == newest;
         known
-            || core.settings.has(Fault::ReadUndecided)
-            || self.votes.satisfy(&self.newest.value.groups, accepted)
+            || context.settings.has(Fault::ReadUncommitted)
+            || self.votes.have_majorities(&self.newest.value.groups, accepted)
     }
 }
--- a/crates/coordination/src/storage/simulated.rs
+++ b/crates/coordination/src/storage/simulated.rs
@@ -1,4 +1,4 @@
-//! A simulated folder: what is not synced may be lost, torn or kept when power is lost.
+//! A simulated directory: what is not synced may be lost, truncated or retained when power is lost.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -6,7 +6,7 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// A change of names that no sync of the folder has covered yet.
+/// A change of names that is not synced yet.
 #[derive(Debug, Clone)]
 enum NameChange {
     Named { name: String, content: Vec<u8> },
@@ -15,7 +15,7 @@
 }
 
 impl NameChange {
-    /// What is left of this change once a new file of that name is durable.
+    /// What remains of this change once a new file named `replaced` is durable.
     fn without(self, replaced: &str) -> Option<Self> {
         match self {
             Self::Named { name, .. } | Self::Removed { name } if name == replaced => None,
@@ -35,46 +35,46 @@
     synced: bool,
 }
 
-/// A folder in memory with the rules of a disk.
+/// A directory in memory with the durability of a disk.
 #[derive(Debug, Clone, Default)]
 pub struct SimulatedDirectory {
     /// Files as a running process sees them.
     files: BTreeMap<String, Content>,
-    /// Files that outlast a loss of power.
+    /// Files that survive a loss of power.
     durable: BTreeMap<String, Vec<u8>>,
     unsynced: Vec<NameChange>,
-    /// Bytes that fit, if limited.
+    /// Capacity in bytes, if limited.
     pub capacity: Option<usize>,
-    /// Whether every write is refused.
-    pub refusing: bool,
-    /// Steps until the machine stops, if it is about to.
-    pub steps_left: Option<u32>,
+    /// Whether every write fails.
+    pub rejects_writes: bool,
+    /// Operations until the machine stops, if it is about to.
+    pub operations_until_crash: Option<u32>,
 }
 
 impl SimulatedDirectory {
-    /// An empty folder.
+    /// An empty directory.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Power is lost: each thing not synced is kept, torn or lost; at times all of it is lost.
+    /// Power is lost: each unsynced change is retained, truncated or lost; at times all are lost.
     pub fn lose_power(&mut self, random: &mut SmallRng) {
-        let keeps = !random.random_bool(0.25);
+        let retains_some = !random.random_bool(0.25);
         for (name, content) in std::mem::take(&mut self.files) {
-            if !content.synced && keeps && random.random_bool(0.5) {
-                let kept = random.random_range(0..=content.written.len());
-                self.durable.insert(name, content.written[..kept].to_vec());
+            if !content.synced && retains_some && random.random_bool(0.5) {
+                let length = random.random_range(0..=content.written.len());
+                self.durable.insert(name, content.written[..length].to_vec());
             }
         }
         for change in std::mem::take(&mut self.unsynced) {
-            if keeps && random.random_bool(0.5) {
+            if retains_some && random.random_bool(0.5) {
                 self.make_durable(change);
             }
         }
-        let whole = |written: &Vec<u8>| Content { written: written.clone(), synced: true };
-        self.files = self.durable.iter().map(|(name, written)| (name.clone(), whole(written))).collect();
-        self.steps_left = None;
+        let synced = |written: &Vec<u8>| Content { written: written.clone(), synced: true };
+        self.files = self.durable.iter().map(|(name, written)| (name.clone(), synced(written))).collect();
+        self.operations_until_crash = None;
     }
 
     /// The disk is replaced by an empty one.
@@ -98,9 +98,9 @@
         }
     }
 
-    /// Counts a step; fails once the machine has stopped.
-    fn step(&mut self) -> io::Result<()> {
-        match &mut self.steps_left {
+    /// Counts an operation; fails once the machine has stopped.
+    fn count_operation(&mut self) -> io::Result<()> {
+        match &mut self.operations_until_crash {
             Some(0) => Err(io::Error::other("the machine has stopped")),
             Some(left) => {
                 *left -= 1;
@@ -116,11 +116,11 @@
 
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.files.remove(name);
-        let room = self.capacity.map_or(usize::MAX, |capacity| capacity.saturating_sub(self.used()));
-        let fits = if self.refusing { 0 } else { bytes.len().min(room) };
+        let free_space = self.capacity.map_or(usize::MAX, |capacity| capacity.saturating_sub(self.used()));
+        let fits = if self.rejects_writes { 0 } else { bytes.len().min(free_space) };
         let content = Content { written: bytes[..fits].to_vec(), synced: false };
         self.files.insert(name.to_owned(), content);
-        if fits < bytes.len() || self.refusing {
+        if fits < bytes.len() || self.rejects_writes {
             return Err(io::ErrorKind::StorageFull.into());
         }
         Ok(())
@@ -138,9 +138,9 @@
     }
 
     fn write_new(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         self.write(name, bytes)?;
-        self.step()?;
+        self.count_operation()?;
         if let Some(content) = self.files.get_mut(name) {
             content.synced = true;
         }
@@ -151,7 +151,7 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         let content = self.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
         self.files.insert(to.to_owned(), content);
         let content = self.durable.get(from).cloned().unwrap_or_default();
@@ -160,14 +160,14 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.step()?;
+        self.count_operation()?;
         self.files.remove(name).ok_or(io::ErrorKind::NotFound)?;
         self.unsynced.push(NameChange::Removed { name: name.to_owned() });
         Ok(())
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
-        self.step()?;
+    fn sync(&mut self) -> io::Result<()> {
+        self.count_operation()?;
         for change in std::mem::take(&mut self.unsynced) {
             self.make_durable(change);
         }
--- a/crates/coordination/tests/modelled_register/mod.rs
+++ b/crates/coordination/tests/modelled_register/mod.rs
@@ -7,16 +7,16 @@
 use std::time::Duration;
 
 use lanegate_coordination::register::{
-    Applied, Ballot, Carried, Fault, Input, Message, Node, Outcome, Output, Record, Replica, Settings,
-    StateMachine, Value,
+    Applied, Ballot, Fault, Input, Message, Node, Outcome, Output, Record, Replica, Settings, StateMachine,
+    Value, ValueTransfer,
 };
 use stateright::{Model, Property};
 
 const FOUNDERS: usize = 3;
 const REPLICAS: usize = 4;
 const PROPOSERS: [usize; 2] = [2, 3];
-pub const A: usize = 0;
-pub const B: usize = 1;
+pub(crate) const A: usize = 0;
+pub(crate) const B: usize = 1;
 const D: usize = 3;
 
 struct Append;
@@ -37,7 +37,7 @@
 
 /// A message on its way; its bytes order and compare it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Envelope {
+pub(crate) struct Envelope {
     from: usize,
     to: usize,
     bytes: Vec<u8>,
@@ -45,7 +45,7 @@
 
 /// What a founder suffers that proposes nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub(crate) enum Trouble {
     Wipe(usize),
     Restart(usize),
 }
@@ -60,7 +60,7 @@
 
 /// What the first proposer asks for; the second one always asks for a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Change {
+pub(crate) enum Change {
     Command,
     /// `a` leaves.
     Leave,
@@ -71,7 +71,7 @@
 impl Change {
     fn input(self, proposer: usize) -> Input {
         let (request, deadline) = (proposer as u64, Duration::MAX);
-        let members = |add| Input::ProposeMembers { request, remove: vec![node(A)], add, deadline };
+        let members = |add| Input::ChangeMembers { request, remove: vec![node(A)], add, deadline };
         match self {
             Change::Command => Input::Propose { request, command: vec![letter(proposer)], deadline },
             Change::Leave => members(Vec::new()),
@@ -86,14 +86,14 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Action {
+pub(crate) enum Action {
     Deliver(Envelope),
     Propose(usize),
     Trouble,
 }
 
 #[derive(Clone)]
-pub struct State {
+pub(crate) struct State {
     replicas: Vec<Arc<Replica>>,
     disks: Vec<Option<Record>>,
     network: BTreeSet<Envelope>,
@@ -163,16 +163,16 @@
                     self.acknowledged.insert(request as usize, revision);
                 }
                 Output::Done { .. } => {}
-                Output::Learned { value } => self.learn(value),
+                Output::Committed { value } => self.learn(value),
             }
         }
     }
 
     /// Reads, refusals and news of decisions are left out: they change no vote.
     fn send(&mut self, from: usize, to: usize, message: &Message) {
-        let reads = matches!(message, Message::Query { .. } | Message::State { .. });
-        let news = matches!(message, Message::Inquire { .. } | Message::Decided { .. });
-        let left_out = reads || news || matches!(message, Message::Refused { .. });
+        let reads = matches!(message, Message::ReadQuery { .. } | Message::ReadReply { .. });
+        let news = matches!(message, Message::PollCommitted { .. } | Message::Committed { .. });
+        let left_out = reads || news || matches!(message, Message::Rejected { .. });
         if !left_out {
             self.network.insert(Envelope { from, to, bytes: message.encode().unwrap() });
         }
@@ -196,7 +196,7 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct Register {
+pub(crate) struct Register {
     pub change: Change,
     /// One after the other, each at any time.
     pub troubles: Vec<Trouble>,
@@ -228,8 +228,8 @@
             broken: false,
         };
         (0..REPLICAS).for_each(|index| state.flush(index));
-        let value = Carried::Full(Value::initial(founders(), bytes::Bytes::new()));
-        let message = Message::Decided { ballot: Ballot::ZERO, value };
+        let value = ValueTransfer::Full(Value::initial(founders(), bytes::Bytes::new()));
+        let message = Message::Committed { ballot: Ballot::ZERO, value };
         state.input(FOUNDERS, Input::Message { from: node(1), message });
         state.deliver_all();
         vec![state]
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! A simulated service: endpoints that obey orders, routers that report demand, a network that loses
-//! messages, and checks of every limit at every step.
+//! A simulated service: endpoints that obey orders, routers that report demand, a network that loses messages, and
+//! checks of every limit at every step.
 #![allow(dead_code)]
 
-pub mod check;
-pub mod digest;
-pub mod fleet;
-pub mod random;
-pub mod simulation;
+pub(crate) mod check;
+pub(crate) mod digest;
+pub(crate) mod fleet;
+pub(crate) mod random;
+pub(crate) mod simulation;
