--- a/crates/router/tests/exchanges/client.rs
+++ b/crates/router/tests/exchanges/client.rs
@@ -1,7 +1,7 @@
 //! Clients that ask as the script says and hold every byte that they get to their own requests.
 
 use super::record::Record;
-use super::script::{Ask, Route, answer_body, request_body, split};
+use super::script::{ClientAction, Route, answer_body, request_body, split};
 use hyper::header::HeaderMap;
 use lanegate_router::endpoint::chunk_scanner::ChunkScanner;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 }
 
 /// Ids have no hexadecimal digits, so that no part of one looks like the length of a chunk.
-fn letter(number: usize) -> char {
+fn label(number: usize) -> char {
     char::from(b'g' + u8::try_from(number).unwrap())
 }
 
@@ -47,7 +47,12 @@
 }
 
 /// Does all that one client does.
-pub(crate) async fn ask_all(address: SocketAddr, number: usize, asks: Vec<Ask>, record: Rc<Record>) {
+pub(crate) async fn perform(
+    address: SocketAddr,
+    number: usize,
+    actions: Vec<ClientAction>,
+    record: Rc<Record>,
+) {
     let stream = connect(address).await;
     let mut client = Client {
         address,
@@ -58,24 +63,24 @@
         own: Vec::new(),
         record,
     };
-    for (count, ask) in asks.into_iter().enumerate() {
-        let id = format!("{}-{}", letter(number), letter(count));
-        match ask {
-            Ask::Request { route, body, in_chunks, cuts, pipelined } => {
+    for (count, action) in actions.into_iter().enumerate() {
+        let id = format!("{}-{}", label(number), label(count));
+        match action {
+            ClientAction::Request { route, body, in_chunks, segments, pipelined } => {
                 let bytes = client.request(&id, route, body, in_chunks);
-                client.send(&bytes, &cuts).await;
+                client.send(&bytes, &segments).await;
                 client.pending.push((id, route));
                 if !pipelined {
                     client.read_pending().await;
                 }
             }
-            Ask::Leave { route, after } => {
+            ClientAction::Disconnect { route, after } => {
                 client.read_pending().await;
                 let bytes = client.request(&id, route, 20, false);
                 client.send(&bytes[..after % (bytes.len() + 1)], &[]).await;
                 client.reconnect().await;
             }
-            Ask::Junk(bytes) => {
+            ClientAction::Garbage(bytes) => {
                 client.read_pending().await;
                 client.send(&bytes, &[]).await;
                 let _ = client.stream.shutdown().await;
@@ -91,7 +96,7 @@
 impl Client {
     fn request(&mut self, id: &str, route: Route, body: usize, in_chunks: bool) -> Vec<u8> {
         let body = request_body(id, body);
-        self.record.asks(id, body.clone(), route.may_run_again());
+        self.record.record_request(id, body.clone(), route.may_run_again());
         self.own.push(id.to_owned());
         let framed = if in_chunks && !body.is_empty() {
             format!("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n", body.len())
@@ -105,8 +110,8 @@
         (head + &framed).into_bytes()
     }
 
-    async fn send(&mut self, bytes: &[u8], cuts: &[usize]) {
-        for piece in split(bytes, cuts) {
+    async fn send(&mut self, bytes: &[u8], segments: &[usize]) {
+        for piece in split(bytes, segments) {
             if self.stream.write_all(piece).await.is_err() {
                 return;
             }
@@ -153,7 +158,7 @@
     }
 
     fn check(&self, id: &str, route: Route, answer: &Answer) {
-        self.record.told(id, answer.status);
+        self.record.record_client_answer(id, answer.status);
         let own_id = answer.headers.get("attempt-id").is_some_and(|told| told == id);
         let is_stamped = answer.headers.contains_key("server-signature");
         let is_right = match answer.status {
@@ -164,7 +169,8 @@
         };
         if !is_right {
             let body = String::from_utf8_lossy(&answer.body);
-            self.record.is_wrong(format!("{id} was told {} {:?} {body:?}", answer.status, answer.headers));
+            self.record
+                .record_violation(format!("{id} was told {} {:?} {body:?}", answer.status, answer.headers));
         }
     }
 
@@ -174,7 +180,7 @@
         for named in text.split('[').skip(1) {
             let id = named.split(']').next().unwrap_or_default();
             if named.contains(']') && !self.own.iter().any(|own| own == id) {
-                self.record.is_wrong(format!(
+                self.record.record_violation(format!(
                     "bytes of the answer to {id} came to one that asked for {:?}",
                     self.own
                 ));
--- a/crates/router/tests/exchanges/endpoint.rs
+++ b/crates/router/tests/exchanges/endpoint.rs
@@ -23,12 +23,12 @@
 /// What becomes of a connection after an answer.
 enum After {
     /// Bytes that come once the next request is there.
-    Goes {
+    Continue {
         late: Vec<u8>,
     },
     /// Bytes that belong to nothing may meet the next request, which then has no proper answer.
     Tainted,
-    Ends,
+    End,
 }
 
 async fn serve_connection(mut upstream: Upstream, record: Rc<Record>) {
@@ -41,9 +41,9 @@
             record.has_no_answer(&request);
         }
         match after {
-            After::Goes { late: next } => late = next,
+            After::Continue { late: next } => late = next,
             After::Tainted => is_tainted = true,
-            After::Ends => return,
+            After::End => return,
         }
     }
 }
@@ -52,84 +52,84 @@
     let id = request.header("Attempt-Id").unwrap_or_default().to_owned();
     let route = Route::of(&request.first_line);
     let before = record.arrived(&id, request.text());
-    let Answer { reply, framing, cuts } = record.next_answer();
+    let Answer { reply, framing, segments } = record.next_answer();
     let after = request.header("Last-Event-Id").map_or(0, |id| id.parse().unwrap());
-    let whole = whole(&id, route, &answer_body(route, &id, after), framing);
-    let stays = if framing == Framing::Absent { After::Ends } else { After::Goes { late: Vec::new() } };
-    if !matches!(reply, Reply::TurnedAway { .. }) {
-        record.runs(&id);
+    let bytes_of_answer = complete(&id, route, &answer_body(route, &id, after), framing);
+    let stays = if framing == Framing::Absent { After::End } else { After::Continue { late: Vec::new() } };
+    if !matches!(reply, Reply::Rejected { .. }) {
+        record.record_execution(&id);
     }
     match reply {
-        Reply::Whole => {
-            write(stream, &whole, &cuts).await;
+        Reply::Complete => {
+            write(stream, &bytes_of_answer, &segments).await;
             record.answered(&id, 200);
             stays
         }
         Reply::Twice { late } if framing != Framing::Absent => {
-            write(stream, &whole, &cuts).await;
+            write(stream, &bytes_of_answer, &segments).await;
             record.answered(&id, 200);
             if late {
-                return After::Goes { late: whole };
+                return After::Continue { late: bytes_of_answer };
             }
-            write(stream, &whole, &cuts).await;
+            write(stream, &bytes_of_answer, &segments).await;
             stays
         }
         Reply::Trailing(bytes) if framing != Framing::Absent => {
-            write(stream, &[&whole[..], &bytes].concat(), &cuts).await;
+            write(stream, &[&bytes_of_answer[..], &bytes].concat(), &segments).await;
             record.answered(&id, 200);
             After::Tainted
         }
         Reply::Twice { .. } | Reply::Trailing(_) => {
-            write(stream, &whole, &cuts).await;
+            write(stream, &bytes_of_answer, &segments).await;
             record.answered(&id, 200);
-            After::Ends
+            After::End
         }
-        Reply::TurnedAway { twice } => {
+        Reply::Rejected { twice } => {
             let bytes = format!(
                 "HTTP/1.1 503 Full\r\nAttempt-Id: {id}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
             );
-            write(stream, bytes.as_bytes(), &cuts).await;
-            After::Goes { late: if twice { bytes.into_bytes() } else { Vec::new() } }
+            write(stream, bytes.as_bytes(), &segments).await;
+            After::Continue { late: if twice { bytes.into_bytes() } else { Vec::new() } }
         }
         Reply::Foreign => {
             let other = before.filter(|other| *other != id).unwrap_or_else(|| format!("{id}0"));
-            write(stream, &self::whole(&other, route, &answer_body(route, &other, 0), framing), &cuts).await;
+            write(stream, &complete(&other, route, &answer_body(route, &other, 0), framing), &segments).await;
             stays
         }
-        Reply::Unproved => {
+        Reply::Unproven => {
             let bytes = format!(
                 "HTTP/1.1 503 Full\r\nAttempt-Id: {id}\r\nServer-Signature: s\r\nContent-Length: 0\r\n\r\n"
             );
-            write(stream, bytes.as_bytes(), &cuts).await;
+            write(stream, bytes.as_bytes(), &segments).await;
             stays
         }
         Reply::Failure => {
             let bytes = format!(
                 "HTTP/1.1 500 No\r\nAttempt-Id: {id}\r\nServer-Signature: s\r\nContent-Length: 0\r\n\r\n"
             );
-            write(stream, bytes.as_bytes(), &cuts).await;
+            write(stream, bytes.as_bytes(), &segments).await;
             if after == 0 {
                 record.answered(&id, 500);
             }
-            After::Goes { late: Vec::new() }
+            After::Continue { late: Vec::new() }
         }
         Reply::Break { at, is_reset } => {
-            write(stream, &whole[..at % whole.len()], &cuts).await;
+            write(stream, &bytes_of_answer[..at % bytes_of_answer.len()], &segments).await;
             // An end in order would make an answer without a length whole.
             if is_reset || framing == Framing::Absent {
                 stream.set_zero_linger().unwrap();
             }
-            After::Ends
+            After::End
         }
         Reply::Garbage(bytes) => {
-            write(stream, &bytes, &cuts).await;
-            After::Ends
+            write(stream, &bytes, &segments).await;
+            After::End
         }
     }
 }
 
 /// A whole answer with a stamp.
-fn whole(id: &str, route: Route, body: &str, framing: Framing) -> Vec<u8> {
+fn complete(id: &str, route: Route, body: &str, framing: Framing) -> Vec<u8> {
     let kind = if route.is_stream() { "text/event-stream" } else { "text/plain" };
     let head = format!(
         "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nServer-Signature: s\r\nKeep-Alive: timeout=5\r\nContent-Type: {kind}\r\n"
@@ -150,8 +150,8 @@
 }
 
 /// Writes bytes in pieces; the router may close meanwhile.
-async fn write(stream: &mut TcpStream, bytes: &[u8], cuts: &[usize]) {
-    for piece in split(bytes, cuts) {
+async fn write(stream: &mut TcpStream, bytes: &[u8], segments: &[usize]) {
+    for piece in split(bytes, segments) {
         if piece.is_empty() || stream.write_all(piece).await.is_err() {
             continue;
         }
--- a/crates/router/tests/exchanges/mod.rs
+++ b/crates/router/tests/exchanges/mod.rs
@@ -25,14 +25,14 @@
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().start_paused(true).build().unwrap();
     runtime.block_on(LocalSet::new().run_until(async {
-        match timeout(GUARD, play(script, fault)).await {
-            Ok(record) => record.verdict(),
+        match timeout(GUARD, run(script, fault)).await {
+            Ok(record) => record.first_violation(),
             Err(_) => Some("the play hangs".into()),
         }
     }))
 }
 
-async fn play(script: &Script, fault: Option<RouterFault>) -> Rc<Record> {
+async fn run(script: &Script, fault: Option<RouterFault>) -> Rc<Record> {
     let record = Rc::new(Record::new(script));
     let mut endpoints = Vec::new();
     for number in 0..script.endpoints {
@@ -46,9 +46,9 @@
         .clients
         .iter()
         .enumerate()
-        .map(|(number, asks)| {
-            let (asks, record) = (asks.clone(), record.clone());
-            spawn_local(client::ask_all(router.address, number, asks, record))
+        .map(|(number, actions)| {
+            let (actions, record) = (actions.clone(), record.clone());
+            spawn_local(client::perform(router.address, number, actions, record))
         })
         .collect();
     for client in clients {
--- a/crates/router/tests/exchanges/record.rs
+++ b/crates/router/tests/exchanges/record.rs
@@ -33,12 +33,12 @@
 
     /// How the endpoint that got a request answers it.
     pub(crate) fn next_answer(&self) -> Answer {
-        let whole = || Answer { reply: Reply::Whole, framing: Framing::Length, cuts: Vec::new() };
-        self.answers.borrow_mut().pop_front().unwrap_or_else(whole)
+        let complete = || Answer { reply: Reply::Complete, framing: Framing::Length, segments: Vec::new() };
+        self.answers.borrow_mut().pop_front().unwrap_or_else(complete)
     }
 
     /// A client is about to send a request.
-    pub(crate) fn asks(&self, id: &str, body: String, may_run_again: bool) {
+    pub(crate) fn record_request(&self, id: &str, body: String, may_run_again: bool) {
         let mut seen = self.seen.borrow_mut();
         seen.asked.insert(id.into(), body);
         if may_run_again {
@@ -62,7 +62,7 @@
     }
 
     /// An endpoint has begun to work on a request.
-    pub(crate) fn runs(&self, id: &str) {
+    pub(crate) fn record_execution(&self, id: &str) {
         *self.seen.borrow_mut().runs.entry(id.into()).or_default() += 1;
     }
 
@@ -78,16 +78,16 @@
     }
 
     /// A client was told the end of its request.
-    pub(crate) fn told(&self, id: &str, status: u16) {
+    pub(crate) fn record_client_answer(&self, id: &str, status: u16) {
         self.seen.borrow_mut().told.insert(id.into(), status);
     }
 
-    pub(crate) fn is_wrong(&self, text: String) {
+    pub(crate) fn record_violation(&self, text: String) {
         self.seen.borrow_mut().wrong.push(text);
     }
 
     /// What is wrong, if anything is.
-    pub(crate) fn verdict(&self) -> Option<String> {
+    pub(crate) fn first_violation(&self) -> Option<String> {
         let seen = self.seen.borrow();
         let mut wrong = seen.wrong.clone();
         for (id, runs) in &seen.runs {
--- a/crates/router/tests/exchanges/script.rs
+++ b/crates/router/tests/exchanges/script.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Script {
     pub endpoints: usize,
-    pub clients: Vec<Vec<Ask>>,
+    pub clients: Vec<Vec<ClientAction>>,
     /// One for each request that reaches an endpoint, in order; later ones get a whole answer.
     pub answers: Vec<Answer>,
 }
@@ -22,19 +22,19 @@
 
 /// What a client does next.
 #[derive(Debug, Clone)]
-pub(crate) enum Ask {
+pub(crate) enum ClientAction {
     Request {
         route: Route,
         body: usize,
         in_chunks: bool,
-        cuts: Vec<usize>,
+        segments: Vec<usize>,
         /// Whether the next one is sent before the answer has come.
         pipelined: bool,
     },
     /// Sends a part of a request and leaves.
-    Leave { route: Route, after: usize },
+    Disconnect { route: Route, after: usize },
     /// Sends bytes that are no request.
-    Junk(Vec<u8>),
+    Garbage(Vec<u8>),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -50,12 +50,12 @@
 pub(crate) struct Answer {
     pub reply: Reply,
     pub framing: Framing,
-    pub cuts: Vec<usize>,
+    pub segments: Vec<usize>,
 }
 
 #[derive(Debug, Clone)]
 pub(crate) enum Reply {
-    Whole,
+    Complete,
     /// The same answer twice: at once, or when the next request has come.
     Twice {
         late: bool,
@@ -63,13 +63,13 @@
     /// Bytes behind the answer that belong to nothing.
     Trailing(Vec<u8>),
     /// 503 with `Not-Executed`, perhaps a second time when the next request has come.
-    TurnedAway {
+    Rejected {
         twice: bool,
     },
     /// The answer to another request.
     Foreign,
     /// 503 without `Not-Executed`.
-    Unproved,
+    Unproven,
     Failure,
     /// The answer up to a place, and then a reset or an end.
     Break {
@@ -79,7 +79,7 @@
     Garbage(Vec<u8>),
 }
 
-fn cuts() -> impl Strategy<Value = Vec<usize>> {
+fn segments() -> impl Strategy<Value = Vec<usize>> {
     vec(0_usize..600, 0..4)
 }
 
@@ -87,25 +87,25 @@
     prop_oneof![4 => Just(Route::Once), 1 => Just(Route::Again), 2 => Just(Route::Stream), 1 => Just(Route::Resumable)]
 }
 
-fn ask() -> impl Strategy<Value = Ask> {
-    let request = (route(), 0_usize..200, any::<bool>(), cuts(), prop::bool::weighted(0.2));
+fn client_action() -> impl Strategy<Value = ClientAction> {
+    let request = (route(), 0_usize..200, any::<bool>(), segments(), prop::bool::weighted(0.2));
     prop_oneof![
-        12 => request.prop_map(|(route, body, in_chunks, cuts, pipelined)| {
-            Ask::Request { route, body, in_chunks, cuts, pipelined }
+        12 => request.prop_map(|(route, body, in_chunks, segments, pipelined)| {
+            ClientAction::Request { route, body, in_chunks, segments, pipelined }
         }),
-        1 => (route(), 0_usize..400).prop_map(|(route, after)| Ask::Leave { route, after }),
-        1 => vec(any::<u8>(), 1..40).prop_map(Ask::Junk),
+        1 => (route(), 0_usize..400).prop_map(|(route, after)| ClientAction::Disconnect { route, after }),
+        1 => vec(any::<u8>(), 1..40).prop_map(ClientAction::Garbage),
     ]
 }
 
 fn reply() -> impl Strategy<Value = Reply> {
     prop_oneof![
-        6 => Just(Reply::Whole),
+        6 => Just(Reply::Complete),
         3 => any::<bool>().prop_map(|late| Reply::Twice { late }),
         1 => vec(any::<u8>(), 1..40).prop_map(Reply::Trailing),
-        3 => any::<bool>().prop_map(|twice| Reply::TurnedAway { twice }),
+        3 => any::<bool>().prop_map(|twice| Reply::Rejected { twice }),
         1 => Just(Reply::Foreign),
-        1 => Just(Reply::Unproved),
+        1 => Just(Reply::Unproven),
         1 => Just(Reply::Failure),
         3 => (0_usize..700, any::<bool>()).prop_map(|(at, is_reset)| Reply::Break { at, is_reset }),
         2 => any::<bool>().prop_map(|is_reset| Reply::Break { at: 0, is_reset }),
@@ -116,12 +116,12 @@
 fn answer() -> impl Strategy<Value = Answer> {
     let framing =
         prop_oneof![3 => Just(Framing::Length), 2 => Just(Framing::Chunks), 1 => Just(Framing::Absent)];
-    (reply(), framing, cuts()).prop_map(|(reply, framing, cuts)| Answer { reply, framing, cuts })
+    (reply(), framing, segments()).prop_map(|(reply, framing, segments)| Answer { reply, framing, segments })
 }
 
 /// Any play.
 pub(crate) fn script() -> impl Strategy<Value = Script> {
-    (1_usize..=2, vec(vec(ask(), 1..6), 1..4), vec(answer(), 0..16))
+    (1_usize..=2, vec(vec(client_action(), 1..6), 1..4), vec(answer(), 0..16))
         .prop_map(|(endpoints, clients, answers)| Script { endpoints, clients, answers })
 }
 
@@ -151,8 +151,8 @@
 }
 
 /// Splits bytes at the given places.
-pub(crate) fn split<'a>(bytes: &'a [u8], cuts: &[usize]) -> Vec<&'a [u8]> {
-    let mut ends: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).collect();
+pub(crate) fn split<'a>(bytes: &'a [u8], segments: &[usize]) -> Vec<&'a [u8]> {
+    let mut ends: Vec<usize> = segments.iter().map(|cut| cut % (bytes.len() + 1)).collect();
     ends.push(bytes.len());
     ends.sort_unstable();
     let mut begin = 0;
