--- a/crates/router/tests/attempts.rs
+++ b/crates/router/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request when an endpoint does not run it, breaks off, or sends what is no answer to it.
+//! Requests that an endpoint rejects, breaks off, or answers invalidly.
 
 mod common;
 
@@ -14,7 +14,7 @@
     )
 }
 
-/// Runs nothing, on whatever connection it is asked.
+/// Rejects all requests on all connections.
 async fn turn_all_away(endpoint: Endpoint) {
     loop {
         let mut upstream = endpoint.accept().await;
@@ -97,7 +97,7 @@
     });
 }
 
-/// Sends a request that may run once, lets the endpoint write `bytes`, and tells what the client gets.
+/// Sends a request that must not run twice, lets the endpoint write `bytes`, and returns the answer to the client.
 async fn what_comes_of(bytes: &'static str) -> Message {
     let endpoint = Endpoint::start("i-1").await;
     let router = Router::serving(&[&endpoint]).await;
--- a/crates/router/tests/before_configuration.rs
+++ b/crates/router/tests/before_configuration.rs
@@ -1,4 +1,4 @@
-//! Requests that reach a router before its first configuration wait for it, for a part of their time.
+//! Requests that arrive before the first configuration wait for a part of their time.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Asks for `/again/x` and tells how long an answer is waited for, ms.
+/// Sends a request for `/again/x` with this deadline in ms.
 async fn ask(client: &mut Client, id: &str, deadline_ms: u32) {
     let head = format!(
         "GET /again/x HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: {id}\r\nDeadline-Ms: {deadline_ms}\r\n\r\n"
--- a/crates/router/tests/byte_streams.rs
+++ b/crates/router/tests/byte_streams.rs
@@ -1,5 +1,5 @@
-//! Any bytes on both sides of a router, cut and reset anywhere: no byte of an answer reaches another caller, and
-//! what may run once is sent once. Deliberate mistakes are found by the same plays.
+//! Random exchanges with any segmentation and resets: no byte of an answer reaches another client, and a request that must
+//! not run twice is sent once. The same exchanges detect mutations of the router.
 
 mod common;
 mod exchanges;
@@ -12,12 +12,12 @@
 
 /// Cases of an ordinary run.
 const CASES: u32 = 1_000;
-/// Most cases in which a deliberate mistake has to be found.
+/// Maximum number of cases in which a mutation has to be detected.
 const FAULT_CASES: u32 = 4_000;
 /// Seed of an ordinary run.
 const SEED: u64 = 34;
 
-/// The same cases in every run, unless `PROPTEST_RNG_SEED` and `PROPTEST_CASES` ask for others.
+/// The same cases in every run, unless `PROPTEST_RNG_SEED` and `PROPTEST_CASES` are set.
 fn config(cases: u32) -> Config {
     let given = Config::default();
     let rng_seed = match given.rng_seed {
@@ -38,7 +38,7 @@
     }
 }
 
-/// What the plays find of a mistake.
+/// The violation by which a mutation is detected.
 fn found(fault: RouterFault) -> String {
     let config = Config { max_shrink_iters: 0, ..config(FAULT_CASES) };
     let outcome = TestRunner::new(config).run(&script(), |script| match violation(&script, Some(fault)) {
--- a/crates/router/tests/clients.rs
+++ b/crates/router/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that pipeline, wait for `100 Continue`, leave, or speak an old version.
+//! Clients that pipeline, expect `100 Continue`, disconnect, or speak HTTP/1.0.
 
 mod common;
 
--- a/crates/router/tests/close_delimited.rs
+++ b/crates/router/tests/close_delimited.rs
@@ -1,4 +1,4 @@
-//! Answers that have neither a length nor chunks: whole if their connection is closed, not whole if it is reset.
+//! Answers with neither a length nor chunks: complete if their connection is closed, incomplete if it is reset.
 
 mod common;
 
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router on real sockets with an in-process feed, endpoints whose every byte the test writes, and clients.
+//! A router on real sockets with an in-process feed, clients, and endpoints whose every byte the test writes.
 #![allow(dead_code, reason = "each file of tests uses a part")]
 
 use lanegate_config::configuration::Configuration;
@@ -21,7 +21,7 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::timeout;
 
-/// Longest time that a test may take, passed time included; reached only by tests that fail.
+/// Time-out of a test, including advanced time; reached only by failing tests.
 const GUARD: Duration = Duration::from_secs(120);
 
 /// Runs a test on one thread.
@@ -31,7 +31,7 @@
     runtime.block_on(LocalSet::new().run_until(guarded));
 }
 
-/// Lets `time` go by at once; nothing else may be under way.
+/// Advances the clock by `time`; nothing else may be in progress.
 pub(crate) async fn pass_time(time: Duration) {
     tokio::time::pause();
     tokio::time::advance(time).await;
@@ -68,12 +68,12 @@
 }"#;
 
 impl Router {
-    /// A router that has heard nothing yet.
+    /// A router without any feed event.
     pub(crate) async fn start() -> Router {
         Router::start_with(None).await
     }
 
-    /// The same with a deliberate mistake.
+    /// The same with a mutation of the router.
     async fn start_with(fault: Option<RouterFault>) -> Router {
         let frontend = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let readiness = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -101,12 +101,12 @@
         }
     }
 
-    /// A router with the configuration, that knows these endpoints of the service `plain`.
+    /// A router with the configuration and these endpoints of the service `plain`.
     pub(crate) async fn serving(endpoints: &[&Endpoint]) -> Router {
         Router::serving_with(None, endpoints).await
     }
 
-    /// The same with a deliberate mistake.
+    /// The same with a mutation of the router.
     pub(crate) async fn serving_with(fault: Option<RouterFault>, endpoints: &[&Endpoint]) -> Router {
         let router = Router::start_with(fault).await;
         router.configure(CONFIGURATION);
@@ -129,7 +129,7 @@
         Client { stream: TcpStream::connect(self.address).await.unwrap(), unread: Vec::new() }
     }
 
-    /// The status that the platform hears.
+    /// The status of the readiness check.
     pub(crate) async fn readiness(&self) -> u16 {
         let stream = TcpStream::connect(self.readiness).await.unwrap();
         let mut client = Client { stream, unread: Vec::new() };
@@ -244,7 +244,7 @@
         read_message(&mut self.stream, &mut self.unread).await
     }
 
-    /// Answers 200 with a stamp.
+    /// Answers 200 with a signature.
     pub(crate) async fn answer(&mut self, request: &Message, body: &str) {
         self.write(answer_to(request, "200 OK", body)).await;
     }
@@ -272,7 +272,7 @@
         self.rest().await;
     }
 
-    /// All that comes until the router closes the connection, in whatever way.
+    /// All bytes until the router closes the connection in any way.
     pub(crate) async fn rest(mut self) -> Vec<u8> {
         let mut rest = std::mem::take(&mut self.unread);
         while matches!(self.stream.read_buf(&mut rest).await, Ok(read) if read > 0) {}
@@ -285,7 +285,7 @@
     }
 }
 
-/// An answer with a stamp whose body is not told to have a length: it ends with its connection.
+/// An answer with a signature and without a length: it ends with its connection.
 pub(crate) fn answer_without_length(request: &Message, kind: &str, body: &str) -> String {
     let id = request.header("Attempt-Id").unwrap();
     format!(
@@ -293,14 +293,14 @@
     )
 }
 
-/// Lets the tasks that have something to do go on for a while.
+/// Lets ready tasks run for a while.
 pub(crate) async fn settle() {
     for _ in 0..200 {
         tokio::task::yield_now().await;
     }
 }
 
-/// A whole answer with a stamp, as an endpoint gives it.
+/// A complete answer with a signature, as an endpoint sends it.
 pub(crate) fn answer_to(request: &Message, status: &str, body: &str) -> String {
     let id = request.header("Attempt-Id").unwrap();
     format!(
@@ -325,12 +325,12 @@
         self.write(format!("GET {path} HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: {id}\r\n\r\n")).await;
     }
 
-    /// The next whole answer.
+    /// The next complete answer.
     pub(crate) async fn answer(&mut self) -> Message {
         read_message(&mut self.stream, &mut self.unread).await.expect("a whole answer")
     }
 
-    /// Reads until `end` has come, which has to be the last of what has come.
+    /// Reads until `end` has arrived; nothing may follow it.
     pub(crate) async fn read_through(&mut self, end: &str) -> String {
         loop {
             let text = String::from_utf8_lossy(&self.unread).into_owned();
@@ -343,7 +343,7 @@
         }
     }
 
-    /// All that comes until the connection ends, in whatever way.
+    /// All bytes until the connection ends in any way.
     pub(crate) async fn rest(mut self) -> String {
         while matches!(self.stream.read_buf(&mut self.unread).await, Ok(read) if read > 0) {}
         String::from_utf8_lossy(&self.unread).into_owned()
--- a/crates/router/tests/configuration_behind.rs
+++ b/crates/router/tests/configuration_behind.rs
@@ -1,4 +1,4 @@
-//! A router that knows that it may be behind calls no route unknown.
+//! A router that may be behind the newest configuration rejects no route as unknown.
 
 mod common;
 
--- a/crates/router/tests/connections.rs
+++ b/crates/router/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints and to clients, at their edges.
+//! Edge cases of connections to endpoints and clients.
 
 mod common;
 
@@ -35,7 +35,7 @@
     });
 }
 
-/// Whether a connection is handed out again on which bytes wait that belong to no request.
+/// Whether a connection with unread bytes that belong to no request is reused.
 async fn is_handed_out_unread(fault: Option<RouterFault>) -> bool {
     let endpoint = Endpoint::start("i-1").await;
     let pool = Pool::new(fault);
@@ -167,7 +167,7 @@
         let (mut upstream, request) = endpoint.request().await;
         upstream.begin_events(&request).await;
         let chunk = format!("10000\r\n{}\r\n", "x".repeat(0x1_0000));
-        // Writes until nobody takes anything on the way any more, and then until the router leaves.
+        // Writes until all buffers are full, and then until the router closes.
         let flood = async move { while upstream.stream.write_all(chunk.as_bytes()).await.is_ok() {} };
         let leaving = async {
             for _ in 0..1_000 {
--- a/crates/router/tests/deadlines.rs
+++ b/crates/router/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! How long a request lasts: what endpoints are told, and the end at the route's `TimeoutMs`.
+//! Deadlines: the remaining time that endpoints receive, and the end at the `TimeoutMs` of the route.
 
 mod common;
 
@@ -9,9 +9,9 @@
 
 /// The route's time in these tests.
 const TIMEOUT: Duration = Duration::from_millis(300);
-/// Time before the route's from which the final answer may come: it has a way to go.
+/// Time before the time-out of the route from which the final answer may arrive.
 const MARGIN: Duration = Duration::from_millis(40);
-/// Time after the route's in which the final answer has to be there.
+/// Time after the time-out of the route within which the final answer has to arrive.
 const ANSWERED_WITHIN: Duration = Duration::from_millis(500);
 
 fn deadline_ms(request: &Message) -> u64 {
@@ -28,14 +28,14 @@
     router
 }
 
-/// The end comes at the route's time: silence alone is no reason for an earlier one.
+/// The request ends at the time-out of its route, not earlier because nothing was received.
 fn assert_in_time(began: Instant) {
     let took = began.elapsed();
     assert!(took + MARGIN >= TIMEOUT, "the end came after {took:?}");
     assert!(took < TIMEOUT + ANSWERED_WITHIN, "the end came after {took:?}");
 }
 
-/// What two sends of a request tell, 250 ms apart, of 4,000 ms that its client has.
+/// The deadlines sent by two attempts, 250 ms apart, of a request with 4,000 ms.
 async fn deadlines_of_two_attempts(fault: Option<RouterFault>) -> [u64; 2] {
     let endpoints = two_endpoints().await;
     let router = Router::serving_with(fault, &[&endpoints[0], &endpoints[1]]).await;
--- a/crates/router/tests/exchanges/client.rs
+++ b/crates/router/tests/exchanges/client.rs
@@ -1,4 +1,4 @@
-//! Clients that ask as the script says and hold every byte that they get to their own requests.
+//! Clients that follow the script and match every received byte with their own requests.
 
 use super::record::Record;
 use super::script::{ClientAction, Route, answer_body, request_body, split};
@@ -12,7 +12,7 @@
 
 /// Time that every client leaves.
 const DEADLINE_MS: u32 = 400;
-/// Turns of the other tasks between two pieces of bytes.
+/// Yields to the other tasks between two segments.
 const TURNS: usize = 2;
 
 async fn connect(address: SocketAddr) -> TcpStream {
@@ -29,13 +29,13 @@
 struct Client {
     address: SocketAddr,
     stream: TcpStream,
-    /// All bytes that came on the present connection.
+    /// All bytes received on the current connection.
     transcript: Vec<u8>,
-    /// How many of these belong to answers that were read.
+    /// Bytes that belong to answers that were read.
     read: usize,
-    /// Requests of which the answer has not come yet.
+    /// Requests without an answer.
     pending: Vec<(String, Route)>,
-    /// Ids that were asked for on the present connection.
+    /// Ids of the requests sent on the current connection.
     own: Vec<String>,
     record: Rc<Record>,
 }
@@ -46,7 +46,7 @@
     body: Vec<u8>,
 }
 
-/// Does all that one client does.
+/// Performs the actions of one client.
 pub(crate) async fn perform(
     address: SocketAddr,
     number: usize,
@@ -121,12 +121,12 @@
         }
     }
 
-    /// Reads the answers to all that was sent.
+    /// Reads the answers to all requests that were sent.
     async fn read_pending(&mut self) {
         for (id, route) in std::mem::take(&mut self.pending) {
             match self.answer().await {
                 Some(answer) => self.check(&id, route, &answer),
-                // The connection has ended, and with it the answers to whatever else was sent on it.
+                // The connection has ended, so there are no answers to the other requests sent on it.
                 None => return self.reconnect().await,
             }
         }
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Every id that is named on the connection is that of a request which was sent on it.
+    /// Checks that every id on the connection belongs to a request that was sent on it.
     fn check_transcript(&self) {
         let text = without_chunk_lines(&String::from_utf8_lossy(&self.transcript));
         for named in text.split('[').skip(1) {
@@ -195,7 +195,7 @@
     text.split("\r\n").filter(|part| !is_length(part)).collect()
 }
 
-/// The first whole answer in the bytes, and its length.
+/// The first complete answer in the bytes, and its length.
 fn parse(bytes: &[u8]) -> Option<(Answer, usize)> {
     let mut fields = [httparse::EMPTY_HEADER; 32];
     let mut head = httparse::Response::new(&mut fields);
--- a/crates/router/tests/exchanges/endpoint.rs
+++ b/crates/router/tests/exchanges/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints that answer as the script says.
+//! Endpoints that follow the script.
 
 use super::record::Record;
 use super::script::{Answer, Framing, Reply, Route, answer_body, split};
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, yield_now};
 
-/// Turns of the other tasks between two pieces of bytes.
+/// Yields to the other tasks between two segments.
 const TURNS: usize = 3;
 
 /// Answers on every connection.
@@ -20,9 +20,9 @@
     }
 }
 
-/// What becomes of a connection after an answer.
+/// What happens to a connection after an answer.
 enum After {
-    /// Bytes that come once the next request is there.
+    /// Bytes that are sent when the next request has arrived.
     Continue {
         late: Vec<u8>,
     },
@@ -115,7 +115,7 @@
         }
         Reply::Break { at, is_reset } => {
             write(stream, &bytes_of_answer[..at % bytes_of_answer.len()], &segments).await;
-            // An end in order would make an answer without a length whole.
+            // A regular close would make an answer without a length complete.
             if is_reset || framing == Framing::Absent {
                 stream.set_zero_linger().unwrap();
             }
@@ -128,7 +128,7 @@
     }
 }
 
-/// A whole answer with a stamp.
+/// A complete answer with a signature.
 fn complete(id: &str, route: Route, body: &str, framing: Framing) -> Vec<u8> {
     let kind = if route.is_stream() { "text/event-stream" } else { "text/plain" };
     let head = format!(
@@ -149,7 +149,7 @@
     (head + &rest).into_bytes()
 }
 
-/// Writes bytes in pieces; the router may close meanwhile.
+/// Writes bytes in segments; the router may close meanwhile.
 async fn write(stream: &mut TcpStream, bytes: &[u8], segments: &[usize]) {
     for piece in split(bytes, segments) {
         if piece.is_empty() || stream.write_all(piece).await.is_err() {
--- a/crates/router/tests/exchanges/mod.rs
+++ b/crates/router/tests/exchanges/mod.rs
@@ -1,4 +1,4 @@
-//! Clients, a router and endpoints that exchange scripted bytes, and a record of who was told what.
+//! Scripted exchanges between clients, a router and endpoints, and a record of what each received.
 //!
 //! Time is simulated: it passes only when nobody has anything to do, so no bytes may wait in a kernel (all
 //! sockets are without delay).
@@ -17,10 +17,10 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::timeout;
 
-/// Longest simulated time of one play; reached only by plays that hang.
+/// Longest simulated time of an exchange; reached only by one that hangs.
 const GUARD: Duration = Duration::from_secs(60);
 
-/// Plays a script; the error tells what is wrong.
+/// Runs a script; returns a violation, if there is one.
 pub(crate) fn violation(script: &Script, fault: Option<RouterFault>) -> Option<String> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().start_paused(true).build().unwrap();
--- a/crates/router/tests/exchanges/record.rs
+++ b/crates/router/tests/exchanges/record.rs
@@ -1,11 +1,11 @@
-//! Who was told what, and what is wrong with it.
+//! The record of an exchange, and the violations found in it.
 
 use super::script::{Answer, Framing, Reply, Script};
 use crate::common::Message;
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// What has happened in a play.
+/// What has happened in an exchange.
 pub(crate) struct Record {
     answers: RefCell<VecDeque<Answer>>,
     seen: RefCell<Seen>,
@@ -18,9 +18,9 @@
     /// Runs at endpoints, by id.
     runs: HashMap<String, u32>,
     may_run_again: HashSet<String>,
-    /// Status that an endpoint answered last, whole and in order.
+    /// Status of the last complete answer of an endpoint.
     answered: HashMap<String, u16>,
-    /// Status that the client was told.
+    /// Status that the client received.
     told: HashMap<String, u16>,
     last_arrival: Option<String>,
     wrong: Vec<String>,
@@ -37,7 +37,7 @@
         self.answers.borrow_mut().pop_front().unwrap_or_else(complete)
     }
 
-    /// A client is about to send a request.
+    /// Records a request that a client is about to send.
     pub(crate) fn record_request(&self, id: &str, body: String, may_run_again: bool) {
         let mut seen = self.seen.borrow_mut();
         seen.asked.insert(id.into(), body);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A request arrived at an endpoint; tells the id of the one that arrived before it anywhere.
+    /// Records that a request arrived at an endpoint; returns the id of the previous arrival at any endpoint.
     pub(crate) fn arrived(&self, id: &str, body: &str) -> Option<String> {
         let mut seen = self.seen.borrow_mut();
         seen.answered.remove(id);
@@ -61,23 +61,23 @@
         seen.last_arrival.replace(id.into())
     }
 
-    /// An endpoint has begun to work on a request.
+    /// Records that an endpoint began to execute a request.
     pub(crate) fn record_execution(&self, id: &str) {
         *self.seen.borrow_mut().runs.entry(id.into()).or_default() += 1;
     }
 
-    /// An endpoint has answered a request whole and in order.
+    /// Records that an endpoint answered a request completely.
     pub(crate) fn answered(&self, id: &str, status: u16) {
         self.seen.borrow_mut().answered.insert(id.into(), status);
     }
 
-    /// An endpoint may have spoilt its answer to a request.
+    /// Records that the answer of an endpoint to a request may be invalid.
     pub(crate) fn has_no_answer(&self, request: &Message) {
         let id = request.header("Attempt-Id").unwrap_or_default();
         self.seen.borrow_mut().answered.remove(id);
     }
 
-    /// A client was told the end of its request.
+    /// Records that a client received an answer.
     pub(crate) fn record_client_answer(&self, id: &str, status: u16) {
         self.seen.borrow_mut().told.insert(id.into(), status);
     }
@@ -86,7 +86,7 @@
         self.seen.borrow_mut().wrong.push(text);
     }
 
-    /// What is wrong, if anything is.
+    /// The first violation, if there is one.
     pub(crate) fn first_violation(&self) -> Option<String> {
         let seen = self.seen.borrow();
         let mut wrong = seen.wrong.clone();
--- a/crates/router/tests/exchanges/script.rs
+++ b/crates/router/tests/exchanges/script.rs
@@ -1,14 +1,14 @@
-//! What clients send and how endpoints answer, drawn by chance.
+//! Random scripts: what clients send and how endpoints answer.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-/// A play.
+/// A scripted exchange.
 #[derive(Debug, Clone)]
 pub(crate) struct Script {
     pub endpoints: usize,
     pub clients: Vec<Vec<ClientAction>>,
-    /// One for each request that reaches an endpoint, in order; later ones get a whole answer.
+    /// One for each request that reaches an endpoint, in order; later ones get a complete answer.
     pub answers: Vec<Answer>,
 }
 
@@ -20,7 +20,7 @@
     Resumable,
 }
 
-/// What a client does next.
+/// An action of a client.
 #[derive(Debug, Clone)]
 pub(crate) enum ClientAction {
     Request {
@@ -28,12 +28,12 @@
         body: usize,
         in_chunks: bool,
         segments: Vec<usize>,
-        /// Whether the next one is sent before the answer has come.
+        /// Whether the next request is sent before the answer has arrived.
         pipelined: bool,
     },
-    /// Sends a part of a request and leaves.
+    /// Sends a part of a request and disconnects.
     Disconnect { route: Route, after: usize },
-    /// Sends bytes that are no request.
+    /// Sends bytes that are not a request.
     Garbage(Vec<u8>),
 }
 
@@ -56,13 +56,13 @@
 #[derive(Debug, Clone)]
 pub(crate) enum Reply {
     Complete,
-    /// The same answer twice: at once, or when the next request has come.
+    /// The same answer twice: at once, or when the next request has arrived.
     Twice {
         late: bool,
     },
-    /// Bytes behind the answer that belong to nothing.
+    /// Bytes after the answer that belong to no request.
     Trailing(Vec<u8>),
-    /// 503 with `Not-Executed`, perhaps a second time when the next request has come.
+    /// 503 with `Not-Executed`, optionally again when the next request has arrived.
     Rejected {
         twice: bool,
     },
@@ -71,7 +71,7 @@
     /// 503 without `Not-Executed`.
     Unproven,
     Failure,
-    /// The answer up to a place, and then a reset or an end.
+    /// The answer up to an offset, and then a reset or a close.
     Break {
         at: usize,
         is_reset: bool,
@@ -119,7 +119,7 @@
     (reply(), framing, segments()).prop_map(|(reply, framing, segments)| Answer { reply, framing, segments })
 }
 
-/// Any play.
+/// Any script.
 pub(crate) fn script() -> impl Strategy<Value = Script> {
     (1_usize..=2, vec(vec(client_action(), 1..6), 1..4), vec(answer(), 0..16))
         .prop_map(|(endpoints, clients, answers)| Script { endpoints, clients, answers })
@@ -150,7 +150,7 @@
     }
 }
 
-/// Splits bytes at the given places.
+/// Splits bytes at the given offsets.
 pub(crate) fn split<'a>(bytes: &'a [u8], segments: &[usize]) -> Vec<&'a [u8]> {
     let mut ends: Vec<usize> = segments.iter().map(|cut| cut % (bytes.len() + 1)).collect();
     ends.push(bytes.len());
--- a/crates/router/tests/forwarding.rs
+++ b/crates/router/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! What reaches endpoints and clients is what the other side sent.
+//! Requests and answers are forwarded unchanged.
 
 mod common;
 
--- a/crates/router/tests/framing.rs
+++ b/crates/router/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Where one request ends and the next begins, and what is no request at all.
+//! Request framing: where one request ends and the next begins, and invalid requests.
 
 mod common;
 
--- a/crates/router/tests/golden.rs
+++ b/crates/router/tests/golden.rs
@@ -1,7 +1,7 @@
-//! The bytes that a router writes to endpoints, clients and the platform, as they were when the files of
-//! `tests/golden` were committed. Numbers that depend on the time are written as `N`.
+//! The bytes that a router writes to endpoints, clients and the platform, compared with the files of `tests/golden`.
+//! Numbers that depend on the time are written as `N`.
 //!
-//! With `UPDATE_GOLDEN=1` the files are written anew; that is for changes that mean to write other bytes.
+//! `UPDATE_GOLDEN=1` rewrites the files, for changes that are meant to write other bytes.
 
 mod common;
 
@@ -52,7 +52,7 @@
     read_through(&mut client.stream, "\r\n\r\n").await
 }
 
-/// What a client gets that says nothing after its request: the head of the answer.
+/// The head of the answer to a request on a new connection.
 async fn answer_to(router: &Router, request: &str) -> String {
     let mut client = router.client().await;
     client.write(request).await;
--- a/crates/router/tests/limits.rs
+++ b/crates/router/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What clients may send, how long they may take and how long they may be idle.
+//! Limits for clients: sizes, time-outs and idle time.
 
 mod common;
 
--- a/crates/router/tests/metrics.rs
+++ b/crates/router/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The figures of a router, and that reading them holds up nothing else.
+//! The metrics of a router; reading them blocks nothing else.
 
 mod common;
 #[path = "../../metrics/tests/common/text_format.rs"]
@@ -14,7 +14,7 @@
 
 const REQUESTS: &str = "lanegate_router_requests_total";
 
-/// What a router tells now.
+/// The current metrics of a router.
 async fn figures(router: &Router) -> Figures {
     let mut stream = TcpStream::connect(router.metrics).await.unwrap();
     let request = b"GET /metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
@@ -43,7 +43,7 @@
     });
 }
 
-/// A failure whose length is not told is passed on as it comes.
+/// An error answer without a length is forwarded as it arrives.
 #[test]
 fn a_chunked_error_answer_counts_as_an_endpoint_error() {
     play(async {
--- a/crates/router/tests/open_requests.rs
+++ b/crates/router/tests/open_requests.rs
@@ -1,4 +1,4 @@
-//! What the log tells of a request that has no end when the process ends.
+//! The log line of a request that shutdown aborts.
 
 use hyper::header::HeaderValue;
 use lanegate_config::configuration::RouteType;
--- a/crates/router/tests/parsing.rs
+++ b/crates/router/tests/parsing.rs
@@ -1,4 +1,4 @@
-//! The event splitter and the headers that the router reads, on any input.
+//! The event splitter and the parsers of headers, on arbitrary input.
 
 use bytes::Bytes;
 use hyper::header::{CONNECTION, HeaderMap, HeaderName, HeaderValue};
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// Cuts `text` after the given shares of its length.
+/// Splits `text` at the given fractions of its length.
 fn segments(text: &str, places: &[usize]) -> Vec<Bytes> {
     let mut ends: Vec<usize> = places.iter().map(|place| place % (text.len() + 1)).collect();
     ends.push(text.len());
--- a/crates/router/tests/response_matching.rs
+++ b/crates/router/tests/response_matching.rs
@@ -1,4 +1,4 @@
-//! Every answer reaches the caller whose request it answers, and a request that may run once is sent once.
+//! Every answer reaches the client of its request, and a request that must not run twice is sent once.
 
 mod common;
 
@@ -99,7 +99,7 @@
         upstream.write(turned_away("1")).await;
         let (mut again, request) = endpoint.request().await;
         assert_eq!(request.header("Attempt-Id"), Some("1"));
-        // The second answer to the first send says nothing of the second send, which runs.
+        // The second answer to the first attempt says nothing about the second attempt, which runs.
         upstream.write(turned_away("1")).await;
         settle().await;
         again.answer(&request, "ran").await;
@@ -249,7 +249,7 @@
     });
 }
 
-/// A whole answer to the request with this id.
+/// A complete answer to the request with this id.
 fn answer_to_id(id: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nAttempt-Id: {id}\r\nServer-Signature: s1\r\nContent-Length: {}\r\n\r\n{body}",
--- a/crates/router/tests/shutdown.rs
+++ b/crates/router/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The planned end of the process.
+//! Graceful shutdown.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 
-/// A service of engines, and a route of streams that may run once, with 15 s for an answer.
+/// A service of engines, and a route of streams that must not run twice, with 15 s for an answer.
 const ENGINES: &str = r#"{
     "Version": 2,
     "Routes": [
@@ -22,7 +22,7 @@
     "Limits": {"MaxHeaderBytes": 4096, "MaxBodyBytes": 1000, "HeaderTimeoutMs": 3000, "IdleTimeoutMs": 15000}
 }"#;
 
-/// A router before one engine that holds the model.
+/// A router with one engine that has the model.
 async fn serving_engine(endpoint: &Endpoint) -> Router {
     let router = Router::start().await;
     router.configure(ENGINES);
@@ -36,7 +36,7 @@
     router
 }
 
-/// Asks for a stream of so many tokens at most.
+/// Requests a stream of at most `tokens` tokens.
 async fn ask_for_tokens(client: &mut Client, id: &str, tokens: u32) {
     client
         .write(format!(
@@ -67,7 +67,7 @@
     });
 }
 
-/// The process may notice a client and the end of the time for new ones at once.
+/// The process may notice a client and the end of the accept time at once.
 #[test]
 fn a_request_that_arrives_before_the_listener_closes_is_answered() {
     play(async {
--- a/crates/router/tests/stalls.rs
+++ b/crates/router/tests/stalls.rs
@@ -1,4 +1,4 @@
-//! A client's connection is never closed without an answer once a request of it was passed on to an endpoint.
+//! A client connection is never closed without an answer after one of its requests was forwarded to an endpoint.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use lanegate_router::fault::RouterFault;
 use std::time::Duration;
 
-/// Longer than the time of every route and the time after it at which a client that takes nothing is left.
+/// Longer than the time of every route and the time after it at which stalled clients are closed.
 const STANDSTILL: Duration = Duration::from_secs(30);
 
 /// What a client gets for a request that an endpoint has, after the process stood still until long after the deadline, so
@@ -38,7 +38,7 @@
     });
 }
 
-/// The connection had served before, and the answer came while the process stood still.
+/// The connection was used before, and the answer arrived during a stall.
 #[test]
 fn an_answer_that_arrived_during_a_stall_reaches_its_client_or_504_does() {
     play(async {
@@ -58,7 +58,7 @@
     });
 }
 
-/// Whoever does not take an answer that is there is left all the same.
+/// A client that does not read its answer is disconnected all the same.
 #[test]
 fn the_connection_of_a_client_that_reads_no_answer_is_aborted() {
     play(async {
--- a/crates/router/tests/streams.rs
+++ b/crates/router/tests/streams.rs
@@ -1,11 +1,11 @@
-//! Streams of events: passed on as they come, never ended as whole when they are not, taken up elsewhere.
+//! Event streams: forwarded as they arrive, never complete by mistake, resumed elsewhere.
 
 mod common;
 
 use common::{Client, Endpoint, Message, Router, Upstream, either, pass_time, play, settle, two_endpoints};
 use std::time::Duration;
 
-/// A stream that has begun, with its first event passed on.
+/// A stream that has begun, with its first event forwarded.
 async fn begun(router: &Router, endpoint: &Endpoint, path: &str) -> (Client, Upstream, Message) {
     let mut client = router.client().await;
     client.get(path, "1").await;
@@ -72,7 +72,7 @@
     });
 }
 
-/// Silence of the second run within an answer is no reason to end that, nor to look for a third run.
+/// An idle second attempt within an answer neither ends it nor causes a third attempt.
 #[test]
 fn a_resumed_stream_may_be_idle_for_long() {
     play(async {
--- a/crates/router/tests/traffic_splits.rs
+++ b/crates/router/tests/traffic_splits.rs
@@ -1,4 +1,4 @@
-//! Each part of a route's traffic split gets its share, also where many routers see few requests each.
+//! Each part of a traffic split gets its weight, also if many routers see few requests each.
 
 mod common;
 
@@ -16,13 +16,13 @@
 use std::sync::Arc;
 use tokio::task::spawn_local;
 
-/// Requests for which shares are held to their weights, at the least.
+/// Smallest number of requests over which weights are checked.
 const REQUESTS: usize = 300;
-/// Largest part of all requests by which a share may be off, with as many routers as a small deployment has.
+/// Largest allowed deviation as a part of all requests, with the routers of a small deployment.
 const MAX_DEVIATION: f64 = 0.03;
-/// The same where each router sees some three requests.
+/// The same if each router sees about three requests.
 const MAX_DEVIATION_MANY_ROUTERS: f64 = 0.07;
-/// Routers of a small deployment, and of one that leaves each router a few requests.
+/// Numbers of routers in a small deployment, and in one with few requests for each router.
 const FEW_ROUTERS: [usize; 4] = [1, 3, 6, 9];
 const MANY_ROUTERS: [usize; 2] = [30, 90];
 const SEEDS: u64 = 300;
@@ -67,7 +67,7 @@
         Routers { sequences, random }
     }
 
-    /// The service that the next request goes to, at a router drawn by chance.
+    /// The service of the next request, at a random router.
     fn route(&mut self, routing: &Routing) -> String {
         let router = self.random.random_range(0..self.sequences.len());
         let sequences = &mut self.sequences[router];
@@ -75,7 +75,7 @@
         resolved.expect("a route").backend.to_owned()
     }
 
-    /// How far the share of a part lies off its weight's, at most, over [`REQUESTS`] requests.
+    /// The largest deviation of a part from its weight over [`REQUESTS`] requests.
     fn largest_deviation(&mut self, weights: &[f64]) -> f64 {
         let routing = Routing::new(configuration(1, weights));
         let mut counts: BTreeMap<String, usize> = BTreeMap::new();
@@ -91,7 +91,7 @@
     }
 }
 
-/// The first weights, number of routers and seed with which a share is further off than `bound`.
+/// The first weights, number of routers and seed with a larger deviation than `bound`.
 fn first_miss(routers: &[usize], bound: f64, fault: Option<RouterFault>) -> Option<String> {
     for weights in WEIGHTS {
         for count in routers {
@@ -123,7 +123,7 @@
     assert!(first_miss(&MANY_ROUTERS, MAX_DEVIATION_MANY_ROUTERS, fault).is_some());
 }
 
-/// The weights change again and again while requests come; each change holds for as many requests as are judged.
+/// The weights change repeatedly while requests arrive; each change lasts for as many requests as are checked.
 #[test]
 fn each_part_gets_its_weight_after_a_change_of_the_weights() {
     for seed in 0..SEEDS {
@@ -135,7 +135,7 @@
     }
 }
 
-/// A configuration comes every few requests, without a change of the weights.
+/// A configuration with unchanged weights arrives every few requests.
 #[test]
 fn many_configuration_changes_do_not_shift_the_weights() {
     const REQUESTS_PER_CONFIGURATION: usize = 3;
@@ -156,7 +156,7 @@
     }
 }
 
-/// Answers all that comes to an endpoint, and counts it.
+/// Answers and counts all requests to an endpoint.
 async fn serve(endpoint: Endpoint, count: Rc<Cell<usize>>) {
     loop {
         let mut upstream = endpoint.accept().await;
@@ -170,7 +170,7 @@
     }
 }
 
-/// Over the wire, through a router that hears a new configuration now and then.
+/// Over the wire, through a router that receives new configurations.
 #[test]
 fn a_router_splits_traffic() {
     const SENT: u64 = 40;
