--- a/crates/router/src/client/frontend.rs
+++ b/crates/router/src/client/frontend.rs
@@ -158,7 +158,7 @@
     let time = client_deadline(&head.headers).map_or(allowed, |told| told.min(allowed));
     let margin = ANSWER_MARGIN.min(time / ANSWER_MARGIN_DIVISOR);
     interface::Request {
-        id: state.new_request_id(),
+        id: state.requests.new_id(),
         backend: resolved.backend.into(),
         route: route.name.as_str().into(),
         route_type: route.route_type,
--- a/crates/router/src/process/metrics.rs
+++ b/crates/router/src/process/metrics.rs
@@ -93,7 +93,7 @@
         let labels = [("outcome", kind), ("reason", reason)];
         exposition.set_labelled(&REQUESTS, &labels, counters.outcomes.get(outcome));
     }
-    exposition.set(&REQUESTS_OPEN, state.open_requests());
+    exposition.set(&REQUESTS_OPEN, state.requests.len());
     for (age, requests) in counters.aborted_at_shutdown.by_age() {
         exposition.set_labelled(&REQUESTS_ABORTED, &[("age", age)], requests);
     }
--- a/crates/router/src/process/shutdown.rs
+++ b/crates/router/src/process/shutdown.rs
@@ -31,7 +31,7 @@
     let began = Instant::now();
     let abort_at = began + grace.saturating_sub(ABORT_MARGIN);
     state.begin_drain(state.time_of(abort_at));
-    log::info!("shutdown started open_requests={}", state.open_requests());
+    log::info!("shutdown started open_requests={}", state.requests.len());
     sleep(ACCEPT_GRACE.min(grace / ACCEPT_GRACE_DIVISOR)).await;
     // Accept waiting connections, then read their input, before connections without a request are closed.
     sleep(INPUT_GRACE).await;
@@ -39,7 +39,7 @@
     sleep(INPUT_GRACE).await;
     clients.close_gracefully();
     if timeout_at(abort_at, clients.all_closed()).await.is_err() {
-        log::warn!("shutdown aborts requests open_requests={}", state.open_requests());
+        log::warn!("shutdown aborts requests open_requests={}", state.requests.len());
         state.log_open_requests(began, MAX_LOGGED_REQUESTS);
         state.abort_requests();
         let _ = timeout_at(Instant::now() + FINAL_FLUSH, clients.all_closed()).await;
--- a/crates/router/src/request/handle.rs
+++ b/crates/router/src/request/handle.rs
@@ -28,7 +28,7 @@
     pub fn open(state: Rc<RouterState>, request: Request, attempt_id: Option<HeaderValue>) -> Self {
         let id = request.id;
         let open = Rc::new(OpenRequest::new(&request, attempt_id));
-        state.register(id, open.clone());
+        state.requests.insert(id, open.clone());
         state.with_dispatcher(|dispatcher, now| dispatcher.submit(now, request));
         RequestHandle { state, id, open, has_ended: Cell::new(false), outcome: Cell::new(None) }
     }
@@ -82,7 +82,7 @@
 
 impl Drop for RequestHandle {
     fn drop(&mut self) {
-        self.state.unregister(self.id);
+        self.state.requests.remove(self.id);
         if !self.has_ended.get() {
             self.state.with_dispatcher(|dispatcher, now| dispatcher.cancel(now, self.id));
         }
--- a/crates/router/src/request/mod.rs
+++ b/crates/router/src/request/mod.rs
@@ -5,6 +5,7 @@
 pub mod handle;
 pub mod mailbox;
 pub mod open_request;
+pub mod open_requests;
 pub mod outcome;
 pub mod resume;
 pub mod stream;
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -3,37 +3,26 @@
 use crate::endpoint::pool::Pool;
 use crate::fault::RouterFault;
 use crate::process::counters::Counters;
-use crate::request::open_request::OpenRequest;
+use crate::request::open_requests::OpenRequests;
 use crate::routing::configuration_wait::ConfigurationWait;
 use crate::routing::table::Routing;
 use crate::routing::traffic_split::SplitSequences;
 use lanegate_config::feed::FeedEvent;
 use lanegate_config::mechanism::Mechanism;
-use lanegate_dispatch::interface::{Decision, RequestId};
 use lanegate_dispatch::{DispatchSettings, DispatchSummary, Dispatcher};
 use lanegate_invariants::{Invariant, Violations};
 use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The lifecycle of the process.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lifecycle {
-    /// It accepts requests.
-    Running,
-    /// Shutdown has begun: open requests are finished.
-    Draining,
-}
-
 /// The state of one router, used by a single thread.
 pub struct RouterState {
     epoch: Instant,
     dispatcher: RefCell<Dispatcher>,
-    requests: RefCell<HashMap<RequestId, Rc<OpenRequest>>>,
-    next_request: Cell<u64>,
+    /// The open requests.
+    pub requests: OpenRequests,
     splits: RefCell<SplitSequences>,
     routing: RefCell<Option<Rc<Routing>>>,
     synchronized: Cell<bool>,
@@ -41,8 +30,7 @@
     configuration_wait: ConfigurationWait,
     /// Whether a newer configuration may be in force elsewhere.
     behind: Cell<bool>,
-    lifecycle: Cell<Lifecycle>,
-    /// When shutdown began.
+    /// When shutdown began; `None` before.
     draining_since: Cell<Option<Instant>>,
     /// When the configuration in force was applied.
     configured_at: Cell<Option<Instant>>,
@@ -70,14 +58,12 @@
         Rc::new(RouterState {
             epoch: Instant::now(),
             dispatcher: RefCell::new(dispatcher),
-            requests: RefCell::default(),
-            next_request: Cell::new(0),
+            requests: OpenRequests::default(),
             splits: RefCell::new(SplitSequences::new(seed, fault)),
             routing: RefCell::new(None),
             synchronized: Cell::new(false),
             configuration_wait: ConfigurationWait::default(),
             behind: Cell::new(false),
-            lifecycle: Cell::new(Lifecycle::Running),
             draining_since: Cell::new(None),
             configured_at: Cell::new(None),
             agent_linked: Cell::new(false),
@@ -121,13 +107,6 @@
         self.splits.borrow_mut().next(route)
     }
 
-    /// A new request id.
-    pub fn new_request_id(&self) -> RequestId {
-        let id = self.next_request.get();
-        self.next_request.set(id + 1);
-        RequestId(id)
-    }
-
     /// Applies an event of the feed.
     pub fn apply(&self, event: FeedEvent) {
         if !self.violations.check(Invariant::ConfigurationVersionRises, !self.is_outdated(&event)) {
@@ -193,12 +172,11 @@
 
     /// Whether shutdown has begun.
     pub fn is_draining(&self) -> bool {
-        self.lifecycle.get() == Lifecycle::Draining
+        self.draining_since.get().is_some()
     }
 
     /// Begins the shutdown; all answers have to be complete by `end`.
     pub fn begin_drain(&self, end: Duration) {
-        self.lifecycle.set(Lifecycle::Draining);
         self.draining_since.set(Some(Instant::now()));
         self.configuration_wait.wake();
         self.with_dispatcher(|dispatcher, now| dispatcher.end_by(now, end));
@@ -224,17 +202,11 @@
         self.dispatcher.borrow().summary(self.now())
     }
 
-    /// Number of open requests.
-    pub fn open_requests(&self) -> usize {
-        self.requests.borrow().len()
-    }
-
     /// Aborts all open requests because of shutdown.
     pub fn abort_requests(&self) {
         let now = self.now();
         let shutdown_since = self.draining_since.get().map(|since| self.time_of(since));
-        let open: Vec<Rc<OpenRequest>> = self.requests.borrow().values().cloned().collect();
-        for request in &open {
+        for request in self.requests.all() {
             self.counters.aborted_at_shutdown.count(now.saturating_sub(request.arrived()));
             let came_late = shutdown_since.is_some_and(|since| request.arrived() > since);
             self.violations
@@ -246,24 +218,13 @@
     /// Logs one line for each of the oldest open requests, at most `most` lines; shutdown began at `shutdown_since`.
     pub fn log_open_requests(&self, shutdown_since: Instant, most: usize) {
         let (now, shutdown_since) = (self.now(), self.time_of(shutdown_since));
-        let requests = self.requests.borrow();
-        let mut open: Vec<&OpenRequest> = requests.values().map(Rc::as_ref).collect();
+        let mut open = self.requests.all();
         open.sort_unstable_by_key(|request| request.arrived());
         for request in open.into_iter().take(most) {
             log::warn!("request aborted {}", request.summary(now, shutdown_since));
         }
     }
 
-    /// Registers an open request, which then receives the decisions about it.
-    pub fn register(&self, id: RequestId, request: Rc<OpenRequest>) {
-        self.requests.borrow_mut().insert(id, request);
-    }
-
-    /// Removes an open request.
-    pub fn unregister(&self, id: RequestId) {
-        self.requests.borrow_mut().remove(&id);
-    }
-
     /// Calls the dispatcher and delivers its decisions.
     pub fn with_dispatcher<T>(&self, act: impl FnOnce(&mut Dispatcher, Duration) -> T) -> T {
         let now = self.now();
@@ -276,22 +237,11 @@
         if unplaced {
             self.unplaced.notify_one();
         }
-        decisions.into_iter().for_each(|decision| self.deliver(decision));
+        decisions.into_iter().for_each(|decision| self.requests.deliver(decision));
         self.arm(wake);
         result
     }
 
-    fn deliver(&self, decision: Decision) {
-        let id = match &decision {
-            Decision::Send { request, .. }
-            | Decision::Refuse { request, .. }
-            | Decision::Fail { request, .. } => *request,
-        };
-        if let Some(open) = self.requests.borrow().get(&id) {
-            open.on_decision(decision);
-        }
-    }
-
     /// Wakes the timer task if it would call too late.
     fn arm(&self, wake: Option<Duration>) {
         let Some(wake) = wake else {
