--- a/crates/dispatch/src/demand.rs
+++ b/crates/dispatch/src/demand.rs
@@ -21,8 +21,12 @@
 }
 
 impl DemandKey {
-    fn of(backend: &Arc<str>, wanted: &Generation) -> Self {
-        DemandKey { backend: backend.clone(), model: wanted.model.clone(), adapter: wanted.adapter.clone() }
+    fn of(backend: &Arc<str>, generation: &Generation) -> Self {
+        DemandKey {
+            backend: backend.clone(),
+            model: generation.model.clone(),
+            adapter: generation.adapter.clone(),
+        }
     }
 }
 
@@ -40,17 +44,17 @@
     }
 
     /// Counts a request, and whether any endpoint can serve it now.
-    pub fn count(&mut self, backend: &Arc<str>, wanted: &Generation, is_resident: bool) {
-        let count = self.counts.entry(DemandKey::of(backend, wanted)).or_default();
+    pub fn count(&mut self, backend: &Arc<str>, generation: &Generation, is_resident: bool) {
+        let count = self.counts.entry(DemandKey::of(backend, generation)).or_default();
         count.requests += 1;
-        count.tokens += u64::from(wanted.prompt_tokens) + u64::from(wanted.output_tokens);
+        count.tokens += u64::from(generation.prompt_tokens) + u64::from(generation.output_tokens);
         count.unplaced += u32::from(!is_resident);
     }
 
     /// Counts a request of an earlier period that is still queued because no endpoint can serve it. The report of that
     /// period may have been lost.
-    pub fn count_waiting(&mut self, backend: &Arc<str>, wanted: &Generation) {
-        self.counts.entry(DemandKey::of(backend, wanted)).or_default().unplaced += 1;
+    pub fn count_waiting(&mut self, backend: &Arc<str>, generation: &Generation) {
+        self.counts.entry(DemandKey::of(backend, generation)).or_default().unplaced += 1;
     }
 
     /// Whether a request was counted that no endpoint can serve.
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -134,9 +134,9 @@
         self.admission.count_request(&request.route, nanoseconds(now));
         self.fleet.service_mut(&request.backend).budget.record_request(now, &bounds);
         let pending = PendingRequest::new(request);
-        if let Some(wanted) = &pending.request.generation {
-            let placed = endpoint_selection::is_resident(&self.fleet, &pending);
-            self.demand.count(&pending.request.backend, wanted, placed);
+        if let Some(generation) = &pending.request.generation {
+            let is_resident = endpoint_selection::is_resident(&self.fleet, &pending);
+            self.demand.count(&pending.request.backend, generation, is_resident);
         }
         self.requests.insert(id, pending);
         self.assign(now, id);
@@ -212,8 +212,8 @@
                 && !endpoint_selection::is_resident(&self.fleet, pending)
         };
         for pending in self.requests.values().filter(waits) {
-            if let Some(wanted) = &pending.request.generation {
-                self.demand.count_waiting(&pending.request.backend, wanted);
+            if let Some(generation) = &pending.request.generation {
+                self.demand.count_waiting(&pending.request.backend, generation);
             }
         }
     }
--- a/crates/dispatch/src/dispatcher/admission_control.rs
+++ b/crates/dispatch/src/dispatcher/admission_control.rs
@@ -16,10 +16,11 @@
     pub(super) fn enforce_timeline(&mut self, now: Duration, endpoint: EndpointKey) {
         while let Some(overdue) = self.admission.overdue(endpoint, nanoseconds(now)) {
             let overdue: Vec<Overdue> =
-                overdue.into_iter().filter_map(|held| self.overdue_entry(held)).collect();
-            let able = overdue.iter().filter(|held| self.can_yield(now, held)).cloned().collect::<Vec<_>>();
+                overdue.into_iter().filter_map(|entry| self.overdue_entry(entry)).collect();
+            let candidates =
+                overdue.iter().filter(|entry| self.can_yield(now, entry)).cloned().collect::<Vec<_>>();
             let by_class = self.fleet.uses(Mechanism::MissRatioVictim);
-            let Some(victim) = self.admission.victim(&able, by_class).cloned() else {
+            let Some(victim) = self.admission.victim(&candidates, by_class).cloned() else {
                 return;
             };
             if self.may_refuse_early(now, victim.request) {
@@ -37,8 +38,8 @@
     }
 
     /// Whether a request on an overdue timeline can be refused or postponed.
-    fn can_yield(&self, now: Duration, held: &Overdue) -> bool {
-        self.may_refuse_early(now, held.request) || held.due < self.postponed_due(held)
+    fn can_yield(&self, now: Duration, entry: &Overdue) -> bool {
+        self.may_refuse_early(now, entry.request) || entry.due < self.postponed_due(entry)
     }
 
     /// Whether a request may be refused early: soon after its arrival, before its first attempt, and while the service has
@@ -57,14 +58,14 @@
         self.refuse_or_fail(now, id, FailReason::Attempts, wait);
     }
 
-    fn postponed_due(&self, held: &Overdue) -> Ns {
-        let request = &self.requests[&held.request].request;
+    fn postponed_due(&self, entry: &Overdue) -> Ns {
+        let request = &self.requests[&entry.request].request;
         nanoseconds(request.deadline).max(nanoseconds(request.target))
     }
 
-    fn postpone(&mut self, held: &Overdue) {
-        let due = self.postponed_due(held);
-        let Some(pending) = self.requests.get_mut(&held.request) else {
+    fn postpone(&mut self, overdue: &Overdue) {
+        let due = self.postponed_due(overdue);
+        let Some(pending) = self.requests.get_mut(&overdue.request) else {
             return;
         };
         let Phase::Queued(entry) = pending.phase else {
@@ -72,7 +73,7 @@
         };
         let later = QueueEntry { due, ..entry };
         pending.phase = Phase::Queued(later);
-        self.admission.remove(&pending.request.backend, held.request, entry);
-        self.admission.insert(&pending.request.backend, held.request, later, held.occupancy);
+        self.admission.remove(&pending.request.backend, overdue.request, entry);
+        self.admission.insert(&pending.request.backend, overdue.request, later, overdue.occupancy);
     }
 }
--- a/crates/dispatch/src/dispatcher/attempt_end.rs
+++ b/crates/dispatch/src/dispatcher/attempt_end.rs
@@ -98,8 +98,8 @@
     fn full_backoff(&self, id: RequestId, attempt: Attempt) -> Duration {
         let service = self.fleet.service(&self.requests[&id].request.backend);
         let capacity = self.fleet.table.get(attempt.endpoint).map_or(1, |endpoint| endpoint.capacity);
-        let a_place_s = service.service_time.seconds() / f64::from(capacity);
-        crate::units::seconds(a_place_s).clamp(MIN_FULL_BACKOFF, MAX_FULL_BACKOFF)
+        let slot_time_s = service.service_time.seconds() / f64::from(capacity);
+        crate::units::seconds(slot_time_s).clamp(MIN_FULL_BACKOFF, MAX_FULL_BACKOFF)
     }
 
     /// Nothing was sent: the attempt counts neither against the retry budget nor against the attempt limit.
--- a/crates/dispatch/src/dispatcher/queueing.rs
+++ b/crates/dispatch/src/dispatcher/queueing.rs
@@ -37,13 +37,13 @@
         let pending = &self.requests[&id];
         let service = self.fleet.service(&pending.request.backend);
         let capacity = self.fleet.table.get(candidate.key).map_or(1, |endpoint| endpoint.capacity);
-        let places = self.fleet.load(candidate.key).recent.cap(capacity as usize);
-        let of_places_s = service.service_time.seconds() / places as f64;
-        let reading_s = match service.engine {
+        let slots = self.fleet.load(candidate.key).recent.cap(capacity as usize);
+        let slot_time_s = service.service_time.seconds() / slots as f64;
+        let prefill_s = match service.engine {
             Some(_) => service.first_byte.per_token_s() * candidate.requirement.prefill_tokens as f64,
             None => 0.0,
         };
-        nanoseconds(seconds(of_places_s.max(reading_s)))
+        nanoseconds(seconds(slot_time_s.max(prefill_s)))
     }
 
     /// When the slot of a request has to end: by its latency target while that can be met, otherwise by its deadline.
--- a/crates/dispatch/src/endpoints.rs
+++ b/crates/dispatch/src/endpoints.rs
@@ -133,10 +133,10 @@
             return;
         };
         match adapter {
-            None => endpoint.models.retain(|held| held.name != model),
+            None => endpoint.models.retain(|resident| resident.name != model),
             Some(name) => {
-                let held = endpoint.models.iter_mut().find(|held| held.name == model);
-                held.into_iter().for_each(|held| held.adapters.retain(|adapter| adapter != name));
+                let resident = endpoint.models.iter_mut().find(|resident| resident.name == model);
+                resident.into_iter().for_each(|resident| resident.adapters.retain(|adapter| adapter != name));
             }
         }
     }
--- a/crates/dispatch/src/fleet.rs
+++ b/crates/dispatch/src/fleet.rs
@@ -83,10 +83,10 @@
         let Some(service) = self.services.get_mut(&endpoint.backend) else {
             return;
         };
-        for held in &endpoint.models {
-            let model: Arc<str> = held.name.as_str().into();
+        for resident in &endpoint.models {
+            let model: Arc<str> = resident.name.as_str().into();
             service.record_loaded(now, &Artifact { model: model.clone(), adapter: None });
-            for adapter in &held.adapters {
+            for adapter in &resident.adapters {
                 service.record_loaded(
                     now,
                     &Artifact { model: model.clone(), adapter: Some(adapter.as_str().into()) },
@@ -208,16 +208,16 @@
 
     /// Whether at least half of the slots of a service are taken, or requests queue at one of its endpoints.
     pub fn is_crowded(&self, now: Duration, backend: &str) -> bool {
-        let mut places = 0.0;
+        let mut slots = 0.0;
         let mut taken = 0.0;
         for (key, endpoint) in self.table.ready(backend) {
             let load = self.load(key);
             if load.other_waiting_requests(now) >= 1.0 || load.occupancy(now) > f64::from(endpoint.capacity) {
                 return true;
             }
-            places += f64::from(endpoint.capacity);
+            slots += f64::from(endpoint.capacity);
             taken += load.occupancy(now);
         }
-        taken * 2.0 >= places && places > 0.0
+        taken * 2.0 >= slots && slots > 0.0
     }
 }
--- a/crates/dispatch/src/pending_request.rs
+++ b/crates/dispatch/src/pending_request.rs
@@ -172,19 +172,20 @@
 
     /// Whether the endpoint has loaded the model and adapter that it needs.
     pub fn can_be_served_by(&self, endpoint: &Endpoint) -> bool {
-        let wanted = self.request.generation.as_ref();
-        wanted.is_none_or(|wanted| endpoint.has_model(&wanted.model, wanted.adapter.as_deref()))
+        let generation = self.request.generation.as_ref();
+        generation
+            .is_none_or(|generation| endpoint.has_model(&generation.model, generation.adapter.as_deref()))
     }
 
     /// The model and adapter that it needs.
     pub fn artifact(&self) -> Option<Artifact> {
-        let wanted = self.request.generation.as_ref()?;
-        Some(Artifact { model: wanted.model.clone(), adapter: wanted.adapter.clone() })
+        let generation = self.request.generation.as_ref()?;
+        Some(Artifact { model: generation.model.clone(), adapter: generation.adapter.clone() })
     }
 
     /// KV-cache tokens that it takes.
     pub fn kv_cache_tokens(&self) -> u64 {
-        let output = self.request.generation.as_ref().map_or(0, |wanted| wanted.output_tokens);
+        let output = self.request.generation.as_ref().map_or(0, |generation| generation.output_tokens);
         u64::from(self.chain.prompt_tokens) + u64::from(output)
     }
 
--- a/crates/dispatch/src/prefix.rs
+++ b/crates/dispatch/src/prefix.rs
@@ -85,8 +85,8 @@
 impl PrefixCache {
     /// Tokens of the leading parts of the prompt that are expected in the cache.
     pub fn cached_tokens(&self, chain: &PromptChain) -> u32 {
-        let kept = chain.links.iter().take_while(|link| self.entries.contains_key(&link.hash));
-        kept.map(|link| link.tokens).sum()
+        let cached = chain.links.iter().take_while(|link| self.entries.contains_key(&link.hash));
+        cached.map(|link| link.tokens).sum()
     }
 
     /// Records that the engine has prefilled the prompt. Parts beyond the capacity are evicted.
@@ -98,8 +98,8 @@
         while self.tokens > capacity_tokens
             && let Some((_, hash)) = self.by_last_use.pop_first()
         {
-            let kept = self.entries.remove(&hash);
-            self.tokens -= kept.map_or(0, |kept| u64::from(kept.tokens));
+            let cached = self.entries.remove(&hash);
+            self.tokens -= cached.map_or(0, |cached| u64::from(cached.tokens));
         }
     }
 
@@ -120,8 +120,8 @@
 
     fn touch(&mut self, link: &Link) {
         self.clock += 1;
-        let kept = CacheEntry { tokens: link.tokens, used: self.clock };
-        if let Some(before) = self.entries.insert(link.hash, kept) {
+        let cached = CacheEntry { tokens: link.tokens, used: self.clock };
+        if let Some(before) = self.entries.insert(link.hash, cached) {
             self.by_last_use.remove(&before.used);
             self.tokens -= u64::from(before.tokens);
         }
--- a/crates/dispatch/src/scoring.rs
+++ b/crates/dispatch/src/scoring.rs
@@ -177,8 +177,8 @@
     fn has_free_slot(&self, endpoint: &Endpoint, load: &EndpointLoad) -> bool {
         let cap = load.recent.cap(endpoint.capacity as usize) as u32;
         let even = cap.div_ceil(self.fleet.routers());
-        let places = load.occupancy(self.now) + 1.0 <= f64::from(endpoint.capacity);
-        load.in_flight < even || (load.in_flight < cap && places)
+        let has_free_slot = load.occupancy(self.now) + 1.0 <= f64::from(endpoint.capacity);
+        load.in_flight < even || (load.in_flight < cap && has_free_slot)
     }
 
     fn has_memory(&self, load: &EndpointLoad) -> bool {
@@ -187,7 +187,7 @@
         };
         let others = load.other_requests(self.now) * self.service.mean_kv_cache_tokens();
         let taken = load.kv_cache_tokens as f64 + others;
-        let wanted = self.pending.kv_cache_tokens() as f64;
-        taken < 1.0 || taken + wanted <= memory as f64 * USABLE_MEMORY_FRACTION
+        let required = self.pending.kv_cache_tokens() as f64;
+        taken < 1.0 || taken + required <= memory as f64 * USABLE_MEMORY_FRACTION
     }
 }
--- a/crates/dispatch/tests/admission.rs
+++ b/crates/dispatch/tests/admission.rs
@@ -21,18 +21,18 @@
         admission.count_request(&casual, 0);
     }
     admission.count_miss(&paid, 0);
-    let held = [overdue(1, "paid", 10, 5), overdue(2, "casual", 20, 5)];
-    assert_eq!(admission.victim(&held, true).map(|victim| victim.request), Some(RequestId(2)));
+    let overdue_requests = [overdue(1, "paid", 10, 5), overdue(2, "casual", 20, 5)];
+    assert_eq!(admission.victim(&overdue_requests, true).map(|victim| victim.request), Some(RequestId(2)));
     admission.count_miss(&casual, 0);
     admission.count_miss(&casual, 0);
-    assert_eq!(admission.victim(&held, true).map(|victim| victim.request), Some(RequestId(1)));
+    assert_eq!(admission.victim(&overdue_requests, true).map(|victim| victim.request), Some(RequestId(1)));
 }
 
 #[test]
 fn within_a_class_the_longest_then_the_latest_request_yields() {
     let admission = Admission::default();
-    let held = [overdue(1, "c", 10, 5), overdue(2, "c", 20, 7), overdue(3, "c", 30, 5)];
-    assert_eq!(admission.victim(&held, true).map(|victim| victim.request), Some(RequestId(2)));
+    let overdue_requests = [overdue(1, "c", 10, 5), overdue(2, "c", 20, 7), overdue(3, "c", 30, 5)];
+    assert_eq!(admission.victim(&overdue_requests, true).map(|victim| victim.request), Some(RequestId(2)));
     let alike = [overdue(1, "c", 10, 5), overdue(3, "c", 30, 5), overdue(2, "c", 20, 5)];
     assert_eq!(admission.victim(&alike, true).map(|victim| victim.request), Some(RequestId(3)));
     assert_eq!(admission.victim(&[], true), None);
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -73,7 +73,7 @@
 #[test]
 fn an_unresponsive_engine_costs_few_requests() {
     let (dispatched, random) =
-        run_both("dark", &[Fault::Unresponsive { from: 20_000, to: 24_000, engine: 0 }]);
+        run_both("unresponsive", &[Fault::Unresponsive { from: 20_000, to: 24_000, engine: 0 }]);
     let lost = |outcome: &Outcome| {
         CLASSES.map(|class| outcome.class(&class)).map(|tally| tally.submitted - tally.in_time)
     };
--- a/crates/dispatch/tests/scenarios.rs
+++ b/crates/dispatch/tests/scenarios.rs
@@ -12,7 +12,7 @@
     paths.sort();
     assert!(!paths.is_empty());
     let failed = paths.iter().filter(|path| std::panic::catch_unwind(|| run(path)).is_err()).count();
-    assert_eq!(failed, 0, "scenarios failed, as told above");
+    assert_eq!(failed, 0, "scenarios failed, see above");
 }
 
 fn run(path: &Path) {
--- a/crates/dispatch/tests/support/history.rs
+++ b/crates/dispatch/tests/support/history.rs
@@ -147,11 +147,11 @@
     fn register(&mut self, endpoint: usize, models: usize, draining: bool) {
         let name = self.name(endpoint);
         self.sequence += 1;
-        let held: Vec<String> = (0..models).map(|model| format!("m{model}")).collect();
-        let held: Vec<&str> = held.iter().map(String::as_str).collect();
+        let resident: Vec<String> = (0..models).map(|model| format!("m{model}")).collect();
+        let resident: Vec<&str> = resident.iter().map(String::as_str).collect();
         let mut registered = match endpoint % 2 {
             0 => instance(&name),
-            _ => engine(&name, &held),
+            _ => engine(&name, &resident),
         };
         registered.sequence = self.sequence;
         let drained = self.drained.entry(name.clone()).or_default();
@@ -162,7 +162,7 @@
         if *drained {
             drop(self.usable.remove(&name))
         } else {
-            drop(self.usable.insert(name, held.iter().map(|&model| model.to_owned()).collect()))
+            drop(self.usable.insert(name, resident.iter().map(|&model| model.to_owned()).collect()))
         }
         self.dispatcher.apply(self.now, &FeedEvent::Instance(registered));
     }
@@ -278,9 +278,9 @@
     fn sent(&mut self, id: RequestId, attempt: u32, instance: &str) {
         let observed = self.open.get_mut(&id).expect("sent while open");
         assert_eq!(attempt, observed.attempts + 1);
-        let held = self.usable.get(instance).expect("sent to an endpoint in use");
+        let resident = self.usable.get(instance).expect("sent to an endpoint in use");
         if let Some(wanted) = &observed.request.generation {
-            assert!(held.iter().any(|model| *model == *wanted.model), "sent where the model isn't");
+            assert!(resident.iter().any(|model| *model == *wanted.model), "sent where the model isn't");
         }
         observed.may_have_run |= observed.under_way.is_some();
         assert!(!observed.may_have_run || observed.is_retryable(), "sent twice though it may run once");
