--- a/crates/config/src/control_state/command.rs
+++ b/crates/config/src/control_state/command.rs
@@ -1,4 +1,4 @@
-//! Changes that an operator asks for.
+//! Changes that operators request.
 
 use super::DecodeError;
 use crate::configuration::version_of;
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
 pub enum Method {
-    /// The body is the whole configuration.
+    /// The body is the complete configuration.
     #[deku(id = 1)]
     Put,
     /// The body names what changes.
@@ -17,16 +17,18 @@
     Patch,
 }
 
-/// A change as it was asked for.
+/// A requested change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Command {
+    /// How the body describes the change.
     pub method: Method,
     /// The version that the change builds on.
     pub if_match: Option<u64>,
+    /// Body of the call, as it was sent.
     pub body: Vec<u8>,
 }
 
-/// All of an encoded command but the body, which comes last.
+/// An encoded command without the body, which comes last.
 #[derive(DekuRead, DekuWrite)]
 struct CommandHead {
     method: Method,
@@ -35,13 +37,16 @@
     if_match: u64,
 }
 
-/// Half of a SHA-256 over a change, enough to tell any two apart.
+/// The first 128 bits of the SHA-256 of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub(super) struct RequestDigest(u128);
 
 impl Command {
     /// The command as bytes.
+    ///
+    /// # Panics
+    /// Never: a head has no field that cannot be written.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = self.head().to_bytes().expect("a head has no field that cannot be written");
         bytes.extend_from_slice(&self.body);
@@ -49,9 +54,11 @@
     }
 
     /// Reads a command.
+    ///
+    /// # Errors
+    /// The bytes are no command.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
-        let ((body, _), head) =
-            CommandHead::from_bytes((bytes, 0)).map_err(|error| DecodeError::new("a command", &error))?;
+        let ((body, _), head) = CommandHead::from_bytes((bytes, 0)).map_err(DecodeError::Command)?;
         let if_match = (head.has_if_match != 0).then_some(head.if_match);
         Ok(Command { method: head.method, if_match, body: body.to_vec() })
     }
@@ -69,9 +76,9 @@
         version_of(&self.body)
     }
 
-    /// What tells this change from every other.
+    /// Digest that identifies this change.
     ///
-    /// A whole configuration is the same change whatever it was built on.
+    /// A complete configuration is the same change whatever version it was built on.
     pub(super) fn digest(&self) -> RequestDigest {
         let mut hasher = Sha256::new();
         match self.method {
--- a/crates/config/src/control_state/mod.rs
+++ b/crates/config/src/control_state/mod.rs
@@ -1,5 +1,5 @@
-//! The value of the configuration's register, and its compare-and-set as a pure function of two byte
-//! strings: the value in force and a command.
+//! The value of the configuration's register, and its compare-and-set as a pure function of two byte strings: the
+//! value in force and a command.
 //!
 //! ```
 //! use lanegate_config::control_state::{Command, ControlState, Method, Outcome};
@@ -28,27 +28,27 @@
 use deku::{DekuContainerRead, DekuContainerWrite, DekuError, DekuRead, DekuWrite};
 use thiserror::Error;
 
-/// Accepted changes that are remembered, so that one sent again is acknowledged again. They take 24 KB of
-/// every version of the state. A change is sent again for seconds; at 12 changes a second these last 85 s.
+/// Number of accepted changes that are remembered, so that a repeated one is acknowledged again. They take 24 KB of
+/// every version of the state. Clients repeat a change for a few seconds; at 12 changes/s these last 85 s.
 ///
 /// A state with fewer has forgotten none.
 pub const HISTORY_LENGTH: usize = 1_024;
 
-/// Most accepted changes in an encoded state; earlier releases remembered so many.
-const MOST_ENCODED_CHANGES: usize = 4_096;
+/// Limit on accepted changes in an encoded state; earlier releases remembered so many.
+const MAX_ENCODED_CHANGES: usize = 4_096;
 
-/// Why bytes are no state, command or outcome.
+/// Why bytes cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("not readable as {what}: {reason}")]
-pub struct DecodeError {
-    what: &'static str,
-    reason: String,
-}
-
-impl DecodeError {
-    fn new(what: &'static str, error: &DekuError) -> Self {
-        DecodeError { what, reason: error.to_string() }
-    }
+pub enum DecodeError {
+    /// The bytes are no command.
+    #[error("not readable as a command: {0}")]
+    Command(#[source] DekuError),
+    /// The bytes are no control state.
+    #[error("not readable as a control state: {0}")]
+    ControlState(#[source] DekuError),
+    /// The bytes are no outcome.
+    #[error("not readable as an outcome: {0}")]
+    Outcome(#[source] DekuError),
 }
 
 /// The newest configuration and what is needed to answer changes of it.
@@ -69,12 +69,12 @@
     request: RequestDigest,
 }
 
-/// All of an encoded state but the document, which comes last.
+/// An encoded state without the document, which comes last.
 #[derive(DekuRead, DekuWrite)]
 #[deku(endian = "little", magic = b"LGC1")]
 struct Head {
     version: u64,
-    #[deku(assert = "*history_length as usize <= MOST_ENCODED_CHANGES")]
+    #[deku(assert = "*history_length as usize <= MAX_ENCODED_CHANGES")]
     history_length: u32,
     #[deku(count = "history_length")]
     history: Vec<AcceptedChange>,
@@ -83,6 +83,7 @@
 /// What a command did to a state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Applied {
+    /// What became of the command.
     pub outcome: Outcome,
     /// The state after the command; absent where nothing changed.
     pub state: Option<ControlState>,
@@ -106,6 +107,9 @@
     }
 
     /// The state as bytes.
+    ///
+    /// # Panics
+    /// Never: a head has no field that cannot be written.
     pub fn encode(&self) -> Vec<u8> {
         let head = Head {
             version: self.version,
@@ -118,12 +122,14 @@
     }
 
     /// Reads a state; no bytes at all are the state before the first configuration.
+    ///
+    /// # Errors
+    /// The bytes are no control state.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         if bytes.is_empty() {
             return Ok(ControlState::default());
         }
-        let ((document, _), head) =
-            Head::from_bytes((bytes, 0)).map_err(|error| DecodeError::new("a control state", &error))?;
+        let ((document, _), head) = Head::from_bytes((bytes, 0)).map_err(DecodeError::ControlState)?;
         Ok(ControlState { version: head.version, document: document.to_vec(), history: head.history })
     }
 
@@ -132,7 +138,7 @@
     /// The same state and command give the same result on every machine.
     pub fn apply(&self, command: &Command) -> Applied {
         let request = command.digest();
-        if self.has_taken(&request) || self.is_current(command) {
+        if self.was_accepted(&request) || self.is_current(command) {
             return Applied::unchanged(Outcome::AlreadyTaken { current: self.version });
         }
         if let Some(finding) = self.may_have_forgotten(command) {
@@ -146,20 +152,20 @@
             Some(_) => {}
         }
         match self.next_document(command) {
-            Ok(document) => self.take(request, &document),
+            Ok(document) => self.accept(request, &document),
             Err(findings) => Applied::unchanged(Outcome::Invalid(findings)),
         }
     }
 
-    fn has_taken(&self, request: &RequestDigest) -> bool {
+    fn was_accepted(&self, request: &RequestDigest) -> bool {
         self.history.iter().rev().any(|change| change.request == *request)
     }
 
-    /// Why it can't be told whether `command` was taken, if it can't.
+    /// Why it is unknown whether `command` was accepted, if it is.
     ///
-    /// Every change that was taken made the version in its body, above the one that it was built on, and
-    /// no two made the same. So what makes a version below all remembered ones may have been taken and
-    /// forgotten; everything else that is not remembered was never taken.
+    /// Every accepted change made the version in its body, higher than the one that it was built on, and no two made
+    /// the same. So a change to a version below all remembered ones may have been accepted and forgotten; everything
+    /// else that is not remembered was never accepted.
     fn may_have_forgotten(&self, command: &Command) -> Option<Findings> {
         let oldest = self.history.first().filter(|_| self.history.len() >= HISTORY_LENGTH)?.version;
         let version = command.version().filter(|version| *version < oldest)?;
@@ -193,7 +199,7 @@
         }
     }
 
-    fn take(&self, request: RequestDigest, document: &Document) -> Applied {
+    fn accept(&self, request: RequestDigest, document: &Document) -> Applied {
         let version = document.version();
         let forgotten = (self.history.len() + 1).saturating_sub(HISTORY_LENGTH);
         let mut history = self.history[forgotten..].to_vec();
@@ -208,6 +214,9 @@
 }
 
 /// The outcome of an encoded command on an encoded state, and the new state's bytes where there is one.
+///
+/// # Errors
+/// One of the two cannot be decoded.
 pub fn apply(state: &[u8], command: &[u8]) -> Result<(Outcome, Option<Vec<u8>>), DecodeError> {
     let applied = ControlState::decode(state)?.apply(&Command::decode(command)?);
     Ok((applied.outcome, applied.state.map(|state| state.encode())))
--- a/crates/controller/src/controller/consensus/freshness.rs
+++ b/crates/controller/src/controller/consensus/freshness.rs
@@ -1,7 +1,7 @@
-//! Whether this controller vouches for what it knows.
+//! Whether the configuration that this controller knows is current.
 //!
-//! Contact with a majority says that nothing keeps news away; it does not say that all of it has come. So a
-//! controller whose contact with the group of the configuration begins, at its start, after a cut or a freeze,
+//! Contact with a majority says that updates can arrive; it does not say that all of them have arrived. So a
+//! controller whose contact with the group of the configuration begins, at its start, after a partition or a freeze,
 //! first reads the register: a read that was begun in contact misses nothing that was acknowledged before it.
 //! Only from its answer on, and for as long as contact lasts unbroken, does the feed call this controller
 //! current.
@@ -26,30 +26,30 @@
     Current,
 }
 
-/// What became of contact since it was last looked at.
+/// How contact changed since it was last observed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ContactChange {
+pub(crate) struct ContactChange {
     /// Contact with the group of some shard has begun.
-    pub contact_begun: bool,
+    pub contact_started: bool,
     /// The register of the configuration is to be read.
     pub read: bool,
-    /// Readers of the feed have been told something else.
+    /// What subscribers of the feed were last notified of is not true any more.
     pub notify: bool,
 }
 
-/// Contact with the groups as it was last looked at, and whether the configuration known here is current.
+/// Contact with the groups as it was last observed, and whether the configuration known here is current.
 #[derive(Debug, Default)]
-pub struct Freshness {
+pub(crate) struct Freshness {
     in_contact: BTreeSet<u8>,
     knowledge: Knowledge,
-    /// What readers of the feed were told last.
+    /// What subscribers of the feed were notified of last.
     advertised: bool,
 }
 
 impl Freshness {
     /// Compares contact with what it was; `reached` are the shards whose groups are in contact now.
-    pub fn observe_contact(&mut self, reached: BTreeSet<u8>) -> ContactChange {
-        let contact_begun = !reached.is_subset(&self.in_contact);
+    pub(crate) fn observe_contact(&mut self, reached: BTreeSet<u8>) -> ContactChange {
+        let contact_started = !reached.is_subset(&self.in_contact);
         self.in_contact = reached;
         if !self.in_contact.contains(&shards::CONFIGURATION) {
             self.knowledge = Knowledge::Unknown;
@@ -57,28 +57,28 @@
         let reached = self.in_contact.contains(&shards::CONFIGURATION);
         let notify = self.advertised != self.is_current();
         self.advertised = self.is_current();
-        ContactChange { contact_begun, read: reached && self.knowledge == Knowledge::Unknown, notify }
+        ContactChange { contact_started, read: reached && self.knowledge == Knowledge::Unknown, notify }
     }
 
     /// The register is being read under `request`.
-    pub fn read_started(&mut self, request: u64) {
+    pub(crate) fn read_started(&mut self, request: u64) {
         self.knowledge = Knowledge::Reading(request);
     }
 
     /// The read `request` has ended, with the value or without. One that contact did not outlast is void.
-    pub fn read_ended(&mut self, request: u64, known: bool) {
+    pub(crate) fn read_ended(&mut self, request: u64, known: bool) {
         if self.knowledge == Knowledge::Reading(request) {
             self.knowledge = if known { Knowledge::Current } else { Knowledge::Unknown };
         }
     }
 
     /// Whether the configuration was read in the contact that lasts.
-    pub fn is_current(&self) -> bool {
+    pub(crate) fn is_current(&self) -> bool {
         self.knowledge == Knowledge::Current
     }
 
-    /// Whether contact with the group of the configuration held when it was last looked at.
-    pub fn is_in_contact(&self) -> bool {
+    /// Whether there was contact with the group of the configuration when it was last observed.
+    pub(crate) fn is_in_contact(&self) -> bool {
         self.in_contact.contains(&shards::CONFIGURATION)
     }
 }
@@ -96,7 +96,7 @@
         self.quorum_contact.reaches(self.now(), &self.groups(shard))
     }
 
-    /// Whether this controller vouches for the configuration that it knows.
+    /// Whether the configuration that this controller knows is current.
     pub(crate) fn is_current(&self) -> bool {
         self.freshness.is_current() && self.has_contact(shards::CONFIGURATION)
     }
@@ -107,13 +107,13 @@
         watched.then(|| self.quorum_contact.valid_until(&self.groups(shards::CONFIGURATION))).flatten()
     }
 
-    /// Notices the beginning and the end of contact.
+    /// Reacts to the beginning and the end of quorum contact.
     pub(crate) fn update_contact(&mut self) {
         let reached: BTreeSet<u8> = shards::all().filter(|shard| self.has_contact(*shard)).collect();
         let watched = self.freshness.observe_contact(reached);
-        if watched.contact_begun {
-            // Heartbeats that others took meanwhile are still on their way here.
-            self.endpoints.excuse_silence(self.now());
+        if watched.contact_started {
+            // Heartbeats that other controllers received meanwhile are still in flight.
+            self.endpoints.reset_timeouts(self.now());
         }
         if watched.read {
             self.read_barrier();
--- a/crates/controller/src/controller/endpoints/registry.rs
+++ b/crates/controller/src/controller/endpoints/registry.rs
@@ -1,8 +1,10 @@
-//! Registrations of endpoints at a controller: what is taken, told to the others, acknowledged.
+//! Registrations of endpoints at a controller: merged, replicated to the peers, acknowledged.
 
 use crate::controller::consensus::replica_groups::KnownGroups;
+use crate::controller::endpoints::acknowledgements::{
+    AcknowledgementFault, Acknowledgements, acknowledged, too_few_reached,
+};
 use crate::controller::event::Answer;
-use crate::controller::operator::unavailable::Unavailable;
 use crate::message::{
     BatchedHeartbeat, HeartbeatBatch, Message, Registered as RegisteredMessage, Removed, ResidencyUpdate,
 };
@@ -11,142 +13,79 @@
 use bytes::Bytes;
 use lanegate_config::instance::InstanceState;
 use lanegate_coordination::registry::{FINAL_SEQUENCE, Registry, RegistryUpdate};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Longest wait for the other replicas before a leaving endpoint is sent elsewhere; it waits a second.
-const REPLICATION_TIMEOUT: Duration = Duration::from_millis(850);
 /// How long the end of an incarnation is remembered.
 const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
 /// Heartbeats that an endpoint may miss before it counts as lost. Routers see a dead endpoint long before;
 /// this only keeps the list from growing.
 const MISSED_HEARTBEATS: f64 = 3.5;
 
-/// Deliberate mistakes: each must be found by a test.
-#[doc(hidden)]
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AcknowledgementFault {
-    /// Confirmations of controllers that are no members count as those of members.
-    CountNonMembers,
-    /// What a peer confirmed counts after its restart.
-    CountRestartedPeers,
-    /// Flushes are numbered alike in every life of the process.
-    RepeatTokens,
-    /// Groups that only a peer knows do not count.
-    OwnGroupsOnly,
-}
-
-/// An acknowledgement that waits until a majority of every group in force has what it promises.
-#[derive(Debug)]
-struct PendingAcknowledgement {
-    reply: oneshot::Sender<Answer>,
-    id: String,
-    /// Controllers that have it, each with the groups that it knew when it said so.
-    confirmed_by: BTreeMap<SocketAddr, KnownGroups>,
-    until: Duration,
-}
-
-impl PendingAcknowledgement {
-    /// Whether it may be acknowledged by the controller `this`, which knows of the groups `known`.
-    ///
-    /// A controller that confirmed may know of a change of members that `this` has not heard of. Whoever holds
-    /// the newer group's majority must have the notice too, so that group counts beside those known here.
-    fn is_confirmed(
-        &self,
-        this: SocketAddr,
-        known: &KnownGroups,
-        fault: Option<AcknowledgementFault>,
-    ) -> bool {
-        if fault == Some(AcknowledgementFault::CountNonMembers) {
-            let majority = known.groups.iter().map(|group| group.len() / 2 + 1).max();
-            return majority.is_some_and(|majority| self.confirmed_by.len() + 1 >= majority);
-        }
-        let counts = |node| node == this || self.confirmed_by.contains_key(&node);
-        if fault == Some(AcknowledgementFault::OwnGroupsOnly) {
-            return known.have_majority(counts);
-        }
-        let newer =
-            self.confirmed_by.values().filter(|known_to_peer| known_to_peer.revision > known.revision);
-        known.have_majority(counts)
-            && newer.into_iter().all(|known_to_peer| known_to_peer.have_majority(counts))
-    }
-}
-
-/// What a call changed: messages for the other controllers, those of them that readers hear too.
+/// What a call changed: messages for the other controllers, and which of them subscribers get too.
 #[derive(Debug, Default)]
-pub struct Changes {
+pub(crate) struct Changes {
     pub messages: Vec<Message>,
     /// Asks the other controllers to confirm what was sent before.
     pub flush: Option<u64>,
 }
 
-/// What became of a registration that another controller told.
+/// The result of merging a registration of another controller.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct RegistrationMerge {
-    /// What readers have to hear.
+pub(crate) struct RegistrationMerge {
+    /// Updates for subscribers.
     pub updates: Vec<Message>,
-    /// Whether the other controllers have to hear it from here too: an endpoint that leaves may have been
-    /// acknowledged, so whoever reaches this controller must get to know, also if it does not reach the first.
+    /// Whether it has to be relayed to the other controllers: a draining endpoint may have been acknowledged, so every
+    /// controller that this one reaches must learn of it, also if it does not reach the first.
     pub relay: bool,
 }
 
-/// What became of a removal that another controller told.
+/// The result of merging a removal of another controller.
 #[derive(Debug, PartialEq, Eq)]
-pub enum RemovalMerge {
-    /// The incarnation is gone here too; readers have to hear of it.
+pub(crate) enum RemovalMerge {
+    /// The incarnation is removed here too; subscribers must be notified.
     Removed,
-    /// Nothing is new.
+    /// Nothing changed.
     Known,
-    /// A later heartbeat was heard: the other controllers and all readers need this registration, as
-    /// whoever took the removal hears nothing of an unchanged heartbeat.
+    /// A later heartbeat was received: the other controllers and all subscribers need this registration, as
+    /// whoever merged the removal gets no update from an unchanged heartbeat.
     Contradicted(Message),
 }
 
-/// The registry, and the acknowledgements under way.
+/// The endpoint registry of one controller.
 #[derive(Debug)]
-pub struct EndpointRegistry {
-    /// This controller, which counts among those that know of a notice.
-    this: SocketAddr,
+pub(crate) struct EndpointRegistry {
     registry: Registry<Registered>,
     timeout: Duration,
     /// Heartbeats since the last report to the other controllers.
     heartbeats: BTreeMap<String, u64>,
-    /// Leaving incarnations of which a majority knows.
-    confirmed: BTreeSet<String>,
-    pending: BTreeMap<u64, PendingAcknowledgement>,
-    next_token: u64,
-    fault: Option<AcknowledgementFault>,
+    /// Acknowledgements of drains and deregistrations.
+    pub(crate) acknowledgements: Acknowledgements,
 }
 
 impl EndpointRegistry {
-    /// An empty registry for endpoints that send a heartbeat every `heartbeat`, at the controller `this`. Flushes
-    /// are numbered from `incarnation`, drawn anew at each start: an answer to an earlier life confirms nothing.
-    pub fn new(heartbeat: Duration, this: SocketAddr, incarnation: u64) -> Self {
+    /// An empty registry for endpoints that send a heartbeat every `heartbeat`, at the controller `own_address`. Flushes
+    /// are numbered from `incarnation`, drawn anew at each start: an answer to an earlier incarnation confirms nothing.
+    pub(crate) fn new(heartbeat: Duration, own_address: SocketAddr, incarnation: u64) -> Self {
         EndpointRegistry {
-            this,
             registry: Registry::default(),
             timeout: heartbeat.mul_f64(MISSED_HEARTBEATS),
             heartbeats: BTreeMap::new(),
-            confirmed: BTreeSet::new(),
-            pending: BTreeMap::new(),
-            next_token: incarnation,
-            fault: None,
+            acknowledgements: Acknowledgements::new(own_address, incarnation),
         }
     }
 
-    /// The same with a deliberate mistake, for tests.
-    pub fn with_fault(self, fault: Option<AcknowledgementFault>) -> Self {
-        let repeats = fault == Some(AcknowledgementFault::RepeatTokens);
-        let next_token = if repeats { 1 } else { self.next_token };
-        EndpointRegistry { next_token, fault, ..self }
+    /// The same with a deliberate fault, for tests.
+    pub(crate) fn with_fault(self, fault: Option<AcknowledgementFault>) -> Self {
+        EndpointRegistry { acknowledgements: self.acknowledgements.with_fault(fault), ..self }
     }
 
     /// A heartbeat of `id`. A majority of the groups `known`, and of any newer ones, has to know of one that is
-    /// leaving. One that is not leaving is taken in any case, but acknowledged only `in_contact` with a majority:
-    /// whoever judges its silence may not hear of it from here, so it has to call another controller as well.
-    pub fn register(
+    /// draining. One that is not draining is merged in any case, but acknowledged only `in_contact` with a majority:
+    /// the controller that expires it may not get the heartbeat from here, so it has to call another controller as well.
+    pub(crate) fn register(
         &mut self,
         now: Duration,
         id: &str,
@@ -173,11 +112,11 @@
             RegistryUpdate::Changed { replaced } => changes.messages = self.changed(id, replaced),
         }
         if !draining {
-            self.confirmed.remove(id);
+            self.acknowledgements.forget(id);
         }
-        if draining && !self.confirmed.contains(id) {
+        if draining && !self.acknowledgements.is_confirmed(id) {
             changes.messages.extend(self.current(id));
-            changes.flush = self.wait(now, id, known, reply);
+            changes.flush = self.acknowledgements.wait(now, id, known, reply);
         } else if in_contact {
             let _ = reply.send(acknowledged());
         } else {
@@ -186,8 +125,8 @@
         changes
     }
 
-    /// `id` says that it has ended.
-    pub fn deregister(
+    /// The endpoint `id` deregisters.
+    pub(crate) fn deregister(
         &mut self,
         now: Duration,
         id: &str,
@@ -197,11 +136,11 @@
         self.registry.remove(now, id, FINAL_SEQUENCE);
         self.heartbeats.remove(id);
         let messages = vec![removed_message(id, FINAL_SEQUENCE)];
-        Changes { messages, flush: self.wait(now, id, known, reply) }
+        Changes { messages, flush: self.acknowledgements.wait(now, id, known, reply) }
     }
 
-    /// Another controller heard a registration.
-    pub fn merge(&mut self, now: Duration, message: &RegisteredMessage) -> RegistrationMerge {
+    /// Merges a registration that another controller received.
+    pub(crate) fn merge(&mut self, now: Duration, message: &RegisteredMessage) -> RegistrationMerge {
         let id = message.id.text();
         let Ok(registration) = Registered::parse(&id, message.body.bytes.clone().into()) else {
             return RegistrationMerge::default();
@@ -216,29 +155,29 @@
         }
     }
 
-    /// The placer here knows of a model at an endpoint. Gives what everyone has to hear, if it is news.
-    pub fn publish(&mut self, mut update: ResidencyUpdate) -> Option<ResidencyUpdate> {
+    /// Merges a residency update of a placer here. Returns the update to publish, if it changed anything.
+    pub(crate) fn publish(&mut self, mut update: ResidencyUpdate) -> Option<ResidencyUpdate> {
         let entry = self.registry.get(&update.id.text())?;
         update.sequence = entry.latest;
         update.order = entry.registration.as_ref()?.next_order();
         self.apply_residency(&update).then_some(update)
     }
 
-    /// A placer, here or elsewhere, knows of a model at an endpoint. True if it is news.
-    pub fn apply_residency(&mut self, update: &ResidencyUpdate) -> bool {
+    /// Merges a residency update of a placer, here or elsewhere. Returns whether it changed anything.
+    pub(crate) fn apply_residency(&mut self, update: &ResidencyUpdate) -> bool {
         let registration = self.registry.get_mut(&update.id.text());
         registration.is_some_and(|registration| registration.apply_residency(update.clone()))
     }
 
-    /// Whether a removal that another controller told has to be told to the others from here too, for the same
-    /// reason as in [`RegistrationMerge::relay`]; to be asked before it is merged.
-    pub fn relays_removal(&self, removed: &Removed) -> bool {
+    /// Whether a removal that another controller sent has to be relayed from here too, for the same
+    /// reason as in [`RegistrationMerge::relay`]; to be called before it is merged.
+    pub(crate) fn relays_removal(&self, removed: &Removed) -> bool {
         let known = self.registry.get(&removed.id.text());
         removed.sequence == FINAL_SEQUENCE && known.is_none_or(|entry| entry.sequence != FINAL_SEQUENCE)
     }
 
     /// Another controller removed an incarnation.
-    pub fn merge_removal(&mut self, now: Duration, removed: &Removed) -> RemovalMerge {
+    pub(crate) fn merge_removal(&mut self, now: Duration, removed: &Removed) -> RemovalMerge {
         let id = removed.id.text();
         if self.registry.remove(now, &id, removed.sequence) {
             return RemovalMerge::Removed;
@@ -249,21 +188,21 @@
         }
     }
 
-    /// A live registration as of its newest heartbeat, which is newer than a removal that was heard.
+    /// A live registration as of its newest heartbeat, which is newer than a removal that was received.
     fn revived(&self, id: &str) -> Option<Message> {
         let entry = self.registry.get(id)?;
         Some(registered_message(id, entry.latest, entry.registration.as_ref()?))
     }
 
-    /// Another controller heard these.
-    pub fn merge_heartbeats(&mut self, now: Duration, list: &HeartbeatBatch) {
+    /// Merges heartbeats that another controller received.
+    pub(crate) fn merge_heartbeats(&mut self, now: Duration, list: &HeartbeatBatch) {
         for heartbeat in &list.heartbeats {
             self.registry.refresh(now, &heartbeat.id.text(), heartbeat.sequence);
         }
     }
 
-    /// What was heard here since the last call, for the other controllers.
-    pub fn take_heartbeat_batch(&mut self) -> Option<Message> {
+    /// Heartbeats received here since the last call, for the other controllers.
+    pub(crate) fn take_heartbeat_batch(&mut self) -> Option<Message> {
         if self.heartbeats.is_empty() {
             return None;
         }
@@ -273,83 +212,26 @@
         Some(Message::HeartbeatBatch(heartbeats.into()))
     }
 
-    /// Removes what nobody has heard, in the services that this controller owns.
-    pub fn expire(&mut self, now: Duration, owns: impl Fn(&str) -> bool) -> Vec<Message> {
+    /// Removes endpoints whose heartbeats have timed out, in the services that this controller owns.
+    pub(crate) fn expire(&mut self, now: Duration, owns: impl Fn(&str) -> bool) -> Vec<Message> {
         self.registry.purge_removed(now, TOMBSTONE_RETENTION);
         let registry = &self.registry;
-        self.confirmed.retain(|id| registry.get(id).is_some_and(|entry| entry.registration.is_some()));
-        let silent = self.registry.expire(now, self.timeout, owns);
-        silent.into_iter().map(|(id, sequence)| removed_message(&id, sequence)).collect()
+        self.acknowledgements
+            .retain_confirmed(|id| registry.get(id).is_some_and(|entry| entry.registration.is_some()));
+        let expired = self.registry.expire(now, self.timeout, owns);
+        expired
+            .into_iter()
+            .map(|incarnation| removed_message(&incarnation.id, incarnation.sequence))
+            .collect()
     }
 
-    /// This process could not listen for a while.
-    pub fn excuse_silence(&mut self, now: Duration) {
+    /// This process could not receive for a while: time-outs start anew.
+    pub(crate) fn reset_timeouts(&mut self, now: Duration) {
         self.registry.restart_timeouts(now);
     }
 
-    /// A peer that knows of the groups `known_to_peer` has everything up to the flush `token`.
-    pub fn flushed(&mut self, token: u64, peer: SocketAddr, known_to_peer: KnownGroups, known: &KnownGroups) {
-        let Some(pending) = self.pending.get_mut(&token) else { return };
-        pending.confirmed_by.insert(peer, known_to_peer);
-        self.acknowledge_confirmed(known);
-    }
-
-    /// A peer runs as another process than before: what the earlier one confirmed is lost with its memory.
-    pub fn peer_restarted(&mut self, peer: SocketAddr) {
-        if self.fault == Some(AcknowledgementFault::CountRestartedPeers) {
-            return;
-        }
-        for pending in self.pending.values_mut() {
-            pending.confirmed_by.remove(&peer);
-        }
-    }
-
-    /// Acknowledges what is confirmed, now that confirmations or the groups `known` have changed.
-    pub fn acknowledge_confirmed(&mut self, known: &KnownGroups) {
-        let (this, fault) = (self.this, self.fault);
-        let is_confirmed = |pending: &PendingAcknowledgement| pending.is_confirmed(this, known, fault);
-        let confirmed = self.pending.iter().filter(|(_, pending)| is_confirmed(pending));
-        let confirmed: Vec<u64> = confirmed.map(|(token, _)| *token).collect();
-        for token in confirmed {
-            let pending = self.pending.remove(&token).expect("it was just there");
-            self.confirmed.insert(pending.id);
-            let _ = pending.reply.send(acknowledged());
-        }
-    }
-
-    /// A number for a flush that no acknowledgement waits for.
-    pub fn next_token(&mut self) -> u64 {
-        let token = self.next_token;
-        self.next_token = token.wrapping_add(1);
-        token
-    }
-
-    /// Gives up acknowledgements for which no majority was reached in time.
-    pub fn expire_pending(&mut self, now: Duration) {
-        let late: Vec<u64> = self
-            .pending
-            .iter()
-            .filter(|(_, pending)| pending.until <= now)
-            .map(|(token, _)| *token)
-            .collect();
-        for token in late {
-            let pending = self.pending.remove(&token).expect("it was just there");
-            let _ = pending.reply.send(too_few_reached());
-        }
-    }
-
-    /// Acknowledgements that wait for the other replicas.
-    pub fn pending(&self) -> usize {
-        self.pending.len()
-    }
-
-    /// When [`EndpointRegistry::expire_pending`] is to be called next.
-    pub fn next_wake(&self) -> Option<Duration> {
-        self.pending.values().map(|pending| pending.until).min()
-    }
-
-    /// Live incarnations, for readers of the feed.
-    pub fn snapshot(&self) -> impl Iterator<Item = Message> {
+    /// Live incarnations, for subscribers of the feed.
+    pub(crate) fn snapshot(&self) -> impl Iterator<Item = Message> {
         self.registry.entries().flat_map(|(id, entry)| {
             let registration = entry.registration.as_ref();
             let residency_updates = registration.into_iter().flat_map(Registered::residency_updates);
@@ -358,19 +240,19 @@
         })
     }
 
-    /// All incarnations, those that are gone included, for another controller.
-    pub fn full_snapshot(&self) -> impl Iterator<Item = Message> {
+    /// All incarnations, tombstones included, for another controller.
+    pub(crate) fn full_snapshot(&self) -> impl Iterator<Item = Message> {
         let gone = self.registry.entries().filter(|(_, entry)| entry.registration.is_none());
         self.snapshot().chain(gone.map(|(id, entry)| removed_message(id, entry.sequence)))
     }
 
     /// The registration of a live incarnation.
-    pub fn registration(&self, id: &str) -> Option<&Registered> {
+    pub(crate) fn registration(&self, id: &str) -> Option<&Registered> {
         self.registry.get(id)?.registration.as_ref()
     }
 
     /// Live registrations.
-    pub fn live(&self) -> impl Iterator<Item = (&String, &Registered)> + Clone {
+    pub(crate) fn live(&self) -> impl Iterator<Item = (&String, &Registered)> + Clone {
         self.registry.entries().filter_map(|(id, entry)| Some((id, entry.registration.as_ref()?)))
     }
 
@@ -386,31 +268,6 @@
             None => removed_message(id, entry.sequence),
         })
     }
-
-    /// Lets an acknowledgement wait for the other replicas. Tells the token of the flush, if any is needed.
-    fn wait(
-        &mut self,
-        now: Duration,
-        id: &str,
-        known: &KnownGroups,
-        reply: oneshot::Sender<Answer>,
-    ) -> Option<u64> {
-        let until = now + REPLICATION_TIMEOUT;
-        let pending =
-            PendingAcknowledgement { reply, id: id.to_owned(), confirmed_by: BTreeMap::new(), until };
-        let token = self.next_token();
-        self.pending.insert(token, pending);
-        self.acknowledge_confirmed(known);
-        self.pending.contains_key(&token).then_some(token)
-    }
-}
-
-fn acknowledged() -> Answer {
-    Answer::new(200, "{}")
-}
-
-fn too_few_reached() -> Answer {
-    Answer::unavailable(Unavailable::HeartbeatNotReplicated)
 }
 
 fn removed_message(id: &str, sequence: u64) -> Message {
--- a/crates/controller/src/controller/endpoints/registry_test.rs
+++ b/crates/controller/src/controller/endpoints/registry_test.rs
@@ -1,10 +1,9 @@
 //! Registrations at one controller: what is acknowledged when, and what the others and the readers hear.
 
 use crate::controller::consensus::replica_groups::KnownGroups;
+use crate::controller::endpoints::acknowledgements::AcknowledgementFault;
 use crate::controller::endpoints::pending_loads::residency_update;
-use crate::controller::endpoints::registry::{
-    AcknowledgementFault, Changes, EndpointRegistry, RegistrationMerge, RemovalMerge,
-};
+use crate::controller::endpoints::registry::{Changes, EndpointRegistry, RegistrationMerge, RemovalMerge};
 use crate::controller::event::Answer;
 use crate::message::{BatchedHeartbeat, HeartbeatBatch, Message, Registered, Removed, ResidencyUpdate};
 use bytes::Bytes;
@@ -48,7 +47,7 @@
 
 /// A peer that knows of the same `group` as the controller of the tests confirms.
 fn confirm(endpoints: &mut EndpointRegistry, token: u64, number: u8, group: &[u8]) {
-    endpoints.flushed(token, peer(number), known(group), &known(group));
+    endpoints.acknowledgements.flushed(token, peer(number), known(group), &known(group));
 }
 
 fn body(sequence: u64, state: &str) -> Bytes {
@@ -90,7 +89,7 @@
 }
 
 #[test]
-fn a_ready_endpoint_is_acknowledged_at_once_and_told_when_it_is_news() {
+fn a_ready_endpoint_is_acknowledged_at_once_and_replicated_when_it_changed() {
     let mut endpoints = endpoints();
     let (changes, mut answer) = register(&mut endpoints, ms(0), THREE, 1, "ready");
     assert_eq!(changes.messages, vec![Message::Registered(registered(1, "ready"))]);
@@ -150,33 +149,33 @@
     assert_eq!(status(&mut answer), None, "one peer that confirms twice is one");
     confirm(&mut endpoints, token, 3, FIVE);
     assert_eq!(status(&mut answer), Some(200));
-    assert_eq!(endpoints.next_wake(), None);
+    assert_eq!(endpoints.acknowledgements.next_wake(), None);
 }
 
 #[test]
 fn a_draining_endpoint_is_given_up_without_a_majority() {
     let mut endpoints = endpoints();
     let (changes, mut answer) = register(&mut endpoints, ms(0), THREE, 1, "draining");
-    assert_eq!(endpoints.next_wake(), Some(GIVEN_UP));
-    endpoints.expire_pending(GIVEN_UP - ms(1));
+    assert_eq!(endpoints.acknowledgements.next_wake(), Some(GIVEN_UP));
+    endpoints.acknowledgements.expire_pending(GIVEN_UP - ms(1));
     assert_eq!(status(&mut answer), None);
-    endpoints.expire_pending(GIVEN_UP);
+    endpoints.acknowledgements.expire_pending(GIVEN_UP);
     assert_eq!(status(&mut answer), Some(503));
     confirm(&mut endpoints, changes.flush.expect("the others are asked"), 2, THREE);
-    assert_eq!(endpoints.next_wake(), None);
+    assert_eq!(endpoints.acknowledgements.next_wake(), None);
 }
 
 #[test]
-fn a_draining_endpoint_that_was_given_up_is_told_and_flushed_again() {
+fn a_draining_endpoint_that_timed_out_is_replicated_and_flushed_again() {
     let mut endpoints = endpoints();
     register(&mut endpoints, ms(0), THREE, 1, "draining");
-    endpoints.expire_pending(GIVEN_UP);
+    endpoints.acknowledgements.expire_pending(GIVEN_UP);
     for (sequence, time) in [(1, 900), (2, 1_800)] {
         let (changes, mut answer) = register(&mut endpoints, ms(time), THREE, sequence, "draining");
         assert!(changes.messages.contains(&Message::Registered(registered(sequence, "draining"))));
         assert!(changes.flush.is_some(), "sequence {sequence}");
         assert_eq!(status(&mut answer), None);
-        endpoints.expire_pending(ms(time) + GIVEN_UP);
+        endpoints.acknowledgements.expire_pending(ms(time) + GIVEN_UP);
     }
 }
 
@@ -208,7 +207,7 @@
 }
 
 #[test]
-fn an_end_is_told_for_good_and_acknowledged_with_a_majority() {
+fn a_deregistration_is_final_and_acknowledged_with_a_majority() {
     let mut endpoints = endpoints();
     register(&mut endpoints, ms(0), THREE, 1, "ready");
     let (reply, mut answer) = oneshot::channel();
@@ -224,20 +223,20 @@
 }
 
 #[test]
-fn an_end_without_a_majority_is_given_up_and_told_again_when_repeated() {
+fn a_deregistration_without_a_majority_times_out_and_is_replicated_again_when_repeated() {
     let mut endpoints = endpoints();
     for time in [0, 1_000] {
         let (reply, mut answer) = oneshot::channel();
         let changes = endpoints.deregister(ms(time), "i-1", &known(THREE), reply);
         assert_eq!(changes.messages, vec![Message::Removed(removed(FINAL_SEQUENCE))]);
         assert!(changes.flush.is_some());
-        endpoints.expire_pending(ms(time) + GIVEN_UP);
+        endpoints.acknowledgements.expire_pending(ms(time) + GIVEN_UP);
         assert_eq!(status(&mut answer), Some(503));
     }
 }
 
 #[test]
-fn what_a_peer_heard_is_told_to_readers_once() {
+fn what_a_peer_received_is_sent_to_subscribers_once() {
     let mut endpoints = endpoints();
     let known_to_peer = vec![Message::Registered(registered(4, "ready"))];
     let updates = |updates| RegistrationMerge { updates, relay: false };
@@ -247,7 +246,7 @@
 }
 
 #[test]
-fn an_endpoint_that_a_peer_hears_is_not_expired() {
+fn an_endpoint_whose_heartbeats_reach_a_peer_is_not_expired() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(1, "ready"));
     endpoints.merge_heartbeats(ms(3_000), &vec![BatchedHeartbeat { id: "i-1".into(), sequence: 4 }].into());
@@ -257,7 +256,7 @@
 }
 
 #[test]
-fn a_change_that_comes_after_word_of_a_later_heartbeat_is_taken() {
+fn a_change_that_arrives_after_notice_of_a_later_heartbeat_is_merged() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(5, "ready"));
     let later: HeartbeatBatch = vec![BatchedHeartbeat { id: "i-1".into(), sequence: 7 }].into();
@@ -267,15 +266,15 @@
 }
 
 #[test]
-fn silence_of_this_process_is_not_held_against_endpoints() {
+fn a_stall_of_this_process_does_not_expire_endpoints() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(1, "ready"));
-    endpoints.excuse_silence(ms(9_000));
+    endpoints.reset_timeouts(ms(9_000));
     assert_eq!(endpoints.expire(ms(9_001), |_| true), vec![]);
 }
 
 #[test]
-fn a_removal_by_a_peer_is_told_to_readers_once() {
+fn a_removal_by_a_peer_is_sent_to_subscribers_once() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(5, "ready"));
     assert_eq!(endpoints.merge_removal(ms(1), &removed(5)), RemovalMerge::Removed);
@@ -300,7 +299,7 @@
 }
 
 #[test]
-fn a_removal_that_crossed_word_of_a_heartbeat_is_contradicted_too() {
+fn a_removal_that_crossed_notice_of_a_heartbeat_is_contradicted_too() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(5, "ready"));
     endpoints.merge_heartbeats(ms(3_600), &vec![BatchedHeartbeat { id: "i-1".into(), sequence: 6 }].into());
@@ -349,11 +348,11 @@
 fn while_members_change_a_majority_of_both_groups_confirms() {
     let joint = known_at(2, &[&[1, 2, 3], &[3, 4, 5]]);
     let (mut endpoints, token, mut answer) = draining(THREE);
-    endpoints.flushed(token, peer(2), joint.clone(), &joint);
+    endpoints.acknowledgements.flushed(token, peer(2), joint.clone(), &joint);
     assert_eq!(status(&mut answer), None, "of the new group nobody has it");
-    endpoints.flushed(token, peer(4), joint.clone(), &joint);
+    endpoints.acknowledgements.flushed(token, peer(4), joint.clone(), &joint);
     assert_eq!(status(&mut answer), None);
-    endpoints.flushed(token, peer(3), joint.clone(), &joint);
+    endpoints.acknowledgements.flushed(token, peer(3), joint.clone(), &joint);
     assert_eq!(status(&mut answer), Some(200));
 }
 
@@ -361,9 +360,9 @@
 fn a_newer_group_that_a_peer_knows_counts_too() {
     let (old, joint) = (known_at(1, &[&[1, 2, 3]]), known_at(2, &[&[1, 2, 3], &[2, 3, 4]]));
     let (mut endpoints, token, mut answer) = draining(THREE);
-    endpoints.flushed(token, peer(2), joint, &old);
+    endpoints.acknowledgements.flushed(token, peer(2), joint, &old);
     assert_eq!(status(&mut answer), None, "this one and 2 are no majority of the group to come");
-    endpoints.flushed(token, peer(4), old.clone(), &old);
+    endpoints.acknowledgements.flushed(token, peer(4), old.clone(), &old);
     assert_eq!(status(&mut answer), Some(200));
 }
 
@@ -371,7 +370,7 @@
 fn an_older_group_that_a_peer_knows_does_not_count() {
     let (old, new) = (known_at(1, &[&[6, 7, 8]]), known_at(2, &[&[1, 2, 3]]));
     let (mut endpoints, token, mut answer) = draining(THREE);
-    endpoints.flushed(token, peer(2), old, &new);
+    endpoints.acknowledgements.flushed(token, peer(2), old, &new);
     assert_eq!(status(&mut answer), Some(200));
 }
 
@@ -382,7 +381,7 @@
         confirm(&mut endpoints, token, number, &[]);
     }
     assert_eq!(status(&mut answer), None, "nobody is a member of a group that is not known");
-    endpoints.acknowledge_confirmed(&known(THREE));
+    endpoints.acknowledgements.acknowledge_confirmed(&known(THREE));
     assert_eq!(status(&mut answer), Some(200));
 }
 
@@ -390,7 +389,7 @@
 fn a_peer_that_restarted_since_it_confirmed_does_not_count() {
     let (mut endpoints, token, mut answer) = draining(FIVE);
     confirm(&mut endpoints, token, 2, FIVE);
-    endpoints.peer_restarted(peer(2));
+    endpoints.acknowledgements.peer_restarted(peer(2));
     confirm(&mut endpoints, token, 3, FIVE);
     assert_eq!(status(&mut answer), None);
     confirm(&mut endpoints, token, 2, FIVE);
@@ -398,7 +397,7 @@
 }
 
 #[test]
-fn a_confirmation_for_an_earlier_life_of_the_process_confirms_nothing() {
+fn a_confirmation_for_an_earlier_incarnation_of_the_process_confirms_nothing() {
     let (_, earlier, _answer) = draining(THREE);
     let mut restarted = EndpointRegistry::new(HEARTBEAT, peer(THIS), INCARNATION * 1_000);
     let (changes, mut answer) = register(&mut restarted, ms(0), THREE, 1, "draining");
@@ -408,7 +407,7 @@
 }
 
 #[test]
-fn word_of_an_endpoint_that_leaves_is_passed_on_once() {
+fn the_state_of_a_draining_endpoint_is_relayed_once() {
     let mut endpoints = endpoints();
     assert!(!endpoints.merge(ms(0), &registered(1, "ready")).relay);
     assert!(endpoints.merge(ms(1), &registered(2, "draining")).relay);
@@ -420,15 +419,15 @@
 }
 
 #[test]
-fn the_end_of_an_endpoint_never_heard_of_is_passed_on_once() {
+fn the_removal_of_an_unknown_endpoint_is_relayed_once() {
     let mut endpoints = endpoints();
     assert!(endpoints.relays_removal(&removed(FINAL_SEQUENCE)));
     endpoints.merge_removal(ms(0), &removed(FINAL_SEQUENCE));
     assert!(!endpoints.relays_removal(&removed(FINAL_SEQUENCE)));
 }
 
-/// A registry that makes a mistake, and what it says to a drain once the peers that `known_to_peer` names have confirmed.
-fn mistaken(
+/// The status with which a registry with a fault answers a drain once the peers that `known_to_peer` names have confirmed.
+fn with_fault_status(
     fault: AcknowledgementFault,
     known_to_peer: &[(u8, &KnownGroups)],
     known: &KnownGroups,
@@ -438,7 +437,7 @@
     let changes = endpoints.register(ms(0), "i-1", body(1, "draining"), known, true, reply);
     let token = changes.flush.expect("the others are asked");
     for (number, known_to_peer) in known_to_peer {
-        endpoints.flushed(token, peer(*number), (*known_to_peer).clone(), known);
+        endpoints.acknowledgements.flushed(token, peer(*number), (*known_to_peer).clone(), known);
     }
     status(&mut answer)
 }
@@ -446,13 +445,13 @@
 #[test]
 fn the_checks_find_confirmations_of_others_than_members() {
     let known = known(THREE);
-    assert_eq!(mistaken(AcknowledgementFault::CountNonMembers, &[(6, &known)], &known), Some(200));
+    assert_eq!(with_fault_status(AcknowledgementFault::CountNonMembers, &[(6, &known)], &known), Some(200));
 }
 
 #[test]
 fn the_checks_find_a_newer_group_that_does_not_count() {
     let (old, joint) = (known_at(1, &[&[1, 2, 3]]), known_at(2, &[&[1, 2, 3], &[2, 3, 4]]));
-    assert_eq!(mistaken(AcknowledgementFault::OwnGroupsOnly, &[(2, &joint)], &old), Some(200));
+    assert_eq!(with_fault_status(AcknowledgementFault::OwnGroupsOnly, &[(2, &joint)], &old), Some(200));
 }
 
 #[test]
@@ -461,13 +460,13 @@
     let (changes, mut answer) = register(&mut endpoints, ms(0), FIVE, 1, "draining");
     let token = changes.flush.expect("the others are asked");
     confirm(&mut endpoints, token, 2, FIVE);
-    endpoints.peer_restarted(peer(2));
+    endpoints.acknowledgements.peer_restarted(peer(2));
     confirm(&mut endpoints, token, 3, FIVE);
     assert_eq!(status(&mut answer), Some(200));
 }
 
 #[test]
-fn the_checks_find_flushes_that_are_numbered_alike_in_every_life() {
+fn the_checks_find_flushes_with_equal_numbers_in_every_incarnation() {
     let fault = Some(AcknowledgementFault::RepeatTokens);
     let mut earlier = endpoints().with_fault(fault);
     let (first, _answer) = register(&mut earlier, ms(0), THREE, 1, "draining");
@@ -478,7 +477,7 @@
 }
 
 #[test]
-fn what_is_published_names_the_newest_heartbeat_and_its_place_in_order() {
+fn what_is_published_has_the_newest_heartbeat_and_its_order() {
     let mut endpoints = endpoints();
     let loaded = residency_update("i-1", "m", None, true);
     assert_eq!(endpoints.publish(loaded.clone()), None, "the endpoint is not known");
@@ -492,7 +491,7 @@
 }
 
 #[test]
-fn a_heartbeat_that_changes_nothing_refuses_no_holding_of_the_one_before() {
+fn a_heartbeat_without_change_refuses_no_residency_update_of_the_one_before() {
     let mut endpoints = endpoints();
     register(&mut endpoints, ms(0), THREE, 5, "ready");
     register(&mut endpoints, ms(1_000), THREE, 6, "ready");
--- a/crates/controller/src/controller/event_loop.rs
+++ b/crates/controller/src/controller/event_loop.rs
@@ -1,4 +1,4 @@
-//! One turn of a controller: what is due by now, and each event handed to the module that takes its kind.
+//! The event loop of a controller: timers that are due, and the dispatch of events.
 
 use crate::controller::Controller;
 use crate::controller::consensus::shards;
@@ -9,20 +9,20 @@
 use lanegate_coordination::register::{Input, Value};
 use std::time::Duration;
 
-/// A gap between turns from which on this process takes itself to have stood still.
+/// A gap between ticks from which on this process is taken to have stalled.
 const STALL_THRESHOLD: Duration = Duration::from_millis(1_200);
 
 impl Controller {
-    /// Takes up what the disk holds, and dials the seeds.
+    /// Restores the state on disk, and dials the seeds.
     pub(crate) fn start(&mut self) {
         let seeds = self.settings.seeds.clone();
         seeds.into_iter().for_each(|seed| self.discover_peer(seed));
-        let decided: Vec<(u8, Value)> = self
+        let committed: Vec<(u8, Value)> = self
             .shards
             .iter()
             .filter_map(|(shard, replica)| Some((shard, replica.committed()?.clone())))
             .collect();
-        for (shard, value) in decided {
+        for (shard, value) in committed {
             self.on_committed(shard, &value);
         }
         for shard in shards::all() {
@@ -39,7 +39,7 @@
             self.replacement_planner.next_wake(),
             self.shards.next_wake(),
             self.pending_changes.next_wake(),
-            self.endpoints.next_wake(),
+            self.endpoints.acknowledgements.next_wake(),
             self.placers.next_wake(),
             self.pending_loads.next_wake(),
             self.contact_expiry(),
@@ -50,13 +50,13 @@
         wakes.into_iter().flatten().min().unwrap_or(self.next_feed_heartbeat)
     }
 
-    /// Does what is due.
+    /// Runs everything that is due.
     pub(crate) fn tick(&mut self) {
         let now = self.now();
         if now > self.last_tick + STALL_THRESHOLD {
             self.counters.stalls += 1;
-            self.endpoints.excuse_silence(now);
-            self.replacement_planner.excuse_silence();
+            self.endpoints.reset_timeouts(now);
+            self.replacement_planner.reset_timeouts();
         }
         self.last_tick = now;
         if self.membership.next_wake() <= now {
@@ -77,7 +77,7 @@
             self.propose_change(request);
         }
         self.update_contact();
-        self.endpoints.expire_pending(now);
+        self.endpoints.acknowledgements.expire_pending(now);
         self.run_placers(now);
         if self.next_feed_heartbeat <= now {
             self.next_feed_heartbeat = now + FEED_HEARTBEAT_PERIOD;
@@ -91,17 +91,17 @@
         self.advance_handover(now);
     }
 
-    /// Takes one event.
+    /// Handles one event.
     pub(crate) fn handle_event(&mut self, event: Event) {
         let now = self.now();
         match event {
             Event::PeerUp { peer, outbox } => {
                 self.send_greeting(&outbox);
-                self.peers.up(peer, outbox);
+                self.peers.link_up(peer, outbox);
                 self.repeat_heartbeat(peer);
                 self.retry_replicas(peer);
             }
-            Event::PeerDown { peer } => self.peers.down(peer),
+            Event::PeerDown { peer } => self.peers.link_down(peer),
             Event::PeerHello { hello } => {
                 if let Ok(peer) = hello.control_address.text().parse() {
                     self.discover_peer(peer);
@@ -113,12 +113,12 @@
             Event::AgentMessage { agent, message } => self.agent_message(agent, message),
             Event::OrderAnswered { service, order, answer } => self.order_answered(&service, &order, answer),
             Event::Reported { service, instance, report } => {
-                for holding in self.pending_loads.reported(&instance, &report.models) {
-                    self.publish(holding);
+                for update in self.pending_loads.reported(&instance, &report.models) {
+                    self.publish(update);
                 }
                 self.placers.reported(now, &service, &instance, &report);
             }
-            Event::AgentDown { agent } => self.subscribers.down(agent),
+            Event::AgentDown { agent } => self.subscribers.disconnected(agent),
             Event::Call(call) => self.call(call),
             Event::Written { shard, token, durable } => {
                 let input = if durable { Input::Persisted { token } } else { Input::PersistFailed { token } };
--- a/crates/controller/src/controller/feed/subscriber_storm_test.rs
+++ b/crates/controller/src/controller/feed/subscriber_storm_test.rs
@@ -1,7 +1,7 @@
 //! Readers of the feed under storms of changes: bytes, lag and the end state of each, in simulated time.
 
 use crate::configuration_feed::fetcher::Pace;
-use crate::controller::feed::subscribers::Subscribers;
+use crate::controller::feed::subscribers::{FeedStatus, Subscribers};
 use crate::link::Outbox;
 use crate::message::{CommittedConfiguration, Hello, Message, Registered, Removed, Role};
 use crate::view::View;
@@ -92,7 +92,7 @@
     }
 
     fn revision(&self) -> u64 {
-        self.view.configuration().map_or(0, |decided| decided.revision)
+        self.view.configuration().map_or(0, |committed| committed.revision)
     }
 }
 
@@ -112,7 +112,7 @@
         let mut subscriber = |number: usize| {
             let links = sources.iter_mut().map(|source| {
                 let (outbox, frames) = Outbox::new();
-                source.up(number as u64, &hello(Position::default()), outbox, snapshot, (true, 1));
+                source.connected(number as u64, &hello(Position::default()), outbox, snapshot, status(1));
                 Link { frames, arriving: None }
             });
             let links = links.collect();
@@ -131,11 +131,11 @@
             if now < begun + storm && (now - begun).is_multiple_of(CHANGE_PERIOD_MS) {
                 self.decided_at.push(now);
                 let revision = self.decided_at.len() as u64;
-                let decided = CommittedConfiguration { revision, document: document(revision).into() };
-                self.sources.iter_mut().for_each(|source| source.publish(decided.clone()));
+                let committed = CommittedConfiguration { revision, document: document(revision).into() };
+                self.sources.iter_mut().for_each(|source| source.publish(committed.clone()));
             }
             if now.is_multiple_of(FEED_HEARTBEAT_PERIOD_MS) {
-                self.sources.iter_mut().for_each(|source| source.heartbeat(true, 1));
+                self.sources.iter_mut().for_each(|source| source.heartbeat(status(1)));
             }
             self.step(now);
         }
@@ -180,6 +180,11 @@
     }
 }
 
+/// The status of a trusted source.
+fn status(routers: u32) -> FeedStatus {
+    FeedStatus { is_trusted: true, routers }
+}
+
 fn hello(position: Position) -> Hello {
     Hello {
         role: Role::Agent,
@@ -211,7 +216,7 @@
 }
 
 #[test]
-fn a_reader_gets_no_more_than_its_share_whatever_operators_do() {
+fn a_subscriber_gets_no_more_than_its_bandwidth_share_whatever_operators_do() {
     const LENGTH_MS: u64 = 10_000;
     let mut world = World::new(4);
     world.play(LENGTH_MS + 1_500, LENGTH_MS, all_routes_changed);
@@ -228,7 +233,7 @@
 }
 
 #[test]
-fn a_source_that_does_not_deliver_costs_its_patience_once_a_change() {
+fn a_source_that_does_not_deliver_costs_one_timeout_per_change() {
     let mut world = World::new(4);
     world.begin(one_route_changed);
     world.mute = vec![0];
@@ -283,7 +288,7 @@
             messages.push(Message::SnapshotEnd { complete: 1 });
             messages
         };
-        self.subscribers.up(1, &hello(position), outbox, snapshot, (true, 1));
+        self.subscribers.connected(1, &hello(position), outbox, snapshot, status(1));
         frames
     }
 }
@@ -312,10 +317,10 @@
     let mut view = View::default();
     let mut frames = publisher.join(Position::default());
     publisher.storm(500);
-    publisher.subscribers.heartbeat(true, 1);
+    publisher.subscribers.heartbeat(status(1));
     drain(&mut view, &mut frames);
-    view.lost(ms(0), source(0));
-    publisher.subscribers.down(1);
+    view.source_lost(ms(0), source(0));
+    publisher.subscribers.disconnected(1);
 
     let position = view.position(source(0));
     assert_eq!(position, Position { source: 11, offset: 500 });
@@ -325,7 +330,7 @@
     assert!(!anew, "the journal has what it lacks");
     assert_eq!(registrations(&view), registrations(&publisher.truth));
 
-    view.lost(ms(0), source(0));
+    view.source_lost(ms(0), source(0));
     let position = view.position(source(0));
     publisher.storm(2_049);
     let mut frames = publisher.join(position);
@@ -340,7 +345,7 @@
     let mut publisher = Publisher::new();
     let mut view = View::default();
     let mut frames = publisher.join(Position::default());
-    publisher.subscribers.heartbeat(true, 1);
+    publisher.subscribers.heartbeat(status(1));
     drain(&mut view, &mut frames);
     publisher.storm(10_000);
     assert_eq!(publisher.subscribers.count(), 0, "nothing is sent to it any more");
@@ -348,7 +353,7 @@
     assert!(frames.is_closed(), "its link ends");
     assert_ne!(registrations(&view), registrations(&publisher.truth));
 
-    view.lost(ms(0), source(0));
+    view.source_lost(ms(0), source(0));
     let mut frames = publisher.join(view.position(source(0)));
     publisher.storm(77);
     let (_, anew) = drain(&mut view, &mut frames);
@@ -362,19 +367,19 @@
     let mut view = View::default();
     let mut frames = publisher.join(Position::default());
     publisher.storm(100);
-    let decided =
+    let committed =
         |revision| CommittedConfiguration { revision, document: one_route_changed(revision).into() };
-    publisher.subscribers.publish(decided(1));
-    publisher.subscribers.heartbeat(true, 1);
+    publisher.subscribers.publish(committed(1));
+    publisher.subscribers.heartbeat(status(1));
     drain(&mut view, &mut frames);
-    view.receive(ms(0), source(0), Message::CommittedConfiguration(decided(1)), &mut Vec::new());
-    view.lost(ms(0), source(0));
-    publisher.subscribers.down(1);
+    view.receive(ms(0), source(0), Message::CommittedConfiguration(committed(1)), &mut Vec::new());
+    view.source_lost(ms(0), source(0));
+    publisher.subscribers.disconnected(1);
 
     publisher.storm(missed);
     // Only the versions that are kept as bases are built: older ones leave no trace.
     let newest = 1 + missed;
-    (newest.saturating_sub(40).max(2)..=newest).for_each(|n| publisher.subscribers.publish(decided(n)));
+    (newest.saturating_sub(40).max(2)..=newest).for_each(|n| publisher.subscribers.publish(committed(n)));
     let mut frames = publisher.join(view.position(source(0)));
     let (mut bytes, _) = drain(&mut view, &mut frames);
     let Some((_, Message::ConfigurationFetch(base))) = view.fetch(ms(1_000), None) else { panic!("a fetch") };
--- a/crates/controller/src/controller/feed/subscribers_test.rs
+++ b/crates/controller/src/controller/feed/subscribers_test.rs
@@ -1,6 +1,6 @@
 //! Readers of the feed go on where they stood, or begin with a snapshot.
 
-use crate::controller::feed::subscribers::Subscribers;
+use crate::controller::feed::subscribers::{FeedStatus, Subscribers};
 use crate::link::Outbox;
 use crate::message::{FeedHeartbeat, Hello, Message, Removed, Role};
 use bytes::Bytes;
@@ -8,6 +8,11 @@
 
 const INCARNATION: u64 = 77;
 
+/// The status of a trusted source.
+fn status(routers: u32) -> FeedStatus {
+    FeedStatus { is_trusted: true, routers }
+}
+
 fn hello(source: u64, offset: u64) -> Hello {
     Hello {
         role: Role::Agent,
@@ -38,7 +43,7 @@
 
 fn joined(subscribers: &mut Subscribers, subscriber: u64, hello: &Hello) -> Receiver<Bytes> {
     let (outbox, frames) = Outbox::new();
-    subscribers.up(subscriber, hello, outbox, snapshot, (true, 2));
+    subscribers.connected(subscriber, hello, outbox, snapshot, status(2));
     frames
 }
 
@@ -49,7 +54,7 @@
 }
 
 #[test]
-fn a_new_reader_begins_with_a_snapshot_and_is_told_where_it_stands() {
+fn a_new_subscriber_starts_with_a_snapshot_and_gets_its_position() {
     let mut subscribers = readers_with(3);
     let mut frames = joined(&mut subscribers, 1, &hello(0, 0));
     let mut expected = snapshot();
@@ -67,7 +72,7 @@
 }
 
 #[test]
-fn a_reader_of_another_life_or_from_too_far_back_begins_anew() {
+fn a_subscriber_of_another_incarnation_or_from_too_far_back_starts_anew() {
     let mut subscribers = readers_with(2_049);
     for stale in [hello(INCARNATION + 1, 2_049), hello(INCARNATION, 0), hello(INCARNATION, 2_050)] {
         let mut frames = joined(&mut subscribers, 1, &stale);
@@ -78,15 +83,15 @@
 }
 
 #[test]
-fn every_reader_hears_changes_and_beats_until_it_goes() {
+fn every_subscriber_gets_changes_and_heartbeats_until_it_disconnects() {
     let mut subscribers = readers_with(0);
     let (mut first, mut second) = (
         joined(&mut subscribers, 1, &hello(INCARNATION, 0)),
         joined(&mut subscribers, 2, &hello(INCARNATION, 0)),
     );
     subscribers.append(&change(0));
-    subscribers.down(1);
-    subscribers.heartbeat(true, 2);
+    subscribers.disconnected(1);
+    subscribers.heartbeat(status(2));
     assert_eq!(received(&mut first), vec![heartbeat(0), change(0)]);
     assert_eq!(received(&mut second), vec![heartbeat(0), change(0), heartbeat(1)]);
     assert_eq!(subscribers.count(), 1);
@@ -108,16 +113,16 @@
         made = true;
         snapshot
     };
-    subscribers.up(1, &hello(0, 0), outbox, make, (true, 2));
+    subscribers.connected(1, &hello(0, 0), outbox, make, status(2));
     (made, received(&mut frames))
 }
 
 #[test]
-fn readers_that_come_between_two_changes_share_a_snapshot() {
+fn subscribers_that_connect_between_two_changes_share_a_snapshot() {
     let mut subscribers = readers_with(3);
     let (made, first) = joined_with(&mut subscribers, snapshot());
     assert!(made);
-    subscribers.heartbeat(true, 2);
+    subscribers.heartbeat(status(2));
     let (made, second) = joined_with(&mut subscribers, vec![]);
     assert!(!made, "a heartbeat is no change");
     assert_eq!(first, second);
--- a/crates/controller/src/controller/membership/links.rs
+++ b/crates/controller/src/controller/membership/links.rs
@@ -13,8 +13,8 @@
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Keeps a link to the peer `peer` (its control address) at `address`, until the returned handle ends it.
-/// What the peer has to say comes on the link that it opens itself.
-pub fn keep_link(
+/// Messages of the peer arrive on the link that it opens itself.
+pub(crate) fn keep_link(
     peer: SocketAddr,
     address: SocketAddr,
     hello: Hello,
@@ -23,7 +23,7 @@
     let task = async move {
         loop {
             if let Err(error) = speak(peer, address, &hello, &events).await {
-                log::debug!("link to {peer}: {error}");
+                log::debug!("link failed peer={peer} error={error}");
             }
             tokio::time::sleep(REDIAL_DELAY).await;
         }
@@ -38,7 +38,7 @@
     events: &mpsc::UnboundedSender<Event>,
 ) -> std::io::Result<()> {
     let stream = link::dial(address).await?;
-    // The read half stays open: dropping it would shut nothing, but it tells when the peer has gone.
+    // The read half stays open: dropping it would shut nothing, but it shows when the peer has closed the connection.
     let (mut read, write) = stream.into_split();
     let (outbox, frames) = Outbox::new();
     outbox.message(&Message::Hello(hello.clone()));
@@ -58,8 +58,8 @@
     read.read(&mut byte).await.map(|_| ())
 }
 
-/// Takes links of peers and agents for the life of the process.
-pub async fn accept(listener: TcpListener, events: mpsc::UnboundedSender<Event>) {
+/// Accepts links of peers and agents until the process ends.
+pub(crate) async fn accept(listener: TcpListener, events: mpsc::UnboundedSender<Event>) {
     let mut opened = 0;
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -70,7 +70,7 @@
         let events = events.clone();
         tokio::task::spawn_local(async move {
             if let Err(error) = listen(stream, opened, &events).await {
-                log::debug!("opened link: {error}");
+                log::debug!("accepted link failed error={error}");
             }
         });
     }
--- a/crates/controller/src/controller/membership/member_status.rs
+++ b/crates/controller/src/controller/membership/member_status.rs
@@ -1,4 +1,4 @@
-//! What controllers say of themselves: for which shards they can vote, and whether they are about to end.
+//! The status that controllers report of themselves: for which shards they can vote, and whether they are draining.
 
 use crate::message::MemberStatus;
 use std::collections::BTreeMap;
@@ -17,48 +17,48 @@
     }
 }
 
-/// Shards beyond those of a word cannot be told; there are five.
+/// Shards beyond the bits of the mask cannot be reported; there are five.
 fn shard_bit(shard: u8) -> u32 {
     1_u32.checked_shl(shard.into()).unwrap_or_default()
 }
 
-/// The newest word of each controller, this one included.
+/// The newest status of each controller, this one included.
 #[derive(Debug, Default)]
-pub struct MemberStatuses {
+pub(crate) struct MemberStatuses {
     statuses: BTreeMap<SocketAddr, MemberStatus>,
 }
 
 impl MemberStatuses {
-    /// Takes what the controller at `node` says. True if it is news.
-    pub fn record(&mut self, node: SocketAddr, status: MemberStatus) -> bool {
+    /// Records the status of the controller at `node`. Returns whether it has changed.
+    pub(crate) fn record(&mut self, node: SocketAddr, status: MemberStatus) -> bool {
         self.statuses.insert(node, status) != Some(status)
     }
 
-    /// The controller at `node` runs as `incarnation` now: what an earlier life said holds no more.
-    pub fn restarted(&mut self, node: SocketAddr, incarnation: u64) {
+    /// The controller at `node` runs as `incarnation` now: the status of an earlier incarnation is dropped.
+    pub(crate) fn restarted(&mut self, node: SocketAddr, incarnation: u64) {
         if self.statuses.get(&node).is_some_and(|status| status.incarnation != incarnation) {
             self.statuses.remove(&node);
         }
     }
 
-    /// What the controller at `node` said last.
-    pub fn get(&self, node: SocketAddr) -> Option<MemberStatus> {
+    /// The newest status of the controller at `node`.
+    pub(crate) fn get(&self, node: SocketAddr) -> Option<MemberStatus> {
         self.statuses.get(&node).copied()
     }
 
-    /// Whether the controller can vote for a shard, as far as it has said.
-    pub fn can_vote(&self, node: SocketAddr, shard: u8) -> bool {
+    /// Whether the controller reported that it can vote for a shard.
+    pub(crate) fn can_vote(&self, node: SocketAddr, shard: u8) -> bool {
         self.statuses.get(&node).is_some_and(|status| status.can_vote(shard))
     }
 
-    /// Whether the controller is about to end.
-    pub fn is_draining(&self, node: SocketAddr) -> bool {
+    /// Whether the controller is draining.
+    pub(crate) fn is_draining(&self, node: SocketAddr) -> bool {
         self.statuses.get(&node).is_some_and(|status| status.draining == 1)
     }
 
     /// Whether the controller may be made a member of the group of a shard: a vote less would be a loss that is
     /// borne from the start.
-    pub fn can_join(&self, node: SocketAddr, shard: u8) -> bool {
+    pub(crate) fn can_join(&self, node: SocketAddr, shard: u8) -> bool {
         self.can_vote(node, shard) && !self.is_draining(node)
     }
 }
--- a/crates/controller/src/controller/operator/control_calls.rs
+++ b/crates/controller/src/controller/operator/control_calls.rs
@@ -16,7 +16,7 @@
 const CONFIGURATION_PATH: &str = "/config";
 /// Where endpoints register.
 const INSTANCES_PATH: &str = "/instances/";
-/// Where this controller tells how it is.
+/// Path of the status document.
 const STATUS_PATH: &str = "/status";
 
 impl Controller {
@@ -44,8 +44,11 @@
             return answer(call, Answer::error(404, "no such path"));
         }
         let alone = self.has_fault(ControllerFault::AcknowledgeDrainAlone);
-        let known =
-            if alone { KnownGroups::only(self.this) } else { self.known_groups(shards::CONFIGURATION) };
+        let known = if alone {
+            KnownGroups::only(self.own_address)
+        } else {
+            self.known_groups(shards::CONFIGURATION)
+        };
         let now = self.now();
         let alone = self.has_fault(ControllerFault::AcknowledgeHeartbeatAlone);
         let in_contact = alone || self.has_contact(shards::CONFIGURATION);
@@ -66,7 +69,8 @@
 
     fn read_configuration(&mut self, call: Call) {
         if self.has_fault(ControllerFault::ReadLocally) {
-            let document = self.decided.as_ref().map(|decided| decided.document.bytes.clone());
+            let document =
+                self.committed_configuration.as_ref().map(|committed| committed.document.bytes.clone());
             let known = document.map(|document| Answer::new(200, document));
             return answer(call, known.unwrap_or_else(|| Answer::unavailable(Unavailable::NoMajority)));
         }
@@ -94,7 +98,7 @@
             return;
         }
         let owner = self.owner(shards::CONFIGURATION, &[shards::CONFIGURATION]);
-        let elsewhere = owner != self.this;
+        let elsewhere = owner != self.own_address;
         let now = self.now();
         let Some(request) = self.pending_changes.begin(now, command.clone(), call.reply, elsewhere) else {
             return;
@@ -135,7 +139,7 @@
             .collect();
         let live: Vec<String> = self.membership.live().map(|node| node.to_string()).collect();
         let status = serde_json::json!({
-            "Controller": self.this.to_string(),
+            "Controller": self.own_address.to_string(),
             "Name": self.settings.node_name,
             "Life": self.incarnation,
             "UptimeS": self.now().as_secs(),
--- a/crates/controller/src/controller/operator/unavailable.rs
+++ b/crates/controller/src/controller/operator/unavailable.rs
@@ -4,18 +4,18 @@
 
 /// Why there is no clear answer to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unavailable {
-    /// This controller is about to end.
+pub(crate) enum Unavailable {
+    /// This controller is draining.
     Draining,
-    /// Too many changes are under way here.
+    /// Too many changes are in flight here.
     TooManyChanges,
-    /// A change was neither taken nor refused in time.
+    /// A change was neither committed nor refused in time.
     ChangeNotCommitted,
-    /// What became of a change cannot be told.
+    /// The outcome of a change is not known.
     ChangeUnclear,
     /// The configuration cannot be read without a majority.
     NoMajority,
-    /// Too few controllers know of a heartbeat or of an end.
+    /// Too few controllers have a heartbeat or a deregistration.
     HeartbeatNotReplicated,
     /// The call was dropped without an answer.
     Dropped,
@@ -23,7 +23,7 @@
 
 impl Unavailable {
     /// All reasons, in the order of their numbers.
-    pub const ALL: [Unavailable; 7] = [
+    pub(crate) const ALL: [Unavailable; 7] = [
         Unavailable::Draining,
         Unavailable::TooManyChanges,
         Unavailable::ChangeNotCommitted,
@@ -33,8 +33,8 @@
         Unavailable::Dropped,
     ];
 
-    /// What the caller is told.
-    pub fn text(self) -> &'static str {
+    /// Text of the answer.
+    pub(crate) fn text(self) -> &'static str {
         match self {
             Unavailable::Draining => "this controller is about to end",
             Unavailable::TooManyChanges => "too many calls are under way",
@@ -46,7 +46,7 @@
     }
 
     /// Its name as a label.
-    pub fn name(self) -> &'static str {
+    pub(crate) fn name(self) -> &'static str {
         match self {
             Unavailable::Draining => "leaving",
             Unavailable::TooManyChanges => "too_many_changes",
@@ -61,17 +61,17 @@
 
 /// Calls answered 503, by reason.
 #[derive(Debug, Default)]
-pub struct UnavailableCounts([Cell<u64>; Unavailable::ALL.len()]);
+pub(crate) struct UnavailableCounts([Cell<u64>; Unavailable::ALL.len()]);
 
 impl UnavailableCounts {
     /// Counts a call.
-    pub fn count(&self, reason: Unavailable) {
+    pub(crate) fn count(&self, reason: Unavailable) {
         let count = &self.0[reason as usize];
         count.set(count.get() + 1);
     }
 
     /// Calls answered 503 for this reason.
-    pub fn get(&self, reason: Unavailable) -> u64 {
+    pub(crate) fn get(&self, reason: Unavailable) -> u64 {
         self.0[reason as usize].get()
     }
 }
--- a/crates/controller/src/simulation/connection.rs
+++ b/crates/controller/src/simulation/connection.rs
@@ -1,6 +1,6 @@
 //! One simulated connection: frames in order both ways, as long as it lasts.
 
-use super::place::Place;
+use super::host::Host;
 use crate::link::Outbox;
 use bytes::Bytes;
 use std::collections::VecDeque;
@@ -11,10 +11,10 @@
 /// Bytes that are on the way at a time; what is beyond waits in the outbox.
 const WINDOW_BYTES: usize = 256 * 1024;
 
-/// One life of a process.
+/// One incarnation of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Process {
-    pub(super) place: Place,
+    pub(super) host: Host,
     /// Counts all starts of all processes.
     pub(super) start: u64,
 }
@@ -35,11 +35,11 @@
 pub(super) struct Dial {
     pub(super) kind: Kind,
     pub(super) dialer: Process,
-    pub(super) listener: Place,
+    pub(super) listener: Host,
     /// Address by which the dialer knows the other side.
     pub(super) address: SocketAddr,
-    /// Tells this wish from earlier ones of the same process for the same address.
-    pub(super) wish: u64,
+    /// Distinguishes this dial from earlier ones of the same process to the same address.
+    pub(super) dial_number: u64,
 }
 
 /// The side of a connection to which something goes.
@@ -68,7 +68,7 @@
         Pipe { frames, on_the_way, bytes_on_the_way: 0, free_at: Duration::ZERO, scheduled: false }
     }
 
-    /// Takes frames out of the outbox, as many as fit. `transfer` and `delay` tell how long each takes.
+    /// Takes frames out of the outbox, as many as fit. `transfer` and `delay` give the time that each takes.
     /// False once the outbox is closed and everything has arrived.
     pub(super) fn pump(
         &mut self,
@@ -124,18 +124,18 @@
 pub(super) struct Connection {
     pub(super) dial: Dial,
     pub(super) listener: Process,
-    /// What the dialer says.
+    /// Frames of the dialer.
     pub(super) forward: Pipe,
-    /// What the listener says.
+    /// Frames of the listener.
     pub(super) backward: Pipe,
     /// The peer whose first message has been read, where controllers talk.
     pub(super) peer: Option<SocketAddr>,
     /// Handed to the listener once it has read the first message.
     pub(super) listener_outbox: Option<Outbox>,
-    /// Since when a direction has been cut.
-    pub(super) cut_since: Option<Duration>,
-    /// When the dialer last heard anything.
-    pub(super) heard_at: Duration,
+    /// Since when a direction has been partitioned.
+    pub(super) partitioned_since: Option<Duration>,
+    /// When the dialer last received anything.
+    pub(super) received_at: Duration,
 }
 
 impl Connection {
@@ -150,8 +150,8 @@
             backward: Pipe::new(backward),
             peer: None,
             listener_outbox: Some(listener_outbox),
-            cut_since: None,
-            heard_at: now,
+            partitioned_since: None,
+            received_at: now,
         };
         (connection, dialer_outbox)
     }
@@ -165,8 +165,8 @@
     }
 
     /// The two machines, in the direction to an end.
-    pub(super) fn path_to(&self, end: End) -> (Place, Place) {
-        let (dialer, listener) = (self.dial.dialer.place, self.listener.place);
+    pub(super) fn path_to(&self, end: End) -> (Host, Host) {
+        let (dialer, listener) = (self.dial.dialer.host, self.listener.host);
         match end {
             End::Dialer => (listener, dialer),
             End::Listener => (dialer, listener),
@@ -179,7 +179,7 @@
     }
 
     /// Whether one of its ends is at this place.
-    pub(super) fn touches(&self, place: Place) -> bool {
-        self.dial.dialer.place == place || self.listener.place == place
+    pub(super) fn touches(&self, host: Host) -> bool {
+        self.dial.dialer.host == host || self.listener.host == host
     }
 }
--- a/crates/controller/src/simulation/mod.rs
+++ b/crates/controller/src/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The whole control side in simulated time: controllers, agents, routers, operators and endpoints, the
+//! The complete control plane in simulated time: controllers, agents, routers, operators and endpoints, the
 //! network between them and the disks of the controllers, all in one process.
 //!
 //! Controllers, agents and the routers' feed clients are those of the program; links, disks, clocks and
@@ -18,23 +18,23 @@
 mod endpoint;
 mod engine;
 mod expectation;
+mod faults;
 mod history;
+mod host;
 mod network;
 mod operator;
-mod place;
+mod quiesce;
 mod router_machine;
 mod scenario;
 mod schedule;
 mod settings;
-mod settle;
 mod step;
 mod trace;
-mod trouble;
 mod violation;
 mod world;
 
 pub use expectation::{Expectation, NoExpectation};
-pub use place::Place;
+pub use host::Host;
 pub use scenario::{ParseError, Scenario};
 pub use schedule::{random_scenario, shrink};
 pub use step::{NoStep, Scope, Step};
--- a/crates/controller/src/subscription.rs
+++ b/crates/controller/src/subscription.rs
@@ -1,4 +1,4 @@
-//! One reader's link to one source of a feed: dialled, greeted, read until it ends.
+//! The link of a subscriber to one source of a feed: dialled, opened with a hello, read until it ends.
 
 use crate::link::{self, MessageReader, Outbox};
 use crate::message::{Hello, Message, MessageError};
@@ -7,42 +7,55 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// What a subscription tells its owner.
+/// An event of the link to a source.
 #[derive(Debug)]
 pub enum SourceEvent {
     /// The link is up; messages for the source go here.
-    Up { source: SocketAddr, outbox: Outbox },
-    /// The source said something.
-    Message { source: SocketAddr, message: Message },
+    Up {
+        /// Address of the source.
+        source: SocketAddr,
+        /// Messages for the source.
+        outbox: Outbox,
+    },
+    /// The source sent a message.
+    Message {
+        /// Address of the source.
+        source: SocketAddr,
+        /// The message.
+        message: Message,
+    },
     /// The link is down; it is not dialled again by itself.
-    Down { source: SocketAddr },
+    Down {
+        /// Address of the source.
+        source: SocketAddr,
+    },
 }
 
-/// Follows `source` until the link fails or is silent for `receive_timeout`, and tells `owner`.
+/// Follows `source` until the link fails or nothing arrives for `receive_timeout`, and sends what happens to `events`.
 pub async fn follow(
     source: SocketAddr,
     hello: Hello,
     receive_timeout: Option<Duration>,
-    owner: mpsc::UnboundedSender<SourceEvent>,
+    events: mpsc::UnboundedSender<SourceEvent>,
 ) {
-    if let Err(error) = read(source, hello, receive_timeout, &owner).await {
-        log::debug!("feed of {source} ended: {error}");
+    if let Err(error) = read(source, hello, receive_timeout, &events).await {
+        log::debug!("feed ended source={source} error={error}");
     }
-    let _ = owner.send(SourceEvent::Down { source });
+    let _ = events.send(SourceEvent::Down { source });
 }
 
 async fn read(
     source: SocketAddr,
     hello: Hello,
     receive_timeout: Option<Duration>,
-    owner: &mpsc::UnboundedSender<SourceEvent>,
+    events: &mpsc::UnboundedSender<SourceEvent>,
 ) -> Result<(), MessageError> {
     let stream = link::dial(source).await?;
     let (read, write) = stream.into_split();
     let (outbox, frames) = Outbox::new();
     let _writer = AbortOnDrop(tokio::task::spawn_local(link::write_frames(write, frames)));
     outbox.message(&Message::Hello(hello));
-    let _ = owner.send(SourceEvent::Up { source, outbox });
+    let _ = events.send(SourceEvent::Up { source, outbox });
     let mut reader = MessageReader::new(read);
     loop {
         let message = match receive_timeout {
@@ -51,7 +64,7 @@
             }
             None => reader.next().await?,
         };
-        let _ = owner.send(SourceEvent::Message { source, message });
+        let _ = events.send(SourceEvent::Message { source, message });
     }
 }
 
--- a/crates/controller/tests/one_change.rs
+++ b/crates/controller/tests/one_change.rs
@@ -1,4 +1,4 @@
-//! Deliberate mistakes about changes of the configuration: the scenarios on one number must find them, with their own
+//! Deliberate faults about changes of the configuration: the scenarios on one number must find them, with their own
 //! seed or, where chance decides what is lost, with one of the following.
 
 #[path = "common/scenarios.rs"]
@@ -32,12 +32,12 @@
 }
 
 #[test]
-fn an_acknowledgement_of_what_is_only_proposed_shows_across_a_cut() {
+fn an_acknowledgement_of_an_uncommitted_change_is_found_across_a_partition() {
     check("one-number-across-a-cut", ControllerFault::AcknowledgeProposed);
 }
 
 #[test]
-fn a_majority_that_is_too_small_shows_across_a_cut() {
+fn a_majority_that_is_too_small_is_found_across_a_partition() {
     check("one-number-across-a-cut", ControllerFault::Register(Fault::SmallMajority));
 }
 
--- a/crates/coordination/src/register/proposer/batch.rs
+++ b/crates/coordination/src/register/proposer/batch.rs
@@ -1,7 +1,8 @@
 //! Tasks that are proposed together, and what their commands make of a given value.
 
 use crate::register::context::Context;
-use crate::register::event::{Applied, Outcome};
+use crate::register::event::Outcome;
+use crate::register::state_machine::Applied;
 use crate::register::task::{Operation, Task};
 use crate::register::value::{ChangeId, Value};
 
@@ -53,7 +54,7 @@
         let is_attempted = !self.attempts.is_empty();
         for task in self.tasks.iter_mut().filter(|task| task.deadline <= now) {
             let may_have_effect =
-                is_attempted || (is_accepting && matches!(task.operation, Operation::ChangeMembers { .. }));
+                is_attempted || (is_accepting && matches!(task.operation, Operation::ChangeMembers(_)));
             let outcome = task.timeout_outcome(may_have_effect);
             context.complete(task.request.take(), outcome);
         }
--- a/crates/router/src/request/forward.rs
+++ b/crates/router/src/request/forward.rs
@@ -98,7 +98,7 @@
             Some(destination) if request.retryable || !may_have_run => Ok(destination),
             _ => {
                 log::error!("unrepeatable request not sent again attempt_id={:?}", request.attempt_id);
-                handle.state().violations.record(Invariant::UnrepeatableSentOnce);
+                handle.state().violations.record(Invariant::NonIdempotentSentOnce);
                 Err(refuse(UNSENT_RETRY_AFTER, Outcome::RefusedNotSent, Outcome::FailedMayHaveRun))
             }
         },
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -209,8 +209,10 @@
         for request in self.requests.all() {
             self.counters.aborted_at_shutdown.count(now.saturating_sub(request.arrived()));
             let came_late = shutdown_since.is_some_and(|since| request.arrived() > since);
-            self.violations
-                .check(Invariant::TakenOnIsAnsweredBeforeEnd, !(came_late && request.has_started()));
+            self.violations.check(
+                Invariant::AcceptedRequestAnsweredBeforeShutdown,
+                !(came_late && request.has_started()),
+            );
             request.mailbox.shut_down();
         }
     }
