--- a/crates/controller/src/controller/consensus/registers.rs
+++ b/crates/controller/src/controller/consensus/registers.rs
@@ -29,7 +29,7 @@
                 },
                 Output::Persist { token, record } => self.environment.persist(shard, token, record),
                 Output::Done { request, outcome } => self.on_request_done(request, outcome),
-                Output::Learned { value } => self.on_committed(shard, &value),
+                Output::Committed { value } => self.on_committed(shard, &value),
             }
         }
     }
@@ -123,7 +123,7 @@
                 self.leases.epoch_acquired(now, shard, tenure, read_epoch(answer))
             }
             _ if self.has_fault(ControllerFault::GiveUpEpoch) => Vec::new(),
-            _ => self.leases.epoch_missed(now, shard, tenure),
+            _ => self.leases.epoch_unavailable(now, shard, tenure),
         };
         self.lease_outputs(outputs);
     }
--- a/crates/controller/src/controller/event_loop.rs
+++ b/crates/controller/src/controller/event_loop.rs
@@ -20,7 +20,7 @@
         let committed: Vec<(u8, Value)> = self
             .shards
             .iter()
-            .filter_map(|(shard, replica)| Some((shard, replica.decided()?.clone())))
+            .filter_map(|(shard, replica)| Some((shard, replica.committed()?.clone())))
             .collect();
         for (shard, value) in committed {
             self.on_committed(shard, &value);
@@ -60,11 +60,11 @@
         }
         self.last_tick = now;
         if self.membership.next_wake() <= now {
-            let outputs = self.membership.on_time(now);
+            let outputs = self.membership.on_tick(now);
             self.membership_outputs(outputs);
         }
         if self.leases.next_wake().is_some_and(|at| at <= now) {
-            let outputs = self.leases.on_time(now);
+            let outputs = self.leases.on_tick(now);
             self.lease_outputs(outputs);
         }
         if self.replacement_planner.next_wake().is_some_and(|at| at <= now) {
--- a/crates/controller/src/controller/inspect.rs
+++ b/crates/controller/src/controller/inspect.rs
@@ -10,7 +10,7 @@
     /// Revision and group of each shard, as far as this controller has learned them.
     pub(crate) fn learned_groups(&self) -> Vec<(u64, Vec<SocketAddr>)> {
         let known = |shard| {
-            let committed = self.shards.get(shard).decided();
+            let committed = self.shards.get(shard).committed();
             (committed.map_or(0, |value| value.revision), self.group(shard))
         };
         shards::all().map(known).collect()
--- a/crates/controller/src/controller/metrics.rs
+++ b/crates/controller/src/controller/metrics.rs
@@ -140,7 +140,7 @@
         for known in ROLES {
             exposition.set_labelled(&SHARD_ROLE, &[labels[0], ("role", known)], role == known);
         }
-        let revision = replica.decided().map_or(0, |value| value.revision);
+        let revision = replica.committed().map_or(0, |value| value.revision);
         exposition.set_labelled(&SHARD_REVISION, &labels, revision);
         exposition.set_labelled(&SHARD_MEMBERS, &labels, self.group(shard).len());
         exposition.declare(&SHARD_FAULT_TOLERANCE);
@@ -149,7 +149,7 @@
         }
         exposition.set_labelled(&SHARD_OWNER, &labels, self.owns(shard));
         exposition.set_labelled(&SHARD_CONTACT, &labels, self.has_contact(shard));
-        let may_act = self.leases.may_act(self.now(), u32::from(shard), Duration::ZERO);
+        let may_act = self.leases.current_epoch(self.now(), u32::from(shard), Duration::ZERO);
         exposition.set_labelled(&SHARD_LEASE, &labels, may_act.is_some());
         exposition.set_labelled(&SHARD_EPOCH, &labels, self.placers.epoch(shard).unwrap_or_default());
     }
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -47,7 +47,7 @@
 use lanegate_config::configuration::Configuration;
 use lanegate_config::settings::Settings;
 use lanegate_coordination::lease::LeaseNode;
-use lanegate_coordination::membership::Membership;
+use lanegate_coordination::membership::FailureDetector;
 use lanegate_invariants::Violations;
 use membership::handover::Handover;
 use membership::member_status::MemberStatuses;
@@ -75,7 +75,7 @@
     endpoints: EndpointRegistry,
     shards: Shards,
     pending_changes: PendingChanges,
-    membership: Membership,
+    membership: FailureDetector,
     quorum_contact: QuorumContact,
     freshness: Freshness,
     replacement_planner: ReplacementPlanner,
@@ -144,7 +144,7 @@
 
     /// Members of the group of a shard, as far as this controller knows them.
     fn group(&self, shard: u8) -> Vec<SocketAddr> {
-        let committed = self.shards.get(shard).decided();
+        let committed = self.shards.get(shard).committed();
         let members = committed.map(|value| value.newest_group().to_vec()).unwrap_or_default();
         members.into_iter().map(|node| SocketAddr::V4(node.into())).collect()
     }
--- a/crates/controller/src/controller/run.rs
+++ b/crates/controller/src/controller/run.rs
@@ -14,7 +14,7 @@
 use crate::link;
 use crate::message::{Hello, Role};
 use lanegate_config::settings::Settings;
-use lanegate_coordination::storage::Folder;
+use lanegate_coordination::storage::FileDirectory;
 use lanegate_metrics::{MetricsAddress, Scrapes};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -84,8 +84,8 @@
 ) -> Result<Controller, ControllerError> {
     let incarnation = draw_incarnation();
     let folder = settings.data_dir.clone().ok_or(ControllerError::Missing("DataDir"))?;
-    let mut directory =
-        Folder::open(&folder).map_err(|source| ControllerError::Folder { folder: folder.clone(), source })?;
+    let mut directory = FileDirectory::open(&folder)
+        .map_err(|source| ControllerError::Folder { folder: folder.clone(), source })?;
     let (stores, records) = open_stores(&folder, &mut directory)?;
     let disk = Disk::start(directory, stores, events.clone(), counts)?;
     let hello = hello(&settings, control, incarnation);
--- a/crates/controller/src/controller/setup.rs
+++ b/crates/controller/src/controller/setup.rs
@@ -22,7 +22,7 @@
 use crate::controller::placement::recent_demand::RecentDemand;
 use lanegate_config::settings::Settings;
 use lanegate_coordination::lease::{GrantorStart, LeaseNode, LeaseSettings};
-use lanegate_coordination::membership::{Membership, MembershipSettings, NodeId};
+use lanegate_coordination::membership::{FailureDetector, MembershipSettings, NodeId};
 use lanegate_coordination::register::{self, Node, Replica, StateMachine};
 use lanegate_invariants::Violations;
 use std::collections::BTreeMap;
@@ -72,7 +72,11 @@
                 .with_fault(fault.and_then(ControllerFault::acknowledgement)),
             shards: Shards::new(replicas),
             pending_changes: PendingChanges::new(incarnation),
-            membership: Membership::new(MembershipSettings::new(HEARTBEAT_INTERVAL, MONITORS), node, now),
+            membership: FailureDetector::new(
+                MembershipSettings::new(HEARTBEAT_INTERVAL, MONITORS),
+                node,
+                now,
+            ),
             quorum_contact: QuorumContact::with_fault(
                 control,
                 incarnation,
--- a/crates/coordination/src/register/acceptor.rs
+++ b/crates/coordination/src/register/acceptor.rs
@@ -1,20 +1,20 @@
-//! The voting part: promises and accepts, and answers only once the record is durable.
+//! The acceptor: promises and accepts, and answers only once the record that says so is durable.
 
 use std::mem::discriminant;
 use std::time::Duration;
 
 use super::ballot::Ballot;
-use super::core::Core;
+use super::context::Context;
 use super::event::Output;
 use super::message::Message;
 use super::node::Node;
 use super::record::Record;
 use super::settings::Fault;
-use super::value::{Carried, Value};
+use super::value::{Value, ValueTransfer};
 
-/// An answer that waits for a version of the record to be durable.
+/// An answer that is sent once this version of the record is durable.
 #[derive(Clone, Hash)]
-struct Reply {
+struct DeferredReply {
     version: u64,
     to: Node,
     message: Message,
@@ -30,30 +30,33 @@
 #[derive(Clone, Hash)]
 pub(super) struct Acceptor {
     current: Record,
+    /// Rises with each change of the record.
     version: u64,
+    /// The record as the disk holds it.
     durable: Option<Record>,
     durable_version: u64,
-    write: Option<Write>,
+    write_in_flight: Option<Write>,
+    /// When a write that the disk refused is tried again.
     retry_at: Option<Duration>,
-    replies: Vec<Reply>,
+    deferred_replies: Vec<DeferredReply>,
 }
 
 impl Acceptor {
     /// An acceptor whose record is on disk.
     pub(super) fn stored(record: Record) -> Self {
-        Self { durable_version: 1, durable: Some(record.clone()), ..Self::fresh(record) }
+        Self { durable_version: 1, durable: Some(record.clone()), ..Self::unwritten(record) }
     }
 
     /// An acceptor whose record is yet to be written.
-    pub(super) fn fresh(record: Record) -> Self {
+    pub(super) fn unwritten(record: Record) -> Self {
         Self {
             current: record,
             version: 1,
             durable: None,
             durable_version: 0,
-            write: None,
+            write_in_flight: None,
             retry_at: None,
-            replies: Vec::new(),
+            deferred_replies: Vec::new(),
         }
     }
 
@@ -66,34 +69,33 @@
         self.durable_version > 0 && self.retry_at.is_none()
     }
 
-    /// Starts a write if one is due and none is under way.
-    pub(super) fn persist(&mut self, core: &mut Core) {
-        let wait = self.retry_at.is_some_and(|at| at > core.now);
-        if self.version == self.durable_version || self.write.is_some() || wait {
+    /// Starts a write if the record has changed and no write is in flight.
+    pub(super) fn persist(&mut self, context: &mut Context) {
+        let is_waiting = self.retry_at.is_some_and(|at| at > context.now);
+        if self.version == self.durable_version || self.write_in_flight.is_some() || is_waiting {
             return;
         }
         self.retry_at = None;
-        self.write = Some(Write { version: self.version, record: self.current.clone() });
-        core.outputs.push_back(Output::Persist { token: self.version, record: self.current.clone() });
+        self.write_in_flight = Some(Write { version: self.version, record: self.current.clone() });
+        context.outputs.push_back(Output::Persist { token: self.version, record: self.current.clone() });
     }
 
-    pub(super) fn on_persisted(&mut self, core: &mut Core, token: u64) {
-        let Some(write) = self.write.take_if(|write| write.version == token) else {
+    /// The write of version `token` is durable: answers that waited for it are sent.
+    pub(super) fn on_persisted(&mut self, context: &mut Context, token: u64) {
+        let Some(write) = self.write_in_flight.take_if(|write| write.version == token) else {
             return;
         };
         self.durable = Some(write.record);
         self.durable_version = write.version;
-        let (due, waiting) = std::mem::take(&mut self.replies).into_iter().partition(|r| r.version <= token);
-        self.replies = waiting;
-        let due: Vec<Reply> = due;
-        for reply in due {
-            core.send(reply.to, reply.message);
+        for reply in self.deferred_replies.extract_if(.., |reply| reply.version <= token) {
+            context.send(reply.to, reply.message);
         }
     }
 
-    pub(super) fn on_persist_failed(&mut self, core: &Core, token: u64) {
-        if self.write.take_if(|write| write.version == token).is_some() {
-            self.retry_at = Some(core.now + core.settings.persist_retry);
+    /// The disk refused the write of version `token`: it is tried again later.
+    pub(super) fn on_persist_failed(&mut self, context: &Context, token: u64) {
+        if self.write_in_flight.take_if(|write| write.version == token).is_some() {
+            self.retry_at = Some(context.now + context.settings.persist_retry_interval);
         }
     }
 
@@ -101,10 +103,11 @@
         self.retry_at
     }
 
-    pub(super) fn on_prepare(&mut self, core: &mut Core, from: Node, ballot: Ballot, known: Ballot) {
+    /// Phase one: promises to accept nothing below `ballot`, or rejects it.
+    pub(super) fn on_prepare(&mut self, context: &mut Context, from: Node, ballot: Ballot, known: Ballot) {
         if ballot < self.current.promised {
             let promised = self.current.promised;
-            return core.send(from, Message::Refused { ballot, promised });
+            return context.send(from, Message::Rejected { ballot, promised });
         }
         if ballot > self.current.promised {
             self.current.promised = ballot;
@@ -113,31 +116,32 @@
         let message = Message::Promise {
             ballot,
             incarnation: self.current.incarnation,
-            floors: self.current.floors.clone(),
+            minimum_incarnations: self.current.minimum_incarnations.clone(),
             accepted: self.current.accepted,
-            value: carry(&self.current, known),
+            value: value_newer_than(&self.current, known),
         };
-        self.reply(core, from, message);
+        self.reply(context, from, message);
     }
 
-    pub(super) fn on_accept(&mut self, core: &mut Core, from: Node, ballot: Ballot, value: Value) {
-        if ballot < self.current.promised && !core.settings.has(Fault::AcceptBelowPromise) {
+    /// Phase two: accepts the value of `ballot`, or rejects it.
+    pub(super) fn on_accept(&mut self, context: &mut Context, from: Node, ballot: Ballot, value: Value) {
+        if ballot < self.current.promised && !context.settings.has(Fault::AcceptBelowPromise) {
             let promised = self.current.promised;
-            return core.send(from, Message::Refused { ballot, promised });
+            return context.send(from, Message::Rejected { ballot, promised });
         }
-        if ballot != self.current.accepted || core.settings.has(Fault::ReuseBallot) {
+        if ballot != self.current.accepted || context.settings.has(Fault::ReuseBallot) {
             self.accept(ballot, value);
         }
         let message = Message::Accepted {
             ballot,
             incarnation: self.current.incarnation,
-            floors: self.current.floors.clone(),
+            minimum_incarnations: self.current.minimum_incarnations.clone(),
         };
-        self.reply(core, from, message);
+        self.reply(context, from, message);
     }
 
-    /// Catches up with a decided value, as if its proposer had just asked to accept it.
-    pub(super) fn on_decided(&mut self, ballot: Ballot, value: &Value) {
+    /// Catches up with a committed value, as if its proposer had just requested to accept it.
+    pub(super) fn on_committed(&mut self, ballot: Ballot, value: &Value) {
         if ballot >= self.current.promised && ballot > self.current.accepted {
             self.accept(ballot, value.clone());
         }
@@ -151,51 +155,59 @@
     }
 
     /// Answers a quorum read with what the disk holds, so that a stalled disk does not hold up reads.
-    pub(super) fn on_query(&mut self, core: &mut Core, from: Node, request: u64, known: Ballot) {
+    pub(super) fn on_read_query(&mut self, context: &mut Context, from: Node, request: u64, known: Ballot) {
         let record = self.durable.as_ref().unwrap_or(&self.current);
-        let message = Message::State {
+        let message = Message::ReadReply {
             request,
             incarnation: record.incarnation,
-            floors: record.floors.clone(),
+            minimum_incarnations: record.minimum_incarnations.clone(),
             promised: record.promised,
             accepted: record.accepted,
-            value: carry(record, known),
+            value: value_newer_than(record, known),
         };
         if self.durable.is_some() {
-            core.send(from, message);
+            context.send(from, message);
         } else {
-            self.reply(core, from, message);
+            self.reply(context, from, message);
         }
     }
 
-    /// Registers an incarnation of a recovering replica and tells it what is known here.
-    pub(super) fn on_register(&mut self, core: &mut Core, from: Node, nonce: u64, incarnation: u64) {
-        if self.current.floors.raise(from, incarnation) {
+    /// Registers an incarnation of a recovering replica and sends it all that is known here.
+    pub(super) fn on_register_incarnation(
+        &mut self,
+        context: &mut Context,
+        from: Node,
+        nonce: u64,
+        incarnation: u64,
+    ) {
+        if self.current.minimum_incarnations.raise(from, incarnation) {
             self.version += 1;
         }
-        let message = Message::Registered {
+        let message = Message::IncarnationRegistered {
             nonce,
-            asked: incarnation,
+            requested: incarnation,
             incarnation: self.current.incarnation,
-            floors: self.current.floors.clone(),
+            minimum_incarnations: self.current.minimum_incarnations.clone(),
             promised: self.current.promised,
             accepted: self.current.accepted,
             value: self.current.value.clone(),
         };
-        self.reply(core, from, message);
+        self.reply(context, from, message);
     }
 
-    /// Sends an answer, at once or when the record as it is now is durable.
-    fn reply(&mut self, core: &mut Core, to: Node, message: Message) {
-        if self.durable_version == self.version || core.settings.has(Fault::ReplyBeforePersist) {
-            return core.send(to, message);
+    /// Sends an answer as soon as the present record is durable. A deferred answer of the same kind to the same
+    /// node is replaced.
+    fn reply(&mut self, context: &mut Context, to: Node, message: Message) {
+        if self.durable_version == self.version || context.settings.has(Fault::ReplyBeforePersist) {
+            return context.send(to, message);
         }
         let kind = discriminant(&message);
-        self.replies.retain(|reply| reply.to != to || discriminant(&reply.message) != kind);
-        self.replies.push(Reply { version: self.version, to, message });
+        self.deferred_replies.retain(|reply| reply.to != to || discriminant(&reply.message) != kind);
+        self.deferred_replies.push(DeferredReply { version: self.version, to, message });
     }
 }
 
-fn carry(record: &Record, known: Ballot) -> Carried {
-    if record.accepted > known { Carried::Full(record.value.clone()) } else { Carried::Omitted }
+/// The accepted value, unless the receiver already has it: it says that it holds the value of `known`.
+fn value_newer_than(record: &Record, known: Ballot) -> ValueTransfer {
+    if record.accepted > known { ValueTransfer::Full(record.value.clone()) } else { ValueTransfer::Omitted }
 }
--- a/crates/coordination/src/register/ballot.rs
+++ b/crates/coordination/src/register/ballot.rs
@@ -15,7 +15,7 @@
     pub counter: u64,
     /// The proposer.
     pub node: Node,
-    /// Chance drawn at the start of the proposer's process.
+    /// Random number drawn at the start of the proposer's process.
     pub nonce: u64,
     /// Values proposed under this ballot so far; zero in the prepare phase.
     pub step: u32,
@@ -39,7 +39,7 @@
 
     /// Whether both belong to the same prepare phase.
     #[must_use]
-    pub fn same_owner(self, other: Self) -> bool {
+    pub fn is_same_prepare_phase(self, other: Self) -> bool {
         (self.counter, self.node, self.nonce) == (other.counter, other.node, other.nonce)
     }
 }
--- a/crates/coordination/src/register/quorum.rs
+++ b/crates/coordination/src/register/quorum.rs
@@ -2,24 +2,30 @@
 
 use std::collections::BTreeMap;
 
-use super::node::{Floors, Node};
+use super::node::{MinimumIncarnations, Node};
 use super::settings::{Fault, Settings};
 use super::value::Group;
 
+/// The incarnation that voted, and what it knows of the incarnations of others.
+#[derive(Debug, Clone, Hash)]
+pub(super) struct Voter {
+    pub(super) incarnation: u64,
+    pub(super) minimum_incarnations: MinimumIncarnations,
+}
+
 /// The vote of one replica.
 #[derive(Debug, Clone, Hash)]
-struct Ballot<T> {
-    incarnation: u64,
-    floors: Floors,
+struct Vote<T> {
+    voter: Voter,
     vote: T,
 }
 
-/// The votes of one round.
+/// The votes of one round, at most one of each node.
 #[derive(Debug, Clone, Hash)]
 pub(super) struct Votes<T> {
-    entries: BTreeMap<Node, Ballot<T>>,
+    entries: BTreeMap<Node, Vote<T>>,
     ignore_incarnations: bool,
-    slack: usize,
+    majority_reduction: usize,
 }
 
 impl<T> Votes<T> {
@@ -27,15 +33,15 @@
         Self {
             entries: BTreeMap::new(),
             ignore_incarnations: settings.has(Fault::IgnoreIncarnations),
-            slack: usize::from(settings.has(Fault::SmallMajority)),
+            majority_reduction: usize::from(settings.has(Fault::SmallMajority)),
         }
     }
 
-    /// Takes a vote, unless a later incarnation of the same node has voted already.
-    pub(super) fn insert(&mut self, node: Node, incarnation: u64, floors: Floors, vote: T) {
-        let outdated = self.entries.get(&node).is_some_and(|entry| entry.incarnation > incarnation);
-        if !outdated {
-            self.entries.insert(node, Ballot { incarnation, floors, vote });
+    /// Adds a vote, unless a later incarnation of the same node has voted already.
+    pub(super) fn insert(&mut self, node: Node, voter: Voter, vote: T) {
+        let known = self.entries.get(&node).map(|entry| entry.voter.incarnation);
+        if known.is_none_or(|known| known <= voter.incarnation) {
+            self.entries.insert(node, Vote { voter, vote });
         }
     }
 
@@ -44,15 +50,16 @@
         let Some(entry) = self.entries.get(&node) else {
             return false;
         };
-        self.ignore_incarnations
-            || self.entries.values().all(|other| other.floors.of(node) <= entry.incarnation)
+        let is_outdated =
+            |other: &Vote<T>| other.voter.minimum_incarnations.of(node) > entry.voter.incarnation;
+        self.ignore_incarnations || !self.entries.values().any(is_outdated)
     }
 
     /// Whether a majority of every group has cast a vote that counts and that `accepts` approves.
-    pub(super) fn satisfy(&self, groups: &[Group], accepts: impl Fn(&T) -> bool) -> bool {
+    pub(super) fn have_majorities(&self, groups: &[Group], accepts: impl Fn(&T) -> bool) -> bool {
         groups.iter().all(|group| {
             let votes = group.members().iter().filter(|node| self.approves(**node, &accepts)).count();
-            votes + self.slack >= group.majority()
+            votes + self.majority_reduction >= group.majority()
         })
     }
 
@@ -61,7 +68,7 @@
     }
 }
 
-/// Adds the groups that are not there yet.
+/// The groups of both lists, each once, in order of first appearance.
 pub(super) fn union(groups: &[Group], others: &[Group]) -> Vec<Group> {
     let mut all = groups.to_vec();
     for group in others {
@@ -72,7 +79,7 @@
     all
 }
 
-/// Members of all the groups, each once.
+/// Members of all the groups, each once, in ascending order.
 pub(super) fn members(groups: &[Group]) -> Vec<Node> {
     let all = groups.iter().flat_map(|group| group.members().iter().copied()).collect();
     Group::new(all).members().to_vec()
--- a/crates/coordination/src/register/recovery.rs
+++ b/crates/coordination/src/register/recovery.rs
@@ -1,160 +1,182 @@
-//! Recovery of a replica whose disk is empty: it registers an incarnation and learns before it votes.
+//! Recovery of a replica that lost its disk: it registers a new incarnation and learns the state of the others
+//! before it votes.
+//!
+//! Recovery has two stages. In the first the replica queries the highest incarnation that the others know of it;
+//! in the second it registers a higher one. The page of [the module](super) says why this is safe.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::ballot::Ballot;
-use super::core::{Core, Proposal};
+use super::context::{Context, Proposal};
 use super::message::Message;
-use super::node::{Floors, Node};
+use super::node::{MinimumIncarnations, Node};
+use super::quorum::Voter;
 use super::record::Record;
+use super::retry::RetryTimer;
 use super::settings::Fault;
 use super::value::{Group, Value};
 
-/// What a replica answered.
+/// Stands for an incarnation in the first stage, which only queries.
+const QUERY_ONLY: u64 = 0;
+
+/// What a voting replica answers to one that lost its disk.
 #[derive(Clone, Hash)]
-pub(super) struct Testimony {
-    pub(super) incarnation: u64,
-    pub(super) floors: Floors,
+pub(super) struct RecoveryResponse {
+    pub(super) voter: Voter,
     pub(super) promised: Ballot,
     pub(super) accepted: Ballot,
     pub(super) value: Value,
 }
 
+/// How many members of a group have responded, and how many have to.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub(super) struct ResponseCount {
+    pub(super) answered: usize,
+    pub(super) needed: usize,
+}
+
 #[derive(Clone, Hash)]
 pub(super) struct Recovery {
-    /// The incarnation being registered; zero while it is still being asked for.
+    /// The incarnation being registered, or [`QUERY_ONLY`].
     incarnation: u64,
-    contacts: Vec<Node>,
-    answers: BTreeMap<Node, Testimony>,
-    resend_at: Duration,
-    interval: Duration,
+    known_peers: Vec<Node>,
+    responses: BTreeMap<Node, RecoveryResponse>,
+    retry: RetryTimer,
 }
 
 impl Recovery {
-    pub(super) fn start(core: &mut Core) -> Self {
+    pub(super) fn start(context: &mut Context) -> Self {
         let mut recovery = Self {
-            incarnation: 0,
-            contacts: Vec::new(),
-            answers: BTreeMap::new(),
-            resend_at: core.now + core.settings.retry_interval,
-            interval: core.settings.retry_interval,
+            incarnation: QUERY_ONLY,
+            known_peers: Vec::new(),
+            responses: BTreeMap::new(),
+            retry: RetryTimer::start(context),
         };
-        for seed in core.settings.seeds.clone() {
-            recovery.contact(core, seed);
+        for seed in context.settings.seeds.clone() {
+            recovery.add_peer(context, seed);
         }
         recovery
     }
 
-    /// A replica can be reached: it is asked unless it has answered.
-    pub(super) fn reach(&mut self, core: &mut Core, node: Node) {
-        if !self.contacts.contains(&node) {
-            self.contacts.push(node);
+    /// A peer is reachable: it gets the request unless it has responded.
+    pub(super) fn on_reachable(&mut self, context: &mut Context, node: Node) {
+        if !self.known_peers.contains(&node) {
+            self.known_peers.push(node);
         }
-        if !self.answers.contains_key(&node) {
-            self.ask(core, node);
+        if !self.responses.contains_key(&node) {
+            self.send_registration(context, node);
         }
     }
 
-    /// Asks a replica that was not asked before.
-    fn contact(&mut self, core: &mut Core, node: Node) {
-        if node != core.node() && !self.contacts.contains(&node) {
-            self.contacts.push(node);
-            self.ask(core, node);
+    /// Sends the request to a peer that was not known before.
+    fn add_peer(&mut self, context: &mut Context, node: Node) {
+        if node != context.node() && !self.known_peers.contains(&node) {
+            self.known_peers.push(node);
+            self.send_registration(context, node);
         }
     }
 
-    fn ask(&self, core: &mut Core, node: Node) {
-        core.send(node, Message::Register { nonce: core.nonce, incarnation: self.incarnation });
+    fn send_registration(&self, context: &mut Context, node: Node) {
+        let message = Message::RegisterIncarnation { nonce: context.nonce, incarnation: self.incarnation };
+        context.send(node, message);
     }
 
     pub(super) fn next_wake(&self) -> Duration {
-        self.resend_at
+        self.retry.due_at()
     }
 
-    pub(super) fn on_tick(&mut self, core: &mut Core) {
-        if self.resend_at > core.now {
+    /// Sends the request again to those that have not responded in time.
+    pub(super) fn on_tick(&mut self, context: &mut Context) {
+        if !self.retry.is_due(context) {
             return;
         }
-        self.interval = core.longer(self.interval);
-        self.resend_at = core.now + self.interval;
-        for node in self.contacts.iter().filter(|node| !self.answers.contains_key(*node)) {
-            self.ask(core, *node);
+        self.retry.back_off(context);
+        for node in self.known_peers.iter().filter(|node| !self.responses.contains_key(*node)) {
+            self.send_registration(context, *node);
         }
     }
 
-    /// Takes an answer; gives the record once enough have answered.
-    pub(super) fn on_registered(
+    /// Adds a response to the request for the incarnation `requested`. Returns the recovered record once enough
+    /// replicas have responded in the second stage.
+    pub(super) fn on_incarnation_registered(
         &mut self,
-        core: &mut Core,
+        context: &mut Context,
         from: Node,
-        asked: u64,
-        answer: Testimony,
+        requested: u64,
+        response: RecoveryResponse,
     ) -> Option<Record> {
-        if asked != self.incarnation {
+        if requested != self.incarnation {
             return None;
         }
-        let floor = answer.floors.of(core.node());
-        self.answers.insert(from, answer);
-        for node in self.newest()?.value.members() {
-            self.contact(core, node);
+        let minimum = response.voter.minimum_incarnations.of(context.node());
+        self.responses.insert(from, response);
+        for node in self.newest_accepted()?.value.members() {
+            self.add_peer(context, node);
         }
-        if asked != 0 && floor > asked {
-            self.ask_all(core, 0);
+        if requested != QUERY_ONLY && minimum > requested {
+            // A later incarnation of this node has registered meanwhile.
+            self.start_stage(context, QUERY_ONLY);
             return None;
         }
-        if self.missing(core).is_some() {
+        if self.missing_responses(context).is_some() {
             return None;
         }
-        if self.incarnation == 0 {
-            let highest = self.answers.values().map(|answer| answer.floors.of(core.node())).max();
-            self.ask_all(core, highest.unwrap_or_default() + 1);
+        if self.incarnation == QUERY_ONLY {
+            let highest = self.highest_own_incarnation(context);
+            self.start_stage(context, highest + 1);
             return None;
         }
-        self.record(core)
+        self.recovered_record(context)
+    }
+
+    fn highest_own_incarnation(&self, context: &Context) -> u64 {
+        let responses = self.responses.values();
+        let incarnations = responses.map(|response| response.voter.minimum_incarnations.of(context.node()));
+        incarnations.max().unwrap_or_default()
     }
 
-    /// Starts the next stage.
-    fn ask_all(&mut self, core: &mut Core, incarnation: u64) {
+    /// Starts a stage: all known peers get the request anew.
+    fn start_stage(&mut self, context: &mut Context, incarnation: u64) {
         self.incarnation = incarnation;
-        self.answers.clear();
-        self.interval = core.settings.retry_interval;
-        self.resend_at = core.now + self.interval;
-        for node in self.contacts.clone() {
-            self.ask(core, node);
+        self.responses.clear();
+        self.retry = RetryTimer::start(context);
+        for node in self.known_peers.clone() {
+            self.send_registration(context, node);
         }
     }
 
-    fn newest(&self) -> Option<Proposal> {
-        let newest = self.answers.values().max_by_key(|answer| answer.accepted)?;
+    fn newest_accepted(&self) -> Option<Proposal> {
+        let newest = self.responses.values().max_by_key(|response| response.accepted)?;
         Some(Proposal { ballot: newest.accepted, value: newest.value.clone() })
     }
 
-    /// Answered and needed in the first group that lacks answers.
-    pub(super) fn missing(&self, core: &Core) -> Option<(usize, usize)> {
-        let Some(newest) = self.newest() else {
-            return Some((0, 0));
+    /// The first group in force that lacks responses; zero of zero while no group is known.
+    pub(super) fn missing_responses(&self, context: &Context) -> Option<ResponseCount> {
+        let Some(newest) = self.newest_accepted() else {
+            return Some(ResponseCount::default());
         };
-        newest.value.groups.iter().map(|group| self.count(core, group)).find(|(has, needs)| has < needs)
+        let mut counts = newest.value.groups.iter().map(|group| self.count_responses(context, group));
+        counts.find(|count| count.answered < count.needed)
     }
 
-    fn count(&self, core: &Core, group: &Group) -> (usize, usize) {
-        let answered = group.members().iter().filter(|node| self.answers.contains_key(node)).count();
-        let needed = if core.settings.has(Fault::RecoverFromOne) { 1 } else { group.recovery_quorum() };
-        (answered, needed)
+    fn count_responses(&self, context: &Context, group: &Group) -> ResponseCount {
+        let answered = group.members().iter().filter(|node| self.responses.contains_key(node)).count();
+        let needed = if context.settings.has(Fault::RecoverFromOne) { 1 } else { group.recovery_quorum() };
+        ResponseCount { answered, needed }
     }
 
-    /// The highest promise, the newest accepted value and all floors.
-    fn record(&self, core: &Core) -> Option<Record> {
-        let newest = self.newest()?;
-        let mut floors = Floors::default();
-        for (node, answer) in &self.answers {
-            floors.merge(&answer.floors);
-            floors.raise(*node, answer.incarnation);
+    /// The record with the highest promise, the newest accepted value and all minimum incarnations.
+    fn recovered_record(&self, context: &Context) -> Option<Record> {
+        let newest = self.newest_accepted()?;
+        let mut minimum_incarnations = MinimumIncarnations::default();
+        for (node, response) in &self.responses {
+            minimum_incarnations.merge(&response.voter.minimum_incarnations);
+            minimum_incarnations.raise(*node, response.voter.incarnation);
         }
-        let promised = self.answers.values().map(|answer| answer.promised).max()?;
+        let promised = self.responses.values().map(|response| response.promised).max()?;
         let promised = promised.max(newest.ballot);
-        let (accepted, value) = (newest.ballot, core.taken_over(newest.value));
-        Some(Record { incarnation: self.incarnation, promised, accepted, value, floors })
+        let (accepted, value) = (newest.ballot, context.adopt(newest.value));
+        Some(Record { incarnation: self.incarnation, promised, accepted, value, minimum_incarnations })
     }
 }
--- a/crates/coordination/src/simulation/mod.rs
+++ b/crates/coordination/src/simulation/mod.rs
@@ -1,24 +1,27 @@
-//! Registers in simulated time: network, disks, processes and machines that fail on command.
+//! Registers under injected faults of network, disks, processes and machines, in simulated time.
 //!
-//! A [`Scenario`] is a list of steps, written by hand as text or drawn from a seed. [`World::play`] plays it and
-//! checks at every step that no revision has two values, that nothing acknowledged is lost or done twice, that
-//! reads are linearizable and that no replica learns backwards. Everything follows from the seed.
+//! A [`Scenario`] is a list of steps, written by hand as text or drawn from a seed ([`random_scenario`]).
+//! [`World::play`] plays it and checks at every step that no revision has two values, that no acknowledged change
+//! is lost or applied twice, that reads are linearizable and that no replica learns an older value than before;
+//! a [`Violation`] is the error. Everything follows from the seed.
 
 mod append;
 mod disk;
+mod event_queue;
 mod history;
 mod machine;
 mod network;
 mod scenario;
 mod schedule;
+mod shrink;
 mod step;
-mod tolerance;
-mod verdict;
+mod violation;
 mod world;
 
 pub use append::{Append, Command};
-pub use history::Violation;
 pub use scenario::{ParseError, Scenario};
-pub use schedule::{random_scenario, shrink};
-pub use step::{Expectation, Machine, Machines, NoStep, Step};
+pub use schedule::random_scenario;
+pub use shrink::shrink;
+pub use step::{Expectation, MachineIndex, Machines, Step, UnknownStep};
+pub use violation::Violation;
 pub use world::{Observation, World};
--- a/crates/coordination/src/storage/directory.rs
+++ b/crates/coordination/src/storage/directory.rs
@@ -1,15 +1,15 @@
-//! A flat folder of files, and the one of the operating system.
+//! A flat directory of files, and its implementation on the file system.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::PathBuf;
 
-/// A flat folder of files.
+/// A flat directory of files.
 pub trait Directory {
     /// Names of all files.
     ///
     /// # Errors
-    /// If the folder cannot be read.
+    /// If the directory cannot be read.
     fn list(&mut self) -> io::Result<Vec<String>>;
 
     /// The content of a file.
@@ -18,19 +18,19 @@
     /// If the file cannot be read.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Writes a new file, in place of an old one of that name, and waits until its content is durable.
+    /// Writes a new file, replacing one of that name, and waits until its content is durable.
     ///
     /// # Errors
     /// If the disk refuses; part of the file may then be there.
     fn write_new(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Renames a file. Durable after [`Self::sync_folder`].
+    /// Renames a file. Durable after [`Self::sync`].
     ///
     /// # Errors
     /// If the disk refuses.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Removes a file. Durable after [`Self::sync_folder`].
+    /// Removes a file. Durable after [`Self::sync`].
     ///
     /// # Errors
     /// If the disk refuses.
@@ -40,21 +40,21 @@
     ///
     /// # Errors
     /// If the disk refuses.
-    fn sync_folder(&mut self) -> io::Result<()>;
+    fn sync(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the operating system.
+/// A directory of the file system.
 #[derive(Debug)]
-pub struct Folder {
+pub struct FileDirectory {
     path: PathBuf,
     handle: File,
 }
 
-impl Folder {
-    /// Opens a folder, made if it is missing.
+impl FileDirectory {
+    /// Opens a directory, which is created if it does not exist.
     ///
     /// # Errors
-    /// If it cannot be made or opened.
+    /// If it cannot be created or opened.
     pub fn open(path: impl Into<PathBuf>) -> io::Result<Self> {
         let path = path.into();
         fs::create_dir_all(&path)?;
@@ -63,7 +63,7 @@
     }
 }
 
-impl Directory for Folder {
+impl Directory for FileDirectory {
     fn list(&mut self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
@@ -91,7 +91,7 @@
         fs::remove_file(self.path.join(name))
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync(&mut self) -> io::Result<()> {
         self.handle.sync_all()
     }
 }
