--- a/crates/controller/src/agent/process.rs
+++ b/crates/controller/src/agent/process.rs
@@ -20,7 +20,7 @@
 struct Process {
     started: Instant,
     events: mpsc::UnboundedSender<SourceEvent>,
-    /// Links under way.
+    /// Links that are dialled or up.
     links: BTreeMap<SocketAddr, AbortHandle>,
 }
 
--- a/crates/controller/src/controller/consensus/disk.rs
+++ b/crates/controller/src/controller/consensus/disk.rs
@@ -63,7 +63,7 @@
 }
 
 impl Disk {
-    /// Starts the thread; the end of each write comes as [`Event::Written`].
+    /// Starts the thread; the completion of each write arrives as [`Event::Written`].
     pub(crate) fn start(
         mut folder: FileDirectory,
         mut stores: BTreeMap<u8, VersionedStore>,
--- a/crates/controller/src/controller/consensus/replica_groups.rs
+++ b/crates/controller/src/controller/consensus/replica_groups.rs
@@ -38,7 +38,7 @@
         KnownGroups { revision: confirmation.revision, groups }
     }
 
-    /// Confirms the flush `token` by one who knows of these groups.
+    /// The confirmation of the flush `token` by a controller that knows these groups.
     pub(crate) fn confirmation(&self, token: u64) -> Confirmation {
         let members = |group: &Vec<SocketAddr>| {
             let addresses: Vec<String> = group.iter().map(ToString::to_string).collect();
--- a/crates/controller/src/controller/endpoints/acknowledgements.rs
+++ b/crates/controller/src/controller/endpoints/acknowledgements.rs
@@ -36,7 +36,7 @@
 }
 
 impl PendingAcknowledgement {
-    /// Whether it may be acknowledged by the controller `own_address`, which knows of the groups `known`.
+    /// Whether the controller `own_address`, which knows the groups `known`, may acknowledge it.
     ///
     /// A controller that confirmed may know of a change of members that `own_address` does not know of. Whoever has
     /// the newer group's majority must have the notice too, so that group counts beside those known here.
--- a/crates/controller/src/controller/environment.rs
+++ b/crates/controller/src/controller/environment.rs
@@ -9,9 +9,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The outside of one controller. Nothing here waits; what takes time ends with an event.
+/// The environment of one controller. No call blocks; what takes time completes with an event.
 pub(crate) trait Environment {
-    /// Time since the process started; stands still for nobody.
+    /// Time since the process started, from a monotonic clock that goes on while the process is frozen.
     fn now(&self) -> Duration;
 
     /// Keeps a link to the controller `peer` (its control address) until [`Environment::close_link`].
@@ -20,7 +20,7 @@
     /// Ends the link to `peer`.
     fn close_link(&mut self, peer: SocketAddr);
 
-    /// Writes a record of `shard`; the end of it comes as an event with `token`.
+    /// Writes a record of `shard`; its completion arrives as an event with `token`.
     fn persist(&mut self, shard: u8, token: u64, record: Record);
 
     /// Calls an endpoint on behalf of `owner`, whose tenure has the epoch `epoch`. An order that has not begun
--- a/crates/controller/src/controller/feed/agents.rs
+++ b/crates/controller/src/controller/feed/agents.rs
@@ -19,7 +19,7 @@
         FeedStatus { is_trusted: self.is_trusted(), routers: self.routers.count(self.now()) }
     }
 
-    /// Whether agents may rely on this controller: what it knows is current, and it is not about to end.
+    /// Whether agents may rely on this controller: its configuration is current, and it is not draining.
     fn is_trusted(&self) -> bool {
         let claims = self.has_fault(ControllerFault::AlwaysCurrent);
         (self.is_current() || claims) && !self.is_draining()
--- a/crates/controller/src/controller/feed/subscribers.rs
+++ b/crates/controller/src/controller/feed/subscribers.rs
@@ -30,7 +30,7 @@
     journal: Journal<Bytes>,
     configurations: ConfigurationPublisher,
     outboxes: BTreeMap<u64, Outbox>,
-    /// The last snapshot, as frames, and where in the journal it stands: subscribers that connect together share it.
+    /// The last snapshot, as frames, and its position in the journal: subscribers that connect together share it.
     snapshot: Option<(Position, Arc<[Bytes]>)>,
 }
 
--- a/crates/controller/src/controller/membership/handover.rs
+++ b/crates/controller/src/controller/membership/handover.rs
@@ -82,7 +82,7 @@
         self.stage == Stage::Done
     }
 
-    /// When this is to be looked at next.
+    /// When the handover has to be advanced next.
     pub(crate) fn next_wake(&self) -> Option<Duration> {
         match &self.stage {
             Stage::Replacement { until } | Stage::Flush { until, .. } => Some(*until),
--- a/crates/controller/src/controller/membership/peer_discovery.rs
+++ b/crates/controller/src/controller/membership/peer_discovery.rs
@@ -33,7 +33,7 @@
         self.retry_replicas(peer);
     }
 
-    /// Lets the replicas ask a controller again what it has not answered.
+    /// Makes the replicas repeat requests that a controller has not answered.
     pub(crate) fn retry_replicas(&mut self, peer: SocketAddr) {
         let now = self.now();
         let SocketAddr::V4(address) = peer else { return };
--- a/crates/controller/src/controller/membership/replacement.rs
+++ b/crates/controller/src/controller/membership/replacement.rs
@@ -57,7 +57,7 @@
     suspected_since: BTreeMap<u8, BTreeMap<SocketAddr, Duration>>,
     /// When the members were last observed.
     observed_at: Duration,
-    /// Shards of which a change is under way.
+    /// Shards with a change of members in flight.
     changing: BTreeSet<u8>,
     /// The newest committed groups of each shard.
     committed_groups: BTreeMap<u8, Vec<Vec<SocketAddr>>>,
--- a/crates/controller/src/controller/membership/shutdown.rs
+++ b/crates/controller/src/controller/membership/shutdown.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Where this controller stands in the groups.
+    /// Whether this controller is a member of any group, and whether a spare could replace it.
     fn group_membership(&self) -> GroupMembership {
         let is_member = shards::all().any(|shard| self.known_groups(shard).contains(self.own_address));
         let could_join = |shard| {
--- a/crates/controller/src/controller/metrics.rs
+++ b/crates/controller/src/controller/metrics.rs
@@ -82,7 +82,7 @@
     "lanegate_controller_changes_total",
     "Changes of the configuration that an operator sent here, by their outcome",
 );
-const CHANGES_UNDER_WAY: Metric =
+const CHANGES_IN_FLIGHT: Metric =
     Metric::gauge("lanegate_controller_changes_under_way", "Changes that have no outcome yet");
 const CONFIGURATION_REVISION: Metric = Metric::gauge(
     "lanegate_controller_configuration_revision",
@@ -92,7 +92,7 @@
     "lanegate_controller_configuration_version",
     "Version of the newest configuration that is known here, 0 for none",
 );
-const PAUSES: Metric = Metric::counter(
+const STALLS: Metric = Metric::counter(
     "lanegate_controller_pauses_total",
     "Times that the process noticed that it had stood still",
 );
@@ -167,7 +167,7 @@
         exposition.set(&CONFIGURATION_VERSION, version);
         let revision = self.committed_configuration.as_ref().map_or(0, |committed| committed.revision);
         exposition.set(&CONFIGURATION_REVISION, revision);
-        exposition.set(&PAUSES, self.counters.stalls);
+        exposition.set(&STALLS, self.counters.stalls);
         exposition.set(&TENURES, self.counters.tenures);
     }
 
@@ -189,12 +189,12 @@
         }
         exposition.set(&ORDERS_IN_FLIGHT, self.counters.orders_in_flight);
         for (outcome, name) in ChangeOutcome::ALL {
-            let given_up =
+            let timed_out =
                 if outcome == ChangeOutcome::Unclear { self.pending_changes.timed_out() } else { 0 };
-            let changes = self.counters.changes(outcome) + given_up;
+            let changes = self.counters.changes(outcome) + timed_out;
             exposition.set_labelled(&CHANGES, &[("outcome", name)], changes);
         }
-        exposition.set(&CHANGES_UNDER_WAY, self.pending_changes.in_flight());
+        exposition.set(&CHANGES_IN_FLIGHT, self.pending_changes.in_flight());
     }
 }
 
--- a/crates/controller/src/controller/operator/pending_changes.rs
+++ b/crates/controller/src/controller/operator/pending_changes.rs
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(crate) enum Completion {
     Answered,
-    /// Send this outcome to the controller that asked.
+    /// Send this outcome to the controller that forwarded the change.
     Return {
         peer: std::net::SocketAddr,
         request: u64,
@@ -64,7 +64,7 @@
         PendingChanges { pending: BTreeMap::new(), newest: incarnation, timed_out: 0 }
     }
 
-    /// Takes a change. It is proposed here at once, unless `owner_live`: then the owner is asked first.
+    /// Accepts a change. It is proposed here at once, unless `owner_live`: then it is forwarded to the owner first.
     /// Returns its number, or `None` if too many are in flight.
     pub(crate) fn begin(
         &mut self,
@@ -120,7 +120,7 @@
         self.pending.get(&request).map(|pending| pending.command.as_slice())
     }
 
-    /// An outcome has come, here or from the owner; `answer` is what the operator gets.
+    /// An outcome has arrived, here or from the owner; `answer` is sent to the operator.
     pub(crate) fn complete(&mut self, request: u64, answer: impl FnOnce() -> Answer) -> Completion {
         match self.pending.remove(&request).map(|pending| pending.caller) {
             Some(Caller::Operator(reply)) => {
--- a/crates/controller/src/controller/placement/placement_control.rs
+++ b/crates/controller/src/controller/placement/placement_control.rs
@@ -27,7 +27,7 @@
         let now = self.now();
         let wanted: BTreeSet<u8> = Placers::wanted_shards(&configuration).collect();
         for shard in shards::all().filter(|shard| *shard != shards::CONFIGURATION) {
-            // Who acts goes on while it can: handing over to the first in order costs a quiet period.
+            // The lease holder stays candidate while it can: a handover to the first in order costs a quiet period.
             let acts = self.placers.acts_for(shard);
             let stands = wanted.contains(&shard) && (acts || self.owns(shard));
             let stands = stands && self.has_contact(shard) && !self.is_draining();
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Does what the leases ask for.
+    /// Executes the outputs of the leases.
     pub(crate) fn lease_outputs(&mut self, outputs: Vec<Output>) {
         for output in outputs {
             match output {
--- a/crates/controller/src/controller/placement/recent_demand.rs
+++ b/crates/controller/src/controller/placement/recent_demand.rs
@@ -25,7 +25,7 @@
 }
 
 impl RecentDemand {
-    /// Records a report. One that is as old as what is known already comes twice and is left out.
+    /// Records a report. A relayed report that is known already is dropped.
     pub(crate) fn record(&mut self, now: Duration, demand: &RouterDemand) {
         let at = now.saturating_sub(Duration::from_millis(demand.age_ms.into()));
         let position = self.reports.partition_point(|report| report.at <= at);
--- a/crates/controller/src/controller/process.rs
+++ b/crates/controller/src/controller/process.rs
@@ -1,4 +1,4 @@
-//! The outside of a controller that runs as a process of its own: sockets, a disk, the machine's clock.
+//! The environment of a controller that runs as a process of its own: sockets, a disk, the machine's clock.
 
 use crate::controller::consensus::disk::Disk;
 use crate::controller::environment::Environment;
@@ -25,7 +25,7 @@
     pub hello: Hello,
     pub disk: Disk,
     pub events: mpsc::UnboundedSender<Event>,
-    /// Links under way.
+    /// Links that are dialled or up.
     pub links: BTreeMap<SocketAddr, AbortHandle>,
 }
 
--- a/crates/controller/src/simulation/calls.rs
+++ b/crates/controller/src/simulation/calls.rs
@@ -2,7 +2,7 @@
 
 use super::connection::Process;
 use super::host::Host;
-use super::world::{Notice, SimulationEvent, World};
+use super::world::{Delivery, SimulationEvent, World};
 use crate::controller::{Answer, Call, Event, Method};
 use bytes::Bytes;
 use rand::Rng;
@@ -191,7 +191,7 @@
         self.trace.call(self.clock.get(), target, method, &path, if_match, &body);
         let call = Call { method, path, if_match: if_match.map(Ok), body, reply };
         self.calls.replies.insert(number, (process, answer));
-        self.deliver_to_controller(target, process, Notice::Controller(Event::Call(call)));
+        self.deliver_to_controller(target, process, Delivery::Controller(Event::Call(call)));
         self.collect_answers(process);
     }
 
--- a/crates/controller/src/simulation/checks.rs
+++ b/crates/controller/src/simulation/checks.rs
@@ -1,4 +1,4 @@
-//! Bounds in time: who is in touch, how many machines are lost, and what must hold by then.
+//! Bounds in time: who is connected, how many machines are lost, and what must hold by then.
 
 use super::host::{Host, controller_at};
 use super::violation::Violation;
@@ -27,10 +27,10 @@
 /// Something that must hold at a time.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Check {
-    /// Every router in touch has this version or a newer one.
+    /// Every connected router has this version or a newer one.
     Applied { version: u64, until: Duration },
     /// No connected router takes this incarnation of an endpoint to be ready, whether the controller that acknowledged its end
-    /// was in touch or not.
+    /// was connected or not.
     Drained { endpoint: usize, start: u64, until: Duration },
     /// Every shard's group is complete, unless there was a fault since this many steps.
     GroupsComplete { steps: u64 },
@@ -71,7 +71,7 @@
         }
     }
 
-    /// What was acknowledged holds from its bound on, so it is checked several times: routers may be out of touch at the
+    /// What was acknowledged holds from its bound on, so it is checked several times: routers may be disconnected at the
     /// first.
     pub(super) fn check_from(&mut self, due: Duration, check: impl FnOnce(Duration) -> Check) {
         self.schedule(due, SimulationEvent::Check(check(due + CHECK_SPAN)));
@@ -85,7 +85,7 @@
     }
 
     fn check_applied(&self, acknowledged: u64) -> Result<(), Violation> {
-        for index in self.routers_in_touch() {
+        for index in self.connected_routers() {
             let configuration = self.routers[index].known.configuration.as_ref();
             let version = configuration.map_or(0, |configuration| configuration.version);
             if version < acknowledged {
@@ -96,7 +96,7 @@
         Ok(())
     }
 
-    /// No placer planned an order that its last check had to hold back.
+    /// No placer planned an order that its last check had to withhold.
     pub(super) fn check_orders_withheld(&self) -> Result<(), Violation> {
         for machine in &self.controllers {
             let orders = machine.controller().map_or(0, |controller| controller.violations().total());
@@ -111,7 +111,7 @@
         if self.endpoints[endpoint].start != start {
             return Ok(());
         }
-        for index in self.routers_in_touch() {
+        for index in self.connected_routers() {
             let (router, endpoint) = (Host::Router(index), Host::Endpoint(endpoint));
             if self.uses(router, endpoint) {
                 return Err(Violation::DrainUnknown { router, endpoint });
@@ -127,15 +127,15 @@
     }
 
     fn check_groups_complete(&self) -> Result<(), Violation> {
-        let good = self.good_controllers();
+        let working = self.working_controllers();
         let size = 2 * self.tolerance as usize + 1;
-        let refuse = good.iter().any(|index| self.network.is_refusing(Host::Controller(*index)));
-        let stable = self.is_core_stable(Duration::ZERO) && self.disks_are_healthy(&good);
-        if good.len() < size || refuse || !stable {
+        let refuse = working.iter().any(|index| self.network.is_refusing(Host::Controller(*index)));
+        let stable = self.is_core_stable(Duration::ZERO) && self.disks_are_healthy(&working);
+        if working.len() < size || refuse || !stable {
             return Ok(());
         }
         for (shard, group) in self.newest_groups().iter().enumerate() {
-            let is_good = |host: &Host| matches!(host, Host::Controller(index) if good.contains(index));
+            let is_good = |host: &Host| matches!(host, Host::Controller(index) if working.contains(index));
             if group.len() < size || !group.iter().all(is_good) {
                 return Err(Violation::GroupIncomplete { shard: shard as u8, group: format!("{group:?}") });
             }
@@ -148,7 +148,7 @@
     }
 
     /// Controllers that run and reach more than half of the core both ways, and those whom they reach.
-    pub(super) fn good_controllers(&self) -> BTreeSet<usize> {
+    pub(super) fn working_controllers(&self) -> BTreeSet<usize> {
         let core = self.controllers.iter().filter(|machine| !machine.retired).count();
         let awake: Vec<usize> = self
             .controllers
@@ -166,15 +166,15 @@
     /// Whether the core has been left alone for `span`, works in a majority, and not too much is lost.
     fn is_core_stable(&self, span: Duration) -> bool {
         let core = self.controllers.iter().filter(|machine| !machine.retired).count();
-        let good = self.good_controllers();
-        let all_connected = good.iter().all(|one| {
-            good.iter().all(|other| {
+        let working = self.working_controllers();
+        let all_connected = working.iter().all(|one| {
+            working.iter().all(|other| {
                 one == other
                     || self.network.is_open_both_ways(Host::Controller(*one), Host::Controller(*other))
             })
         });
         let disks = (0..self.controllers.len()).all(|index| !self.controllers[index].disk.is_slow());
-        2 * good.len() > core
+        2 * working.len() > core
             && all_connected
             && disks
             && self.network.is_calm()
@@ -183,16 +183,16 @@
     }
 
     /// Routers for which bounds hold now.
-    fn routers_in_touch(&self) -> Vec<usize> {
+    fn connected_routers(&self) -> Vec<usize> {
         if !self.is_core_stable(CONTACT) {
             return Vec::new();
         }
-        let good = self.good_controllers();
+        let working = self.working_controllers();
         let in_touch = |index: &usize| {
             let router = Host::Router(*index);
             self.routers[*index].is_awake()
                 && self.fault_history.machine_at(router) + CONTACT <= self.now()
-                && good.iter().all(|at| self.network.is_open_both_ways(router, Host::Controller(*at)))
+                && working.iter().all(|at| self.network.is_open_both_ways(router, Host::Controller(*at)))
         };
         (0..self.routers.len()).filter(in_touch).collect()
     }
@@ -207,16 +207,16 @@
     /// for good counts as long, if there are enough others.
     pub(super) fn detect_losses(&mut self) {
         let now = self.now();
-        let good = self.good_controllers();
-        let enough_left = good.len() >= self.founders;
+        let working = self.working_controllers();
+        let enough_left = working.len() >= self.founders;
         let is_lost = |machine: &super::controller_machine::ControllerMachine| {
-            let is_bad = !good.contains(&machine.index) || machine.disk.is_slow();
+            let is_bad = !working.contains(&machine.index) || machine.disk.is_slow();
             is_bad && !(machine.retired && enough_left) && machine.has_run
         };
         let lost: BTreeSet<usize> =
             self.controllers.iter().filter(|machine| is_lost(machine)).map(|machine| machine.index).collect();
-        let pair_is_cut = good.iter().any(|one| {
-            good.iter().any(|other| {
+        let pair_is_cut = working.iter().any(|one| {
+            working.iter().any(|other| {
                 one != other
                     && !self.network.is_open_both_ways(Host::Controller(*one), Host::Controller(*other))
             })
@@ -261,7 +261,7 @@
 
     /// Whether the loss of a disk is made good: the machine has every record again, or, if it is retired, is
     /// in no group any more.
-    fn is_made_good(&self, index: usize, records: &[Records]) -> bool {
+    fn is_disk_loss_repaired(&self, index: usize, records: &[Records]) -> bool {
         if self.controllers[index].retired {
             return !records.iter().flat_map(members_on_disk).any(|member| member == Some(index));
         }
@@ -273,7 +273,7 @@
     /// be, and a majority of every group that any disk knows of keeps its record.
     pub(super) fn may_lose_disk(&self, lost: usize) -> bool {
         let records: Vec<_> = self.controllers.iter().map(|machine| machine.disk.peek()).collect();
-        let still_lost = |index: &&usize| **index != lost && !self.is_made_good(**index, &records);
+        let still_lost = |index: &&usize| **index != lost && !self.is_disk_loss_repaired(**index, &records);
         let lost_now = self.fault_history.disks_lost.iter().filter(still_lost).count();
         if self.within_tolerance && lost_now >= self.tolerance as usize {
             return false;
--- a/crates/controller/src/simulation/connections.rs
+++ b/crates/controller/src/simulation/connections.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{Connection, Dial, End, Kind, Process};
 use super::host::Host;
-use super::world::{Notice, SimulationEvent, World};
+use super::world::{Delivery, SimulationEvent, World};
 use crate::agent::{SOURCE_TIMEOUT, SubscriberEvent};
 use crate::controller::Event;
 use crate::link::{CONNECT_TIMEOUT, REDIAL_DELAY};
@@ -73,23 +73,23 @@
         let number = self.next_connection;
         self.next_connection += 1;
         self.connections.insert(number, connection);
-        let notice = match dial.kind {
+        let delivery = match dial.kind {
             Kind::Peer => {
                 outbox.message(&Message::Hello(self.controller_hello(dial.dialer)));
-                Notice::Controller(Event::PeerUp { peer: dial.address, outbox })
+                Delivery::Controller(Event::PeerUp { peer: dial.address, outbox })
             }
             Kind::Feed => {
                 outbox.message(&Message::Hello(self.agent_hello(&dial)));
                 self.schedule(now + SOURCE_TIMEOUT, SimulationEvent::ReceiveTimeout { connection: number });
-                Notice::Source(SourceEvent::Up { source: dial.address, outbox })
+                Delivery::Source(SourceEvent::Up { source: dial.address, outbox })
             }
             Kind::Loopback => {
                 outbox.message(&Message::Hello(self.router_hello(dial.dialer)));
                 self.accept_router(number, listener);
-                Notice::Agent(SourceEvent::Up { source: dial.address, outbox })
+                Delivery::Agent(SourceEvent::Up { source: dial.address, outbox })
             }
         };
-        self.deliver(dial.dialer, notice);
+        self.deliver(dial.dialer, delivery);
         self.pump(number);
     }
 
@@ -98,8 +98,8 @@
         let connection = self.connections.get_mut(&number);
         let outbox = connection.and_then(|connection| connection.listener_outbox.take());
         if let Some(outbox) = outbox {
-            let notice = Notice::SubscriberEvent(SubscriberEvent::Up { subscriber: number, outbox });
-            self.deliver(listener, notice);
+            let delivery = Delivery::SubscriberEvent(SubscriberEvent::Up { subscriber: number, outbox });
+            self.deliver(listener, delivery);
         }
     }
 
@@ -108,8 +108,8 @@
         match dial.kind {
             Kind::Peer => self.schedule(at + REDIAL_DELAY, SimulationEvent::Dial(dial)),
             Kind::Feed => {
-                let notice = Notice::Source(SourceEvent::Down { source: dial.address });
-                self.notify(at, dial.dialer, notice);
+                let delivery = Delivery::Source(SourceEvent::Down { source: dial.address });
+                self.schedule_delivery(at, dial.dialer, delivery);
             }
             Kind::Loopback => self.schedule(at + LOOPBACK_REDIAL_DELAY, SimulationEvent::Dial(dial)),
         }
@@ -176,45 +176,47 @@
             if end == End::Dialer {
                 connection.received_at = now;
             }
-            if let Some((process, notice)) = self.read_frame(number, end, &frame) {
-                self.deliver(process, notice);
+            if let Some((process, delivery)) = self.read_frame(number, end, &frame) {
+                self.deliver(process, delivery);
             }
         }
         self.pump(number);
     }
 
     /// What an end of a connection makes of a frame.
-    fn read_frame(&mut self, number: u64, end: End, frame: &Bytes) -> Option<(Process, Notice)> {
+    fn read_frame(&mut self, number: u64, end: End, frame: &Bytes) -> Option<(Process, Delivery)> {
         let now = self.now();
         let message = Message::decode(&frame[LENGTH_BYTES..]).ok()?;
         let connection = self.connections.get_mut(&number)?;
         self.trace.frame(now, connection.dial.kind, end, connection.path_to(end), frame);
         let (dial, listener) = (connection.dial, connection.listener);
         let source = dial.address;
-        let notice = match (dial.kind, end, message) {
-            (Kind::Feed, End::Dialer, message) => Notice::Source(SourceEvent::Message { source, message }),
-            (Kind::Loopback, End::Dialer, message) => Notice::Agent(SourceEvent::Message { source, message }),
+        let delivery = match (dial.kind, end, message) {
+            (Kind::Feed, End::Dialer, message) => Delivery::Source(SourceEvent::Message { source, message }),
+            (Kind::Loopback, End::Dialer, message) => {
+                Delivery::Agent(SourceEvent::Message { source, message })
+            }
             (Kind::Loopback, End::Listener, message) => {
-                Notice::SubscriberEvent(SubscriberEvent::Message { subscriber: number, message })
+                Delivery::SubscriberEvent(SubscriberEvent::Message { subscriber: number, message })
             }
             (Kind::Peer, End::Listener, Message::Hello(hello)) => {
                 connection.peer = hello.control_address.text().parse().ok();
-                Notice::Controller(Event::PeerHello { hello })
+                Delivery::Controller(Event::PeerHello { hello })
             }
             (Kind::Peer, End::Listener, message) => {
-                Notice::Controller(Event::PeerMessage { peer: connection.peer?, message })
+                Delivery::Controller(Event::PeerMessage { peer: connection.peer?, message })
             }
             (Kind::Feed, End::Listener, Message::Hello(hello)) => {
                 let outbox = connection.listener_outbox.take()?;
-                Notice::Controller(Event::AgentUp { agent: number, hello, outbox })
+                Delivery::Controller(Event::AgentUp { agent: number, hello, outbox })
             }
             (Kind::Feed, End::Listener, message) => {
-                Notice::Controller(Event::AgentMessage { agent: number, message })
+                Delivery::Controller(Event::AgentMessage { agent: number, message })
             }
             (Kind::Peer, End::Dialer, _) => return None,
         };
         let process = if end == End::Dialer { dial.dialer } else { listener };
-        Some((process, notice))
+        Some((process, delivery))
     }
 
     /// A connection ends for both sides: what `closer` has sent still arrives, what was sent to it does not.
@@ -231,8 +233,8 @@
                 continue;
             }
             for (at, frame) in connection.pipe_to(end).drain() {
-                if let Some((process, notice)) = self.read_frame(number, end, &frame) {
-                    self.notify(at, process, notice);
+                if let Some((process, delivery)) = self.read_frame(number, end, &frame) {
+                    self.schedule_delivery(at, process, delivery);
                 }
             }
         }
@@ -254,12 +256,12 @@
         let last = self.now() + self.delay() + dialer_late;
         self.end_for_dialer(dial, last);
         let late = self.delay() + late;
-        let notice = match dial.kind {
+        let delivery = match dial.kind {
             Kind::Peer => return,
-            Kind::Feed => Notice::Controller(Event::AgentDown { agent: number }),
-            Kind::Loopback => Notice::SubscriberEvent(SubscriberEvent::Down { subscriber: number }),
+            Kind::Feed => Delivery::Controller(Event::AgentDown { agent: number }),
+            Kind::Loopback => Delivery::SubscriberEvent(SubscriberEvent::Down { subscriber: number }),
         };
-        self.notify(self.now() + late, listener, notice);
+        self.schedule_delivery(self.now() + late, listener, delivery);
     }
 
     fn end_for_dialer(&mut self, dial: Dial, at: Duration) {
@@ -268,17 +270,17 @@
         }
         match dial.kind {
             Kind::Peer => {
-                let notice = Notice::Controller(Event::PeerDown { peer: dial.address });
-                self.notify(at, dial.dialer, notice);
+                let delivery = Delivery::Controller(Event::PeerDown { peer: dial.address });
+                self.schedule_delivery(at, dial.dialer, delivery);
                 self.schedule(at + REDIAL_DELAY, SimulationEvent::Dial(dial));
             }
             Kind::Feed => {
-                let notice = Notice::Source(SourceEvent::Down { source: dial.address });
-                self.notify(at, dial.dialer, notice);
+                let delivery = Delivery::Source(SourceEvent::Down { source: dial.address });
+                self.schedule_delivery(at, dial.dialer, delivery);
             }
             Kind::Loopback => {
-                let notice = Notice::Agent(SourceEvent::Down { source: dial.address });
-                self.notify(at, dial.dialer, notice);
+                let delivery = Delivery::Agent(SourceEvent::Down { source: dial.address });
+                self.schedule_delivery(at, dial.dialer, delivery);
                 self.schedule(at + LOOPBACK_REDIAL_DELAY, SimulationEvent::Dial(dial));
             }
         }
--- a/crates/controller/src/simulation/controller_machine.rs
+++ b/crates/controller/src/simulation/controller_machine.rs
@@ -6,7 +6,7 @@
 use super::engine::OrderCall;
 use super::host::{Host, controller_at};
 use super::settings::{seed_addresses, settings};
-use super::world::{Notice, SimulationEvent, World};
+use super::world::{Delivery, SimulationEvent, World};
 use crate::controller::{Controller, Event, Start};
 use crate::message::{Hello, Role};
 use lanegate_config::settings::Settings;
@@ -45,7 +45,7 @@
     /// Whether it has run before.
     pub(super) has_run: bool,
     /// Came in while frozen.
-    backlog: VecDeque<Notice>,
+    backlog: VecDeque<Delivery>,
     /// The settings file.
     settings: Rc<RefCell<Settings>>,
     next_dial_number: u64,
@@ -158,18 +158,18 @@
     }
 
     /// Tells a controller something.
-    pub(super) fn deliver_to_controller(&mut self, index: usize, process: Process, notice: Notice) {
+    pub(super) fn deliver_to_controller(&mut self, index: usize, process: Process, delivery: Delivery) {
         let machine = &mut self.controllers[index];
         let Some(running) = machine.running.as_mut().filter(|running| running.process == process) else {
             return;
         };
         if machine.frozen {
-            machine.backlog.push_back(notice);
+            machine.backlog.push_back(delivery);
             return;
         }
-        match notice {
-            Notice::Controller(event) => running.controller.handle_event(event),
-            Notice::Send(call) => return self.send_order(call),
+        match delivery {
+            Delivery::Controller(event) => running.controller.handle_event(event),
+            Delivery::Send(call) => return self.send_order(call),
             _ => return,
         }
         self.tick_controller(index);
@@ -281,7 +281,7 @@
         if let Some(written) = written {
             let (shard, token, durable) = (written.shard, written.token, written.durable);
             let event = Event::Written { shard, token, durable };
-            self.deliver_to_controller(index, process, Notice::Controller(event));
+            self.deliver_to_controller(index, process, Delivery::Controller(event));
         }
         self.start_write(index);
     }
@@ -304,10 +304,10 @@
             return;
         }
         let backlog = std::mem::take(&mut machine.backlog);
-        for notice in backlog {
-            match (notice, &mut self.controllers[index].running) {
-                (Notice::Controller(event), Some(running)) => running.controller.handle_event(event),
-                (Notice::Send(call), _) => self.send_order(call),
+        for delivery in backlog {
+            match (delivery, &mut self.controllers[index].running) {
+                (Delivery::Controller(event), Some(running)) => running.controller.handle_event(event),
+                (Delivery::Send(call), _) => self.send_order(call),
                 _ => {}
             }
         }
--- a/crates/controller/src/simulation/endpoint.rs
+++ b/crates/controller/src/simulation/endpoint.rs
@@ -121,7 +121,7 @@
         let now = self.now();
         let machine = &mut self.endpoints[index];
         machine.sequence += 1;
-        machine.engine.finish(now);
+        machine.engine.finish_load(now);
         let path = format!("/instances/{}", machine.id());
         let content = Content { method: Method::Put, path, if_match: None, body: machine.body() };
         let purpose = Purpose::Heartbeat { endpoint: index, start: machine.start };
--- a/crates/controller/src/simulation/engine.rs
+++ b/crates/controller/src/simulation/engine.rs
@@ -3,9 +3,9 @@
 use super::change::LOAD_TIME_S;
 use super::connection::Process;
 use super::endpoint::State;
-use super::history::Ordered;
+use super::history::SentOrder;
 use super::host::{Host, endpoint_at};
-use super::world::{Notice, SimulationEvent, World};
+use super::world::{Delivery, SimulationEvent, World};
 use crate::controller::{Event, ServiceAction};
 use lanegate_placement::{Action, EndpointReport, Operation, Order, OrderAnswer};
 use serde_json::{Value, json};
@@ -47,7 +47,7 @@
     }
 }
 
-/// A load under way.
+/// A load in progress.
 #[derive(Debug)]
 struct Load {
     model: String,
@@ -65,7 +65,7 @@
 
 impl Engine {
     /// Ends a load whose time has come.
-    pub(super) fn finish(&mut self, now: Duration) {
+    pub(super) fn finish_load(&mut self, now: Duration) {
         if let Some(load) = self.loading.take_if(|load| load.until <= now) {
             self.resident.insert(load.model);
         }
@@ -77,8 +77,8 @@
         self.resident.iter().map(model).collect()
     }
 
-    fn take(&mut self, now: Duration, order: &Order) -> OrderAnswer {
-        self.finish(now);
+    fn execute(&mut self, now: Duration, order: &Order) -> OrderAnswer {
+        self.finish_load(now);
         let revision_differs = order.if_revision != self.sequence;
         if self.loading.is_some() || revision_differs {
             return OrderAnswer::Conflict;
@@ -101,7 +101,7 @@
     }
 
     fn report(&mut self, now: Duration) -> Option<EndpointReport> {
-        self.finish(now);
+        self.finish_load(now);
         let report = json!({
             "Phase": "prefill_decode",
             "Models": self.models(),
@@ -120,7 +120,7 @@
             return;
         }
         if self.is_frozen(sender.host) {
-            return self.deliver(sender, Notice::Send(call));
+            return self.deliver(sender, Delivery::Send(call));
         }
         if self.now() > call.send_by {
             return self.answer_order(&call, OrderAnswer::Unavailable, Duration::ZERO);
@@ -136,7 +136,7 @@
         self.schedule(arrives, SimulationEvent::OrderArrives(call));
     }
 
-    /// An order, or a question, reaches its endpoint.
+    /// An order, or a report request, reaches its endpoint.
     pub(super) fn order_arrives(&mut self, call: OrderCall) {
         let now = self.now();
         let Some(index) = call.endpoint() else { return };
@@ -159,8 +159,8 @@
                 call.answered(OrderAnswer::WrongInstance)
             }
             Action::Order(order) => {
-                let answer = machine.engine.take(now, order);
-                self.note_order(index, &call);
+                let answer = machine.engine.execute(now, order);
+                self.record_order_arrival(index, &call);
                 call.answered(answer)
             }
         };
@@ -168,26 +168,26 @@
         match event {
             Some(event) if back_open => {
                 let arrives = now + self.delay();
-                self.notify(arrives, call.sender, Notice::Controller(event));
+                self.schedule_delivery(arrives, call.sender, Delivery::Controller(event));
             }
             _ => self.answer_order(&call, OrderAnswer::Unknown, ANSWER_TIMEOUT),
         }
     }
 
-    fn note_order(&mut self, endpoint: usize, call: &OrderCall) {
+    fn record_order_arrival(&mut self, endpoint: usize, call: &OrderCall) {
         let (now, sender) = (self.now(), call.sender.host);
         if self.fault_history.was_thawed_lately(sender, now) {
             return;
         }
         let service = self.endpoints[endpoint].service();
-        let order = Ordered { endpoint, service, sender, token: call.epoch, at: now };
-        self.history.ordered(order, super::checks::LEASE);
+        let order = SentOrder { endpoint, service, sender, token: call.epoch, at: now };
+        self.history.record_order(order, super::checks::LEASE);
     }
 
     fn answer_order(&mut self, call: &OrderCall, answer: OrderAnswer, after: Duration) {
         if let Some(event) = call.answered(answer) {
             let at = self.now() + after;
-            self.notify(at, call.sender, Notice::Controller(event));
+            self.schedule_delivery(at, call.sender, Delivery::Controller(event));
         }
     }
 }
--- a/crates/controller/src/simulation/expectation.rs
+++ b/crates/controller/src/simulation/expectation.rs
@@ -131,7 +131,7 @@
 
 impl World {
     pub(super) fn expect(&self, step: usize, expectation: &Expectation) -> Result<(), Violation> {
-        let (is_met, found) = self.look(expectation);
+        let (is_met, found) = self.evaluate(expectation);
         if is_met {
             return Ok(());
         }
@@ -139,7 +139,7 @@
     }
 
     /// Whether an expectation is met, and what was found.
-    fn look(&self, expectation: &Expectation) -> (bool, String) {
+    fn evaluate(&self, expectation: &Expectation) -> (bool, String) {
         let truth = |is_met: bool| (is_met, if is_met { "that" } else { "not that" }.to_owned());
         match expectation {
             Expectation::Change { number, status } => {
--- a/crates/controller/src/simulation/history.rs
+++ b/crates/controller/src/simulation/history.rs
@@ -30,7 +30,7 @@
     /// Whether it was refused at any time.
     refused: bool,
     /// Whether it was seen in force.
-    seen: bool,
+    observed: bool,
 }
 
 /// What came back for a read.
@@ -52,7 +52,7 @@
 
 /// An order that an endpoint took.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Ordered {
+pub(super) struct SentOrder {
     pub(super) endpoint: usize,
     pub(super) service: usize,
     pub(super) sender: Host,
@@ -74,7 +74,7 @@
     /// Newest version that each router has had since its start.
     router_versions: BTreeMap<usize, u64>,
     /// The last order for each service.
-    last_orders: BTreeMap<usize, Ordered>,
+    last_orders: BTreeMap<usize, SentOrder>,
     /// Highest token that each endpoint has seen.
     tokens: BTreeMap<usize, u64>,
     pub(super) orders: usize,
@@ -84,7 +84,7 @@
 }
 
 impl History {
-    pub(super) fn broken(&mut self, violation: Violation) {
+    pub(super) fn record_violation(&mut self, violation: Violation) {
         self.violation.get_or_insert(violation);
     }
 
@@ -96,7 +96,7 @@
             status: ChangeStatus::Open,
             acknowledged: false,
             refused: false,
-            seen: false,
+            observed: false,
         });
         number
     }
@@ -110,17 +110,17 @@
     }
 
     /// A change was acknowledged.
-    pub(super) fn change_taken(&mut self, number: usize) {
+    pub(super) fn change_accepted(&mut self, number: usize) {
         let sent = self.change_mut(number);
         sent.status = ChangeStatus::Taken;
         sent.acknowledged = true;
         let (version, invalid, refused) =
             (sent.change.version, sent.change.form == Form::Invalid, sent.refused);
         if invalid {
-            self.broken(Violation::InvalidAcknowledged(number));
+            self.record_violation(Violation::InvalidAcknowledged(number));
         }
         if refused {
-            self.broken(Violation::RefusedAndTaken(number));
+            self.record_violation(Violation::RefusedAndTaken(number));
         }
         self.newest_acknowledged = self.newest_acknowledged.max(version);
         self.newest_known = self.newest_known.max(version);
@@ -133,11 +133,11 @@
         sent.status = if invalid { ChangeStatus::Invalid } else { ChangeStatus::Refused };
         sent.refused = true;
         if sent.acknowledged {
-            self.broken(Violation::TakenAndRefused(number));
-        } else if sent.seen {
-            self.broken(Violation::RefusedInForce(number));
+            self.record_violation(Violation::TakenAndRefused(number));
+        } else if sent.observed {
+            self.record_violation(Violation::RefusedInForce(number));
         } else if invalid && sent.change.form != Form::Invalid {
-            self.broken(Violation::ValidCalledInvalid(number));
+            self.record_violation(Violation::ValidCalledInvalid(number));
         }
     }
 
@@ -158,24 +158,24 @@
         let base = self.change_mut(number).change.base;
         let successor = *self.successors.entry(base).or_insert(number);
         if successor != number {
-            self.broken(Violation::TwoOnOneVersion { base, first: successor, second: number });
+            self.record_violation(Violation::TwoOnOneVersion { base, first: successor, second: number });
         }
     }
 
     /// A configuration was seen in force.
-    fn seen(&mut self, configuration: &Configuration) {
+    fn observed(&mut self, configuration: &Configuration) {
         let number = maker(configuration).filter(|number| self.change(*number).is_some());
         let Some(number) = number else {
-            return self.broken(Violation::NeverSent(configuration.version));
+            return self.record_violation(Violation::NeverSent(configuration.version));
         };
         let sent = self.change_mut(number);
-        sent.seen = true;
+        sent.observed = true;
         let (refused, invalid) = (sent.refused, sent.change.form == Form::Invalid);
         if sent.change.version != configuration.version {
-            return self.broken(Violation::NeverSent(configuration.version));
+            return self.record_violation(Violation::NeverSent(configuration.version));
         }
         if refused || invalid {
-            return self.broken(Violation::RefusedInForce(number));
+            return self.record_violation(Violation::RefusedInForce(number));
         }
         self.newest_known = self.newest_known.max(configuration.version);
         self.took_effect(number);
@@ -190,9 +190,9 @@
         let version = configuration.version;
         let before = self.router_versions.insert(router, version);
         if let Some(from) = before.filter(|before| *before > version) {
-            self.broken(Violation::RouterWentBack { router, from, to: version });
+            self.record_violation(Violation::RouterWentBack { router, from, to: version });
         }
-        self.seen(configuration);
+        self.observed(configuration);
     }
 
     /// A read begins; returns its number.
@@ -208,10 +208,14 @@
         let floor = read.floor;
         match serde_json::from_slice::<Configuration>(body) {
             Ok(configuration) if configuration.version < floor => {
-                self.broken(Violation::OldRead { read: number, floor, version: configuration.version });
+                self.record_violation(Violation::OldRead {
+                    read: number,
+                    floor,
+                    version: configuration.version,
+                });
             }
-            Ok(configuration) => self.seen(&configuration),
-            Err(_) => self.broken(Violation::NeverSent(0)),
+            Ok(configuration) => self.observed(&configuration),
+            Err(_) => self.record_violation(Violation::NeverSent(0)),
         }
     }
 
@@ -221,7 +225,7 @@
         read.status = ReadStatus::Missing;
         let floor = read.floor;
         if floor > 0 {
-            self.broken(Violation::OldRead { read: number, floor, version: 0 });
+            self.record_violation(Violation::OldRead { read: number, floor, version: 0 });
         }
     }
 
@@ -235,13 +239,13 @@
     }
 
     /// An order reached its endpoint. `quiet` is the time that must lie between two senders.
-    pub(super) fn ordered(&mut self, order: Ordered, quiet: Duration) {
+    pub(super) fn record_order(&mut self, order: SentOrder, quiet: Duration) {
         self.orders += 1;
         let highest = self.tokens.entry(order.endpoint).or_default();
         if order.token < *highest {
             let token = order.token;
             let highest = *highest;
-            return self.broken(Violation::TokenWentBack { highest, token });
+            return self.record_violation(Violation::TokenWentBack { highest, token });
         }
         *highest = order.token;
         let Some(last) = self.last_orders.insert(order.service, order) else { return };
@@ -249,10 +253,14 @@
             return;
         }
         if last.token == order.token {
-            self.broken(Violation::TokenShared(order.token));
+            self.record_violation(Violation::TokenShared(order.token));
         } else if order.at < last.at + quiet {
             let after_ms = (order.at - last.at).as_millis() as u64;
-            self.broken(Violation::TwoPlacers { first: last.sender, second: order.sender, after_ms });
+            self.record_violation(Violation::TwoPlacers {
+                first: last.sender,
+                second: order.sender,
+                after_ms,
+            });
         }
     }
 }
--- a/crates/controller/src/simulation/operator.rs
+++ b/crates/controller/src/simulation/operator.rs
@@ -104,7 +104,7 @@
     pub(super) fn change_answered(&mut self, number: usize, answer: &Answer, attempts: usize) -> bool {
         match Verdict::of(answer.status, attempts) {
             Verdict::Success => {
-                self.history.change_taken(number);
+                self.history.change_accepted(number);
                 let version = self.history.newest_acknowledged;
                 let due = self.now() + self.apply_bound();
                 self.check_from(due, |until| Check::Applied { version, until });
--- a/crates/controller/src/simulation/quiesce.rs
+++ b/crates/controller/src/simulation/quiesce.rs
@@ -17,7 +17,7 @@
 /// A read is answered within this time.
 const READ_TIME: Duration = Duration::from_secs(1);
 /// Steps in which an acknowledgement is waited for.
-const POLL: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Routers have it within this time (`ConfigApplyMs`).
 const APPLY_TIME: Duration = Duration::from_secs(2);
 
@@ -49,7 +49,7 @@
         let until = self.now() + ACKNOWLEDGE_TIME;
         let mut status = self.history.change(number).map(|sent| sent.status);
         while status == Some(ChangeStatus::Open) && self.now() < until {
-            self.run(POLL)?;
+            self.run(POLL_INTERVAL)?;
             status = self.history.change(number).map(|sent| sent.status);
         }
         Ok(status)
--- a/crates/controller/src/simulation/router_machine.rs
+++ b/crates/controller/src/simulation/router_machine.rs
@@ -4,7 +4,7 @@
 use super::connection::{Dial, Kind, Process};
 use super::host::{Host, controller_at};
 use super::settings::{seed_addresses, settings};
-use super::world::{Notice, SimulationEvent, World};
+use super::world::{Delivery, SimulationEvent, World};
 use crate::agent::{Agent, SOURCE_REVIEW_PERIOD};
 use crate::feed_client::Client;
 use crate::message::Hello;
@@ -58,7 +58,7 @@
     running: Option<Running>,
     pub(super) known: Known,
     pub(super) frozen: bool,
-    backlog: VecDeque<Notice>,
+    backlog: VecDeque<Delivery>,
     settings: Rc<RefCell<Settings>>,
     next_dial_number: u64,
 }
@@ -152,28 +152,28 @@
     }
 
     /// Tells an agent or its router something.
-    pub(super) fn deliver_to_router(&mut self, index: usize, process: Process, notice: Notice) {
+    pub(super) fn deliver_to_router(&mut self, index: usize, process: Process, delivery: Delivery) {
         let machine = &mut self.routers[index];
         let Some(running) = machine.running.as_mut().filter(|running| running.process == process) else {
             return;
         };
         if machine.frozen {
-            machine.backlog.push_back(notice);
+            machine.backlog.push_back(delivery);
             return;
         }
         let now = self.clock.get().saturating_sub(running.environment.started);
-        match notice {
-            Notice::Source(news) => running.agent.on_source_event(news),
-            Notice::SubscriberEvent(event) => running.agent.on_subscriber_event(event),
-            Notice::Agent(news) => {
+        match delivery {
+            Delivery::Source(news) => running.agent.on_source_event(news),
+            Delivery::SubscriberEvent(event) => running.agent.on_subscriber_event(event),
+            Delivery::Agent(news) => {
                 running.client.on_agent_event(now, news);
             }
-            Notice::Controller(_) | Notice::Send(_) => return,
+            Delivery::Controller(_) | Delivery::Send(_) => return,
         }
         self.execute_router_requests(index);
     }
 
-    /// The agent looks at its sources, and the router reports its demand.
+    /// The agent reviews its sources, and the router reports its demand.
     pub(super) fn review(&mut self, process: Process) {
         let Host::Router(index) = process.host else { return };
         if self.routers[index].process() != Some(process) {
@@ -198,8 +198,8 @@
         }
         let Some(process) = machine.process() else { return };
         let backlog = std::mem::take(&mut machine.backlog);
-        for notice in backlog {
-            self.deliver_to_router(index, process, notice);
+        for delivery in backlog {
+            self.deliver_to_router(index, process, delivery);
         }
     }
 
--- a/crates/controller/src/simulation/world.rs
+++ b/crates/controller/src/simulation/world.rs
@@ -40,12 +40,12 @@
     /// The dialer checks whether it has received anything.
     ReceiveTimeout { connection: u64 },
     /// Something is delivered to a process.
-    Notice { process: Process, notice: Notice },
+    Delivery { process: Process, delivery: Delivery },
     /// The disk of a controller has done the first write.
     Written { process: Process },
     /// The timer of a controller.
     Wake { process: Process, at: Duration },
-    /// An agent looks at its choice of sources, and its router reports demand.
+    /// An agent reviews its choice of sources, and its router reports demand.
     Review { process: Process },
     /// The timer of an agent or its router: a newer configuration may be fetched.
     Fetch { process: Process, at: Duration },
@@ -63,15 +63,15 @@
     Heartbeat { endpoint: usize, start: u64 },
     /// An order, or a report request, is sent.
     SendOrder(OrderCall),
-    /// An order, or a question, reaches its endpoint.
+    /// An order, or a report request, reaches its endpoint.
     OrderArrives(OrderCall),
-    /// Something that must hold by now is looked at.
+    /// Something that must hold by now is checked.
     Check(Check),
 }
 
 /// What is delivered to a process.
 #[derive(Debug)]
-pub(super) enum Notice {
+pub(super) enum Delivery {
     Controller(Event),
     /// An event of the link to a source, for the agent.
     Source(SourceEvent),
@@ -278,8 +278,8 @@
         self.event_queue.push(Reverse(Scheduled { at: at.max(self.now()), order: self.order, event }));
     }
 
-    pub(super) fn notify(&mut self, at: Duration, process: Process, notice: Notice) {
-        self.schedule(at, SimulationEvent::Notice { process, notice });
+    pub(super) fn schedule_delivery(&mut self, at: Duration, process: Process, delivery: Delivery) {
+        self.schedule(at, SimulationEvent::Delivery { process, delivery });
     }
 
     fn dispatch(&mut self, event: SimulationEvent) -> Result<(), Violation> {
@@ -291,7 +291,7 @@
                 self.partition_timed_out(connection, since)
             }
             SimulationEvent::ReceiveTimeout { connection } => self.check_receive_timeout(connection),
-            SimulationEvent::Notice { process, notice } => self.deliver(process, notice),
+            SimulationEvent::Delivery { process, delivery } => self.deliver(process, delivery),
             SimulationEvent::Written { process } => self.written(process),
             SimulationEvent::Wake { process, at } => self.wake(process, at),
             SimulationEvent::Review { process } => self.review(process),
@@ -310,10 +310,10 @@
     }
 
     /// Delivers something to a process, if it still runs; a frozen one handles it once it is thawed.
-    pub(super) fn deliver(&mut self, process: Process, notice: Notice) {
+    pub(super) fn deliver(&mut self, process: Process, delivery: Delivery) {
         match process.host {
-            Host::Controller(index) => self.deliver_to_controller(index, process, notice),
-            Host::Router(index) => self.deliver_to_router(index, process, notice),
+            Host::Controller(index) => self.deliver_to_controller(index, process, delivery),
+            Host::Router(index) => self.deliver_to_router(index, process, delivery),
             Host::Endpoint(_) | Host::Operator => {}
         }
     }
