--- a/crates/controller/src/simulation/controller_machine.rs
+++ b/crates/controller/src/simulation/controller_machine.rs
@@ -1,9 +1,10 @@
 //! A simulated machine with a controller: a disk, and a process that comes and goes.
 
 use super::connection::{Dial, Kind, Process};
-use super::controller_environment::{ControllerEnvironment, Request};
+use super::controller_environment::Request;
 use super::disk::{Disk, Write};
 use super::engine::OrderCall;
+use super::environment::SimulatedEnvironment;
 use super::host::{Host, controller_at};
 use super::settings::{seed_addresses, settings};
 use super::world::{Delivery, SimulationEvent, World};
@@ -25,7 +26,7 @@
     process: Process,
     incarnation: u64,
     controller: Controller,
-    environment: ControllerEnvironment,
+    environment: SimulatedEnvironment<Request>,
     /// Links that it wants, with the number of the wish.
     links: BTreeMap<SocketAddr, u64>,
     /// The timer that is set.
@@ -127,12 +128,8 @@
         self.network.set_dark(host, false);
         self.end_connections(|connection| connection.touches(host), None);
         let process = self.next_process(host);
-        let environment = ControllerEnvironment {
-            clock: self.clock.clone(),
-            started: self.now(),
-            requests: Rc::default(),
-            settings: self.controllers[index].settings.clone(),
-        };
+        let environment =
+            SimulatedEnvironment::new(self.clock.clone(), self.controllers[index].settings.clone());
         let incarnation = self.random.random_range(1..=u64::MAX);
         let machine = &mut self.controllers[index];
         let Some(records) = machine.disk.open() else { return };
@@ -141,7 +138,7 @@
         let settings = machine.settings.borrow().clone();
         machine.has_run = true;
         let start = Start { settings, control: host.address(), incarnation, records, fault: self.fault };
-        let started = Controller::new(start, Box::new(environment.clone()));
+        let started = Controller::new(start, Box::new(environment.share()));
         let controller = started.expect("simulated settings are complete");
         let links = BTreeMap::new();
         machine.running = Some(Running {
@@ -205,7 +202,7 @@
     pub(super) fn execute_controller_requests(&mut self, index: usize) {
         let Some(process) = self.controllers[index].process() else { return };
         let requests = match &self.controllers[index].running {
-            Some(running) => std::mem::take(&mut *running.environment.requests.borrow_mut()),
+            Some(running) => running.environment.take_requests(),
             None => return,
         };
         for request in requests {
--- a/crates/controller/src/simulation/mod.rs
+++ b/crates/controller/src/simulation/mod.rs
@@ -17,6 +17,7 @@
 mod disk;
 mod endpoint;
 mod engine;
+mod environment;
 mod expectation;
 mod faults;
 mod history;
--- a/crates/controller/src/simulation/router_machine.rs
+++ b/crates/controller/src/simulation/router_machine.rs
@@ -1,7 +1,8 @@
 //! A simulated machine with an agent and a hollow router, which only stores what it was sent.
 
-use super::agent_environment::{AgentEnvironment, Request};
+use super::agent_environment::Request;
 use super::connection::{Dial, Kind, Process};
+use super::environment::SimulatedEnvironment;
 use super::host::{Host, controller_at};
 use super::settings::{seed_addresses, settings};
 use super::world::{Delivery, SimulationEvent, World};
@@ -37,7 +38,7 @@
 struct Running {
     process: Process,
     agent: Agent,
-    environment: AgentEnvironment,
+    environment: SimulatedEnvironment<Request>,
     follows: BTreeMap<SocketAddr, Follow>,
     client: Client,
     events: mpsc::UnboundedReceiver<FeedEvent>,
@@ -118,15 +119,10 @@
         let host = Host::Router(index);
         let process = self.next_process(host);
         let settings = self.routers[index].settings.clone();
-        let environment = AgentEnvironment {
-            clock: self.clock.clone(),
-            started: self.now(),
-            requests: Rc::default(),
-            settings: settings.clone(),
-        };
+        let environment = SimulatedEnvironment::new(self.clock.clone(), settings.clone());
         let incarnation = self.random.random_range(1..=u64::MAX);
         let own = settings.borrow().clone();
-        let agent = Agent::new(own.clone(), incarnation, Box::new(environment.clone()));
+        let agent = Agent::new(own.clone(), incarnation, Box::new(environment.share()));
         let (sender, events) = mpsc::unbounded_channel();
         let client = Client::new(own, self.random.random_range(1..=u64::MAX), sender);
         let follows = BTreeMap::new();
@@ -235,7 +231,7 @@
     fn execute_router_requests(&mut self, index: usize) {
         let Some(process) = self.routers[index].process() else { return };
         let requests = match &self.routers[index].running {
-            Some(running) => std::mem::take(&mut *running.environment.requests.borrow_mut()),
+            Some(running) => running.environment.take_requests(),
             None => return,
         };
         for request in requests {
