--- a/crates/controller/src/agent/environment.rs
+++ b/crates/controller/src/agent/environment.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// The outside of one agent. Nothing here waits; what takes time ends with a
-/// [`SourceEvent`](crate::subscription::News).
+/// [`SourceEvent`](crate::subscription::SourceEvent).
 pub(crate) trait Environment {
     /// Time since the process started.
     fn now(&self) -> Duration;
--- a/crates/controller/src/controller/event_loop.rs
+++ b/crates/controller/src/controller/event_loop.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    /// When [`Controller::turn`] is to be called next.
+    /// When [`Controller::tick`] is to be called next.
     pub(crate) fn next_wake(&self) -> Duration {
         let wakes = [
             Some(self.membership.next_wake()),
