--- a/crates/fair-edf/src/miss_ratio.rs
+++ b/crates/fair-edf/src/miss_ratio.rs
@@ -29,7 +29,8 @@
     }
 }
 
-/// Decayed counts of requests and of misses (refusals, failures and late answers) by class.
+/// Decayed counts of requests and of misses (refusals, failures and late answers) by class. Its
+/// methods panic if there is no such class.
 #[derive(Clone, Debug, Default)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize), serde(transparent))]
 pub struct MissRatios(Vec<DecayedCounts>);
@@ -41,28 +42,16 @@
     }
 
     /// Records a request of `class`.
-    ///
-    /// # Panics
-    ///
-    /// If there is no such class.
     pub fn request(&mut self, class: usize, now: Ns) {
         self.0[class].add(now, 0.0, 1.0);
     }
 
     /// Records a miss of `class`, once for each request that was refused, failed or answered late.
-    ///
-    /// # Panics
-    ///
-    /// If there is no such class.
     pub fn miss(&mut self, class: usize, now: Ns) {
         self.0[class].add(now, 1.0, 0.0);
     }
 
     /// The fraction of the requests of `class` that missed.
-    ///
-    /// # Panics
-    ///
-    /// If there is no such class.
     pub fn ratio(&self, class: usize) -> f64 {
         let counts = &self.0[class];
         (counts.misses + PRIOR_MISSES) / (counts.total + PRIOR_REQUESTS)
--- a/crates/fair-edf/src/timeline.rs
+++ b/crates/fair-edf/src/timeline.rs
@@ -71,8 +71,8 @@
         self.segments.as_slice()
     }
 
-    /// If the first segment starts before `now`: its requests up to the first that cannot be met. Removing any one of them,
-    /// and repeating that until none is overdue, removes the fewest requests.
+    /// If the first segment starts before `now`: its requests up to the first that cannot be met. Removing
+    /// any one of them, and repeating that until none is overdue, removes the fewest requests.
     pub fn overdue(&mut self, now: Ns) -> Option<Vec<K>> {
         self.start().filter(|start| *start < now)?;
         let unmet = |(n, queued): (usize, &(Ns, K))| now + self.sigma * (n as Ns + 1) > queued.0;
