--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -1,8 +1,5 @@
 //! The documents and encoded forms that every process shares, with each of their fields.
 
-#[path = "../../../tests/common/golden.rs"]
-mod golden;
-
 use lanegate_config::configuration::{
     Backend, Configuration, Document, Limits, Model, Route, RouteType, Runtime, WeightedBackend,
 };
@@ -229,5 +226,5 @@
         assert_eq!(ControlState::decode(&bytes).unwrap(), state);
         forms.push((name, bytes));
     }
-    golden::compare(&file("control_state.txt"), &forms);
+    lanegate_golden::assert_bytes(env!("CARGO_MANIFEST_DIR"), "control_state", forms);
 }
--- a/crates/controller/tests/behaviour_digests.rs
+++ b/crates/controller/tests/behaviour_digests.rs
@@ -1,10 +1,8 @@
 //! What the whole simulated control side does stays as it was: frames, stored records, orders, calls and
 //! answers with their times, and at the end the status and the metrics of every controller.
 
-#[path = "common/digests.rs"]
-mod digests;
-
 use lanegate_controller::simulation::{Scenario, World, random_scenario};
+use lanegate_golden::assert_digests;
 use std::path::{Path, PathBuf};
 
 /// Random scenarios that are played.
@@ -48,11 +46,11 @@
 #[test]
 fn random_schedules_do_what_they_did() {
     let scenarios: Vec<_> = (0..SEEDS).map(|seed| (seed.to_string(), random_scenario(seed))).collect();
-    digests::compare("schedules.txt", &digests_of(&scenarios));
+    assert_digests(env!("CARGO_MANIFEST_DIR"), "schedules", digests_of(&scenarios));
 }
 
 #[test]
 fn written_scenarios_do_what_they_did() {
     let scenarios: Vec<_> = scenario_files().iter().map(|path| read(path)).collect();
-    digests::compare("scenarios.txt", &digests_of(&scenarios));
+    assert_digests(env!("CARGO_MANIFEST_DIR"), "scenarios", digests_of(&scenarios));
 }
--- a/crates/controller/tests/golden_messages.rs
+++ b/crates/controller/tests/golden_messages.rs
@@ -6,11 +6,7 @@
     Controllers, DeltaPart, FeedHeartbeat, Forwarded, GroupMembers, HeartbeatBatch, Hello, MemberStatus,
     Message, Registered, Removed, ResidencyUpdate, Role, RouterDemand, ShardMessage, Token,
 };
-use std::collections::BTreeMap;
-use std::path::Path;
-
-/// Set to `1` to write the file anew instead of comparing with it.
-const UPDATE: &str = "UPDATE_DIGESTS";
+use lanegate_golden::{assert_bytes, committed_bytes};
 
 fn version() -> ConfigurationVersion {
     ConfigurationVersion { revision: 4, digest: 0x0102_0304_0506_0708 }
@@ -104,43 +100,17 @@
     ]
 }
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn bytes_of(hex: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("two hexadecimal digits");
-    (0..hex.len()).step_by(2).map(digits).collect()
-}
-
-fn golden() -> BTreeMap<String, String> {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/messages.txt");
-    if std::env::var(UPDATE).is_ok_and(|value| value == "1") {
-        let lines =
-            examples().into_iter().map(|(name, message)| format!("{name} {}\n", hex(&message.frame())));
-        std::fs::write(&path, lines.collect::<String>()).expect("the file can be written");
-    }
-    let text = std::fs::read_to_string(&path).expect("the golden file");
-    let lines = text.lines().filter_map(|line| line.split_once(' '));
-    lines.map(|(name, hex)| (name.to_owned(), hex.to_owned())).collect()
-}
-
 #[test]
 fn every_message_has_the_bytes_that_it_had() {
-    let golden = golden();
-    let examples = examples();
-    assert_eq!(golden.len(), examples.len());
-    for (name, message) in examples {
-        assert_eq!(hex(&message.frame()), golden[name], "{name}");
-    }
+    let frames = examples().into_iter().map(|(name, message)| (name, message.frame().to_vec()));
+    assert_bytes(env!("CARGO_MANIFEST_DIR"), "messages", frames);
 }
 
 #[test]
 fn every_recorded_frame_reads_as_the_message_that_it_was() {
-    let golden = golden();
+    let frames = committed_bytes(env!("CARGO_MANIFEST_DIR"), "messages");
     for (name, message) in examples() {
-        let frame = bytes_of(&golden[name]);
-        assert_eq!(Message::decode(&frame[4..]).expect("a message"), message, "{name}");
+        assert_eq!(Message::decode(&frames[name][4..]).expect("a message"), message, "{name}");
     }
 }
 
--- a/crates/coordination/tests/golden_bytes.rs
+++ b/crates/coordination/tests/golden_bytes.rs
@@ -1,7 +1,5 @@
 //! The exact bytes of every message on the wire and every record on disk.
 
-mod support;
-
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use bytes::Bytes;
@@ -11,7 +9,17 @@
     Ballot, Change, ChangeId, Group, Message, MinimumIncarnations, Node, Record, Value, ValueTransfer, Voter,
 };
 use lanegate_coordination::storage::{Directory, SimulatedDirectory, VersionedStore};
-use support::golden::{check, committed};
+use lanegate_golden::{assert_bytes, committed_bytes};
+use std::collections::BTreeMap;
+
+/// Asserts the bytes of `tests/golden/<name>.txt`, and returns those committed.
+fn check(
+    name: &str,
+    encoded: impl IntoIterator<Item = (&'static str, Vec<u8>)>,
+) -> BTreeMap<String, Vec<u8>> {
+    assert_bytes(env!("CARGO_MANIFEST_DIR"), name, encoded);
+    committed_bytes(env!("CARGO_MANIFEST_DIR"), name)
+}
 
 fn node(last: u32) -> Node {
     Node { ip: 0x0a00_0000 + last, port: 8_146 }
@@ -82,7 +90,7 @@
 fn register_messages_keep_their_bytes() {
     let encoded: Vec<_> =
         register_messages().iter().map(|(name, message)| (*name, message.encode().unwrap())).collect();
-    let committed = check("register-messages", &encoded);
+    let committed = check("register-messages", encoded);
     for (name, message) in register_messages() {
         assert_eq!(Message::decode(&committed[name]).unwrap(), message, "{name}");
     }
@@ -112,7 +120,7 @@
 fn register_records_keep_their_bytes() {
     let records = [("record", record()), ("founding-record", founding_record())];
     let encoded = records.each_ref().map(|(name, record)| (*name, record.encode().unwrap()));
-    let committed = check("register-records", &encoded);
+    let committed = check("register-records", encoded);
     for (name, record) in records {
         assert_eq!(Record::decode(&committed[name]).unwrap(), record, "{name}");
     }
@@ -140,7 +148,7 @@
 fn lease_messages_keep_their_bytes() {
     let encoded: Vec<_> =
         lease_messages().iter().map(|(name, message)| (*name, message.encode().unwrap())).collect();
-    let committed = check("lease-messages", &encoded);
+    let committed = check("lease-messages", encoded);
     for (name, message) in lease_messages() {
         assert_eq!(LeaseMessage::decode(&committed[name]).unwrap(), message, "{name}");
     }
@@ -149,7 +157,7 @@
 #[test]
 fn heartbeats_keep_their_bytes() {
     let heartbeat = Heartbeat { sender: process(), sequence: 99 };
-    let committed = check("heartbeat", &[("heartbeat", heartbeat.encode().unwrap())]);
+    let committed = check("heartbeat", [("heartbeat", heartbeat.encode().unwrap())]);
     assert_eq!(Heartbeat::decode(&committed["heartbeat"]).unwrap(), heartbeat);
 }
 
@@ -165,13 +173,18 @@
     let mut names = directory.list().unwrap();
     names.sort();
     assert_eq!(names, ["shard-1.0000000000000001", SECOND_FILE]);
-    check("stored-versions", &[("second-version", directory.read(SECOND_FILE).unwrap())]);
+    check("stored-versions", [("second-version", directory.read(SECOND_FILE).unwrap())]);
 }
 
 #[test]
 fn a_stored_version_reads_back() {
     let mut directory = SimulatedDirectory::new();
-    directory.write_new(SECOND_FILE, &committed("stored-versions")["second-version"]).unwrap();
+    directory
+        .write_new(
+            SECOND_FILE,
+            &committed_bytes(env!("CARGO_MANIFEST_DIR"), "stored-versions")["second-version"],
+        )
+        .unwrap();
     let (_, record) = VersionedStore::open(&mut directory, RECORD_NAME).unwrap();
     assert_eq!(record, Some(b"second".to_vec()));
 }
--- a/crates/coordination/tests/lease_digests.rs
+++ b/crates/coordination/tests/lease_digests.rs
@@ -2,12 +2,10 @@
 
 #[allow(dead_code)]
 mod lease_world;
-mod support;
-
 use lanegate_coordination::lease::Output;
+use lanegate_golden::{Digest, assert_digests};
 use lease_world::schedule::random_schedule;
 use lease_world::{TestRandom, World};
-use support::digest::{Digest, check};
 
 /// Schedules of which the digest is committed.
 const SEEDS: u64 = 300;
@@ -25,23 +23,23 @@
 fn add_output(digest: &mut Digest, output: &Output) {
     match output {
         Output::Send { to, message } => {
-            digest.tag(0);
+            digest.byte(0);
             digest.bytes(to.to_string().as_bytes());
             digest.bytes(&message.encode().expect("an encodable message"));
         }
         Output::AcquireEpoch { shard, tenure } => {
-            digest.tag(1);
+            digest.byte(1);
             digest.number(u64::from(*shard));
             digest.number(tenure.0);
         }
         Output::Began { shard, tenure, epoch } => {
-            digest.tag(2);
+            digest.byte(2);
             digest.number(u64::from(*shard));
             digest.number(tenure.0);
             digest.number(*epoch);
         }
         Output::Ended { shard, tenure } => {
-            digest.tag(3);
+            digest.byte(3);
             digest.number(u64::from(*shard));
             digest.number(tenure.0);
         }
@@ -49,7 +47,7 @@
 }
 
 fn digest_of(world: &World) -> u64 {
-    let mut digest = Digest::new();
+    let mut digest = Digest::default();
     for observation in &world.observations {
         digest.time(observation.at);
         digest.number(observation.process as u64);
@@ -69,5 +67,5 @@
     let digests: Vec<(String, u64)> = (0..SEEDS)
         .map(|seed| (seed.to_string(), digest_of(&random_schedule(seed, &clock_rates(seed)))))
         .collect();
-    check("lease-schedules", &digests);
+    assert_digests(env!("CARGO_MANIFEST_DIR"), "lease-schedules", digests);
 }
--- a/crates/coordination/tests/membership_digests.rs
+++ b/crates/coordination/tests/membership_digests.rs
@@ -1,7 +1,5 @@
 //! The outputs of the failure detector and the registry on random events stay as they are.
 
-mod support;
-
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
@@ -11,9 +9,9 @@
 use lanegate_coordination::registry::{
     ExpiredIncarnation, FINAL_SEQUENCE, Registration, Registry, RegistryUpdate,
 };
+use lanegate_golden::{Digest, assert_digests};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use support::digest::{Digest, check};
 
 const SEEDS: u64 = 200;
 const EVENTS: usize = 400;
@@ -31,21 +29,21 @@
 fn add_output(digest: &mut Digest, output: &Output) {
     match output {
         Output::Send { to, heartbeat } => {
-            digest.tag(0);
+            digest.byte(0);
             add_address(digest, *to);
             digest.bytes(&heartbeat.encode().expect("an encodable heartbeat"));
         }
         Output::StateChanged { peer, state } => {
-            digest.tag(1);
+            digest.byte(1);
             add_address(digest, *peer);
-            digest.tag(match state {
+            digest.byte(match state {
                 PeerState::Live => 0,
                 PeerState::Suspect => 1,
                 PeerState::Dead => 2,
             });
         }
         Output::Restarted { peer, incarnation } => {
-            digest.tag(2);
+            digest.byte(2);
             add_address(digest, *peer);
             digest.number(*incarnation);
         }
@@ -55,7 +53,7 @@
 /// Plays random heartbeats, pauses and changes of the known nodes.
 fn membership_digest(seed: u64) -> u64 {
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut digest = Digest::new();
+    let mut digest = Digest::default();
     let mut now = Duration::ZERO;
     let settings = MembershipSettings::new(INTERVAL, random.random_range(1..=4));
     let mut membership = FailureDetector::new(settings, NodeId::new(address(0), 1), now);
@@ -97,7 +95,7 @@
 fn the_failure_detector_decides_as_before() {
     let digests: Vec<(String, u64)> =
         (0..SEEDS).map(|seed| (seed.to_string(), membership_digest(seed))).collect();
-    check("membership", &digests);
+    assert_digests(env!("CARGO_MANIFEST_DIR"), "membership", digests);
 }
 
 /// A registration whose revision alone is of interest to routers.
@@ -124,10 +122,10 @@
 
 fn add_taken(digest: &mut Digest, taken: &RegistryUpdate) {
     match taken {
-        RegistryUpdate::Stale => digest.tag(0),
-        RegistryUpdate::Refreshed => digest.tag(1),
+        RegistryUpdate::Stale => digest.byte(0),
+        RegistryUpdate::Refreshed => digest.byte(1),
         RegistryUpdate::Changed { replaced } => {
-            digest.tag(2);
+            digest.byte(2);
             replaced.iter().for_each(|id| digest.bytes(id.as_bytes()));
         }
     }
@@ -146,7 +144,7 @@
 /// Plays random registrations, heartbeats and ends.
 fn registry_digest(seed: u64) -> u64 {
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut digest = Digest::new();
+    let mut digest = Digest::default();
     let mut registry: Registry<Endpoint> = Registry::default();
     let mut now = Duration::ZERO;
     for _ in 0..EVENTS {
@@ -165,7 +163,7 @@
             5..8 => registry.refresh(now, &id, sequence),
             8 => {
                 let last = if random.random_bool(0.3) { FINAL_SEQUENCE } else { sequence };
-                digest.tag(u8::from(registry.remove(now, &id, last)));
+                digest.byte(u8::from(registry.remove(now, &id, last)));
             }
             9 => {
                 let silent = registry.expire(now, Duration::from_secs(4), |service| service != "service-2");
@@ -187,5 +185,5 @@
 fn the_registry_decides_as_before() {
     let digests: Vec<(String, u64)> =
         (0..SEEDS).map(|seed| (seed.to_string(), registry_digest(seed))).collect();
-    check("registry", &digests);
+    assert_digests(env!("CARGO_MANIFEST_DIR"), "registry", digests);
 }
--- a/crates/coordination/tests/register_digests.rs
+++ b/crates/coordination/tests/register_digests.rs
@@ -1,12 +1,10 @@
 //! What the replicas of a register do in simulated time stays as it is, byte for byte.
 
-mod support;
-
 use std::path::PathBuf;
 
 use lanegate_coordination::register::{Outcome, Output};
 use lanegate_coordination::simulation::{Observation, Scenario, World, random_scenario};
-use support::digest::{Digest, check};
+use lanegate_golden::{Digest, assert_digests};
 
 /// Random scenarios of which the digest is committed.
 const SEEDS: u64 = 600;
@@ -20,7 +18,7 @@
         Outcome::Expired => (4, 0, [].as_slice()),
         Outcome::Timeout => (5, 0, [].as_slice()),
     };
-    digest.tag(tag);
+    digest.byte(tag);
     digest.number(revision);
     digest.bytes(bytes);
 }
@@ -28,23 +26,23 @@
 fn add_output(digest: &mut Digest, output: &Output) {
     match output {
         Output::Send { to, message } => {
-            digest.tag(0);
+            digest.byte(0);
             digest.number(u64::from(to.ip));
             digest.number(u64::from(to.port));
             digest.bytes(&message.encode().expect("an encodable message"));
         }
         Output::Persist { token, record } => {
-            digest.tag(1);
+            digest.byte(1);
             digest.number(*token);
             digest.bytes(&record.encode().expect("an encodable record"));
         }
         Output::Done { request, outcome } => {
-            digest.tag(2);
+            digest.byte(2);
             digest.number(*request);
             add_outcome(digest, outcome);
         }
         Output::Committed { value } => {
-            digest.tag(3);
+            digest.byte(3);
             digest.number(value.revision);
             digest.bytes(&value.state);
             digest.number(value.groups.len() as u64);
@@ -55,13 +53,13 @@
 
 fn digest_of(scenario: &Scenario) -> u64 {
     let (observations, result) = World::observe(scenario, None);
-    let mut digest = Digest::new();
+    let mut digest = Digest::default();
     for Observation { at, machine, output } in &observations {
         digest.time(*at);
         digest.number(*machine as u64);
         add_output(&mut digest, output);
     }
-    digest.tag(u8::from(result.is_err()));
+    digest.byte(u8::from(result.is_err()));
     digest.value()
 }
 
@@ -69,7 +67,7 @@
 fn random_schedules_run_as_before() {
     let digests: Vec<(String, u64)> =
         (0..SEEDS).map(|seed| (seed.to_string(), digest_of(&random_scenario(seed)))).collect();
-    check("register-schedules", &digests);
+    assert_digests(env!("CARGO_MANIFEST_DIR"), "register-schedules", digests);
 }
 
 #[test]
@@ -86,5 +84,5 @@
             (name, digest_of(&text.parse().expect("a well-formed scenario")))
         })
         .collect();
-    check("register-scenarios", &digests);
+    assert_digests(env!("CARGO_MANIFEST_DIR"), "register-scenarios", digests);
 }
--- a/crates/dispatch/tests/digests.rs
+++ b/crates/dispatch/tests/digests.rs
@@ -1,14 +1,15 @@
 //! Digests of all decisions in simulated time, seed by seed, compared with the committed ones.
 //!
-//! `UPDATE_DIGESTS=1` rewrites the files, for changes that are meant to change decisions.
+//! `UPDATE_GOLDEN=1` rewrites the files, for changes that are meant to change decisions.
 
 mod support;
 
 use lanegate_config::mechanism::{Mechanism, SwitchedOff};
+use lanegate_golden::assert_digests;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
-use support::digest::{Digest, assert_digests};
+use support::digest::DecisionDigest;
 use support::fleet::{CHAT, DRAFT, Fault, FleetRun, PAID, Policy, simulate};
 use support::history::{Budget, ENDPOINTS, Event, RandomHistory};
 use support::ms;
@@ -50,8 +51,8 @@
 
 #[test]
 fn fleet_decisions_match_their_digests() {
-    let digests: Vec<Digest> = (0..FLEETS).map(|seed| simulate(fleet(seed)).digest).collect();
-    assert_digests("fleets", &digests);
+    let digests = (0..FLEETS).map(|seed| (seed, simulate(fleet(seed)).digest.value()));
+    assert_digests(env!("CARGO_MANIFEST_DIR"), "fleets", digests);
 }
 
 fn random_event(rng: &mut SmallRng) -> Event {
@@ -84,7 +85,7 @@
     if is_whole { SwitchedOff::default() } else { SwitchedOff::from_iter([off]) }
 }
 
-fn history(seed: u64) -> Digest {
+fn history(seed: u64) -> DecisionDigest {
     let mut rng = SmallRng::seed_from_u64(seed);
     let ratio = [0.0, 0.05, 0.2, 2.0][rng.random_range(0..4)];
     let slack = [0.0, 4.0, 12.0, 400.0][rng.random_range(0..4)];
@@ -109,6 +110,6 @@
 
 #[test]
 fn random_history_decisions_match_their_digests() {
-    let digests: Vec<Digest> = (0..HISTORIES).map(history).collect();
-    assert_digests("histories", &digests);
+    let digests = (0..HISTORIES).map(|seed| (seed, history(seed).value()));
+    assert_digests(env!("CARGO_MANIFEST_DIR"), "histories", digests);
 }
--- a/crates/dispatch/tests/support/digest.rs
+++ b/crates/dispatch/tests/support/digest.rs
@@ -1,34 +1,21 @@
-//! Digests of decisions, and their comparison with the committed files.
+//! Digests of decisions.
 //!
 //! A digest covers numbers and wire names only, no names of Rust items and no `Debug` output.
 
 use lanegate_config::demand::DemandReport;
 use lanegate_dispatch::DispatchSummary;
 use lanegate_dispatch::interface::{Decision, FailReason};
-use std::fmt::Write;
-use std::path::Path;
+use lanegate_golden::Digest;
 use std::time::Duration;
 
-/// Set this environment variable to 1 to rewrite the files.
-const UPDATE_VARIABLE: &str = "UPDATE_DIGESTS";
+/// A digest of a sequence of decisions and reports.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub(crate) struct DecisionDigest(Digest);
 
-const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
-const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
-
-/// 64-bit FNV-1a over a sequence of decisions and reports.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Digest(u64);
-
-impl Default for Digest {
-    fn default() -> Self {
-        Digest(FNV_OFFSET)
-    }
-}
-
-impl Digest {
+impl DecisionDigest {
     /// The digest of all that was added.
     pub(crate) fn value(self) -> u64 {
-        self.0
+        self.0.value()
     }
 
     /// Adds a decision that a router made at a simulated time.
@@ -96,38 +83,10 @@
     }
 
     fn add_text(&mut self, text: &str) {
-        self.add_number(text.len() as u64);
-        self.add_bytes(text.as_bytes());
+        self.0.bytes(text.as_bytes());
     }
 
     fn add_number(&mut self, number: u64) {
-        self.add_bytes(&number.to_le_bytes());
-    }
-
-    fn add_bytes(&mut self, bytes: &[u8]) {
-        for byte in bytes {
-            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
-        }
-    }
-}
-
-/// Compares the digests of seeds 0, 1, 2, ... with the file `tests/digests/<name>.txt`.
-pub(crate) fn assert_digests(name: &str, digests: &[Digest]) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/digests").join(format!("{name}.txt"));
-    let mut actual = String::new();
-    for (seed, digest) in digests.iter().enumerate() {
-        writeln!(actual, "{seed} {:016x}", digest.value()).expect("a line");
-    }
-    if std::env::var(UPDATE_VARIABLE).is_ok_and(|value| value == "1") {
-        std::fs::write(&path, &actual).expect("a file of digests");
+        self.0.number(number);
     }
-    let expected = std::fs::read_to_string(&path).expect("a file of digests");
-    let differing: Vec<&str> = actual
-        .lines()
-        .zip(expected.lines())
-        .filter(|(actual, expected)| actual != expected)
-        .filter_map(|(actual, _)| actual.split(' ').next())
-        .collect();
-    assert!(differing.is_empty(), "{name}: the digests of these seeds differ: {}", differing.join(" "));
-    assert_eq!(actual.lines().count(), expected.lines().count(), "{name}: not as many seeds as in the file");
 }
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -1,7 +1,7 @@
 //! A simulated fleet: several routers that do not communicate, the engines that they share, and clients that retry once
 //! after a refusal.
 
-use super::digest::Digest;
+use super::digest::DecisionDigest;
 use super::engine::{EngineEvent, EngineSpeed, Job, SimulatedEngine};
 use super::{engine, ms};
 use lanegate_config::configuration::{Configuration, RouteType};
@@ -160,7 +160,7 @@
     pub rejections: u32,
     pub decisions: u64,
     /// Of all decisions, and of the reports of the routers each second.
-    pub digest: Digest,
+    pub digest: DecisionDigest,
 }
 
 impl Outcome {
--- a/crates/dispatch/tests/support/history.rs
+++ b/crates/dispatch/tests/support/history.rs
@@ -1,6 +1,6 @@
 //! Random histories of one dispatcher, checked against the invariants.
 
-use super::digest::Digest;
+use super::digest::DecisionDigest;
 use super::{engine, generation, instance, ms, request};
 use lanegate_config::configuration::RouteType;
 use lanegate_config::feed::FeedEvent;
@@ -72,7 +72,7 @@
     arrived: BTreeMap<String, Vec<Duration>>,
     retries: BTreeMap<String, Vec<Duration>>,
     /// Of all decisions.
-    pub digest: Digest,
+    pub digest: DecisionDigest,
 }
 
 impl RandomHistory {
@@ -98,7 +98,7 @@
             next: 0,
             arrived: BTreeMap::new(),
             retries: BTreeMap::new(),
-            digest: Digest::default(),
+            digest: DecisionDigest::default(),
         }
     }
 
--- a/crates/placement/tests/digests.rs
+++ b/crates/placement/tests/digests.rs
@@ -3,8 +3,7 @@
 mod support;
 
 use lanegate_config::mechanism::{Mechanism, SwitchedOff};
-use std::path::Path;
-use support::digest::compare;
+use lanegate_golden::assert_digests;
 use support::fleet::Partition;
 use support::random::Random;
 use support::simulation::{ItemDemand, Simulation, runtime};
@@ -68,11 +67,10 @@
         event(&mut simulation, &mut random, endpoints);
     }
     simulation.run_until(simulation.now_ms + 5_000);
-    simulation.decisions.finish()
+    simulation.decisions.value()
 }
 
 #[test]
 fn decisions_match_the_recorded_digests() {
-    let digests: Vec<u64> = (0..SEEDS).map(play).collect();
-    compare(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/digests/decisions.txt"), &digests);
+    assert_digests(env!("CARGO_MANIFEST_DIR"), "decisions", (0..SEEDS).map(|seed| (seed, play(seed))));
 }
--- a/crates/placement/tests/support/decision_digest.rs
+++ b/crates/placement/tests/support/decision_digest.rs
@@ -1,6 +1,6 @@
 //! Digest of a placer's actions and of its public state, from bytes that do not depend on names.
 
-use super::digest::Digest;
+use lanegate_golden::Digest;
 use lanegate_placement::{Action, Operation, Placer};
 
 /// Kinds of entries.
@@ -61,8 +61,8 @@
         }
     }
 
-    pub(crate) fn finish(&self) -> u64 {
-        self.0.finish()
+    pub(crate) fn value(&self) -> u64 {
+        self.0.value()
     }
 }
 
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -4,7 +4,6 @@
 
 pub(crate) mod check;
 pub(crate) mod decision_digest;
-pub(crate) mod digest;
 pub(crate) mod fleet;
 pub(crate) mod random;
 pub(crate) mod simulation;
--- a/src/node/golden_test.rs
+++ b/src/node/golden_test.rs
@@ -1,8 +1,5 @@
 //! The courier's records on disk and its words to its successor, byte for byte.
 
-#[path = "../../tests/common/golden.rs"]
-mod golden;
-
 use super::channel::{Client, Ended, Known, Out, State, Word};
 use super::journal::{Attempt, Letter, Live, Verdict};
 use super::ledger::{self, Kind};
@@ -14,14 +11,9 @@
 use crate::store::scan::{DROPPED, SYNCED, name, unnamed};
 use bytes::Bytes;
 use std::collections::BTreeSet;
-use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
 
-fn golden(file: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file)
-}
-
 fn micros(n: u64) -> Duration {
     Duration::from_micros(1_790_000_000_000_000 + n)
 }
@@ -74,7 +66,7 @@
         forms.push((name, bytes));
     }
     assert_eq!(ledger::never_ran(&[3, 0, 0, 0]), Some(3));
-    golden::compare(&golden("journal_payloads.txt"), &forms);
+    lanegate_golden::assert_bytes(env!("CARGO_MANIFEST_DIR"), "journal_payloads", forms);
 }
 
 #[test]
@@ -112,7 +104,7 @@
         assert_eq!(found.iter().filter_map(sound).collect::<Vec<_>>(), labels);
         forms.push((form, bytes));
     }
-    golden::compare(&golden("journal_segments.txt"), &forms);
+    lanegate_golden::assert_bytes(env!("CARGO_MANIFEST_DIR"), "journal_segments", forms);
 }
 
 fn words() -> Vec<(&'static str, Word)> {
@@ -180,7 +172,7 @@
         assert!(with && encode(&again) == bytes, "{name}");
         forms.push((name, bytes));
     }
-    golden::compare(&golden("handover.txt"), &forms);
+    lanegate_golden::assert_bytes(env!("CARGO_MANIFEST_DIR"), "handover", forms);
 }
 
 #[tokio::test]
--- a/tests/state_form.rs
+++ b/tests/state_form.rs
@@ -2,8 +2,6 @@
 //! and decides from there as the one before would have.
 
 mod common;
-#[path = "common/golden.rs"]
-mod golden;
 
 use common::*;
 use lanegate_courier::interface::*;
@@ -13,7 +11,6 @@
 use std::time::Duration;
 
 const STATE: &str = "tests/data/state_before_split.cbor";
-const PACKED: &str = "tests/golden/state.txt";
 
 /// Most calls answer well or slowly; some as full, with an error or late.
 fn outcome(message: u64) -> (Outcome, u32) {
@@ -86,6 +83,9 @@
     let packed = rush().0.scheduler.pack().expect("packed");
     let again = Scheduler::unpack(&packed, settings(), 3).expect("a state that can be read");
     let again = again.pack().expect("packed");
-    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(PACKED);
-    golden::compare(&file, &[("rush", packed), ("taken-on", again)]);
+    lanegate_golden::assert_bytes(
+        env!("CARGO_MANIFEST_DIR"),
+        "state",
+        [("rush", packed), ("taken-on", again)],
+    );
 }
--- a/tests/wire_digests.rs
+++ b/tests/wire_digests.rs
@@ -1,16 +1,12 @@
 //! What the decision module answers on the simulator's wire in random days, pinned by a digest for each seed.
 //! Of the lines for the operators only the number counts, not the text.
 
-#[path = "../crates/placement/tests/support/digest.rs"]
-mod digest;
-
 use base64::{Engine, engine::general_purpose::STANDARD};
-use digest::{Digest, compare};
 use lanegate_courier::wire::Host;
+use lanegate_golden::{Digest, assert_digests};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
-use std::path::Path;
 
 const SEEDS: u64 = 240;
 const COURIER: u64 = 3;
@@ -378,7 +374,7 @@
                 self.lines.clear();
             }
         }
-        (self.digest.finish(), self.sent, self.refused)
+        (self.digest.value(), self.sent, self.refused)
     }
 }
 
@@ -387,10 +383,10 @@
     let (mut digests, mut sent, mut refused) = (Vec::new(), 0, 0);
     for seed in 0..SEEDS {
         let (digest, sends, refusals) = Day::new(seed).run();
-        digests.push(digest);
+        digests.push((seed, digest));
         sent += sends;
         refused += refusals;
     }
     assert!(sent > SEEDS * 100 && refused > SEEDS, "{sent} sends, {refused} refusals");
-    compare(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/digests/wire.txt"), &digests);
+    assert_digests(env!("CARGO_MANIFEST_DIR"), "wire", digests);
 }
