--- a/crates/controller/src/simulation/schedule.rs
+++ b/crates/controller/src/simulation/schedule.rs
@@ -6,6 +6,7 @@
 use super::step::{Scope, Step};
 use super::world::World;
 use crate::controller::ControllerFault;
+use lanegate_coordination::simulation::shrink_steps;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::mem::discriminant;
@@ -176,35 +177,11 @@
 /// Leaves out steps as long as the rest still breaks a rule of the same kind.
 #[must_use]
 pub fn shrink(scenario: &Scenario, fault: Option<ControllerFault>) -> Scenario {
-    let mut smallest = scenario.clone();
-    let Err(violation) = World::play(scenario, fault) else { return smallest };
-    let is_kept = |shorter: &Scenario| {
-        let played = World::play(shorter, fault);
+    let Err(violation) = World::play(scenario, fault) else { return scenario.clone() };
+    let with_steps = |steps: &[Step]| Scenario { steps: steps.to_vec(), ..scenario.clone() };
+    let steps = shrink_steps(&scenario.steps, |steps| {
+        let played = World::play(&with_steps(steps), fault);
         played.is_err_and(|other| discriminant(&other) == discriminant(&violation))
-    };
-    let mut chunk = smallest.steps.len().div_ceil(2);
-    while chunk > 0 {
-        if !drop_steps(&mut smallest, chunk, &is_kept) {
-            chunk /= 2;
-        }
-    }
-    smallest
-}
-
-/// Leaves out each run of `chunk` steps that is not needed; returns whether any was.
-fn drop_steps(scenario: &mut Scenario, chunk: usize, is_kept: &impl Fn(&Scenario) -> bool) -> bool {
-    let mut dropped = false;
-    let mut start = 0;
-    while start < scenario.steps.len() {
-        let mut shorter = scenario.clone();
-        let end = (start + chunk).min(shorter.steps.len());
-        shorter.steps.drain(start..end);
-        if is_kept(&shorter) {
-            *scenario = shorter;
-            dropped = true;
-        } else {
-            start += chunk;
-        }
-    }
-    dropped
+    });
+    with_steps(&steps)
 }
--- a/crates/coordination/src/simulation/mod.rs
+++ b/crates/coordination/src/simulation/mod.rs
@@ -21,7 +21,7 @@
 pub use append::{Append, Command};
 pub use scenario::{ParseError, Scenario};
 pub use schedule::random_scenario;
-pub use shrink::shrink;
+pub use shrink::{shrink, shrink_steps};
 pub use step::{Expectation, MachineIndex, Machines, Step, UnknownStep};
 pub use violation::Violation;
 pub use world::{Observation, World};
--- a/crates/coordination/src/simulation/shrink.rs
+++ b/crates/coordination/src/simulation/shrink.rs
@@ -1,4 +1,4 @@
-//! Reduces a scenario that breaks a rule to fewer steps that still break one.
+//! Reduces a scenario that breaks a rule to fewer steps that still break it.
 
 use super::scenario::Scenario;
 use super::world::World;
@@ -7,29 +7,37 @@
 /// Drops steps as long as the rest still violates a rule.
 #[must_use]
 pub fn shrink(scenario: &Scenario, fault: Option<Fault>) -> Scenario {
-    let mut smallest = scenario.clone();
-    let mut chunk = smallest.steps.len().div_ceil(2);
-    while chunk > 0 {
-        if !drop_steps(&mut smallest, chunk, fault) {
-            chunk /= 2;
+    let with_steps = |steps: &[_]| Scenario { steps: steps.to_vec(), ..scenario.clone() };
+    let steps = shrink_steps(&scenario.steps, |steps| World::play(&with_steps(steps), fault).is_err());
+    with_steps(&steps)
+}
+
+/// Drops runs of steps, half of them at first and ever shorter ones, as long as the rest still fails.
+#[must_use]
+pub fn shrink_steps<S: Clone>(steps: &[S], still_fails: impl Fn(&[S]) -> bool) -> Vec<S> {
+    let mut smallest = steps.to_vec();
+    let mut run = smallest.len().div_ceil(2);
+    while run > 0 {
+        if !drop_runs(&mut smallest, run, &still_fails) {
+            run /= 2;
         }
     }
     smallest
 }
 
-/// Drops each run of `chunk` steps that is not needed; returns whether any was dropped.
-fn drop_steps(scenario: &mut Scenario, chunk: usize, fault: Option<Fault>) -> bool {
+/// Drops each run of `run` steps without which the rest still fails; returns whether any was dropped.
+fn drop_runs<S: Clone>(steps: &mut Vec<S>, run: usize, still_fails: &impl Fn(&[S]) -> bool) -> bool {
     let mut dropped = false;
     let mut start = 0;
-    while start < scenario.steps.len() {
-        let mut shorter = scenario.clone();
-        let end = (start + chunk).min(shorter.steps.len());
-        shorter.steps.drain(start..end);
-        if World::play(&shorter, fault).is_err() {
-            *scenario = shorter;
+    while start < steps.len() {
+        let mut shorter = steps.clone();
+        let end = (start + run).min(shorter.len());
+        shorter.drain(start..end);
+        if still_fails(&shorter) {
+            *steps = shorter;
             dropped = true;
         } else {
-            start += chunk;
+            start += run;
         }
     }
     dropped
