--- a/crates/controller/src/controller/placement/placers.rs
+++ b/crates/controller/src/controller/placement/placers.rs
@@ -201,7 +201,7 @@
             )
             .await;
             log::info!(
-                "{:?} {} {:?} at {}: {answer:?}",
+                "order response received operation={:?} model={} adapter={:?} instance={} answer={answer:?}",
                 order.operation,
                 order.model,
                 order.adapter,
