--- a/crates/controller/src/controller/endpoints/expiry.rs
+++ b/crates/controller/src/controller/endpoints/expiry.rs
@@ -13,8 +13,8 @@
 
 impl Controller {
     pub(crate) fn run_periodic_tasks(&mut self, now: Duration) {
-        if let Some(heard) = self.endpoints.take_heartbeat_batch() {
-            self.peers.broadcast(&heard);
+        if let Some(batch) = self.endpoints.take_heartbeat_batch() {
+            self.peers.broadcast(&batch);
         }
         self.routers.expire(now);
         if !self.complete && now.as_secs_f64() * 1e3 > self.settings.heartbeat_ms * HEARTBEATS_TO_COMPLETE {
--- a/crates/controller/src/controller/endpoints/pending_loads.rs
+++ b/crates/controller/src/controller/endpoints/pending_loads.rs
@@ -84,19 +84,19 @@
         let is_resident = |pending: &PendingLoad| {
             *pending.instance == *instance
                 && pending.adapter.is_none()
-                && models.iter().any(|held| *held.name == *pending.model)
+                && models.iter().any(|resident| *resident.name == *pending.model)
         };
-        let holdings = self
+        let updates = self
             .pending
             .iter()
             .filter(|pending| is_resident(pending))
             .map(PendingLoad::residency_update)
             .collect();
         self.pending.retain(|pending| !is_resident(pending));
-        holdings
+        updates
     }
 
-    /// Forgets the loads of one service, for which another controller acts now.
+    /// Forgets all pending loads, of every shard; called when a lease of this controller ends.
     pub(crate) fn clear(&mut self) {
         self.pending.clear();
     }
