--- a/crates/controller/src/view.rs
+++ b/crates/controller/src/view.rs
@@ -239,11 +239,6 @@
         self.sources.values().any(|source| source.complete)
     }
 
-    /// Whether this source is complete.
-    pub fn is_complete_from(&self, source: SocketAddr) -> bool {
-        self.sources.get(&source).is_some_and(|source| source.complete)
-    }
-
     /// Controllers that any source names.
     pub fn controllers(&self) -> &BTreeSet<SocketAddr> {
         &self.controllers
