--- a/crates/controller/src/controller/endpoints/registry.rs
+++ b/crates/controller/src/controller/endpoints/registry.rs
@@ -158,7 +158,7 @@
     /// Merges a residency update of a placer here. Returns the update to publish, if it changed anything.
     pub(crate) fn publish(&mut self, mut update: ResidencyUpdate) -> Option<ResidencyUpdate> {
         let entry = self.registry.get(&update.id.text())?;
-        update.sequence = entry.latest;
+        update.sequence = entry.heartbeat_sequence;
         update.order = entry.registration.as_ref()?.next_order();
         self.apply_residency(&update).then_some(update)
     }
@@ -191,7 +191,7 @@
     /// A live registration as of its newest heartbeat, which is newer than a removal that was received.
     fn revived(&self, id: &str) -> Option<Message> {
         let entry = self.registry.get(id)?;
-        Some(registered_message(id, entry.latest, entry.registration.as_ref()?))
+        Some(registered_message(id, entry.heartbeat_sequence, entry.registration.as_ref()?))
     }
 
     /// Merges heartbeats that another controller received. Returns those that were news of a live incarnation: a removed
@@ -201,7 +201,7 @@
         for heartbeat in &list.heartbeats {
             let id = heartbeat.id.text();
             let known = self.registry.get(&id).filter(|entry| entry.registration.is_some());
-            if known.is_some_and(|entry| heartbeat.sequence > entry.latest) {
+            if known.is_some_and(|entry| heartbeat.sequence > entry.heartbeat_sequence) {
                 newer.push(heartbeat.clone());
             }
             self.registry.refresh(now, &id, heartbeat.sequence);
@@ -222,7 +222,7 @@
 
     /// Removes endpoints whose heartbeats have timed out, in the services that this controller owns.
     pub(crate) fn expire(&mut self, now: Duration, owns: impl Fn(&str) -> bool) -> Vec<Message> {
-        self.registry.purge_removed(now, TOMBSTONE_RETENTION);
+        self.registry.purge_tombstones(now, TOMBSTONE_RETENTION);
         let registry = &self.registry;
         self.acknowledgements
             .retain_confirmed(|id| registry.get(id).is_some_and(|entry| entry.registration.is_some()));
--- a/crates/controller/src/view.rs
+++ b/crates/controller/src/view.rs
@@ -172,7 +172,7 @@
         entry.position = Position { source: heartbeat.source, offset: heartbeat.offset };
         entry.quorum = heartbeat.quorum == 1;
         self.count_routers(source, heartbeat);
-        self.registry.purge_removed(now, TOMBSTONE_RETENTION);
+        self.registry.purge_tombstones(now, TOMBSTONE_RETENTION);
         self.lost.retain(|_, lost| now.saturating_sub(lost.since) <= LOST_SOURCE_RETENTION);
         self.expire_lost_sources(now, updates);
         self.refresh_controllers(now);
--- a/crates/coordination/examples/cost_of_a_change.rs
+++ b/crates/coordination/examples/cost_of_a_change.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use cluster::configuration::{Configuration, document, outcome, patch, put, route};
-use cluster::{Cluster, MachineMaker};
+use cluster::{Cluster, StateMachineFactory};
 use lanegate_config::control_state::{Command, Outcome};
 use lanegate_coordination::register::{Record, StateMachine};
 use lanegate_coordination::storage::{Directory, FileDirectory, VersionedStore};
@@ -25,7 +25,7 @@
 /// Name of the record in the directory.
 const RECORD_NAME: &str = "cost-of-a-change";
 
-fn machine() -> Box<dyn StateMachine> {
+fn state_machine() -> Box<dyn StateMachine> {
     Box::new(Configuration)
 }
 
@@ -36,7 +36,7 @@
     patch(base, format!(r#"{{"Version":{version},"Upsert":{{"Routes":[{}]}}}}"#, route(number, version)))
 }
 
-fn take(cluster: &mut Cluster, command: &Command) {
+fn apply_change(cluster: &mut Cluster, command: &Command) {
     let request = cluster.propose(0, command.encode());
     let answer = outcome(cluster.answer(request));
     assert!(matches!(answer, Some(Outcome::Taken { .. })), "{answer:?}");
@@ -71,23 +71,23 @@
 }
 
 fn measure(before: u64, routes: usize) -> std::io::Result<()> {
-    let mut cluster = Cluster::new(MEMBERS, 0, machine as MachineMaker);
-    take(&mut cluster, &put(0, document(1, routes)));
-    (1..before).for_each(|base| take(&mut cluster, &change(base, routes)));
+    let mut cluster = Cluster::new(MEMBERS, 0, state_machine as StateMachineFactory);
+    apply_change(&mut cluster, &put(0, document(1, routes)));
+    (1..before).for_each(|base| apply_change(&mut cluster, &change(base, routes)));
     cluster.run(Duration::from_secs(5));
     (0..MEMBERS).for_each(|at| {
         cluster.take_traffic(at);
-        cluster.take_written(at);
+        cluster.take_bytes_written(at);
     });
     let mut times = Vec::new();
     for base in before..before + MEASURED {
         let start = Instant::now();
-        take(&mut cluster, &change(base, routes));
+        apply_change(&mut cluster, &change(base, routes));
         cluster.run(Duration::from_millis(200));
         times.push(start.elapsed());
     }
     let wire: u64 = (0..MEMBERS).map(|at| cluster.take_traffic(at).bytes).sum();
-    let disk: u64 = (0..MEMBERS).map(|at| cluster.take_written(at)).sum();
+    let disk: u64 = (0..MEMBERS).map(|at| cluster.take_bytes_written(at)).sum();
     let bytes = cluster.record(0);
     let record = Record::decode(&bytes).expect("a record");
     let encode = time(|| drop(record.encode()));
--- a/crates/coordination/src/lease/holder.rs
+++ b/crates/coordination/src/lease/holder.rs
@@ -192,8 +192,8 @@
     /// The register gave no epoch for `tenure` in time: another attempt is made, as long as the tenure lasts.
     pub fn epoch_unavailable(&mut self, now: Duration, tenure: Tenure) -> Vec<Output> {
         let mut outputs = self.end_if_expired(now);
-        let waits = |lease: &Lease| lease.tenure == tenure && lease.epoch.is_none();
-        if self.lease.as_ref().is_some_and(waits) {
+        let awaits_epoch = |lease: &Lease| lease.tenure == tenure && lease.epoch.is_none();
+        if self.lease.as_ref().is_some_and(awaits_epoch) {
             outputs.push(Output::AcquireEpoch { tenure });
         }
         outputs
@@ -236,7 +236,7 @@
     /// so that another candidate can win.
     ///
     /// The next round starts after the shortest wait that a grantor named, but at least once in a validity
-    /// period, as a release of another candidate shortens waits.
+    /// period, as a release of another candidate shortens awaits_epoch.
     fn on_round_lost(&mut self, now: Duration, wait: Duration) -> Vec<Output> {
         if self.lease.is_some() {
             return Vec::new();
--- a/crates/coordination/src/membership/rendezvous.rs
+++ b/crates/coordination/src/membership/rendezvous.rs
@@ -47,8 +47,8 @@
 ) -> bool {
     let key = stable_hash(&node_key(&node.1));
     let own_rank = (Reverse(weight(key, this.0)), this.1);
-    let rivals = nodes.iter().filter(|other| other.1 != node.1 && other.1 != this.1);
-    let before = rivals.filter(|other| (Reverse(weight(key, other.0)), other.1) < own_rank);
+    let others = nodes.iter().filter(|other| other.1 != node.1 && other.1 != this.1);
+    let before = others.filter(|other| (Reverse(weight(key, other.0)), other.1) < own_rank);
     before.take(count).count() < count
 }
 
--- a/crates/coordination/src/register/catch_up.rs
+++ b/crates/coordination/src/register/catch_up.rs
@@ -28,7 +28,7 @@
 impl CatchUp {
     /// A commit is announced that is newer than the newest one known here.
     pub(super) fn on_commit_announced(&mut self, context: &mut Context, from: Node, ballot: Ballot) {
-        if context.settings.has(Fault::AskForEach) {
+        if context.settings.has(Fault::RequestEveryCommit) {
             return context.send(from, context.poll_message());
         }
         match &mut self.missing {
--- a/crates/coordination/src/register/fault.rs
+++ b/crates/coordination/src/register/fault.rs
@@ -33,7 +33,7 @@
     /// The recent changes of a value that is taken over from others (recovery, catch-up) are dropped.
     ForgetHistory,
     /// A value is also sent to a replica that has not answered the one before.
-    SendAhead,
+    SendBeforeAnswer,
     /// A replica requests the value of every announced commit.
-    AskForEach,
+    RequestEveryCommit,
 }
--- a/crates/coordination/src/register/proposer/batch.rs
+++ b/crates/coordination/src/register/proposer/batch.rs
@@ -42,7 +42,7 @@
     }
 
     /// Answers all tasks that it is not known whether they took effect.
-    pub(super) fn complete_unclear(self, context: &mut Context) {
+    pub(super) fn complete_with_unknown_outcome(self, context: &mut Context) {
         let outcomes = vec![Outcome::Timeout; self.tasks.len()];
         self.complete(context, outcomes);
     }
--- a/crates/coordination/src/register/proposer/mod.rs
+++ b/crates/coordination/src/register/proposer/mod.rs
@@ -152,11 +152,11 @@
     /// Takes the next tasks from the queue; a membership change is a batch of its own.
     fn next_batch(&mut self, limit: usize) -> Option<Batch> {
         let first = self.queue.pop_front()?;
-        if is_solitary(&first) {
+        if requires_own_batch(&first) {
             return Some(Batch::new(vec![first]));
         }
         let mut tasks = vec![first];
-        while tasks.len() < limit && self.queue.front().is_some_and(|task| !is_solitary(task)) {
+        while tasks.len() < limit && self.queue.front().is_some_and(|task| !requires_own_batch(task)) {
             tasks.extend(self.queue.pop_front());
         }
         Some(Batch::new(tasks))
@@ -242,6 +242,6 @@
 }
 
 /// Whether a task shares its batch with no other.
-fn is_solitary(task: &Task) -> bool {
+fn requires_own_batch(task: &Task) -> bool {
     matches!(task.operation, Operation::ChangeMembers(_) | Operation::CompleteMembershipChange)
 }
--- a/crates/coordination/src/register/proposer/proposal.rs
+++ b/crates/coordination/src/register/proposer/proposal.rs
@@ -21,7 +21,7 @@
             return self.complete_earlier_attempt(context, round, batch, index);
         }
         if batch.attempts.iter().any(|attempt| !base.has_all_changes_since(attempt.base_revision)) {
-            batch.complete_unclear(context);
+            batch.complete_with_unknown_outcome(context);
             return self.finish_round(context, &round);
         }
         match batch.tasks.first().map(|task| task.operation.clone()) {
--- a/crates/coordination/src/register/proposer/round.rs
+++ b/crates/coordination/src/register/proposer/round.rs
@@ -126,7 +126,7 @@
     /// replica should hold one value and not all that are committed meanwhile.
     fn send_or_defer(&mut self, context: &mut Context, node: Node) {
         let is_behind = node != context.node() && !context.unanswered.insert(node);
-        if is_behind && !context.settings.has(Fault::SendAhead) {
+        if is_behind && !context.settings.has(Fault::SendBeforeAnswer) {
             return self.deferred.push(node);
         }
         context.send(node, self.message());
--- a/crates/coordination/src/register/reader.rs
+++ b/crates/coordination/src/register/reader.rs
@@ -18,7 +18,7 @@
 
 /// Spreads the nonces of successive processes, so that the numbers of their queries lie far apart: an answer to
 /// a query of an earlier process must not count, as it may be older than what was acknowledged since.
-const NONCE_SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
+const NONCE_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The state of a replica as it replied to a query.
 pub(super) struct ReadReply {
@@ -85,7 +85,7 @@
         };
         self.started += 1;
         let mut query = Query {
-            request: context.nonce.wrapping_mul(NONCE_SPREAD).wrapping_add(self.started),
+            request: context.nonce.wrapping_mul(NONCE_MULTIPLIER).wrapping_add(self.started),
             tasks: std::mem::take(&mut self.waiting),
             known: known.clone(),
             newest: known,
--- a/crates/coordination/src/register/replica/messages.rs
+++ b/crates/coordination/src/register/replica/messages.rs
@@ -41,8 +41,8 @@
             }
             Message::ReadReply { request, voter, promised, accepted, value } => {
                 let reply = ReadReply { voter, promised, accepted, value };
-                let left_over = self.reader.on_read_reply(&mut self.context, from, request, reply);
-                self.enqueue_proposals(left_over);
+                let to_propose = self.reader.on_read_reply(&mut self.context, from, request, reply);
+                self.enqueue_proposals(to_propose);
             }
             Message::PollCommitted { committed, known } => self.on_poll_committed(from, committed, known),
             Message::RegisterIncarnation { nonce, incarnation } => self.with_acceptor(|acceptor, context| {
@@ -80,8 +80,8 @@
             acceptor.on_committed(ballot, value);
         }
         self.proposer.on_committed(&mut self.context, ballot, value);
-        let left_over = self.reader.on_committed(&mut self.context);
-        self.enqueue_proposals(left_over);
+        let to_propose = self.reader.on_committed(&mut self.context);
+        self.enqueue_proposals(to_propose);
     }
 
     /// Answers a poll with a newer committed value, or requests the one that the sender knows.
--- a/crates/coordination/src/register/replica/timers.rs
+++ b/crates/coordination/src/register/replica/timers.rs
@@ -32,8 +32,8 @@
             recovery.on_tick(&mut self.context);
         }
         self.catch_up.on_tick(&mut self.context);
-        let left_over = self.reader.on_tick(&mut self.context);
-        self.enqueue_proposals(left_over);
+        let to_propose = self.reader.on_tick(&mut self.context);
+        self.enqueue_proposals(to_propose);
         self.proposer.on_tick(&mut self.context);
         if self.anti_entropy.next_wake() <= self.context.now {
             self.poll_for_update();
--- a/crates/coordination/src/registry.rs
+++ b/crates/coordination/src/registry.rs
@@ -32,7 +32,7 @@
     pub sequence: u64,
     /// Sequence of the newest heartbeat that any replica is known to have received. It may be ahead of the
     /// registration's, as the message about an unchanged heartbeat may overtake the change before it.
-    pub latest: u64,
+    pub heartbeat_sequence: u64,
     /// When the newest heartbeat was received here, or reported by another replica.
     pub last_heartbeat: Duration,
 }
@@ -84,7 +84,7 @@
         let changed = known.registration.as_ref().is_none_or(|old| old.differs(&registration));
         known.registration = Some(registration);
         known.sequence = sequence;
-        known.latest = known.latest.max(sequence);
+        known.heartbeat_sequence = known.heartbeat_sequence.max(sequence);
         known.last_heartbeat = now;
         if changed { RegistryUpdate::Changed { replaced: Vec::new() } } else { RegistryUpdate::Refreshed }
     }
@@ -98,8 +98,12 @@
         for id in &replaced {
             self.remove(now, id, FINAL_SEQUENCE);
         }
-        let entry =
-            Entry { registration: Some(registration), sequence, latest: sequence, last_heartbeat: now };
+        let entry = Entry {
+            registration: Some(registration),
+            sequence,
+            heartbeat_sequence: sequence,
+            last_heartbeat: now,
+        };
         self.entries.insert(id.to_owned(), entry);
         RegistryUpdate::Changed { replaced }
     }
@@ -107,25 +111,28 @@
     /// Records that some replica received heartbeat `sequence`, which changed nothing else.
     pub fn refresh(&mut self, now: Duration, id: &str, sequence: u64) {
         let Some(known) = self.entries.get_mut(id) else { return };
-        if known.registration.is_some() && sequence >= known.latest {
-            known.latest = sequence;
+        if known.registration.is_some() && sequence >= known.heartbeat_sequence {
+            known.heartbeat_sequence = sequence;
             known.last_heartbeat = now;
         }
     }
 
     /// Removes an incarnation as of `sequence`. Returns whether it was registered until now.
     pub fn remove(&mut self, now: Duration, id: &str, sequence: u64) -> bool {
-        let tombstone = || Entry { registration: None, sequence, latest: sequence, last_heartbeat: now };
+        let tombstone =
+            || Entry { registration: None, sequence, heartbeat_sequence: sequence, last_heartbeat: now };
         let Some(known) = self.entries.get_mut(id) else {
             self.entries.insert(id.to_owned(), tombstone());
             return false;
         };
-        if sequence < known.latest || (known.registration.is_none() && sequence == known.latest) {
+        if sequence < known.heartbeat_sequence
+            || (known.registration.is_none() && sequence == known.heartbeat_sequence)
+        {
             return false;
         }
-        let was_there = known.registration.is_some();
+        let was_registered = known.registration.is_some();
         *known = tombstone();
-        was_there
+        was_registered
     }
 
     /// Removes the incarnations without a heartbeat for longer than `idle_timeout`, in the services that this
@@ -143,7 +150,7 @@
         };
         let expired = self.entries.iter().filter(|(_, entry)| is_expired(entry));
         let expired = expired
-            .map(|(id, entry)| ExpiredIncarnation { id: id.clone(), sequence: entry.latest })
+            .map(|(id, entry)| ExpiredIncarnation { id: id.clone(), sequence: entry.heartbeat_sequence })
             .collect::<Vec<_>>();
         for incarnation in &expired {
             self.remove(now, &incarnation.id, incarnation.sequence);
@@ -152,7 +159,7 @@
     }
 
     /// Drops tombstones older than `retention`, after which no late message can name their incarnations.
-    pub fn purge_removed(&mut self, now: Duration, retention: Duration) {
+    pub fn purge_tombstones(&mut self, now: Duration, retention: Duration) {
         self.entries.retain(|_, entry| {
             entry.registration.is_some() || now.saturating_sub(entry.last_heartbeat) <= retention
         });
--- a/crates/coordination/src/simulation/disk.rs
+++ b/crates/coordination/src/simulation/disk.rs
@@ -8,7 +8,7 @@
 use crate::storage::{SimulatedDirectory, StoreError, VersionedStore};
 
 /// Longest time of a write on a healthy disk.
-const USUAL_WRITE: Duration = Duration::from_millis(2);
+const HEALTHY_MAX_WRITE_TIME: Duration = Duration::from_millis(2);
 
 /// File operations of a save, from creating the file to removing old ones.
 const SAVE_STEPS: u32 = 6;
@@ -24,7 +24,7 @@
 
 pub(super) struct Disk {
     pub(super) directory: SimulatedDirectory,
-    pub(super) longest_write: Duration,
+    pub(super) max_write_time: Duration,
     pub(super) stalled: bool,
     store: Option<VersionedStore>,
     /// The write in flight, if any.
@@ -35,7 +35,7 @@
     pub(super) fn new() -> Self {
         Self {
             directory: SimulatedDirectory::new(),
-            longest_write: USUAL_WRITE,
+            max_write_time: HEALTHY_MAX_WRITE_TIME,
             stalled: false,
             store: None,
             write: None,
@@ -67,7 +67,7 @@
 
     /// Ends all faults of the disk; its content stays.
     pub(super) fn repair(&mut self) {
-        self.longest_write = USUAL_WRITE;
+        self.max_write_time = HEALTHY_MAX_WRITE_TIME;
         self.stalled = false;
         self.directory.rejects_writes = false;
     }
--- a/crates/coordination/src/simulation/history.rs
+++ b/crates/coordination/src/simulation/history.rs
@@ -84,7 +84,11 @@
         revision: u64,
     ) -> Result<(), Violation> {
         if revision < newest_answered {
-            return Err(Violation::Stale { request, answered: revision, acknowledged: newest_answered });
+            return Err(Violation::StaleAnswer {
+                request,
+                answered: revision,
+                acknowledged: newest_answered,
+            });
         }
         self.newest_answered = self.newest_answered.max(revision);
         Ok(())
@@ -124,7 +128,7 @@
             return Ok(());
         };
         let effective = entries(&newest.state).into_iter().find(|entry| self.expired.contains(entry));
-        effective.map_or(Ok(()), |entry| Err(Violation::Expired(entry)))
+        effective.map_or(Ok(()), |entry| Err(Violation::ExpiredTookEffect(entry)))
     }
 
     /// The newest value contains every number that was acknowledged up to its revision.
@@ -135,7 +139,7 @@
         let present: BTreeSet<u32> = entries(&newest.state).into_iter().collect();
         let mut due = self.acknowledged.iter().filter(|(_, revision)| **revision <= newest.revision);
         let lost = due.find(|(entry, _)| !present.contains(entry));
-        lost.map_or(Ok(()), |(entry, revision)| Err(Violation::Lost(*entry, *revision)))
+        lost.map_or(Ok(()), |(entry, revision)| Err(Violation::LostChange(*entry, *revision)))
     }
 }
 
--- a/crates/coordination/src/simulation/machine.rs
+++ b/crates/coordination/src/simulation/machine.rs
@@ -77,9 +77,10 @@
         if self.replica.is_some() || self.retired {
             return Ok(());
         }
-        let unreadable = |_| Violation::Record(self.index);
+        let unreadable = |_| Violation::UnreadableRecord(self.index);
         let bytes = self.disk.open().map_err(unreadable)?;
-        let decode = |bytes: Vec<u8>| Record::decode(&bytes).map_err(|_| Violation::Record(self.index));
+        let decode =
+            |bytes: Vec<u8>| Record::decode(&bytes).map_err(|_| Violation::UnreadableRecord(self.index));
         let stored = bytes.map(decode).transpose()?;
         self.incarnation += 1;
         self.wake_at = None;
@@ -127,10 +128,10 @@
         match event {
             Event::Message { from, bytes } => {
                 let message = crate::register::Message::decode(&bytes);
-                let message = message.map_err(|_| Violation::Message(from))?;
+                let message = message.map_err(|_| Violation::UnreadableMessage(from))?;
                 Ok(Some(Input::Message { from: node_of(from), message }))
             }
-            Event::Written { incarnation, token } => Ok(self.written(incarnation, token)),
+            Event::Written { incarnation, token } => Ok(self.on_written(incarnation, token)),
             Event::Wake { incarnation, at } => {
                 let due = incarnation == self.incarnation && self.wake_at == Some(at);
                 self.wake_at.take_if(|_| due);
@@ -139,7 +140,7 @@
         }
     }
 
-    fn written(&mut self, incarnation: u64, token: u64) -> Option<Input> {
+    fn on_written(&mut self, incarnation: u64, token: u64) -> Option<Input> {
         let current = self.disk.write.as_ref().is_some_and(|write| write.token == token);
         if incarnation != self.incarnation || !current || self.disk.stalled {
             return None;
--- a/crates/coordination/src/simulation/network.rs
+++ b/crates/coordination/src/simulation/network.rs
@@ -9,12 +9,12 @@
 use super::step::MachineIndex;
 
 /// Delay on a healthy network.
-const USUAL_DELAY: Duration = Duration::from_millis(3);
+const HEALTHY_MAX_DELAY: Duration = Duration::from_millis(3);
 
 pub(super) struct Network {
     pub(super) loss_percent: u8,
     pub(super) duplicate_percent: u8,
-    pub(super) longest_delay: Duration,
+    pub(super) max_delay: Duration,
     blocked_links: BTreeSet<(MachineIndex, MachineIndex)>,
 }
 
@@ -23,7 +23,7 @@
         Self {
             loss_percent: 0,
             duplicate_percent: 0,
-            longest_delay: USUAL_DELAY,
+            max_delay: HEALTHY_MAX_DELAY,
             blocked_links: BTreeSet::new(),
         }
     }
@@ -52,6 +52,6 @@
             return Vec::new();
         }
         let copies = if random.random_range(0..100) < self.duplicate_percent { 2 } else { 1 };
-        (0..copies).map(|_| self.longest_delay.mul_f64(random.random::<f64>())).collect()
+        (0..copies).map(|_| self.max_delay.mul_f64(random.random::<f64>())).collect()
     }
 }
--- a/crates/coordination/src/simulation/schedule.rs
+++ b/crates/coordination/src/simulation/schedule.rs
@@ -10,22 +10,22 @@
 const STEPS: usize = 60;
 
 /// First delay in milliseconds, in which the bootstrap members write their first record.
-const FIRST_DELAY: u64 = 50;
+const FIRST_DELAY_MS: u64 = 50;
 
 /// Longest delay in milliseconds between steps that are close together: some messages and writes.
-const MAX_SHORT_DELAY: u64 = 12;
+const MAX_SHORT_DELAY_MS: u64 = 12;
 
 /// A delay for a few round trips, in milliseconds.
-const ROUND_TRIPS: u64 = 40;
+const ROUND_TRIPS_DELAY_MS: u64 = 40;
 
 /// A delay for a retransmission, in milliseconds.
-const RETRY: u64 = 300;
+const RETRY_DELAY_MS: u64 = 300;
 
 /// Fraction of the changes that go to the favourite machine.
-const FAVOURITE_PROBABILITY: f64 = 0.7;
+const PREFERRED_PROBABILITY: f64 = 0.7;
 
 /// Fraction of the steps of a round that are played.
-const KEEP_PROBABILITY: f64 = 0.9;
+const STEP_PROBABILITY: f64 = 0.9;
 
 /// The faults that a random scenario has most of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,22 +33,22 @@
     /// Everything.
     Any,
     /// Lost disks while messages are in flight.
-    Wipes,
+    DiskLosses,
     /// Processes that die while messages are in flight.
     Restarts,
     /// Membership changes.
-    Members,
+    MembershipChanges,
     /// Membership changes, and a loss before or after they have taken effect.
-    SecondLoss,
+    ChangeAndDiskLoss,
 }
 
 impl FaultMix {
     const fn of(seed: u64) -> Self {
         match seed % 6 {
-            2 => Self::Wipes,
+            2 => Self::DiskLosses,
             3 => Self::Restarts,
-            4 => Self::Members,
-            5 => Self::SecondLoss,
+            4 => Self::MembershipChanges,
+            5 => Self::ChangeAndDiskLoss,
             _ => Self::Any,
         }
     }
@@ -62,14 +62,14 @@
     /// Number of all machines.
     count: usize,
     /// The machine that gets most of the requests.
-    favourite: MachineIndex,
+    preferred: MachineIndex,
 }
 
 /// The random scenario of a seed: requests and faults in any order, then all faults end.
 #[must_use]
 pub fn random_scenario(seed: u64) -> Scenario {
     let mut generator = Generator::new(seed);
-    let mut steps = vec![Step::Wait(FIRST_DELAY)];
+    let mut steps = vec![Step::Wait(FIRST_DELAY_MS)];
     while steps.len() < STEPS {
         steps.extend(match generator.mix {
             FaultMix::Any => generator.any_steps(),
@@ -86,10 +86,11 @@
         let mut random = SmallRng::seed_from_u64(seed);
         let mix = FaultMix::of(seed);
         let bootstrap_members = if mix != FaultMix::Any || random.random_bool(0.6) { 3 } else { 5 };
-        let fewest_spares = usize::from(matches!(mix, FaultMix::Members | FaultMix::SecondLoss));
+        let fewest_spares =
+            usize::from(matches!(mix, FaultMix::MembershipChanges | FaultMix::ChangeAndDiskLoss));
         let count = bootstrap_members + random.random_range(fewest_spares..=2);
-        let favourite = random.random_range(0..count);
-        Self { random, mix, bootstrap_members, count, favourite }
+        let preferred = random.random_range(0..count);
+        Self { random, mix, bootstrap_members, count, preferred }
     }
 
     /// Any machine.
@@ -113,39 +114,39 @@
     /// a partition, a fault while its messages are in flight, and what the other side then sees.
     fn round(&mut self) -> Vec<Step> {
         let proposer =
-            if self.random.random_bool(FAVOURITE_PROBABILITY) { self.favourite } else { self.machine() };
+            if self.random.random_bool(PREFERRED_PROBABILITY) { self.preferred } else { self.machine() };
         let mut round = vec![self.partition(), Step::Append(proposer), Step::Wait(self.short_delay())];
-        round.extend(self.focus());
-        round.extend([Step::Wait(self.short_delay()), self.partition(), Step::Wait(ROUND_TRIPS)]);
-        round.extend([Step::Append(self.machine()), self.partition(), Step::Wait(RETRY)]);
+        round.extend(self.mix_steps());
+        round.extend([Step::Wait(self.short_delay()), self.partition(), Step::Wait(ROUND_TRIPS_DELAY_MS)]);
+        round.extend([Step::Append(self.machine()), self.partition(), Step::Wait(RETRY_DELAY_MS)]);
         round.push(Step::Read(self.machine()));
-        round.retain(|_| self.random.random_bool(KEEP_PROBABILITY));
+        round.retain(|_| self.random.random_bool(STEP_PROBABILITY));
         round
     }
 
     /// The steps of a round that are particular to the fault mix.
-    fn focus(&mut self) -> Vec<Step> {
+    fn mix_steps(&mut self) -> Vec<Step> {
         let at = self.machine();
         match self.mix {
             FaultMix::Any => Vec::new(),
-            FaultMix::Wipes => {
+            FaultMix::DiskLosses => {
                 vec![Step::WipeDisk(at), self.partition(), Step::Start(at)]
             }
             FaultMix::Restarts => {
                 // A proposer that restarts proposes again, while its earlier messages may still be in flight.
-                let at = if self.random.random_bool(FAVOURITE_PROBABILITY) { self.favourite } else { at };
+                let at = if self.random.random_bool(PREFERRED_PROBABILITY) { self.preferred } else { at };
                 vec![Step::Kill(at), self.partition(), Step::Start(at), Step::Append(at)]
             }
-            FaultMix::Members => {
+            FaultMix::MembershipChanges => {
                 let (old, new) = (at, self.machine());
-                vec![Step::Replace { old, new, via: self.favourite }]
+                vec![Step::ReplaceMember { old, new, via: self.preferred }]
             }
-            FaultMix::SecondLoss => {
+            FaultMix::ChangeAndDiskLoss => {
                 let (old, new) = (at, self.machine());
                 let lost = self.machine();
                 let change = match self.random.random_range(0..3) {
-                    0 => Step::Leave { old, via: self.favourite },
-                    _ => Step::Replace { old, new, via: self.favourite },
+                    0 => Step::RemoveMember { old, via: self.preferred },
+                    _ => Step::ReplaceMember { old, new, via: self.preferred },
                 };
                 let (before, after) = (Step::Wait(self.short_delay()), Step::Wait(self.short_delay()));
                 let end = if self.random.random_bool(0.5) { Step::Start(lost) } else { Step::Retire(lost) };
@@ -156,7 +157,7 @@
 
     /// A delay about as long as a message or a write takes.
     fn short_delay(&mut self) -> u64 {
-        self.random.random_range(1..=MAX_SHORT_DELAY)
+        self.random.random_range(1..=MAX_SHORT_DELAY_MS)
     }
 
     /// A partition between a random set of machines and the others.
@@ -221,14 +222,14 @@
     fn membership_change(&mut self) -> Vec<Step> {
         let (old, via) = (self.machine(), self.machine());
         if self.bootstrap_members == self.count || self.random.random_range(0..5) == 0 {
-            return vec![Step::Leave { old, via }];
+            return vec![Step::RemoveMember { old, via }];
         }
         let new = self.random.random_range(self.bootstrap_members..self.count);
         match self.random.random_range(0..4) {
-            0 => vec![Step::Grow { new, via }],
-            1 => vec![Step::Retire(old), Step::Replace { old, new, via }],
-            2 => vec![Step::Replace { old, new, via }],
-            _ => vec![Step::Replace { old: new, new: old, via }],
+            0 => vec![Step::AddMember { new, via }],
+            1 => vec![Step::Retire(old), Step::ReplaceMember { old, new, via }],
+            2 => vec![Step::ReplaceMember { old, new, via }],
+            _ => vec![Step::ReplaceMember { old: new, new: old, via }],
         }
     }
 }
--- a/crates/coordination/src/simulation/step/mod.rs
+++ b/crates/coordination/src/simulation/step/mod.rs
@@ -67,7 +67,7 @@
     /// A new number is appended through a machine.
     Append(MachineIndex),
     /// New numbers are appended through a machine at a steady rate.
-    Appends {
+    AppendRepeatedly {
         /// The machine that gets the requests.
         at: MachineIndex,
         /// Number of requests.
@@ -82,7 +82,7 @@
     /// The value is read through a machine.
     Read(MachineIndex),
     /// A member is replaced by a spare, on a request to `via`.
-    Replace {
+    ReplaceMember {
         /// Leaves.
         old: MachineIndex,
         /// Joins.
@@ -91,14 +91,14 @@
         via: MachineIndex,
     },
     /// A spare joins, on a request to `via`.
-    Grow {
+    AddMember {
         /// Joins.
         new: MachineIndex,
         /// The machine that gets the request.
         via: MachineIndex,
     },
     /// A member leaves without a replacement, on a request to `via`.
-    Leave {
+    RemoveMember {
         /// Leaves.
         old: MachineIndex,
         /// The machine that gets the request.
--- a/crates/coordination/src/simulation/step/text.rs
+++ b/crates/coordination/src/simulation/step/text.rs
@@ -6,9 +6,9 @@
 use super::{Expectation, MachineIndex, Machines, Step, UnknownStep};
 
 /// The name of a machine.
-struct Name(MachineIndex);
+struct MachineName(MachineIndex);
 
-impl fmt::Display for Name {
+impl fmt::Display for MachineName {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let letter = u8::try_from(self.0).ok().and_then(|index| b'a'.checked_add(index)).unwrap_or(b'?');
         write!(formatter, "{}", char::from(letter))
@@ -37,42 +37,52 @@
 impl fmt::Display for Step {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match *self {
-            Self::Append(at) => write!(formatter, "append {}", Name(at)),
-            Self::Appends { at, count, every } => {
-                write!(formatter, "append {} {count} every {every}", Name(at))
+            Self::Append(at) => write!(formatter, "append {}", MachineName(at)),
+            Self::AppendRepeatedly { at, count, every } => {
+                write!(formatter, "append {} {count} every {every}", MachineName(at))
             }
-            Self::Ensure(at) => write!(formatter, "ensure {}", Name(at)),
-            Self::AppendIfEven(at) => write!(formatter, "append-if-even {}", Name(at)),
-            Self::Read(at) => write!(formatter, "read {}", Name(at)),
-            Self::Replace { old, new, via } => {
-                write!(formatter, "replace {} {} via {}", Name(old), Name(new), Name(via))
+            Self::Ensure(at) => write!(formatter, "ensure {}", MachineName(at)),
+            Self::AppendIfEven(at) => write!(formatter, "append-if-even {}", MachineName(at)),
+            Self::Read(at) => write!(formatter, "read {}", MachineName(at)),
+            Self::ReplaceMember { old, new, via } => {
+                write!(
+                    formatter,
+                    "replace {} {} via {}",
+                    MachineName(old),
+                    MachineName(new),
+                    MachineName(via)
+                )
+            }
+            Self::AddMember { new, via } => {
+                write!(formatter, "grow {} via {}", MachineName(new), MachineName(via))
+            }
+            Self::RemoveMember { old, via } => {
+                write!(formatter, "leave {} via {}", MachineName(old), MachineName(via))
             }
-            Self::Grow { new, via } => write!(formatter, "grow {} via {}", Name(new), Name(via)),
-            Self::Leave { old, via } => write!(formatter, "leave {} via {}", Name(old), Name(via)),
             Self::Wait(time) => write!(formatter, "wait {time}"),
-            Self::Kill(at) => write!(formatter, "kill {}", Name(at)),
-            Self::LosePower(at) => write!(formatter, "power {}", Name(at)),
-            Self::WipeDisk(at) => write!(formatter, "wipe {}", Name(at)),
-            Self::Retire(at) => write!(formatter, "retire {}", Name(at)),
-            Self::Start(at) => write!(formatter, "start {}", Name(at)),
-            Self::Freeze(at) => write!(formatter, "freeze {}", Name(at)),
-            Self::Thaw(at) => write!(formatter, "thaw {}", Name(at)),
-            Self::BlockLink(from, to) => write!(formatter, "cut {} {}", Name(from), Name(to)),
-            Self::Isolate(at) => write!(formatter, "isolate {}", Name(at)),
+            Self::Kill(at) => write!(formatter, "kill {}", MachineName(at)),
+            Self::LosePower(at) => write!(formatter, "power {}", MachineName(at)),
+            Self::WipeDisk(at) => write!(formatter, "wipe {}", MachineName(at)),
+            Self::Retire(at) => write!(formatter, "retire {}", MachineName(at)),
+            Self::Start(at) => write!(formatter, "start {}", MachineName(at)),
+            Self::Freeze(at) => write!(formatter, "freeze {}", MachineName(at)),
+            Self::Thaw(at) => write!(formatter, "thaw {}", MachineName(at)),
+            Self::BlockLink(from, to) => write!(formatter, "cut {} {}", MachineName(from), MachineName(to)),
+            Self::Isolate(at) => write!(formatter, "isolate {}", MachineName(at)),
             Self::Partition(machines) => {
                 formatter.write_str("part")?;
-                machines.iter().try_for_each(|at| write!(formatter, " {}", Name(at)))
+                machines.iter().try_for_each(|at| write!(formatter, " {}", MachineName(at)))
             }
             Self::Heal => formatter.write_str("heal"),
             Self::Loss(percent) => write!(formatter, "loss {percent}"),
             Self::Duplicate(percent) => write!(formatter, "double {percent}"),
             Self::Delay(time) => write!(formatter, "delay {time}"),
-            Self::SlowDisk(at, time) => write!(formatter, "slow {} {time}", Name(at)),
-            Self::StallDisk(at) => write!(formatter, "stall {}", Name(at)),
-            Self::FillDisk(at) => write!(formatter, "full {}", Name(at)),
-            Self::RepairDisk(at) => write!(formatter, "work {}", Name(at)),
+            Self::SlowDisk(at, time) => write!(formatter, "slow {} {time}", MachineName(at)),
+            Self::StallDisk(at) => write!(formatter, "stall {}", MachineName(at)),
+            Self::FillDisk(at) => write!(formatter, "full {}", MachineName(at)),
+            Self::RepairDisk(at) => write!(formatter, "work {}", MachineName(at)),
             Self::Quiesce => formatter.write_str("settle"),
-            Self::Expect(at, expectation) => write!(formatter, "expect {} {expectation}", Name(at)),
+            Self::Expect(at, expectation) => write!(formatter, "expect {} {expectation}", MachineName(at)),
         }
     }
 }
@@ -113,16 +123,16 @@
         Ok(match *words.as_slice() {
             ["append", at] => Self::Append(machine(at)?),
             ["append", at, count, "every", every] => {
-                Self::Appends { at: machine(at)?, count: number(count)?, every: number(every)? }
+                Self::AppendRepeatedly { at: machine(at)?, count: number(count)?, every: number(every)? }
             }
             ["ensure", at] => Self::Ensure(machine(at)?),
             ["append-if-even", at] => Self::AppendIfEven(machine(at)?),
             ["read", at] => Self::Read(machine(at)?),
             ["replace", old, new, "via", via] => {
-                Self::Replace { old: machine(old)?, new: machine(new)?, via: machine(via)? }
+                Self::ReplaceMember { old: machine(old)?, new: machine(new)?, via: machine(via)? }
             }
-            ["grow", new, "via", via] => Self::Grow { new: machine(new)?, via: machine(via)? },
-            ["leave", old, "via", via] => Self::Leave { old: machine(old)?, via: machine(via)? },
+            ["grow", new, "via", via] => Self::AddMember { new: machine(new)?, via: machine(via)? },
+            ["leave", old, "via", via] => Self::RemoveMember { old: machine(old)?, via: machine(via)? },
             ["wait", time] => Self::Wait(number(time)?),
             ["kill", at] => Self::Kill(machine(at)?),
             ["power", at] => Self::LosePower(machine(at)?),
--- a/crates/coordination/src/simulation/violation.rs
+++ b/crates/coordination/src/simulation/violation.rs
@@ -23,13 +23,13 @@
     AppliedTwice(u32),
     /// The list contains a number whose request expired before it was proposed.
     #[error("number {0} took effect after it had expired")]
-    Expired(u32),
+    ExpiredTookEffect(u32),
     /// The list does not contain an acknowledged number.
     #[error("number {0}, acknowledged at revision {1}, is missing")]
-    Lost(u32, u64),
+    LostChange(u32, u64),
     /// An answer is older than one given before the request.
     #[error("request {request} was answered from revision {answered} after {acknowledged} was acknowledged")]
-    Stale {
+    StaleAnswer {
         /// The request.
         request: u64,
         /// Its revision.
@@ -52,10 +52,10 @@
     UnexpectedAnswer(u64),
     /// The record on disk cannot be read.
     #[error("machine {0} has an unreadable record")]
-    Record(MachineIndex),
+    UnreadableRecord(MachineIndex),
     /// A message cannot be encoded or decoded.
     #[error("machine {0} sent an unreadable message")]
-    Message(MachineIndex),
+    UnreadableMessage(MachineIndex),
     /// A machine does not serve although all faults have ended.
     #[error("machine {0} does not serve although all faults have ended")]
     Unavailable(MachineIndex),
--- a/crates/coordination/src/simulation/world/driver.rs
+++ b/crates/coordination/src/simulation/world/driver.rs
@@ -33,7 +33,7 @@
             }
             match output {
                 Output::Send { to, message } => {
-                    let bytes = message.encode().map_err(|_| Violation::Message(at))?;
+                    let bytes = message.encode().map_err(|_| Violation::UnreadableMessage(at))?;
                     self.send(at, index_of(to), &bytes);
                 }
                 Output::Persist { token, record } => self.write(at, token, &record)?,
@@ -56,10 +56,10 @@
     }
 
     fn write(&mut self, at: MachineIndex, token: u64, record: &Record) -> Result<(), Violation> {
-        let bytes = record.encode().map_err(|_| Violation::Record(at))?;
+        let bytes = record.encode().map_err(|_| Violation::UnreadableRecord(at))?;
         let machine = &mut self.machines[at];
         machine.disk.write = Some(Write { token, bytes });
-        let time = machine.disk.longest_write.mul_f64(self.random.random::<f64>());
+        let time = machine.disk.max_write_time.mul_f64(self.random.random::<f64>());
         let incarnation = machine.incarnation;
         self.events.schedule(self.now + time, at, Event::Written { incarnation, token });
         Ok(())
--- a/crates/coordination/src/simulation/world/expectations.rs
+++ b/crates/coordination/src/simulation/world/expectations.rs
@@ -25,13 +25,13 @@
         }
         self.run(QUIESCE_TIME)?;
         for at in (0..self.machines.len()).filter(|at| !self.machines[*at].retired).collect::<Vec<_>>() {
-            self.serve(at)?;
+            self.check_serves(at)?;
         }
         Ok(())
     }
 
     /// A read and a change through one machine must both succeed.
-    fn serve(&mut self, at: MachineIndex) -> Result<(), Violation> {
+    fn check_serves(&mut self, at: MachineIndex) -> Result<(), Violation> {
         let deadline = self.now + FINAL_DEADLINE;
         self.request_until(at, None, deadline, |request, deadline| Input::Read { request, deadline })?;
         let read = self.machines[at].last_request;
--- a/crates/coordination/src/simulation/world/steps.rs
+++ b/crates/coordination/src/simulation/world/steps.rs
@@ -12,31 +12,31 @@
 use crate::simulation::violation::Violation;
 
 /// The first number of [`Step::Ensure`], so that these differ from appended ones.
-const FIRST_ENSURED: u32 = 1_000_000;
+const FIRST_ENSURED_NUMBER: u32 = 1_000_000;
 
 /// How many numbers take turns in [`Step::Ensure`].
-const ENSURED: u32 = 4;
+const ENSURED_NUMBERS: u32 = 4;
 
 impl World {
     /// Executes the step of this number, counted from one.
     pub(super) fn step(&mut self, number: usize, step: Step) -> Result<(), Violation> {
         match step {
             Step::Append(at) => self.append(at, Command::Append),
-            Step::Appends { at, count, every } => (0..count).try_for_each(|_| {
+            Step::AppendRepeatedly { at, count, every } => (0..count).try_for_each(|_| {
                 self.append(at, Command::Append)?;
                 self.run(Duration::from_millis(every))
             }),
             Step::AppendIfEven(at) => self.append(at, Command::AppendIfEven),
             Step::Ensure(at) => {
-                let entry = FIRST_ENSURED + self.random.random_range(0..ENSURED);
+                let entry = FIRST_ENSURED_NUMBER + self.random.random_range(0..ENSURED_NUMBERS);
                 self.propose(at, Command::Ensure(entry))
             }
             Step::Read(at) => self.request(at, None, |request, deadline| Input::Read { request, deadline }),
-            Step::Replace { old, new, via } => {
+            Step::ReplaceMember { old, new, via } => {
                 self.change_members(via, vec![node_of(old)], Some(node_of(new)))
             }
-            Step::Grow { new, via } => self.change_members(via, Vec::new(), Some(node_of(new))),
-            Step::Leave { old, via } => self.change_members(via, vec![node_of(old)], None),
+            Step::AddMember { new, via } => self.change_members(via, Vec::new(), Some(node_of(new))),
+            Step::RemoveMember { old, via } => self.change_members(via, vec![node_of(old)], None),
             Step::Wait(time) => self.run(Duration::from_millis(time)),
             Step::Start(at) => self.start(at, false),
             Step::Thaw(at) => self.thaw(at),
@@ -72,8 +72,8 @@
             Step::Heal => self.network.heal(),
             Step::Loss(percent) => self.network.loss_percent = percent,
             Step::Duplicate(percent) => self.network.duplicate_percent = percent,
-            Step::Delay(time) => self.network.longest_delay = Duration::from_millis(time),
-            Step::SlowDisk(at, time) => self.machines[at].disk.longest_write = Duration::from_millis(time),
+            Step::Delay(time) => self.network.max_delay = Duration::from_millis(time),
+            Step::SlowDisk(at, time) => self.machines[at].disk.max_write_time = Duration::from_millis(time),
             Step::StallDisk(at) => self.machines[at].disk.stalled = true,
             Step::FillDisk(at) => self.machines[at].disk.directory.rejects_writes = true,
             _ => {}
--- a/crates/coordination/tests/cluster/member.rs
+++ b/crates/coordination/tests/cluster/member.rs
@@ -20,7 +20,7 @@
     /// The newest revision that this incarnation has learned.
     pub newest_committed: Option<u64>,
     pub traffic: Traffic,
-    pub written: u64,
+    pub bytes_written: u64,
 }
 
 impl Member {
@@ -35,7 +35,7 @@
             return false;
         }
         let bytes = record.encode().expect("a record of a replica");
-        self.written += bytes.len() as u64;
+        self.bytes_written += bytes.len() as u64;
         self.disk = Some(bytes);
         true
     }
--- a/crates/coordination/tests/cluster/mod.rs
+++ b/crates/coordination/tests/cluster/mod.rs
@@ -31,7 +31,7 @@
 }
 
 /// What is made anew for each start of a replica.
-pub(crate) type MachineMaker = fn() -> Box<dyn StateMachine>;
+pub(crate) type StateMachineFactory = fn() -> Box<dyn StateMachine>;
 
 struct Envelope {
     at: Duration,
@@ -52,7 +52,7 @@
     members: Vec<Member>,
     bootstrap_members: usize,
     queue: VecDeque<Envelope>,
-    machine: MachineMaker,
+    state_machine: StateMachineFactory,
     fault: Option<Fault>,
     starts: u64,
     requests: u64,
@@ -62,15 +62,15 @@
 
 impl Cluster {
     /// Members of which the first `bootstrap_members` make the group.
-    pub(crate) fn new(bootstrap_members: usize, spares: usize, machine: MachineMaker) -> Self {
-        Self::with_fault(bootstrap_members, spares, machine, None)
+    pub(crate) fn new(bootstrap_members: usize, spares: usize, state_machine: StateMachineFactory) -> Self {
+        Self::with_fault(bootstrap_members, spares, state_machine, None)
     }
 
     /// As [`Cluster::new`], with a deliberate mistake.
     pub(crate) fn with_fault(
         bootstrap_members: usize,
         spares: usize,
-        machine: MachineMaker,
+        state_machine: StateMachineFactory,
         fault: Option<Fault>,
     ) -> Self {
         let mut cluster = Self {
@@ -78,7 +78,7 @@
             members: (0..bootstrap_members + spares).map(|_| Member::default()).collect(),
             bootstrap_members,
             queue: VecDeque::new(),
-            machine,
+            state_machine,
             fault,
             starts: 0,
             requests: 0,
@@ -103,7 +103,7 @@
         };
         let stored = self.members[at].stored();
         self.members[at].replica =
-            Some(Replica::new(settings, (self.machine)(), stored, self.now, self.starts));
+            Some(Replica::new(settings, (self.state_machine)(), stored, self.now, self.starts));
         self.members[at].newest_committed = None;
         self.flush(at);
         self.connect(at);
@@ -112,7 +112,7 @@
     /// Links of a member come up.
     fn connect(&mut self, at: usize) {
         for other in (0..self.members.len()).filter(|other| *other != at) {
-            if self.reach(at, other) {
+            if self.can_reach(at, other) {
                 self.input(at, Input::PeerReachable { node: node(other) });
                 self.input(other, Input::PeerReachable { node: node(at) });
             }
@@ -169,20 +169,20 @@
         self.partition(&[]);
     }
 
-    fn reach(&self, from: usize, to: usize) -> bool {
+    fn can_reach(&self, from: usize, to: usize) -> bool {
         self.members[from].side == self.members[to].side
     }
 
     /// Proposes a command at a member; returns the number of the request.
     pub(crate) fn propose(&mut self, at: usize, command: Vec<u8>) -> u64 {
         let deadline = self.now + ANSWER_TIMEOUT;
-        self.ask(at, |request| Input::Propose { request, command, deadline })
+        self.submit(at, |request| Input::Propose { request, command, deadline })
     }
 
     /// Requests a read at a member.
     pub(crate) fn read(&mut self, at: usize) -> u64 {
         let deadline = self.now + ANSWER_TIMEOUT;
-        self.ask(at, |request| Input::Read { request, deadline })
+        self.submit(at, |request| Input::Read { request, deadline })
     }
 
     /// Requests a membership change at a member.
@@ -190,10 +190,10 @@
         let deadline = self.now + ANSWER_TIMEOUT;
         let nodes = |set: &[usize]| set.iter().copied().map(node).collect();
         let (remove, add) = (nodes(remove), nodes(add));
-        self.ask(at, |request| Input::ChangeMembers { request, remove, add, deadline })
+        self.submit(at, |request| Input::ChangeMembers { request, remove, add, deadline })
     }
 
-    fn ask(&mut self, at: usize, input: impl FnOnce(u64) -> Input) -> u64 {
+    fn submit(&mut self, at: usize, input: impl FnOnce(u64) -> Input) -> u64 {
         self.requests += 1;
         let request = self.requests;
         self.input(at, input(request));
@@ -240,8 +240,8 @@
     }
 
     /// Bytes that a member wrote to its disk since the last call.
-    pub(crate) fn take_written(&mut self, at: usize) -> u64 {
-        std::mem::take(&mut self.members[at].written)
+    pub(crate) fn take_bytes_written(&mut self, at: usize) -> u64 {
+        std::mem::take(&mut self.members[at].bytes_written)
     }
 
     /// The record on a member's disk, encoded; empty if there is none.
@@ -281,7 +281,7 @@
         match (message, wake) {
             (Some(time), _) if time == next => {
                 let envelope = self.queue.pop_front().expect("a message is due");
-                self.arrive(&envelope);
+                self.receive(&envelope);
             }
             (_, Some((_, at))) => self.input(at, Input::Tick),
             _ => {}
@@ -289,9 +289,9 @@
         true
     }
 
-    fn arrive(&mut self, envelope: &Envelope) {
+    fn receive(&mut self, envelope: &Envelope) {
         let Envelope { from, to, .. } = *envelope;
-        if !self.reach(from, to) || self.members[to].replica.is_none() {
+        if !self.can_reach(from, to) || self.members[to].replica.is_none() {
             return;
         }
         self.members[to].traffic.messages += 1;
@@ -335,7 +335,7 @@
     }
 
     fn send(&mut self, from: usize, to: usize, message: &Message) {
-        if self.reach(from, to) {
+        if self.can_reach(from, to) {
             let bytes = message.encode().expect("a message of a replica");
             self.queue.push_back(Envelope { at: self.now + ONE_WAY, from, to, bytes });
         }
--- a/crates/coordination/tests/golden_bytes.rs
+++ b/crates/coordination/tests/golden_bytes.rs
@@ -106,7 +106,7 @@
     }
 }
 
-fn founding_record() -> Record {
+fn bootstrap_record() -> Record {
     Record {
         incarnation: 0,
         promised: Ballot::ZERO,
@@ -118,7 +118,7 @@
 
 #[test]
 fn register_records_keep_their_bytes() {
-    let records = [("record", record()), ("founding-record", founding_record())];
+    let records = [("record", record()), ("founding-record", bootstrap_record())];
     let encoded = records.each_ref().map(|(name, record)| (*name, record.encode().unwrap()));
     let committed = check("register-records", encoded);
     for (name, record) in records {
@@ -126,12 +126,12 @@
     }
 }
 
-fn process() -> NodeId {
+fn node_id() -> NodeId {
     NodeId::new(SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 9), 7_000), 0x1112_1314_1516_1718)
 }
 
 fn lease_messages() -> [(&'static str, LeaseMessage); 5] {
-    let (shard, candidate, round) = (7, process(), 21);
+    let (shard, candidate, round) = (7, node_id(), 21);
     let reply = |granted, wait_ms| LeaseReply { shard, candidate, round, granted, wait_ms };
     let release = |idle_ms| LeaseRelease { shard, candidate, round, idle_ms };
     let request = LeaseRequest { shard, candidate, round, generation: 3, valid_ms: 4_500 };
@@ -156,7 +156,7 @@
 
 #[test]
 fn heartbeats_keep_their_bytes() {
-    let heartbeat = Heartbeat { sender: process(), sequence: 99 };
+    let heartbeat = Heartbeat { sender: node_id(), sequence: 99 };
     let committed = check("heartbeat", [("heartbeat", heartbeat.encode().unwrap())]);
     assert_eq!(Heartbeat::decode(&committed["heartbeat"]).unwrap(), heartbeat);
 }
--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -186,8 +186,8 @@
 #[test]
 fn slow_duplicate_and_reordered_messages_still_allow_a_holder() {
     let mut world = World::new(3, &[0, 0, 0]);
-    let longest_delay = Duration::from_millis(450);
-    world.network = Network { shortest_delay: STEP, longest_delay, lost_one_in: 0, duplicated_one_in: 3 };
+    let max_delay = Duration::from_millis(450);
+    world.network = Network { min_delay: STEP, max_delay, lost_one_in: 0, duplicated_one_in: 3 };
     world.set_candidate(0, true);
     world.run_for(20 * SECOND);
     assert!(world.actions.len() > 100, "{}", world.actions.len());
--- a/crates/coordination/tests/lease_model.rs
+++ b/crates/coordination/tests/lease_model.rs
@@ -48,9 +48,9 @@
     incarnations: Vec<u64>,
     rounds: Vec<u8>,
     network: BTreeSet<Arc<Delivery>>,
-    register: u64,
+    last_epoch: u64,
     last_action: Option<LastAction>,
-    changed: bool,
+    change_made: bool,
     handed_over: bool,
     violated: bool,
 }
@@ -98,9 +98,9 @@
     }
 
     fn may_wake(&self, index: u8) -> bool {
-        let place = usize::from(index);
-        let due = self.nodes[place].next_wake().is_some_and(|wake| wake <= self.now());
-        due && self.rounds[place] < MAX_ROUNDS[place]
+        let slot = usize::from(index);
+        let due = self.nodes[slot].next_wake().is_some_and(|wake| wake <= self.now());
+        due && self.rounds[slot] < MAX_ROUNDS[slot]
     }
 
     fn may_act(&self, index: u8) -> bool {
@@ -118,9 +118,9 @@
                     }
                 }
                 Output::AcquireEpoch { tenure, .. } => {
-                    self.register += 1;
+                    self.last_epoch += 1;
                     let incarnation = self.incarnations[usize::from(from)];
-                    let epoch = self.register;
+                    let epoch = self.last_epoch;
                     self.network.insert(Arc::new(Delivery::Epoch { to: from, incarnation, tenure, epoch }));
                 }
                 Output::Began { .. } | Output::Ended { .. } => {}
@@ -153,9 +153,9 @@
         let act = LastAction { tick: self.tick, holder: self.id(index), epoch };
         if let Some(last) = &self.last_action {
             let other = last.holder != act.holder;
-            let early = other && act.tick - last.tick < QUIET_TICKS;
-            let shared = other && act.epoch <= last.epoch;
-            self.violated |= early || shared || act.epoch < last.epoch;
+            let too_early = other && act.tick - last.tick < QUIET_TICKS;
+            let reuses_epoch = other && act.epoch <= last.epoch;
+            self.violated |= too_early || reuses_epoch || act.epoch < last.epoch;
             self.handed_over |= other;
         }
         self.last_action = Some(act);
@@ -183,10 +183,10 @@
     }
 
     fn restart(&self, state: &mut State, index: u8) {
-        let place = usize::from(index);
-        state.incarnations[place] += 1;
-        state.changed = true;
-        state.nodes[place] = self.start(state.id(index), GrantorStart::Restarted, state.now());
+        let slot = usize::from(index);
+        state.incarnations[slot] += 1;
+        state.change_made = true;
+        state.nodes[slot] = self.start(state.id(index), GrantorStart::Restarted, state.now());
     }
 }
 
@@ -205,9 +205,9 @@
             incarnations: vec![1; usize::from(MEMBERS)],
             rounds: vec![0; usize::from(MEMBERS)],
             network: BTreeSet::new(),
-            register: 0,
+            last_epoch: 0,
             last_action: None,
-            changed: false,
+            change_made: false,
             handed_over: false,
             violated: false,
         };
@@ -225,7 +225,7 @@
             actions.extend(state.may_act(index).then_some(Action::Act(index)));
         }
         actions.extend(state.network.iter().cloned().map(Action::Deliver));
-        if !state.changed {
+        if !state.change_made {
             actions.extend(self.changes.iter().cloned());
         }
     }
@@ -243,7 +243,7 @@
             Action::Act(index) => state.act(index),
             Action::Deliver(delivery) => state.deliver(&delivery),
             Action::Retire(index) => {
-                state.changed = true;
+                state.change_made = true;
                 let outputs = state.node(index).set_candidate(now, SHARD, false);
                 state.send(index, outputs);
             }
--- a/crates/coordination/tests/lease_world/mod.rs
+++ b/crates/coordination/tests/lease_world/mod.rs
@@ -50,8 +50,8 @@
 /// What the network does to messages.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Network {
-    pub shortest_delay: Duration,
-    pub longest_delay: Duration,
+    pub min_delay: Duration,
+    pub max_delay: Duration,
     /// One in this many messages is lost; 0 for none.
     pub lost_one_in: u64,
     /// One in this many messages is duplicated; 0 for none.
@@ -59,8 +59,8 @@
 }
 
 pub(crate) const HEALTHY_NETWORK: Network = Network {
-    shortest_delay: Duration::from_millis(1),
-    longest_delay: Duration::from_millis(6),
+    min_delay: Duration::from_millis(1),
+    max_delay: Duration::from_millis(6),
     lost_one_in: 0,
     duplicated_one_in: 0,
 };
@@ -103,7 +103,7 @@
     in_flight: Vec<InFlight>,
     /// All outputs of the processes.
     pub observations: Vec<Observation>,
-    register: u64,
+    last_epoch: u64,
     random: TestRandom,
 }
 
@@ -128,7 +128,7 @@
             side: vec![false; rates_ppm.len()],
             in_flight: Vec::new(),
             observations: Vec::new(),
-            register: 0,
+            last_epoch: 0,
             random: TestRandom::new(seed),
         };
         for (index, rate_ppm) in rates_ppm.iter().enumerate() {
@@ -169,7 +169,7 @@
 
     pub(crate) fn set_candidate(&mut self, index: usize, is_candidate: bool) {
         self.processes[index].is_candidate = is_candidate;
-        if self.runs(index) {
+        if self.is_running(index) {
             self.apply_candidate(index);
         }
     }
@@ -217,7 +217,7 @@
         self.processes[index].frozen
     }
 
-    fn runs(&self, index: usize) -> bool {
+    fn is_running(&self, index: usize) -> bool {
         self.processes[index].up && !self.processes[index].frozen
     }
 
@@ -257,9 +257,9 @@
         actions.sort_by_key(|action| action.arrival);
         actions.windows(2).map(|pair| (pair[0], pair[1])).find(|(one, next)| {
             let other = one.holder != next.holder;
-            let early = other && next.arrival - one.arrival < QUIET_PERIOD;
-            let shared = other && next.epoch <= one.epoch;
-            early || shared || next.epoch < one.epoch
+            let too_early = other && next.arrival - one.arrival < QUIET_PERIOD;
+            let reuses_epoch = other && next.epoch <= one.epoch;
+            too_early || reuses_epoch || next.epoch < one.epoch
         })
     }
 
@@ -277,14 +277,14 @@
     fn wake(&mut self, index: usize) {
         let now = self.local(index);
         let due = self.processes[index].node.next_wake().is_some_and(|wake| wake <= now);
-        if due && self.runs(index) {
+        if due && self.is_running(index) {
             let outputs = self.processes[index].node.on_tick(now);
             self.send(index, outputs);
         }
     }
 
     fn act(&mut self, index: usize) {
-        if !self.runs(index) {
+        if !self.is_running(index) {
             return;
         }
         let now = self.local(index);
@@ -335,9 +335,9 @@
 
     /// The register gives each epoch once, in rising order, at some time before its answer arrives.
     fn acquire_epoch(&mut self, index: usize, tenure: Tenure) {
-        self.register += 1;
+        self.last_epoch += 1;
         let incarnation = self.processes[index].incarnation;
-        let delivery = Delivery::Epoch { incarnation, tenure, epoch: self.register };
+        let delivery = Delivery::Epoch { incarnation, tenure, epoch: self.last_epoch };
         let due = self.now + self.delay();
         self.in_flight.push(InFlight { due, to: index, delivery });
     }
@@ -361,9 +361,9 @@
     }
 
     fn delay(&mut self) -> Duration {
-        let span = self.network.longest_delay - self.network.shortest_delay;
+        let span = self.network.max_delay - self.network.min_delay;
         let extra = self.random.below(span.as_millis() as u64 + 1);
-        self.network.shortest_delay + Duration::from_millis(extra)
+        self.network.min_delay + Duration::from_millis(extra)
     }
 }
 
--- a/crates/coordination/tests/lease_world/schedule.rs
+++ b/crates/coordination/tests/lease_world/schedule.rs
@@ -20,8 +20,8 @@
 
 fn network(random: &mut TestRandom) -> Network {
     Network {
-        shortest_delay: Duration::ZERO,
-        longest_delay: Duration::from_millis(1 + random.below(1_500)),
+        min_delay: Duration::ZERO,
+        max_delay: Duration::from_millis(1 + random.below(1_500)),
         lost_one_in: random.below(6),
         duplicated_one_in: random.below(4),
     }
--- a/crates/coordination/tests/membership_digests.rs
+++ b/crates/coordination/tests/membership_digests.rs
@@ -120,8 +120,8 @@
     }
 }
 
-fn add_taken(digest: &mut Digest, taken: &RegistryUpdate) {
-    match taken {
+fn add_update(digest: &mut Digest, update: &RegistryUpdate) {
+    match update {
         RegistryUpdate::Stale => digest.byte(0),
         RegistryUpdate::Refreshed => digest.byte(1),
         RegistryUpdate::Changed { replaced } => {
@@ -136,7 +136,7 @@
         digest.bytes(id.as_bytes());
         digest.number(entry.registration.as_ref().map_or(0, |endpoint| endpoint.revision));
         digest.number(entry.sequence);
-        digest.number(entry.latest);
+        digest.number(entry.heartbeat_sequence);
         digest.time(entry.last_heartbeat);
     }
 }
@@ -158,7 +158,7 @@
                     address: address(random.random_range(0..6)).into(),
                     revision: random.random_range(1..4),
                 };
-                add_taken(&mut digest, &registry.merge(now, &id, sequence, endpoint));
+                add_update(&mut digest, &registry.merge(now, &id, sequence, endpoint));
             }
             5..8 => registry.refresh(now, &id, sequence),
             8 => {
@@ -172,7 +172,7 @@
                     digest.number(sequence);
                 }
             }
-            10 => registry.purge_removed(now, Duration::from_secs(6)),
+            10 => registry.purge_tombstones(now, Duration::from_secs(6)),
             _ if random.random_bool(0.5) => registry.drop_entry(&id),
             _ => registry.restart_timeouts(now),
         }
--- a/crates/coordination/tests/register_catch_up.rs
+++ b/crates/coordination/tests/register_catch_up.rs
@@ -62,7 +62,7 @@
     }
 }
 
-fn machine() -> Box<dyn StateMachine> {
+fn state_machine() -> Box<dyn StateMachine> {
     Box::new(Configuration)
 }
 
@@ -84,8 +84,8 @@
 }
 
 /// A group whose configuration has changed often.
-fn old_cluster(fault: Option<Fault>) -> Cluster {
-    let mut cluster = Cluster::with_fault(MEMBERS, 0, machine, fault);
+fn cluster_with_history(fault: Option<Fault>) -> Cluster {
+    let mut cluster = Cluster::with_fault(MEMBERS, 0, state_machine, fault);
     let first = cluster.propose(PROPOSER, put(0, document(1, ROUTES)).encode());
     assert!(outcome(cluster.answer(first)).is_some());
     make_changes(&mut cluster, 1, CHANGES_BEFORE, Duration::from_secs(2));
@@ -103,8 +103,8 @@
     time: Duration,
 }
 
-fn come_back(absence: Absence, changes: u64, away: Duration, fault: Option<Fault>) -> CatchUp {
-    let mut cluster = old_cluster(fault);
+fn measure_catch_up(absence: Absence, changes: u64, away: Duration, fault: Option<Fault>) -> CatchUp {
+    let mut cluster = cluster_with_history(fault);
     cluster.take_traffic(AWAY);
     absence.begin(&mut cluster);
     make_changes(&mut cluster, CHANGES_BEFORE + 1, changes, away);
@@ -133,7 +133,7 @@
 
 fn check(absence: Absence) {
     for (changes, seconds) in [(1_000, 1), (1_000, 10), (1_000, 60), (10, 10)] {
-        let caught_up = come_back(absence, changes, Duration::from_secs(seconds), None);
+        let caught_up = measure_catch_up(absence, changes, Duration::from_secs(seconds), None);
         println!("{absence:?}, {changes} changes in {seconds} s: {caught_up:?}");
         assert!(caught_up.time <= MAX_CATCH_UP, "{caught_up:?}");
         assert!(caught_up.after <= MAX_VALUES, "{caught_up:?}");
@@ -147,14 +147,16 @@
 /// What a member takes in grows with what it missed under these deliberate mistakes.
 #[test]
 fn values_sent_ahead_to_a_frozen_member_are_found() {
-    let caught_up = come_back(Absence::Frozen, 1_000, Duration::from_secs(10), Some(Fault::SendAhead));
+    let caught_up =
+        measure_catch_up(Absence::Frozen, 1_000, Duration::from_secs(10), Some(Fault::SendBeforeAnswer));
     println!("{caught_up:?}");
     assert!(caught_up.while_away > 10.0 * MAX_VALUES_WHILE_FROZEN, "{caught_up:?}");
 }
 
 #[test]
 fn a_request_for_each_announced_commit_is_found() {
-    let caught_up = come_back(Absence::Frozen, 1_000, Duration::from_secs(10), Some(Fault::AskForEach));
+    let caught_up =
+        measure_catch_up(Absence::Frozen, 1_000, Duration::from_secs(10), Some(Fault::RequestEveryCommit));
     println!("{caught_up:?}");
     assert!(caught_up.after > 10.0 * MAX_VALUES, "{caught_up:?}");
 }
@@ -162,7 +164,7 @@
 #[test]
 fn a_change_through_a_member_that_has_just_returned_builds_on_the_newest() {
     for absence in [Absence::Killed, Absence::Wiped, Absence::Frozen, Absence::Partitioned] {
-        let mut cluster = old_cluster(None);
+        let mut cluster = cluster_with_history(None);
         absence.begin(&mut cluster);
         make_changes(&mut cluster, CHANGES_BEFORE + 1, 1_000, Duration::from_secs(10));
         absence.end(&mut cluster);
@@ -209,15 +211,15 @@
 #[test]
 fn a_member_without_announcements_polls_all_others_in_turn() {
     for dead in [None, Some(3)] {
-        let mut cluster = Cluster::new(5, 0, machine);
+        let mut cluster = Cluster::new(5, 0, state_machine);
         cluster.partition(&[AWAY]);
         let first = cluster.propose(PROPOSER, put(0, document(1, 1)).encode());
         assert!(outcome(cluster.answer(first)).is_some());
         cluster.run(Duration::from_secs(1));
         dead.into_iter().for_each(|at| cluster.kill(at));
         cluster.heal_silently();
-        let asked = 1 + u32::from(dead.is_some());
-        let longest = MAX_POLL_DELAY * asked + MAX_CATCH_UP;
+        let polls = 1 + u32::from(dead.is_some());
+        let longest = MAX_POLL_DELAY * polls + MAX_CATCH_UP;
         let time = cluster.time_to_catch_up(AWAY, longest);
         println!("{dead:?} dead: {time:?}");
         assert!(time.is_some(), "not within {longest:?}");
@@ -227,7 +229,7 @@
 #[test]
 fn a_spare_learns_of_changes_well_within_a_second() {
     let spare = MEMBERS;
-    let mut cluster = Cluster::new(MEMBERS, 1, machine);
+    let mut cluster = Cluster::new(MEMBERS, 1, state_machine);
     let mut longest = Duration::ZERO;
     for base in 0..20 {
         let change = cluster.propose(PROPOSER, put(base, document(base + 1, 1)).encode());
--- a/crates/coordination/tests/register_codec.rs
+++ b/crates/coordination/tests/register_codec.rs
@@ -47,12 +47,12 @@
     })
 }
 
-fn carried() -> impl Strategy<Value = ValueTransfer> {
+fn value_transfer() -> impl Strategy<Value = ValueTransfer> {
     prop_oneof![Just(ValueTransfer::Omitted), value().prop_map(ValueTransfer::Full)]
 }
 
-fn phase_one() -> impl Strategy<Value = Message> {
-    let promise = (ballot(), voter(), ballot(), carried());
+fn phase_one_message() -> impl Strategy<Value = Message> {
+    let promise = (ballot(), voter(), ballot(), value_transfer());
     prop_oneof![
         (ballot(), ballot()).prop_map(|(ballot, known)| Message::Prepare { ballot, known }),
         promise.prop_map(|(ballot, voter, accepted, value)| Message::Promise {
@@ -65,17 +65,17 @@
     ]
 }
 
-fn phase_two() -> impl Strategy<Value = Message> {
+fn phase_two_message() -> impl Strategy<Value = Message> {
     let accepted = (ballot(), voter());
     prop_oneof![
         (ballot(), value()).prop_map(|(ballot, value)| Message::Accept { ballot, value }),
         accepted.prop_map(|(ballot, voter)| Message::Accepted { ballot, voter }),
-        (ballot(), carried()).prop_map(|(ballot, value)| Message::Committed { ballot, value }),
+        (ballot(), value_transfer()).prop_map(|(ballot, value)| Message::Committed { ballot, value }),
     ]
 }
 
-fn reading() -> impl Strategy<Value = Message> {
-    let state = (any::<u64>(), voter(), ballot(), ballot(), carried());
+fn read_message() -> impl Strategy<Value = Message> {
+    let state = (any::<u64>(), voter(), ballot(), ballot(), value_transfer());
     prop_oneof![
         (any::<u64>(), ballot()).prop_map(|(request, known)| Message::ReadQuery { request, known }),
         state.prop_map(|(request, voter, promised, accepted, value)| {
@@ -85,7 +85,7 @@
     ]
 }
 
-fn recovering() -> impl Strategy<Value = Message> {
+fn recovery_message() -> impl Strategy<Value = Message> {
     let registered = (any::<u64>(), any::<u64>(), voter(), ballot(), ballot(), value());
     prop_oneof![
         (any::<u64>(), any::<u64>())
@@ -97,7 +97,7 @@
 }
 
 fn message() -> impl Strategy<Value = Message> {
-    prop_oneof![phase_one(), phase_two(), reading(), recovering()]
+    prop_oneof![phase_one_message(), phase_two_message(), read_message(), recovery_message()]
 }
 
 fn record() -> impl Strategy<Value = Record> {
--- a/crates/coordination/tests/register_model_states/mod.rs
+++ b/crates/coordination/tests/register_model_states/mod.rs
@@ -12,7 +12,7 @@
 };
 use stateright::{Model, Property};
 
-const FOUNDERS: usize = 3;
+const BOOTSTRAP_MEMBERS: usize = 3;
 const REPLICAS: usize = 4;
 const PROPOSERS: [usize; 2] = [2, 3];
 pub(crate) const A: usize = 0;
@@ -31,8 +31,8 @@
     Node { ip: index as u32, port: 1 }
 }
 
-fn founders() -> Vec<Node> {
-    (0..FOUNDERS).map(node).collect()
+fn bootstrap_members() -> Vec<Node> {
+    (0..BOOTSTRAP_MEMBERS).map(node).collect()
 }
 
 /// A message on its way; its bytes order and compare it.
@@ -51,9 +51,9 @@
 }
 
 impl FaultStep {
-    fn victim(self) -> usize {
+    fn target(self) -> usize {
         match self {
-            FaultStep::Wipe(victim) | FaultStep::Restart(victim) => victim,
+            FaultStep::Wipe(target) | FaultStep::Restart(target) => target,
         }
     }
 }
@@ -105,7 +105,7 @@
     values: BTreeMap<u64, Vec<u8>>,
     /// Members of the newest committed value.
     members: Vec<Node>,
-    broken: bool,
+    violated: bool,
 }
 
 impl fmt::Debug for State {
@@ -120,7 +120,7 @@
             replica.hash(hasher);
         }
         (&self.network, &self.proposed, &self.acknowledged, self.faults).hash(hasher);
-        (&self.values, &self.members, self.broken).hash(hasher);
+        (&self.values, &self.members, self.violated).hash(hasher);
     }
 }
 
@@ -191,7 +191,7 @@
             .values()
             .zip(self.values.values().skip(1))
             .all(|(first, next)| next.starts_with(first));
-        self.broken |= !same || !built;
+        self.violated |= !same || !built;
     }
 }
 
@@ -205,7 +205,8 @@
 
 impl Register {
     fn replica(&self, index: usize, bootstrap: bool, stored: Option<Record>, nonce: u64) -> Replica {
-        let settings = Settings { bootstrap, fault: self.fault, ..Settings::new(node(index), founders()) };
+        let settings =
+            Settings { bootstrap, fault: self.fault, ..Settings::new(node(index), bootstrap_members()) };
         Replica::new(settings, Box::new(Append), stored, Duration::ZERO, nonce)
     }
 }
@@ -215,7 +216,8 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let replicas = (0..REPLICAS).map(|index| Arc::new(self.replica(index, index < FOUNDERS, None, 1)));
+        let replicas =
+            (0..REPLICAS).map(|index| Arc::new(self.replica(index, index < BOOTSTRAP_MEMBERS, None, 1)));
         let mut state = State {
             replicas: replicas.collect(),
             disks: vec![None; REPLICAS],
@@ -224,13 +226,13 @@
             acknowledged: BTreeMap::new(),
             faults: 0,
             values: BTreeMap::new(),
-            members: founders(),
-            broken: false,
+            members: bootstrap_members(),
+            violated: false,
         };
         (0..REPLICAS).for_each(|index| state.flush(index));
-        let value = ValueTransfer::Full(Value::initial(founders(), bytes::Bytes::new()));
+        let value = ValueTransfer::Full(Value::initial(bootstrap_members(), bytes::Bytes::new()));
         let message = Message::Committed { ballot: Ballot::ZERO, value };
-        state.input(FOUNDERS, Input::Message { from: node(1), message });
+        state.input(BOOTSTRAP_MEMBERS, Input::Message { from: node(1), message });
         state.deliver_all();
         vec![state]
     }
@@ -267,13 +269,13 @@
             Action::FaultStep => {
                 let fault_step = self.faults[state.faults];
                 state.faults += 1;
-                let victim = fault_step.victim();
+                let target = fault_step.target();
                 let stored =
-                    state.disks[victim].take().filter(|_| matches!(fault_step, FaultStep::Restart(_)));
-                state.disks[victim].clone_from(&stored);
+                    state.disks[target].take().filter(|_| matches!(fault_step, FaultStep::Restart(_)));
+                state.disks[target].clone_from(&stored);
                 let nonce = 1 + state.faults as u64;
-                state.replicas[victim] = Arc::new(self.replica(victim, false, stored, nonce));
-                state.flush(victim);
+                state.replicas[target] = Arc::new(self.replica(target, false, stored, nonce));
+                state.flush(target);
                 Some(state)
             }
         }
@@ -281,7 +283,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one value for each revision", |_, state: &State| !state.broken),
+            Property::always("one value for each revision", |_, state: &State| !state.violated),
             Property::always("an acknowledged change is there", |model: &Register, state: &State| {
                 state.acknowledged.iter().all(|(proposer, revision)| {
                     let is_command = *proposer != PROPOSERS[0] || model.change == Change::Command;
@@ -300,8 +302,10 @@
                 let d_is_member = state.members.contains(&node(D));
                 match model.change {
                     Change::Command => true,
-                    Change::Leave => !a_is_member && state.members.len() == FOUNDERS - 1,
-                    Change::Replace => !a_is_member && d_is_member && state.members.len() == FOUNDERS,
+                    Change::Leave => !a_is_member && state.members.len() == BOOTSTRAP_MEMBERS - 1,
+                    Change::Replace => {
+                        !a_is_member && d_is_member && state.members.len() == BOOTSTRAP_MEMBERS
+                    }
                 }
             }),
         ]
--- a/crates/coordination/tests/registry.rs
+++ b/crates/coordination/tests/registry.rs
@@ -91,7 +91,7 @@
     let mut registry = Registry::default();
     assert!(!registry.remove(ms(0), "i-1", FINAL_SEQUENCE));
     assert_eq!(registry.merge(ms(1), "i-1", 1, at(80)), RegistryUpdate::Stale);
-    registry.purge_removed(ms(60_002), ms(60_000));
+    registry.purge_tombstones(ms(60_002), ms(60_000));
     assert!(registry.get("i-1").is_none());
 }
 
--- a/crates/coordination/tests/version_conflicts.rs
+++ b/crates/coordination/tests/version_conflicts.rs
@@ -6,20 +6,20 @@
 use std::time::Duration;
 
 use cluster::configuration::{Configuration, document, outcome, patch, put, version};
-use cluster::{Cluster, MachineMaker};
+use cluster::{Cluster, StateMachineFactory};
 use lanegate_config::control_state::{self, Command, HISTORY_LENGTH, Outcome};
 use lanegate_coordination::register::{Applied, StateMachine, Status};
 
 const MEMBERS: usize = 3;
 
-fn machine() -> Box<dyn StateMachine> {
+fn state_machine() -> Box<dyn StateMachine> {
     Box::new(Configuration)
 }
 
 /// A deliberate mistake: what may have been forgotten is refused.
-struct RefusingTheForgotten;
+struct RejectForgottenChanges;
 
-impl StateMachine for RefusingTheForgotten {
+impl StateMachine for RejectForgottenChanges {
     fn apply(&self, current: &[u8], command: &[u8]) -> Applied {
         match control_state::apply(current, command).expect("a state and a command") {
             (Outcome::Unclear(_), None) => {
@@ -31,8 +31,8 @@
     }
 }
 
-fn rejecting_machine() -> Box<dyn StateMachine> {
-    Box::new(RefusingTheForgotten)
+fn rejecting_state_machine() -> Box<dyn StateMachine> {
+    Box::new(RejectForgottenChanges)
 }
 
 /// Answers that refuse a change for good.
@@ -51,39 +51,39 @@
 }
 
 /// A complete configuration that names its operator.
-fn operators_put(base: u64, version: u64, operator: &str) -> Command {
+fn put_by(base: u64, version: u64, operator: &str) -> Command {
     put(base, format!(r#"{{"Version":{version},"Operator":"{operator}"}}"#))
 }
 
 /// A change by names that names its operator.
-fn operators_patch(base: u64, version: u64, operator: &str) -> Command {
+fn patch_by(base: u64, version: u64, operator: &str) -> Command {
     patch(base, format!(r#"{{"Version":{version},"Upsert":{{"Backends":[{{"Name":"{operator}"}}]}}}}"#))
 }
 
 /// The two kinds of change on one version, by two operators.
-fn rivals(base: u64, version: u64) -> [[Command; 2]; 3] {
+fn competing_changes(base: u64, version: u64) -> [[Command; 2]; 3] {
     [
-        [operators_put(base, version, "first"), operators_put(base, version, "second")],
-        [operators_patch(base, version, "first"), operators_patch(base, version, "second")],
-        [operators_put(base, version, "first"), operators_patch(base, version, "second")],
+        [put_by(base, version, "first"), put_by(base, version, "second")],
+        [patch_by(base, version, "first"), patch_by(base, version, "second")],
+        [put_by(base, version, "first"), patch_by(base, version, "second")],
     ]
 }
 
 /// A group with the first configuration, version 1.
 fn cluster(spares: usize) -> Cluster {
-    cluster_of(machine, spares)
+    cluster_of(state_machine, spares)
 }
 
-fn cluster_of(machine: MachineMaker, spares: usize) -> Cluster {
-    let mut cluster = Cluster::new(MEMBERS, spares, machine);
+fn cluster_of(state_machine: StateMachineFactory, spares: usize) -> Cluster {
+    let mut cluster = Cluster::new(MEMBERS, spares, state_machine);
     assert!(is_acknowledged(&send(&mut cluster, 0, &put(0, document(1, 1)))));
     cluster
 }
 
 /// Makes the version rise to `last`, one change after the other.
-fn change_on(cluster: &mut Cluster, at: usize, last: u64) {
+fn advance_version_to(cluster: &mut Cluster, at: usize, last: u64) {
     let first = version(&cluster.state(at));
-    let later = (first..last).map(|base| operators_patch(base, base + 1, "later").encode());
+    let later = (first..last).map(|base| patch_by(base, base + 1, "later").encode());
     let requests: Vec<u64> = later.collect::<Vec<_>>().into_iter().map(|c| cluster.propose(at, c)).collect();
     for request in requests {
         assert!(is_acknowledged(&outcome(cluster.answer(request))));
@@ -92,47 +92,53 @@
 }
 
 /// Of two changes on one version one is taken; sent again anywhere, it is acknowledged and the other refused.
-fn check_one_won(cluster: &mut Cluster, rivals: &[Command; 2], answers: [Option<Outcome>; 2]) {
+fn check_exactly_one_accepted(
+    cluster: &mut Cluster,
+    competing: &[Command; 2],
+    answers: [Option<Outcome>; 2],
+) {
     let taken: Vec<bool> = answers.iter().map(is_acknowledged).collect();
     assert!(taken != [true, true], "both were acknowledged: {answers:?}");
     cluster.run(Duration::from_secs(5));
     let mut again = Vec::new();
     for at in 0..MEMBERS {
-        let answers = [0, 1].map(|rival| send(cluster, at, &rivals[rival]));
+        let answers = [0, 1].map(|index| send(cluster, at, &competing[index]));
         again.push(answers.each_ref().map(is_acknowledged));
         assert!(is_rejection(&answers[0]) != is_rejection(&answers[1]), "{answers:?}");
     }
     assert!(again.windows(2).all(|pair| pair[0] == pair[1]), "all controllers say the same: {again:?}");
-    for rival in 0..2 {
-        assert!(!taken[rival] || again[0][rival], "it was acknowledged, and refused afterwards");
-        assert!(!is_rejection(&answers[rival]) || !again[0][rival], "it was refused, and taken afterwards");
+    for index in 0..2 {
+        assert!(!taken[index] || again[0][index], "it was acknowledged, and refused afterwards");
+        assert!(!is_rejection(&answers[index]) || !again[0][index], "it was refused, and taken afterwards");
     }
 }
 
 #[test]
 fn the_same_version_at_two_controllers_is_accepted_once() {
-    for rivals in rivals(1, 2) {
+    for competing in competing_changes(1, 2) {
         let mut cluster = cluster(0);
-        let requests = [cluster.propose(0, rivals[0].encode()), cluster.propose(1, rivals[1].encode())];
+        let requests = [cluster.propose(0, competing[0].encode()), cluster.propose(1, competing[1].encode())];
         let answers = requests.map(|request| outcome(cluster.answer(request)));
-        check_one_won(&mut cluster, &rivals, answers);
+        check_exactly_one_accepted(&mut cluster, &competing, answers);
     }
 }
 
 #[test]
 fn the_same_version_on_both_sides_of_a_partition_is_accepted_once() {
-    for rivals in rivals(1, 2) {
+    for competing in competing_changes(1, 2) {
         for minority in 0..MEMBERS {
             let mut cluster = cluster(0);
             cluster.partition(&[minority]);
             let other = (minority + 1) % MEMBERS;
-            let requests =
-                [cluster.propose(minority, rivals[0].encode()), cluster.propose(other, rivals[1].encode())];
+            let requests = [
+                cluster.propose(minority, competing[0].encode()),
+                cluster.propose(other, competing[1].encode()),
+            ];
             let answers = requests.map(|request| outcome(cluster.answer(request)));
             assert_eq!(answers[0], None, "the minority knows nothing, and refuses nothing");
             assert!(is_acknowledged(&answers[1]));
             cluster.heal();
-            check_one_won(&mut cluster, &rivals, answers);
+            check_exactly_one_accepted(&mut cluster, &competing, answers);
         }
     }
 }
@@ -140,45 +146,46 @@
 /// The partition heals while the minority's change is pending: it must not be accepted on top of the other.
 #[test]
 fn the_same_version_on_both_sides_of_a_healing_partition_is_accepted_once() {
-    for (rivals, wait) in rivals(1, 2).into_iter().zip([0, 40, 400].map(Duration::from_millis)) {
+    for (competing, wait) in competing_changes(1, 2).into_iter().zip([0, 40, 400].map(Duration::from_millis))
+    {
         let mut cluster = cluster(0);
         cluster.partition(&[2]);
-        let late = cluster.propose(2, rivals[0].encode());
+        let late = cluster.propose(2, competing[0].encode());
         cluster.run(wait);
-        let first = send(&mut cluster, 0, &rivals[1]);
+        let first = send(&mut cluster, 0, &competing[1]);
         cluster.heal();
         let late = outcome(cluster.answer(late));
-        check_one_won(&mut cluster, &rivals, [late, first]);
+        check_exactly_one_accepted(&mut cluster, &competing, [late, first]);
     }
 }
 
 #[test]
 fn the_same_version_during_a_membership_change_is_accepted_once() {
-    for rivals in rivals(1, 2) {
+    for competing in competing_changes(1, 2) {
         for step in 0..12_u32 {
             let mut cluster = cluster(1);
             let spare = MEMBERS;
             let members = cluster.change_members(0, &[2], &[spare]);
             cluster.run(Duration::from_millis(4) * step);
             let requests =
-                [cluster.propose(2, rivals[0].encode()), cluster.propose(spare, rivals[1].encode())];
+                [cluster.propose(2, competing[0].encode()), cluster.propose(spare, competing[1].encode())];
             let answers = requests.map(|request| outcome(cluster.answer(request)));
             assert!(cluster.answer(members).is_some());
-            check_one_won(&mut cluster, &rivals, answers);
+            check_exactly_one_accepted(&mut cluster, &competing, answers);
         }
     }
 }
 
 #[test]
 fn the_same_version_after_a_wipe_is_accepted_once() {
-    for rivals in rivals(1, 2) {
+    for competing in competing_changes(1, 2) {
         for wiped in 0..MEMBERS {
             let mut cluster = cluster(0);
-            let first = send(&mut cluster, wiped, &rivals[0]);
+            let first = send(&mut cluster, wiped, &competing[0]);
             cluster.wipe(wiped);
             cluster.start(wiped);
-            let second = send(&mut cluster, wiped, &rivals[1]);
-            check_one_won(&mut cluster, &rivals, [first, second]);
+            let second = send(&mut cluster, wiped, &competing[1]);
+            check_exactly_one_accepted(&mut cluster, &competing, [first, second]);
         }
     }
 }
@@ -186,7 +193,7 @@
 /// Whoever proposed a change dies before its answer leaves; the same call goes to every other controller.
 #[test]
 fn a_change_whose_answer_was_lost_is_acknowledged_wherever_it_is_sent_again() {
-    for change in [operators_put(1, 2, "first"), operators_patch(1, 2, "first")] {
+    for change in [put_by(1, 2, "first"), patch_by(1, 2, "first")] {
         for moment in 0..10_u32 {
             let mut cluster = cluster(0);
             cluster.propose(0, change.encode());
@@ -205,20 +212,24 @@
 }
 
 /// The outcome of the same call after `later` further changes, at every member and after each kind of loss.
-fn check_later(machine: MachineMaker, later: u64, expected: impl Fn(&Option<Outcome>) -> bool) {
-    let changes = [operators_put(1, 2, "first"), operators_patch(2, 3, "first")];
-    let mut cluster = cluster_of(machine, 0);
+fn check_resent_change(
+    state_machine: StateMachineFactory,
+    later: u64,
+    expected: impl Fn(&Option<Outcome>) -> bool,
+) {
+    let changes = [put_by(1, 2, "first"), patch_by(2, 3, "first")];
+    let mut cluster = cluster_of(state_machine, 0);
     for change in &changes {
         assert!(is_acknowledged(&send(&mut cluster, 0, change)));
     }
-    change_on(&mut cluster, 0, 3 + later);
+    advance_version_to(&mut cluster, 0, 3 + later);
     let check = |cluster: &mut Cluster, when: &str| {
         for at in 0..MEMBERS {
             for change in &changes {
                 let answer = send(cluster, at, change);
                 assert!(expected(&answer), "{when}, at {at}, after {later}: {answer:?}");
             }
-            let other = send(cluster, at, &operators_put(1, 2, "second"));
+            let other = send(cluster, at, &put_by(1, 2, "second"));
             assert!(!is_acknowledged(&other), "{when}, at {at}: {other:?}");
         }
     };
@@ -238,32 +249,32 @@
 
 #[test]
 fn a_change_sent_again_after_one_later_change_is_acknowledged() {
-    check_later(machine, 1, is_acknowledged);
+    check_resent_change(state_machine, 1, is_acknowledged);
 }
 
 #[test]
 fn a_change_sent_again_after_500_later_changes_is_acknowledged() {
-    check_later(machine, 500, is_acknowledged);
+    check_resent_change(state_machine, 500, is_acknowledged);
 }
 
 #[test]
 fn a_change_sent_again_after_5000_later_changes_gets_no_clear_answer() {
-    check_later(machine, 5_000, |answer| matches!(answer, Some(Outcome::Unclear(_))));
+    check_resent_change(state_machine, 5_000, |answer| matches!(answer, Some(Outcome::Unclear(_))));
 }
 
 #[test]
 #[should_panic(expected = "Conflict")]
 fn rejecting_a_forgotten_change_is_found() {
-    check_later(rejecting_machine, HISTORY_LENGTH as u64 + 1, |answer| !is_rejection(answer));
+    check_resent_change(rejecting_state_machine, HISTORY_LENGTH as u64 + 1, |answer| !is_rejection(answer));
 }
 
 /// With five, two disks are lost at once: every disk but those of a majority.
 #[test]
 fn a_change_survives_the_loss_of_every_disk_but_a_majority() {
-    let mut cluster = Cluster::new(5, 0, machine);
-    let change = operators_put(0, 1, "first");
+    let mut cluster = Cluster::new(5, 0, state_machine);
+    let change = put_by(0, 1, "first");
     assert!(is_acknowledged(&send(&mut cluster, 0, &change)));
-    change_on(&mut cluster, 0, 10);
+    advance_version_to(&mut cluster, 0, 10);
     for lost in [[0, 1], [2, 3], [4, 0]] {
         lost.iter().for_each(|at| cluster.wipe(*at));
         lost.iter().for_each(|at| cluster.start(*at));
@@ -278,8 +289,8 @@
 #[test]
 fn the_base_version_identifies_a_change_only_if_it_changes_by_names() {
     let mut cluster = cluster(0);
-    let whole = operators_put(1, 2, "first");
-    let names = operators_patch(2, 3, "first");
+    let whole = put_by(1, 2, "first");
+    let names = patch_by(2, 3, "first");
     assert!(is_acknowledged(&send(&mut cluster, 0, &whole)));
     assert!(is_acknowledged(&send(&mut cluster, 1, &names)));
     let whole_elsewhere = Command { if_match: Some(3), ..whole };
