--- a/crates/coordination/src/feed.rs
+++ b/crates/coordination/src/feed.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-/// The position of a subscriber: in which source's journal, and how much of it the subscriber has applied.
+/// The position of a subscriber: which source's journal it follows, and how much of that it has applied.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Position {
     /// Incarnation of the process whose journal it is; 0 for a subscriber that has none yet.
@@ -14,7 +14,7 @@
 /// How a subscriber at some position is brought up to date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
-    /// The changes from this offset on are still in the journal.
+    /// The changes from this offset on are sent; they are still in the journal.
     Tail {
         /// Offset of the first change to send.
         from: u64,
--- a/crates/coordination/src/lease/grantor.rs
+++ b/crates/coordination/src/lease/grantor.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Whether a grantor may have granted anything before it started.
+/// Whether a grantor may have given grants before this start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GrantorStart {
     /// The first start of the whole system: nothing was ever granted.
@@ -21,7 +21,7 @@
     candidate: NodeId,
     /// The newest round of the candidate that was granted or released.
     round: u64,
-    /// When another candidate may get a grant.
+    /// When the shard may be granted to another candidate.
     expires_at: Duration,
 }
 
@@ -76,7 +76,7 @@
         })
     }
 
-    /// Ends a grant once the quiet period after the candidate's last action has passed.
+    /// Shortens a grant: it ends when the quiet period after the candidate's last action has passed.
     pub fn on_release(&mut self, now: Duration, release: &LeaseRelease) {
         let Some(grant) = self.grants.get_mut(&release.shard) else { return };
         if grant.candidate != release.candidate || release.round < grant.round {
--- a/crates/coordination/src/lease/group.rs
+++ b/crates/coordination/src/lease/group.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A group, with the previous ones for as long as grants of theirs may be valid.
+/// A group, and the previous ones for as long as their grants may be valid.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct GrantorGroup {
     pub generation: u64,
@@ -11,7 +11,7 @@
     previous: Vec<PreviousGroup>,
 }
 
-/// A group whose majority is required too, up to some time.
+/// An earlier group, whose majority is required as well until a given time.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct PreviousGroup {
     members: Vec<SocketAddr>,
--- a/crates/coordination/src/lease/holder.rs
+++ b/crates/coordination/src/lease/holder.rs
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Lease {
     tenure: Tenure,
-    /// End of the newest majority of grants, less the margin.
+    /// When the grants of the newest round with a majority end, less the margin.
     expires_at: Duration,
     epoch: Option<u64>,
 }
@@ -83,7 +83,7 @@
 }
 
 impl LeaseHolder {
-    /// A process that is not a candidate and knows no group yet.
+    /// A process that is not a candidate yet and knows no group.
     pub fn new(settings: LeaseSettings, shard: u32, local_node: NodeId) -> Self {
         LeaseHolder {
             settings,
@@ -166,7 +166,7 @@
         outputs
     }
 
-    /// Sets the epoch that the register gave for `tenure`.
+    /// Sets the epoch that the register returned for `tenure`.
     ///
     /// The epoch of a tenure that has ended is dropped. If an epoch is not higher than all earlier ones, another
     /// one is acquired.
@@ -189,7 +189,7 @@
         outputs
     }
 
-    /// The register gave no epoch for `tenure` in time: another attempt is made, as long as the tenure lasts.
+    /// The register returned no epoch for `tenure` in time: another attempt is made, as long as the tenure lasts.
     pub fn epoch_unavailable(&mut self, now: Duration, tenure: Tenure) -> Vec<Output> {
         let mut outputs = self.end_if_expired(now);
         let awaits_epoch = |lease: &Lease| lease.tenure == tenure && lease.epoch.is_none();
@@ -232,10 +232,10 @@
         vec![Output::AcquireEpoch { tenure }]
     }
 
-    /// No majority granted this round: unless this process holds the lease it releases the grants that it got,
-    /// so that another candidate can win.
+    /// No majority granted this round: unless this process holds the lease, it releases the grants that it got,
+    /// so that another candidate can get a majority.
     ///
-    /// The next round starts after the shortest wait that a grantor named, but at least once in a validity
+    /// The next round starts after the shortest wait that a grantor reported, but at least once in a validity
     /// period, as a release of another candidate shortens awaits_epoch.
     fn on_round_lost(&mut self, now: Duration, wait: Duration) -> Vec<Output> {
         if self.lease.is_some() {
--- a/crates/coordination/src/lease/message.rs
+++ b/crates/coordination/src/lease/message.rs
@@ -32,7 +32,7 @@
     pub round: u64,
     /// Generation of the group that the candidate knows.
     pub generation: u64,
-    /// How long the candidate will act on the grants of this round, in milliseconds.
+    /// How long the candidate may act on the grants of this round, in milliseconds.
     pub valid_ms: u32,
 }
 
@@ -52,7 +52,7 @@
     pub wait_ms: u32,
 }
 
-/// A candidate releases its grants and will not act on them again.
+/// A candidate releases its grants and does not act on them afterwards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "big")]
 pub struct LeaseRelease {
--- a/crates/coordination/src/lease/mod.rs
+++ b/crates/coordination/src/lease/mod.rs
@@ -4,13 +4,13 @@
 //! validity period, measured from before its requests were sent. A member that granted gives no grant to another
 //! incarnation until the validity and a quiet period have passed on its own clock. So at least the quiet period
 //! lies between the last action of one holder and the first action of the next, whatever the network does, as
-//! long as monotonic clocks run at nearly the same rate. Every tenure acts under an epoch of its own, which the
-//! caller acquires from a replicated register (Gray and Cheriton, 1989; Chubby's sequencers).
+//! long as monotonic clocks run at nearly the same rate. Every tenure has its own epoch, which the caller
+//! acquires from a replicated register (Gray and Cheriton, 1989; Chubby's sequencers).
 //!
-//! Each incarnation of a process is a candidate of its own: a restarted process waits like any other. No clock is
+//! Each incarnation of a process is a separate candidate: a restarted process waits like any other. No clock is
 //! read here: time is the reading of the caller's monotonic clock, counted from any fixed origin.
 //!
-//! Begin with [`LeaseNode`], then read the holder, the grantor and the group.
+//! Start reading with [`LeaseNode`], then the holder, the grantor and the group.
 
 mod grantor;
 mod group;
--- a/crates/coordination/src/lease/round.rs
+++ b/crates/coordination/src/lease/round.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Largest number of open rounds: replies to older ones come too late to be of use.
+/// Largest number of open rounds: replies to older rounds arrive too late to extend the lease.
 const MAX_OPEN_ROUNDS: usize = 4;
 
 /// One round of requests to all grantors.
@@ -30,7 +30,7 @@
         group.is_majority_refused(&self.refused)
     }
 
-    /// The shortest wait that a refusing grantor named.
+    /// The shortest wait that a refusing grantor reported.
     pub(super) fn shortest_wait(&self) -> Duration {
         self.waits.iter().min().copied().unwrap_or_default()
     }
--- a/crates/coordination/src/lease/settings.rs
+++ b/crates/coordination/src/lease/settings.rs
@@ -6,7 +6,7 @@
 /// Settings of a lease; all members of a group use the same.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseSettings {
-    /// How long the grants of a round are valid, from before the requests were sent.
+    /// How long the grants of a round are valid, counted from before its requests were sent.
     pub validity: Duration,
     /// Shortest time between the actions of two holders.
     pub quiet_period: Duration,
@@ -18,7 +18,7 @@
     pub clock_drift_ppm: u32,
 }
 
-/// These settings do not make a safe and usable lease.
+/// The settings would make a lease that is unsafe or cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum LeaseSettingsError {
     /// The validity is too short for the round interval and the margin.
@@ -32,7 +32,7 @@
     TooLong,
 }
 
-/// One percent: far above the drift of quartz clocks, and what a virtual machine may add.
+/// One percent: far above the drift of quartz clocks and the drift that a virtual machine may add.
 const CLOCK_DRIFT_PPM: u32 = 10_000;
 /// Parts per million in a whole.
 const PARTS_PER_MILLION: u128 = 1_000_000;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Checks that the settings fit together.
+    /// Checks that the settings are consistent.
     ///
     /// # Errors
     /// If the lease would not be safe or not be usable.
@@ -71,7 +71,7 @@
         self.with_clock_drift(validity + self.quiet_period)
     }
 
-    /// `duration`, lengthened so that it is long enough if this clock is fast and the holder's is slow.
+    /// `duration`, lengthened so that it is still long enough if this clock is fast and the holder's is slow.
     pub(super) fn with_clock_drift(&self, duration: Duration) -> Duration {
         let parts = PARTS_PER_MILLION + 2 * u128::from(self.clock_drift_ppm) + DRIFT_SQUARED_PPM;
         let nanoseconds = (duration.as_nanos() * parts).div_ceil(PARTS_PER_MILLION);
@@ -79,6 +79,6 @@
     }
 }
 
-/// Bound of the square of the drift, which twice the drift does not include: 0.03 percent, for drifts up to 1.7
-/// percent.
+/// Upper bound of the square of the drift, a term that doubling the drift does not cover: 0.03 percent, for drifts
+/// up to 1.7 percent.
 const DRIFT_SQUARED_PPM: u128 = 300;
--- a/crates/coordination/src/membership/failure_detector.rs
+++ b/crates/coordination/src/membership/failure_detector.rs
@@ -26,7 +26,7 @@
         /// Its new state.
         state: PeerState,
     },
-    /// A monitored peer is a new incarnation: whatever the old one promised no longer holds.
+    /// A monitored peer is a new incarnation: commitments of the old one no longer hold.
     Restarted {
         /// The peer.
         peer: SocketAddr,
@@ -35,7 +35,7 @@
     },
 }
 
-/// The failure detector of one process: the peers that it monitors, its own monitors, and who is live.
+/// The failure detector of one process: the peers that it monitors, its own monitors, and which nodes are live.
 ///
 /// All times are readings of the caller's monotonic clock.
 #[derive(Debug)]
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Replaces the known nodes. This process belongs to them in any case; the state of peers that stay is retained.
+    /// Replaces the known nodes. This process is always one of them; the state of peers that remain is kept.
     pub fn set_nodes(&mut self, now: Duration, nodes: &[SocketAddr]) {
         self.detect_suspension(now);
         let local_address = self.local_node.address();
@@ -144,7 +144,8 @@
         order.into_iter().find(|node| self.is_live(*node)).unwrap_or(self.local_node.address())
     }
 
-    /// If this process itself was suspended, missing heartbeats say nothing about the peers: their timeouts restart.
+    /// If this process itself was suspended, missing heartbeats are no evidence against the peers: their timeouts
+    /// restart.
     fn detect_suspension(&mut self, now: Duration) {
         let was_suspended = now.saturating_sub(self.last_call) > self.settings.suspension_threshold;
         self.last_call = self.last_call.max(now);
--- a/crates/coordination/src/membership/heartbeat.rs
+++ b/crates/coordination/src/membership/heartbeat.rs
@@ -1,4 +1,4 @@
-//! The message by which a process shows that it is live.
+//! The message that a process sends to its monitors to show that it is live.
 
 use super::node::NodeId;
 use deku::prelude::*;
--- a/crates/coordination/src/membership/peer.rs
+++ b/crates/coordination/src/membership/peer.rs
@@ -36,7 +36,8 @@
     sequence: u64,
     /// Start of the present idle time: the last heartbeat, or a later restart of the timeout.
     idle_since: Duration,
-    /// Arrival of the last heartbeat, unless the gap that follows it says nothing about the peer.
+    /// Arrival of the last heartbeat; `None` before the first one, and if the gap that follows it is not a sample,
+    /// because this process was suspended.
     gap_start: Option<Duration>,
     mean_gap: Duration,
     gap_deviation: Duration,
@@ -80,8 +81,8 @@
         Some(HeartbeatEffect { state_changed, restarted })
     }
 
-    /// Updates the smoothed mean and deviation with the newest gap. A gap that ended a suspicion is an outage and
-    /// no sample.
+    /// Updates the smoothed mean and deviation with the newest gap. A gap during which
+    /// the peer was suspected is an outage and not a sample.
     fn update_gap_estimate(&mut self, now: Duration) {
         let start = self.gap_start.replace(now);
         let Some(start) = start.filter(|_| self.state == PeerState::Live) else { return };
--- a/crates/coordination/src/membership/rendezvous.rs
+++ b/crates/coordination/src/membership/rendezvous.rs
@@ -26,8 +26,8 @@
 
 /// The nodes that `this` monitors: those that have it among their `count` monitors.
 ///
-/// Choosing monitors by the node that is monitored (and not peers by the node that monitors) leaves no node
-/// without a monitor; a node monitors `count` others on average.
+/// The monitors are chosen for each monitored node, rather than the peers for each monitor. So every node has
+/// `count` monitors, and monitors `count` others on average.
 pub fn monitored_peers(this: SocketAddr, nodes: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
     let mut nodes = nodes.to_vec();
     nodes.sort_unstable();
--- a/crates/coordination/src/register/acceptor.rs
+++ b/crates/coordination/src/register/acceptor.rs
@@ -1,4 +1,5 @@
-//! The acceptor: promises and accepts, and answers only once the record that says so is durable.
+//! The acceptor: gives promises and accepts values. It replies only once the record that contains the promise or
+//! the value is durable.
 
 use std::mem::discriminant;
 use std::time::Duration;
@@ -21,7 +22,7 @@
     message: Message,
 }
 
-/// A record handed out to be written.
+/// A record whose write is in flight.
 #[derive(Clone, Hash)]
 struct Write {
     version: u64,
@@ -31,13 +32,13 @@
 #[derive(Clone, Hash)]
 pub(super) struct Acceptor {
     current: Record,
-    /// Rises with each change of the record.
+    /// Incremented with each change of the record.
     version: u64,
     /// The record as the disk holds it.
     durable: Option<Record>,
     durable_version: u64,
     write_in_flight: Option<Write>,
-    /// When a write that the disk refused is tried again.
+    /// When a failed write is tried again.
     retry_at: Option<Duration>,
     deferred_replies: Vec<DeferredReply>,
 }
@@ -65,7 +66,7 @@
         &self.current
     }
 
-    /// Whether a record is on disk, and the disk has not refused the last write.
+    /// Whether a record is on disk and the last write did not fail.
     pub(super) fn is_stored(&self) -> bool {
         self.durable_version > 0 && self.retry_at.is_none()
     }
@@ -93,7 +94,7 @@
         }
     }
 
-    /// The disk refused the write of version `token`: it is tried again later.
+    /// The write of version `token` failed: it is tried again later.
     pub(super) fn on_persist_failed(&mut self, context: &Context, token: u64) {
         if self.write_in_flight.take_if(|write| write.version == token).is_some() {
             self.retry_at = Some(context.now + context.settings.persist_retry_interval);
@@ -150,7 +151,7 @@
         self.version += 1;
     }
 
-    /// Answers a quorum read with what the disk holds, so that a stalled disk does not hold up reads.
+    /// Answers a quorum read with the record on disk, so that a stalled disk does not delay reads.
     pub(super) fn on_read_query(&mut self, context: &mut Context, from: Node, request: u64, known: Ballot) {
         let record = self.durable.as_ref().unwrap_or(&self.current);
         let message = Message::ReadReply {
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Registers an incarnation of a recovering replica and sends it all that is known here.
+    /// Registers an incarnation of a recovering replica and sends it the state of this replica.
     pub(super) fn on_register_incarnation(
         &mut self,
         context: &mut Context,
@@ -201,12 +202,12 @@
     }
 }
 
-/// The accepted value, unless the receiver already has it: it says that it holds the value of `known`.
+/// The accepted value, unless the receiver already has it; `known` is the ballot of the newest value it has.
 fn value_newer_than(record: &Record, known: Ballot) -> ValueTransfer {
     if record.accepted > known { ValueTransfer::Full(record.value.clone()) } else { ValueTransfer::Omitted }
 }
 
-/// The incarnations in votes and answers.
+/// The incarnations that votes and answers contain.
 fn voter(record: &Record) -> Voter {
     let minimum_incarnations = record.minimum_incarnations.clone();
     Voter { incarnation: record.incarnation, minimum_incarnations }
--- a/crates/coordination/src/register/anti_entropy.rs
+++ b/crates/coordination/src/register/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy: polls the other replicas in turn for a newer committed value, as a replica may be behind without
-//! any sign of it.
+//! Anti-entropy: polls the other replicas in turn for a newer committed value, as a replica may have missed
+//! commits without any message that shows it.
 
 use std::time::Duration;
 
--- a/crates/coordination/src/register/ballot.rs
+++ b/crates/coordination/src/register/ballot.rs
@@ -6,7 +6,7 @@
 
 /// A proposal number, unique over nodes and over restarts of a node.
 ///
-/// The first three parts belong to one prepare phase. The proposer that owns them counts `step` up for each
+/// The first three parts belong to one prepare phase. The proposer that owns them increments `step` for each
 /// further value, so that it can propose again in one round trip: no other proposal fits between two steps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
@@ -22,7 +22,7 @@
 }
 
 impl Ballot {
-    /// Below every ballot of a proposer; the initial value counts as accepted here.
+    /// Lower than every ballot of a proposer; the initial value counts as accepted under it.
     pub const ZERO: Self = Self { counter: 0, node: Node { ip: 0, port: 0 }, nonce: 0, step: 0 };
 
     /// The first ballot of a proposer with this counter.
--- a/crates/coordination/src/register/catch_up.rs
+++ b/crates/coordination/src/register/catch_up.rs
@@ -1,7 +1,8 @@
 //! Catching up: a replica that learns of a commit without its value requests the value, one request at a time.
 //!
 //! However many commits are announced meanwhile, one request is in flight; the answer holds the newest value
-//! that its sender knows. So what a replica receives to catch up does not grow with what it missed.
+//! that its sender knows. So the amount of data that a replica receives to catch up does not grow with the number
+//! of commits that it missed.
 
 use std::time::Duration;
 
@@ -15,7 +16,7 @@
 #[derive(Clone, Hash)]
 struct MissingCommit {
     ballot: Ballot,
-    /// Who announced it.
+    /// The replica that announced it.
     from: Node,
     retry: RetryTimer,
 }
--- a/crates/coordination/src/register/codec.rs
+++ b/crates/coordination/src/register/codec.rs
@@ -1,4 +1,4 @@
-//! Shared parts of the binary encoding.
+//! Parts of the binary encoding that messages and records share.
 
 use std::io::{Read, Seek, Write};
 
@@ -14,14 +14,14 @@
 /// Bytes reserved at once while reading, so that an invalid length costs little.
 const READ_STEP_BYTES: usize = 64 << 10;
 
-/// Why bytes are not a message or a record.
+/// Why bytes could not be decoded as a message or a record, or one could not be encoded.
 #[derive(Debug, Error)]
 pub enum CodecError {
-    /// A field is missing, too long or of no known kind.
-    #[error("malformed: {0}")]
+    /// A field is missing, is too long or has an unknown type number.
+    #[error("malformed message or record: {0}")]
     Malformed(#[from] DekuError),
-    /// Bytes are left after the last field.
-    #[error("{0} bytes after the end")]
+    /// The input continues after the last field.
+    #[error("{0} unexpected bytes after the last field")]
     Trailing(usize),
 }
 
--- a/crates/coordination/src/register/context.rs
+++ b/crates/coordination/src/register/context.rs
@@ -27,7 +27,7 @@
     pub(super) value: Value,
 }
 
-/// State that all parts of a replica read, and the outputs that they append to.
+/// State that all parts of a replica read, and the queue of outputs that they append to.
 #[derive(Clone)]
 pub(super) struct Context {
     pub(super) settings: Settings,
@@ -84,7 +84,7 @@
         if self.settings.has(Fault::ReuseBallot) { 0 } else { self.nonce }
     }
 
-    /// Sends a message, if need be to this replica itself.
+    /// Sends a message to another replica or to this one.
     pub(super) fn send(&mut self, to: Node, message: Message) {
         if to == self.node() {
             self.local_messages.push_back(message);
@@ -93,14 +93,14 @@
         }
     }
 
-    /// Answers a request; an internal task has none.
+    /// Answers a request; `request` is `None` for an internal task, which has no caller.
     pub(super) fn complete(&mut self, request: Option<u64>, outcome: Outcome) {
         if let Some(request) = request {
             self.outputs.push_back(Output::Done { request, outcome });
         }
     }
 
-    /// A value as it is taken over from another replica.
+    /// A value received from another replica, as this one stores it.
     pub(super) fn adopt(&self, value: Value) -> Value {
         if self.settings.has(Fault::ForgetHistory) { Value { history: Vec::new(), ..value } } else { value }
     }
@@ -133,7 +133,8 @@
         Message::PollCommitted { committed, known }
     }
 
-    /// How long a proposer waits after `preemptions` preemptions in a row; random, so that rivals part.
+    /// How long a proposer waits after `preemptions` preemptions in a row; random, so that competing
+    /// proposers do not preempt each other again.
     pub(super) fn backoff(&mut self, preemptions: u32) -> Duration {
         let longest = self.settings.backoff * (1 << preemptions.min(MAX_BACKOFF_DOUBLINGS));
         self.random_up_to(longest) + self.settings.backoff / 2
--- a/crates/coordination/src/register/event.rs
+++ b/crates/coordination/src/register/event.rs
@@ -40,7 +40,7 @@
         /// When the request expires.
         deadline: Duration,
     },
-    /// Reads the value; never older than any change acknowledged before.
+    /// Reads the value. It is never older than a change that was acknowledged before the request.
     Read {
         /// Identifies the request in [`Output::Done`].
         request: u64,
@@ -59,7 +59,7 @@
         deadline: Duration,
     },
     /// A node that may know the group is reachable, for the first time or again (a connection to it was
-    /// established): what it has not answered is sent to it at once.
+    /// established): messages that it has not answered are sent to it again immediately.
     PeerReachable {
         /// The node.
         node: Node,
@@ -90,7 +90,7 @@
         /// Its answer.
         outcome: Outcome,
     },
-    /// A newer committed value became known. Revisions never fall.
+    /// A newer committed value became known. Revisions never decrease.
     Committed {
         /// The value.
         value: Value,
@@ -137,15 +137,15 @@
 /// The member status of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// The disk was empty: not voting until enough members have answered.
+    /// The disk was empty: the replica does not vote until enough members have answered.
     Recovering {
         /// Replicas that answered so far.
         answered: usize,
-        /// Replicas that must answer in the first group that lacks some; zero while no group is known.
+        /// Replicas that must answer, in the first group without enough answers; zero while no group is known.
         needed: usize,
     },
     /// Voting member.
     Member,
-    /// Able to vote, but no member of the newest group that it knows.
+    /// Able to vote, but not a member of the newest group that it knows.
     Spare,
 }
--- a/crates/coordination/src/register/fault.rs
+++ b/crates/coordination/src/register/fault.rs
@@ -1,6 +1,6 @@
-//! Deliberate mistakes of a replica, for tests that prove that they find them.
+//! Defects of a replica that tests switch on, to show that they would be detected.
 
-/// Deliberate mistakes: each must be found by the random schedules, or by the tests on catching up.
+/// Defects that can be switched on. The random schedules or the tests on catching up must detect each of them.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
@@ -24,15 +24,15 @@
     ReadUncommitted,
     /// An acceptor accepts values below its promise.
     AcceptBelowPromise,
-    /// A majority is one less.
+    /// A majority needs one vote fewer than it should.
     SmallMajority,
-    /// The final value of a membership change that was accepted, and not committed, is left as it is.
+    /// The final value of a membership change that was accepted but not committed is left uncommitted.
     LeaveChangeUncommitted,
     /// A preempted command is proposed again even if it took effect.
     ProposeTwice,
-    /// The recent changes of a value that is taken over from others (recovery, catch-up) are dropped.
+    /// The recent changes in a value received from others (recovery, catch-up) are dropped.
     ForgetHistory,
-    /// A value is also sent to a replica that has not answered the one before.
+    /// A value is also sent to a replica that has not answered the previous one.
     SendBeforeAnswer,
     /// A replica requests the value of every announced commit.
     RequestEveryCommit,
--- a/crates/coordination/src/register/group.rs
+++ b/crates/coordination/src/register/group.rs
@@ -4,7 +4,7 @@
 
 use super::node::Node;
 
-/// Members of which a majority must vote.
+/// A set of members; a decision needs the votes of a majority of them.
 #[deku_derive(DekuRead, DekuWrite)]
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
@@ -37,13 +37,14 @@
         self.members.contains(&node)
     }
 
-    /// Members that are more than half.
+    /// The smallest number of members that is more than half.
     #[must_use]
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// Number of other members that overlap every majority in which a recovering member may have voted.
+    /// How many other members must answer a recovering member, so that they overlap every majority in which it may
+    /// have voted.
     #[must_use]
     pub fn recovery_quorum(&self) -> usize {
         self.members.len().saturating_sub(self.majority()) + 1
--- a/crates/coordination/src/register/incarnation.rs
+++ b/crates/coordination/src/register/incarnation.rs
@@ -16,7 +16,7 @@
     pub incarnation: u64,
 }
 
-/// Minimum incarnations known to one replica, at most one for each node; that of other nodes is zero.
+/// Minimum incarnations known to one replica, at most one for each node; it is zero for nodes without an entry.
 #[deku_derive(DekuRead, DekuWrite)]
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
@@ -54,7 +54,7 @@
     }
 }
 
-/// The incarnation of a replica that votes or answers, and what it knows of the incarnations of others.
+/// The incarnation of a replica that votes or answers, and the minimum incarnations of others that it knows.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Voter {
--- a/crates/coordination/src/register/message.rs
+++ b/crates/coordination/src/register/message.rs
@@ -120,7 +120,8 @@
 }
 
 impl Message {
-    /// Whether the sender has processed what was sent to it last, or requests what it did not get.
+    /// Whether this message shows that its sender has processed the last value sent to it, or requests a value that
+    /// it did not receive.
     pub(super) const fn is_answer(&self) -> bool {
         matches!(self, Self::Accepted { .. } | Self::Rejected { .. } | Self::PollCommitted { .. })
     }
@@ -128,7 +129,7 @@
     /// Encodes the message.
     ///
     /// # Errors
-    /// If the state is longer than a length field can say.
+    /// If the state is longer than its 32-bit length field allows.
     pub fn encode(&self) -> Result<Vec<u8>, CodecError> {
         Ok(self.to_bytes()?)
     }
--- a/crates/coordination/src/register/mod.rs
+++ b/crates/coordination/src/register/mod.rs
@@ -1,8 +1,9 @@
-//! Replicated registers without log or leader.
+//! Replicated registers, without a log or a leader.
 //!
 //! A register holds one value that is replaced by compare-and-set, agreed on by a group of replicas with
-//! `CASPaxos` (Rystsov, 2018): any replica may propose; a change needs one round trip to a majority if the proposer made the
-//! last change, two otherwise. A [`Replica`] does no input or output: [`Input`]s go in, [`Output`]s come out.
+//! `CASPaxos` (Rystsov, 2018): any replica may propose; a change needs one round trip to a majority if the proposer
+//! made the last change, two otherwise. A [`Replica`] does no input or output: the caller passes [`Input`]s to it and
+//! carries out its [`Output`]s.
 //!
 //! ```
 //! use std::time::Duration;
@@ -38,8 +39,8 @@
 //! # Ballots
 //!
 //! A [`Ballot`] is unique by its counter, its node and a random number drawn at each start of the process, so a restart
-//! cannot repeat one. A proposer that got promises for a ballot counts its `step` up for every further value
-//! and needs no promises again: no other ballot lies between two steps. It proposes the next step only when
+//! cannot repeat one. A proposer that has got promises for a ballot increments its `step` for every further value
+//! and needs no new promises: no other ballot lies between two steps. It proposes the next step only when
 //! the value of the last one is committed.
 //!
 //! # Groups
@@ -47,14 +48,14 @@
 //! The value names the groups in force. A change of members first has a joint value committed, with the old and
 //! the new group, then one with the new group alone. A value is accepted by a majority of every group in force
 //! before and after it; promises are collected from the groups the proposer knows and from those of the newest
-//! value the promises reveal, until nothing new turns up. A change of groups is only proposed on a value that
-//! its proposer knows to be committed. So each group's majority has seen the change that replaced it, and whoever
-//! starts from an old group is led to the newest.
+//! value that the promises contain, until no further group appears. A change of groups is only proposed on a value
+//! that its proposer knows to be committed. So a majority of each group has seen the change that replaced it, and a
+//! proposer that starts from an old group always finds the newest one.
 //!
 //! # Lost disks
 //!
-//! A replica whose disk is empty, and which is not a bootstrap member, must not vote: it forgot promises and
-//! accepted values that others rely on. Each run of a node with one disk is an incarnation. A replica with an
+//! A replica whose disk is empty, and which is not a bootstrap member, must not vote: it has lost promises
+//! and accepted values that others rely on. Each run of a node with one disk is an incarnation. A replica with an
 //! empty disk queries the highest incarnation that others know of it, then registers a higher one with enough
 //! others ([`Group::recovery_quorum`]: f+1 of 2f+1) that are not recovering themselves. These respond, once the
 //! registration is durable, with their promise, their accepted value and all registered incarnations. The replica
@@ -64,11 +65,11 @@
 //! - Let a quorum contain a vote of the lost incarnation for a ballot `b`. Its other voters and those that
 //!   registered the new incarnation overlap: some replica did both. If it voted first, the recovered replica
 //!   learned of the promise or value of `b` from it. If it registered first, its vote names the new incarnation,
-//!   and the proposer discards the vote of the lost incarnation, in either phase. So no quorum both counts a
-//!   forgotten vote and is unknown to the recovered replica.
+//!   and the proposer discards the vote of the lost incarnation, in either phase. So either the quorum does not
+//!   count the lost vote, or the recovered replica knows the promise or value of `b`.
 //! - With several replicas recovering at once the same holds among those that are not: recovering replicas do not
 //!   answer registrations, and no more than f can recover together, as f+1 responses are needed from others. If
-//!   more have empty disks, they wait, and [`Replica::status`] shows for how many responses.
+//!   more have empty disks, they wait, and [`Replica::status`] shows how many responses they have and need.
 //! - Two registrations of one node overlap in a replica, so a later incarnation is higher than any that voted.
 //!   What a replica knew of incarnations survives the loss of its own disk in the same way.
 //! - A recovered replica may hold a value below its promise for which it never voted. A quorum read therefore
@@ -87,8 +88,8 @@
 //! # Files
 //!
 //! [`Replica`] (`replica/`) routes inputs to the parts: `acceptor` votes, `proposer/` runs rounds, `reader` runs
-//! quorum reads, `recovery` restores a lost disk, `catch_up` and `anti_entropy` fetch committed values. They share a
-//! `context`; `quorum` counts votes. The other files are the data: ballots, values, messages, records.
+//! quorum reads, `recovery` restores the state of a lost disk, `catch_up` and `anti_entropy` fetch committed values.
+//! They share a `context`; `quorum` counts votes. The other files are the data: ballots, values, messages, records.
 
 mod acceptor;
 mod anti_entropy;
--- a/crates/coordination/src/register/node.rs
+++ b/crates/coordination/src/register/node.rs
@@ -1,4 +1,4 @@
-//! Nodes, named by their control addresses.
+//! Nodes, identified by their control addresses.
 
 use std::fmt;
 use std::net::{AddrParseError, Ipv4Addr, SocketAddrV4};
@@ -6,9 +6,9 @@
 
 use deku::prelude::*;
 
-/// A replica, named by its control address.
+/// A replica, identified by its control address.
 ///
-/// The address does not identify the incarnation: see [`MinimumIncarnation`](super::MinimumIncarnation).
+/// Its incarnations share the address: see [`MinimumIncarnation`](super::MinimumIncarnation).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Node {
--- a/crates/coordination/src/register/proposer/batch.rs
+++ b/crates/coordination/src/register/proposer/batch.rs
@@ -1,4 +1,4 @@
-//! Tasks that are proposed together, and what their commands make of a given value.
+//! Batches of tasks that are proposed together, and the effect of their commands on a given value.
 
 use crate::register::context::Context;
 use crate::register::event::Outcome;
@@ -41,14 +41,14 @@
         }
     }
 
-    /// Answers all tasks that it is not known whether they took effect.
+    /// Answers all tasks with an unknown outcome: they may have taken effect.
     pub(super) fn complete_with_unknown_outcome(self, context: &mut Context) {
         let outcomes = vec![Outcome::Timeout; self.tasks.len()];
         self.complete(context, outcomes);
     }
 
-    /// Answers the tasks whose deadline has passed; returns whether any other is left. Once the batch has been
-    /// proposed the expired tasks stay in it, as the outcomes of an attempt are matched to tasks by their index.
+    /// Answers the tasks whose deadline has passed; returns whether any other remains. Once the batch has been
+    /// proposed, expired tasks stay in it, as the outcomes of an attempt are matched to tasks by their index.
     pub(super) fn expire_tasks(&mut self, context: &mut Context, is_accepting: bool) -> bool {
         let now = context.now;
         let is_attempted = !self.attempts.is_empty();
--- a/crates/coordination/src/register/proposer/membership_change.rs
+++ b/crates/coordination/src/register/proposer/membership_change.rs
@@ -19,7 +19,7 @@
 }
 
 impl Proposer {
-    /// Proposes the next step of a membership change, on a base that was committed in this round.
+    /// Proposes the next step of a membership change; the base itself is committed in this round first.
     pub(super) fn propose_membership_change(
         &mut self,
         context: &mut Context,
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Completes a membership change that any replica has begun. Its final value may have been accepted without
-    /// anyone knowing it to be committed: then it is committed here, as nobody else would do so.
+    /// Completes a membership change that any replica has started. Its final value may have been accepted without
+    /// any replica knowing whether it is committed: it is then committed here, as no other replica would do so.
     pub(super) fn propose_completion(&mut self, context: &mut Context, round: Round, batch: Batch) {
         let is_joint = round.base.value.is_joint();
         if !is_joint && context.settings.has(Fault::LeaveChangeUncommitted) {
@@ -92,7 +92,7 @@
     }
 }
 
-/// The next step of a membership change on a value with one group.
+/// The next step of a membership change, given a value with a single group.
 fn plan_membership_change(base: &Value, change: &MembershipChange) -> MembershipStep {
     let MembershipChange { remove, add, .. } = change;
     let old = Group::new(base.newest_group().to_vec());
--- a/crates/coordination/src/register/proposer/mod.rs
+++ b/crates/coordination/src/register/proposer/mod.rs
@@ -1,4 +1,4 @@
-//! The proposer: rounds of prepare and accept for one batch of tasks after the other.
+//! The proposer: runs rounds of prepare and accept, for one batch of tasks after another.
 //!
 //! This file queues tasks, starts rounds and counts votes; `proposal` is what a round proposes and what follows
 //! once that is committed.
@@ -36,11 +36,11 @@
     queue: VecDeque<Task>,
     batch: Option<Batch>,
     round: Option<Round>,
-    /// The ballot of the last commit, if no higher one was seen: it needs no further prepare phase.
+    /// The ballot of the last commit, if no higher one was seen: a round under it needs no prepare phase.
     reusable_ballot: Option<Ballot>,
     /// The highest ballot counter seen.
     counter: u64,
-    /// Rounds lost to other proposers since the last commit.
+    /// Rounds that other proposers preempted since the last commit.
     preemptions: u32,
     resume_at: Option<Duration>,
     /// Number of changes that this process has proposed.
@@ -85,7 +85,7 @@
         earlier(earlier(deadline, retry), resume).filter(|at| *at != Duration::MAX)
     }
 
-    /// A replica is reachable again: what it has not answered is sent again.
+    /// A replica is reachable again: the message that it has not answered is sent again.
     pub(super) fn on_reachable(&mut self, context: &mut Context, node: Node) {
         context.unanswered.remove(&node);
         if let Some(round) = self.round.as_mut().filter(|round| round.is_awaiting(node)) {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A replica has answered whatever was sent to it last.
+    /// A replica has answered the last message sent to it.
     pub(super) fn on_answer(&mut self, context: &mut Context, node: Node) {
         context.unanswered.remove(&node);
         if let Some(round) = &mut self.round {
@@ -220,7 +220,8 @@
         }
     }
 
-    /// A committed value was learned from elsewhere: a round that builds on older members starts again.
+    /// A committed value was learned from elsewhere: a round that was preempted, or that builds on older
+    /// groups, is abandoned and tried again.
     pub(super) fn on_committed(&mut self, context: &mut Context, ballot: Ballot, value: &Value) {
         self.observe_ballot(ballot);
         let is_stale = self.round.as_ref().is_some_and(|round| {
--- a/crates/coordination/src/register/proposer/proposal.rs
+++ b/crates/coordination/src/register/proposer/proposal.rs
@@ -1,4 +1,4 @@
-//! What a round proposes on its base, and what follows once that is committed.
+//! What a round proposes on top of its base value, and what it does once that is committed.
 
 use super::Proposer;
 use super::batch::{AppliedBatch, Attempt, Batch};
@@ -11,7 +11,7 @@
 use crate::register::value::ChangeId;
 
 impl Proposer {
-    /// Proposes what the batch makes of the base, or answers the batch if nothing is to be proposed.
+    /// Applies the batch to the base and proposes the result, or answers the batch if nothing has to be proposed.
     pub(super) fn propose(&mut self, context: &mut Context) {
         let Some((round, batch)) = self.round.take().zip(self.batch.take()) else {
             return;
@@ -83,7 +83,7 @@
         self.finish_round(context, &round);
     }
 
-    /// Gets the base itself committed under this round's ballot; the batch is proposed again afterwards.
+    /// Proposes the base itself under this round's ballot, so that it is committed; the batch is proposed afterwards.
     pub(super) fn commit_base(&mut self, context: &mut Context, mut round: Round, batch: Batch) {
         self.batch = Some(batch);
         let value = round.base.value.clone();
@@ -135,7 +135,7 @@
         self.start_round(context, Some(round.base.clone()));
     }
 
-    /// The name of the next change that this process proposes.
+    /// The id of the next change that this process proposes.
     pub(super) fn next_id(&mut self, context: &Context) -> ChangeId {
         self.sequence += 1;
         ChangeId { nonce: context.nonce, sequence: self.sequence }
--- a/crates/coordination/src/register/proposer/round.rs
+++ b/crates/coordination/src/register/proposer/round.rs
@@ -31,7 +31,7 @@
     Accept { value: Value, groups: Vec<Group>, after_commit: AfterCommit },
 }
 
-/// What is known of the base of a round, from least to most.
+/// How much is known about the base of a round; later variants imply the earlier ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum BaseStatus {
     /// Some replica accepted it; it may not be committed.
@@ -79,7 +79,7 @@
         if context.settings.has(Fault::NewGroupOnly) { newest_group(newest) } else { union(start, newest) }
     }
 
-    /// Whether a replica is to vote and has not given a vote that counts.
+    /// Whether a replica was sent the message of this phase and has not cast a vote that counts.
     pub(super) fn is_awaiting(&self, node: Node) -> bool {
         self.sent_to.contains(&node) && !self.votes.counts(node)
     }
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Sends the message of this phase to those that have not got it.
+    /// Sends the message of this phase to the nodes that it was not sent to before.
     pub(super) fn send_to_new(&mut self, context: &mut Context, nodes: &[Node]) {
         for node in nodes {
             if !self.sent_to.contains(node) {
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Sends the value, or defers it for a replica that has not answered the one before: the queue towards such a
-    /// replica should hold one value and not all that are committed meanwhile.
+    /// Sends the value, or defers it for a replica that has not answered the previous one: at most one value is then
+    /// queued for a slow replica, and not every value that is committed meanwhile.
     fn send_or_defer(&mut self, context: &mut Context, node: Node) {
         let is_behind = node != context.node() && !context.unanswered.insert(node);
         if is_behind && !context.settings.has(Fault::SendBeforeAnswer) {
@@ -155,7 +155,7 @@
     groups.last().cloned().into_iter().collect()
 }
 
-/// Announces a commit without its value to the other members. A member that has not got the value requests it.
+/// Announces a commit without its value to the other members. A member that lacks the value requests it.
 pub(super) fn announce_commit(context: &mut Context, ballot: Ballot, nodes: &[Node]) {
     let own = context.node();
     for node in nodes.iter().copied().filter(|node| *node != own) {
--- a/crates/coordination/src/register/reader.rs
+++ b/crates/coordination/src/register/reader.rs
@@ -16,8 +16,8 @@
 use super::task::{Operation, Task};
 use super::value::{Value, ValueTransfer};
 
-/// Spreads the nonces of successive processes, so that the numbers of their queries lie far apart: an answer to
-/// a query of an earlier process must not count, as it may be older than what was acknowledged since.
+/// Multiplied with the nonce of the process, so that the query numbers of successive processes lie far apart. An
+/// answer to a query of an earlier process must not count, as it may be older than changes acknowledged since.
 const NONCE_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// The state of a replica as it replied to a query.
@@ -28,7 +28,7 @@
     pub(super) value: ValueTransfer,
 }
 
-/// What a reply says about the newest value.
+/// The ballots that a replica reported in its reply.
 #[derive(Clone, Hash)]
 struct AcceptorState {
     promised: Ballot,
@@ -49,7 +49,7 @@
     retry: RetryTimer,
 }
 
-/// Tasks that a read could not answer: they are to be proposed.
+/// Tasks that a read could not answer and that have to be proposed.
 pub(super) type TasksToPropose = Vec<Task>;
 
 #[derive(Clone, Default, Hash)]
@@ -131,7 +131,7 @@
         }
     }
 
-    /// A replica is reachable again: it gets the query again unless it has replied.
+    /// A replica is reachable again: the query is sent to it again unless it has replied.
     pub(super) fn on_reachable(&self, context: &mut Context, node: Node) {
         if let Some(query) = self.query.as_ref().filter(|query| query.is_awaiting(node)) {
             context.send(node, query.message());
@@ -182,7 +182,7 @@
         if query.votes.have_majorities(&groups, |_| true) { self.answer_tasks(context) } else { Vec::new() }
     }
 
-    /// Answers the tasks from the newest value; commands that would change it are left over.
+    /// Answers the tasks from the newest value; returns the commands that would change it.
     fn answer_tasks(&mut self, context: &mut Context) -> TasksToPropose {
         let Some(query) = self.query.take() else {
             return Vec::new();
@@ -199,7 +199,7 @@
         to_propose
     }
 
-    /// Gives the query up: the proposer has to get the newest value committed.
+    /// Abandons the query and returns its tasks: the proposer has to get the newest value committed.
     fn abandon_query(&mut self) -> TasksToPropose {
         self.query.take().map(|query| query.tasks).unwrap_or_default()
     }
@@ -232,7 +232,7 @@
         union(&self.known.value.groups, &self.newest.value.groups)
     }
 
-    /// Sends the query to those that have not got it.
+    /// Sends the query to the nodes that it was not sent to before.
     fn send_to_new(&mut self, context: &mut Context, nodes: &[Node]) {
         for node in nodes {
             if !self.sent_to.contains(node) {
@@ -243,7 +243,7 @@
     }
 
     /// Whether the newest value is committed. A recovered replica may hold a value below its promise that it
-    /// never voted for, so only those count whose promise is that same ballot.
+    /// never voted for, so only replicas count whose promise equals its ballot.
     fn is_committed(&self, context: &Context) -> bool {
         let newest = self.newest.ballot;
         let known = context.committed.as_ref().is_some_and(|committed| committed.ballot == newest);
--- a/crates/coordination/src/register/record.rs
+++ b/crates/coordination/src/register/record.rs
@@ -27,7 +27,7 @@
     /// Encodes the record.
     ///
     /// # Errors
-    /// If the state is longer than a length field can say.
+    /// If the state is longer than its 32-bit length field allows.
     pub fn encode(&self) -> Result<Vec<u8>, CodecError> {
         Ok(self.to_bytes()?)
     }
--- a/crates/coordination/src/register/recovery.rs
+++ b/crates/coordination/src/register/recovery.rs
@@ -2,7 +2,7 @@
 //! before it votes.
 //!
 //! Recovery has two stages. In the first the replica queries the highest incarnation that the others know of it;
-//! in the second it registers a higher one. The page of [the module](super) says why this is safe.
+//! in the second it registers a higher one. The documentation of [the module](super) explains why this is safe.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,10 +18,10 @@
 use super::retry::RetryTimer;
 use super::value::Value;
 
-/// Stands for an incarnation in the first stage, which only queries.
+/// Sent in place of an incarnation in the first stage, which registers none.
 const QUERY_ONLY: u64 = 0;
 
-/// What a voting replica answers to one that lost its disk.
+/// The answer of a voting replica to one that lost its disk.
 #[derive(Clone, Hash)]
 pub(super) struct RecoveryResponse {
     pub(super) voter: Voter,
@@ -137,7 +137,7 @@
         incarnations.max().unwrap_or_default()
     }
 
-    /// Starts a stage: all known peers get the request anew.
+    /// Starts a stage: the request is sent to all known peers.
     fn start_stage(&mut self, context: &mut Context, incarnation: u64) {
         self.incarnation = incarnation;
         self.responses.clear();
@@ -152,7 +152,8 @@
         Some(Proposal { ballot: newest.accepted, value: newest.value.clone() })
     }
 
-    /// The first group in force that lacks responses; zero of zero while no group is known.
+    /// The first group in force that lacks responses; both counts are zero while no group is
+    /// known.
     pub(super) fn missing_responses(&self, context: &Context) -> Option<ResponseCount> {
         let Some(newest) = self.newest_accepted() else {
             return Some(ResponseCount::default());
--- a/crates/coordination/src/register/replica/messages.rs
+++ b/crates/coordination/src/register/replica/messages.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// A response to this replica's recovery; the last one needed ends it.
+    /// A response to this replica's recovery, which ends once enough replicas have responded.
     fn on_incarnation_registered(
         &mut self,
         from: Node,
--- a/crates/coordination/src/register/replica/mod.rs
+++ b/crates/coordination/src/register/replica/mod.rs
@@ -44,8 +44,8 @@
 impl Replica {
     /// Starts a replica.
     ///
-    /// `stored` is the newest record on disk, `now` the time since any fixed moment on a clock that only
-    /// moves forward, `nonce` a random number drawn anew at each start of the process.
+    /// `stored` is the newest record on disk, `now` the reading of a monotonic clock with any fixed origin, `nonce`
+    /// a random number drawn anew at each start of the process.
     #[must_use]
     pub fn new(
         settings: Settings,
@@ -73,7 +73,7 @@
         replica
     }
 
-    /// Begins with the stored record, with the initial value, or with recovery.
+    /// Starts from the stored record or the initial value, or starts a recovery.
     fn restore_or_recover(&mut self, stored: Option<Record>) {
         let settings = &self.context.settings;
         let is_bootstrap_member = settings.bootstrap && settings.seeds.contains(&settings.node);
@@ -156,8 +156,8 @@
         self.context.committed.as_ref().map(|committed| &committed.value)
     }
 
-    /// Whether this replica can vote: its record is on disk, if need be that of its recovery, and the disk did
-    /// not refuse the last write.
+    /// Whether this replica can vote: its record (after a recovery, the recovered one) is on disk, and the last write
+    /// did not fail.
     #[must_use]
     pub fn can_vote(&self) -> bool {
         self.acceptor.as_ref().is_some_and(Acceptor::is_stored)
@@ -179,7 +179,7 @@
         record.filter(|record| committed.is_none_or(|committed| committed.ballot < record.accepted))
     }
 
-    /// The newest known value with its ballot: a round or a query starts from it.
+    /// The newest known value with its ballot, from which a round or a query starts.
     fn newest_proposal(&self) -> Option<Proposal> {
         match self.newer_accepted() {
             Some(record) => Some(Proposal { ballot: record.accepted, value: record.value.clone() }),
@@ -212,7 +212,7 @@
         self.reader.enqueue(Task { request: Some(request), operation: Operation::Read, deadline });
     }
 
-    /// A peer is reachable: what it has not answered is sent again, and it is polled for a newer value.
+    /// A peer is reachable: messages that it has not answered are sent again, and it is polled for a newer value.
     fn on_peer_reachable(&mut self, node: Node) {
         if node == self.context.node() {
             return;
--- a/crates/coordination/src/register/replica/timers.rs
+++ b/crates/coordination/src/register/replica/timers.rs
@@ -1,4 +1,4 @@
-//! What a replica does when time passes.
+//! Timers of a replica: when the next one is due, and what is done then.
 
 use std::time::Duration;
 
@@ -59,7 +59,8 @@
         self.anti_entropy.schedule(&mut self.context, is_spare);
     }
 
-    /// A joint value that stays in force is completed by whoever knows it.
+    /// Schedules the completion of a membership change whose joint value is still in force. Any replica that knows the
+    /// value completes the change, as the proposer may have failed.
     pub(super) fn schedule_membership_completion(&mut self) {
         let is_joint = self.context.committed.as_ref().is_some_and(|committed| committed.value.is_joint());
         if !is_joint {
--- a/crates/coordination/src/register/settings.rs
+++ b/crates/coordination/src/register/settings.rs
@@ -18,11 +18,11 @@
     pub bootstrap: bool,
     /// State of the initial value; the same at all bootstrap members.
     pub initial_state: Bytes,
-    /// Time after which an unanswered message is sent again; it doubles up to eight times that.
+    /// Time after which an unanswered message is sent again; it doubles with each retry, up to eight times this value.
     pub retry_interval: Duration,
     /// Shortest backoff of a preempted proposer; it doubles with each further preemption, with random jitter.
     pub backoff: Duration,
-    /// Delay before a write that the disk refused is retried.
+    /// Delay before a failed write is retried.
     pub persist_retry_interval: Duration,
     /// Mean time between two polls of other members for a newer committed value.
     pub anti_entropy_interval: Duration,
@@ -30,7 +30,7 @@
     pub max_batch_size: usize,
     /// Seed of the random generator, together with the nonce.
     pub seed: u64,
-    /// A deliberate mistake, for tests that prove that they find it.
+    /// A defect that a test switches on, to show that it would be detected.
     #[doc(hidden)]
     pub fault: Option<Fault>,
 }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether a deliberate mistake is made.
+    /// Whether this defect is switched on.
     pub(super) fn has(&self, fault: Fault) -> bool {
         self.fault == Some(fault)
     }
--- a/crates/coordination/src/register/state_machine.rs
+++ b/crates/coordination/src/register/state_machine.rs
@@ -10,7 +10,7 @@
         /// Returned to the caller.
         answer: Vec<u8>,
     },
-    /// The state is already as the command wants it.
+    /// The command has no effect: the state is already the one that it asks for.
     Unchanged {
         /// Returned to the caller.
         answer: Vec<u8>,
@@ -22,7 +22,8 @@
     },
 }
 
-/// Applies commands to the opaque state. It must be a function of its arguments alone.
+/// Applies commands to the opaque state. Must be deterministic: the result depends on the arguments
+/// alone.
 pub trait StateMachine: Send + Sync {
     /// The effect of `command` on the state `current`.
     fn apply(&self, current: &[u8], command: &[u8]) -> Applied;
--- a/crates/coordination/src/register/task.rs
+++ b/crates/coordination/src/register/task.rs
@@ -14,7 +14,7 @@
     Read,
     /// Change the members.
     ChangeMembers(MembershipChange),
-    /// Complete a membership change that any replica has begun.
+    /// Complete a membership change that any replica has started.
     CompleteMembershipChange,
 }
 
@@ -45,7 +45,7 @@
         Self { request: None, operation, deadline: Duration::MAX }
     }
 
-    /// Whether the request was answered before the task was done.
+    /// Whether the task belongs to a request that was already answered, because it expired.
     pub(super) fn is_abandoned(&self) -> bool {
         self.request.is_none() && self.deadline != Duration::MAX
     }
--- a/crates/coordination/src/register/value.rs
+++ b/crates/coordination/src/register/value.rs
@@ -8,7 +8,7 @@
 use super::node::Node;
 
 /// Number of recent changes in a value, by which a proposer can tell whether its preempted proposal took effect.
-/// More than the proposals that usually lie between two attempts of one proposer.
+/// It exceeds the number of changes that are usually committed between two attempts of one proposer.
 pub(super) const HISTORY_LENGTH: usize = 16;
 
 /// Identifies one proposal that changed the value.
@@ -54,7 +54,7 @@
 }
 
 impl Value {
-    /// The value a group starts from.
+    /// The value that a group starts with.
     #[must_use]
     pub fn initial(members: Vec<Node>, state: Bytes) -> Self {
         Self { revision: 0, groups: vec![Group::new(members)], history: Vec::new(), state }
--- a/crates/coordination/src/registry.rs
+++ b/crates/coordination/src/registry.rs
@@ -4,12 +4,12 @@
 //! whichever replica received it and in whatever order: replicas that received the same registrations agree
 //! without a log. Only the expiry of an incarnation without heartbeats must be decided by one replica alone: the
 //! owner of its shard calls [`Registry::expire`]. A removed incarnation leaves a tombstone, so that a late message
-//! does not bring it back.
+//! does not register it again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Sequence of an incarnation that has ended for good: no later heartbeat can revive it.
+/// Sequence of an incarnation that has ended permanently: no later heartbeat can register it again.
 pub const FINAL_SEQUENCE: u64 = u64::MAX;
 
 /// The registration of one incarnation of an endpoint.
@@ -28,7 +28,7 @@
     /// The registration; `None` for a tombstone.
     pub registration: Option<R>,
     /// Sequence of the registration; of a tombstone, the sequence as of which the incarnation was removed, which
-    /// is [`FINAL_SEQUENCE`] if it has ended for good.
+    /// is [`FINAL_SEQUENCE`] if it has ended permanently.
     pub sequence: u64,
     /// Sequence of the newest heartbeat that any replica is known to have received. It may be ahead of the
     /// registration's, as the message about an unchanged heartbeat may overtake the change before it.
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Removes an incarnation as of `sequence`. Returns whether it was registered until now.
+    /// Removes an incarnation as of `sequence`, unless a later heartbeat is known. Returns whether it was registered.
     pub fn remove(&mut self, now: Duration, id: &str, sequence: u64) -> bool {
         let tombstone =
             || Entry { registration: None, sequence, heartbeat_sequence: sequence, last_heartbeat: now };
@@ -158,19 +158,19 @@
         expired
     }
 
-    /// Drops tombstones older than `retention`, after which no late message can name their incarnations.
+    /// Drops tombstones older than `retention`; no message about their incarnations is expected after that time.
     pub fn purge_tombstones(&mut self, now: Duration, retention: Duration) {
         self.entries.retain(|_, entry| {
             entry.registration.is_some() || now.saturating_sub(entry.last_heartbeat) <= retention
         });
     }
 
-    /// Drops an entry without a tombstone: a message of any sequence registers the incarnation again.
+    /// Drops an entry without leaving a tombstone: a message with any sequence registers the incarnation again.
     pub fn drop_entry(&mut self, id: &str) {
         self.entries.remove(id);
     }
 
-    /// Restarts the idle time of every incarnation, after a time in which this process could not receive.
+    /// Restarts the idle time of every incarnation, after a time in which this process could not receive heartbeats.
     pub fn restart_timeouts(&mut self, now: Duration) {
         for entry in self.entries.values_mut().filter(|entry| entry.registration.is_some()) {
             entry.last_heartbeat = now;
--- a/crates/coordination/src/simulation/append.rs
+++ b/crates/coordination/src/simulation/append.rs
@@ -1,8 +1,8 @@
-//! The state machine of the simulation: a list of numbers, so that a lost or duplicate command shows.
+//! The state machine of the simulation: a list of numbers, so that a lost or duplicate command is visible in the state.
 
 use crate::register::{Applied, StateMachine};
 
-/// Bytes of one number.
+/// Length of one encoded number in bytes.
 const ENTRY_BYTES: usize = 4;
 
 /// A command on the list.
@@ -48,7 +48,7 @@
     }
 }
 
-/// Numbers in a state.
+/// The numbers in a state.
 pub(super) fn entries(state: &[u8]) -> Vec<u32> {
     let entry = |bytes: &[u8]| bytes.iter().fold(0, |number, byte| (number << 8) | u32::from(*byte));
     state.chunks(ENTRY_BYTES).map(entry).collect()
--- a/crates/coordination/src/simulation/disk.rs
+++ b/crates/coordination/src/simulation/disk.rs
@@ -1,4 +1,4 @@
-//! The simulated disk of a machine: one write at a time, which takes a while, fails or stalls.
+//! The simulated disk of a machine: one write at a time, which takes some time, fails or stalls.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 
 use crate::storage::{SimulatedDirectory, StoreError, VersionedStore};
 
-/// Longest time of a write on a healthy disk.
+/// Longest duration of a write on a healthy disk.
 const HEALTHY_MAX_WRITE_TIME: Duration = Duration::from_millis(2);
 
-/// File operations of a save, from creating the file to removing old ones.
+/// Number of file operations of a save, from creating the file to removing old versions.
 const SAVE_STEPS: u32 = 6;
 
 /// The record's name in the directory.
@@ -57,7 +57,7 @@
         Some((write.token, saved.is_ok()))
     }
 
-    /// The process dies, perhaps during a write.
+    /// The process dies. A write in flight is executed up to a random file operation.
     pub(super) fn interrupt(&mut self, random: &mut SmallRng) {
         self.directory.operations_until_crash = Some(random.random_range(0..=SAVE_STEPS));
         let _ = self.finish_write();
--- a/crates/coordination/src/simulation/event_queue.rs
+++ b/crates/coordination/src/simulation/event_queue.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation in the order of their times.
+//! The pending events of a simulation, in the order of their times.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -35,7 +35,7 @@
     }
 }
 
-/// Scheduled events; of those at one time the first scheduled is delivered first.
+/// Scheduled events; events with the same time are delivered in the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     events: BinaryHeap<Reverse<Scheduled>>,
--- a/crates/coordination/src/simulation/history.rs
+++ b/crates/coordination/src/simulation/history.rs
@@ -1,4 +1,4 @@
-//! The requests, answers and committed values of a run, and the rules that they must obey.
+//! The requests, answers and committed values of a run, and the checks of the rules that they must obey.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,14 +14,16 @@
     outcome: Option<Outcome>,
 }
 
-/// Everything that happened so far, as far as the rules need it.
+/// What happened in the run so far, as far as the rules depend on it.
 #[derive(Default)]
 pub(super) struct History {
     requests: Vec<Request>,
     values: BTreeMap<u64, Value>,
-    /// The newest revision of any answer.
+    /// The newest revision in any answer.
     newest_answered: u64,
+    /// Acknowledged numbers, each with the revision of the first acknowledgement.
     acknowledged: BTreeMap<u32, u64>,
+    /// Numbers of expired requests, which must never take effect.
     expired: BTreeSet<u32>,
 }
 
@@ -67,7 +69,7 @@
                 self.check_freshness(request, newest_answered, revision)
             }
             Outcome::Expired => {
-                // Another request may have ensured the same number.
+                // An expired `Ensure` is left out: another request may have ensured the same number.
                 let own = command.filter(|command| !matches!(command, Command::Ensure(_)));
                 self.expired.extend(own.map(Command::entry));
                 self.check_expired()
--- a/crates/coordination/src/simulation/machine.rs
+++ b/crates/coordination/src/simulation/machine.rs
@@ -14,7 +14,7 @@
 /// Control port of all machines.
 const PORT: u16 = 8146;
 
-/// First address, so that nodes sort in the order of their letters.
+/// Address of machine `a`; the others follow, so that nodes sort in the order of their letters.
 const FIRST_ADDRESS: u32 = 0x0a00_0001;
 
 /// The node of a machine.
@@ -27,7 +27,7 @@
     node.ip.saturating_sub(FIRST_ADDRESS) as MachineIndex
 }
 
-/// Something that happens to a machine.
+/// An event that is delivered to a machine.
 #[derive(Debug, Clone)]
 pub(super) enum Event {
     /// A message arrives.
@@ -48,7 +48,7 @@
     pub(super) retired: bool,
     /// Events that arrived while the process was frozen.
     pub(super) backlog: VecDeque<Event>,
-    /// The timer that is set.
+    /// When the timer that is set fires.
     pub(super) wake_at: Option<Duration>,
     /// The newest revision that this incarnation has learned.
     newest_committed: Option<u64>,
@@ -108,7 +108,7 @@
         self.disk.directory.wipe();
     }
 
-    /// Passes an event to the process; a frozen one gets it later.
+    /// Passes an event to the process; a frozen process gets it when it resumes.
     pub(super) fn receive(&mut self, now: Duration, event: Event) -> Result<(), Violation> {
         if self.frozen {
             self.backlog.push_back(event);
@@ -123,7 +123,7 @@
         Ok(())
     }
 
-    /// The input that an event is for the process, if any.
+    /// Converts an event to an input of the process; `None` if the event has no effect on it.
     fn input(&mut self, event: Event) -> Result<Option<Input>, Violation> {
         match event {
             Event::Message { from, bytes } => {
@@ -153,7 +153,7 @@
         self.replica.as_mut()?.poll_output()
     }
 
-    /// Checks that the process never learns an older value than before.
+    /// Records a learned revision; fails if the process learned a newer one before.
     pub(super) fn record_committed(&mut self, revision: u64) -> Result<(), Violation> {
         match self.newest_committed.replace(revision) {
             Some(from) if from >= revision => {
--- a/crates/coordination/src/simulation/mod.rs
+++ b/crates/coordination/src/simulation/mod.rs
@@ -3,7 +3,7 @@
 //! A [`Scenario`] is a list of steps, written by hand as text or drawn from a seed ([`random_scenario`]).
 //! [`World::play`] plays it and checks at every step that no revision has two values, that no acknowledged change
 //! is lost or applied twice, that reads are linearizable and that no replica learns an older value than before;
-//! a [`Violation`] is the error. Everything follows from the seed.
+//! a [`Violation`] is the error. A run is fully determined by the scenario and its seed.
 
 mod append;
 mod disk;
--- a/crates/coordination/src/simulation/network.rs
+++ b/crates/coordination/src/simulation/network.rs
@@ -8,7 +8,7 @@
 
 use super::step::MachineIndex;
 
-/// Delay on a healthy network.
+/// Longest delay of a message on a healthy network.
 const HEALTHY_MAX_DELAY: Duration = Duration::from_millis(3);
 
 pub(super) struct Network {
--- a/crates/coordination/src/simulation/scenario.rs
+++ b/crates/coordination/src/simulation/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios and their text form: a header line, then one step a line.
+//! Scenarios and their text form: a header line, then one step per line.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 
 use super::step::Step;
 
-/// The machines of a run and the steps that happen to them.
+/// The machines of a run and its steps.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Scenario {
     /// Number of bootstrap members.
--- a/crates/coordination/src/simulation/schedule.rs
+++ b/crates/coordination/src/simulation/schedule.rs
@@ -1,4 +1,4 @@
-//! Random scenarios, each determined by its seed.
+//! Random scenarios, each determined by a seed.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -6,31 +6,31 @@
 use super::scenario::Scenario;
 use super::step::{MachineIndex, Machines, Step};
 
-/// Steps of a random scenario.
+/// Minimum number of steps of a random scenario.
 const STEPS: usize = 60;
 
-/// First delay in milliseconds, in which the bootstrap members write their first record.
+/// Delay at the start in milliseconds, in which the bootstrap members write their first record.
 const FIRST_DELAY_MS: u64 = 50;
 
-/// Longest delay in milliseconds between steps that are close together: some messages and writes.
+/// Longest delay in milliseconds between steps that are close together: enough for a few messages and writes.
 const MAX_SHORT_DELAY_MS: u64 = 12;
 
-/// A delay for a few round trips, in milliseconds.
+/// A delay in milliseconds that is enough for a few round trips.
 const ROUND_TRIPS_DELAY_MS: u64 = 40;
 
-/// A delay for a retransmission, in milliseconds.
+/// A delay in milliseconds that is enough for a retransmission.
 const RETRY_DELAY_MS: u64 = 300;
 
-/// Fraction of the changes that go to the favourite machine.
+/// Probability that a change is requested at the preferred machine.
 const PREFERRED_PROBABILITY: f64 = 0.7;
 
-/// Fraction of the steps of a round that are played.
+/// Probability that a step of a round is kept.
 const STEP_PROBABILITY: f64 = 0.9;
 
-/// The faults that a random scenario has most of.
+/// The kind of fault that a random scenario consists of mostly.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FaultMix {
-    /// Everything.
+    /// All kinds of faults.
     Any,
     /// Lost disks while messages are in flight.
     DiskLosses,
@@ -38,7 +38,7 @@
     Restarts,
     /// Membership changes.
     MembershipChanges,
-    /// Membership changes, and a loss before or after they have taken effect.
+    /// Membership changes, and the loss of a disk before or after they have taken effect.
     ChangeAndDiskLoss,
 }
 
@@ -65,7 +65,7 @@
     preferred: MachineIndex,
 }
 
-/// The random scenario of a seed: requests and faults in any order, then all faults end.
+/// The random scenario of a seed: requests and faults in random order; at the end all faults are repaired.
 #[must_use]
 pub fn random_scenario(seed: u64) -> Scenario {
     let mut generator = Generator::new(seed);
@@ -93,7 +93,7 @@
         Self { random, mix, bootstrap_members, count, preferred }
     }
 
-    /// Any machine.
+    /// A random machine.
     fn machine(&mut self) -> MachineIndex {
         self.random.random_range(0..self.count)
     }
@@ -110,8 +110,8 @@
         }
     }
 
-    /// A round of few kinds of steps close together, so that more of their orders are covered: a change on one side of
-    /// a partition, a fault while its messages are in flight, and what the other side then sees.
+    /// A round of a few kinds of steps close together, so that more of their interleavings are covered: a change on one
+    /// side of a partition, a fault while its messages are in flight, then a change and a read under other partitions.
     fn round(&mut self) -> Vec<Step> {
         let proposer =
             if self.random.random_bool(PREFERRED_PROBABILITY) { self.preferred } else { self.machine() };
@@ -124,7 +124,7 @@
         round
     }
 
-    /// The steps of a round that are particular to the fault mix.
+    /// The steps of a round that depend on the fault mix.
     fn mix_steps(&mut self) -> Vec<Step> {
         let at = self.machine();
         match self.mix {
--- a/crates/coordination/src/simulation/shrink.rs
+++ b/crates/coordination/src/simulation/shrink.rs
@@ -1,4 +1,4 @@
-//! Reduces a scenario that breaks a rule to fewer steps that still break it.
+//! Reduces a scenario that violates a rule to fewer steps that still violate one.
 
 use super::scenario::Scenario;
 use super::world::World;
@@ -12,7 +12,8 @@
     with_steps(&steps)
 }
 
-/// Drops runs of steps, half of them at first and ever shorter ones, as long as the rest still fails.
+/// Drops runs of consecutive steps as long as the rest still fails. The runs are half of the steps long at first;
+/// their length is halved whenever no run of that length can be dropped.
 #[must_use]
 pub fn shrink_steps<S: Clone>(steps: &[S], still_fails: impl Fn(&[S]) -> bool) -> Vec<S> {
     let mut smallest = steps.to_vec();
--- a/crates/coordination/src/simulation/step/mod.rs
+++ b/crates/coordination/src/simulation/step/mod.rs
@@ -12,7 +12,7 @@
 pub struct Machines(u32);
 
 impl Machines {
-    /// This set and one machine more.
+    /// This set with one more machine.
     #[must_use]
     pub fn with(self, machine: MachineIndex) -> Self {
         Self(self.0 | 1_u32.checked_shl(u32::try_from(machine).unwrap_or(u32::MAX)).unwrap_or_default())
@@ -49,11 +49,11 @@
     Expired,
     /// Its last request timed out with an unknown outcome.
     Timeout,
-    /// Its last request is not answered.
+    /// Its last request is not answered yet.
     Unanswered,
     /// It is a voting member.
     Member,
-    /// It is able to vote, but not a member.
+    /// It is able to vote, but is not a member.
     Spare,
     /// It is not able to vote yet.
     Recovering,
@@ -75,9 +75,9 @@
         /// Time between two requests, in milliseconds.
         every: u64,
     },
-    /// A number is ensured through a machine: an old one if there is one.
+    /// One of a few fixed numbers is appended through a machine, unless the list contains it.
     Ensure(MachineIndex),
-    /// A new number is appended if the list is even.
+    /// A new number is appended through a machine if the list has an even length.
     AppendIfEven(MachineIndex),
     /// The value is read through a machine.
     Read(MachineIndex),
@@ -110,15 +110,15 @@
     Kill(MachineIndex),
     /// The machine loses power.
     LosePower(MachineIndex),
-    /// The machine loses its disk.
+    /// The machine loses the content of its disk.
     WipeDisk(MachineIndex),
-    /// The machine is lost for good.
+    /// The machine is lost permanently.
     Retire(MachineIndex),
     /// The process starts.
     Start(MachineIndex),
-    /// The machine is suspended.
+    /// The process is suspended.
     Freeze(MachineIndex),
-    /// The machine resumes.
+    /// The process resumes.
     Thaw(MachineIndex),
     /// Messages from one machine to another are lost.
     BlockLink(MachineIndex, MachineIndex),
@@ -132,9 +132,9 @@
     Loss(u8),
     /// This percentage of messages arrives twice.
     Duplicate(u8),
-    /// Messages take up to this many milliseconds.
+    /// The delay of a message is at most this many milliseconds.
     Delay(u64),
-    /// A write takes up to this many milliseconds.
+    /// A write on the machine takes at most this many milliseconds.
     SlowDisk(MachineIndex, u64),
     /// Writes do not complete.
     StallDisk(MachineIndex),
@@ -142,8 +142,8 @@
     FillDisk(MachineIndex),
     /// The disk works again.
     RepairDisk(MachineIndex),
-    /// All faults end and all processes start; all machines that are left must then serve.
+    /// All faults end and all processes start; every machine that is not retired must then serve requests.
     Quiesce,
-    /// Something is expected of a machine.
+    /// Checks an expectation of a machine.
     Expect(MachineIndex, Expectation),
 }
--- a/crates/coordination/src/simulation/violation.rs
+++ b/crates/coordination/src/simulation/violation.rs
@@ -1,4 +1,4 @@
-//! Rules that a simulation checks, as the errors of breaking them.
+//! The rules that a simulation checks; each has an error that reports its violation.
 
 use thiserror::Error;
 
@@ -24,7 +24,7 @@
     /// The list contains a number whose request expired before it was proposed.
     #[error("number {0} took effect after it had expired")]
     ExpiredTookEffect(u32),
-    /// The list does not contain an acknowledged number.
+    /// The list does not contain a number that was acknowledged.
     #[error("number {0}, acknowledged at revision {1}, is missing")]
     LostChange(u32, u64),
     /// An answer is older than one given before the request.
@@ -37,7 +37,7 @@
         /// The newest revision acknowledged before.
         acknowledged: u64,
     },
-    /// A replica learned an older value.
+    /// A replica learned an older value than before.
     #[error("machine {machine} learned revision {to} after {from}")]
     Regression {
         /// The machine.
@@ -48,7 +48,7 @@
         to: u64,
     },
     /// A request was answered twice, or was never made.
-    #[error("request {0} was answered once too often")]
+    #[error("request {0} was answered twice, or was never made")]
     UnexpectedAnswer(u64),
     /// The record on disk cannot be read.
     #[error("machine {0} has an unreadable record")]
--- a/crates/coordination/src/simulation/world/expectations.rs
+++ b/crates/coordination/src/simulation/world/expectations.rs
@@ -1,4 +1,4 @@
-//! What a scenario expects of the machines: that they serve once all faults have ended, and single expectations.
+//! Checks of what a scenario expects: that all machines serve once all faults have ended, and single expectations.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 use crate::simulation::step::{Expectation, MachineIndex};
 use crate::simulation::violation::Violation;
 
-/// Time to come to rest once all faults have ended: several of the longest retry intervals.
+/// Time to recover once all faults have ended: several of the longest retry intervals.
 const QUIESCE_TIME: Duration = Duration::from_secs(12);
 
 /// Deadline of the last requests, from when they are made.
 const FINAL_DEADLINE: Duration = Duration::from_secs(12);
 
 impl World {
-    /// Ends all faults and starts all processes; then every machine that is left must serve.
+    /// Ends all faults and starts all processes; then every machine that is not retired must serve.
     pub(super) fn quiesce(&mut self) -> Result<(), Violation> {
         self.network.repair();
         for at in 0..self.machines.len() {
--- a/crates/coordination/src/simulation/world/fault_tolerance.rs
+++ b/crates/coordination/src/simulation/world/fault_tolerance.rs
@@ -1,4 +1,4 @@
-//! The fault tolerance of the groups: a scenario loses no more disks than the others can recover from.
+//! Limits of the injected faults: no more disks are lost than the groups can recover from.
 
 use super::World;
 use crate::register::{Group, Node, Outcome, Record};
@@ -21,7 +21,7 @@
 }
 
 impl World {
-    /// Whether the others can recover once a machine's disk is lost.
+    /// Whether every group still has a majority with records once a machine's disk is lost.
     pub(super) fn can_lose_disk(&mut self, lost: MachineIndex) -> bool {
         let groups = self.possible_groups();
         self.keeps_majorities(&groups, Some(lost))
@@ -36,7 +36,8 @@
         groups.iter().all(|group| kept(group) >= group.majority())
     }
 
-    /// Groups in the records of all disks, and those that requested changes may lead to in any order.
+    /// Groups in the records of all disks, and those that the requested changes may lead to, in whatever order they
+    /// are executed.
     pub(super) fn possible_groups(&mut self) -> Vec<Group> {
         let mut groups: Vec<Group> =
             (0..self.machines.len()).flat_map(|at| self.groups_on_disk(at)).collect();
--- a/crates/coordination/src/simulation/world/mod.rs
+++ b/crates/coordination/src/simulation/world/mod.rs
@@ -1,6 +1,6 @@
 //! The simulated world: time, events, network and machines.
 //!
-//! This file is the state and the event loop; the other files of this folder execute the steps of a scenario, make
+//! This file has the state and the event loop; the other files of this folder execute the steps of a scenario, make
 //! requests, drive the replicas and check what a scenario expects.
 
 mod driver;
@@ -47,14 +47,14 @@
     /// Membership changes that were requested.
     changes: Vec<RequestedMembershipChange>,
     fault: Option<Fault>,
-    /// The last number that was appended.
+    /// The last number that a request used.
     next_entry: u32,
     /// All outputs of the replicas, if they are to be recorded.
     observations: Option<Vec<Observation>>,
 }
 
 impl World {
-    /// Plays a scenario to its end or to the first violation; `fault` is a deliberate mistake.
+    /// Plays a scenario to its end or to the first violation; `fault` is a defect that is switched on.
     ///
     /// # Errors
     /// The rule that was violated.
--- a/crates/coordination/src/simulation/world/requests.rs
+++ b/crates/coordination/src/simulation/world/requests.rs
@@ -29,7 +29,7 @@
         self.request(at, Some(command), input)
     }
 
-    /// Requests a membership change, unless too many of the new members could be without a record.
+    /// Requests a membership change, unless a group that it may lead to would lack a majority with records.
     pub(super) fn change_members(
         &mut self,
         via: MachineIndex,
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Makes a request at a machine, if its process runs.
+    /// Sends a request to a machine, if its process runs and is not frozen.
     pub(super) fn request(
         &mut self,
         at: MachineIndex,
--- a/crates/coordination/src/simulation/world/steps.rs
+++ b/crates/coordination/src/simulation/world/steps.rs
@@ -11,10 +11,10 @@
 use crate::simulation::step::{MachineIndex, Machines, Step};
 use crate::simulation::violation::Violation;
 
-/// The first number of [`Step::Ensure`], so that these differ from appended ones.
+/// The first number for [`Step::Ensure`], so high that these numbers differ from appended ones.
 const FIRST_ENSURED_NUMBER: u32 = 1_000_000;
 
-/// How many numbers take turns in [`Step::Ensure`].
+/// How many different numbers [`Step::Ensure`] uses.
 const ENSURED_NUMBERS: u32 = 4;
 
 impl World {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Steps that only inject a fault, or end one of the network.
+    /// Executes the steps that only inject a fault, and those that end a fault of the network.
     fn apply_fault(&mut self, step: Step) {
         match step {
             Step::Kill(at) => self.machines[at].kill(&mut self.random),
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Starts a process; peers that run are told that it is reachable.
+    /// Starts a process; it and the running peers are notified that they can reach each other.
     pub(super) fn start(&mut self, at: MachineIndex, bootstrap: bool) -> Result<(), Violation> {
         let seeds = (0..self.bootstrap_members).map(node_of).collect();
         let settings = Settings { bootstrap, fault: self.fault, ..Settings::new(node_of(at), seeds) };
--- a/crates/coordination/src/storage/directory.rs
+++ b/crates/coordination/src/storage/directory.rs
@@ -21,25 +21,25 @@
     /// Writes a new file, replacing one of that name, and waits until its content is durable.
     ///
     /// # Errors
-    /// If the disk refuses; part of the file may then be there.
+    /// If the write fails; part of the file may then exist.
     fn write_new(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
     /// Renames a file. Durable after [`Self::sync`].
     ///
     /// # Errors
-    /// If the disk refuses.
+    /// If the file cannot be renamed.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file. Durable after [`Self::sync`].
     ///
     /// # Errors
-    /// If the disk refuses.
+    /// If the file cannot be removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Waits until all names are durable.
+    /// Waits until all file names are durable.
     ///
     /// # Errors
-    /// If the disk refuses.
+    /// If the directory cannot be synced.
     fn sync(&mut self) -> io::Result<()>;
 }
 
--- a/crates/coordination/src/storage/file_format.rs
+++ b/crates/coordination/src/storage/file_format.rs
@@ -2,7 +2,7 @@
 
 use deku::prelude::*;
 
-/// First bytes of every version; identify the format.
+/// First bytes of every version, which identify the format.
 const MAGIC: u32 = 0x4c47_5631;
 
 /// Length of the header in bytes.
--- a/crates/coordination/src/storage/mod.rs
+++ b/crates/coordination/src/storage/mod.rs
@@ -1,8 +1,8 @@
 //! Durable storage of records: each version in a file of its own, written under a temporary name, synced, renamed,
 //! and the directory synced.
 //!
-//! A [`VersionedStore`] retains the newest versions of one record. It works on a [`Directory`], real
-//! ([`FileDirectory`]) or simulated ([`SimulatedDirectory`]); many stores may share one.
+//! A [`VersionedStore`] retains the newest versions of one record. It writes to a [`Directory`], which is real
+//! ([`FileDirectory`]) or simulated ([`SimulatedDirectory`]); many stores may share one directory.
 
 mod directory;
 mod file_format;
--- a/crates/coordination/src/storage/simulated.rs
+++ b/crates/coordination/src/storage/simulated.rs
@@ -15,7 +15,7 @@
 }
 
 impl NameChange {
-    /// What remains of this change once a new file named `replaced` is durable.
+    /// The part of this change that remains unsynced once a new file named `replaced` is durable.
     fn without(self, replaced: &str) -> Option<Self> {
         match self {
             Self::Named { name, .. } | Self::Removed { name } if name == replaced => None,
@@ -47,7 +47,7 @@
     pub capacity: Option<usize>,
     /// Whether every write fails.
     pub rejects_writes: bool,
-    /// Operations until the machine stops, if it is about to.
+    /// Number of operations after which the machine stops, if a crash is scheduled.
     pub operations_until_crash: Option<u32>,
 }
 
@@ -58,7 +58,7 @@
         Self::default()
     }
 
-    /// Power is lost: each unsynced change is retained, truncated or lost; at times all are lost.
+    /// Power is lost: each unsynced change is retained, truncated or lost; sometimes all of them are lost.
     pub fn lose_power(&mut self, random: &mut SmallRng) {
         let retains_some = !random.random_bool(0.25);
         for (name, content) in std::mem::take(&mut self.files) {
--- a/crates/coordination/src/storage/store.rs
+++ b/crates/coordination/src/storage/store.rs
@@ -10,7 +10,7 @@
 /// Suffix of the name of a file that is still being written.
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// Retained versions: the newest, and the one before as long as there is space.
+/// Number of retained versions: the newest, and the one before as long as the disk has space.
 const RETAINED_VERSIONS: usize = 2;
 
 /// Why a version could not be saved or the store could not be opened.
@@ -43,19 +43,19 @@
 impl VersionedStore {
     /// Opens the record named `prefix` and returns its newest intact version. Temporary files are removed.
     ///
-    /// The previous process may have died between renaming a version and syncing the directory, so the directory
-    /// is synced before a version is returned.
+    /// The previous process may have died between renaming a version and syncing the directory. The directory is
+    /// therefore synced before a version is returned, as the version could otherwise be lost after its use.
     ///
     /// # Errors
     /// If the directory or a file cannot be read, or the directory cannot be synced.
     pub fn open(directory: &mut dyn Directory, prefix: &str) -> Result<(Self, Option<Vec<u8>>), StoreError> {
         let mut store = Self { prefix: prefix.to_owned(), last_version: 0, versions: Vec::new() };
-        for name in directory.list().map_err(disk_error("list the folder"))? {
+        for name in directory.list().map_err(disk_error("list the directory"))? {
             store.index_file(directory, &name)?;
         }
         store.versions.sort_unstable();
         if !store.versions.is_empty() {
-            directory.sync().map_err(disk_error("sync the folder"))?;
+            directory.sync().map_err(disk_error("sync the directory"))?;
         }
         let newest = store.newest(directory)?;
         Ok((store, newest))
@@ -72,7 +72,7 @@
         };
         self.last_version = self.last_version.max(version);
         if temporary {
-            return directory.remove(name).map_err(disk_error("remove a file left temporary"));
+            return directory.remove(name).map_err(disk_error("remove an unfinished temporary file"));
         }
         self.versions.push(version);
         Ok(())
@@ -108,7 +108,7 @@
             return Err(error);
         }
         self.versions.push(version);
-        directory.sync().map_err(disk_error("sync the folder"))?;
+        directory.sync().map_err(disk_error("sync the directory"))?;
         self.prune_versions(directory, RETAINED_VERSIONS);
         Ok(())
     }
@@ -129,7 +129,7 @@
         directory.write_new(temporary, bytes).map_err(disk_error("write a version"))
     }
 
-    /// Removes all but the newest `retained` versions. One that cannot be removed is tried again next time.
+    /// Removes all but the newest `retained` versions. The removal of a version that fails is retried next time.
     fn prune_versions(&mut self, directory: &mut dyn Directory, retained: usize) {
         let old = self.versions.len().saturating_sub(retained);
         let (old, newest) = self.versions.split_at(old);
