--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -18,7 +18,7 @@
 }
 
 /// Time from `failure` to the first action of another holder.
-fn takeover(world: &World, failure: Duration) -> Duration {
+fn takeover_time(world: &World, failure: Duration) -> Duration {
     let old = world.actions[0].holder;
     let first = world.actions.iter().find(|action| action.holder != old).expect("a new holder");
     first.arrival - failure
@@ -47,7 +47,7 @@
     let failure = world.now;
     world.set_candidate(1, true);
     world.run_for(10 * SECOND);
-    let takeover = takeover(&world, failure);
+    let takeover = takeover_time(&world, failure);
     assert!(takeover >= QUIET_PERIOD, "{takeover:?}");
     assert!(takeover < Duration::from_millis(4_200), "{takeover:?}");
     assert_eq!(world.violation(), None);
@@ -60,7 +60,7 @@
     let handover = world.now;
     world.set_candidate(1, true);
     world.run_for(10 * SECOND);
-    let takeover = takeover(&world, handover);
+    let takeover = takeover_time(&world, handover);
     assert!(takeover < Duration::from_millis(3_500), "{takeover:?}");
     assert_eq!(world.violation(), None);
 }
@@ -153,7 +153,7 @@
     world.set_candidate(1, true);
     let restart = world.now;
     world.run_for(10 * SECOND);
-    assert!(takeover(&world, restart) >= QUIET_PERIOD);
+    assert!(takeover_time(&world, restart) >= QUIET_PERIOD);
     assert_eq!(world.violation(), None);
 }
 
@@ -163,7 +163,7 @@
     world.restart(0);
     let restart = world.now;
     world.run_for(10 * SECOND);
-    assert!(takeover(&world, restart) >= QUIET_PERIOD);
+    assert!(takeover_time(&world, restart) >= QUIET_PERIOD);
     assert_eq!(world.violation(), None);
 }
 
--- a/crates/coordination/tests/lease_model.rs
+++ b/crates/coordination/tests/lease_model.rs
@@ -150,15 +150,15 @@
     fn act(&mut self, index: u8) {
         let now = self.now();
         let Some(epoch) = self.node(index).authorize(now, SHARD, Duration::ZERO) else { return };
-        let act = LastAction { tick: self.tick, holder: self.id(index), epoch };
+        let action = LastAction { tick: self.tick, holder: self.id(index), epoch };
         if let Some(last) = &self.last_action {
-            let other = last.holder != act.holder;
-            let too_early = other && act.tick - last.tick < QUIET_TICKS;
-            let reuses_epoch = other && act.epoch <= last.epoch;
-            self.violated |= too_early || reuses_epoch || act.epoch < last.epoch;
+            let other = last.holder != action.holder;
+            let too_early = other && action.tick - last.tick < QUIET_TICKS;
+            let reuses_epoch = other && action.epoch <= last.epoch;
+            self.violated |= too_early || reuses_epoch || action.epoch < last.epoch;
             self.handed_over |= other;
         }
-        self.last_action = Some(act);
+        self.last_action = Some(action);
     }
 }
 
--- a/crates/coordination/tests/lease_parts.rs
+++ b/crates/coordination/tests/lease_parts.rs
@@ -53,18 +53,24 @@
     holder
 }
 
-fn answer(holder: &mut LeaseHolder, now: u64, from: u8, round: u64, granted: bool) -> Vec<HolderOutput> {
+fn deliver_reply(
+    holder: &mut LeaseHolder,
+    now: u64,
+    from: u8,
+    round: u64,
+    granted: bool,
+) -> Vec<HolderOutput> {
     let wait_ms = if granted { 0 } else { 700 };
     let reply = LeaseReply { shard: SHARD, candidate: node(1), round, granted, wait_ms };
     holder.on_reply(at(now), node(from).address(), &reply)
 }
 
 /// A holder whose lease of round 1 expires at 1.9 s, with epoch 10.
-fn acting() -> LeaseHolder {
+fn acting_holder() -> LeaseHolder {
     let mut holder = candidate();
-    assert_eq!(answer(&mut holder, 1_010, 1, 1, true), vec![]);
+    assert_eq!(deliver_reply(&mut holder, 1_010, 1, 1, true), vec![]);
     let tenure = Tenure(1);
-    assert_eq!(answer(&mut holder, 1_020, 2, 1, true), vec![HolderOutput::AcquireEpoch { tenure }]);
+    assert_eq!(deliver_reply(&mut holder, 1_020, 2, 1, true), vec![HolderOutput::AcquireEpoch { tenure }]);
     let began = HolderOutput::Began { tenure, epoch: 10 };
     assert_eq!(holder.epoch_acquired(at(1_030), tenure, 10), vec![began]);
     holder
@@ -148,7 +154,7 @@
 
 #[test]
 fn a_holder_acts_until_validity_less_margin_after_its_request() {
-    let mut holder = acting();
+    let mut holder = acting_holder();
     assert_eq!(holder.authorize(at(1_879), DELIVERY_TIME), Some(10));
     assert_eq!(holder.authorize(at(1_880), DELIVERY_TIME), None);
     assert_eq!(holder.authorize(at(60_000), DELIVERY_TIME), None);
@@ -156,10 +162,10 @@
 
 #[test]
 fn a_late_reply_extends_the_lease_from_the_time_of_the_request() {
-    let mut holder = acting();
+    let mut holder = acting_holder();
     assert_eq!(holder.on_tick(at(1_334)).len(), 3);
-    answer(&mut holder, 1_850, 1, 2, true);
-    answer(&mut holder, 1_850, 2, 2, true);
+    deliver_reply(&mut holder, 1_850, 1, 2, true);
+    deliver_reply(&mut holder, 1_850, 2, 2, true);
     assert_eq!(holder.current_epoch(at(2_213), DELIVERY_TIME), Some(10));
     assert_eq!(holder.current_epoch(at(2_214), DELIVERY_TIME), None);
 }
@@ -167,44 +173,44 @@
 #[test]
 fn two_replies_of_one_grantor_count_once() {
     let mut holder = candidate();
-    assert_eq!(answer(&mut holder, 1_010, 2, 1, true), vec![]);
-    assert_eq!(answer(&mut holder, 1_020, 2, 1, true), vec![]);
+    assert_eq!(deliver_reply(&mut holder, 1_010, 2, 1, true), vec![]);
+    assert_eq!(deliver_reply(&mut holder, 1_020, 2, 1, true), vec![]);
 }
 
 #[test]
 fn a_grant_of_a_non_member_does_not_count() {
     let mut holder = candidate();
-    assert_eq!(answer(&mut holder, 1_010, 2, 1, true), vec![]);
-    assert_eq!(answer(&mut holder, 1_020, 9, 1, true), vec![]);
+    assert_eq!(deliver_reply(&mut holder, 1_010, 2, 1, true), vec![]);
+    assert_eq!(deliver_reply(&mut holder, 1_020, 9, 1, true), vec![]);
 }
 
 #[test]
 fn a_holder_without_an_epoch_does_not_act() {
     let mut holder = candidate();
-    answer(&mut holder, 1_010, 1, 1, true);
-    answer(&mut holder, 1_010, 2, 1, true);
+    deliver_reply(&mut holder, 1_010, 1, 1, true);
+    deliver_reply(&mut holder, 1_010, 2, 1, true);
     assert_eq!(holder.authorize(at(1_020), DELIVERY_TIME), None);
 }
 
 #[test]
 fn the_epoch_of_an_ended_tenure_is_dropped() {
     let mut holder = candidate();
-    answer(&mut holder, 1_010, 1, 1, true);
-    answer(&mut holder, 1_010, 2, 1, true);
+    deliver_reply(&mut holder, 1_010, 1, 1, true);
+    deliver_reply(&mut holder, 1_010, 2, 1, true);
     assert_eq!(holder.on_tick(at(2_000))[0], HolderOutput::Ended { tenure: Tenure(1) });
-    answer(&mut holder, 2_010, 1, 2, true);
+    deliver_reply(&mut holder, 2_010, 1, 2, true);
     let tenure = Tenure(2);
-    assert_eq!(answer(&mut holder, 2_010, 2, 2, true), vec![HolderOutput::AcquireEpoch { tenure }]);
+    assert_eq!(deliver_reply(&mut holder, 2_010, 2, 2, true), vec![HolderOutput::AcquireEpoch { tenure }]);
     assert_eq!(holder.epoch_acquired(at(2_020), Tenure(1), 10), vec![]);
     assert_eq!(holder.current_epoch(at(2_030), DELIVERY_TIME), None);
 }
 
 #[test]
 fn an_epoch_that_is_not_higher_is_acquired_again() {
-    let mut holder = acting();
+    let mut holder = acting_holder();
     holder.on_tick(at(2_000));
-    answer(&mut holder, 2_010, 1, 2, true);
-    answer(&mut holder, 2_010, 2, 2, true);
+    deliver_reply(&mut holder, 2_010, 1, 2, true);
+    deliver_reply(&mut holder, 2_010, 2, 2, true);
     let tenure = Tenure(2);
     let again = HolderOutput::AcquireEpoch { tenure };
     assert_eq!(holder.epoch_acquired(at(2_020), tenure, 10), vec![again]);
@@ -214,10 +220,10 @@
 #[test]
 fn an_unavailable_epoch_is_acquired_again_during_the_tenure() {
     let mut holder = candidate();
-    answer(&mut holder, 1_010, 1, 1, true);
+    deliver_reply(&mut holder, 1_010, 1, 1, true);
     let tenure = Tenure(1);
     let again = HolderOutput::AcquireEpoch { tenure };
-    assert_eq!(answer(&mut holder, 1_010, 2, 1, true), vec![again]);
+    assert_eq!(deliver_reply(&mut holder, 1_010, 2, 1, true), vec![again]);
     assert_eq!(holder.epoch_unavailable(at(1_500), tenure), vec![again]);
     assert_eq!(holder.epoch_acquired(at(1_600), tenure, 10), vec![HolderOutput::Began { tenure, epoch: 10 }]);
     assert_eq!(holder.epoch_unavailable(at(1_700), tenure), vec![]);
@@ -227,9 +233,9 @@
 #[test]
 fn a_lost_round_releases_its_grants() {
     let mut holder = candidate();
-    answer(&mut holder, 1_010, 1, 1, true);
-    answer(&mut holder, 1_010, 2, 1, false);
-    let outputs = answer(&mut holder, 1_010, 3, 1, false);
+    deliver_reply(&mut holder, 1_010, 1, 1, true);
+    deliver_reply(&mut holder, 1_010, 2, 1, false);
+    let outputs = deliver_reply(&mut holder, 1_010, 3, 1, false);
     let expected = release(1, 1, LeaseRelease::NEVER_ACTED);
     let released = |to: &SocketAddr| HolderOutput::Release { to: *to, release: expected };
     assert_eq!(outputs, members(&[1, 2, 3]).iter().map(released).collect::<Vec<_>>());
@@ -238,7 +244,7 @@
 
 #[test]
 fn a_release_waits_for_the_arrival_of_the_last_action() {
-    let mut holder = acting();
+    let mut holder = acting_holder();
     holder.authorize(at(1_100), DELIVERY_TIME);
     assert_eq!(holder.set_candidate(at(1_110), false), vec![HolderOutput::Ended { tenure: Tenure(1) }]);
     assert_eq!(holder.next_wake(), Some(at(1_120)));
@@ -252,8 +258,8 @@
 fn a_process_that_is_not_a_candidate_ignores_grants() {
     let mut holder = candidate();
     holder.set_candidate(at(1_005), false);
-    assert_eq!(answer(&mut holder, 1_010, 1, 1, true), vec![]);
-    assert_eq!(answer(&mut holder, 1_010, 2, 1, true), vec![]);
+    assert_eq!(deliver_reply(&mut holder, 1_010, 1, 1, true), vec![]);
+    assert_eq!(deliver_reply(&mut holder, 1_010, 2, 1, true), vec![]);
 }
 
 #[test]
--- a/crates/coordination/tests/lease_with_membership.rs
+++ b/crates/coordination/tests/lease_with_membership.rs
@@ -31,19 +31,19 @@
         let end = self.world.now + span;
         while self.world.now < end {
             for index in 0..self.detectors.len() {
-                self.detect(index);
+                self.run_detector(index);
             }
             self.world.step();
         }
     }
 
-    fn runs(&self, index: usize) -> bool {
+    fn is_running(&self, index: usize) -> bool {
         self.world.is_up(index) && !self.world.is_frozen(index)
     }
 
-    fn detect(&mut self, index: usize) {
+    fn run_detector(&mut self, index: usize) {
         let now = self.world.now;
-        if !self.runs(index) || self.detectors[index].next_wake() > now {
+        if !self.is_running(index) || self.detectors[index].next_wake() > now {
             return;
         }
         let outputs = self.detectors[index].on_tick(now);
@@ -51,7 +51,7 @@
         for output in outputs {
             let Output::Send { to, heartbeat } = output else { continue };
             let to = members.iter().position(|member| *member == to).expect("a member");
-            if self.runs(to) {
+            if self.is_running(to) {
                 self.detectors[to].on_heartbeat(now, &heartbeat);
             }
         }
@@ -80,7 +80,7 @@
     }
 
     /// Time from `failure` to the first action of another incarnation than the last holder before it.
-    fn takeover(&self, failure: Duration) -> Duration {
+    fn takeover_time(&self, failure: Duration) -> Duration {
         let before =
             self.world.actions.iter().rfind(|action| action.arrival <= failure).expect("a holder").holder;
         let next =
@@ -105,7 +105,7 @@
         let failure = cluster.world.now;
         cluster.world.crash(holder);
         cluster.run_for(Duration::from_secs(10));
-        let takeover = cluster.takeover(failure);
+        let takeover = cluster.takeover_time(failure);
         assert!(takeover >= QUIET_PERIOD, "{takeover:?}");
         assert!(takeover < Duration::from_millis(4_500), "{takeover:?}");
         assert_eq!(cluster.world.violation(), None);
@@ -122,7 +122,7 @@
     cluster.restart(holder);
     cluster.run_for(Duration::from_secs(10));
     assert_eq!(cluster.holder(), holder);
-    assert!(cluster.takeover(failure) < Duration::from_secs(6));
+    assert!(cluster.takeover_time(failure) < Duration::from_secs(6));
     assert_eq!(cluster.world.violation(), None);
 }
 
--- a/crates/coordination/tests/lease_world/mod.rs
+++ b/crates/coordination/tests/lease_world/mod.rs
@@ -263,19 +263,19 @@
         })
     }
 
-    fn local(&self, index: usize) -> Duration {
+    fn local_now(&self, index: usize) -> Duration {
         local_time(self.now, self.processes[index].rate_ppm)
     }
 
     fn apply_candidate(&mut self, index: usize) {
-        let now = self.local(index);
+        let now = self.local_now(index);
         let is_candidate = self.processes[index].is_candidate;
         let outputs = self.processes[index].node.set_candidate(now, SHARD, is_candidate);
         self.send(index, outputs);
     }
 
     fn wake(&mut self, index: usize) {
-        let now = self.local(index);
+        let now = self.local_now(index);
         let due = self.processes[index].node.next_wake().is_some_and(|wake| wake <= now);
         if due && self.is_running(index) {
             let outputs = self.processes[index].node.on_tick(now);
@@ -287,7 +287,7 @@
         if !self.is_running(index) {
             return;
         }
-        let now = self.local(index);
+        let now = self.local_now(index);
         let Some(epoch) = self.processes[index].node.authorize(now, SHARD, DELIVERY_TIME) else { return };
         let delay = Duration::from_millis(self.random.below(DELIVERY_TIME.as_millis() as u64 - 1));
         let action = Action { arrival: self.now + delay, holder: self.id(index), epoch };
@@ -312,7 +312,7 @@
             self.in_flight.push(delivery);
             return;
         }
-        let now = self.local(index);
+        let now = self.local_now(index);
         let process = &mut self.processes[index];
         let outputs = match delivery.delivery {
             Delivery::Message { from, message } => process.node.on_message(now, from, &message),
--- a/crates/coordination/tests/lease_world/schedule.rs
+++ b/crates/coordination/tests/lease_world/schedule.rs
@@ -42,14 +42,14 @@
 }
 
 /// Settings without a margin, so that nothing but the rules themselves keeps holders apart.
-fn tight_settings() -> LeaseSettings {
+fn settings_without_margin() -> LeaseSettings {
     LeaseSettings { margin: Duration::ZERO, ..LeaseSettings::for_quiet_period(QUIET_PERIOD) }
 }
 
 /// Plays the schedule of `seed` on processes with these clock rates (ppm from true time).
 pub(crate) fn random_schedule(seed: u64, rates: &[i64]) -> World {
     let mut random = TestRandom::new(seed);
-    let mut world = World::with_settings(seed ^ 1, rates, tight_settings());
+    let mut world = World::with_settings(seed ^ 1, rates, settings_without_margin());
     for _ in 0..80 {
         inject_fault(&mut world, &mut random, rates.len());
         if random.one_in(5) {
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -21,11 +21,11 @@
     Duration::from_millis(ms)
 }
 
-fn member(count: u16) -> FailureDetector {
+fn detector(count: u16) -> FailureDetector {
     let settings = MembershipSettings::new(INTERVAL, usize::from(count));
-    let mut membership = FailureDetector::new(settings, NodeId::new(address(0), 1), at(0));
-    membership.set_nodes(at(0), &nodes(count));
-    membership
+    let mut detector = FailureDetector::new(settings, NodeId::new(address(0), 1), at(0));
+    detector.set_nodes(at(0), &nodes(count));
+    detector
 }
 
 fn heartbeat(index: u16, incarnation: u64, sequence: u64) -> Heartbeat {
@@ -34,18 +34,21 @@
 
 /// Wakes the membership every 100 ms and lets the peers `live_peers` send every 300 ms, up to `end`.
 fn run(
-    membership: &mut FailureDetector,
+    detector: &mut FailureDetector,
     from: u64,
     end: u64,
     live_peers: &[u16],
 ) -> Vec<(u64, SocketAddr, PeerState)> {
     let mut changes = Vec::new();
     for now in (from..end).step_by(100) {
-        let mut outputs = membership.on_tick(at(now));
+        let mut outputs = detector.on_tick(at(now));
         if now % 300 == 0 {
-            let beats = live_peers.iter().map(|index| heartbeat(*index, 1, now / 300 + 1));
-            outputs
-                .extend(beats.flat_map(|beat| membership.on_heartbeat(at(now), &beat)).collect::<Vec<_>>());
+            let heartbeats = live_peers.iter().map(|index| heartbeat(*index, 1, now / 300 + 1));
+            outputs.extend(
+                heartbeats
+                    .flat_map(|heartbeat| detector.on_heartbeat(at(now), &heartbeat))
+                    .collect::<Vec<_>>(),
+            );
         }
         changes.extend(outputs.into_iter().filter_map(|output| match output {
             Output::StateChanged { peer, state } => Some((now, peer, state)),
@@ -95,17 +98,17 @@
 fn each_of_four_hundred_nodes_has_its_monitors() {
     let listed = nodes(400);
     let mut monitors = vec![0; listed.len()];
-    let mut heaviest = 0;
+    let mut most_peers = 0;
     for node in &listed {
         let peers = monitored_peers(*node, &listed, 3);
-        heaviest = heaviest.max(peers.len());
+        most_peers = most_peers.max(peers.len());
         for peer in peers {
             assert!(monitors_of(peer, &listed, 3).contains(node));
             monitors[listed.binary_search(&peer).expect("a known node")] += 1;
         }
     }
     assert!(monitors.iter().all(|count| *count == 3));
-    assert!(heaviest <= 12, "{heaviest}");
+    assert!(most_peers <= 12, "{most_peers}");
 }
 
 #[test]
@@ -118,26 +121,26 @@
 
 #[test]
 fn a_peer_without_heartbeats_is_suspected_and_then_dead() {
-    let mut membership = member(3);
-    run(&mut membership, 0, 6_000, &[1, 2]);
-    let changes = run(&mut membership, 6_000, 10_000, &[2]);
+    let mut detector = detector(3);
+    run(&mut detector, 0, 6_000, &[1, 2]);
+    let changes = run(&mut detector, 6_000, 10_000, &[2]);
     let peer = address(1).into();
     assert_eq!(changes, vec![(6_600, peer, PeerState::Suspect), (8_400, peer, PeerState::Dead)]);
-    assert!(!membership.is_live(peer));
+    assert!(!detector.is_live(peer));
 }
 
 #[test]
 fn a_peer_is_live_again_with_its_next_heartbeat() {
-    let mut membership = member(3);
-    run(&mut membership, 0, 6_000, &[1, 2]);
-    run(&mut membership, 6_000, 12_000, &[2]);
-    let changes = run(&mut membership, 12_000, 12_200, &[1, 2]);
+    let mut detector = detector(3);
+    run(&mut detector, 0, 6_000, &[1, 2]);
+    run(&mut detector, 6_000, 12_000, &[2]);
+    let changes = run(&mut detector, 12_000, 12_200, &[1, 2]);
     assert_eq!(changes, vec![(12_000, address(1).into(), PeerState::Live)]);
 }
 
 #[test]
 fn irregular_heartbeats_lengthen_the_timeout() {
-    let mut membership = member(2);
+    let mut detector = detector(2);
     let mut sequence = 0;
     let mut now = 0;
     for round in 0..40 {
@@ -145,58 +148,55 @@
         for _ in 0..gap / 100 {
             now += 100;
             assert!(
-                !membership
-                    .on_tick(at(now))
-                    .iter()
-                    .any(|output| matches!(output, Output::StateChanged { .. }))
+                !detector.on_tick(at(now)).iter().any(|output| matches!(output, Output::StateChanged { .. }))
             );
         }
         sequence += 1;
-        membership.on_heartbeat(at(now), &heartbeat(1, 1, sequence));
+        detector.on_heartbeat(at(now), &heartbeat(1, 1, sequence));
     }
-    let changes = run(&mut membership, now + 100, now + 1_500, &[]);
+    let changes = run(&mut detector, now + 100, now + 1_500, &[]);
     assert_eq!(changes, vec![]);
-    let changes = run(&mut membership, now + 1_500, now + 3_100, &[]);
+    let changes = run(&mut detector, now + 1_500, now + 3_100, &[]);
     assert_eq!(changes.first().map(|change| change.2), Some(PeerState::Suspect));
 }
 
 #[test]
 fn a_suspended_process_suspects_no_peer_when_it_resumes() {
-    let mut membership = member(3);
-    run(&mut membership, 0, 6_000, &[1, 2]);
-    let changes = run(&mut membership, 60_000, 60_300, &[]);
+    let mut detector = detector(3);
+    run(&mut detector, 0, 6_000, &[1, 2]);
+    let changes = run(&mut detector, 60_000, 60_300, &[]);
     assert_eq!(changes, vec![]);
-    let changes = run(&mut membership, 60_300, 66_000, &[1, 2]);
+    let changes = run(&mut detector, 60_300, 66_000, &[1, 2]);
     assert_eq!(changes, vec![]);
 }
 
 #[test]
 fn a_peer_that_died_while_this_process_was_suspended_is_noticed_later() {
-    let mut membership = member(3);
-    run(&mut membership, 0, 6_000, &[1, 2]);
-    let changes = run(&mut membership, 60_000, 64_000, &[2]);
+    let mut detector = detector(3);
+    run(&mut detector, 0, 6_000, &[1, 2]);
+    let changes = run(&mut detector, 60_000, 64_000, &[2]);
     assert_eq!(changes.first().map(|change| (change.0, change.2)), Some((60_900, PeerState::Suspect)));
 }
 
 #[test]
 fn a_new_incarnation_is_reported_and_heartbeats_of_the_old_one_are_ignored() {
-    let mut membership = member(2);
+    let mut detector = detector(2);
     let peer = address(1).into();
-    membership.on_heartbeat(at(100), &heartbeat(1, 5, 9));
-    let outputs = membership.on_heartbeat(at(200), &heartbeat(1, 6, 1));
+    detector.on_heartbeat(at(100), &heartbeat(1, 5, 9));
+    let outputs = detector.on_heartbeat(at(200), &heartbeat(1, 6, 1));
     assert_eq!(outputs, vec![Output::Restarted { peer, incarnation: 6 }]);
-    assert_eq!(membership.on_heartbeat(at(300), &heartbeat(1, 5, 10)), vec![]);
-    assert_eq!(membership.incarnation(peer), Some(6));
+    assert_eq!(detector.on_heartbeat(at(300), &heartbeat(1, 5, 10)), vec![]);
+    assert_eq!(detector.incarnation(peer), Some(6));
 }
 
 #[test]
 fn late_and_duplicate_heartbeats_do_not_keep_a_peer_live() {
-    let mut membership = member(2);
-    membership.on_heartbeat(at(100), &heartbeat(1, 5, 9));
+    let mut detector = detector(2);
+    detector.on_heartbeat(at(100), &heartbeat(1, 5, 9));
     let mut changes = Vec::new();
     for now in (200..2_000).step_by(100) {
-        membership.on_heartbeat(at(now), &heartbeat(1, 5, 8 + now % 2));
-        changes.extend(membership.on_tick(at(now)));
+        detector.on_heartbeat(at(now), &heartbeat(1, 5, 8 + now % 2));
+        changes.extend(detector.on_tick(at(now)));
     }
     let suspected = Output::StateChanged { peer: address(1).into(), state: PeerState::Suspect };
     assert!(changes.contains(&suspected));
@@ -204,8 +204,8 @@
 
 #[test]
 fn heartbeats_go_to_the_monitors_and_set_the_next_wake() {
-    let mut membership = member(3);
-    let outputs = membership.on_tick(at(0));
+    let mut detector = detector(3);
+    let outputs = detector.on_tick(at(0));
     let targets: Vec<_> = outputs
         .iter()
         .filter_map(|output| match output {
@@ -215,19 +215,19 @@
         .collect();
     assert_eq!(targets.len(), 2);
     assert!(targets.iter().all(|target| target.1 == 1));
-    assert_eq!(membership.next_wake(), INTERVAL);
+    assert_eq!(detector.next_wake(), INTERVAL);
 }
 
 #[test]
 fn the_first_live_node_follows_the_rendezvous_order() {
-    let mut membership = member(5);
+    let mut detector = detector(5);
     let order = rendezvous_order(b"shard-1", &nodes(5));
-    assert_eq!(membership.first_live(b"shard-1"), order[0]);
+    assert_eq!(detector.first_live(b"shard-1"), order[0]);
     let others: Vec<u16> = (1..5).filter(|index| SocketAddr::from(address(*index)) != order[0]).collect();
-    run(&mut membership, 0, 6_000, &others);
+    run(&mut detector, 0, 6_000, &others);
     let own: SocketAddr = address(0).into();
     let expected = if order[0] == own { order[0] } else { order[1] };
-    assert_eq!(membership.first_live(b"shard-1"), expected);
+    assert_eq!(detector.first_live(b"shard-1"), expected);
 }
 
 #[test]
--- a/crates/coordination/tests/membership_digests.rs
+++ b/crates/coordination/tests/membership_digests.rs
@@ -56,31 +56,31 @@
     let mut digest = Digest::default();
     let mut now = Duration::ZERO;
     let settings = MembershipSettings::new(INTERVAL, random.random_range(1..=4));
-    let mut membership = FailureDetector::new(settings, NodeId::new(address(0), 1), now);
+    let mut detector = FailureDetector::new(settings, NodeId::new(address(0), 1), now);
     let mut count = NODES;
     let mut sequence = 0;
     for _ in 0..EVENTS {
         let longest_wait = if random.random_bool(0.02) { 3_000 } else { 60 };
         now += Duration::from_millis(random.random_range(0..=longest_wait));
         let outputs = match random.random_range(0..100) {
-            0..40 => membership.on_tick(now),
+            0..40 => detector.on_tick(now),
             40..98 => {
                 sequence += random.random_range(0..2);
                 let incarnation = 1 + u64::from(random.random_bool(0.05));
                 let sender = NodeId::new(address(random.random_range(1..NODES)), incarnation);
-                membership.on_heartbeat(now, &Heartbeat { sender, sequence })
+                detector.on_heartbeat(now, &Heartbeat { sender, sequence })
             }
             _ => {
                 count = random.random_range(1..=NODES);
                 let nodes: Vec<SocketAddr> = (0..count).map(|index| address(index).into()).collect();
-                membership.set_nodes(now, &nodes);
+                detector.set_nodes(now, &nodes);
                 Vec::new()
             }
         };
         outputs.iter().for_each(|output| add_output(&mut digest, output));
-        digest.time(membership.next_wake());
-        add_address(&mut digest, membership.first_live(&seed.to_be_bytes()));
-        digest.number(membership.live().count() as u64);
+        digest.time(detector.next_wake());
+        add_address(&mut digest, detector.first_live(&seed.to_be_bytes()));
+        digest.number(detector.live().count() as u64);
     }
     let nodes: Vec<SocketAddr> = (0..count).map(|index| address(index).into()).collect();
     let orders = [
@@ -166,8 +166,8 @@
                 digest.byte(u8::from(registry.remove(now, &id, last)));
             }
             9 => {
-                let silent = registry.expire(now, Duration::from_secs(4), |service| service != "service-2");
-                for ExpiredIncarnation { id, sequence } in silent {
+                let expired = registry.expire(now, Duration::from_secs(4), |service| service != "service-2");
+                for ExpiredIncarnation { id, sequence } in expired {
                     digest.bytes(id.as_bytes());
                     digest.number(sequence);
                 }
--- a/crates/coordination/tests/register_catch_up.rs
+++ b/crates/coordination/tests/register_catch_up.rs
@@ -146,7 +146,7 @@
 
 /// What a member takes in grows with what it missed under these deliberate mistakes.
 #[test]
-fn values_sent_ahead_to_a_frozen_member_are_found() {
+fn values_sent_before_a_frozen_member_answers_are_detected() {
     let caught_up =
         measure_catch_up(Absence::Frozen, 1_000, Duration::from_secs(10), Some(Fault::SendBeforeAnswer));
     println!("{caught_up:?}");
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_request_for_each_announced_commit_is_found() {
+fn a_request_for_each_announced_commit_is_detected() {
     let caught_up =
         measure_catch_up(Absence::Frozen, 1_000, Duration::from_secs(10), Some(Fault::RequestEveryCommit));
     println!("{caught_up:?}");
--- a/crates/coordination/tests/register_codec.rs
+++ b/crates/coordination/tests/register_codec.rs
@@ -113,13 +113,13 @@
 
 proptest! {
     #[test]
-    fn messages_read_back(message in message()) {
+    fn messages_round_trip(message in message()) {
         let bytes = message.encode().unwrap();
         prop_assert_eq!(Message::decode(&bytes).unwrap(), message);
     }
 
     #[test]
-    fn records_read_back(record in record()) {
+    fn records_round_trip(record in record()) {
         let bytes = record.encode().unwrap();
         prop_assert_eq!(Record::decode(&bytes).unwrap(), record);
     }
@@ -127,8 +127,8 @@
     #[test]
     fn truncated_messages_are_rejected(message in message(), cut in 0.0..1.0_f64) {
         let bytes = message.encode().unwrap();
-        let kept = ((bytes.len() as f64) * cut) as usize;
-        prop_assert!(Message::decode(&bytes[..kept]).is_err());
+        let length = ((bytes.len() as f64) * cut) as usize;
+        prop_assert!(Message::decode(&bytes[..length]).is_err());
     }
 
     #[test]
@@ -139,13 +139,13 @@
     }
 
     #[test]
-    fn garbage_does_no_harm(bytes in vec(any::<u8>(), 0..300)) {
+    fn decoding_random_bytes_does_not_panic(bytes in vec(any::<u8>(), 0..300)) {
         let _ = Message::decode(&bytes);
         let _ = Record::decode(&bytes);
     }
 
     #[test]
-    fn a_changed_byte_does_no_harm(message in message(), at in any::<prop::sample::Index>(), byte in any::<u8>()) {
+    fn a_message_with_a_changed_byte_is_rejected_or_round_trips(message in message(), at in any::<prop::sample::Index>(), byte in any::<u8>()) {
         let mut bytes = message.encode().unwrap();
         let at = at.index(bytes.len());
         bytes[at] = byte;
--- a/crates/coordination/tests/register_faults.rs
+++ b/crates/coordination/tests/register_faults.rs
@@ -13,7 +13,7 @@
     })
 }
 
-macro_rules! found {
+macro_rules! detects {
     ($($name:ident: $fault:ident;)*) => {
         $(
             #[test]
@@ -26,18 +26,18 @@
     };
 }
 
-found! {
+detects! {
     a_vote_before_its_record_is_durable: ReplyBeforePersist;
     a_vote_right_after_a_wipe: VoteAfterWipe;
     recovery_from_a_single_replica: RecoverFromOne;
     votes_of_an_earlier_incarnation: IgnoreIncarnations;
     a_ballot_used_twice: ReuseBallot;
     a_majority_of_the_new_group_only: NewGroupOnly;
-    an_accepted_value_not_taken_over: IgnoreAccepted;
+    an_accepted_value_that_is_ignored: IgnoreAccepted;
     a_read_from_local_state: ReadLocally;
-    a_read_of_an_undecided_value: ReadUncommitted;
+    a_read_of_an_uncommitted_value: ReadUncommitted;
     an_accept_below_a_promise: AcceptBelowPromise;
     a_majority_that_is_too_small: SmallMajority;
     a_command_proposed_twice: ProposeTwice;
-    recent_changes_forgotten_by_who_takes_a_value_over: ForgetHistory;
+    recent_changes_dropped_from_a_received_value: ForgetHistory;
 }
--- a/crates/coordination/tests/register_model.rs
+++ b/crates/coordination/tests/register_model.rs
@@ -14,9 +14,9 @@
 use stateright::{Checker, HasDiscoveries, Model};
 
 /// States that a bounded search comes to, each as often as there are ways to it.
-const BOUND: usize = 100_000;
+const STATE_BOUND: usize = 100_000;
 /// The same for a longer look.
-const LARGE_BOUND: usize = 30_000_000;
+const LARGE_STATE_BOUND: usize = 30_000_000;
 /// Threads of a search of every state.
 const THREADS: usize = 3;
 
@@ -48,7 +48,7 @@
     }
 
     /// A deliberate mistake must be found.
-    fn finds(self, fault: Fault) {
+    fn detects(self, fault: Fault) {
         let model = Register { fault: Some(fault), ..self };
         let checker = model.clone().checker().finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join();
         println!("{model:?}: found within {} states", checker.unique_state_count());
@@ -58,29 +58,29 @@
 }
 
 #[test]
-fn ignoring_an_accepted_value_is_found() {
-    Register::new(Change::Command, &[]).finds(Fault::IgnoreAccepted);
+fn ignoring_an_accepted_value_is_detected() {
+    Register::new(Change::Command, &[]).detects(Fault::IgnoreAccepted);
 }
 
 #[test]
-fn a_majority_that_is_too_small_is_found() {
-    Register::new(Change::Command, &[]).finds(Fault::SmallMajority);
+fn a_majority_that_is_too_small_is_detected() {
+    Register::new(Change::Command, &[]).detects(Fault::SmallMajority);
 }
 
 #[test]
-fn a_vote_immediately_after_a_wipe_is_found() {
-    Register::new(Change::Command, &[FaultStep::Wipe(A)]).finds(Fault::VoteAfterWipe);
+fn a_vote_immediately_after_a_wipe_is_detected() {
+    Register::new(Change::Command, &[FaultStep::Wipe(A)]).detects(Fault::VoteAfterWipe);
 }
 
 #[test]
-fn a_majority_of_the_new_group_only_is_found() {
-    Register::new(Change::Replace, &[]).finds(Fault::NewGroupOnly);
+fn a_majority_of_the_new_group_only_is_detected() {
+    Register::new(Change::Replace, &[]).detects(Fault::NewGroupOnly);
 }
 
 #[test]
 #[ignore = "takes minutes"]
-fn votes_of_an_earlier_incarnation_are_found() {
-    Register::new(Change::Command, &[FaultStep::Wipe(A)]).finds(Fault::IgnoreIncarnations);
+fn votes_of_an_earlier_incarnation_are_detected() {
+    Register::new(Change::Command, &[FaultStep::Wipe(A)]).detects(Fault::IgnoreIncarnations);
 }
 
 #[test]
@@ -109,13 +109,13 @@
         $(
             #[test]
             fn $name() {
-                Register::new(Change::$change, &$faults).search(1, BOUND);
+                Register::new(Change::$change, &$faults).search(1, STATE_BOUND);
             }
 
             #[test]
             #[ignore = "takes minutes"]
             fn $all() {
-                Register::new(Change::$change, &$faults).search(THREADS, LARGE_BOUND);
+                Register::new(Change::$change, &$faults).search(THREADS, LARGE_STATE_BOUND);
             }
         )*
     };
--- a/crates/coordination/tests/register_scenarios.rs
+++ b/crates/coordination/tests/register_scenarios.rs
@@ -18,7 +18,7 @@
     text.parse().unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-fn named(name: &str) -> Scenario {
+fn read_named(name: &str) -> Scenario {
     read(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios").join(name))
 }
 
@@ -28,8 +28,8 @@
         let violation = World::play(&scenario, None).err()?;
         Some(format!("{}: {violation}", path.display()))
     });
-    let broken: Vec<String> = played.collect();
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    let violations: Vec<String> = played.collect();
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 #[test]
@@ -41,12 +41,12 @@
 
 #[test]
 fn the_scenario_on_an_accepted_final_value_needs_it_committed() {
-    let scenario = named("proposer-lost-with-the-final-value.txt");
+    let scenario = read_named("proposer-lost-with-the-final-value.txt");
     assert!(World::play(&scenario, Some(Fault::LeaveChangeUncommitted)).is_err());
 }
 
 #[test]
 fn the_scenario_on_incarnations_needs_them() {
-    let scenario = named("vote-of-an-earlier-incarnation.txt");
+    let scenario = read_named("vote-of-an-earlier-incarnation.txt");
     assert!(World::play(&scenario, Some(Fault::IgnoreIncarnations)).is_err());
 }
--- a/crates/coordination/tests/registry.rs
+++ b/crates/coordination/tests/registry.rs
@@ -99,20 +99,20 @@
     /// Replicas that receive the same registrations in any order, some of them twice, agree.
     #[test]
     fn order_does_not_matter(
-        mut heard in prop::collection::vec((1u64..20, any::<bool>()), 1..20),
+        mut received in prop::collection::vec((1u64..20, any::<bool>()), 1..20),
         order in any::<u64>(),
     ) {
-        heard.sort_by_key(|(sequence, _)| *sequence);
-        heard.dedup_by_key(|(sequence, _)| *sequence);
-        let take = |registry: &mut Registry<Endpoint>, (sequence, draining): (u64, bool)| {
+        received.sort_by_key(|(sequence, _)| *sequence);
+        received.dedup_by_key(|(sequence, _)| *sequence);
+        let merge = |registry: &mut Registry<Endpoint>, (sequence, draining): (u64, bool)| {
             registry.merge(ms(0), "i-1", sequence, Endpoint { draining, ..at(80) });
         };
         let mut forward = Registry::default();
-        heard.iter().for_each(|one| take(&mut forward, *one));
-        let mut shuffled = heard.clone();
+        received.iter().for_each(|one| merge(&mut forward, *one));
+        let mut shuffled = received.clone();
         shuffled.sort_by_key(|(sequence, _)| sequence.wrapping_mul(order | 1));
         let mut other = Registry::default();
-        shuffled.iter().chain(&heard).for_each(|one| take(&mut other, *one));
+        shuffled.iter().chain(&received).for_each(|one| merge(&mut other, *one));
         let newest = |registry: &Registry<Endpoint>| registry.get("i-1").unwrap().registration.clone();
         prop_assert_eq!(newest(&forward), newest(&other));
     }
--- a/crates/coordination/tests/storage.rs
+++ b/crates/coordination/tests/storage.rs
@@ -95,10 +95,10 @@
 #[test]
 fn a_file_system_directory_retains_the_newest_version() -> io::Result<()> {
     let path = std::env::temp_dir().join(format!("lanegate-storage-test-{}", std::process::id()));
-    let mut folder = FileDirectory::open(&path)?;
-    let (mut store, before) = open(&mut folder);
+    let mut directory = FileDirectory::open(&path)?;
+    let (mut store, before) = open(&mut directory);
     for version in 1..=4_u8 {
-        store.save(&mut folder, &[version]).unwrap();
+        store.save(&mut directory, &[version]).unwrap();
     }
     let mut again = FileDirectory::open(&path)?;
     let record = open(&mut again).1;
@@ -113,7 +113,7 @@
 enum Event {
     Save { length: usize },
     SaveInterrupted { length: usize, steps: u32, power: bool },
-    Refuse(bool),
+    RejectWrites(bool),
     Capacity(Option<usize>),
 }
 
@@ -122,7 +122,7 @@
         4 => (0..200_usize).prop_map(|length| Event::Save { length }),
         4 => (0..200_usize, 0..8_u32, any::<bool>())
             .prop_map(|(length, steps, power)| Event::SaveInterrupted { length, steps, power }),
-        1 => any::<bool>().prop_map(Event::Refuse),
+        1 => any::<bool>().prop_map(Event::RejectWrites),
         1 => proptest::option::of(100..800_usize).prop_map(Event::Capacity),
     ]
 }
@@ -166,7 +166,7 @@
                     prop_assert!((saved..=last).contains(&found), "found {found}, saved {saved}, tried {last}");
                     saved = found;
                 }
-                Event::Refuse(refusing) => directory.rejects_writes = refusing,
+                Event::RejectWrites(rejects) => directory.rejects_writes = rejects,
                 Event::Capacity(capacity) => directory.capacity = capacity,
             }
         }
--- a/crates/coordination/tests/version_conflicts.rs
+++ b/crates/coordination/tests/version_conflicts.rs
@@ -264,7 +264,7 @@
 
 #[test]
 #[should_panic(expected = "Conflict")]
-fn rejecting_a_forgotten_change_is_found() {
+fn rejecting_a_forgotten_change_is_detected() {
     check_resent_change(rejecting_state_machine, HISTORY_LENGTH as u64 + 1, |answer| !is_rejection(answer));
 }
 
