--- a/crates/coordination/examples/cost_of_a_change.rs
+++ b/crates/coordination/examples/cost_of_a_change.rs
@@ -1,5 +1,6 @@
-//! What one change of the configuration costs a group of three, by the number of changes before it: bytes on
-//! disk and on the wire, processor time, and the time of a durable write in the directory for temporary files.
+//! Measures what one change of the configuration costs a group of three, depending on the number of changes before
+//! it: bytes on disk and on the wire, processor time, and the time of a durable write in the directory for temporary
+//! files.
 //!
 //! `cargo run --release -p lanegate-coordination --example cost_of_a_change [ROUTES]`
 
@@ -16,7 +17,7 @@
 
 const MEMBERS: usize = 3;
 const DEFAULT_ROUTES: usize = 400;
-/// Changes before those that are measured.
+/// Numbers of changes that precede the measured ones.
 const BEFORE: [u64; 3] = [10, 1_000, 5_000];
 /// Number of changes whose median is printed.
 const MEASURED: u64 = 50;
@@ -29,7 +30,7 @@
     Box::new(Configuration)
 }
 
-/// Replaces one of the routes.
+/// A change that replaces one of the routes.
 fn change(base: u64, routes: usize) -> Command {
     let version = base + 1;
     let number = version as usize % routes.max(1);
@@ -61,8 +62,8 @@
 fn write_time(record: &[u8]) -> std::io::Result<Duration> {
     let path = std::env::temp_dir().join(format!("lanegate-{RECORD_NAME}-{}", std::process::id()));
     let mut folder = FileDirectory::open(&path)?;
-    let (mut store, _) = VersionedStore::open(&mut folder, RECORD_NAME).expect("an empty folder");
-    let written = time(|| store.save(&mut folder, record).expect("a folder with room"));
+    let (mut store, _) = VersionedStore::open(&mut folder, RECORD_NAME).expect("the store can be opened");
+    let written = time(|| store.save(&mut folder, record).expect("the record can be saved"));
     for name in folder.list()? {
         folder.remove(&name)?;
     }
@@ -89,7 +90,7 @@
     let wire: u64 = (0..MEMBERS).map(|at| cluster.take_traffic(at).bytes).sum();
     let disk: u64 = (0..MEMBERS).map(|at| cluster.take_bytes_written(at)).sum();
     let bytes = cluster.record(0);
-    let record = Record::decode(&bytes).expect("a record");
+    let record = Record::decode(&bytes).expect("the record can be decoded");
     let encode = time(|| drop(record.encode()));
     let decode = time(|| drop(Record::decode(&bytes)));
     let command = change(before + MEASURED, routes).encode();
--- a/crates/coordination/tests/cluster/configuration.rs
+++ b/crates/coordination/tests/cluster/configuration.rs
@@ -1,14 +1,15 @@
-//! The configuration as state machine of a cluster, and changes of it.
+//! The configuration as the state machine of a cluster, and changes to it.
 
 use lanegate_config::control_state::{self, Command, ControlState, Method, Outcome};
 use lanegate_coordination::register::{Applied, Outcome as RegisterOutcome, StateMachine};
 
-/// As the controllers apply changes.
+/// Applies changes as the controllers do.
 pub(crate) struct Configuration;
 
 impl StateMachine for Configuration {
     fn apply(&self, current: &[u8], command: &[u8]) -> Applied {
-        let (outcome, state) = control_state::apply(current, command).expect("a state and a command");
+        let (outcome, state) =
+            control_state::apply(current, command).expect("the state and the command can be decoded");
         let answer = outcome.encode();
         match state {
             Some(state) => Applied::Changed { state, answer },
@@ -23,7 +24,7 @@
     Command { method: Method::Put, if_match: Some(base), body: body.into_bytes() }
 }
 
-/// A change by the names of items.
+/// A change of single items, which are identified by their names.
 pub(crate) fn patch(base: u64, body: String) -> Command {
     Command { method: Method::Patch, if_match: Some(base), body: body.into_bytes() }
 }
@@ -45,7 +46,7 @@
     )
 }
 
-/// The outcome of a change; `None` stands for no answer, or none that is clear.
+/// The outcome of a change; `None` if there is no answer or the outcome is unknown.
 pub(crate) fn outcome(answer: Option<RegisterOutcome>) -> Option<Outcome> {
     let encoded = match answer? {
         RegisterOutcome::Changed { answer, .. }
@@ -53,10 +54,10 @@
         | RegisterOutcome::Refused { answer, .. } => answer,
         _ => return None,
     };
-    Some(Outcome::decode(&encoded).expect("an outcome of a change"))
+    Some(Outcome::decode(&encoded).expect("the outcome can be decoded"))
 }
 
 /// The version of the configuration in a state.
 pub(crate) fn version(state: &[u8]) -> u64 {
-    ControlState::decode(state).expect("a state").version()
+    ControlState::decode(state).expect("the state can be decoded").version()
 }
--- a/crates/coordination/tests/cluster/member.rs
+++ b/crates/coordination/tests/cluster/member.rs
@@ -1,4 +1,4 @@
-//! One member of a [`super::Cluster`]: process, disk, and its place in the network.
+//! One member of a [`super::Cluster`]: its process, its disk and its side of a partition.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     pub frozen: bool,
     /// Messages that arrived while the process was frozen, with their senders.
     pub backlog: Vec<(usize, Vec<u8>)>,
-    /// Members of one side reach each other.
+    /// Only members on the same side of a partition can reach each other.
     pub side: u8,
     /// The newest revision that this incarnation has learned.
     pub newest_committed: Option<u64>,
@@ -24,17 +24,17 @@
 }
 
 impl Member {
-    /// What the disk holds.
+    /// The record on disk.
     pub(super) fn stored(&self) -> Option<Record> {
-        self.disk.as_deref().map(|bytes| Record::decode(bytes).expect("a record of a replica"))
+        self.disk.as_deref().map(|bytes| Record::decode(bytes).expect("the stored record can be decoded"))
     }
 
-    /// Writes a record; false if the disk refuses.
+    /// Writes a record; returns false if the disk is full.
     pub(super) fn save(&mut self, record: Record) -> bool {
         if self.disk_full {
             return false;
         }
-        let bytes = record.encode().expect("a record of a replica");
+        let bytes = record.encode().expect("every record can be encoded");
         self.bytes_written += bytes.len() as u64;
         self.disk = Some(bytes);
         true
@@ -46,7 +46,7 @@
         self.backlog.clear();
     }
 
-    /// The replica, unless its process is dead or stands still.
+    /// The replica, unless its process is dead or frozen.
     pub(super) fn running(&mut self) -> Option<&mut Replica> {
         self.replica.as_mut().filter(|_| !self.frozen)
     }
--- a/crates/coordination/tests/cluster/mod.rs
+++ b/crates/coordination/tests/cluster/mod.rs
@@ -1,7 +1,7 @@
-//! Replicas of one register with any state machine, in simulated time and with every byte counted.
+//! Replicas of one register with any state machine in simulated time, with counts of the bytes they receive and write.
 //!
-//! Messages take [`ONE_WAY`]; the disk is instant unless it is full. Committed values are checked as
-//! they are learned: one value for each revision, and no replica learns an older one than before.
+//! A message takes [`ONE_WAY`]; a write to disk takes no time, and fails while the disk is full. Every committed value
+//! that a replica learns is checked: each revision has one value, and no replica learns an older one than before.
 #![allow(dead_code)]
 
 pub(crate) mod configuration;
@@ -16,21 +16,21 @@
 };
 use member::Member;
 
-/// Time that a message takes.
+/// Delay of a message.
 pub(crate) const ONE_WAY: Duration = Duration::from_millis(5);
-/// Longest wait of a caller for an answer, as a controller's.
+/// How long a caller waits for an answer, as long as a controller does.
 pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_millis(950);
 
 /// The node of a member.
 pub(crate) fn node(index: usize) -> Node {
-    Node { ip: u32::try_from(index).expect("a small number"), port: 1 }
+    Node { ip: u32::try_from(index).expect("the index fits 32 bits"), port: 1 }
 }
 
 fn index_of(node: Node) -> usize {
     node.ip as usize
 }
 
-/// What is made anew for each start of a replica.
+/// Creates the state machine for each start of a replica.
 pub(crate) type StateMachineFactory = fn() -> Box<dyn StateMachine>;
 
 struct Envelope {
@@ -40,7 +40,7 @@
     bytes: Vec<u8>,
 }
 
-/// Bytes and messages that a member took in.
+/// Numbers of messages and bytes that a member received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Traffic {
     pub messages: u64,
@@ -61,12 +61,12 @@
 }
 
 impl Cluster {
-    /// Members of which the first `bootstrap_members` make the group.
+    /// A cluster whose first `bootstrap_members` machines are the initial group; the other machines are spares.
     pub(crate) fn new(bootstrap_members: usize, spares: usize, state_machine: StateMachineFactory) -> Self {
         Self::with_fault(bootstrap_members, spares, state_machine, None)
     }
 
-    /// As [`Cluster::new`], with a deliberate mistake.
+    /// As [`Cluster::new`], with a defect that is switched on.
     pub(crate) fn with_fault(
         bootstrap_members: usize,
         spares: usize,
@@ -90,7 +90,7 @@
         cluster
     }
 
-    /// Starts the process of a member with what its disk holds.
+    /// Starts the process of a member with the record on its disk.
     pub(crate) fn start(&mut self, at: usize) {
         let first = self.starts < self.members.len() as u64;
         self.starts += 1;
@@ -109,7 +109,7 @@
         self.connect(at);
     }
 
-    /// Links of a member come up.
+    /// Establishes the links of a member to all members that it can reach.
     fn connect(&mut self, at: usize) {
         for other in (0..self.members.len()).filter(|other| *other != at) {
             if self.can_reach(at, other) {
@@ -129,7 +129,7 @@
         self.members[at].disk = None;
     }
 
-    /// Suspends the process; messages to it wait.
+    /// Suspends the process; messages to it are delivered when it resumes.
     pub(crate) fn freeze(&mut self, at: usize) {
         self.members[at].frozen = true;
     }
@@ -157,14 +157,14 @@
         }
     }
 
-    /// The partition ends; its links are established again.
+    /// The partition ends, and the links across it are established again.
     pub(crate) fn heal(&mut self) {
         let apart: Vec<usize> = (0..self.members.len()).filter(|at| self.members[*at].side == 1).collect();
         self.partition(&[]);
         apart.into_iter().for_each(|at| self.connect(at));
     }
 
-    /// The partition ends, and no link is established again.
+    /// The partition ends, but no replica is notified that a peer is reachable again.
     pub(crate) fn heal_silently(&mut self) {
         self.partition(&[]);
     }
@@ -200,7 +200,7 @@
         request
     }
 
-    /// The answer to a request, waited for as long as a caller waits.
+    /// Waits for the answer to a request for at most [`ANSWER_TIMEOUT`].
     pub(crate) fn answer(&mut self, request: u64) -> Option<Outcome> {
         let end = self.now + ANSWER_TIMEOUT;
         while !self.answers.contains_key(&request) && self.advance(end) {}
@@ -304,7 +304,7 @@
     }
 
     fn deliver(&mut self, from: usize, to: usize, bytes: &[u8]) {
-        let message = Message::decode(bytes).expect("a message of a replica");
+        let message = Message::decode(bytes).expect("an encoded message can be decoded");
         self.input(to, Input::Message { from: node(from), message });
     }
 
@@ -336,14 +336,14 @@
 
     fn send(&mut self, from: usize, to: usize, message: &Message) {
         if self.can_reach(from, to) {
-            let bytes = message.encode().expect("a message of a replica");
+            let bytes = message.encode().expect("every message can be encoded");
             self.queue.push_back(Envelope { at: self.now + ONE_WAY, from, to, bytes });
         }
     }
 
     fn record_committed(&mut self, at: usize, revision: u64, state: Bytes) {
         let before = self.members[at].newest_committed.replace(revision);
-        assert!(before < Some(revision), "member {at} newest_committed revision {revision} after {before:?}");
+        assert!(before < Some(revision), "member {at} learned revision {revision} after {before:?}");
         let known = self.committed.entry(revision).or_insert_with(|| state.clone());
         assert!(*known == state, "revision {revision} has two values");
     }
--- a/crates/coordination/tests/feed.rs
+++ b/crates/coordination/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Readers of the change feed start where they stand, or with a snapshot.
+//! Subscribers of the change feed resume from their position, or start with a snapshot.
 
 use lanegate_coordination::feed::{Journal, Position, Start};
 
--- a/crates/coordination/tests/golden_bytes.rs
+++ b/crates/coordination/tests/golden_bytes.rs
@@ -12,7 +12,7 @@
 use lanegate_golden::{assert_bytes, committed_bytes};
 use std::collections::BTreeMap;
 
-/// Asserts the bytes of `tests/golden/<name>.txt`, and returns those committed.
+/// Asserts that the encoded bytes are those in `tests/golden/<name>.txt`, and returns the latter.
 fn check(
     name: &str,
     encoded: impl IntoIterator<Item = (&'static str, Vec<u8>)>,
--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases under faults: who acts, from when on, and that no two holders act within the quiet period.
+//! Leases under faults: which process acts and from when on, and that no two holders act within the quiet period.
 
 #[allow(dead_code)]
 mod lease_world;
@@ -20,7 +20,7 @@
 /// Time from `failure` to the first action of another holder.
 fn takeover_time(world: &World, failure: Duration) -> Duration {
     let old = world.actions[0].holder;
-    let first = world.actions.iter().find(|action| action.holder != old).expect("a new holder");
+    let first = world.actions.iter().find(|action| action.holder != old).expect("another holder acts");
     first.arrival - failure
 }
 
@@ -37,7 +37,7 @@
     world.run_for(30 * SECOND);
     assert!(world.actions.iter().all(|action| action.epoch == 1));
     let widest = world.actions.windows(2).map(|pair| pair[1].arrival.saturating_sub(pair[0].arrival)).max();
-    assert!(widest.expect("actions") < Duration::from_millis(100), "{widest:?}");
+    assert!(widest.expect("at least two actions") < Duration::from_millis(100), "{widest:?}");
 }
 
 #[test]
@@ -128,7 +128,7 @@
     let cut = world.now;
     world.run_for(10 * SECOND);
     assert_eq!(world.last_holder(), Some(world.id(2)));
-    let last = world.actions_of(world.id(0)).last().expect("actions").arrival;
+    let last = world.actions_of(world.id(0)).last().expect("the first holder acted").arrival;
     assert!(last - cut <= world.settings().validity);
     world.heal();
     world.run_for(10 * SECOND);
--- a/crates/coordination/tests/lease_digests.rs
+++ b/crates/coordination/tests/lease_digests.rs
@@ -1,4 +1,4 @@
-//! What candidates and grantors do in simulated time stays as it is, byte for byte.
+//! Pins the behaviour of candidates and grantors in simulated time, by digests of all outputs and actions.
 
 #[allow(dead_code)]
 mod lease_world;
@@ -7,13 +7,13 @@
 use lease_world::schedule::random_schedule;
 use lease_world::{TestRandom, World};
 
-/// Schedules of which the digest is committed.
+/// Number of random schedules whose digests are committed.
 const SEEDS: u64 = 300;
 
-/// Most by which a clock may differ from true time.
+/// Largest difference of the rate of a clock from true time, in parts per million.
 const DRIFT_PPM: i64 = 10_000;
 
-/// As many processes as the seed says, each with a clock of its own rate.
+/// A clock rate for each process (ppm from true time); the seed determines the number of processes.
 fn clock_rates(seed: u64) -> Vec<i64> {
     let mut random = TestRandom::new(seed ^ 0xc10c);
     let count = [1, 3, 5][(seed % 3) as usize];
@@ -25,7 +25,7 @@
         Output::Send { to, message } => {
             digest.byte(0);
             digest.bytes(to.to_string().as_bytes());
-            digest.bytes(&message.encode().expect("an encodable message"));
+            digest.bytes(&message.encode().expect("every message can be encoded"));
         }
         Output::AcquireEpoch { shard, tenure } => {
             digest.byte(1);
--- a/crates/coordination/tests/lease_model.rs
+++ b/crates/coordination/tests/lease_model.rs
@@ -1,8 +1,9 @@
-//! Every schedule of a small group, up to a bound: two candidates, three grantors, any order and loss of messages.
+//! Model checking of leases: every schedule of a small group up to a bound, with two candidates, three grantors,
+//! and any order and loss of messages.
 //!
-//! The states hold the processes themselves, so what is explored is the program and not a description of it.
-//! Messages are never taken out of the network: each may arrive at any time from then on, any number of times, or
-//! never. A process that is not scheduled is frozen.
+//! The states contain the production state machines, so the program itself is checked and not a description of it.
+//! Messages are never removed from the network: each may arrive at any time after it was sent, any number of times,
+//! or never. A process that takes no step for some time corresponds to a suspended one.
 
 use lanegate_coordination::lease::{GrantorStart, LeaseMessage, LeaseNode, LeaseSettings, Output, Tenure};
 use lanegate_coordination::membership::NodeId;
@@ -14,16 +15,17 @@
 
 const SHARD: u32 = 1;
 const MEMBERS: u8 = 3;
-/// Step of the time of all processes.
+/// Step by which the clocks of all processes advance.
 const TICK: Duration = Duration::from_millis(100);
 /// A holder may act at the tick of its round and at the next.
 const VALIDITY: Duration = Duration::from_millis(101);
 /// Just below two ticks, so that what a grantor adds for drift costs no further tick.
 const QUIET_PERIOD: Duration = Duration::from_millis(198);
 const QUIET_TICKS: u32 = 2;
-/// How far the schedules go.
+/// Number of ticks after which a schedule ends.
 const HORIZON_TICKS: u32 = 4;
-/// Rounds that a schedule holds of each process: one holder with a renewal, one candidate that waits for its end.
+/// Largest number of timer wake-ups of each process in a schedule: one holder with a renewal, one candidate that
+/// waits for its end.
 const MAX_ROUNDS: [u8; MEMBERS as usize] = [1, 1, 0];
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -43,7 +45,7 @@
 struct State {
     tick: u32,
     nodes: Vec<Arc<LeaseNode>>,
-    /// Pairs of processes that reach each other.
+    /// Pairs of processes that can reach each other.
     links: &'static [(u8, u8)],
     incarnations: Vec<u64>,
     rounds: Vec<u8>,
@@ -69,7 +71,7 @@
 struct LeaseModel {
     settings: LeaseSettings,
     links: &'static [(u8, u8)],
-    /// A schedule contains at most one of these.
+    /// Actions of which a schedule contains at most one.
     changes: &'static [Action],
 }
 
@@ -80,7 +82,7 @@
 fn index_of(address: SocketAddr) -> u8 {
     match address {
         SocketAddr::V4(address) => address.ip().octets()[3],
-        SocketAddr::V6(_) => unreachable!("all addresses are of version 4"),
+        SocketAddr::V6(_) => unreachable!("all addresses are IPv4 addresses"),
     }
 }
 
@@ -111,7 +113,7 @@
         for output in outputs {
             match output {
                 Output::Send { to, message } => {
-                    let bytes = message.encode().expect("an encodable message");
+                    let bytes = message.encode().expect("every message can be encoded");
                     let to = index_of(to);
                     if self.links.contains(&(from.min(to), from.max(to))) {
                         self.network.insert(Arc::new(Delivery::Message { from, to, bytes }));
@@ -132,7 +134,7 @@
         let now = self.now();
         match delivery {
             Delivery::Message { from, to, bytes } => {
-                let message = LeaseMessage::decode(bytes).expect("the message that was encoded");
+                let message = LeaseMessage::decode(bytes).expect("an encoded message can be decoded");
                 let from = address(*from).into();
                 let outputs = self.node(*to).on_message(now, from, &message);
                 self.send(*to, outputs);
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Acts if the process may, and notes whether that breaks the rules.
+    /// Acts if the lease allows it, and records whether the action violates a rule.
     fn act(&mut self, index: u8) {
         let now = self.now();
         let Some(epoch) = self.node(index).authorize(now, SHARD, Duration::ZERO) else { return };
@@ -171,7 +173,7 @@
             margin: Duration::ZERO,
             clock_drift_ppm: 0,
         };
-        settings.check().expect("settings that fit together");
+        settings.check().expect("the settings are consistent");
         LeaseModel { settings, links, changes }
     }
 
@@ -264,7 +266,8 @@
     }
 }
 
-/// Explores all schedules; one that breaks a rule fails the test, and so does a bound that lets nothing happen.
+/// Explores all schedules. The test fails if one violates a rule, or if in none a second holder acts: the bounds
+/// would then be too small for the check to mean anything.
 fn explore(links: &'static [(u8, u8)], changes: &'static [Action]) {
     LeaseModel::new(links, changes).checker().spawn_dfs().join().assert_properties();
 }
--- a/crates/coordination/tests/lease_parts.rs
+++ b/crates/coordination/tests/lease_parts.rs
@@ -1,4 +1,4 @@
-//! Grantor, candidate and messages of a lease, each by itself.
+//! Unit tests of the grantor, the candidate and the messages of a lease.
 
 use lanegate_coordination::lease::{
     GrantorStart, HolderOutput, LeaseGrantor, LeaseHolder, LeaseMessage, LeaseRelease, LeaseReply,
@@ -44,7 +44,7 @@
     grantor.on_request(at(now), request).expect("an answer").granted
 }
 
-/// A candidate of the group 1, 2, 3 that is node 1 and sent its requests at 1 s (round 1).
+/// Node 1 as a candidate in the group of nodes 1, 2 and 3; it sent the requests of round 1 at 1 s.
 fn candidate() -> LeaseHolder {
     let mut holder = LeaseHolder::new(settings(), SHARD, node(1));
     holder.set_group(at(1_000), 1, &members(&[1, 2, 3]));
@@ -65,7 +65,7 @@
     holder.on_reply(at(now), node(from).address(), &reply)
 }
 
-/// A holder whose lease of round 1 expires at 1.9 s, with epoch 10.
+/// A holder under epoch 10 whose lease, from round 1, expires at 1.9 s.
 fn acting_holder() -> LeaseHolder {
     let mut holder = candidate();
     assert_eq!(deliver_reply(&mut holder, 1_010, 1, 1, true), vec![]);
--- a/crates/coordination/tests/lease_properties.rs
+++ b/crates/coordination/tests/lease_properties.rs
@@ -1,4 +1,4 @@
-//! Leases under random schedules: safety holds whatever happens, and a calm end has a holder.
+//! Leases under random schedules of faults: safety always holds, and once all faults have ended there is a holder.
 
 #[allow(dead_code)]
 mod lease_world;
@@ -8,7 +8,7 @@
 use proptest::test_runner::RngSeed;
 use std::time::Duration;
 
-/// Most by which a clock may differ from true time.
+/// Largest difference of the rate of a clock from true time, in parts per million.
 const DRIFT_PPM: i64 = 10_000;
 
 fn clock_rates(members: usize) -> impl Strategy<Value = Vec<i64>> {
@@ -32,7 +32,7 @@
         prop_assert_eq!(world.violation(), None);
         let now = world.now;
         let recent = world.actions.last().is_some_and(|action| now.saturating_sub(action.arrival) < Duration::from_millis(100));
-        prop_assert!(recent, "no holder in calm");
+        prop_assert!(recent, "no holder after all faults have ended");
         prop_assert_eq!(world.last_holder(), Some(world.id(0)));
     }
 }
--- a/crates/coordination/tests/lease_with_membership.rs
+++ b/crates/coordination/tests/lease_with_membership.rs
@@ -1,4 +1,5 @@
-//! Leases whose candidates come from the failure detector: who holds after crashes and freezes, and how soon.
+//! Leases whose candidates the failure detector chooses: which process holds the lease after crashes and
+//! suspensions, and how soon.
 
 #[allow(dead_code)]
 mod lease_world;
@@ -11,7 +12,7 @@
 const HEARTBEAT: Duration = Duration::from_millis(300);
 const KEY: &[u8] = b"shard-7";
 
-/// Processes that detect failures among themselves; the first live one in the order of the shard is candidate.
+/// Processes that monitor one another; the first live one in the rendezvous order of the shard is the candidate.
 struct Cluster {
     world: World,
     detectors: Vec<FailureDetector>,
@@ -75,17 +76,17 @@
 
     /// The process that acted last.
     fn holder(&self) -> usize {
-        let holder = self.world.last_holder().expect("a holder");
+        let holder = self.world.last_holder().expect("a process has acted");
         (0..self.detectors.len()).find(|index| self.world.id(*index) == holder).expect("a member")
     }
 
-    /// Time from `failure` to the first action of another incarnation than the last holder before it.
+    /// Time from `failure` to the first action of an incarnation other than the last holder before it.
     fn takeover_time(&self, failure: Duration) -> Duration {
         let before =
             self.world.actions.iter().rfind(|action| action.arrival <= failure).expect("a holder").holder;
         let next =
             self.world.actions.iter().find(|action| action.arrival > failure && action.holder != before);
-        next.expect("a new holder").arrival - failure
+        next.expect("another holder acts").arrival - failure
     }
 }
 
--- a/crates/coordination/tests/lease_world/mod.rs
+++ b/crates/coordination/tests/lease_world/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated group of processes that are candidates for the lease of one shard and act while they hold it.
+//! A simulated group of processes that may be candidates for the lease of one shard, and act while they hold it.
 
 pub(crate) mod schedule;
 
@@ -7,7 +7,7 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-/// The one shard of these tests.
+/// The shard whose lease these tests use.
 pub(crate) const SHARD: u32 = 7;
 /// Resolution of the simulated time.
 pub(crate) const STEP: Duration = Duration::from_millis(5);
@@ -15,7 +15,7 @@
 pub(crate) const DELIVERY_TIME: Duration = Duration::from_millis(40);
 /// The quiet period of these tests.
 pub(crate) const QUIET_PERIOD: Duration = Duration::from_secs(3);
-/// True time at which every world starts; clocks of processes must be able to lag behind it.
+/// True time at which every world starts; above zero, as the clocks of processes may be behind it.
 const START: Duration = Duration::from_secs(100);
 const MILLION: i64 = 1_000_000;
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// An action as its endpoint received it.
+/// An action, as its endpoint received it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Action {
     pub arrival: Duration,
@@ -47,7 +47,7 @@
     pub epoch: u64,
 }
 
-/// What the network does to messages.
+/// Delay, loss and duplication of messages.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Network {
     pub min_delay: Duration,
@@ -86,7 +86,7 @@
     node: LeaseNode,
 }
 
-/// An output of a process, and when in true time.
+/// An output of a process and its true time.
 pub(crate) struct Observation {
     pub at: Duration,
     pub process: usize,
@@ -118,7 +118,7 @@
     }
 
     pub(crate) fn with_settings(seed: u64, rates_ppm: &[i64], settings: LeaseSettings) -> Self {
-        settings.check().expect("settings that fit together");
+        settings.check().expect("the settings are consistent");
         let mut world = World {
             now: START,
             network: HEALTHY_NETWORK,
@@ -178,7 +178,7 @@
         self.processes[index].frozen = true;
     }
 
-    /// Resumes a frozen process; first of all it acts, if its lease still seems valid to it.
+    /// Resumes a frozen process. It first tries to act, as its lease may still seem valid to it.
     pub(crate) fn thaw(&mut self, index: usize) {
         self.processes[index].frozen = false;
         self.act(index);
@@ -242,7 +242,7 @@
         }
     }
 
-    /// The one that acted last.
+    /// The process that acted last.
     pub(crate) fn last_holder(&self) -> Option<NodeId> {
         self.actions.last().map(|action| action.holder)
     }
@@ -333,7 +333,8 @@
         }
     }
 
-    /// The register gives each epoch once, in rising order, at some time before its answer arrives.
+    /// Acquires an epoch from the simulated register, which returns each epoch once, in increasing order. The epoch is
+    /// allocated now; the answer arrives later.
     fn acquire_epoch(&mut self, index: usize, tenure: Tenure) {
         self.last_epoch += 1;
         let incarnation = self.processes[index].incarnation;
@@ -343,10 +344,10 @@
     }
 
     fn send_message(&mut self, from: usize, to: SocketAddr, message: LeaseMessage) {
-        let bytes = message.encode().expect("an encodable message");
-        let message = LeaseMessage::decode(&bytes).expect("the message that was encoded");
+        let bytes = message.encode().expect("every message can be encoded");
+        let message = LeaseMessage::decode(&bytes).expect("an encoded message can be decoded");
         let to = self.processes.iter().position(|process| SocketAddr::from(process.address) == to);
-        let to = to.expect("a known process");
+        let to = to.expect("the receiver is one of the processes");
         let is_lost = self.network.lost_one_in > 0 && self.random.one_in(self.network.lost_one_in);
         if is_lost || self.side[from] != self.side[to] {
             return;
@@ -367,7 +368,7 @@
     }
 }
 
-/// What a clock that runs faster than true time by `rate_ppm` shows.
+/// The reading of a clock that runs faster than true time by `rate_ppm`.
 fn local_time(now: Duration, rate_ppm: i64) -> Duration {
     let micros = now.as_micros() as i64;
     Duration::from_micros((micros + micros * rate_ppm / MILLION) as u64)
--- a/crates/coordination/tests/lease_world/schedule.rs
+++ b/crates/coordination/tests/lease_world/schedule.rs
@@ -1,4 +1,4 @@
-//! Random schedules of faults; at the end all faults are over.
+//! Random schedules of faults; all faults are ended before a schedule ends.
 
 use super::{HEALTHY_NETWORK, Network, QUIET_PERIOD, TestRandom, World};
 use lanegate_coordination::lease::LeaseSettings;
@@ -41,12 +41,12 @@
     world.run_for(Duration::from_secs(12));
 }
 
-/// Settings without a margin, so that nothing but the rules themselves keeps holders apart.
+/// Settings without a margin, so that only the rules of the protocol keep the actions of two holders apart.
 fn settings_without_margin() -> LeaseSettings {
     LeaseSettings { margin: Duration::ZERO, ..LeaseSettings::for_quiet_period(QUIET_PERIOD) }
 }
 
-/// Plays the schedule of `seed` on processes with these clock rates (ppm from true time).
+/// Plays the random schedule of `seed` with processes that have these clock rates (ppm from true time).
 pub(crate) fn random_schedule(seed: u64, rates: &[i64]) -> World {
     let mut random = TestRandom::new(seed);
     let mut world = World::with_settings(seed ^ 1, rates, settings_without_margin());
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -32,7 +32,8 @@
     Heartbeat { sender: NodeId::new(address(index), incarnation), sequence }
 }
 
-/// Wakes the membership every 100 ms and lets the peers `live_peers` send every 300 ms, up to `end`.
+/// Calls the detector every 100 ms up to `end`, with a heartbeat of each of `live_peers` every 300 ms. Returns the
+/// changes of state.
 fn run(
     detector: &mut FailureDetector,
     from: u64,
--- a/crates/coordination/tests/membership_digests.rs
+++ b/crates/coordination/tests/membership_digests.rs
@@ -1,4 +1,4 @@
-//! The outputs of the failure detector and the registry on random events stay as they are.
+//! Pins the outputs of the failure detector and the registry on random events, by digests.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
@@ -31,7 +31,7 @@
         Output::Send { to, heartbeat } => {
             digest.byte(0);
             add_address(digest, *to);
-            digest.bytes(&heartbeat.encode().expect("an encodable heartbeat"));
+            digest.bytes(&heartbeat.encode().expect("every heartbeat can be encoded"));
         }
         Output::StateChanged { peer, state } => {
             digest.byte(1);
@@ -50,7 +50,7 @@
     }
 }
 
-/// Plays random heartbeats, pauses and changes of the known nodes.
+/// Plays random heartbeats, pauses of this process and changes of the known nodes.
 fn membership_digest(seed: u64) -> u64 {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut digest = Digest::default();
@@ -98,7 +98,7 @@
     assert_digests(env!("CARGO_MANIFEST_DIR"), "membership", digests);
 }
 
-/// A registration whose revision alone is of interest to routers.
+/// A registration of which only changes of the revision are reported to routers.
 #[derive(Debug, Clone)]
 struct Endpoint {
     service: String,
@@ -141,7 +141,7 @@
     }
 }
 
-/// Plays random registrations, heartbeats and ends.
+/// Plays random registrations, heartbeats, removals and expiries.
 fn registry_digest(seed: u64) -> u64 {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut digest = Digest::default();
--- a/crates/coordination/tests/register_catch_up.rs
+++ b/crates/coordination/tests/register_catch_up.rs
@@ -1,5 +1,5 @@
-//! A member that was away while the configuration changed a thousand times: what it takes in afterwards does not
-//! grow with what it missed, and nothing older than the newest is read through it.
+//! A member that was away while the configuration changed a thousand times. The amount of data that it receives
+//! afterwards does not grow with the number of changes it missed, and a read through it returns the newest value.
 
 mod cluster;
 
@@ -10,24 +10,24 @@
 use lanegate_config::control_state::Outcome;
 use lanegate_coordination::register::{Fault, Outcome as RegisterOutcome, StateMachine};
 
-/// The member that is away; another one proposes.
+/// The member that is away; changes are proposed through another one.
 const AWAY: usize = 2;
 const PROPOSER: usize = 0;
 const MEMBERS: usize = 3;
 const ROUTES: usize = 20;
-/// Changes before the member goes; with these the value has reached its full size.
+/// Changes before the absence begins; after these the value has reached its full size.
 const CHANGES_BEFORE: u64 = 1_100;
-/// Longest time from the return of a member until it knows the newest value, while everybody else is well.
+/// Longest time from the return of a member until it knows the newest value, while all others work normally.
 const MAX_CATCH_UP: Duration = Duration::from_millis(100);
 /// Longest time until a replica polls one other for a newer value; an announced change arrives sooner.
 const MAX_POLL_DELAY: Duration = Duration::from_secs(3);
-/// The same for a replica that is no member, which no change reaches.
+/// The same for a replica that is not a member, to which no change is announced.
 const MAX_POLL_DELAY_OF_SPARES: Duration = Duration::from_millis(800);
-/// Largest number of values that a member receives when it returns: from each of the two others an answer to its
-/// poll when the link is established, to its own read at the start and to the caller's; and one for the last
-/// announced commit.
+/// Largest amount of data that a member receives when it returns, in values: from each of the two others an answer
+/// to its poll when the link is established, to its own read at the start and to the caller's read; and one for the
+/// last announced commit.
 const MAX_VALUES: f64 = 7.1;
-/// The same for what is sent to it while it is frozen: the change that was in flight.
+/// The same for the data that is sent to it while it is frozen: the change that was in flight.
 const MAX_VALUES_WHILE_FROZEN: f64 = 1.0;
 /// The largest message without a value, in bytes.
 const SMALL_MESSAGE_BYTES: u64 = 100;
@@ -83,7 +83,7 @@
     }
 }
 
-/// A group whose configuration has changed often.
+/// A group whose configuration has changed many times.
 fn cluster_with_history(fault: Option<Fault>) -> Cluster {
     let mut cluster = Cluster::with_fault(MEMBERS, 0, state_machine, fault);
     let first = cluster.propose(PROPOSER, put(0, document(1, ROUTES)).encode());
@@ -93,7 +93,7 @@
     cluster
 }
 
-/// What it took a member to catch up; bytes in units of the value's size.
+/// The cost of catching up for a member; amounts of data are in units of the value's size.
 #[derive(Debug)]
 struct CatchUp {
     /// Sent to it while it was away, without small messages.
@@ -112,13 +112,13 @@
     absence.end(&mut cluster);
     let newest = cluster.newest();
     let read = cluster.read(AWAY);
-    let time = cluster.time_to_catch_up(AWAY, MAX_POLL_DELAY).expect("it catches up");
+    let time = cluster.time_to_catch_up(AWAY, MAX_POLL_DELAY).expect("the member catches up");
     check_read(cluster.answer(read), newest);
     cluster.run(Duration::from_millis(500));
     let after = cluster.take_traffic(AWAY);
     assert_eq!(version(&cluster.state(AWAY)), CHANGES_BEFORE + 1 + changes);
     let size = cluster.record(PROPOSER).len() as f64;
-    assert_eq!(cluster.record(AWAY).len() as f64, size, "it has the newest value on disk");
+    assert_eq!(cluster.record(AWAY).len() as f64, size, "the newest value is on the disk of the member");
     let large = while_away.bytes.saturating_sub(while_away.messages * SMALL_MESSAGE_BYTES);
     CatchUp { while_away: large as f64 / size, after: after.bytes as f64 / size, time }
 }
@@ -137,14 +137,14 @@
         println!("{absence:?}, {changes} changes in {seconds} s: {caught_up:?}");
         assert!(caught_up.time <= MAX_CATCH_UP, "{caught_up:?}");
         assert!(caught_up.after <= MAX_VALUES, "{caught_up:?}");
-        // One whose disk is full is not away: it votes no more, but learns every change.
+        // A member whose disk is full is not away: it does not vote, but it learns every change.
         if absence != Absence::DiskFull {
             assert!(caught_up.while_away <= MAX_VALUES_WHILE_FROZEN, "{caught_up:?}");
         }
     }
 }
 
-/// What a member takes in grows with what it missed under these deliberate mistakes.
+/// With this defect, the data that is sent to a member grows with the number of changes during its absence.
 #[test]
 fn values_sent_before_a_frozen_member_answers_are_detected() {
     let caught_up =
@@ -207,7 +207,7 @@
     check(Absence::DiskFull);
 }
 
-/// A member to which no commit is announced polls one other after the other.
+/// A member to which no commit is announced polls the others in turn.
 #[test]
 fn a_member_without_announcements_polls_all_others_in_turn() {
     for dead in [None, Some(3)] {
@@ -222,7 +222,7 @@
         let longest = MAX_POLL_DELAY * polls + MAX_CATCH_UP;
         let time = cluster.time_to_catch_up(AWAY, longest);
         println!("{dead:?} dead: {time:?}");
-        assert!(time.is_some(), "not within {longest:?}");
+        assert!(time.is_some(), "the member did not catch up within {longest:?}");
     }
 }
 
@@ -235,7 +235,7 @@
         let change = cluster.propose(PROPOSER, put(base, document(base + 1, 1)).encode());
         assert!(outcome(cluster.answer(change)).is_some());
         let time = cluster.time_to_catch_up(spare, MAX_POLL_DELAY_OF_SPARES);
-        longest = longest.max(time.expect("it hears of the change"));
+        longest = longest.max(time.expect("the spare learns of the change"));
         cluster.run(Duration::from_millis(100 + 37 * base));
     }
     println!("{longest:?}");
--- a/crates/coordination/tests/register_codec.rs
+++ b/crates/coordination/tests/register_codec.rs
@@ -1,4 +1,5 @@
-//! The binary form of messages and records: what is written reads back, anything else is refused.
+//! The binary form of messages and records: encoded values round-trip, and invalid bytes are rejected without a
+//! panic.
 
 use bytes::Bytes;
 use lanegate_coordination::register::{
--- a/crates/coordination/tests/register_digests.rs
+++ b/crates/coordination/tests/register_digests.rs
@@ -1,4 +1,4 @@
-//! What the replicas of a register do in simulated time stays as it is, byte for byte.
+//! Pins the behaviour of the replicas of a register in simulated time, by digests of all outputs.
 
 use std::path::PathBuf;
 
@@ -6,7 +6,7 @@
 use lanegate_coordination::simulation::{Observation, Scenario, World, random_scenario};
 use lanegate_golden::{Digest, assert_digests};
 
-/// Random scenarios of which the digest is committed.
+/// Number of random scenarios whose digests are committed.
 const SEEDS: u64 = 600;
 
 fn add_outcome(digest: &mut Digest, outcome: &Outcome) {
@@ -29,12 +29,12 @@
             digest.byte(0);
             digest.number(u64::from(to.ip));
             digest.number(u64::from(to.port));
-            digest.bytes(&message.encode().expect("an encodable message"));
+            digest.bytes(&message.encode().expect("every message can be encoded"));
         }
         Output::Persist { token, record } => {
             digest.byte(1);
             digest.number(*token);
-            digest.bytes(&record.encode().expect("an encodable record"));
+            digest.bytes(&record.encode().expect("every record can be encoded"));
         }
         Output::Done { request, outcome } => {
             digest.byte(2);
@@ -73,15 +73,16 @@
 #[test]
 fn written_scenarios_run_as_before() {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
-    let entries = std::fs::read_dir(folder).expect("the folder of scenarios");
-    let mut paths: Vec<PathBuf> = entries.map(|entry| entry.expect("a readable folder").path()).collect();
+    let entries = std::fs::read_dir(folder).expect("the folder of scenarios exists");
+    let mut paths: Vec<PathBuf> =
+        entries.map(|entry| entry.expect("the folder can be listed").path()).collect();
     paths.sort();
     let digests: Vec<(String, u64)> = paths
         .iter()
         .map(|path| {
-            let text = std::fs::read_to_string(path).expect("a scenario");
-            let name = path.file_stem().expect("a named file").to_string_lossy().into_owned();
-            (name, digest_of(&text.parse().expect("a well-formed scenario")))
+            let text = std::fs::read_to_string(path).expect("the file can be read");
+            let name = path.file_stem().expect("the file has a name").to_string_lossy().into_owned();
+            (name, digest_of(&text.parse().expect("the scenario can be parsed")))
         })
         .collect();
     assert_digests(env!("CARGO_MANIFEST_DIR"), "register-scenarios", digests);
--- a/crates/coordination/tests/register_faults.rs
+++ b/crates/coordination/tests/register_faults.rs
@@ -1,9 +1,9 @@
-//! Deliberate mistakes: the random schedules must find each of them.
+//! Defects that are switched on deliberately: the random schedules must detect each of them.
 
 use lanegate_coordination::register::Fault;
 use lanegate_coordination::simulation::{Violation, World, random_scenario};
 
-/// Schedules within which each mistake must be found.
+/// Number of schedules within which each defect must be detected.
 const SCHEDULES: u64 = 20_000;
 
 fn first_violation(fault: Fault) -> Option<(u64, Violation)> {
@@ -20,7 +20,7 @@
             fn $name() {
                 let found = first_violation(Fault::$fault);
                 println!("{:?}: {found:?}", Fault::$fault);
-                assert!(found.is_some(), "no schedule found {:?}", Fault::$fault);
+                assert!(found.is_some(), "no schedule detected {:?}", Fault::$fault);
             }
         )*
     };
--- a/crates/coordination/tests/register_model.rs
+++ b/crates/coordination/tests/register_model.rs
@@ -1,11 +1,10 @@
-//! Every order of messages, lost disks and a restart, for two changes by two proposers: the replicas
-//! themselves, driven by a model checker.
+//! Model checking of a register: every order of messages, lost disks and a restart, for two changes by two proposers.
+//! The states contain the production replicas.
 //!
-//! Three bootstrap members `a`, `b`, `c`; the proposers are `c` and `d`, which is not a member. What `c` proposes may be a change
-//! of members: `a` leaves, or `d` takes its place. Messages arrive in any order or never, so that a machine that is
-//! lost for good is among what is tried; a lost disk is a step of its own. Time stands still: what only time would
-//! bring about (retransmission, another try after preemption) is left out, as any message may be on its way for
-//! any time.
+//! The bootstrap members are `a`, `b` and `c`; the proposers are `c` and `d`, which is not a member. The change of `c`
+//! may be one of the members: `a` leaves, or `d` replaces it. Messages arrive in any order or never, which includes
+//! the permanent loss of a machine; the loss of a disk is a separate step. Time does not advance: what depends on
+//! timers (retransmission, another attempt after preemption) is left out, as a message may be in flight for any time.
 
 mod register_model_states;
 
@@ -13,11 +12,11 @@
 use register_model_states::{A, B, Change, FaultStep, Register};
 use stateright::{Checker, HasDiscoveries, Model};
 
-/// States that a bounded search comes to, each as often as there are ways to it.
+/// Number of states that a bounded search visits; a state counts once for each path to it.
 const STATE_BOUND: usize = 100_000;
-/// The same for a longer look.
+/// The same for the long searches.
 const LARGE_STATE_BOUND: usize = 30_000_000;
-/// Threads of a search of every state.
+/// Number of threads of an unbounded or long search.
 const THREADS: usize = 3;
 
 impl Register {
@@ -44,16 +43,19 @@
         self.print_states(checker.unique_state_count(), started);
         println!("{} steps at most, all states: {}", checker.max_depth(), checker.state_count() < bound);
         checker.assert_no_discovery("one value for each revision");
-        checker.assert_no_discovery("an acknowledged change is there");
+        checker.assert_no_discovery("an acknowledged change is present");
     }
 
-    /// A deliberate mistake must be found.
+    /// Checks that a defect is detected.
     fn detects(self, fault: Fault) {
         let model = Register { fault: Some(fault), ..self };
         let checker = model.clone().checker().finish_when(HasDiscoveries::AnyFailures).spawn_dfs().join();
-        println!("{model:?}: found within {} states", checker.unique_state_count());
-        let found = ["one value for each revision", "an acknowledged change is there"];
-        assert!(found.into_iter().any(|name| checker.discovery(name).is_some()), "{fault:?} was not found");
+        println!("{model:?}: detected within {} states", checker.unique_state_count());
+        let found = ["one value for each revision", "an acknowledged change is present"];
+        assert!(
+            found.into_iter().any(|name| checker.discovery(name).is_some()),
+            "{fault:?} was not detected"
+        );
     }
 }
 
--- a/crates/coordination/tests/register_model_states/mod.rs
+++ b/crates/coordination/tests/register_model_states/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas of a register as a model of a model checker: states, steps and rules.
+//! The replicas of a register as a model for a model checker: states, actions and properties.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -35,7 +35,7 @@
     (0..BOOTSTRAP_MEMBERS).map(node).collect()
 }
 
-/// A message on its way; its bytes order and compare it.
+/// A message in flight, compared and ordered by its encoded bytes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Envelope {
     from: usize,
@@ -43,7 +43,7 @@
     bytes: Vec<u8>,
 }
 
-/// A fault of a bootstrap member that proposes nothing.
+/// A fault of a bootstrap member that is not a proposer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FaultStep {
     Wipe(usize),
@@ -58,13 +58,13 @@
     }
 }
 
-/// What the first proposer requests; the second one always proposes a command.
+/// The change that the first proposer requests; the second one always proposes a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Change {
     Command,
     /// `a` leaves.
     Leave,
-    /// `d` takes the place of `a`.
+    /// `d` replaces `a`.
     Replace,
 }
 
@@ -100,7 +100,7 @@
     proposed: Vec<usize>,
     /// Proposers of acknowledged changes, and the acknowledged revisions.
     acknowledged: BTreeMap<usize, u64>,
-    /// Troubles so far.
+    /// Number of faults injected so far.
     faults: usize,
     values: BTreeMap<u64, Vec<u8>>,
     /// Members of the newest committed value.
@@ -142,7 +142,7 @@
         self.flush(index);
     }
 
-    /// Delivers all messages: `d` registers with the bootstrap members and is able to vote.
+    /// Delivers all messages, so that `d` registers with the bootstrap members and is then able to vote.
     fn deliver_all(&mut self) {
         while let Some(Envelope { from, to, bytes }) = self.network.pop_first() {
             let message = Message::decode(&bytes).unwrap();
@@ -178,7 +178,7 @@
         }
     }
 
-    /// One value for each revision, each built on the one before.
+    /// Checks that each revision has one value, which builds on the one before.
     fn learn(&mut self, value: Value) {
         let state = value.state.to_vec();
         if self.values.last_key_value().is_none_or(|(newest, _)| *newest < value.revision) {
@@ -198,7 +198,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Register {
     pub change: Change,
-    /// One after the other, each at any time.
+    /// Faults, injected in this order, each at any time.
     pub faults: Vec<FaultStep>,
     pub fault: Option<Fault>,
 }
@@ -255,7 +255,7 @@
                 let before = (fingerprint(&last.replicas[to]), last.network.len());
                 let message = Message::decode(&bytes).unwrap();
                 state.input(to, Input::Message { from: node(from), message });
-                // What has no effect is the same as a message lost.
+                // A delivery without effect leads to the same state as the loss of the message.
                 let after = (fingerprint(&state.replicas[to]), state.network.len() + 1);
                 (before != after).then_some(state)
             }
@@ -284,7 +284,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("one value for each revision", |_, state: &State| !state.violated),
-            Property::always("an acknowledged change is there", |model: &Register, state: &State| {
+            Property::always("an acknowledged change is present", |model: &Register, state: &State| {
                 state.acknowledged.iter().all(|(proposer, revision)| {
                     let is_command = *proposer != PROPOSERS[0] || model.change == Change::Command;
                     !is_command
@@ -297,7 +297,7 @@
             Property::sometimes("both changes are acknowledged", |_, state: &State| {
                 state.acknowledged.len() == PROPOSERS.len()
             }),
-            Property::sometimes("the members are as asked for", |model: &Register, state: &State| {
+            Property::sometimes("the requested members are in force", |model: &Register, state: &State| {
                 let a_is_member = state.members.contains(&node(A));
                 let d_is_member = state.members.contains(&node(D));
                 match model.change {
--- a/crates/coordination/tests/register_scenarios.rs
+++ b/crates/coordination/tests/register_scenarios.rs
@@ -8,13 +8,13 @@
 
 fn scenarios() -> Vec<(PathBuf, Scenario)> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
-    let files = fs::read_dir(folder).expect("the folder of scenarios");
-    let paths = files.map(|file| file.expect("a file").path());
+    let files = fs::read_dir(folder).expect("the folder of scenarios exists");
+    let paths = files.map(|file| file.expect("the folder can be listed").path());
     paths.map(|path| (path.clone(), read(&path))).collect()
 }
 
 fn read(path: &Path) -> Scenario {
-    let text = fs::read_to_string(path).expect("a scenario");
+    let text = fs::read_to_string(path).expect("the file can be read");
     text.parse().unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
--- a/crates/coordination/tests/register_schedules.rs
+++ b/crates/coordination/tests/register_schedules.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// Plays seeds in a test of their own, so that tests run beside one another.
+/// Plays each range of seeds in its own test, so that the tests run in parallel.
 macro_rules! plays {
     ($($(#[$attribute:meta])* $name:ident: $seeds:expr;)*) => {
         $(
--- a/crates/coordination/tests/registry.rs
+++ b/crates/coordination/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The registry merges registrations by sequence, and loses none for a late message.
+//! The registry merges registrations by sequence; late messages and messages out of order do no damage.
 
 use lanegate_coordination::registry::{
     ExpiredIncarnation, FINAL_SEQUENCE, Registration, Registry, RegistryUpdate,
@@ -129,7 +129,7 @@
         RegistryUpdate::Changed { replaced: vec![] }
     );
     assert_eq!(registry.get("i-1").unwrap().registration, Some(draining));
-    assert!(!registry.remove(ms(3), "i-1", 6), "a later heartbeat was heard");
+    assert!(!registry.remove(ms(3), "i-1", 6), "a later heartbeat was received");
     assert!(registry.remove(ms(3), "i-1", 7));
     assert_eq!(registry.merge(ms(4), "i-1", 7, at(80)), RegistryUpdate::Stale);
 }
--- a/crates/coordination/tests/shrink.rs
+++ b/crates/coordination/tests/shrink.rs
@@ -1,4 +1,4 @@
-//! Steps are dropped until each that is left is needed.
+//! Shrinking drops steps until the failure depends on every remaining one.
 
 use lanegate_coordination::simulation::shrink_steps;
 
--- a/crates/coordination/tests/storage.rs
+++ b/crates/coordination/tests/storage.rs
@@ -1,4 +1,4 @@
-//! Versioned files on the simulated disk and on a real one.
+//! The versioned store on a simulated directory and on the file system.
 
 use std::io;
 
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 
 fn open(directory: &mut dyn Directory) -> (VersionedStore, Option<Vec<u8>>) {
-    VersionedStore::open(directory, "shard-1").expect("an intact folder")
+    VersionedStore::open(directory, "shard-1").expect("the store can be opened")
 }
 
 #[test]
@@ -108,7 +108,7 @@
     Ok(())
 }
 
-/// What happens to the folder.
+/// An operation on the store, or a fault of the directory.
 #[derive(Debug, Clone)]
 enum Event {
     Save { length: usize },
--- a/crates/coordination/tests/version_conflicts.rs
+++ b/crates/coordination/tests/version_conflicts.rs
@@ -1,5 +1,6 @@
-//! One version, one change: operators that send to several controllers, lost answers, calls that are sent again much
-//! later. An accepted change is acknowledged again or gets an unknown outcome, but is never rejected.
+//! At most one change is accepted for each version, although operators send to several controllers, answers get lost
+//! and calls are repeated much later. A repeated call of an accepted change is acknowledged or gets an unknown
+//! outcome, but is never rejected.
 
 mod cluster;
 
@@ -16,12 +17,12 @@
     Box::new(Configuration)
 }
 
-/// A deliberate mistake: what may have been forgotten is refused.
+/// A defect: a change that the state may have forgotten is rejected.
 struct RejectForgottenChanges;
 
 impl StateMachine for RejectForgottenChanges {
     fn apply(&self, current: &[u8], command: &[u8]) -> Applied {
-        match control_state::apply(current, command).expect("a state and a command") {
+        match control_state::apply(current, command).expect("the state and the command can be decoded") {
             (Outcome::Unclear(_), None) => {
                 let current = version(current);
                 Applied::Refused { answer: Outcome::Conflict { current }.encode() }
@@ -55,12 +56,12 @@
     put(base, format!(r#"{{"Version":{version},"Operator":"{operator}"}}"#))
 }
 
-/// A change by names that names its operator.
+/// A change of single items that names its operator.
 fn patch_by(base: u64, version: u64, operator: &str) -> Command {
     patch(base, format!(r#"{{"Version":{version},"Upsert":{{"Backends":[{{"Name":"{operator}"}}]}}}}"#))
 }
 
-/// The two kinds of change on one version, by two operators.
+/// Pairs of changes to the same version by two operators, in all combinations of the two kinds of change.
 fn competing_changes(base: u64, version: u64) -> [[Command; 2]; 3] {
     [
         [put_by(base, version, "first"), put_by(base, version, "second")],
@@ -80,7 +81,7 @@
     cluster
 }
 
-/// Makes the version rise to `last`, one change after the other.
+/// Makes changes until the configuration has version `last`.
 fn advance_version_to(cluster: &mut Cluster, at: usize, last: u64) {
     let first = version(&cluster.state(at));
     let later = (first..last).map(|base| patch_by(base, base + 1, "later").encode());
@@ -91,7 +92,8 @@
     cluster.run(Duration::from_millis(500));
 }
 
-/// Of two changes on one version one is taken; sent again anywhere, it is acknowledged and the other refused.
+/// Checks that exactly one of two changes to the same version was accepted: repeated at any controller, it is
+/// acknowledged and the other is rejected.
 fn check_exactly_one_accepted(
     cluster: &mut Cluster,
     competing: &[Command; 2],
@@ -106,10 +108,13 @@
         again.push(answers.each_ref().map(is_acknowledged));
         assert!(is_rejection(&answers[0]) != is_rejection(&answers[1]), "{answers:?}");
     }
-    assert!(again.windows(2).all(|pair| pair[0] == pair[1]), "all controllers say the same: {again:?}");
+    assert!(again.windows(2).all(|pair| pair[0] == pair[1]), "the controllers disagree: {again:?}");
     for index in 0..2 {
-        assert!(!taken[index] || again[0][index], "it was acknowledged, and refused afterwards");
-        assert!(!is_rejection(&answers[index]) || !again[0][index], "it was refused, and taken afterwards");
+        assert!(!taken[index] || again[0][index], "a change was acknowledged, and rejected afterwards");
+        assert!(
+            !is_rejection(&answers[index]) || !again[0][index],
+            "a change was rejected, and accepted afterwards"
+        );
     }
 }
 
@@ -135,7 +140,7 @@
                 cluster.propose(other, competing[1].encode()),
             ];
             let answers = requests.map(|request| outcome(cluster.answer(request)));
-            assert_eq!(answers[0], None, "the minority knows nothing, and refuses nothing");
+            assert_eq!(answers[0], None, "a controller in the minority must give no answer");
             assert!(is_acknowledged(&answers[1]));
             cluster.heal();
             check_exactly_one_accepted(&mut cluster, &competing, answers);
@@ -190,7 +195,7 @@
     }
 }
 
-/// Whoever proposed a change dies before its answer leaves; the same call goes to every other controller.
+/// The controller that proposed a change dies before it answers; the same call is then sent to the others.
 #[test]
 fn a_change_whose_answer_was_lost_is_acknowledged_wherever_it_is_sent_again() {
     for change in [put_by(1, 2, "first"), patch_by(1, 2, "first")] {
@@ -211,7 +216,8 @@
     }
 }
 
-/// The outcome of the same call after `later` further changes, at every member and after each kind of loss.
+/// Checks the outcome of a repeated call after `later` further changes, at every member: without a fault, after a
+/// restart of all members, and after the loss of each disk.
 fn check_resent_change(
     state_machine: StateMachineFactory,
     later: u64,
@@ -233,17 +239,17 @@
             assert!(!is_acknowledged(&other), "{when}, at {at}: {other:?}");
         }
     };
-    check(&mut cluster, "at once");
+    check(&mut cluster, "without a fault");
     (0..MEMBERS).for_each(|at| cluster.kill(at));
     (0..MEMBERS).for_each(|at| cluster.start(at));
     cluster.run(Duration::from_secs(1));
-    check(&mut cluster, "after a restart of all");
+    check(&mut cluster, "after a restart of all members");
     for lost in 0..MEMBERS {
         cluster.wipe(lost);
         cluster.start(lost);
         cluster.run(Duration::from_secs(1));
         assert_eq!(cluster.status(lost), Some(Status::Member));
-        check(&mut cluster, "after the loss of one disk more");
+        check(&mut cluster, "after the loss of another disk");
     }
 }
 
@@ -268,7 +274,7 @@
     check_resent_change(rejecting_state_machine, HISTORY_LENGTH as u64 + 1, |answer| !is_rejection(answer));
 }
 
-/// With five, two disks are lost at once: every disk but those of a majority.
+/// Of five members, two lose their disks at the same time, so that only a majority of the disks remains.
 #[test]
 fn a_change_survives_the_loss_of_every_disk_but_a_majority() {
     let mut cluster = Cluster::new(5, 0, state_machine);
@@ -285,7 +291,8 @@
     }
 }
 
-/// A body that was taken names its configuration whatever it is said to build on; a body by names does not.
+/// A complete configuration that was accepted is recognised whatever base version a repeated call gives. A change of
+/// single items is recognised only with the same base version.
 #[test]
 fn the_base_version_identifies_a_change_only_if_it_changes_by_names() {
     let mut cluster = cluster(0);
