--- a/crates/coordination/src/lease/holder.rs
+++ b/crates/coordination/src/lease/holder.rs
@@ -236,7 +236,7 @@
     /// so that another candidate can get a majority.
     ///
     /// The next round starts after the shortest wait that a grantor reported, but at least once in a validity
-    /// period, as a release of another candidate shortens awaits_epoch.
+    /// period, as a release of another candidate can shorten the wait.
     fn on_round_lost(&mut self, now: Duration, wait: Duration) -> Vec<Output> {
         if self.lease.is_some() {
             return Vec::new();
--- a/crates/coordination/src/membership/peer.rs
+++ b/crates/coordination/src/membership/peer.rs
@@ -20,7 +20,7 @@
     Dead,
 }
 
-/// What a heartbeat changed.
+/// The changes that a heartbeat caused.
 pub(super) struct HeartbeatEffect {
     pub state_changed: bool,
     pub restarted: bool,
--- a/crates/coordination/src/register/catch_up.rs
+++ b/crates/coordination/src/register/catch_up.rs
@@ -1,7 +1,7 @@
 //! Catching up: a replica that learns of a commit without its value requests the value, one request at a time.
 //!
-//! However many commits are announced meanwhile, one request is in flight; the answer holds the newest value
-//! that its sender knows. So the amount of data that a replica receives to catch up does not grow with the number
+//! At most one request is in flight, however many commits are announced meanwhile; the answer contains the newest
+//! value that its sender knows. So the amount of data that a replica receives to catch up does not grow with the number
 //! of commits that it missed.
 
 use std::time::Duration;
@@ -27,7 +27,7 @@
 }
 
 impl CatchUp {
-    /// A commit is announced that is newer than the newest one known here.
+    /// A commit was announced that is newer than the newest one known here.
     pub(super) fn on_commit_announced(&mut self, context: &mut Context, from: Node, ballot: Ballot) {
         if context.settings.has(Fault::RequestEveryCommit) {
             return context.send(from, context.poll_message());
--- a/crates/coordination/src/register/fault.rs
+++ b/crates/coordination/src/register/fault.rs
@@ -6,7 +6,7 @@
 pub enum Fault {
     /// Votes are sent before the record is durable.
     ReplyBeforePersist,
-    /// A replica with an empty disk votes at once, beginning with the initial value.
+    /// A replica with an empty disk does not recover: it votes at once, starting from the initial value.
     VoteAfterWipe,
     /// A wiped replica recovers from one other replica only.
     RecoverFromOne,
--- a/crates/coordination/src/register/group.rs
+++ b/crates/coordination/src/register/group.rs
@@ -16,7 +16,7 @@
 }
 
 impl Group {
-    /// A group; order and repetitions do not matter. At most 255 members are taken.
+    /// A group; order and repetitions do not matter. Only the first 255 members are kept.
     #[must_use]
     pub fn new(mut members: Vec<Node>) -> Self {
         members.sort_unstable();
--- a/crates/coordination/src/register/message.rs
+++ b/crates/coordination/src/register/message.rs
@@ -60,7 +60,7 @@
     Committed {
         /// The ballot of the commit.
         ballot: Ballot,
-        /// Its value, if the receiver may not have accepted it.
+        /// Its value; omitted if the receiver is expected to have accepted it.
         value: ValueTransfer,
     },
     /// Quorum read: requests the state of a replica.
--- a/crates/coordination/src/register/proposer/membership_change.rs
+++ b/crates/coordination/src/register/proposer/membership_change.rs
@@ -12,9 +12,9 @@
 
 /// The next step of a membership change.
 enum MembershipStep {
-    /// A joint value with these groups is to be committed.
+    /// A joint value with these groups has to be committed.
     EnterJoint(Vec<Group>),
-    /// Nothing is to be committed.
+    /// Nothing has to be committed; the task has this outcome.
     Done(Outcome),
 }
 
--- a/crates/coordination/src/register/proposer/mod.rs
+++ b/crates/coordination/src/register/proposer/mod.rs
@@ -1,7 +1,7 @@
 //! The proposer: runs rounds of prepare and accept, for one batch of tasks after another.
 //!
-//! This file queues tasks, starts rounds and counts votes; `proposal` is what a round proposes and what follows
-//! once that is committed.
+//! This file queues tasks, starts rounds and counts votes; `proposal` decides what a round proposes and what
+//! follows once that is committed.
 
 mod batch;
 mod membership_change;
@@ -242,7 +242,7 @@
     }
 }
 
-/// Whether a task shares its batch with no other.
+/// Whether a task needs a batch of its own, without other tasks.
 fn requires_own_batch(task: &Task) -> bool {
     matches!(task.operation, Operation::ChangeMembers(_) | Operation::CompleteMembershipChange)
 }
--- a/crates/coordination/src/register/proposer/round.rs
+++ b/crates/coordination/src/register/proposer/round.rs
@@ -34,7 +34,7 @@
 /// How much is known about the base of a round; later variants imply the earlier ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum BaseStatus {
-    /// Some replica accepted it; it may not be committed.
+    /// Some replica accepted it; it is possibly not committed.
     Accepted,
     /// It is committed; a newer value may be committed too.
     Committed,
@@ -53,13 +53,13 @@
     pub(super) base_status: BaseStatus,
     /// Receivers of the message of this phase.
     pub(super) sent_to: Vec<Node>,
-    /// Receivers that get it once they have answered an earlier message.
+    /// Receivers to which it is sent once they have answered an earlier message.
     pub(super) deferred: Vec<Node>,
     pub(super) retry: RetryTimer,
 }
 
 impl Round {
-    /// A round that waits for promises, on the newest value known here.
+    /// A round that waits for promises, based on the newest value that this replica knows.
     pub(super) fn new(context: &Context, ballot: Ballot, known: Proposal, base_status: BaseStatus) -> Self {
         Self {
             ballot,
--- a/crates/coordination/src/register/recovery.rs
+++ b/crates/coordination/src/register/recovery.rs
@@ -30,7 +30,7 @@
     pub(super) value: Value,
 }
 
-/// How many members of a group have responded, and how many have to.
+/// How many members of a group have responded, and how many have to respond.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct ResponseCount {
     pub(super) answered: usize,
@@ -152,8 +152,7 @@
         Some(Proposal { ballot: newest.accepted, value: newest.value.clone() })
     }
 
-    /// The first group in force that lacks responses; both counts are zero while no group is
-    /// known.
+    /// The counts of the first group in force that lacks responses; both are zero while no group is known.
     pub(super) fn missing_responses(&self, context: &Context) -> Option<ResponseCount> {
         let Some(newest) = self.newest_accepted() else {
             return Some(ResponseCount::default());
--- a/crates/coordination/src/register/replica/mod.rs
+++ b/crates/coordination/src/register/replica/mod.rs
@@ -138,7 +138,7 @@
         self.context.outputs.pop_front()
     }
 
-    /// Whether this replica votes, is able to, or is still recovering.
+    /// Whether this replica is a voting member, a spare or still recovering.
     #[must_use]
     pub fn status(&self) -> Status {
         if let Some(recovery) = &self.recovery {
--- a/crates/coordination/src/simulation/machine.rs
+++ b/crates/coordination/src/simulation/machine.rs
@@ -1,4 +1,4 @@
-//! A simulated machine: a disk, and a process that starts and dies.
+//! A simulated machine: a disk, and a process that can be started, killed and suspended.
 
 use std::collections::VecDeque;
 use std::time::Duration;
--- a/crates/coordination/src/simulation/shrink.rs
+++ b/crates/coordination/src/simulation/shrink.rs
@@ -12,8 +12,8 @@
     with_steps(&steps)
 }
 
-/// Drops runs of consecutive steps as long as the rest still fails. The runs are half of the steps long at first;
-/// their length is halved whenever no run of that length can be dropped.
+/// Drops runs of consecutive steps as long as the rest still fails. A run is half of all steps at first; its length
+/// is halved whenever no run of that length can be dropped.
 #[must_use]
 pub fn shrink_steps<S: Clone>(steps: &[S], still_fails: impl Fn(&[S]) -> bool) -> Vec<S> {
     let mut smallest = steps.to_vec();
--- a/crates/coordination/src/simulation/step/mod.rs
+++ b/crates/coordination/src/simulation/step/mod.rs
@@ -138,7 +138,7 @@
     SlowDisk(MachineIndex, u64),
     /// Writes do not complete.
     StallDisk(MachineIndex),
-    /// The disk refuses writes.
+    /// Writes to the disk fail.
     FillDisk(MachineIndex),
     /// The disk works again.
     RepairDisk(MachineIndex),
--- a/crates/coordination/src/storage/store.rs
+++ b/crates/coordination/src/storage/store.rs
@@ -92,7 +92,7 @@
     /// Saves a new version. Once this returns without error the version survives a loss of power.
     ///
     /// # Errors
-    /// If a file operation fails. The previous versions are then still there, and a later save may succeed.
+    /// If a file operation fails. The previous versions then still exist, and a later save may succeed.
     pub fn save(&mut self, directory: &mut dyn Directory, record: &[u8]) -> Result<(), StoreError> {
         self.last_version += 1;
         let version = self.last_version;
@@ -129,7 +129,7 @@
         directory.write_new(temporary, bytes).map_err(disk_error("write a version"))
     }
 
-    /// Removes all but the newest `retained` versions. The removal of a version that fails is retried next time.
+    /// Removes all but the newest `retained` versions. A removal that fails is retried at the next save.
     fn prune_versions(&mut self, directory: &mut dyn Directory, retained: usize) {
         let old = self.versions.len().saturating_sub(retained);
         let (old, newest) = self.versions.split_at(old);
--- a/crates/coordination/tests/version_conflicts.rs
+++ b/crates/coordination/tests/version_conflicts.rs
@@ -36,7 +36,7 @@
     Box::new(RejectForgottenChanges)
 }
 
-/// Answers that refuse a change for good.
+/// Whether an answer rejects a change permanently.
 fn is_rejection(answer: &Option<Outcome>) -> bool {
     matches!(answer, Some(Outcome::Conflict { .. } | Outcome::Invalid(_)))
 }
@@ -45,7 +45,7 @@
     answer.as_ref().is_some_and(Outcome::is_acknowledged)
 }
 
-/// Sends a change and waits for its answer.
+/// Proposes a change at a controller and waits for its answer.
 fn send(cluster: &mut Cluster, at: usize, change: &Command) -> Option<Outcome> {
     let request = cluster.propose(at, change.encode());
     outcome(cluster.answer(request))
