--- a/crates/coordination/tests/lease_model.rs
+++ b/crates/coordination/tests/lease_model.rs
@@ -64,7 +64,7 @@
     Act(u8),
     Deliver(Arc<Delivery>),
     /// Stops being a candidate.
-    Retire(u8),
+    Withdraw(u8),
     Restart(u8),
 }
 
@@ -244,7 +244,7 @@
             }
             Action::Act(index) => state.act(index),
             Action::Deliver(delivery) => state.deliver(&delivery),
-            Action::Retire(index) => {
+            Action::Withdraw(index) => {
                 state.change_made = true;
                 let outputs = state.node(index).set_candidate(now, SHARD, false);
                 state.send(index, outputs);
@@ -273,16 +273,16 @@
 }
 
 #[test]
-fn a_grantor_that_restarts_keeps_candidates_apart() {
+fn a_restarted_grantor_preserves_the_quiet_period() {
     explore(&[(0, 2), (1, 2)], &[Action::Restart(2)]);
 }
 
 #[test]
-fn a_holder_that_retires_keeps_apart_from_the_next() {
-    explore(&[(0, 2), (1, 2)], &[Action::Retire(0)]);
+fn the_next_holder_waits_for_the_quiet_period_after_a_withdrawal() {
+    explore(&[(0, 2), (1, 2)], &[Action::Withdraw(0)]);
 }
 
 #[test]
-fn a_candidate_that_granted_to_the_holder_keeps_apart_from_it() {
-    explore(&[(0, 1)], &[Action::Retire(0), Action::Restart(1)]);
+fn a_candidate_that_granted_to_the_holder_waits_for_the_quiet_period() {
+    explore(&[(0, 1)], &[Action::Withdraw(0), Action::Restart(1)]);
 }
--- a/crates/coordination/tests/register_scenarios.rs
+++ b/crates/coordination/tests/register_scenarios.rs
@@ -40,13 +40,13 @@
 }
 
 #[test]
-fn the_scenario_on_an_accepted_final_value_needs_it_committed() {
+fn leaving_an_accepted_final_value_uncommitted_is_detected() {
     let scenario = read_named("proposer-lost-with-the-final-value.txt");
     assert!(World::play(&scenario, Some(Fault::LeaveChangeUncommitted)).is_err());
 }
 
 #[test]
-fn the_scenario_on_incarnations_needs_them() {
+fn ignoring_incarnations_is_detected() {
     let scenario = read_named("vote-of-an-earlier-incarnation.txt");
     assert!(World::play(&scenario, Some(Fault::IgnoreIncarnations)).is_err());
 }
--- a/crates/coordination/tests/version_conflicts.rs
+++ b/crates/coordination/tests/version_conflicts.rs
@@ -276,7 +276,7 @@
 
 /// Of five members, two lose their disks at the same time, so that only a majority of the disks remains.
 #[test]
-fn a_change_survives_the_loss_of_every_disk_but_a_majority() {
+fn a_change_survives_the_loss_of_all_disks_but_a_majority() {
     let mut cluster = Cluster::new(5, 0, state_machine);
     let change = put_by(0, 1, "first");
     assert!(is_acknowledged(&send(&mut cluster, 0, &change)));
@@ -296,13 +296,13 @@
 #[test]
 fn the_base_version_identifies_a_change_only_if_it_changes_by_names() {
     let mut cluster = cluster(0);
-    let whole = put_by(1, 2, "first");
-    let names = patch_by(2, 3, "first");
-    assert!(is_acknowledged(&send(&mut cluster, 0, &whole)));
-    assert!(is_acknowledged(&send(&mut cluster, 1, &names)));
-    let whole_elsewhere = Command { if_match: Some(3), ..whole };
-    assert_eq!(send(&mut cluster, 2, &whole_elsewhere), Some(Outcome::AlreadyTaken { current: 3 }));
-    let names_elsewhere = Command { if_match: Some(1), ..names.clone() };
-    assert_eq!(send(&mut cluster, 2, &names_elsewhere), Some(Outcome::Conflict { current: 3 }));
-    assert_eq!(send(&mut cluster, 2, &names), Some(Outcome::AlreadyTaken { current: 3 }));
+    let put_change = put_by(1, 2, "first");
+    let patch_change = patch_by(2, 3, "first");
+    assert!(is_acknowledged(&send(&mut cluster, 0, &put_change)));
+    assert!(is_acknowledged(&send(&mut cluster, 1, &patch_change)));
+    let put_with_other_base = Command { if_match: Some(3), ..put_change };
+    assert_eq!(send(&mut cluster, 2, &put_with_other_base), Some(Outcome::AlreadyTaken { current: 3 }));
+    let patch_with_other_base = Command { if_match: Some(1), ..patch_change.clone() };
+    assert_eq!(send(&mut cluster, 2, &patch_with_other_base), Some(Outcome::Conflict { current: 3 }));
+    assert_eq!(send(&mut cluster, 2, &patch_change), Some(Outcome::AlreadyTaken { current: 3 }));
 }
