--- a/crates/coordination/tests/lease_model.rs
+++ b/crates/coordination/tests/lease_model.rs
@@ -256,7 +256,9 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("holders keep apart and epochs rise", |_, state| !state.violated),
+            Property::<Self>::always("the quiet period is kept and epochs increase", |_, state| {
+                !state.violated
+            }),
             Property::<Self>::sometimes("a second holder acts", |_, state| state.handed_over),
         ]
     }
@@ -266,8 +268,8 @@
     }
 }
 
-/// Explores all schedules. The test fails if one violates a rule, or if in none a second holder acts: the bounds
-/// would then be too small for the check to mean anything.
+/// Explores all schedules. The test fails if one violates a rule. It also fails if a second holder acts in none, as
+/// the bounds would then be too small for the check to be meaningful.
 fn explore(links: &'static [(u8, u8)], changes: &'static [Action]) {
     LeaseModel::new(links, changes).checker().spawn_dfs().join().assert_properties();
 }
--- a/crates/coordination/tests/lease_parts.rs
+++ b/crates/coordination/tests/lease_parts.rs
@@ -41,7 +41,7 @@
 }
 
 fn grants(grantor: &mut LeaseGrantor, now: u64, request: &LeaseRequest) -> bool {
-    grantor.on_request(at(now), request).expect("an answer").granted
+    grantor.on_request(at(now), request).expect("the grantor replies").granted
 }
 
 /// Node 1 as a candidate in the group of nodes 1, 2 and 3; it sent the requests of round 1 at 1 s.
@@ -80,7 +80,7 @@
 fn another_candidate_waits_for_validity_and_quiet_period_on_a_clock_that_may_be_fast() {
     let mut grantor = grantor();
     assert!(grants(&mut grantor, 100, &request(1, 1, 0)));
-    let reply = grantor.on_request(at(200), &request(2, 1, 0)).expect("an answer");
+    let reply = grantor.on_request(at(200), &request(2, 1, 0)).expect("the grantor replies");
     assert!(!reply.granted);
     assert_eq!(reply.wait_ms, 3_982);
     assert!(!grants(&mut grantor, 4_180, &request(2, 2, 0)));
@@ -273,7 +273,11 @@
     assert_eq!(holder.on_reply(at(1_010), node(2).address(), &grant(1)), vec![]);
     assert_eq!(holder.on_reply(at(1_010), node(4).address(), &grant(1)), vec![]);
     assert_eq!(holder.on_reply(at(1_010), node(3).address(), &grant(1)).len(), 1);
-    assert_eq!(holder.on_tick(at(5_100)).len(), 4, "the end of the tenure and a round to the new group");
+    assert_eq!(
+        holder.on_tick(at(5_100)).len(),
+        4,
+        "the tenure ends, and a round is sent to the new group alone"
+    );
     assert_eq!(holder.on_reply(at(5_110), node(2).address(), &grant(2)), vec![]);
     assert_eq!(holder.on_reply(at(5_110), node(4).address(), &grant(2)).len(), 1);
 }
@@ -287,8 +291,8 @@
         LeaseMessage::Release(release(1, 9, 17)),
     ];
     for message in messages {
-        let bytes = message.encode().expect("an encodable message");
-        assert_eq!(LeaseMessage::decode(&bytes).expect("a message"), message);
+        let bytes = message.encode().expect("every message can be encoded");
+        assert_eq!(LeaseMessage::decode(&bytes).expect("an encoded message can be decoded"), message);
         assert!(LeaseMessage::decode(&bytes[..bytes.len() - 1]).is_err());
         assert!(LeaseMessage::decode(&[bytes.as_slice(), &[0]].concat()).is_err());
     }
--- a/crates/coordination/tests/lease_with_membership.rs
+++ b/crates/coordination/tests/lease_with_membership.rs
@@ -51,7 +51,7 @@
         let members = self.world.members();
         for output in outputs {
             let Output::Send { to, heartbeat } = output else { continue };
-            let to = members.iter().position(|member| *member == to).expect("a member");
+            let to = members.iter().position(|member| *member == to).expect("the process is a member");
             if self.is_running(to) {
                 self.detectors[to].on_heartbeat(now, &heartbeat);
             }
@@ -77,13 +77,20 @@
     /// The process that acted last.
     fn holder(&self) -> usize {
         let holder = self.world.last_holder().expect("a process has acted");
-        (0..self.detectors.len()).find(|index| self.world.id(*index) == holder).expect("a member")
+        (0..self.detectors.len())
+            .find(|index| self.world.id(*index) == holder)
+            .expect("the process is a member")
     }
 
     /// Time from `failure` to the first action of an incarnation other than the last holder before it.
     fn takeover_time(&self, failure: Duration) -> Duration {
-        let before =
-            self.world.actions.iter().rfind(|action| action.arrival <= failure).expect("a holder").holder;
+        let before = self
+            .world
+            .actions
+            .iter()
+            .rfind(|action| action.arrival <= failure)
+            .expect("a process acted before the failure")
+            .holder;
         let next =
             self.world.actions.iter().find(|action| action.arrival > failure && action.holder != before);
         next.expect("another holder acts").arrival - failure
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -90,7 +90,7 @@
     let mut counts = [0_u32; 7];
     for shard in 0_u32..7_000 {
         let first = rendezvous_order(&shard.to_be_bytes(), &listed)[0];
-        counts[listed.iter().position(|node| *node == first).expect("a known node")] += 1;
+        counts[listed.iter().position(|node| *node == first).expect("the node is in the list")] += 1;
     }
     assert!(counts.iter().all(|count| (850..=1_150).contains(count)), "{counts:?}");
 }
@@ -105,7 +105,7 @@
         most_peers = most_peers.max(peers.len());
         for peer in peers {
             assert!(monitors_of(peer, &listed, 3).contains(node));
-            monitors[listed.binary_search(&peer).expect("a known node")] += 1;
+            monitors[listed.binary_search(&peer).expect("the node is in the list")] += 1;
         }
     }
     assert!(monitors.iter().all(|count| *count == 3));
@@ -234,8 +234,8 @@
 #[test]
 fn a_heartbeat_round_trips_and_other_bytes_are_rejected() {
     let sent = heartbeat(3, 77, 12);
-    let bytes = sent.encode().expect("an encodable heartbeat");
-    assert_eq!(Heartbeat::decode(&bytes).expect("a heartbeat"), sent);
+    let bytes = sent.encode().expect("every heartbeat can be encoded");
+    assert_eq!(Heartbeat::decode(&bytes).expect("an encoded heartbeat can be decoded"), sent);
     assert_eq!(bytes.len(), 26);
     assert!(Heartbeat::decode(&bytes[..25]).is_err());
     let longer = [bytes.as_slice(), &[0]].concat();
--- a/crates/coordination/tests/register_catch_up.rs
+++ b/crates/coordination/tests/register_catch_up.rs
@@ -68,7 +68,7 @@
 
 /// Makes `count` changes on top of version `base`, spread over `time`.
 fn make_changes(cluster: &mut Cluster, base: u64, count: u64, time: Duration) {
-    let interval = time / u32::try_from(count).expect("a small number");
+    let interval = time / u32::try_from(count).expect("the count fits 32 bits");
     let mut requests = Vec::new();
     for base in base..base + count {
         let next = base + 1;
@@ -153,6 +153,7 @@
     assert!(caught_up.while_away > 10.0 * MAX_VALUES_WHILE_FROZEN, "{caught_up:?}");
 }
 
+/// With this defect, a returned member receives data that grows with the number of changes it missed.
 #[test]
 fn a_request_for_each_announced_commit_is_detected() {
     let caught_up =
