--- a/crates/coordination/src/membership/rendezvous.rs
+++ b/crates/coordination/src/membership/rendezvous.rs
@@ -26,8 +26,8 @@
 
 /// The nodes that `this` monitors: those that have it among their `count` monitors.
 ///
-/// Choosing monitors by the node that is monitored (and not peers by the node that monitors) leaves no node
-/// without a monitor; a node monitors `count` others on average.
+/// The monitors are chosen for each monitored node, rather than the peers for each monitor. So every node has
+/// `count` monitors, and monitors `count` others on average.
 pub fn monitored_peers(this: SocketAddr, nodes: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
     let mut nodes = nodes.to_vec();
     nodes.sort_unstable();
@@ -47,8 +47,8 @@
 ) -> bool {
     let key = stable_hash(&node_key(&node.1));
     let own_rank = (Reverse(weight(key, this.0)), this.1);
-    let rivals = nodes.iter().filter(|other| other.1 != node.1 && other.1 != this.1);
-    let before = rivals.filter(|other| (Reverse(weight(key, other.0)), other.1) < own_rank);
+    let others = nodes.iter().filter(|other| other.1 != node.1 && other.1 != this.1);
+    let before = others.filter(|other| (Reverse(weight(key, other.0)), other.1) < own_rank);
     before.take(count).count() < count
 }
 
--- a/crates/coordination/src/register/fault.rs
+++ b/crates/coordination/src/register/fault.rs
@@ -1,12 +1,12 @@
-//! Deliberate mistakes of a replica, for tests that prove that they find them.
+//! Defects of a replica that tests switch on, to show that they would be detected.
 
-/// Deliberate mistakes: each must be found by the random schedules, or by the tests on catching up.
+/// Defects that can be switched on. The random schedules or the tests on catching up must detect each of them.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// Votes are sent before the record is durable.
     ReplyBeforePersist,
-    /// A replica with an empty disk votes at once, beginning with the initial value.
+    /// A replica with an empty disk does not recover: it votes at once, starting from the initial value.
     VoteAfterWipe,
     /// A wiped replica recovers from one other replica only.
     RecoverFromOne,
@@ -24,16 +24,16 @@
     ReadUncommitted,
     /// An acceptor accepts values below its promise.
     AcceptBelowPromise,
-    /// A majority is one less.
+    /// A majority needs one vote fewer than it should.
     SmallMajority,
-    /// The final value of a membership change that was accepted, and not committed, is left as it is.
+    /// The final value of a membership change that was accepted but not committed is left uncommitted.
     LeaveChangeUncommitted,
     /// A preempted command is proposed again even if it took effect.
     ProposeTwice,
-    /// The recent changes of a value that is taken over from others (recovery, catch-up) are dropped.
+    /// The recent changes in a value received from others (recovery, catch-up) are dropped.
     ForgetHistory,
-    /// A value is also sent to a replica that has not answered the one before.
-    SendAhead,
+    /// A value is also sent to a replica that has not answered the previous one.
+    SendBeforeAnswer,
     /// A replica requests the value of every announced commit.
-    AskForEach,
+    RequestEveryCommit,
 }
--- a/crates/coordination/src/registry.rs
+++ b/crates/coordination/src/registry.rs
@@ -4,12 +4,12 @@
 //! whichever replica received it and in whatever order: replicas that received the same registrations agree
 //! without a log. Only the expiry of an incarnation without heartbeats must be decided by one replica alone: the
 //! owner of its shard calls [`Registry::expire`]. A removed incarnation leaves a tombstone, so that a late message
-//! does not bring it back.
+//! does not register it again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Sequence of an incarnation that has ended for good: no later heartbeat can revive it.
+/// Sequence of an incarnation that has ended permanently: no later heartbeat can register it again.
 pub const FINAL_SEQUENCE: u64 = u64::MAX;
 
 /// The registration of one incarnation of an endpoint.
@@ -28,11 +28,11 @@
     /// The registration; `None` for a tombstone.
     pub registration: Option<R>,
     /// Sequence of the registration; of a tombstone, the sequence as of which the incarnation was removed, which
-    /// is [`FINAL_SEQUENCE`] if it has ended for good.
+    /// is [`FINAL_SEQUENCE`] if it has ended permanently.
     pub sequence: u64,
     /// Sequence of the newest heartbeat that any replica is known to have received. It may be ahead of the
     /// registration's, as the message about an unchanged heartbeat may overtake the change before it.
-    pub latest: u64,
+    pub heartbeat_sequence: u64,
     /// When the newest heartbeat was received here, or reported by another replica.
     pub last_heartbeat: Duration,
 }
@@ -84,7 +84,7 @@
         let changed = known.registration.as_ref().is_none_or(|old| old.differs(&registration));
         known.registration = Some(registration);
         known.sequence = sequence;
-        known.latest = known.latest.max(sequence);
+        known.heartbeat_sequence = known.heartbeat_sequence.max(sequence);
         known.last_heartbeat = now;
         if changed { RegistryUpdate::Changed { replaced: Vec::new() } } else { RegistryUpdate::Refreshed }
     }
@@ -98,8 +98,12 @@
         for id in &replaced {
             self.remove(now, id, FINAL_SEQUENCE);
         }
-        let entry =
-            Entry { registration: Some(registration), sequence, latest: sequence, last_heartbeat: now };
+        let entry = Entry {
+            registration: Some(registration),
+            sequence,
+            heartbeat_sequence: sequence,
+            last_heartbeat: now,
+        };
         self.entries.insert(id.to_owned(), entry);
         RegistryUpdate::Changed { replaced }
     }
@@ -107,25 +111,28 @@
     /// Records that some replica received heartbeat `sequence`, which changed nothing else.
     pub fn refresh(&mut self, now: Duration, id: &str, sequence: u64) {
         let Some(known) = self.entries.get_mut(id) else { return };
-        if known.registration.is_some() && sequence >= known.latest {
-            known.latest = sequence;
+        if known.registration.is_some() && sequence >= known.heartbeat_sequence {
+            known.heartbeat_sequence = sequence;
             known.last_heartbeat = now;
         }
     }
 
-    /// Removes an incarnation as of `sequence`. Returns whether it was registered until now.
+    /// Removes an incarnation as of `sequence`, unless a later heartbeat is known. Returns whether it was registered.
     pub fn remove(&mut self, now: Duration, id: &str, sequence: u64) -> bool {
-        let tombstone = || Entry { registration: None, sequence, latest: sequence, last_heartbeat: now };
+        let tombstone =
+            || Entry { registration: None, sequence, heartbeat_sequence: sequence, last_heartbeat: now };
         let Some(known) = self.entries.get_mut(id) else {
             self.entries.insert(id.to_owned(), tombstone());
             return false;
         };
-        if sequence < known.latest || (known.registration.is_none() && sequence == known.latest) {
+        if sequence < known.heartbeat_sequence
+            || (known.registration.is_none() && sequence == known.heartbeat_sequence)
+        {
             return false;
         }
-        let was_there = known.registration.is_some();
+        let was_registered = known.registration.is_some();
         *known = tombstone();
-        was_there
+        was_registered
     }
 
     /// Removes the incarnations without a heartbeat for longer than `idle_timeout`, in the services that this
@@ -143,7 +150,7 @@
         };
         let expired = self.entries.iter().filter(|(_, entry)| is_expired(entry));
         let expired = expired
-            .map(|(id, entry)| ExpiredIncarnation { id: id.clone(), sequence: entry.latest })
+            .map(|(id, entry)| ExpiredIncarnation { id: id.clone(), sequence: entry.heartbeat_sequence })
             .collect::<Vec<_>>();
         for incarnation in &expired {
             self.remove(now, &incarnation.id, incarnation.sequence);
@@ -151,19 +158,19 @@
         expired
     }
 
-    /// Drops tombstones older than `retention`, after which no late message can name their incarnations.
-    pub fn purge_removed(&mut self, now: Duration, retention: Duration) {
+    /// Drops tombstones older than `retention`; no message about their incarnations is expected after that time.
+    pub fn purge_tombstones(&mut self, now: Duration, retention: Duration) {
         self.entries.retain(|_, entry| {
             entry.registration.is_some() || now.saturating_sub(entry.last_heartbeat) <= retention
         });
     }
 
-    /// Drops an entry without a tombstone: a message of any sequence registers the incarnation again.
+    /// Drops an entry without leaving a tombstone: a message with any sequence registers the incarnation again.
     pub fn drop_entry(&mut self, id: &str) {
         self.entries.remove(id);
     }
 
-    /// Restarts the idle time of every incarnation, after a time in which this process could not receive.
+    /// Restarts the idle time of every incarnation, after a time in which this process could not receive heartbeats.
     pub fn restart_timeouts(&mut self, now: Duration) {
         for entry in self.entries.values_mut().filter(|entry| entry.registration.is_some()) {
             entry.last_heartbeat = now;
--- a/crates/coordination/src/simulation/disk.rs
+++ b/crates/coordination/src/simulation/disk.rs
@@ -1,4 +1,4 @@
-//! The simulated disk of a machine: one write at a time, which takes a while, fails or stalls.
+//! The simulated disk of a machine: one write at a time, which takes some time, fails or stalls.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 
 use crate::storage::{SimulatedDirectory, StoreError, VersionedStore};
 
-/// Longest time of a write on a healthy disk.
-const USUAL_WRITE: Duration = Duration::from_millis(2);
+/// Longest duration of a write on a healthy disk.
+const HEALTHY_MAX_WRITE_TIME: Duration = Duration::from_millis(2);
 
-/// File operations of a save, from creating the file to removing old ones.
+/// Number of file operations of a save, from creating the file to removing old versions.
 const SAVE_STEPS: u32 = 6;
 
 /// The record's name in the directory.
@@ -24,7 +24,7 @@
 
 pub(super) struct Disk {
     pub(super) directory: SimulatedDirectory,
-    pub(super) longest_write: Duration,
+    pub(super) max_write_time: Duration,
     pub(super) stalled: bool,
     store: Option<VersionedStore>,
     /// The write in flight, if any.
@@ -35,7 +35,7 @@
     pub(super) fn new() -> Self {
         Self {
             directory: SimulatedDirectory::new(),
-            longest_write: USUAL_WRITE,
+            max_write_time: HEALTHY_MAX_WRITE_TIME,
             stalled: false,
             store: None,
             write: None,
@@ -57,7 +57,7 @@
         Some((write.token, saved.is_ok()))
     }
 
-    /// The process dies, perhaps during a write.
+    /// The process dies. A write in flight is executed up to a random file operation.
     pub(super) fn interrupt(&mut self, random: &mut SmallRng) {
         self.directory.operations_until_crash = Some(random.random_range(0..=SAVE_STEPS));
         let _ = self.finish_write();
@@ -67,7 +67,7 @@
 
     /// Ends all faults of the disk; its content stays.
     pub(super) fn repair(&mut self) {
-        self.longest_write = USUAL_WRITE;
+        self.max_write_time = HEALTHY_MAX_WRITE_TIME;
         self.stalled = false;
         self.directory.rejects_writes = false;
     }
--- a/crates/coordination/src/simulation/history.rs
+++ b/crates/coordination/src/simulation/history.rs
@@ -1,4 +1,4 @@
-//! The requests, answers and committed values of a run, and the rules that they must obey.
+//! The requests, answers and committed values of a run, and the checks of the rules that they must obey.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,14 +14,16 @@
     outcome: Option<Outcome>,
 }
 
-/// Everything that happened so far, as far as the rules need it.
+/// What happened in the run so far, as far as the rules depend on it.
 #[derive(Default)]
 pub(super) struct History {
     requests: Vec<Request>,
     values: BTreeMap<u64, Value>,
-    /// The newest revision of any answer.
+    /// The newest revision in any answer.
     newest_answered: u64,
+    /// Acknowledged numbers, each with the revision of the first acknowledgement.
     acknowledged: BTreeMap<u32, u64>,
+    /// Numbers of expired requests, which must never take effect.
     expired: BTreeSet<u32>,
 }
 
@@ -67,7 +69,7 @@
                 self.check_freshness(request, newest_answered, revision)
             }
             Outcome::Expired => {
-                // Another request may have ensured the same number.
+                // An expired `Ensure` is left out: another request may have ensured the same number.
                 let own = command.filter(|command| !matches!(command, Command::Ensure(_)));
                 self.expired.extend(own.map(Command::entry));
                 self.check_expired()
@@ -84,7 +86,11 @@
         revision: u64,
     ) -> Result<(), Violation> {
         if revision < newest_answered {
-            return Err(Violation::Stale { request, answered: revision, acknowledged: newest_answered });
+            return Err(Violation::StaleAnswer {
+                request,
+                answered: revision,
+                acknowledged: newest_answered,
+            });
         }
         self.newest_answered = self.newest_answered.max(revision);
         Ok(())
@@ -124,7 +130,7 @@
             return Ok(());
         };
         let effective = entries(&newest.state).into_iter().find(|entry| self.expired.contains(entry));
-        effective.map_or(Ok(()), |entry| Err(Violation::Expired(entry)))
+        effective.map_or(Ok(()), |entry| Err(Violation::ExpiredTookEffect(entry)))
     }
 
     /// The newest value contains every number that was acknowledged up to its revision.
@@ -135,7 +141,7 @@
         let present: BTreeSet<u32> = entries(&newest.state).into_iter().collect();
         let mut due = self.acknowledged.iter().filter(|(_, revision)| **revision <= newest.revision);
         let lost = due.find(|(entry, _)| !present.contains(entry));
-        lost.map_or(Ok(()), |(entry, revision)| Err(Violation::Lost(*entry, *revision)))
+        lost.map_or(Ok(()), |(entry, revision)| Err(Violation::LostChange(*entry, *revision)))
     }
 }
 
--- a/crates/coordination/src/simulation/machine.rs
+++ b/crates/coordination/src/simulation/machine.rs
@@ -1,4 +1,4 @@
-//! A simulated machine: a disk, and a process that starts and dies.
+//! A simulated machine: a disk, and a process that can be started, killed and suspended.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 /// Control port of all machines.
 const PORT: u16 = 8146;
 
-/// First address, so that nodes sort in the order of their letters.
+/// Address of machine `a`; the others follow, so that nodes sort in the order of their letters.
 const FIRST_ADDRESS: u32 = 0x0a00_0001;
 
 /// The node of a machine.
@@ -27,7 +27,7 @@
     node.ip.saturating_sub(FIRST_ADDRESS) as MachineIndex
 }
 
-/// Something that happens to a machine.
+/// An event that is delivered to a machine.
 #[derive(Debug, Clone)]
 pub(super) enum Event {
     /// A message arrives.
@@ -48,7 +48,7 @@
     pub(super) retired: bool,
     /// Events that arrived while the process was frozen.
     pub(super) backlog: VecDeque<Event>,
-    /// The timer that is set.
+    /// When the timer that is set fires.
     pub(super) wake_at: Option<Duration>,
     /// The newest revision that this incarnation has learned.
     newest_committed: Option<u64>,
@@ -77,9 +77,10 @@
         if self.replica.is_some() || self.retired {
             return Ok(());
         }
-        let unreadable = |_| Violation::Record(self.index);
+        let unreadable = |_| Violation::UnreadableRecord(self.index);
         let bytes = self.disk.open().map_err(unreadable)?;
-        let decode = |bytes: Vec<u8>| Record::decode(&bytes).map_err(|_| Violation::Record(self.index));
+        let decode =
+            |bytes: Vec<u8>| Record::decode(&bytes).map_err(|_| Violation::UnreadableRecord(self.index));
         let stored = bytes.map(decode).transpose()?;
         self.incarnation += 1;
         self.wake_at = None;
@@ -107,7 +108,7 @@
         self.disk.directory.wipe();
     }
 
-    /// Passes an event to the process; a frozen one gets it later.
+    /// Passes an event to the process; a frozen process gets it when it resumes.
     pub(super) fn receive(&mut self, now: Duration, event: Event) -> Result<(), Violation> {
         if self.frozen {
             self.backlog.push_back(event);
@@ -122,15 +123,15 @@
         Ok(())
     }
 
-    /// The input that an event is for the process, if any.
+    /// Converts an event to an input of the process; `None` if the event has no effect on it.
     fn input(&mut self, event: Event) -> Result<Option<Input>, Violation> {
         match event {
             Event::Message { from, bytes } => {
                 let message = crate::register::Message::decode(&bytes);
-                let message = message.map_err(|_| Violation::Message(from))?;
+                let message = message.map_err(|_| Violation::UnreadableMessage(from))?;
                 Ok(Some(Input::Message { from: node_of(from), message }))
             }
-            Event::Written { incarnation, token } => Ok(self.written(incarnation, token)),
+            Event::Written { incarnation, token } => Ok(self.on_written(incarnation, token)),
             Event::Wake { incarnation, at } => {
                 let due = incarnation == self.incarnation && self.wake_at == Some(at);
                 self.wake_at.take_if(|_| due);
@@ -139,7 +140,7 @@
         }
     }
 
-    fn written(&mut self, incarnation: u64, token: u64) -> Option<Input> {
+    fn on_written(&mut self, incarnation: u64, token: u64) -> Option<Input> {
         let current = self.disk.write.as_ref().is_some_and(|write| write.token == token);
         if incarnation != self.incarnation || !current || self.disk.stalled {
             return None;
@@ -152,7 +153,7 @@
         self.replica.as_mut()?.poll_output()
     }
 
-    /// Checks that the process never learns an older value than before.
+    /// Records a learned revision; fails if the process learned a newer one before.
     pub(super) fn record_committed(&mut self, revision: u64) -> Result<(), Violation> {
         match self.newest_committed.replace(revision) {
             Some(from) if from >= revision => {
--- a/crates/coordination/src/simulation/violation.rs
+++ b/crates/coordination/src/simulation/violation.rs
@@ -1,4 +1,4 @@
-//! Rules that a simulation checks, as the errors of breaking them.
+//! The rules that a simulation checks; each has an error that reports its violation.
 
 use thiserror::Error;
 
@@ -23,13 +23,13 @@
     AppliedTwice(u32),
     /// The list contains a number whose request expired before it was proposed.
     #[error("number {0} took effect after it had expired")]
-    Expired(u32),
-    /// The list does not contain an acknowledged number.
+    ExpiredTookEffect(u32),
+    /// The list does not contain a number that was acknowledged.
     #[error("number {0}, acknowledged at revision {1}, is missing")]
-    Lost(u32, u64),
+    LostChange(u32, u64),
     /// An answer is older than one given before the request.
     #[error("request {request} was answered from revision {answered} after {acknowledged} was acknowledged")]
-    Stale {
+    StaleAnswer {
         /// The request.
         request: u64,
         /// Its revision.
@@ -37,7 +37,7 @@
         /// The newest revision acknowledged before.
         acknowledged: u64,
     },
-    /// A replica learned an older value.
+    /// A replica learned an older value than before.
     #[error("machine {machine} learned revision {to} after {from}")]
     Regression {
         /// The machine.
@@ -48,14 +48,14 @@
         to: u64,
     },
     /// A request was answered twice, or was never made.
-    #[error("request {0} was answered once too often")]
+    #[error("request {0} was answered twice, or was never made")]
     UnexpectedAnswer(u64),
     /// The record on disk cannot be read.
     #[error("machine {0} has an unreadable record")]
-    Record(MachineIndex),
+    UnreadableRecord(MachineIndex),
     /// A message cannot be encoded or decoded.
     #[error("machine {0} sent an unreadable message")]
-    Message(MachineIndex),
+    UnreadableMessage(MachineIndex),
     /// A machine does not serve although all faults have ended.
     #[error("machine {0} does not serve although all faults have ended")]
     Unavailable(MachineIndex),
--- a/crates/coordination/src/simulation/world/expectations.rs
+++ b/crates/coordination/src/simulation/world/expectations.rs
@@ -1,4 +1,4 @@
-//! What a scenario expects of the machines: that they serve once all faults have ended, and single expectations.
+//! Checks of what a scenario expects: that all machines serve once all faults have ended, and single expectations.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 use crate::simulation::step::{Expectation, MachineIndex};
 use crate::simulation::violation::Violation;
 
-/// Time to come to rest once all faults have ended: several of the longest retry intervals.
+/// Time to recover once all faults have ended: several of the longest retry intervals.
 const QUIESCE_TIME: Duration = Duration::from_secs(12);
 
 /// Deadline of the last requests, from when they are made.
 const FINAL_DEADLINE: Duration = Duration::from_secs(12);
 
 impl World {
-    /// Ends all faults and starts all processes; then every machine that is left must serve.
+    /// Ends all faults and starts all processes; then every machine that is not retired must serve.
     pub(super) fn quiesce(&mut self) -> Result<(), Violation> {
         self.network.repair();
         for at in 0..self.machines.len() {
@@ -25,13 +25,13 @@
         }
         self.run(QUIESCE_TIME)?;
         for at in (0..self.machines.len()).filter(|at| !self.machines[*at].retired).collect::<Vec<_>>() {
-            self.serve(at)?;
+            self.check_serves(at)?;
         }
         Ok(())
     }
 
     /// A read and a change through one machine must both succeed.
-    fn serve(&mut self, at: MachineIndex) -> Result<(), Violation> {
+    fn check_serves(&mut self, at: MachineIndex) -> Result<(), Violation> {
         let deadline = self.now + FINAL_DEADLINE;
         self.request_until(at, None, deadline, |request, deadline| Input::Read { request, deadline })?;
         let read = self.machines[at].last_request;
--- a/crates/coordination/tests/cluster/mod.rs
+++ b/crates/coordination/tests/cluster/mod.rs
@@ -1,7 +1,7 @@
-//! Replicas of one register with any state machine, in simulated time and with every byte counted.
+//! Replicas of one register with any state machine in simulated time, with counts of the bytes they receive and write.
 //!
-//! Messages take [`ONE_WAY`]; the disk is instant unless it is full. Committed values are checked as
-//! they are learned: one value for each revision, and no replica learns an older one than before.
+//! A message takes [`ONE_WAY`]; a write to disk takes no time, and fails while the disk is full. Every committed value
+//! that a replica learns is checked: each revision has one value, and no replica learns an older one than before.
 #![allow(dead_code)]
 
 pub(crate) mod configuration;
@@ -16,22 +16,22 @@
 };
 use member::Member;
 
-/// Time that a message takes.
+/// Delay of a message.
 pub(crate) const ONE_WAY: Duration = Duration::from_millis(5);
-/// Longest wait of a caller for an answer, as a controller's.
+/// How long a caller waits for an answer, as long as a controller does.
 pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_millis(950);
 
 /// The node of a member.
 pub(crate) fn node(index: usize) -> Node {
-    Node { ip: u32::try_from(index).expect("a small number"), port: 1 }
+    Node { ip: u32::try_from(index).expect("the index fits 32 bits"), port: 1 }
 }
 
 fn index_of(node: Node) -> usize {
     node.ip as usize
 }
 
-/// What is made anew for each start of a replica.
-pub(crate) type MachineMaker = fn() -> Box<dyn StateMachine>;
+/// Creates the state machine for each start of a replica.
+pub(crate) type StateMachineFactory = fn() -> Box<dyn StateMachine>;
 
 struct Envelope {
     at: Duration,
@@ -40,7 +40,7 @@
     bytes: Vec<u8>,
 }
 
-/// Bytes and messages that a member took in.
+/// Numbers of messages and bytes that a member received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Traffic {
     pub messages: u64,
@@ -52,7 +52,7 @@
     members: Vec<Member>,
     bootstrap_members: usize,
     queue: VecDeque<Envelope>,
-    machine: MachineMaker,
+    state_machine: StateMachineFactory,
     fault: Option<Fault>,
     starts: u64,
     requests: u64,
@@ -61,16 +61,16 @@
 }
 
 impl Cluster {
-    /// Members of which the first `bootstrap_members` make the group.
-    pub(crate) fn new(bootstrap_members: usize, spares: usize, machine: MachineMaker) -> Self {
-        Self::with_fault(bootstrap_members, spares, machine, None)
+    /// A cluster whose first `bootstrap_members` machines are the initial group; the other machines are spares.
+    pub(crate) fn new(bootstrap_members: usize, spares: usize, state_machine: StateMachineFactory) -> Self {
+        Self::with_fault(bootstrap_members, spares, state_machine, None)
     }
 
-    /// As [`Cluster::new`], with a deliberate mistake.
+    /// As [`Cluster::new`], with a defect that is switched on.
     pub(crate) fn with_fault(
         bootstrap_members: usize,
         spares: usize,
-        machine: MachineMaker,
+        state_machine: StateMachineFactory,
         fault: Option<Fault>,
     ) -> Self {
         let mut cluster = Self {
@@ -78,7 +78,7 @@
             members: (0..bootstrap_members + spares).map(|_| Member::default()).collect(),
             bootstrap_members,
             queue: VecDeque::new(),
-            machine,
+            state_machine,
             fault,
             starts: 0,
             requests: 0,
@@ -90,7 +90,7 @@
         cluster
     }
 
-    /// Starts the process of a member with what its disk holds.
+    /// Starts the process of a member with the record on its disk.
     pub(crate) fn start(&mut self, at: usize) {
         let first = self.starts < self.members.len() as u64;
         self.starts += 1;
@@ -103,16 +103,16 @@
         };
         let stored = self.members[at].stored();
         self.members[at].replica =
-            Some(Replica::new(settings, (self.machine)(), stored, self.now, self.starts));
+            Some(Replica::new(settings, (self.state_machine)(), stored, self.now, self.starts));
         self.members[at].newest_committed = None;
         self.flush(at);
         self.connect(at);
     }
 
-    /// Links of a member come up.
+    /// Establishes the links of a member to all members that it can reach.
     fn connect(&mut self, at: usize) {
         for other in (0..self.members.len()).filter(|other| *other != at) {
-            if self.reach(at, other) {
+            if self.can_reach(at, other) {
                 self.input(at, Input::PeerReachable { node: node(other) });
                 self.input(other, Input::PeerReachable { node: node(at) });
             }
@@ -129,7 +129,7 @@
         self.members[at].disk = None;
     }
 
-    /// Suspends the process; messages to it wait.
+    /// Suspends the process; messages to it are delivered when it resumes.
     pub(crate) fn freeze(&mut self, at: usize) {
         self.members[at].frozen = true;
     }
@@ -157,32 +157,32 @@
         }
     }
 
-    /// The partition ends; its links are established again.
+    /// The partition ends, and the links across it are established again.
     pub(crate) fn heal(&mut self) {
         let apart: Vec<usize> = (0..self.members.len()).filter(|at| self.members[*at].side == 1).collect();
         self.partition(&[]);
         apart.into_iter().for_each(|at| self.connect(at));
     }
 
-    /// The partition ends, and no link is established again.
+    /// The partition ends, but no replica is notified that a peer is reachable again.
     pub(crate) fn heal_silently(&mut self) {
         self.partition(&[]);
     }
 
-    fn reach(&self, from: usize, to: usize) -> bool {
+    fn can_reach(&self, from: usize, to: usize) -> bool {
         self.members[from].side == self.members[to].side
     }
 
     /// Proposes a command at a member; returns the number of the request.
     pub(crate) fn propose(&mut self, at: usize, command: Vec<u8>) -> u64 {
         let deadline = self.now + ANSWER_TIMEOUT;
-        self.ask(at, |request| Input::Propose { request, command, deadline })
+        self.submit(at, |request| Input::Propose { request, command, deadline })
     }
 
     /// Requests a read at a member.
     pub(crate) fn read(&mut self, at: usize) -> u64 {
         let deadline = self.now + ANSWER_TIMEOUT;
-        self.ask(at, |request| Input::Read { request, deadline })
+        self.submit(at, |request| Input::Read { request, deadline })
     }
 
     /// Requests a membership change at a member.
@@ -190,17 +190,17 @@
         let deadline = self.now + ANSWER_TIMEOUT;
         let nodes = |set: &[usize]| set.iter().copied().map(node).collect();
         let (remove, add) = (nodes(remove), nodes(add));
-        self.ask(at, |request| Input::ChangeMembers { request, remove, add, deadline })
+        self.submit(at, |request| Input::ChangeMembers { request, remove, add, deadline })
     }
 
-    fn ask(&mut self, at: usize, input: impl FnOnce(u64) -> Input) -> u64 {
+    fn submit(&mut self, at: usize, input: impl FnOnce(u64) -> Input) -> u64 {
         self.requests += 1;
         let request = self.requests;
         self.input(at, input(request));
         request
     }
 
-    /// The answer to a request, waited for as long as a caller waits.
+    /// Waits for the answer to a request for at most [`ANSWER_TIMEOUT`].
     pub(crate) fn answer(&mut self, request: u64) -> Option<Outcome> {
         let end = self.now + ANSWER_TIMEOUT;
         while !self.answers.contains_key(&request) && self.advance(end) {}
@@ -240,8 +240,8 @@
     }
 
     /// Bytes that a member wrote to its disk since the last call.
-    pub(crate) fn take_written(&mut self, at: usize) -> u64 {
-        std::mem::take(&mut self.members[at].written)
+    pub(crate) fn take_bytes_written(&mut self, at: usize) -> u64 {
+        std::mem::take(&mut self.members[at].bytes_written)
     }
 
     /// The record on a member's disk, encoded; empty if there is none.
@@ -281,7 +281,7 @@
         match (message, wake) {
             (Some(time), _) if time == next => {
                 let envelope = self.queue.pop_front().expect("a message is due");
-                self.arrive(&envelope);
+                self.receive(&envelope);
             }
             (_, Some((_, at))) => self.input(at, Input::Tick),
             _ => {}
@@ -289,9 +289,9 @@
         true
     }
 
-    fn arrive(&mut self, envelope: &Envelope) {
+    fn receive(&mut self, envelope: &Envelope) {
         let Envelope { from, to, .. } = *envelope;
-        if !self.reach(from, to) || self.members[to].replica.is_none() {
+        if !self.can_reach(from, to) || self.members[to].replica.is_none() {
             return;
         }
         self.members[to].traffic.messages += 1;
@@ -304,7 +304,7 @@
     }
 
     fn deliver(&mut self, from: usize, to: usize, bytes: &[u8]) {
-        let message = Message::decode(bytes).expect("a message of a replica");
+        let message = Message::decode(bytes).expect("an encoded message can be decoded");
         self.input(to, Input::Message { from: node(from), message });
     }
 
@@ -335,15 +335,15 @@
     }
 
     fn send(&mut self, from: usize, to: usize, message: &Message) {
-        if self.reach(from, to) {
-            let bytes = message.encode().expect("a message of a replica");
+        if self.can_reach(from, to) {
+            let bytes = message.encode().expect("every message can be encoded");
             self.queue.push_back(Envelope { at: self.now + ONE_WAY, from, to, bytes });
         }
     }
 
     fn record_committed(&mut self, at: usize, revision: u64, state: Bytes) {
         let before = self.members[at].newest_committed.replace(revision);
-        assert!(before < Some(revision), "member {at} newest_committed revision {revision} after {before:?}");
+        assert!(before < Some(revision), "member {at} learned revision {revision} after {before:?}");
         let known = self.committed.entry(revision).or_insert_with(|| state.clone());
         assert!(*known == state, "revision {revision} has two values");
     }
--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases under faults: who acts, from when on, and that no two holders act within the quiet period.
+//! Leases under faults: which process acts and from when on, and that no two holders act within the quiet period.
 
 #[allow(dead_code)]
 mod lease_world;
@@ -18,9 +18,9 @@
 }
 
 /// Time from `failure` to the first action of another holder.
-fn takeover(world: &World, failure: Duration) -> Duration {
+fn takeover_time(world: &World, failure: Duration) -> Duration {
     let old = world.actions[0].holder;
-    let first = world.actions.iter().find(|action| action.holder != old).expect("a new holder");
+    let first = world.actions.iter().find(|action| action.holder != old).expect("another holder acts");
     first.arrival - failure
 }
 
@@ -37,7 +37,7 @@
     world.run_for(30 * SECOND);
     assert!(world.actions.iter().all(|action| action.epoch == 1));
     let widest = world.actions.windows(2).map(|pair| pair[1].arrival.saturating_sub(pair[0].arrival)).max();
-    assert!(widest.expect("actions") < Duration::from_millis(100), "{widest:?}");
+    assert!(widest.expect("at least two actions") < Duration::from_millis(100), "{widest:?}");
 }
 
 #[test]
@@ -47,7 +47,7 @@
     let failure = world.now;
     world.set_candidate(1, true);
     world.run_for(10 * SECOND);
-    let takeover = takeover(&world, failure);
+    let takeover = takeover_time(&world, failure);
     assert!(takeover >= QUIET_PERIOD, "{takeover:?}");
     assert!(takeover < Duration::from_millis(4_200), "{takeover:?}");
     assert_eq!(world.violation(), None);
@@ -60,7 +60,7 @@
     let handover = world.now;
     world.set_candidate(1, true);
     world.run_for(10 * SECOND);
-    let takeover = takeover(&world, handover);
+    let takeover = takeover_time(&world, handover);
     assert!(takeover < Duration::from_millis(3_500), "{takeover:?}");
     assert_eq!(world.violation(), None);
 }
@@ -128,7 +128,7 @@
     let cut = world.now;
     world.run_for(10 * SECOND);
     assert_eq!(world.last_holder(), Some(world.id(2)));
-    let last = world.actions_of(world.id(0)).last().expect("actions").arrival;
+    let last = world.actions_of(world.id(0)).last().expect("the first holder acted").arrival;
     assert!(last - cut <= world.settings().validity);
     world.heal();
     world.run_for(10 * SECOND);
@@ -153,7 +153,7 @@
     world.set_candidate(1, true);
     let restart = world.now;
     world.run_for(10 * SECOND);
-    assert!(takeover(&world, restart) >= QUIET_PERIOD);
+    assert!(takeover_time(&world, restart) >= QUIET_PERIOD);
     assert_eq!(world.violation(), None);
 }
 
@@ -163,7 +163,7 @@
     world.restart(0);
     let restart = world.now;
     world.run_for(10 * SECOND);
-    assert!(takeover(&world, restart) >= QUIET_PERIOD);
+    assert!(takeover_time(&world, restart) >= QUIET_PERIOD);
     assert_eq!(world.violation(), None);
 }
 
@@ -186,8 +186,8 @@
 #[test]
 fn slow_duplicate_and_reordered_messages_still_allow_a_holder() {
     let mut world = World::new(3, &[0, 0, 0]);
-    let longest_delay = Duration::from_millis(450);
-    world.network = Network { shortest_delay: STEP, longest_delay, lost_one_in: 0, duplicated_one_in: 3 };
+    let max_delay = Duration::from_millis(450);
+    world.network = Network { min_delay: STEP, max_delay, lost_one_in: 0, duplicated_one_in: 3 };
     world.set_candidate(0, true);
     world.run_for(20 * SECOND);
     assert!(world.actions.len() > 100, "{}", world.actions.len());
--- a/crates/coordination/tests/lease_model.rs
+++ b/crates/coordination/tests/lease_model.rs
@@ -1,8 +1,9 @@
-//! Every schedule of a small group, up to a bound: two candidates, three grantors, any order and loss of messages.
+//! Model checking of leases: every schedule of a small group up to a bound, with two candidates, three grantors,
+//! and any order and loss of messages.
 //!
-//! The states hold the processes themselves, so what is explored is the program and not a description of it.
-//! Messages are never taken out of the network: each may arrive at any time from then on, any number of times, or
-//! never. A process that is not scheduled is frozen.
+//! The states contain the production state machines, so the program itself is checked and not a description of it.
+//! Messages are never removed from the network: each may arrive at any time after it was sent, any number of times,
+//! or never. A process that takes no step for some time corresponds to a suspended one.
 
 use lanegate_coordination::lease::{GrantorStart, LeaseMessage, LeaseNode, LeaseSettings, Output, Tenure};
 use lanegate_coordination::membership::NodeId;
@@ -14,16 +15,17 @@
 
 const SHARD: u32 = 1;
 const MEMBERS: u8 = 3;
-/// Step of the time of all processes.
+/// Step by which the clocks of all processes advance.
 const TICK: Duration = Duration::from_millis(100);
 /// A holder may act at the tick of its round and at the next.
 const VALIDITY: Duration = Duration::from_millis(101);
 /// Just below two ticks, so that what a grantor adds for drift costs no further tick.
 const QUIET_PERIOD: Duration = Duration::from_millis(198);
 const QUIET_TICKS: u32 = 2;
-/// How far the schedules go.
+/// Number of ticks after which a schedule ends.
 const HORIZON_TICKS: u32 = 4;
-/// Rounds that a schedule holds of each process: one holder with a renewal, one candidate that waits for its end.
+/// Largest number of timer wake-ups of each process in a schedule: one holder with a renewal, one candidate that
+/// waits for its end.
 const MAX_ROUNDS: [u8; MEMBERS as usize] = [1, 1, 0];
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -43,14 +45,14 @@
 struct State {
     tick: u32,
     nodes: Vec<Arc<LeaseNode>>,
-    /// Pairs of processes that reach each other.
+    /// Pairs of processes that can reach each other.
     links: &'static [(u8, u8)],
     incarnations: Vec<u64>,
     rounds: Vec<u8>,
     network: BTreeSet<Arc<Delivery>>,
-    register: u64,
+    last_epoch: u64,
     last_action: Option<LastAction>,
-    changed: bool,
+    change_made: bool,
     handed_over: bool,
     violated: bool,
 }
@@ -62,14 +64,14 @@
     Act(u8),
     Deliver(Arc<Delivery>),
     /// Stops being a candidate.
-    Retire(u8),
+    Withdraw(u8),
     Restart(u8),
 }
 
 struct LeaseModel {
     settings: LeaseSettings,
     links: &'static [(u8, u8)],
-    /// A schedule contains at most one of these.
+    /// Actions of which a schedule contains at most one.
     changes: &'static [Action],
 }
 
@@ -80,7 +82,7 @@
 fn index_of(address: SocketAddr) -> u8 {
     match address {
         SocketAddr::V4(address) => address.ip().octets()[3],
-        SocketAddr::V6(_) => unreachable!("all addresses are of version 4"),
+        SocketAddr::V6(_) => unreachable!("all addresses are IPv4 addresses"),
     }
 }
 
@@ -98,9 +100,9 @@
     }
 
     fn may_wake(&self, index: u8) -> bool {
-        let place = usize::from(index);
-        let due = self.nodes[place].next_wake().is_some_and(|wake| wake <= self.now());
-        due && self.rounds[place] < MAX_ROUNDS[place]
+        let slot = usize::from(index);
+        let due = self.nodes[slot].next_wake().is_some_and(|wake| wake <= self.now());
+        due && self.rounds[slot] < MAX_ROUNDS[slot]
     }
 
     fn may_act(&self, index: u8) -> bool {
@@ -111,16 +113,16 @@
         for output in outputs {
             match output {
                 Output::Send { to, message } => {
-                    let bytes = message.encode().expect("an encodable message");
+                    let bytes = message.encode().expect("every message can be encoded");
                     let to = index_of(to);
                     if self.links.contains(&(from.min(to), from.max(to))) {
                         self.network.insert(Arc::new(Delivery::Message { from, to, bytes }));
                     }
                 }
                 Output::AcquireEpoch { tenure, .. } => {
-                    self.register += 1;
+                    self.last_epoch += 1;
                     let incarnation = self.incarnations[usize::from(from)];
-                    let epoch = self.register;
+                    let epoch = self.last_epoch;
                     self.network.insert(Arc::new(Delivery::Epoch { to: from, incarnation, tenure, epoch }));
                 }
                 Output::Began { .. } | Output::Ended { .. } => {}
@@ -132,7 +134,7 @@
         let now = self.now();
         match delivery {
             Delivery::Message { from, to, bytes } => {
-                let message = LeaseMessage::decode(bytes).expect("the message that was encoded");
+                let message = LeaseMessage::decode(bytes).expect("an encoded message can be decoded");
                 let from = address(*from).into();
                 let outputs = self.node(*to).on_message(now, from, &message);
                 self.send(*to, outputs);
@@ -146,19 +148,19 @@
         }
     }
 
-    /// Acts if the process may, and notes whether that breaks the rules.
+    /// Acts if the lease allows it, and records whether the action violates a rule.
     fn act(&mut self, index: u8) {
         let now = self.now();
         let Some(epoch) = self.node(index).authorize(now, SHARD, Duration::ZERO) else { return };
-        let act = LastAction { tick: self.tick, holder: self.id(index), epoch };
+        let action = LastAction { tick: self.tick, holder: self.id(index), epoch };
         if let Some(last) = &self.last_action {
-            let other = last.holder != act.holder;
-            let early = other && act.tick - last.tick < QUIET_TICKS;
-            let shared = other && act.epoch <= last.epoch;
-            self.violated |= early || shared || act.epoch < last.epoch;
+            let other = last.holder != action.holder;
+            let too_early = other && action.tick - last.tick < QUIET_TICKS;
+            let reuses_epoch = other && action.epoch <= last.epoch;
+            self.violated |= too_early || reuses_epoch || action.epoch < last.epoch;
             self.handed_over |= other;
         }
-        self.last_action = Some(act);
+        self.last_action = Some(action);
     }
 }
 
@@ -171,7 +173,7 @@
             margin: Duration::ZERO,
             clock_drift_ppm: 0,
         };
-        settings.check().expect("settings that fit together");
+        settings.check().expect("the settings are consistent");
         LeaseModel { settings, links, changes }
     }
 
@@ -183,10 +185,10 @@
     }
 
     fn restart(&self, state: &mut State, index: u8) {
-        let place = usize::from(index);
-        state.incarnations[place] += 1;
-        state.changed = true;
-        state.nodes[place] = self.start(state.id(index), GrantorStart::Restarted, state.now());
+        let slot = usize::from(index);
+        state.incarnations[slot] += 1;
+        state.change_made = true;
+        state.nodes[slot] = self.start(state.id(index), GrantorStart::Restarted, state.now());
     }
 }
 
@@ -205,9 +207,9 @@
             incarnations: vec![1; usize::from(MEMBERS)],
             rounds: vec![0; usize::from(MEMBERS)],
             network: BTreeSet::new(),
-            register: 0,
+            last_epoch: 0,
             last_action: None,
-            changed: false,
+            change_made: false,
             handed_over: false,
             violated: false,
         };
@@ -225,7 +227,7 @@
             actions.extend(state.may_act(index).then_some(Action::Act(index)));
         }
         actions.extend(state.network.iter().cloned().map(Action::Deliver));
-        if !state.changed {
+        if !state.change_made {
             actions.extend(self.changes.iter().cloned());
         }
     }
@@ -242,8 +244,8 @@
             }
             Action::Act(index) => state.act(index),
             Action::Deliver(delivery) => state.deliver(&delivery),
-            Action::Retire(index) => {
-                state.changed = true;
+            Action::Withdraw(index) => {
+                state.change_made = true;
                 let outputs = state.node(index).set_candidate(now, SHARD, false);
                 state.send(index, outputs);
             }
@@ -254,7 +256,9 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("holders keep apart and epochs rise", |_, state| !state.violated),
+            Property::<Self>::always("the quiet period is kept and epochs increase", |_, state| {
+                !state.violated
+            }),
             Property::<Self>::sometimes("a second holder acts", |_, state| state.handed_over),
         ]
     }
@@ -264,22 +268,23 @@
     }
 }
 
-/// Explores all schedules; one that breaks a rule fails the test, and so does a bound that lets nothing happen.
+/// Explores all schedules. The test fails if one violates a rule. It also fails if a second holder acts in none, as
+/// the bounds would then be too small for the check to be meaningful.
 fn explore(links: &'static [(u8, u8)], changes: &'static [Action]) {
     LeaseModel::new(links, changes).checker().spawn_dfs().join().assert_properties();
 }
 
 #[test]
-fn a_grantor_that_restarts_keeps_candidates_apart() {
+fn a_restarted_grantor_preserves_the_quiet_period() {
     explore(&[(0, 2), (1, 2)], &[Action::Restart(2)]);
 }
 
 #[test]
-fn a_holder_that_retires_keeps_apart_from_the_next() {
-    explore(&[(0, 2), (1, 2)], &[Action::Retire(0)]);
+fn the_next_holder_waits_for_the_quiet_period_after_a_withdrawal() {
+    explore(&[(0, 2), (1, 2)], &[Action::Withdraw(0)]);
 }
 
 #[test]
-fn a_candidate_that_granted_to_the_holder_keeps_apart_from_it() {
-    explore(&[(0, 1)], &[Action::Retire(0), Action::Restart(1)]);
+fn a_candidate_that_granted_to_the_holder_waits_for_the_quiet_period() {
+    explore(&[(0, 1)], &[Action::Withdraw(0), Action::Restart(1)]);
 }
--- a/crates/coordination/tests/lease_with_membership.rs
+++ b/crates/coordination/tests/lease_with_membership.rs
@@ -1,4 +1,5 @@
-//! Leases whose candidates come from the failure detector: who holds after crashes and freezes, and how soon.
+//! Leases whose candidates the failure detector chooses: which process holds the lease after crashes and
+//! suspensions, and how soon.
 
 #[allow(dead_code)]
 mod lease_world;
@@ -11,7 +12,7 @@
 const HEARTBEAT: Duration = Duration::from_millis(300);
 const KEY: &[u8] = b"shard-7";
 
-/// Processes that detect failures among themselves; the first live one in the order of the shard is candidate.
+/// Processes that monitor one another; the first live one in the rendezvous order of the shard is the candidate.
 struct Cluster {
     world: World,
     detectors: Vec<FailureDetector>,
@@ -31,27 +32,27 @@
         let end = self.world.now + span;
         while self.world.now < end {
             for index in 0..self.detectors.len() {
-                self.detect(index);
+                self.run_detector(index);
             }
             self.world.step();
         }
     }
 
-    fn runs(&self, index: usize) -> bool {
+    fn is_running(&self, index: usize) -> bool {
         self.world.is_up(index) && !self.world.is_frozen(index)
     }
 
-    fn detect(&mut self, index: usize) {
+    fn run_detector(&mut self, index: usize) {
         let now = self.world.now;
-        if !self.runs(index) || self.detectors[index].next_wake() > now {
+        if !self.is_running(index) || self.detectors[index].next_wake() > now {
             return;
         }
         let outputs = self.detectors[index].on_tick(now);
         let members = self.world.members();
         for output in outputs {
             let Output::Send { to, heartbeat } = output else { continue };
-            let to = members.iter().position(|member| *member == to).expect("a member");
-            if self.runs(to) {
+            let to = members.iter().position(|member| *member == to).expect("the process is a member");
+            if self.is_running(to) {
                 self.detectors[to].on_heartbeat(now, &heartbeat);
             }
         }
@@ -75,17 +76,24 @@
 
     /// The process that acted last.
     fn holder(&self) -> usize {
-        let holder = self.world.last_holder().expect("a holder");
-        (0..self.detectors.len()).find(|index| self.world.id(*index) == holder).expect("a member")
+        let holder = self.world.last_holder().expect("a process has acted");
+        (0..self.detectors.len())
+            .find(|index| self.world.id(*index) == holder)
+            .expect("the process is a member")
     }
 
-    /// Time from `failure` to the first action of another incarnation than the last holder before it.
-    fn takeover(&self, failure: Duration) -> Duration {
-        let before =
-            self.world.actions.iter().rfind(|action| action.arrival <= failure).expect("a holder").holder;
+    /// Time from `failure` to the first action of an incarnation other than the last holder before it.
+    fn takeover_time(&self, failure: Duration) -> Duration {
+        let before = self
+            .world
+            .actions
+            .iter()
+            .rfind(|action| action.arrival <= failure)
+            .expect("a process acted before the failure")
+            .holder;
         let next =
             self.world.actions.iter().find(|action| action.arrival > failure && action.holder != before);
-        next.expect("a new holder").arrival - failure
+        next.expect("another holder acts").arrival - failure
     }
 }
 
@@ -105,7 +113,7 @@
         let failure = cluster.world.now;
         cluster.world.crash(holder);
         cluster.run_for(Duration::from_secs(10));
-        let takeover = cluster.takeover(failure);
+        let takeover = cluster.takeover_time(failure);
         assert!(takeover >= QUIET_PERIOD, "{takeover:?}");
         assert!(takeover < Duration::from_millis(4_500), "{takeover:?}");
         assert_eq!(cluster.world.violation(), None);
@@ -122,7 +130,7 @@
     cluster.restart(holder);
     cluster.run_for(Duration::from_secs(10));
     assert_eq!(cluster.holder(), holder);
-    assert!(cluster.takeover(failure) < Duration::from_secs(6));
+    assert!(cluster.takeover_time(failure) < Duration::from_secs(6));
     assert_eq!(cluster.world.violation(), None);
 }
 
--- a/crates/coordination/tests/lease_world/mod.rs
+++ b/crates/coordination/tests/lease_world/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated group of processes that are candidates for the lease of one shard and act while they hold it.
+//! A simulated group of processes that may be candidates for the lease of one shard, and act while they hold it.
 
 pub(crate) mod schedule;
 
@@ -7,7 +7,7 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
-/// The one shard of these tests.
+/// The shard whose lease these tests use.
 pub(crate) const SHARD: u32 = 7;
 /// Resolution of the simulated time.
 pub(crate) const STEP: Duration = Duration::from_millis(5);
@@ -15,7 +15,7 @@
 pub(crate) const DELIVERY_TIME: Duration = Duration::from_millis(40);
 /// The quiet period of these tests.
 pub(crate) const QUIET_PERIOD: Duration = Duration::from_secs(3);
-/// True time at which every world starts; clocks of processes must be able to lag behind it.
+/// True time at which every world starts; above zero, as the clocks of processes may be behind it.
 const START: Duration = Duration::from_secs(100);
 const MILLION: i64 = 1_000_000;
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// An action as its endpoint received it.
+/// An action, as its endpoint received it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Action {
     pub arrival: Duration,
@@ -47,11 +47,11 @@
     pub epoch: u64,
 }
 
-/// What the network does to messages.
+/// Delay, loss and duplication of messages.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Network {
-    pub shortest_delay: Duration,
-    pub longest_delay: Duration,
+    pub min_delay: Duration,
+    pub max_delay: Duration,
     /// One in this many messages is lost; 0 for none.
     pub lost_one_in: u64,
     /// One in this many messages is duplicated; 0 for none.
@@ -59,8 +59,8 @@
 }
 
 pub(crate) const HEALTHY_NETWORK: Network = Network {
-    shortest_delay: Duration::from_millis(1),
-    longest_delay: Duration::from_millis(6),
+    min_delay: Duration::from_millis(1),
+    max_delay: Duration::from_millis(6),
     lost_one_in: 0,
     duplicated_one_in: 0,
 };
@@ -86,7 +86,7 @@
     node: LeaseNode,
 }
 
-/// An output of a process, and when in true time.
+/// An output of a process and its true time.
 pub(crate) struct Observation {
     pub at: Duration,
     pub process: usize,
@@ -103,7 +103,7 @@
     in_flight: Vec<InFlight>,
     /// All outputs of the processes.
     pub observations: Vec<Observation>,
-    register: u64,
+    last_epoch: u64,
     random: TestRandom,
 }
 
@@ -118,7 +118,7 @@
     }
 
     pub(crate) fn with_settings(seed: u64, rates_ppm: &[i64], settings: LeaseSettings) -> Self {
-        settings.check().expect("settings that fit together");
+        settings.check().expect("the settings are consistent");
         let mut world = World {
             now: START,
             network: HEALTHY_NETWORK,
@@ -128,7 +128,7 @@
             side: vec![false; rates_ppm.len()],
             in_flight: Vec::new(),
             observations: Vec::new(),
-            register: 0,
+            last_epoch: 0,
             random: TestRandom::new(seed),
         };
         for (index, rate_ppm) in rates_ppm.iter().enumerate() {
@@ -169,7 +169,7 @@
 
     pub(crate) fn set_candidate(&mut self, index: usize, is_candidate: bool) {
         self.processes[index].is_candidate = is_candidate;
-        if self.runs(index) {
+        if self.is_running(index) {
             self.apply_candidate(index);
         }
     }
@@ -178,7 +178,7 @@
         self.processes[index].frozen = true;
     }
 
-    /// Resumes a frozen process; first of all it acts, if its lease still seems valid to it.
+    /// Resumes a frozen process. It first tries to act, as its lease may still seem valid to it.
     pub(crate) fn thaw(&mut self, index: usize) {
         self.processes[index].frozen = false;
         self.act(index);
@@ -217,7 +217,7 @@
         self.processes[index].frozen
     }
 
-    fn runs(&self, index: usize) -> bool {
+    fn is_running(&self, index: usize) -> bool {
         self.processes[index].up && !self.processes[index].frozen
     }
 
@@ -242,7 +242,7 @@
         }
     }
 
-    /// The one that acted last.
+    /// The process that acted last.
     pub(crate) fn last_holder(&self) -> Option<NodeId> {
         self.actions.last().map(|action| action.holder)
     }
@@ -257,37 +257,37 @@
         actions.sort_by_key(|action| action.arrival);
         actions.windows(2).map(|pair| (pair[0], pair[1])).find(|(one, next)| {
             let other = one.holder != next.holder;
-            let early = other && next.arrival - one.arrival < QUIET_PERIOD;
-            let shared = other && next.epoch <= one.epoch;
-            early || shared || next.epoch < one.epoch
+            let too_early = other && next.arrival - one.arrival < QUIET_PERIOD;
+            let reuses_epoch = other && next.epoch <= one.epoch;
+            too_early || reuses_epoch || next.epoch < one.epoch
         })
     }
 
-    fn local(&self, index: usize) -> Duration {
+    fn local_now(&self, index: usize) -> Duration {
         local_time(self.now, self.processes[index].rate_ppm)
     }
 
     fn apply_candidate(&mut self, index: usize) {
-        let now = self.local(index);
+        let now = self.local_now(index);
         let is_candidate = self.processes[index].is_candidate;
         let outputs = self.processes[index].node.set_candidate(now, SHARD, is_candidate);
         self.send(index, outputs);
     }
 
     fn wake(&mut self, index: usize) {
-        let now = self.local(index);
+        let now = self.local_now(index);
         let due = self.processes[index].node.next_wake().is_some_and(|wake| wake <= now);
-        if due && self.runs(index) {
+        if due && self.is_running(index) {
             let outputs = self.processes[index].node.on_tick(now);
             self.send(index, outputs);
         }
     }
 
     fn act(&mut self, index: usize) {
-        if !self.runs(index) {
+        if !self.is_running(index) {
             return;
         }
-        let now = self.local(index);
+        let now = self.local_now(index);
         let Some(epoch) = self.processes[index].node.authorize(now, SHARD, DELIVERY_TIME) else { return };
         let delay = Duration::from_millis(self.random.below(DELIVERY_TIME.as_millis() as u64 - 1));
         let action = Action { arrival: self.now + delay, holder: self.id(index), epoch };
@@ -312,7 +312,7 @@
             self.in_flight.push(delivery);
             return;
         }
-        let now = self.local(index);
+        let now = self.local_now(index);
         let process = &mut self.processes[index];
         let outputs = match delivery.delivery {
             Delivery::Message { from, message } => process.node.on_message(now, from, &message),
@@ -333,20 +333,21 @@
         }
     }
 
-    /// The register gives each epoch once, in rising order, at some time before its answer arrives.
+    /// Acquires an epoch from the simulated register, which returns each epoch once, in increasing order. The epoch is
+    /// allocated now; the answer arrives later.
     fn acquire_epoch(&mut self, index: usize, tenure: Tenure) {
-        self.register += 1;
+        self.last_epoch += 1;
         let incarnation = self.processes[index].incarnation;
-        let delivery = Delivery::Epoch { incarnation, tenure, epoch: self.register };
+        let delivery = Delivery::Epoch { incarnation, tenure, epoch: self.last_epoch };
         let due = self.now + self.delay();
         self.in_flight.push(InFlight { due, to: index, delivery });
     }
 
     fn send_message(&mut self, from: usize, to: SocketAddr, message: LeaseMessage) {
-        let bytes = message.encode().expect("an encodable message");
-        let message = LeaseMessage::decode(&bytes).expect("the message that was encoded");
+        let bytes = message.encode().expect("every message can be encoded");
+        let message = LeaseMessage::decode(&bytes).expect("an encoded message can be decoded");
         let to = self.processes.iter().position(|process| SocketAddr::from(process.address) == to);
-        let to = to.expect("a known process");
+        let to = to.expect("the receiver is one of the processes");
         let is_lost = self.network.lost_one_in > 0 && self.random.one_in(self.network.lost_one_in);
         if is_lost || self.side[from] != self.side[to] {
             return;
@@ -361,13 +362,13 @@
     }
 
     fn delay(&mut self) -> Duration {
-        let span = self.network.longest_delay - self.network.shortest_delay;
+        let span = self.network.max_delay - self.network.min_delay;
         let extra = self.random.below(span.as_millis() as u64 + 1);
-        self.network.shortest_delay + Duration::from_millis(extra)
+        self.network.min_delay + Duration::from_millis(extra)
     }
 }
 
-/// What a clock that runs faster than true time by `rate_ppm` shows.
+/// The reading of a clock that runs faster than true time by `rate_ppm`.
 fn local_time(now: Duration, rate_ppm: i64) -> Duration {
     let micros = now.as_micros() as i64;
     Duration::from_micros((micros + micros * rate_ppm / MILLION) as u64)
--- a/crates/coordination/tests/membership_digests.rs
+++ b/crates/coordination/tests/membership_digests.rs
@@ -1,4 +1,4 @@
-//! The outputs of the failure detector and the registry on random events stay as they are.
+//! Pins the outputs of the failure detector and the registry on random events, by digests.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::Duration;
@@ -31,7 +31,7 @@
         Output::Send { to, heartbeat } => {
             digest.byte(0);
             add_address(digest, *to);
-            digest.bytes(&heartbeat.encode().expect("an encodable heartbeat"));
+            digest.bytes(&heartbeat.encode().expect("every heartbeat can be encoded"));
         }
         Output::StateChanged { peer, state } => {
             digest.byte(1);
@@ -50,37 +50,37 @@
     }
 }
 
-/// Plays random heartbeats, pauses and changes of the known nodes.
+/// Plays random heartbeats, pauses of this process and changes of the known nodes.
 fn membership_digest(seed: u64) -> u64 {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut digest = Digest::default();
     let mut now = Duration::ZERO;
     let settings = MembershipSettings::new(INTERVAL, random.random_range(1..=4));
-    let mut membership = FailureDetector::new(settings, NodeId::new(address(0), 1), now);
+    let mut detector = FailureDetector::new(settings, NodeId::new(address(0), 1), now);
     let mut count = NODES;
     let mut sequence = 0;
     for _ in 0..EVENTS {
         let longest_wait = if random.random_bool(0.02) { 3_000 } else { 60 };
         now += Duration::from_millis(random.random_range(0..=longest_wait));
         let outputs = match random.random_range(0..100) {
-            0..40 => membership.on_tick(now),
+            0..40 => detector.on_tick(now),
             40..98 => {
                 sequence += random.random_range(0..2);
                 let incarnation = 1 + u64::from(random.random_bool(0.05));
                 let sender = NodeId::new(address(random.random_range(1..NODES)), incarnation);
-                membership.on_heartbeat(now, &Heartbeat { sender, sequence })
+                detector.on_heartbeat(now, &Heartbeat { sender, sequence })
             }
             _ => {
                 count = random.random_range(1..=NODES);
                 let nodes: Vec<SocketAddr> = (0..count).map(|index| address(index).into()).collect();
-                membership.set_nodes(now, &nodes);
+                detector.set_nodes(now, &nodes);
                 Vec::new()
             }
         };
         outputs.iter().for_each(|output| add_output(&mut digest, output));
-        digest.time(membership.next_wake());
-        add_address(&mut digest, membership.first_live(&seed.to_be_bytes()));
-        digest.number(membership.live().count() as u64);
+        digest.time(detector.next_wake());
+        add_address(&mut digest, detector.first_live(&seed.to_be_bytes()));
+        digest.number(detector.live().count() as u64);
     }
     let nodes: Vec<SocketAddr> = (0..count).map(|index| address(index).into()).collect();
     let orders = [
@@ -98,7 +98,7 @@
     assert_digests(env!("CARGO_MANIFEST_DIR"), "membership", digests);
 }
 
-/// A registration whose revision alone is of interest to routers.
+/// A registration of which only changes of the revision are reported to routers.
 #[derive(Debug, Clone)]
 struct Endpoint {
     service: String,
@@ -120,8 +120,8 @@
     }
 }
 
-fn add_taken(digest: &mut Digest, taken: &RegistryUpdate) {
-    match taken {
+fn add_update(digest: &mut Digest, update: &RegistryUpdate) {
+    match update {
         RegistryUpdate::Stale => digest.byte(0),
         RegistryUpdate::Refreshed => digest.byte(1),
         RegistryUpdate::Changed { replaced } => {
@@ -136,12 +136,12 @@
         digest.bytes(id.as_bytes());
         digest.number(entry.registration.as_ref().map_or(0, |endpoint| endpoint.revision));
         digest.number(entry.sequence);
-        digest.number(entry.latest);
+        digest.number(entry.heartbeat_sequence);
         digest.time(entry.last_heartbeat);
     }
 }
 
-/// Plays random registrations, heartbeats and ends.
+/// Plays random registrations, heartbeats, removals and expiries.
 fn registry_digest(seed: u64) -> u64 {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut digest = Digest::default();
@@ -158,7 +158,7 @@
                     address: address(random.random_range(0..6)).into(),
                     revision: random.random_range(1..4),
                 };
-                add_taken(&mut digest, &registry.merge(now, &id, sequence, endpoint));
+                add_update(&mut digest, &registry.merge(now, &id, sequence, endpoint));
             }
             5..8 => registry.refresh(now, &id, sequence),
             8 => {
@@ -166,13 +166,13 @@
                 digest.byte(u8::from(registry.remove(now, &id, last)));
             }
             9 => {
-                let silent = registry.expire(now, Duration::from_secs(4), |service| service != "service-2");
-                for ExpiredIncarnation { id, sequence } in silent {
+                let expired = registry.expire(now, Duration::from_secs(4), |service| service != "service-2");
+                for ExpiredIncarnation { id, sequence } in expired {
                     digest.bytes(id.as_bytes());
                     digest.number(sequence);
                 }
             }
-            10 => registry.purge_removed(now, Duration::from_secs(6)),
+            10 => registry.purge_tombstones(now, Duration::from_secs(6)),
             _ if random.random_bool(0.5) => registry.drop_entry(&id),
             _ => registry.restart_timeouts(now),
         }
--- a/crates/coordination/tests/register_codec.rs
+++ b/crates/coordination/tests/register_codec.rs
@@ -1,4 +1,5 @@
-//! The binary form of messages and records: what is written reads back, anything else is refused.
+//! The binary form of messages and records: encoded values round-trip, and invalid bytes are rejected without a
+//! panic.
 
 use bytes::Bytes;
 use lanegate_coordination::register::{
@@ -47,12 +48,12 @@
     })
 }
 
-fn carried() -> impl Strategy<Value = ValueTransfer> {
+fn value_transfer() -> impl Strategy<Value = ValueTransfer> {
     prop_oneof![Just(ValueTransfer::Omitted), value().prop_map(ValueTransfer::Full)]
 }
 
-fn phase_one() -> impl Strategy<Value = Message> {
-    let promise = (ballot(), voter(), ballot(), carried());
+fn phase_one_message() -> impl Strategy<Value = Message> {
+    let promise = (ballot(), voter(), ballot(), value_transfer());
     prop_oneof![
         (ballot(), ballot()).prop_map(|(ballot, known)| Message::Prepare { ballot, known }),
         promise.prop_map(|(ballot, voter, accepted, value)| Message::Promise {
@@ -65,17 +66,17 @@
     ]
 }
 
-fn phase_two() -> impl Strategy<Value = Message> {
+fn phase_two_message() -> impl Strategy<Value = Message> {
     let accepted = (ballot(), voter());
     prop_oneof![
         (ballot(), value()).prop_map(|(ballot, value)| Message::Accept { ballot, value }),
         accepted.prop_map(|(ballot, voter)| Message::Accepted { ballot, voter }),
-        (ballot(), carried()).prop_map(|(ballot, value)| Message::Committed { ballot, value }),
+        (ballot(), value_transfer()).prop_map(|(ballot, value)| Message::Committed { ballot, value }),
     ]
 }
 
-fn reading() -> impl Strategy<Value = Message> {
-    let state = (any::<u64>(), voter(), ballot(), ballot(), carried());
+fn read_message() -> impl Strategy<Value = Message> {
+    let state = (any::<u64>(), voter(), ballot(), ballot(), value_transfer());
     prop_oneof![
         (any::<u64>(), ballot()).prop_map(|(request, known)| Message::ReadQuery { request, known }),
         state.prop_map(|(request, voter, promised, accepted, value)| {
@@ -85,7 +86,7 @@
     ]
 }
 
-fn recovering() -> impl Strategy<Value = Message> {
+fn recovery_message() -> impl Strategy<Value = Message> {
     let registered = (any::<u64>(), any::<u64>(), voter(), ballot(), ballot(), value());
     prop_oneof![
         (any::<u64>(), any::<u64>())
@@ -97,7 +98,7 @@
 }
 
 fn message() -> impl Strategy<Value = Message> {
-    prop_oneof![phase_one(), phase_two(), reading(), recovering()]
+    prop_oneof![phase_one_message(), phase_two_message(), read_message(), recovery_message()]
 }
 
 fn record() -> impl Strategy<Value = Record> {
@@ -113,13 +114,13 @@
 
 proptest! {
     #[test]
-    fn messages_read_back(message in message()) {
+    fn messages_round_trip(message in message()) {
         let bytes = message.encode().unwrap();
         prop_assert_eq!(Message::decode(&bytes).unwrap(), message);
     }
 
     #[test]
-    fn records_read_back(record in record()) {
+    fn records_round_trip(record in record()) {
         let bytes = record.encode().unwrap();
         prop_assert_eq!(Record::decode(&bytes).unwrap(), record);
     }
@@ -127,8 +128,8 @@
     #[test]
     fn truncated_messages_are_rejected(message in message(), cut in 0.0..1.0_f64) {
         let bytes = message.encode().unwrap();
-        let kept = ((bytes.len() as f64) * cut) as usize;
-        prop_assert!(Message::decode(&bytes[..kept]).is_err());
+        let length = ((bytes.len() as f64) * cut) as usize;
+        prop_assert!(Message::decode(&bytes[..length]).is_err());
     }
 
     #[test]
@@ -139,13 +140,13 @@
     }
 
     #[test]
-    fn garbage_does_no_harm(bytes in vec(any::<u8>(), 0..300)) {
+    fn decoding_random_bytes_does_not_panic(bytes in vec(any::<u8>(), 0..300)) {
         let _ = Message::decode(&bytes);
         let _ = Record::decode(&bytes);
     }
 
     #[test]
-    fn a_changed_byte_does_no_harm(message in message(), at in any::<prop::sample::Index>(), byte in any::<u8>()) {
+    fn a_message_with_a_changed_byte_is_rejected_or_round_trips(message in message(), at in any::<prop::sample::Index>(), byte in any::<u8>()) {
         let mut bytes = message.encode().unwrap();
         let at = at.index(bytes.len());
         bytes[at] = byte;
--- a/crates/coordination/tests/register_model_states/mod.rs
+++ b/crates/coordination/tests/register_model_states/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas of a register as a model of a model checker: states, steps and rules.
+//! The replicas of a register as a model for a model checker: states, actions and properties.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -12,7 +12,7 @@
 };
 use stateright::{Model, Property};
 
-const FOUNDERS: usize = 3;
+const BOOTSTRAP_MEMBERS: usize = 3;
 const REPLICAS: usize = 4;
 const PROPOSERS: [usize; 2] = [2, 3];
 pub(crate) const A: usize = 0;
@@ -31,11 +31,11 @@
     Node { ip: index as u32, port: 1 }
 }
 
-fn founders() -> Vec<Node> {
-    (0..FOUNDERS).map(node).collect()
+fn bootstrap_members() -> Vec<Node> {
+    (0..BOOTSTRAP_MEMBERS).map(node).collect()
 }
 
-/// A message on its way; its bytes order and compare it.
+/// A message in flight, compared and ordered by its encoded bytes.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Envelope {
     from: usize,
@@ -43,7 +43,7 @@
     bytes: Vec<u8>,
 }
 
-/// A fault of a bootstrap member that proposes nothing.
+/// A fault of a bootstrap member that is not a proposer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FaultStep {
     Wipe(usize),
@@ -51,20 +51,20 @@
 }
 
 impl FaultStep {
-    fn victim(self) -> usize {
+    fn target(self) -> usize {
         match self {
-            FaultStep::Wipe(victim) | FaultStep::Restart(victim) => victim,
+            FaultStep::Wipe(target) | FaultStep::Restart(target) => target,
         }
     }
 }
 
-/// What the first proposer requests; the second one always proposes a command.
+/// The change that the first proposer requests; the second one always proposes a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Change {
     Command,
     /// `a` leaves.
     Leave,
-    /// `d` takes the place of `a`.
+    /// `d` replaces `a`.
     Replace,
 }
 
@@ -100,12 +100,12 @@
     proposed: Vec<usize>,
     /// Proposers of acknowledged changes, and the acknowledged revisions.
     acknowledged: BTreeMap<usize, u64>,
-    /// Troubles so far.
+    /// Number of faults injected so far.
     faults: usize,
     values: BTreeMap<u64, Vec<u8>>,
     /// Members of the newest committed value.
     members: Vec<Node>,
-    broken: bool,
+    violated: bool,
 }
 
 impl fmt::Debug for State {
@@ -120,7 +120,7 @@
             replica.hash(hasher);
         }
         (&self.network, &self.proposed, &self.acknowledged, self.faults).hash(hasher);
-        (&self.values, &self.members, self.broken).hash(hasher);
+        (&self.values, &self.members, self.violated).hash(hasher);
     }
 }
 
@@ -142,7 +142,7 @@
         self.flush(index);
     }
 
-    /// Delivers all messages: `d` registers with the bootstrap members and is able to vote.
+    /// Delivers all messages, so that `d` registers with the bootstrap members and is then able to vote.
     fn deliver_all(&mut self) {
         while let Some(Envelope { from, to, bytes }) = self.network.pop_first() {
             let message = Message::decode(&bytes).unwrap();
@@ -178,7 +178,7 @@
         }
     }
 
-    /// One value for each revision, each built on the one before.
+    /// Checks that each revision has one value, which builds on the one before.
     fn learn(&mut self, value: Value) {
         let state = value.state.to_vec();
         if self.values.last_key_value().is_none_or(|(newest, _)| *newest < value.revision) {
@@ -191,21 +191,22 @@
             .values()
             .zip(self.values.values().skip(1))
             .all(|(first, next)| next.starts_with(first));
-        self.broken |= !same || !built;
+        self.violated |= !same || !built;
     }
 }
 
 #[derive(Debug, Clone)]
 pub(crate) struct Register {
     pub change: Change,
-    /// One after the other, each at any time.
+    /// Faults, injected in this order, each at any time.
     pub faults: Vec<FaultStep>,
     pub fault: Option<Fault>,
 }
 
 impl Register {
     fn replica(&self, index: usize, bootstrap: bool, stored: Option<Record>, nonce: u64) -> Replica {
-        let settings = Settings { bootstrap, fault: self.fault, ..Settings::new(node(index), founders()) };
+        let settings =
+            Settings { bootstrap, fault: self.fault, ..Settings::new(node(index), bootstrap_members()) };
         Replica::new(settings, Box::new(Append), stored, Duration::ZERO, nonce)
     }
 }
@@ -215,7 +216,8 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let replicas = (0..REPLICAS).map(|index| Arc::new(self.replica(index, index < FOUNDERS, None, 1)));
+        let replicas =
+            (0..REPLICAS).map(|index| Arc::new(self.replica(index, index < BOOTSTRAP_MEMBERS, None, 1)));
         let mut state = State {
             replicas: replicas.collect(),
             disks: vec![None; REPLICAS],
@@ -224,13 +226,13 @@
             acknowledged: BTreeMap::new(),
             faults: 0,
             values: BTreeMap::new(),
-            members: founders(),
-            broken: false,
+            members: bootstrap_members(),
+            violated: false,
         };
         (0..REPLICAS).for_each(|index| state.flush(index));
-        let value = ValueTransfer::Full(Value::initial(founders(), bytes::Bytes::new()));
+        let value = ValueTransfer::Full(Value::initial(bootstrap_members(), bytes::Bytes::new()));
         let message = Message::Committed { ballot: Ballot::ZERO, value };
-        state.input(FOUNDERS, Input::Message { from: node(1), message });
+        state.input(BOOTSTRAP_MEMBERS, Input::Message { from: node(1), message });
         state.deliver_all();
         vec![state]
     }
@@ -253,7 +255,7 @@
                 let before = (fingerprint(&last.replicas[to]), last.network.len());
                 let message = Message::decode(&bytes).unwrap();
                 state.input(to, Input::Message { from: node(from), message });
-                // What has no effect is the same as a message lost.
+                // A delivery without effect leads to the same state as the loss of the message.
                 let after = (fingerprint(&state.replicas[to]), state.network.len() + 1);
                 (before != after).then_some(state)
             }
@@ -267,13 +269,13 @@
             Action::FaultStep => {
                 let fault_step = self.faults[state.faults];
                 state.faults += 1;
-                let victim = fault_step.victim();
+                let target = fault_step.target();
                 let stored =
-                    state.disks[victim].take().filter(|_| matches!(fault_step, FaultStep::Restart(_)));
-                state.disks[victim].clone_from(&stored);
+                    state.disks[target].take().filter(|_| matches!(fault_step, FaultStep::Restart(_)));
+                state.disks[target].clone_from(&stored);
                 let nonce = 1 + state.faults as u64;
-                state.replicas[victim] = Arc::new(self.replica(victim, false, stored, nonce));
-                state.flush(victim);
+                state.replicas[target] = Arc::new(self.replica(target, false, stored, nonce));
+                state.flush(target);
                 Some(state)
             }
         }
@@ -281,8 +283,8 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one value for each revision", |_, state: &State| !state.broken),
-            Property::always("an acknowledged change is there", |model: &Register, state: &State| {
+            Property::always("one value for each revision", |_, state: &State| !state.violated),
+            Property::always("an acknowledged change is present", |model: &Register, state: &State| {
                 state.acknowledged.iter().all(|(proposer, revision)| {
                     let is_command = *proposer != PROPOSERS[0] || model.change == Change::Command;
                     !is_command
@@ -295,13 +297,15 @@
             Property::sometimes("both changes are acknowledged", |_, state: &State| {
                 state.acknowledged.len() == PROPOSERS.len()
             }),
-            Property::sometimes("the members are as asked for", |model: &Register, state: &State| {
+            Property::sometimes("the requested members are in force", |model: &Register, state: &State| {
                 let a_is_member = state.members.contains(&node(A));
                 let d_is_member = state.members.contains(&node(D));
                 match model.change {
                     Change::Command => true,
-                    Change::Leave => !a_is_member && state.members.len() == FOUNDERS - 1,
-                    Change::Replace => !a_is_member && d_is_member && state.members.len() == FOUNDERS,
+                    Change::Leave => !a_is_member && state.members.len() == BOOTSTRAP_MEMBERS - 1,
+                    Change::Replace => {
+                        !a_is_member && d_is_member && state.members.len() == BOOTSTRAP_MEMBERS
+                    }
                 }
             }),
         ]
--- a/crates/coordination/tests/register_scenarios.rs
+++ b/crates/coordination/tests/register_scenarios.rs
@@ -8,17 +8,17 @@
 
 fn scenarios() -> Vec<(PathBuf, Scenario)> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
-    let files = fs::read_dir(folder).expect("the folder of scenarios");
-    let paths = files.map(|file| file.expect("a file").path());
+    let files = fs::read_dir(folder).expect("the folder of scenarios exists");
+    let paths = files.map(|file| file.expect("the folder can be listed").path());
     paths.map(|path| (path.clone(), read(&path))).collect()
 }
 
 fn read(path: &Path) -> Scenario {
-    let text = fs::read_to_string(path).expect("a scenario");
+    let text = fs::read_to_string(path).expect("the file can be read");
     text.parse().unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-fn named(name: &str) -> Scenario {
+fn read_named(name: &str) -> Scenario {
     read(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios").join(name))
 }
 
@@ -28,8 +28,8 @@
         let violation = World::play(&scenario, None).err()?;
         Some(format!("{}: {violation}", path.display()))
     });
-    let broken: Vec<String> = played.collect();
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    let violations: Vec<String> = played.collect();
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 #[test]
@@ -40,13 +40,13 @@
 }
 
 #[test]
-fn the_scenario_on_an_accepted_final_value_needs_it_committed() {
-    let scenario = named("proposer-lost-with-the-final-value.txt");
+fn leaving_an_accepted_final_value_uncommitted_is_detected() {
+    let scenario = read_named("proposer-lost-with-the-final-value.txt");
     assert!(World::play(&scenario, Some(Fault::LeaveChangeUncommitted)).is_err());
 }
 
 #[test]
-fn the_scenario_on_incarnations_needs_them() {
-    let scenario = named("vote-of-an-earlier-incarnation.txt");
+fn ignoring_incarnations_is_detected() {
+    let scenario = read_named("vote-of-an-earlier-incarnation.txt");
     assert!(World::play(&scenario, Some(Fault::IgnoreIncarnations)).is_err());
 }
--- a/crates/coordination/tests/registry.rs
+++ b/crates/coordination/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The registry merges registrations by sequence, and loses none for a late message.
+//! The registry merges registrations by sequence; late messages and messages out of order do no damage.
 
 use lanegate_coordination::registry::{
     ExpiredIncarnation, FINAL_SEQUENCE, Registration, Registry, RegistryUpdate,
@@ -91,7 +91,7 @@
     let mut registry = Registry::default();
     assert!(!registry.remove(ms(0), "i-1", FINAL_SEQUENCE));
     assert_eq!(registry.merge(ms(1), "i-1", 1, at(80)), RegistryUpdate::Stale);
-    registry.purge_removed(ms(60_002), ms(60_000));
+    registry.purge_tombstones(ms(60_002), ms(60_000));
     assert!(registry.get("i-1").is_none());
 }
 
@@ -99,20 +99,20 @@
     /// Replicas that receive the same registrations in any order, some of them twice, agree.
     #[test]
     fn order_does_not_matter(
-        mut heard in prop::collection::vec((1u64..20, any::<bool>()), 1..20),
+        mut received in prop::collection::vec((1u64..20, any::<bool>()), 1..20),
         order in any::<u64>(),
     ) {
-        heard.sort_by_key(|(sequence, _)| *sequence);
-        heard.dedup_by_key(|(sequence, _)| *sequence);
-        let take = |registry: &mut Registry<Endpoint>, (sequence, draining): (u64, bool)| {
+        received.sort_by_key(|(sequence, _)| *sequence);
+        received.dedup_by_key(|(sequence, _)| *sequence);
+        let merge = |registry: &mut Registry<Endpoint>, (sequence, draining): (u64, bool)| {
             registry.merge(ms(0), "i-1", sequence, Endpoint { draining, ..at(80) });
         };
         let mut forward = Registry::default();
-        heard.iter().for_each(|one| take(&mut forward, *one));
-        let mut shuffled = heard.clone();
+        received.iter().for_each(|one| merge(&mut forward, *one));
+        let mut shuffled = received.clone();
         shuffled.sort_by_key(|(sequence, _)| sequence.wrapping_mul(order | 1));
         let mut other = Registry::default();
-        shuffled.iter().chain(&heard).for_each(|one| take(&mut other, *one));
+        shuffled.iter().chain(&received).for_each(|one| merge(&mut other, *one));
         let newest = |registry: &Registry<Endpoint>| registry.get("i-1").unwrap().registration.clone();
         prop_assert_eq!(newest(&forward), newest(&other));
     }
@@ -129,7 +129,7 @@
         RegistryUpdate::Changed { replaced: vec![] }
     );
     assert_eq!(registry.get("i-1").unwrap().registration, Some(draining));
-    assert!(!registry.remove(ms(3), "i-1", 6), "a later heartbeat was heard");
+    assert!(!registry.remove(ms(3), "i-1", 6), "a later heartbeat was received");
     assert!(registry.remove(ms(3), "i-1", 7));
     assert_eq!(registry.merge(ms(4), "i-1", 7, at(80)), RegistryUpdate::Stale);
 }
