--- a/crates/controller/src/controller/consensus/freshness.rs
+++ b/crates/controller/src/controller/consensus/freshness.rs
@@ -106,22 +106,22 @@
 
     /// When contact ends, if nobody answers any more.
     pub(crate) fn contact_expiry(&self) -> Option<Duration> {
-        let watched = self.freshness.is_in_contact();
-        watched.then(|| self.quorum_contact.valid_until(&self.groups(shards::CONFIGURATION))).flatten()
+        let in_contact = self.freshness.is_in_contact();
+        in_contact.then(|| self.quorum_contact.valid_until(&self.groups(shards::CONFIGURATION))).flatten()
     }
 
     /// Reacts to the beginning and the end of quorum contact.
     pub(crate) fn update_contact(&mut self) {
         let reached: BTreeSet<u8> = shards::all().filter(|shard| self.has_contact(*shard)).collect();
-        let watched = self.freshness.observe_contact(reached);
-        if watched.contact_started {
+        let change = self.freshness.observe_contact(reached);
+        if change.contact_started {
             // Heartbeats that other controllers received meanwhile are still in flight.
             self.endpoints.reset_timeouts(self.now());
         }
-        if watched.read {
+        if change.read {
             self.read_barrier();
         }
-        if watched.notify {
+        if change.notify {
             log::info!("configuration currency changed current={}", self.freshness.is_current());
             self.send_feed_heartbeat();
         }
--- a/crates/controller/src/controller/consensus/quorum_contact.rs
+++ b/crates/controller/src/controller/consensus/quorum_contact.rs
@@ -21,7 +21,7 @@
 /// configuration again; the sum is in `docs/control/contact.md`.
 pub(crate) const CONTACT_VALIDITY: Duration = Duration::from_millis(1_000);
 /// Heartbeats that are remembered: more than are sent within [`CONTACT_VALIDITY`].
-const REMEMBERED_HEARTBEATS: usize = 32;
+const MAX_SENT_HEARTBEATS: usize = 32;
 
 /// Deliberate faults: each must be found by a test.
 #[doc(hidden)]
@@ -43,7 +43,7 @@
 
 /// A heartbeat of this process.
 #[derive(Debug, Clone, Copy)]
-struct Sent {
+struct SentHeartbeat {
     heartbeat: Heartbeat,
     /// Reading of the clock before it left.
     at: Duration,
@@ -55,10 +55,10 @@
     own_address: SocketAddr,
     incarnation: u64,
     /// The latest heartbeats, oldest first.
-    sent: VecDeque<Sent>,
+    sent: VecDeque<SentHeartbeat>,
     /// For each peer, when the newest heartbeat that it has answered was sent.
     answered: BTreeMap<SocketAddr, Duration>,
-    last_call: Duration,
+    last_event_at: Duration,
     fault: Option<ContactFault>,
 }
 
@@ -70,7 +70,7 @@
             incarnation,
             sent: VecDeque::new(),
             answered: BTreeMap::new(),
-            last_call: Duration::ZERO,
+            last_event_at: Duration::ZERO,
             fault: None,
         }
     }
@@ -82,14 +82,14 @@
 
     /// Records a heartbeat of this process; `now` was read before it was sent.
     pub(crate) fn heartbeat_sent(&mut self, now: Duration, heartbeat: &Heartbeat) {
-        self.last_call = now;
+        self.last_event_at = now;
         if self.sent.back().is_some_and(|last| last.heartbeat.sequence >= heartbeat.sequence) {
             return;
         }
-        if self.sent.len() == REMEMBERED_HEARTBEATS {
+        if self.sent.len() == MAX_SENT_HEARTBEATS {
             self.sent.pop_front();
         }
-        self.sent.push_back(Sent { heartbeat: *heartbeat, at: now });
+        self.sent.push_back(SentHeartbeat { heartbeat: *heartbeat, at: now });
     }
 
     /// The newest heartbeat of this process. It may be sent again: its answer counts from when it left first.
@@ -99,7 +99,7 @@
 
     /// A heartbeat of `peer` has arrived. It is no contact: the peer may not receive messages of this process.
     pub(crate) fn heartbeat_received(&mut self, now: Duration, peer: SocketAddr) {
-        self.last_call = now;
+        self.last_event_at = now;
         if self.has(ContactFault::CountReceivedHeartbeats) {
             self.answered.insert(peer, now);
         }
@@ -107,7 +107,7 @@
 
     /// `peer` has sent back `heartbeat`, one of this process. One that is not remembered is too old to count.
     pub(crate) fn echo_received(&mut self, now: Duration, peer: SocketAddr, heartbeat: &Heartbeat) {
-        self.last_call = now;
+        self.last_event_at = now;
         let own = heartbeat.sender.address() == self.own_address
             && heartbeat.sender.incarnation == self.incarnation;
         if !own && !self.has(ContactFault::AnyIncarnation) {
@@ -124,7 +124,7 @@
     /// Whether a majority of every one of `groups` (two while the members change) has answered within
     /// [`CONTACT_VALIDITY`]. `now` has to be read for this question: the process may have stood still.
     pub(crate) fn reaches(&self, now: Duration, groups: &[Vec<SocketAddr>]) -> bool {
-        let now = if self.has(ContactFault::StaleClock) { self.last_call } else { now };
+        let now = if self.has(ContactFault::StaleClock) { self.last_event_at } else { now };
         self.valid_until(groups).is_some_and(|end| now < end)
     }
 
--- a/crates/controller/src/controller/consensus/quorum_contact_test.rs
+++ b/crates/controller/src/controller/consensus/quorum_contact_test.rs
@@ -10,9 +10,9 @@
 const HEARTBEAT: Duration = Duration::from_millis(200);
 const STEP: Duration = Duration::from_millis(10);
 /// Usual time of a message on its way.
-const DELAY: Duration = Duration::from_millis(20);
+const MESSAGE_DELAY: Duration = Duration::from_millis(20);
 /// The longest time from a link's return to contact: a heartbeat, two ways, and steps.
-const REGAIN: Duration = Duration::from_millis(300);
+const RECOVERY_TIME: Duration = Duration::from_millis(300);
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
@@ -41,7 +41,7 @@
 }
 
 /// Messages wait where a link is cut or the receiver frozen, as they do in the buffers of connections.
-struct Parcel {
+struct Delivery {
     from: usize,
     to: usize,
     arrives: Duration,
@@ -58,7 +58,7 @@
 struct World {
     now: Duration,
     nodes: Vec<Node>,
-    parcels: Vec<Parcel>,
+    deliveries: Vec<Delivery>,
     /// Directed links that carry nothing, from and to.
     partition: Vec<(usize, usize)>,
     /// Links on which messages take longer.
@@ -79,7 +79,7 @@
         World {
             now: Duration::ZERO,
             nodes: (0..size).map(node).collect(),
-            parcels: Vec::new(),
+            deliveries: Vec::new(),
             partition: Vec::new(),
             slow: BTreeMap::new(),
             last_open: BTreeMap::new(),
@@ -126,7 +126,7 @@
 
     fn step(&mut self) {
         self.now += STEP;
-        self.note_open_links();
+        self.record_open_links();
         for index in 0..self.nodes.len() {
             if !self.nodes[index].frozen {
                 self.send_heartbeat(index);
@@ -135,7 +135,7 @@
         self.deliver();
     }
 
-    fn note_open_links(&mut self) {
+    fn record_open_links(&mut self) {
         let size = self.nodes.len();
         for (from, to) in (0..size).flat_map(|from| (0..size).map(move |to| (from, to))) {
             let open = !self.partition.contains(&(from, to)) && !self.partition.contains(&(to, from));
@@ -160,20 +160,20 @@
     }
 
     fn send(&mut self, from: usize, to: usize, packet: Packet) {
-        let delay = self.slow.get(&(from, to)).copied().unwrap_or(DELAY);
-        self.parcels.push(Parcel { from, to, arrives: self.now + delay, packet });
+        let delay = self.slow.get(&(from, to)).copied().unwrap_or(MESSAGE_DELAY);
+        self.deliveries.push(Delivery { from, to, arrives: self.now + delay, packet });
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let ready = |world: &World, delivery: &Parcel| {
+        let ready = |world: &World, delivery: &Delivery| {
             delivery.arrives <= now
                 && !world.partition.contains(&(delivery.from, delivery.to))
                 && !world.nodes[delivery.to].frozen
         };
-        let (due, waiting): (Vec<Parcel>, Vec<Parcel>) =
-            std::mem::take(&mut self.parcels).into_iter().partition(|delivery| ready(self, delivery));
-        self.parcels = waiting;
+        let (due, waiting): (Vec<Delivery>, Vec<Delivery>) =
+            std::mem::take(&mut self.deliveries).into_iter().partition(|delivery| ready(self, delivery));
+        self.deliveries = waiting;
         for delivery in due {
             let contact = &mut self.nodes[delivery.to].contact;
             match delivery.packet {
@@ -206,9 +206,9 @@
     }
 }
 
-fn calm_gives_everyone_contact(fault: Option<ContactFault>) -> Result<(), String> {
+fn healthy_network_gives_every_node_contact(fault: Option<ContactFault>) -> Result<(), String> {
     let mut world = World::all(3, fault);
-    world.run_for(REGAIN)?;
+    world.run_for(RECOVERY_TIME)?;
     for _ in 0..500 {
         world.run_for(STEP)?;
         for index in 0..3 {
@@ -232,7 +232,7 @@
     }
     world.run_for(ms(19_000))?;
     world.partition.clear();
-    world.run_for(REGAIN)?;
+    world.run_for(RECOVERY_TIME)?;
     if !world.has_contact(0) {
         return Err("contact is back after the heal".to_owned());
     }
@@ -240,7 +240,7 @@
 }
 
 /// Nothing leaves node 0 any more, but it hears everyone.
-fn nothing_leaves(fault: Option<ContactFault>) -> Result<(), String> {
+fn outgoing_messages_lost(fault: Option<ContactFault>) -> Result<(), String> {
     let mut world = World::all(3, fault);
     world.run_for(ms(2_000))?;
     world.one_way_partition(0, 1);
@@ -253,7 +253,7 @@
 }
 
 /// Nothing reaches node 0 any more, but everyone hears it.
-fn nothing_arrives(fault: Option<ContactFault>) -> Result<(), String> {
+fn incoming_messages_lost(fault: Option<ContactFault>) -> Result<(), String> {
     let mut world = World::all(3, fault);
     world.run_for(ms(2_000))?;
     world.one_way_partition(1, 0);
@@ -274,8 +274,8 @@
         return Err("contact outlasts a freeze".to_owned());
     }
     // What waited in its own buffers is read now, although nobody can be reached.
-    let buffered: Vec<Parcel> =
-        std::mem::take(&mut world.parcels).into_iter().filter(|delivery| delivery.to == 0).collect();
+    let buffered: Vec<Delivery> =
+        std::mem::take(&mut world.deliveries).into_iter().filter(|delivery| delivery.to == 0).collect();
     for delivery in buffered {
         if let Packet::Echo(heartbeat) = delivery.packet {
             world.nodes[0].contact.echo_received(world.now, address(delivery.from), &heartbeat);
@@ -343,10 +343,10 @@
 type Scenario = fn(Option<ContactFault>) -> Result<(), String>;
 
 const SCENARIOS: [(&str, Scenario); 9] = [
-    ("calm", calm_gives_everyone_contact),
+    ("calm", healthy_network_gives_every_node_contact),
     ("cut off for twenty seconds", partition_of_twenty_seconds),
-    ("nothing leaves", nothing_leaves),
-    ("nothing arrives", nothing_arrives),
+    ("nothing leaves", outgoing_messages_lost),
+    ("nothing arrives", incoming_messages_lost),
     ("frozen for twenty seconds", frozen_for_twenty_seconds),
     ("late answers", late_answers),
     ("two of five", two_of_five),
@@ -412,7 +412,7 @@
 }
 
 #[test]
-fn one_that_is_no_member_needs_a_majority_of_others() {
+fn a_controller_that_is_no_member_needs_a_majority_of_the_members() {
     let groups = [group(&[1, 2, 3])];
     let mut contact = QuorumContact::new(address(0), 1);
     contact.heartbeat_sent(ms(0), &heartbeat(0, 1, 1));
--- a/crates/controller/src/controller/consensus/registers.rs
+++ b/crates/controller/src/controller/consensus/registers.rs
@@ -120,13 +120,13 @@
     fn on_epoch_answered(&mut self, shard: u32, tenure: Tenure, outcome: &Outcome) {
         let now = self.now();
         let outputs = match outcome {
-            Outcome::Changed { .. } if self.has_fault(ControllerFault::KeepEpoch) => {
+            Outcome::Changed { .. } if self.has_fault(ControllerFault::ReuseEpoch) => {
                 self.leases.epoch_acquired(now, shard, tenure, 1)
             }
             Outcome::Changed { answer, .. } => {
                 self.leases.epoch_acquired(now, shard, tenure, read_epoch(answer))
             }
-            _ if self.has_fault(ControllerFault::GiveUpEpoch) => Vec::new(),
+            _ if self.has_fault(ControllerFault::SkipEpochRetry) => Vec::new(),
             _ => self.leases.epoch_unavailable(now, shard, tenure),
         };
         self.lease_outputs(outputs);
--- a/crates/controller/src/controller/consensus/replica_groups.rs
+++ b/crates/controller/src/controller/consensus/replica_groups.rs
@@ -31,8 +31,8 @@
 
     /// The groups that a peer reported with its confirmation. An address that cannot be parsed becomes a member that nobody matches.
     pub(crate) fn from_confirmation(confirmation: &Confirmation) -> Self {
-        let nobody = SocketAddr::from(([0, 0, 0, 0], 0));
-        let read = |text: &str| text.parse().unwrap_or(nobody);
+        let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
+        let read = |text: &str| text.parse().unwrap_or(unspecified);
         let members = |group: &GroupMembers| group.addresses.text().split_whitespace().map(read).collect();
         let groups = confirmation.groups.iter().map(members).collect();
         KnownGroups { revision: confirmation.revision, groups }
--- a/crates/controller/src/controller/counters.rs
+++ b/crates/controller/src/controller/counters.rs
@@ -82,7 +82,7 @@
 
 impl Counters {
     /// An order is sent.
-    pub(super) fn order_given(&mut self) {
+    pub(super) fn order_sent(&mut self) {
         self.orders_in_flight += 1;
     }
 
--- a/crates/controller/src/controller/counters_test.rs
+++ b/crates/controller/src/controller/counters_test.rs
@@ -25,7 +25,7 @@
 fn every_answer_to_an_order_is_counted_under_a_name_of_its_own() {
     let mut counters = Counters::default();
     for answer in ANSWERS {
-        counters.order_given();
+        counters.order_sent();
         counters.order_answered(Operation::Load, answer);
     }
     counters.order_withheld(Operation::Evict);
@@ -39,10 +39,10 @@
 }
 
 #[test]
-fn orders_are_under_way_until_their_answer() {
+fn orders_are_in_flight_until_answered() {
     let mut counters = Counters::default();
-    counters.order_given();
-    counters.order_given();
+    counters.order_sent();
+    counters.order_sent();
     counters.order_answered(Operation::Evict, OrderAnswer::Unknown);
     assert_eq!(counters.orders_in_flight, 1);
     counters.order_withheld(Operation::Load);
--- a/crates/controller/src/controller/endpoints/acknowledgements.rs
+++ b/crates/controller/src/controller/endpoints/acknowledgements.rs
@@ -161,7 +161,7 @@
             .collect();
         for token in late {
             let pending = self.pending.remove(&token).expect("it was just there");
-            let _ = pending.reply.send(too_few_reached());
+            let _ = pending.reply.send(not_replicated());
         }
     }
 
@@ -199,6 +199,6 @@
 }
 
 /// The answer to what too few controllers have.
-pub(crate) fn too_few_reached() -> Answer {
+pub(crate) fn not_replicated() -> Answer {
     Answer::unavailable(Unavailable::HeartbeatNotReplicated)
 }
--- a/crates/controller/src/controller/endpoints/expiry.rs
+++ b/crates/controller/src/controller/endpoints/expiry.rs
@@ -31,9 +31,9 @@
         if !self.complete {
             return;
         }
-        let alone = self.has_fault(ControllerFault::ExpireWithoutContact);
-        let acts = |shard| (alone || self.has_contact(shard)) && self.owns(shard);
-        let owns: Vec<bool> = shards::all().map(acts).collect();
+        let without_contact = self.has_fault(ControllerFault::ExpireWithoutContact);
+        let may_expire = |shard| (without_contact || self.has_contact(shard)) && self.owns(shard);
+        let owns: Vec<bool> = shards::all().map(may_expire).collect();
         let removed = self.endpoints.expire(now, |service| owns[usize::from(shard_of(service))]);
         self.counters.expiries += removed.len() as u64;
         for message in removed {
--- a/crates/controller/src/controller/endpoints/pending_loads_test.rs
+++ b/crates/controller/src/controller/endpoints/pending_loads_test.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn an_eviction_is_nothing_to_wait_for() {
+fn an_accepted_eviction_is_not_tracked() {
     let mut pending_loads = PendingLoads::default();
     pending_loads.accepted(ms(0), SERVICE, &order(Operation::Evict, "m", None), LOAD_TIME);
     assert_eq!(pending_loads.next_wake(), None);
--- a/crates/controller/src/controller/endpoints/registry.rs
+++ b/crates/controller/src/controller/endpoints/registry.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::consensus::replica_groups::KnownGroups;
 use crate::controller::endpoints::acknowledgements::{
-    AcknowledgementFault, Acknowledgements, acknowledged, too_few_reached,
+    AcknowledgementFault, Acknowledgements, acknowledged, not_replicated,
 };
 use crate::controller::event::Answer;
 use crate::message::{
@@ -95,7 +95,7 @@
         reply: oneshot::Sender<Answer>,
     ) -> Changes {
         let registration = match Registered::parse(id, body) {
-            Ok(registration) => registration.following(self.registration(id)),
+            Ok(registration) => registration.carry_over_from(self.registration(id)),
             Err(error) => {
                 let _ = reply.send(Answer::error(400, &format!("registration: {error}")));
                 return Changes::default();
@@ -120,7 +120,7 @@
         } else if in_contact {
             let _ = reply.send(acknowledged());
         } else {
-            let _ = reply.send(too_few_reached());
+            let _ = reply.send(not_replicated());
         }
         changes
     }
@@ -146,7 +146,7 @@
             return RegistrationMerge::default();
         };
         let draining = registration.instance.state == InstanceState::Draining;
-        let registration = registration.following(self.registration(&id));
+        let registration = registration.carry_over_from(self.registration(&id));
         match self.registry.merge(now, &id, message.sequence, registration) {
             RegistryUpdate::Changed { replaced } => {
                 RegistrationMerge { updates: self.changed(&id, replaced), relay: draining }
@@ -182,14 +182,14 @@
         if self.registry.remove(now, &id, removed.sequence) {
             return RemovalMerge::Removed;
         }
-        match self.revived(&id) {
+        match self.newer_registration(&id) {
             Some(registered) => RemovalMerge::Contradicted(registered),
             None => RemovalMerge::Known,
         }
     }
 
     /// A live registration as of its newest heartbeat, which is newer than a removal that was received.
-    fn revived(&self, id: &str) -> Option<Message> {
+    fn newer_registration(&self, id: &str) -> Option<Message> {
         let entry = self.registry.get(id)?;
         Some(registered_message(id, entry.latest, entry.registration.as_ref()?))
     }
--- a/crates/controller/src/controller/endpoints/registry_test.rs
+++ b/crates/controller/src/controller/endpoints/registry_test.rs
@@ -14,9 +14,9 @@
 
 const HEARTBEAT: Duration = Duration::from_secs(1);
 /// When a call without a majority is given up.
-const GIVEN_UP: Duration = Duration::from_millis(850);
+const EXPIRES_AT: Duration = Duration::from_millis(850);
 /// The controller of the tests.
-const THIS: u8 = 1;
+const OWN_NUMBER: u8 = 1;
 const INCARNATION: u64 = 700;
 /// Members of the usual group, the controller of the tests included.
 const THREE: &[u8] = &[1, 2, 3];
@@ -32,7 +32,7 @@
 
 /// An empty registry of the controller of the tests.
 fn endpoints() -> EndpointRegistry {
-    EndpointRegistry::new(HEARTBEAT, peer(THIS), INCARNATION)
+    EndpointRegistry::new(HEARTBEAT, peer(OWN_NUMBER), INCARNATION)
 }
 
 /// One group in force, as of `revision`.
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn what_is_no_registration_is_refused() {
+fn an_invalid_registration_is_refused() {
     let mut endpoints = endpoints();
     let (reply, mut answer) = oneshot::channel();
     let changes = endpoints.register(ms(0), "i-1", Bytes::from_static(b"{"), &known(THREE), true, reply);
@@ -153,13 +153,13 @@
 }
 
 #[test]
-fn a_draining_endpoint_is_given_up_without_a_majority() {
+fn a_drain_without_a_majority_times_out() {
     let mut endpoints = endpoints();
     let (changes, mut answer) = register(&mut endpoints, ms(0), THREE, 1, "draining");
-    assert_eq!(endpoints.acknowledgements.next_wake(), Some(GIVEN_UP));
-    endpoints.acknowledgements.expire_pending(GIVEN_UP - ms(1));
+    assert_eq!(endpoints.acknowledgements.next_wake(), Some(EXPIRES_AT));
+    endpoints.acknowledgements.expire_pending(EXPIRES_AT - ms(1));
     assert_eq!(status(&mut answer), None);
-    endpoints.acknowledgements.expire_pending(GIVEN_UP);
+    endpoints.acknowledgements.expire_pending(EXPIRES_AT);
     assert_eq!(status(&mut answer), Some(503));
     confirm(&mut endpoints, changes.flush.expect("the others are asked"), 2, THREE);
     assert_eq!(endpoints.acknowledgements.next_wake(), None);
@@ -169,13 +169,13 @@
 fn a_draining_endpoint_that_timed_out_is_replicated_and_flushed_again() {
     let mut endpoints = endpoints();
     register(&mut endpoints, ms(0), THREE, 1, "draining");
-    endpoints.acknowledgements.expire_pending(GIVEN_UP);
+    endpoints.acknowledgements.expire_pending(EXPIRES_AT);
     for (sequence, time) in [(1, 900), (2, 1_800)] {
         let (changes, mut answer) = register(&mut endpoints, ms(time), THREE, sequence, "draining");
         assert!(changes.messages.contains(&Message::Registered(registered(sequence, "draining"))));
         assert!(changes.flush.is_some(), "sequence {sequence}");
         assert_eq!(status(&mut answer), None);
-        endpoints.acknowledgements.expire_pending(ms(time) + GIVEN_UP);
+        endpoints.acknowledgements.expire_pending(ms(time) + EXPIRES_AT);
     }
 }
 
@@ -202,7 +202,7 @@
 #[test]
 fn a_controller_that_is_alone_in_its_group_acknowledges_by_itself() {
     let mut endpoints = endpoints();
-    let (changes, mut answer) = register(&mut endpoints, ms(0), &[THIS], 1, "draining");
+    let (changes, mut answer) = register(&mut endpoints, ms(0), &[OWN_NUMBER], 1, "draining");
     assert_eq!((changes.flush, status(&mut answer)), (None, Some(200)));
 }
 
@@ -230,13 +230,13 @@
         let changes = endpoints.deregister(ms(time), "i-1", &known(THREE), reply);
         assert_eq!(changes.messages, vec![Message::Removed(removed(FINAL_SEQUENCE))]);
         assert!(changes.flush.is_some());
-        endpoints.acknowledgements.expire_pending(ms(time) + GIVEN_UP);
+        endpoints.acknowledgements.expire_pending(ms(time) + EXPIRES_AT);
         assert_eq!(status(&mut answer), Some(503));
     }
 }
 
 #[test]
-fn what_a_peer_received_is_sent_to_subscribers_once() {
+fn a_registration_from_a_peer_is_sent_to_subscribers_once() {
     let mut endpoints = endpoints();
     let known_to_peer = vec![Message::Registered(registered(4, "ready"))];
     let updates = |updates| RegistrationMerge { updates, relay: false };
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn a_change_that_arrives_after_notice_of_a_later_heartbeat_is_merged() {
+fn a_change_that_arrives_after_a_later_batched_heartbeat_is_merged() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(5, "ready"));
     let later: HeartbeatBatch = vec![BatchedHeartbeat { id: "i-1".into(), sequence: 7 }].into();
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn a_removal_that_crossed_notice_of_a_heartbeat_is_contradicted_too() {
+fn a_removal_that_crossed_a_batched_heartbeat_is_contradicted() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(5, "ready"));
     endpoints.merge_heartbeats(ms(3_600), &vec![BatchedHeartbeat { id: "i-1".into(), sequence: 6 }].into());
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn an_end_for_good_is_never_contradicted() {
+fn a_deregistration_is_never_contradicted() {
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(5, "ready"));
     assert_eq!(endpoints.merge_removal(ms(1), &removed(FINAL_SEQUENCE)), RemovalMerge::Removed);
@@ -399,7 +399,7 @@
 #[test]
 fn a_confirmation_for_an_earlier_incarnation_of_the_process_confirms_nothing() {
     let (_, earlier, _answer) = draining(THREE);
-    let mut restarted = EndpointRegistry::new(HEARTBEAT, peer(THIS), INCARNATION * 1_000);
+    let mut restarted = EndpointRegistry::new(HEARTBEAT, peer(OWN_NUMBER), INCARNATION * 1_000);
     let (changes, mut answer) = register(&mut restarted, ms(0), THREE, 1, "draining");
     assert_ne!(changes.flush, Some(earlier));
     confirm(&mut restarted, earlier, 2, THREE);
@@ -470,14 +470,15 @@
     let fault = Some(AcknowledgementFault::RepeatTokens);
     let mut earlier = endpoints().with_fault(fault);
     let (first, _answer) = register(&mut earlier, ms(0), THREE, 1, "draining");
-    let mut restarted = EndpointRegistry::new(HEARTBEAT, peer(THIS), INCARNATION * 1_000).with_fault(fault);
+    let mut restarted =
+        EndpointRegistry::new(HEARTBEAT, peer(OWN_NUMBER), INCARNATION * 1_000).with_fault(fault);
     let (_, mut answer) = register(&mut restarted, ms(0), THREE, 1, "draining");
     confirm(&mut restarted, first.flush.expect("the others are asked"), 2, THREE);
     assert_eq!(status(&mut answer), Some(200));
 }
 
 #[test]
-fn what_is_published_has_the_newest_heartbeat_and_its_order() {
+fn a_published_update_carries_the_newest_sequence_and_its_order() {
     let mut endpoints = endpoints();
     let loaded = residency_update("i-1", "m", None, true);
     assert_eq!(endpoints.publish(loaded.clone()), None, "the endpoint is not known");
@@ -491,7 +492,7 @@
 }
 
 #[test]
-fn a_heartbeat_without_change_refuses_no_residency_update_of_the_one_before() {
+fn a_heartbeat_without_change_does_not_invalidate_earlier_residency_updates() {
     let mut endpoints = endpoints();
     register(&mut endpoints, ms(0), THREE, 5, "ready");
     register(&mut endpoints, ms(1_000), THREE, 6, "ready");
@@ -503,26 +504,26 @@
 }
 
 #[test]
-fn what_is_about_to_go_can_be_hidden_again_after_each_heartbeat_that_lists_it() {
+fn a_model_being_evicted_can_be_hidden_again_after_each_heartbeat_that_lists_it() {
     let mut endpoints = endpoints();
-    let shows = |endpoints: &EndpointRegistry| {
+    let is_listed = |endpoints: &EndpointRegistry| {
         endpoints.registration("i-1").is_some_and(|known| known.has_resident("m", None))
     };
     put_residency(&mut endpoints, ms(0), 5, "m");
-    assert!(shows(&endpoints));
+    assert!(is_listed(&endpoints));
     endpoints.publish(residency_update("i-1", "m", None, false)).expect("it is news");
-    assert!(!shows(&endpoints));
+    assert!(!is_listed(&endpoints));
     put_residency(&mut endpoints, ms(1_000), 6, "m");
-    assert!(shows(&endpoints), "a heartbeat is newer than what was published before it");
+    assert!(is_listed(&endpoints), "a heartbeat is newer than what was published before it");
     endpoints.publish(residency_update("i-1", "m", None, false)).expect("it is news again");
-    assert!(!shows(&endpoints));
+    assert!(!is_listed(&endpoints));
     register(&mut endpoints, ms(2_000), THREE, 7, "ready");
-    assert!(!shows(&endpoints), "it has gone");
+    assert!(!is_listed(&endpoints), "it has gone");
 }
 
 /// A relayed heartbeat of a removed incarnation would else go round in circles among controllers that all removed it.
 #[test]
-fn only_a_newer_heartbeat_of_a_live_incarnation_is_news() {
+fn only_a_newer_heartbeat_of_a_live_incarnation_is_relayed() {
     let batch = |sequence| HeartbeatBatch::from(vec![BatchedHeartbeat { id: "i-1".into(), sequence }]);
     let mut endpoints = endpoints();
     register(&mut endpoints, ms(0), THREE, 1, "ready");
--- a/crates/controller/src/controller/endpoints/relay_test.rs
+++ b/crates/controller/src/controller/endpoints/relay_test.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn news_is_not_sent_back_to_its_source() {
+fn updates_are_not_relayed_back_to_their_source() {
     let mut relays = RelayTargets::default();
     relays.contradicted(CONTRADICTED, peer(2));
     relays.contradicted(CONTRADICTED, peer(3));
--- a/crates/controller/src/controller/fault.rs
+++ b/crates/controller/src/controller/fault.rs
@@ -22,29 +22,29 @@
     /// A change is acknowledged once it is proposed.
     AcknowledgeProposed,
     /// A drain is acknowledged before any other controller has it.
-    AcknowledgeDrainAlone,
+    AcknowledgeDrainLocally,
     /// A removal that another controller sent is not forwarded to agents.
-    KeepRemovalsFromAgents,
+    SkipRemovalForwarding,
     /// Orders go on after the lease has ended.
     OrderWithoutLease,
     /// A new holder does not wait until the one before has been quiet.
     SkipQuietPeriod,
     /// Every tenure acts under the same epoch.
-    KeepEpoch,
+    ReuseEpoch,
     /// An epoch that the register did not give in time is not asked for again.
-    GiveUpEpoch,
+    SkipEpochRetry,
     /// Members of the group are forgotten once they have been partitioned for long.
-    ForgetMembers,
+    ExpireMembers,
     /// Endpoints are taken off the list without contact with a majority.
     ExpireWithoutContact,
     /// Heartbeats of endpoints are acknowledged without contact with a majority.
-    AcknowledgeHeartbeatAlone,
+    AcknowledgeHeartbeatWithoutContact,
     /// A change is refused by what this controller knows, without asking a majority.
     RefuseLocally,
     /// A drain that another controller sent is not relayed to other controllers.
-    KeepDrainsFromPeers,
+    SkipDrainRelay,
     /// Heartbeats of endpoints are not relayed to a controller that does not receive them.
-    KeepHeartbeatsFromPeers,
+    SkipHeartbeatRelay,
     /// A controller that shuts down does not wait until it is replaced.
     ShutDownWithoutHandover,
     /// The draining status of controllers is ignored: they own shards, and are not replaced, until they are suspected.
@@ -90,17 +90,17 @@
         let own = [
             Own::ReadLocally,
             Own::AcknowledgeProposed,
-            Own::AcknowledgeDrainAlone,
-            Own::KeepRemovalsFromAgents,
+            Own::AcknowledgeDrainLocally,
+            Own::SkipRemovalForwarding,
             Own::OrderWithoutLease,
             Own::SkipQuietPeriod,
-            Own::KeepEpoch,
-            Own::GiveUpEpoch,
-            Own::ForgetMembers,
+            Own::ReuseEpoch,
+            Own::SkipEpochRetry,
+            Own::ExpireMembers,
             Own::AlwaysCurrent,
             Own::SkipReread,
             Own::CountStalledDisk,
-            Own::KeepHeartbeatsFromPeers,
+            Own::SkipHeartbeatRelay,
         ];
         let parts = registers.map(Own::Register).into_iter().chain(contact.map(Own::QuorumContact));
         own.into_iter().chain(parts).collect()
--- a/crates/controller/src/controller/feed/agents.rs
+++ b/crates/controller/src/controller/feed/agents.rs
@@ -21,8 +21,8 @@
 
     /// Whether agents may rely on this controller: its configuration is current, and it is not draining.
     fn is_trusted(&self) -> bool {
-        let claims = self.has_fault(ControllerFault::AlwaysCurrent);
-        (self.is_current() || claims) && !self.is_draining()
+        let always_current = self.has_fault(ControllerFault::AlwaysCurrent);
+        (self.is_current() || always_current) && !self.is_draining()
     }
 
     pub(crate) fn agent_up(&mut self, agent: u64, hello: &Hello, outbox: Outbox) {
--- a/crates/controller/src/controller/feed/subscriber_storm_test.rs
+++ b/crates/controller/src/controller/feed/subscriber_storm_test.rs
@@ -58,7 +58,7 @@
 }
 
 /// A reader behind a link of its own.
-struct MessageReader {
+struct SimulatedSubscriber {
     view: View,
     links: Vec<Link>,
     fetches: VecDeque<(Duration, usize, Message)>,
@@ -66,7 +66,7 @@
     longest_lag: u64,
 }
 
-impl MessageReader {
+impl SimulatedSubscriber {
     /// Takes as many bytes as the link lets through in a millisecond.
     fn receive(&mut self, now: Duration) {
         let mut room = LINK_BYTES_PER_MS;
@@ -99,10 +99,10 @@
 /// Two sources, their readers, and what was decided when.
 struct World {
     sources: Vec<Subscribers>,
-    subscribers: Vec<MessageReader>,
-    decided_at: Vec<u64>,
+    subscribers: Vec<SimulatedSubscriber>,
+    committed_at: Vec<u64>,
     /// Sources that read fetches and answer nothing.
-    mute: Vec<usize>,
+    unresponsive: Vec<usize>,
     now: u64,
 }
 
@@ -117,10 +117,10 @@
             });
             let links = links.collect();
             let view = View::new(Pace::LINK);
-            MessageReader { view, links, fetches: VecDeque::new(), bytes: 0, longest_lag: 0 }
+            SimulatedSubscriber { view, links, fetches: VecDeque::new(), bytes: 0, longest_lag: 0 }
         };
         let subscribers = (0..count).map(&mut subscriber).collect();
-        World { sources, subscribers, decided_at: Vec::new(), mute: Vec::new(), now: 0 }
+        World { sources, subscribers, committed_at: Vec::new(), unresponsive: Vec::new(), now: 0 }
     }
 
     /// Plays `length` ms more; in the first `storm` of them a configuration is decided every
@@ -129,8 +129,8 @@
         let begun = self.now;
         for now in begun..begun + length {
             if now < begun + storm && (now - begun).is_multiple_of(CHANGE_PERIOD_MS) {
-                self.decided_at.push(now);
-                let revision = self.decided_at.len() as u64;
+                self.committed_at.push(now);
+                let revision = self.committed_at.len() as u64;
                 let committed = CommittedConfiguration { revision, document: document(revision).into() };
                 self.sources.iter_mut().for_each(|source| source.publish(committed.clone()));
             }
@@ -154,12 +154,12 @@
             while subscriber.fetches.front().is_some_and(|(at, ..)| *at <= ms(now)) {
                 let Some((_, to, fetch)) = subscriber.fetches.pop_front() else { break };
                 let Message::ConfigurationFetch(base) = fetch else { panic!("{fetch:?}") };
-                if !self.mute.contains(&to) {
+                if !self.unresponsive.contains(&to) {
                     self.sources[to].fetch(number as u64, base);
                 }
             }
-            let missing = self.decided_at.get(subscriber.revision() as usize);
-            let lag = missing.map_or(0, |decided_at| now - decided_at);
+            let missing = self.committed_at.get(subscriber.revision() as usize);
+            let lag = missing.map_or(0, |committed_at| now - committed_at);
             subscriber.longest_lag = subscriber.longest_lag.max(lag);
         }
     }
@@ -201,17 +201,19 @@
 }
 
 #[test]
-fn four_hundred_readers_of_a_thousand_routes_keep_up_with_twelve_changes_a_second() {
+fn four_hundred_subscribers_of_a_thousand_routes_keep_up_with_twelve_changes_a_second() {
     let mut world = World::new(400);
     world.begin(one_route_changed);
     world.play(2_400, 2_000, one_route_changed);
-    let changes = world.decided_at.len() as u64;
+    let changes = world.committed_at.len() as u64;
     assert_eq!(changes, 26);
     world.assert_all_have(&one_route_changed(changes));
-    let whole = one_route_changed(changes).len();
+    let document_bytes = one_route_changed(changes).len();
     let (bytes, lag) = (world.most_bytes(), world.longest_lag());
-    println!("document {whole} B, {changes} changes, most bytes a reader {bytes}, longest lag {lag} ms");
-    assert!(bytes < whole + 20_000, "one whole document, then differences: {bytes}");
+    println!(
+        "document {document_bytes} B, {changes} changes, most bytes a reader {bytes}, longest lag {lag} ms"
+    );
+    assert!(bytes < document_bytes + 20_000, "one whole document, then differences: {bytes}");
     assert!(lag < 250, "{lag} ms");
 }
 
@@ -220,15 +222,21 @@
     const LENGTH_MS: u64 = 10_000;
     let mut world = World::new(4);
     world.play(LENGTH_MS + 1_500, LENGTH_MS, all_routes_changed);
-    let changes = world.decided_at.len() as u64;
+    let changes = world.committed_at.len() as u64;
     world.assert_all_have(&all_routes_changed(changes));
-    let whole = all_routes_changed(changes).len();
-    let interval = Pace::LINK.interval(whole).as_millis() as u64;
+    let document_bytes = all_routes_changed(changes).len();
+    let interval = Pace::LINK.interval(document_bytes).as_millis() as u64;
     let answers = 1 + (LENGTH_MS + 1_500).div_ceil(interval) as usize;
     let small = 2 * (changes as usize * 25 + 40 * 60);
     let (bytes, lag) = (world.most_bytes(), world.longest_lag());
-    println!("document {whole} B, {changes} changes, most bytes a reader {bytes}, longest lag {lag} ms");
-    assert!(bytes <= answers * (whole + 100) + small, "{bytes} of {}", answers * (whole + 100) + small);
+    println!(
+        "document {document_bytes} B, {changes} changes, most bytes a reader {bytes}, longest lag {lag} ms"
+    );
+    assert!(
+        bytes <= answers * (document_bytes + 100) + small,
+        "{bytes} of {}",
+        answers * (document_bytes + 100) + small
+    );
     assert!(lag < LAG_BOUND_MS, "{lag} ms");
 }
 
@@ -236,24 +244,24 @@
 fn a_source_that_does_not_deliver_costs_one_timeout_per_change() {
     let mut world = World::new(4);
     world.begin(one_route_changed);
-    world.mute = vec![0];
+    world.unresponsive = vec![0];
     world.play(3_500, 2_000, one_route_changed);
-    world.assert_all_have(&one_route_changed(world.decided_at.len() as u64));
+    world.assert_all_have(&one_route_changed(world.committed_at.len() as u64));
     let lag = world.longest_lag();
-    println!("longest lag with a mute source {lag} ms");
+    println!("longest lag with an unresponsive source {lag} ms");
     assert!(lag < LAG_BOUND_MS, "{lag} ms");
 }
 
 /// A registry as its publisher has it, with the feed's journal.
 struct Publisher {
     subscribers: Subscribers,
-    truth: View,
+    expected: View,
     offset: u64,
 }
 
 impl Publisher {
     fn new() -> Publisher {
-        Publisher { subscribers: Subscribers::new(11), truth: View::default(), offset: 0 }
+        Publisher { subscribers: Subscribers::new(11), expected: View::default(), offset: 0 }
     }
 
     /// Endpoint `number` changes; every seventh change takes it away, with its sequence.
@@ -267,7 +275,7 @@
         } else {
             Message::Registered(Registered { id: id.as_str().into(), sequence, body: body.as_str().into() })
         };
-        self.truth.receive(ms(0), source(0), message.clone(), &mut Vec::new());
+        self.expected.receive(ms(0), source(0), message.clone(), &mut Vec::new());
         self.subscribers.append(&message);
         self.offset += 1;
     }
@@ -281,9 +289,9 @@
 
     fn join(&mut self, position: Position) -> Receiver<Bytes> {
         let (outbox, frames) = Outbox::new();
-        let truth = &self.truth;
+        let expected = &self.expected;
         let snapshot = || {
-            let mut messages = truth.snapshot();
+            let mut messages = expected.snapshot();
             messages.pop();
             messages.push(Message::SnapshotEnd { complete: 1 });
             messages
@@ -295,14 +303,14 @@
 
 /// Hands everything that waits to the view. Tells the bytes, and whether a snapshot was among them.
 fn drain(view: &mut View, frames: &mut Receiver<Bytes>) -> (usize, bool) {
-    let (mut bytes, mut anew) = (0, false);
+    let (mut bytes, mut from_snapshot) = (0, false);
     while let Ok(frame) = frames.try_recv() {
         bytes += frame.len();
         let message = Message::decode(&frame[4..]).expect("a message");
-        anew |= message == Message::SnapshotBegin;
+        from_snapshot |= message == Message::SnapshotBegin;
         view.receive(ms(0), source(0), message, &mut Vec::new());
     }
-    (bytes, anew)
+    (bytes, from_snapshot)
 }
 
 /// Registrations only, as a reader has them.
@@ -312,7 +320,7 @@
 }
 
 #[test]
-fn a_reader_that_falls_out_of_the_journal_begins_anew_and_ends_right() {
+fn a_subscriber_behind_the_journal_restarts_from_a_snapshot_and_converges() {
     let mut publisher = Publisher::new();
     let mut view = View::default();
     let mut frames = publisher.join(Position::default());
@@ -326,22 +334,22 @@
     assert_eq!(position, Position { source: 11, offset: 500 });
     publisher.storm(200);
     let mut frames = publisher.join(position);
-    let (_, anew) = drain(&mut view, &mut frames);
-    assert!(!anew, "the journal has what it lacks");
-    assert_eq!(registrations(&view), registrations(&publisher.truth));
+    let (_, from_snapshot) = drain(&mut view, &mut frames);
+    assert!(!from_snapshot, "the journal has what it lacks");
+    assert_eq!(registrations(&view), registrations(&publisher.expected));
 
     view.source_lost(ms(0), source(0));
     let position = view.position(source(0));
     publisher.storm(2_049);
     let mut frames = publisher.join(position);
     publisher.storm(300);
-    let (_, anew) = drain(&mut view, &mut frames);
-    assert!(anew, "the journal has lost what it lacks");
-    assert_eq!(registrations(&view), registrations(&publisher.truth));
+    let (_, from_snapshot) = drain(&mut view, &mut frames);
+    assert!(from_snapshot, "the journal has lost what it lacks");
+    assert_eq!(registrations(&view), registrations(&publisher.expected));
 }
 
 #[test]
-fn a_reader_that_overruns_its_queue_loses_its_link_and_ends_right() {
+fn a_subscriber_that_overruns_its_queue_is_disconnected_and_converges() {
     let mut publisher = Publisher::new();
     let mut view = View::default();
     let mut frames = publisher.join(Position::default());
@@ -351,14 +359,14 @@
     assert_eq!(publisher.subscribers.count(), 0, "nothing is sent to it any more");
     drain(&mut view, &mut frames);
     assert!(frames.is_closed(), "its link ends");
-    assert_ne!(registrations(&view), registrations(&publisher.truth));
+    assert_ne!(registrations(&view), registrations(&publisher.expected));
 
     view.source_lost(ms(0), source(0));
     let mut frames = publisher.join(view.position(source(0)));
     publisher.storm(77);
-    let (_, anew) = drain(&mut view, &mut frames);
-    assert!(anew);
-    assert_eq!(registrations(&view), registrations(&publisher.truth));
+    let (_, from_snapshot) = drain(&mut view, &mut frames);
+    assert!(from_snapshot);
+    assert_eq!(registrations(&view), registrations(&publisher.expected));
 }
 
 /// Bytes that bring a reader up to date that missed `missed` changes of endpoints and of the configuration each.
@@ -385,7 +393,7 @@
     let Some((_, Message::ConfigurationFetch(base))) = view.fetch(ms(1_000), None) else { panic!("a fetch") };
     publisher.subscribers.fetch(1, base);
     bytes += drain(&mut view, &mut frames).0;
-    assert_eq!(registrations(&view), registrations(&publisher.truth));
+    assert_eq!(registrations(&view), registrations(&publisher.expected));
     assert!(view.configuration().is_some_and(|held| held.revision == newest));
     bytes
 }
@@ -394,8 +402,8 @@
 fn catching_up_does_not_grow_with_the_changes_missed() {
     let [ten, thousand, five_thousand] = [10, 1_000, 5_000].map(catch_up_bytes);
     println!("bytes after 10, 1,000, 5,000 changes missed: {ten}, {thousand}, {five_thousand}");
-    let whole = one_route_changed(5_001).len();
+    let document_bytes = one_route_changed(5_001).len();
     assert!(ten < 5_000, "differences only: {ten}");
-    assert!(thousand < whole + 64 * 1024, "{thousand}");
-    assert!(five_thousand < whole + 64 * 1024, "{five_thousand}");
+    assert!(thousand < document_bytes + 64 * 1024, "{thousand}");
+    assert!(five_thousand < document_bytes + 64 * 1024, "{five_thousand}");
 }
--- a/crates/controller/src/controller/feed/subscribers.rs
+++ b/crates/controller/src/controller/feed/subscribers.rs
@@ -102,8 +102,8 @@
         match tail {
             Some(tail) if bytes(&tail) <= SHORT_TAIL_BYTES => tail,
             Some(tail) => {
-                let whole = self.snapshot_frames(snapshot);
-                if bytes(&tail) <= bytes(&whole) { tail } else { whole.to_vec() }
+                let frames = self.snapshot_frames(snapshot);
+                if bytes(&tail) <= bytes(&frames) { tail } else { frames.to_vec() }
             }
             None => self.snapshot_frames(snapshot).to_vec(),
         }
--- a/crates/controller/src/controller/feed/subscribers_test.rs
+++ b/crates/controller/src/controller/feed/subscribers_test.rs
@@ -41,13 +41,13 @@
     frames.map(|frame| Message::decode(&frame[4..]).expect("a message")).collect()
 }
 
-fn joined(subscribers: &mut Subscribers, subscriber: u64, hello: &Hello) -> Receiver<Bytes> {
+fn connect(subscribers: &mut Subscribers, subscriber: u64, hello: &Hello) -> Receiver<Bytes> {
     let (outbox, frames) = Outbox::new();
     subscribers.connected(subscriber, hello, outbox, snapshot, status(2));
     frames
 }
 
-fn readers_with(changes: u64) -> Subscribers {
+fn subscribers_after(changes: u64) -> Subscribers {
     let mut subscribers = Subscribers::new(INCARNATION);
     (0..changes).for_each(|number| subscribers.append(&change(number)));
     subscribers
@@ -55,39 +55,39 @@
 
 #[test]
 fn a_new_subscriber_starts_with_a_snapshot_and_gets_its_position() {
-    let mut subscribers = readers_with(3);
-    let mut frames = joined(&mut subscribers, 1, &hello(0, 0));
+    let mut subscribers = subscribers_after(3);
+    let mut frames = connect(&mut subscribers, 1, &hello(0, 0));
     let mut expected = snapshot();
     expected.push(heartbeat(3));
     assert_eq!(received(&mut frames), expected);
 }
 
 #[test]
-fn a_reader_that_comes_back_gets_what_it_lacks_and_no_snapshot() {
-    let mut subscribers = readers_with(5);
-    let mut frames = joined(&mut subscribers, 1, &hello(INCARNATION, 3));
+fn a_subscriber_that_reconnects_gets_the_missed_changes_and_no_snapshot() {
+    let mut subscribers = subscribers_after(5);
+    let mut frames = connect(&mut subscribers, 1, &hello(INCARNATION, 3));
     assert_eq!(received(&mut frames), vec![change(3), change(4), heartbeat(5)]);
-    let mut frames = joined(&mut subscribers, 2, &hello(INCARNATION, 5));
+    let mut frames = connect(&mut subscribers, 2, &hello(INCARNATION, 5));
     assert_eq!(received(&mut frames), vec![heartbeat(5)]);
 }
 
 #[test]
-fn a_subscriber_of_another_incarnation_or_from_too_far_back_starts_anew() {
-    let mut subscribers = readers_with(2_049);
+fn a_subscriber_of_another_incarnation_or_too_far_behind_starts_from_a_snapshot() {
+    let mut subscribers = subscribers_after(2_049);
     for stale in [hello(INCARNATION + 1, 2_049), hello(INCARNATION, 0), hello(INCARNATION, 2_050)] {
-        let mut frames = joined(&mut subscribers, 1, &stale);
+        let mut frames = connect(&mut subscribers, 1, &stale);
         assert_eq!(received(&mut frames)[0], Message::SnapshotBegin, "{stale:?}");
     }
-    let mut frames = joined(&mut subscribers, 1, &hello(INCARNATION, 1));
+    let mut frames = connect(&mut subscribers, 1, &hello(INCARNATION, 1));
     assert_eq!(received(&mut frames).len(), 2_049);
 }
 
 #[test]
 fn every_subscriber_gets_changes_and_heartbeats_until_it_disconnects() {
-    let mut subscribers = readers_with(0);
+    let mut subscribers = subscribers_after(0);
     let (mut first, mut second) = (
-        joined(&mut subscribers, 1, &hello(INCARNATION, 0)),
-        joined(&mut subscribers, 2, &hello(INCARNATION, 0)),
+        connect(&mut subscribers, 1, &hello(INCARNATION, 0)),
+        connect(&mut subscribers, 2, &hello(INCARNATION, 0)),
     );
     subscribers.append(&change(0));
     subscribers.disconnected(1);
@@ -98,43 +98,43 @@
 }
 
 #[test]
-fn a_reader_whose_link_has_ended_is_dropped_with_the_next_message() {
-    let mut subscribers = readers_with(0);
-    drop(joined(&mut subscribers, 1, &hello(0, 0)));
+fn a_subscriber_whose_link_has_ended_is_dropped_with_the_next_message() {
+    let mut subscribers = subscribers_after(0);
+    drop(connect(&mut subscribers, 1, &hello(0, 0)));
     subscribers.append(&change(0));
     assert_eq!(subscribers.count(), 0);
 }
 
 /// Starts a reader that is sent `snapshot`; tells whether that was made for it, and what it is sent.
-fn joined_with(subscribers: &mut Subscribers, snapshot: Vec<Message>) -> (bool, Vec<Message>) {
+fn connect_with_snapshot(subscribers: &mut Subscribers, snapshot: Vec<Message>) -> (bool, Vec<Message>) {
     let (outbox, mut frames) = Outbox::new();
-    let mut made = false;
+    let mut built = false;
     let make = || {
-        made = true;
+        built = true;
         snapshot
     };
     subscribers.connected(1, &hello(0, 0), outbox, make, status(2));
-    (made, received(&mut frames))
+    (built, received(&mut frames))
 }
 
 #[test]
 fn subscribers_that_connect_between_two_changes_share_a_snapshot() {
-    let mut subscribers = readers_with(3);
-    let (made, first) = joined_with(&mut subscribers, snapshot());
-    assert!(made);
+    let mut subscribers = subscribers_after(3);
+    let (built, first) = connect_with_snapshot(&mut subscribers, snapshot());
+    assert!(built);
     subscribers.heartbeat(status(2));
-    let (made, second) = joined_with(&mut subscribers, vec![]);
-    assert!(!made, "a heartbeat is no change");
+    let (built, second) = connect_with_snapshot(&mut subscribers, vec![]);
+    assert!(!built, "a heartbeat is no change");
     assert_eq!(first, second);
 }
 
 #[test]
-fn after_a_change_a_snapshot_is_made_anew() {
-    let mut subscribers = readers_with(3);
-    joined_with(&mut subscribers, snapshot());
+fn after_a_change_a_snapshot_is_built_again() {
+    let mut subscribers = subscribers_after(3);
+    connect_with_snapshot(&mut subscribers, snapshot());
     subscribers.append(&change(3));
     let changed = vec![Message::SnapshotBegin, change(3), Message::SnapshotEnd { complete: 1 }];
-    let (made, sent) = joined_with(&mut subscribers, changed.clone());
-    assert!(made);
+    let (built, sent) = connect_with_snapshot(&mut subscribers, changed.clone());
+    assert!(built);
     assert_eq!(sent, [changed, vec![heartbeat(4)]].concat());
 }
--- a/crates/controller/src/controller/membership/links.rs
+++ b/crates/controller/src/controller/membership/links.rs
@@ -14,7 +14,7 @@
 
 /// Keeps a link to the peer `peer` (its control address) at `address`, until the returned handle ends it.
 /// Messages of the peer arrive on the link that it opens itself.
-pub(crate) fn keep_link(
+pub(crate) fn maintain_link(
     peer: SocketAddr,
     address: SocketAddr,
     hello: Hello,
@@ -22,7 +22,7 @@
 ) -> AbortHandle {
     let task = async move {
         loop {
-            if let Err(error) = speak(peer, address, &hello, &events).await {
+            if let Err(error) = run_outgoing_link(peer, address, &hello, &events).await {
                 log::debug!("link failed peer={peer} error={error}");
             }
             tokio::time::sleep(REDIAL_DELAY).await;
@@ -31,7 +31,7 @@
     tokio::task::spawn_local(task).abort_handle()
 }
 
-async fn speak(
+async fn run_outgoing_link(
     peer: SocketAddr,
     address: SocketAddr,
     hello: &Hello,
@@ -69,14 +69,14 @@
         opened += 1;
         let events = events.clone();
         tokio::task::spawn_local(async move {
-            if let Err(error) = listen(stream, opened, &events).await {
+            if let Err(error) = serve_incoming_link(stream, opened, &events).await {
                 log::debug!("accepted link failed error={error}");
             }
         });
     }
 }
 
-async fn listen(
+async fn serve_incoming_link(
     stream: TcpStream,
     opened: u64,
     events: &mpsc::UnboundedSender<Event>,
@@ -88,12 +88,12 @@
         tokio::time::timeout(HELLO_TIMEOUT, reader.next()).await.map_err(|_| MessageError::Timeout)??;
     let Message::Hello(hello) = first else { return Ok(()) };
     match hello.role {
-        Role::Controller => peer_link(reader, hello, events).await,
-        Role::Agent | Role::Router => agent_link(reader, write, opened, hello, events).await,
+        Role::Controller => receive_from_peer(reader, hello, events).await,
+        Role::Agent | Role::Router => serve_agent(reader, write, opened, hello, events).await,
     }
 }
 
-async fn peer_link(
+async fn receive_from_peer(
     mut reader: MessageReader,
     hello: Hello,
     events: &mpsc::UnboundedSender<Event>,
@@ -106,7 +106,7 @@
     }
 }
 
-async fn agent_link(
+async fn serve_agent(
     mut reader: MessageReader,
     write: tokio::net::tcp::OwnedWriteHalf,
     agent: u64,
--- a/crates/controller/src/controller/membership/peer_discovery.rs
+++ b/crates/controller/src/controller/membership/peer_discovery.rs
@@ -48,7 +48,7 @@
     pub(crate) fn expire_peers(&mut self, now: Duration) {
         let members = shards::all().flat_map(|shard| self.group(shard));
         let needed: Vec<SocketAddr> = members.chain(self.settings.seeds.iter().copied()).collect();
-        if !self.has_fault(ControllerFault::ForgetMembers) {
+        if !self.has_fault(ControllerFault::ExpireMembers) {
             needed.into_iter().for_each(|peer| self.discover_peer(peer));
         }
         let expired = self.peers.expire(now);
--- a/crates/controller/src/controller/membership/peer_messages.rs
+++ b/crates/controller/src/controller/membership/peer_messages.rs
@@ -66,7 +66,7 @@
         for message in &merge.updates {
             self.subscribers.append(message);
         }
-        if merge.relay && !self.has_fault(ControllerFault::KeepDrainsFromPeers) {
+        if merge.relay && !self.has_fault(ControllerFault::SkipDrainRelay) {
             merge.updates.iter().for_each(|message| self.peers.broadcast(message));
         } else {
             merge.updates.iter().for_each(|message| self.relay(peer, message));
@@ -76,7 +76,7 @@
 
     /// Passes on what `source` has sent to the peers that do not hear it.
     fn relay(&mut self, source: SocketAddr, message: &Message) {
-        if self.has_fault(ControllerFault::KeepHeartbeatsFromPeers) {
+        if self.has_fault(ControllerFault::SkipHeartbeatRelay) {
             return;
         }
         let targets = self.relay_targets.targets(self.now(), source);
@@ -85,11 +85,11 @@
 
     fn merge_removal(&mut self, peer: SocketAddr, removed: &Removed) {
         let relays = self.endpoints.relays_removal(removed);
-        if relays && !self.has_fault(ControllerFault::KeepDrainsFromPeers) {
+        if relays && !self.has_fault(ControllerFault::SkipDrainRelay) {
             self.peers.broadcast(&Message::Removed(removed.clone()));
         }
         match self.endpoints.merge_removal(self.now(), removed) {
-            RemovalMerge::Removed if self.has_fault(ControllerFault::KeepRemovalsFromAgents) => {}
+            RemovalMerge::Removed if self.has_fault(ControllerFault::SkipRemovalForwarding) => {}
             RemovalMerge::Removed => self.subscribers.append(&Message::Removed(removed.clone())),
             RemovalMerge::Contradicted(registered) => {
                 self.relay_targets.contradicted(self.now(), peer);
--- a/crates/controller/src/controller/membership/replacement.rs
+++ b/crates/controller/src/controller/membership/replacement.rs
@@ -134,14 +134,14 @@
     /// The spare that joins next. All owners choose alike, so that the shards keep the same members.
     fn next_spare(&self, view: GroupView<'_>) -> Option<SocketAddr> {
         let outside = view.live.iter().copied().filter(|node| !view.group.contains(node));
-        let early = self.has(ReplacementFault::JoinBeforeVoting);
-        outside.filter(|node| early || view.member_statuses.can_join(*node, view.shard)).min()
+        let before_voting = self.has(ReplacementFault::JoinBeforeVoting);
+        outside.filter(|node| before_voting || view.member_statuses.can_join(*node, view.shard)).min()
     }
 
     /// The member that has been suspected longest, if that is beyond [`REPLACEMENT_TIMEOUT`].
     fn longest_suspected(&self, now: Duration, view: GroupView<'_>) -> Option<SocketAddr> {
-        let one_record = self.has(ReplacementFault::ShareSuspicions);
-        let record = if one_record { FIRST_SHARD } else { view.shard };
+        let shared_record = self.has(ReplacementFault::ShareSuspicions);
+        let record = if shared_record { FIRST_SHARD } else { view.shard };
         let suspected = self.suspected_since.get(&record)?.iter();
         let longest_suspected = suspected.filter(|(_, since)| now >= **since + REPLACEMENT_TIMEOUT);
         longest_suspected.min_by_key(|(_, since)| **since).map(|(member, _)| *member)
--- a/crates/controller/src/controller/membership/replacement_test.rs
+++ b/crates/controller/src/controller/membership/replacement_test.rs
@@ -24,7 +24,7 @@
 }
 
 /// Controllers 1 to 9, all of them able to vote for every shard.
-fn able() -> MemberStatuses {
+fn all_voting() -> MemberStatuses {
     let mut member_statuses = MemberStatuses::default();
     for number in 1..=9 {
         member_statuses.record(node(number), MemberStatus::new(u64::from(number), 0..SHARDS, false));
@@ -55,7 +55,7 @@
     size: usize,
 ) -> Option<MemberChange> {
     members.observe(ms(time), SHARD, &nodes(group), &nodes(live));
-    planned(members, time, SHARD, (group, live), size, &able())
+    planned(members, time, SHARD, (group, live), size, &all_voting())
 }
 
 #[test]
@@ -141,7 +141,7 @@
 #[test]
 fn a_member_that_one_shard_has_replaced_is_still_suspected_by_the_others() {
     let mut members = ReplacementPlanner::default();
-    let member_statuses = able();
+    let member_statuses = all_voting();
     let live = [1, 3, 4];
     for time in [0, 1_200, 1_600, 2_000] {
         // The owner of shard 0 has replaced member 2 by 1,600; the others still have it.
@@ -162,7 +162,7 @@
 #[test]
 fn a_change_in_flight_blocks_its_own_shard_only() {
     let mut members = ReplacementPlanner::default();
-    let member_statuses = able();
+    let member_statuses = all_voting();
     let group: (&[u8], &[u8]) = (&[1, 2, 3], &[1, 3, 4]);
     for shard in [0, 1] {
         members.observe(ms(0), shard, &nodes(group.0), &nodes(group.1));
@@ -175,9 +175,9 @@
 }
 
 #[test]
-fn a_member_that_leaves_is_replaced_at_once_and_only_by_a_spare() {
+fn a_draining_member_is_replaced_at_once_and_only_by_a_spare() {
     let members = ReplacementPlanner::default();
-    let mut member_statuses = able();
+    let mut member_statuses = all_voting();
     member_statuses.record(node(2), MemberStatus::new(2, 0..SHARDS, true));
     assert_eq!(planned(&members, 0, SHARD, (&[1, 2, 3], &[1, 2, 3]), 3, &member_statuses), None);
     let change = MemberChange { remove: Some(node(2)), add: node(4) };
@@ -187,7 +187,7 @@
 #[test]
 fn a_draining_spare_does_not_join() {
     let mut members = ReplacementPlanner::default();
-    let mut member_statuses = able();
+    let mut member_statuses = all_voting();
     members.observe(ms(0), SHARD, &nodes(&[1, 2, 3]), &nodes(&[1, 3, 4, 5]));
     member_statuses.record(node(4), MemberStatus::new(4, 0..SHARDS, true));
     let change = MemberChange { remove: Some(node(2)), add: node(5) };
@@ -198,7 +198,7 @@
 #[test]
 fn a_spare_joins_only_once_it_can_vote_for_that_shard() {
     let mut members = ReplacementPlanner::default();
-    let mut member_statuses = able();
+    let mut member_statuses = all_voting();
     let group: (&[u8], &[u8]) = (&[1, 2, 3], &[1, 3, 4]);
     for shard in [0, 1] {
         members.observe(ms(0), shard, &nodes(group.0), &nodes(group.1));
@@ -217,9 +217,9 @@
 }
 
 #[test]
-fn two_that_leave_at_once_give_their_places_to_different_spares_and_never_to_one_another() {
+fn two_draining_members_are_replaced_by_different_spares_and_never_by_each_other() {
     let members = ReplacementPlanner::default();
-    let mut member_statuses = able();
+    let mut member_statuses = all_voting();
     for draining in [2, 3] {
         member_statuses.record(node(draining), MemberStatus::new(u64::from(draining), 0..SHARDS, true));
     }
--- a/crates/controller/src/controller/membership/shutdown.rs
+++ b/crates/controller/src/controller/membership/shutdown.rs
@@ -37,9 +37,9 @@
     /// Advances the handover, if one is in progress.
     pub(crate) fn advance_handover(&mut self, now: Duration) {
         let Some(handover) = &self.handover else { return };
-        let at_once = self.has_fault(ControllerFault::ShutDownWithoutHandover);
+        let skip_handover = self.has_fault(ControllerFault::ShutDownWithoutHandover);
         let mut membership = self.group_membership();
-        membership.has_spare &= !at_once;
+        membership.has_spare &= !skip_handover;
         if handover.is_replaced(now, membership) {
             self.flush_last(now);
         }
@@ -63,8 +63,8 @@
 
     /// Sends what the others do not have yet, and asks them to confirm it.
     fn flush_last(&mut self, now: Duration) {
-        if let Some(heard) = self.endpoints.take_heartbeat_batch() {
-            self.peers.broadcast(&heard);
+        if let Some(batch) = self.endpoints.take_heartbeat_batch() {
+            self.peers.broadcast(&batch);
         }
         let token = self.endpoints.acknowledgements.next_token();
         self.peers.broadcast(&Message::Flush(Token { token }));
--- a/crates/controller/src/controller/metrics.rs
+++ b/crates/controller/src/controller/metrics.rs
@@ -199,7 +199,7 @@
 }
 
 /// Adds the counts of the control interface and of the disk, which the controller itself does not know.
-pub(super) fn add_surroundings(
+pub(super) fn add_process_metrics(
     exposition: &mut Exposition,
     unavailable: &UnavailableCounts,
     disk: &DiskCounts,
--- a/crates/controller/src/controller/operator/control_calls.rs
+++ b/crates/controller/src/controller/operator/control_calls.rs
@@ -41,15 +41,15 @@
         if id.is_empty() || id.contains('/') {
             return answer(call, Answer::error(404, "no such path"));
         }
-        let alone = self.has_fault(ControllerFault::AcknowledgeDrainAlone);
-        let known = if alone {
+        let locally = self.has_fault(ControllerFault::AcknowledgeDrainLocally);
+        let known = if locally {
             KnownGroups::only(self.own_address)
         } else {
             self.known_groups(shards::CONFIGURATION)
         };
         let now = self.now();
-        let alone = self.has_fault(ControllerFault::AcknowledgeHeartbeatAlone);
-        let in_contact = alone || self.has_contact(shards::CONFIGURATION);
+        let without_contact = self.has_fault(ControllerFault::AcknowledgeHeartbeatWithoutContact);
+        let in_contact = without_contact || self.has_contact(shards::CONFIGURATION);
         let changes = match call.method {
             Method::Put => self.endpoints.register(now, id, call.body, &known, in_contact, call.reply),
             Method::Delete => self.endpoints.deregister(now, id, &known, call.reply),
--- a/crates/controller/src/controller/operator/http_callers_test.rs
+++ b/crates/controller/src/controller/operator/http_callers_test.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 /// Time in which something that must not happen would have happened.
-const A_WHILE: Duration = Duration::from_millis(60);
+const ABSENCE_TIMEOUT: Duration = Duration::from_millis(60);
 
 struct Interface {
     address: SocketAddr,
@@ -39,12 +39,12 @@
         }
     }
 
-    async fn no_call_comes(&mut self) {
-        assert!(timeout(A_WHILE, self.events.recv()).await.is_err(), "a call came");
+    async fn assert_no_call(&mut self) {
+        assert!(timeout(ABSENCE_TIMEOUT, self.events.recv()).await.is_err(), "a call came");
     }
 }
 
-fn play(test: impl Future<Output = ()>) {
+fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(LocalSet::new().run_until(async {
         timeout(Duration::from_secs(20), test).await.expect("the test hangs");
@@ -63,7 +63,7 @@
 
 #[test]
 fn a_caller_that_closes_its_sending_side_is_answered() {
-    play(async {
+    run_test(async {
         let mut interface = Interface::start().await;
         let mut caller = interface.caller().await;
         caller.write_all(put("{}").as_bytes()).await.unwrap();
@@ -76,48 +76,48 @@
 
 #[test]
 fn pipelined_calls_are_taken_one_after_the_other_and_answered_in_order() {
-    play(async {
+    run_test(async {
         let mut interface = Interface::start().await;
         let mut caller = interface.caller().await;
         caller.write_all((put("1") + &put("2")).as_bytes()).await.unwrap();
         caller.shutdown().await.unwrap();
         let first = interface.call().await;
         assert_eq!(&first.body[..], b"1");
-        interface.no_call_comes().await;
+        interface.assert_no_call().await;
         first.reply.send(Answer::new(200, "first")).ok().unwrap();
         let second = interface.call().await;
         assert_eq!(&second.body[..], b"2");
         second.reply.send(Answer::new(412, "second")).ok().unwrap();
-        let told = rest(caller).await;
-        let (first, second) = (told.find("first").unwrap(), told.find("second").unwrap());
-        assert!(first < second, "{told}");
+        let response = rest(caller).await;
+        let (first, second) = (response.find("first").unwrap(), response.find("second").unwrap());
+        assert!(first < second, "{response}");
     });
 }
 
 #[test]
 fn the_answer_to_a_disconnected_caller_reaches_no_other() {
-    play(async {
+    run_test(async {
         let mut interface = Interface::start().await;
-        let mut left = interface.caller().await;
-        left.write_all(put("left").as_bytes()).await.unwrap();
+        let mut disconnected = interface.caller().await;
+        disconnected.write_all(put("left").as_bytes()).await.unwrap();
         let call = interface.call().await;
-        left.set_zero_linger().unwrap();
-        drop(left);
-        let mut there = interface.caller().await;
-        there.write_all(put("there").as_bytes()).await.unwrap();
-        there.shutdown().await.unwrap();
+        disconnected.set_zero_linger().unwrap();
+        drop(disconnected);
+        let mut connected = interface.caller().await;
+        connected.write_all(put("there").as_bytes()).await.unwrap();
+        connected.shutdown().await.unwrap();
         let other = interface.call().await;
         let _ = call.reply.send(Answer::new(200, "for the one that left"));
         other.reply.send(Answer::new(200, "for the one that is there")).ok().unwrap();
-        let told = rest(there).await;
-        assert!(told.ends_with("for the one that is there"), "{told}");
-        assert!(!told.contains("left"), "{told}");
+        let response = rest(connected).await;
+        assert!(response.ends_with("for the one that is there"), "{response}");
+        assert!(!response.contains("left"), "{response}");
     });
 }
 
 #[test]
 fn a_call_that_is_never_completed_gets_no_outcome() {
-    play(async {
+    run_test(async {
         let mut interface = Interface::start().await;
         let mut caller = interface.caller().await;
         caller.write_all(put("{}").as_bytes()).await.unwrap();
--- a/crates/controller/src/controller/operator/pending_changes_test.rs
+++ b/crates/controller/src/controller/operator/pending_changes_test.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_answer_of_the_owner_in_time_ends_the_matter() {
+fn an_answer_of_the_owner_in_time_completes_the_change() {
     let mut changes = PendingChanges::default();
     let (request, mut answer) = started(&mut changes, true);
     changes.complete(request, taken);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_forwarded_change_is_forgotten_after_its_time() {
+fn a_forwarded_change_expires() {
     let mut changes = PendingChanges::default();
     let peer: SocketAddr = "10.0.0.2:7000".parse().expect("an address");
     let request = changes.begin_forwarded(START, peer, 41, b"change".to_vec());
--- a/crates/controller/src/controller/placement/endpoint_client_test.rs
+++ b/crates/controller/src/controller/placement/endpoint_client_test.rs
@@ -10,9 +10,9 @@
 use tokio::time::{Instant, timeout};
 
 /// Time in which something that must not happen would have happened.
-const A_WHILE: Duration = Duration::from_millis(60);
+const ABSENCE_TIMEOUT: Duration = Duration::from_millis(60);
 
-fn play(test: impl Future<Output = ()>) {
+fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(LocalSet::new().run_until(async {
         timeout(Duration::from_secs(10), test).await.expect("the test hangs");
@@ -70,7 +70,7 @@
 
 #[test]
 fn an_order_names_its_owner_its_token_and_the_incarnation_that_it_is_for() {
-    play(async {
+    run_test(async {
         for if_revision in [0, 3] {
             let (listener, address) = endpoint().await;
             let given =
@@ -94,7 +94,7 @@
 
 #[test]
 fn only_a_complete_explicit_answer_proves_that_an_order_was_not_executed() {
-    play(async {
+    run_test(async {
         let cases = [
             ("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n", OrderAnswer::Accepted),
             ("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", OrderAnswer::AlreadyDone),
@@ -124,7 +124,7 @@
 
 #[test]
 fn an_order_that_reached_nobody_was_not_taken() {
-    play(async {
+    run_test(async {
         let (listener, address) = endpoint().await;
         drop(listener);
         assert_eq!(send_order(&order(address, 0), "core-1", 7, soon()).await, OrderAnswer::Unavailable);
@@ -133,7 +133,7 @@
 
 #[test]
 fn an_order_without_an_answer_is_sent_once_and_its_connection_reset() {
-    play(async {
+    run_test(async {
         let (listener, address) = endpoint().await;
         let given = spawn_local(async move { send_order(&order(address, 0), "core-1", 7, soon()).await });
         let (mut stream, _) = listener.accept().await.unwrap();
@@ -141,13 +141,13 @@
         assert_eq!(given.await.unwrap(), OrderAnswer::Unknown);
         let end = stream.read(&mut [0; 8]).await.map_err(|error| error.kind());
         assert_eq!(end, Err(ErrorKind::ConnectionReset));
-        assert!(timeout(A_WHILE, listener.accept()).await.is_err(), "the order was sent again");
+        assert!(timeout(ABSENCE_TIMEOUT, listener.accept()).await.is_err(), "the order was sent again");
     });
 }
 
 #[test]
 fn a_report_of_another_incarnation_is_none() {
-    play(async {
+    run_test(async {
         for (answer, expected) in [
             ("HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{\"Sequence\":4}", Some(4)),
             ("HTTP/1.1 200 OK\r\nInstance-Id: i-1\r\nContent-Length: 14\r\n\r\n{\"Sequence\":4}", Some(4)),
@@ -170,11 +170,11 @@
 /// The process stood still after the order was allowed, in its queue or while the connection came up.
 #[test]
 fn an_order_that_is_late_is_not_sent() {
-    play(async {
+    run_test(async {
         let (listener, address) = endpoint().await;
         let late = Instant::now() - Duration::from_millis(1);
         assert_eq!(send_order(&order(address, 0), "core-1", 7, late).await, OrderAnswer::Unavailable);
-        let accepted = timeout(A_WHILE, listener.accept()).await;
+        let accepted = timeout(ABSENCE_TIMEOUT, listener.accept()).await;
         if let Ok(Ok((mut stream, _))) = accepted {
             let mut byte = [0];
             assert_eq!(stream.read(&mut byte).await.unwrap_or(0), 0, "nothing is sent");
--- a/crates/controller/src/controller/placement/placement_control.rs
+++ b/crates/controller/src/controller/placement/placement_control.rs
@@ -29,9 +29,9 @@
         for shard in shards::all().filter(|shard| *shard != shards::CONFIGURATION) {
             // The lease holder stays candidate while it can: a handover to the first in order costs a quiet period.
             let acts = self.placers.acts_for(shard);
-            let stands = wanted.contains(&shard) && (acts || self.owns(shard));
-            let stands = stands && self.has_contact(shard) && !self.is_draining();
-            let outputs = self.leases.set_candidate(now, u32::from(shard), stands);
+            let is_candidate = wanted.contains(&shard) && (acts || self.owns(shard));
+            let is_candidate = is_candidate && self.has_contact(shard) && !self.is_draining();
+            let outputs = self.leases.set_candidate(now, u32::from(shard), is_candidate);
             self.lease_outputs(outputs);
         }
     }
@@ -158,7 +158,7 @@
         match (epoch, &action.action) {
             (Some(epoch), action_kind) => {
                 if matches!(action_kind, Action::Order(_)) {
-                    self.counters.order_given();
+                    self.counters.order_sent();
                 }
                 self.announce_eviction(&action.action);
                 self.environment.execute_action(
--- a/crates/controller/src/controller/process.rs
+++ b/crates/controller/src/controller/process.rs
@@ -3,7 +3,7 @@
 use crate::controller::consensus::disk::Disk;
 use crate::controller::environment::Environment;
 use crate::controller::event::Event;
-use crate::controller::membership::links::keep_link;
+use crate::controller::membership::links::maintain_link;
 use crate::controller::placement::placers::{OrderTenure, ServiceAction, execute_action};
 use crate::message::Hello;
 use lanegate_config::settings::{Settings, SettingsError};
@@ -36,7 +36,7 @@
 
     fn open_link(&mut self, peer: SocketAddr) {
         let address = SocketAddr::new(peer.ip(), self.link_port);
-        let link = keep_link(peer, address, self.hello.clone(), self.events.clone());
+        let link = maintain_link(peer, address, self.hello.clone(), self.events.clone());
         self.links.insert(peer, link);
     }
 
--- a/crates/controller/src/controller/run.rs
+++ b/crates/controller/src/controller/run.rs
@@ -25,7 +25,7 @@
 use tokio::sync::mpsc;
 
 /// Time at the end of the process for the last answers to get from their tasks to the sockets.
-const LAST_WRITES: Duration = Duration::from_millis(10);
+const FINAL_WRITE_DELAY: Duration = Duration::from_millis(10);
 
 /// Runs a controller until SIGTERM; it exports its metrics at `metrics_at`. Must run inside a `LocalSet`.
 ///
@@ -64,14 +64,14 @@
             }
             Some(scrape) = scrapes.next() => {
                 let mut exposition = controller.metrics();
-                metrics::add_surroundings(&mut exposition, &unavailable, &disk);
+                metrics::add_process_metrics(&mut exposition, &unavailable, &disk);
                 scrape.answer(exposition);
             }
             () = tokio::time::sleep_until((started + wake).into()) => {}
         }
         controller.tick();
     }
-    tokio::time::sleep(LAST_WRITES).await;
+    tokio::time::sleep(FINAL_WRITE_DELAY).await;
     Ok(())
 }
 
--- a/crates/controller/src/controller/setup.rs
+++ b/crates/controller/src/controller/setup.rs
@@ -59,8 +59,8 @@
         let first = settings.bootstrap && records.is_empty();
         let replicas = start_replicas(&settings, own_address, records, incarnation, fault)?;
         let node = NodeId::new(own_address, incarnation);
-        let skips = fault == Some(ControllerFault::SkipQuietPeriod);
-        let quiet_ms = if skips { 1.0 } else { settings.bounds.lease_ms };
+        let skip_quiet_period = fault == Some(ControllerFault::SkipQuietPeriod);
+        let quiet_ms = if skip_quiet_period { 1.0 } else { settings.bounds.lease_ms };
         let lease = lease_settings(Duration::from_secs_f64(quiet_ms / 1e3));
         let start = if first { GrantorStart::First } else { GrantorStart::Restarted };
         let heartbeat = Duration::from_secs_f64(settings.heartbeat_ms / 1e3);
@@ -148,12 +148,12 @@
             shards::CONFIGURATION => Box::new(ConfigurationMachine),
             _ => Box::new(EpochCounter),
         };
-        let mut of_shard = register::Settings::new(own_address.into(), seeds.clone());
-        of_shard.bootstrap = settings.bootstrap;
-        of_shard.seed = u64::from(shard);
-        of_shard.fault = fault.and_then(ControllerFault::register);
+        let mut replica_settings = register::Settings::new(own_address.into(), seeds.clone());
+        replica_settings.bootstrap = settings.bootstrap;
+        replica_settings.seed = u64::from(shard);
+        replica_settings.fault = fault.and_then(ControllerFault::register);
         let nonce = incarnation.wrapping_add(u64::from(shard));
-        let replica = Replica::new(of_shard, machine, records.remove(&shard), Duration::ZERO, nonce);
+        let replica = Replica::new(replica_settings, machine, records.remove(&shard), Duration::ZERO, nonce);
         (shard, replica)
     };
     Ok(shards::all().map(start).collect())
--- a/crates/controller/src/feed_client.rs
+++ b/crates/controller/src/feed_client.rs
@@ -25,10 +25,11 @@
     events: mpsc::UnboundedSender<FeedEvent>,
     mut demand: mpsc::UnboundedReceiver<DemandReport>,
 ) {
-    let (owner, mut event) = mpsc::unbounded_channel();
+    let (agent_events, mut event) = mpsc::unbounded_channel();
     let (started, agent) = (Instant::now(), loopback_address(&settings));
     let mut client = Client::new(settings, draw_incarnation(), events);
-    let dial = |client: &Client| tokio::task::spawn_local(follow(agent, client.hello(), None, owner.clone()));
+    let dial =
+        |client: &Client| tokio::task::spawn_local(follow(agent, client.hello(), None, agent_events.clone()));
     dial(&client);
     loop {
         let fetch = client.next_fetch(started.elapsed()).map(|at| started + at);
@@ -117,7 +118,7 @@
                 let routers = self.view.routers();
                 let mut changes = Vec::new();
                 self.view.receive(now, source, message, &mut changes);
-                changes.into_iter().for_each(|message| self.pass_on(message));
+                changes.into_iter().for_each(|message| self.forward_update(message));
                 if routers != self.view.routers() {
                     self.send(FeedEvent::Routers { live: self.view.routers() });
                 }
@@ -132,7 +133,7 @@
         false
     }
 
-    fn pass_on(&mut self, message: Message) {
+    fn forward_update(&mut self, message: Message) {
         match message {
             Message::CommittedConfiguration(committed) => {
                 match serde_json::from_slice::<Configuration>(&committed.document.bytes) {
@@ -142,8 +143,8 @@
                     }
                 }
             }
-            Message::Registered(message) => self.pass_on_instance(&message.id.text()),
-            Message::ResidencyUpdate(update) => self.pass_on_instance(&update.id.text()),
+            Message::Registered(message) => self.forward_instance(&message.id.text()),
+            Message::ResidencyUpdate(update) => self.forward_instance(&update.id.text()),
             Message::Removed(removed) => self.send(FeedEvent::Removed { id: removed.id.text() }),
             Message::SnapshotEnd { .. } if !self.synchronized => {
                 self.synchronized = true;
@@ -154,7 +155,7 @@
     }
 
     /// Passes on an incarnation as it is known now; one that was removed is passed on as that.
-    fn pass_on_instance(&self, id: &str) {
+    fn forward_instance(&self, id: &str) {
         if let Some(registered) = self.view.registration(id) {
             self.send(FeedEvent::Instance(registered.current_instance()));
         }
--- a/crates/controller/src/registration.rs
+++ b/crates/controller/src/registration.rs
@@ -16,7 +16,7 @@
     /// What the placer knows beyond it.
     residency_updates: Vec<ResidencyUpdate>,
     /// Sequence of the first heartbeat with the contents of this one.
-    changed_at: u64,
+    content_sequence: u64,
 }
 
 impl Registered {
@@ -27,18 +27,18 @@
     pub fn parse(id: &str, body: Bytes) -> Result<Self, serde_json::Error> {
         let mut instance: Instance = serde_json::from_slice(&body)?;
         id.clone_into(&mut instance.id);
-        let changed_at = instance.sequence;
-        Ok(Registered { instance, body, residency_updates: Vec::new(), changed_at })
+        let content_sequence = instance.sequence;
+        Ok(Registered { instance, body, residency_updates: Vec::new(), content_sequence })
     }
 
     /// This registration after `previous`: it keeps what was published of this heartbeat or a later one.
-    pub fn following(mut self, previous: Option<&Registered>) -> Self {
+    pub fn carry_over_from(mut self, previous: Option<&Registered>) -> Self {
         let Some(previous) = previous else { return self };
         let sequence = self.instance.sequence;
         let newer = previous.residency_updates.iter().filter(|update| update.sequence >= sequence);
         self.residency_updates = newer.cloned().collect();
         if !previous.differs(&self) {
-            self.changed_at = previous.changed_at;
+            self.content_sequence = previous.content_sequence;
         }
         self
     }
@@ -53,7 +53,8 @@
     pub fn apply_residency(&mut self, update: ResidencyUpdate) -> bool {
         let same = |known: &ResidencyUpdate| known.model == update.model && known.adapter == update.adapter;
         let known = self.residency_updates.iter().find(|known| same(known));
-        if update.sequence < self.changed_at || known.is_some_and(|known| rank(known) >= rank(&update)) {
+        if update.sequence < self.content_sequence || known.is_some_and(|known| rank(known) >= rank(&update))
+        {
             return false;
         }
         let old = self.current_models();
--- a/crates/controller/src/view.rs
+++ b/crates/controller/src/view.rs
@@ -301,7 +301,7 @@
         self.source(source).listed.insert(id.clone());
         let body = message.body.bytes.clone().into();
         let Ok(registration) = Registered::parse(&id, body) else { return };
-        let registration = registration.following(self.registration(&id));
+        let registration = registration.carry_over_from(self.registration(&id));
         let RegistryUpdate::Changed { replaced } =
             self.registry.merge(now, &id, message.sequence, registration)
         else {
--- a/crates/controller/tests/contact_mutants.rs
+++ b/crates/controller/tests/contact_mutants.rs
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_heartbeat_acknowledged_without_contact_is_found() {
-    found_by(ControllerFault::AcknowledgeHeartbeatAlone, &["cut-heartbeats-go-elsewhere"]);
+    found_by(ControllerFault::AcknowledgeHeartbeatWithoutContact, &["cut-heartbeats-go-elsewhere"]);
 }
 
 #[test]
@@ -74,7 +74,7 @@
 
 #[test]
 fn one_epoch_for_all_tenures_is_found() {
-    found_by(ControllerFault::KeepEpoch, &["cut-of-the-placer", "frozen-source"]);
+    found_by(ControllerFault::ReuseEpoch, &["cut-of-the-placer", "frozen-source"]);
 }
 
 /// Scenarios of this page, played without a fault on other chance as well.
--- a/crates/controller/tests/controller_faults.rs
+++ b/crates/controller/tests/controller_faults.rs
@@ -30,19 +30,19 @@
     a_change_acknowledged_once_proposed:
         ControllerFault::AcknowledgeProposed, "cut-off-for-twenty-seconds";
     a_drain_acknowledged_by_one_controller_alone:
-        ControllerFault::AcknowledgeDrainAlone, "drain-at-a-cut-off-controller";
+        ControllerFault::AcknowledgeDrainLocally, "drain-at-a-cut-off-controller";
     a_removal_not_passed_on_to_agents:
-        ControllerFault::KeepRemovalsFromAgents, "end-told-to-one-controller";
+        ControllerFault::SkipRemovalForwarding, "end-told-to-one-controller";
     orders_after_the_lease_has_ended:
         ControllerFault::OrderWithoutLease, "holder-is-cut-off";
     a_takeover_without_the_quiet_period:
         ControllerFault::SkipQuietPeriod, "holder-freezes";
     one_epoch_for_all_tenures:
-        ControllerFault::KeepEpoch, "holder-freezes";
+        ControllerFault::ReuseEpoch, "holder-freezes";
     an_epoch_not_requested_again:
-        ControllerFault::GiveUpEpoch, "epoch-not-given-in-time";
+        ControllerFault::SkipEpochRetry, "epoch-not-given-in-time";
     members_forgotten_in_a_long_partition:
-        ControllerFault::ForgetMembers, "cut-off-for-twenty-seconds";
+        ControllerFault::ExpireMembers, "cut-off-for-twenty-seconds";
     a_partitioned_controller_that_claims_to_be_current:
         ControllerFault::AlwaysCurrent, "agents-at-two-cut-off-controllers";
     a_controller_that_receives_nothing_acts:
@@ -62,7 +62,7 @@
     a_read_of_the_register_from_local_state:
         ControllerFault::Register(Fault::ReadLocally), "cut-one-way";
     an_end_acknowledged_by_a_controller_out_of_touch_alone:
-        ControllerFault::AcknowledgeDrainAlone, "end-told-to-one-that-is-lost-right-after";
+        ControllerFault::AcknowledgeDrainLocally, "end-told-to-one-that-is-lost-right-after";
     a_read_from_what_one_of_two_halves_knows:
         ControllerFault::ReadLocally, "reads-in-two-halves";
     a_read_of_the_register_from_local_state_in_two_halves:
@@ -86,7 +86,7 @@
     a_change_missed_behind_a_partial_cut:
         ControllerFault::SkipReread, "changes-missed-behind-partial-cuts";
     heartbeats_not_relayed_to_an_owner_that_does_not_hear_them:
-        ControllerFault::KeepHeartbeatsFromPeers, "owner-does-not-hear-the-called-controller";
+        ControllerFault::SkipHeartbeatRelay, "owner-does-not-hear-the-called-controller";
     a_stalled_disk_that_counts_as_a_vote:
         ControllerFault::CountStalledDisk, "stalled-spare-does-not-join";
     a_read_from_what_one_controller_knows_beyond_tolerance:
--- a/crates/controller/tests/repair_faults.rs
+++ b/crates/controller/tests/repair_faults.rs
@@ -48,5 +48,5 @@
     confirmations_of_controllers_that_are_no_members:
         ControllerFault::Acknowledgement(AcknowledgementFault::CountNonMembers), "drain-at-one-with-spares-only";
     a_drain_that_is_not_passed_on:
-        ControllerFault::KeepDrainsFromPeers, "drain-passed-on";
+        ControllerFault::SkipDrainRelay, "drain-passed-on";
 }
