--- a/crates/controller/src/controller/consensus/disk.rs
+++ b/crates/controller/src/controller/consensus/disk.rs
@@ -1,4 +1,4 @@
-//! The thread that writes records to disk, so that a write or a sync that takes seconds blocks nothing else.
+//! The thread that writes records to disk, so that a slow write or sync does not block the event loop.
 
 use crate::controller::event::Event;
 use lanegate_coordination::register::{CodecError, Record};
@@ -16,7 +16,7 @@
     record: Record,
 }
 
-/// What the disk has done since the start of the process.
+/// Statistics of disk writes since the start of the process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct DiskUse {
     /// Records that are on disk.
@@ -25,18 +25,18 @@
     pub failed: u64,
     /// Records that wait to be written, or are being written.
     pub waiting: u64,
-    /// Time of all writes.
+    /// Total time of all writes.
     pub time: Duration,
     /// Time of the longest write.
     pub longest: Duration,
 }
 
-/// Shared by the disk's thread and those who hand records to it.
+/// Statistics shared between the disk thread and the code that queues records.
 #[derive(Debug, Default)]
 pub(crate) struct DiskCounts(Mutex<DiskUse>);
 
 impl DiskCounts {
-    /// The counts now.
+    /// A copy of the current statistics.
     pub(crate) fn snapshot(&self) -> DiskUse {
         *self.0.lock()
     }
@@ -55,7 +55,7 @@
     }
 }
 
-/// Hands records to the disk's thread.
+/// Handle that queues records for the disk thread.
 #[derive(Debug, Clone)]
 pub(crate) struct Disk {
     writes: std::sync::mpsc::Sender<Write>,
@@ -87,7 +87,7 @@
         Ok(Disk { writes, counts })
     }
 
-    /// Queues a record.
+    /// Queues a record for writing.
     pub(crate) fn write(&self, shard: u8, token: u64, record: Record) {
         self.counts.queued();
         let _ = self.writes.send(Write { shard, token, record });
@@ -105,7 +105,7 @@
     Ok(store.save(folder, &bytes)?)
 }
 
-/// Why a record is not on disk.
+/// Why a record could not be written.
 #[derive(Debug, thiserror::Error)]
 enum WriteError {
     #[error(transparent)]
--- a/crates/controller/src/controller/consensus/fault_tolerance.rs
+++ b/crates/controller/src/controller/consensus/fault_tolerance.rs
@@ -1,14 +1,14 @@
-//! How many further failures the replica group of a shard can tolerate, and when to report that to the operators.
+//! How many further failures the replica groups of a shard can tolerate, and when a change of that number is logged.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What a controller knows of a member of a group.
+/// State of a group member as one controller sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum MemberState {
-    /// Live, and its replica can vote.
+    /// Live, and its replica of the shard can vote.
     Voting,
-    /// Live, but its replica cannot vote: it has lost its disk and not recovered yet, or its disk refuses writes.
+    /// Live, but its replica cannot vote: it lost its disk and has not recovered yet, or its disk has stalled.
     NotVoting,
     /// Live, but its status is not known yet.
     Unknown,
@@ -16,8 +16,8 @@
     Suspected,
 }
 
-/// Failures that every one of `groups` (two while members change) tolerates without losing its majority; `None` if
-/// one of them has none now, or no group is known.
+/// Number of failures that each of `groups` (two during a membership change) tolerates without losing its majority;
+/// `None` if one of them has no majority now, or no group is known.
 pub(crate) fn tolerable_failures(
     groups: &[Vec<SocketAddr>],
     state: impl Fn(SocketAddr) -> MemberState,
@@ -30,12 +30,12 @@
     margins?.into_iter().min()
 }
 
-/// A change of the fault tolerance of a shard that is logged.
+/// A change of the fault tolerance of a shard that is reported in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ToleranceChange {
-    /// The next failure loses the majority, or it is lost already.
+    /// One more failure loses the majority, or it is lost already.
     Exhausted,
-    /// A failure can be tolerated again.
+    /// At least one failure can be tolerated again.
     Restored,
 }
 
@@ -46,7 +46,8 @@
 }
 
 impl ToleranceMonitor {
-    /// Records how many failures a shard tolerates. Returns a change only when that number reaches zero or rises above it.
+    /// Records how many failures a shard tolerates. Returns a change only when that number reaches zero or rises above
+    /// zero again.
     pub(crate) fn observe(
         &mut self,
         shard: u8,
--- a/crates/controller/src/controller/consensus/fault_tolerance_test.rs
+++ b/crates/controller/src/controller/consensus/fault_tolerance_test.rs
@@ -1,4 +1,4 @@
-//! How many losses a group can bear, and when the operators are told.
+//! How many failures a group tolerates, and when a change is reported.
 
 use crate::controller::consensus::fault_tolerance::{
     MemberState, ToleranceChange, ToleranceMonitor, tolerable_failures,
@@ -13,7 +13,7 @@
     numbers.iter().map(|number| node(*number)).collect()
 }
 
-/// The margin of `groups` if `lost` are in the state `state` and all others vote.
+/// Failures that `groups` tolerate if the members `lost` are in `state` and all others vote.
 fn with(groups: &[&[u8]], lost: &[u8], state: MemberState) -> Option<usize> {
     let groups: Vec<Vec<SocketAddr>> = groups.iter().map(|numbers| group(numbers)).collect();
     tolerable_failures(
--- a/crates/controller/src/controller/consensus/freshness_test.rs
+++ b/crates/controller/src/controller/consensus/freshness_test.rs
@@ -1,4 +1,4 @@
-//! A controller vouches for its configuration only after a read that began in the contact that lasts.
+//! A controller counts as current only after a read that started in the present period of quorum contact.
 
 use crate::controller::consensus::freshness::Freshness;
 use crate::controller::consensus::shards::{self, CONFIGURATION};
--- a/crates/controller/src/controller/consensus/mod.rs
+++ b/crates/controller/src/controller/consensus/mod.rs
@@ -1,5 +1,5 @@
-//! Control state that a majority agrees on: the registers of the shards, contact with their replica groups, and how
-//! many failures the groups can still bear.
+//! Replicated control state: the registers of the shards, quorum contact with their replica groups, and the number of
+//! failures that the groups still tolerate.
 
 pub(super) mod disk;
 pub(super) mod fault_tolerance;
--- a/crates/controller/src/controller/consensus/pending_writes.rs
+++ b/crates/controller/src/controller/consensus/pending_writes.rs
@@ -1,29 +1,30 @@
-//! Records that were handed to the disk and that it has neither taken nor refused.
+//! Record writes that the disk has neither completed nor failed.
 //!
-//! A disk that refuses a write says so; one that stalls says nothing, and its replica cannot vote all the same: its
-//! answers wait for the write. So once a write has been pending for [`STALL_THRESHOLD`], no replica of this controller counts
-//! as able to vote.
+//! A failed write is reported as an error. A stalled disk reports nothing, yet its replicas cannot vote either, because
+//! their answers wait for the write. Therefore, once a write has been pending for [`STALL_THRESHOLD`], no replica of
+//! this controller counts as able to vote.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A write that takes longer than this shows that the disk has stalled. A slow disk is not one that stalls: five shards, each with one
-/// write at a time, share it, and a disk thirty times as slow as the slowest that is in use takes 150 ms for each.
+/// A write that is pending for this long means that the disk has stalled. The limit is above the time of a slow disk:
+/// five shards with one write each share the disk, and a disk that is thirty times as slow as the slowest one in use
+/// takes 150 ms for each write.
 pub(crate) const STALL_THRESHOLD: Duration = Duration::from_millis(1_500);
 
-/// When the pending write of each shard was handed to the disk, which all shards share. A shard has one at a time.
+/// When the pending write of each shard was queued. A shard has at most one; all shards share the disk.
 #[derive(Debug, Default)]
 pub(crate) struct PendingWrites {
     started_at: BTreeMap<u8, Duration>,
 }
 
 impl PendingWrites {
-    /// A record of the shard was handed to the disk.
+    /// A record of the shard was queued for writing.
     pub(crate) fn started(&mut self, now: Duration, shard: u8) {
         self.started_at.entry(shard).or_insert(now);
     }
 
-    /// The disk has taken the record of the shard, or refused it.
+    /// The write of the shard's record has completed or failed.
     pub(crate) fn ended(&mut self, shard: u8) {
         self.started_at.remove(&shard);
     }
--- a/crates/controller/src/controller/consensus/quorum_contact.rs
+++ b/crates/controller/src/controller/consensus/quorum_contact.rs
@@ -1,39 +1,40 @@
-//! Contact of a controller with the majority of a group: answers, and how old they are.
+//! Quorum contact: whether a majority of a replica group has recently answered this controller's heartbeats.
 //!
 //! A failure detector is too slow and too weak for this: a peer whose heartbeats arrive may not receive ours, and a
-//! process that was frozen reads messages that are old. So contact rests on answers alone. Every heartbeat of this
-//! incarnation is recorded with the time before it was sent; a peer that receives it sends it back; and the peer
-//! counts for [`CONTACT_VALIDITY`] from that recorded time. What a majority
-//! answered at most so long ago, it answered at a time that lies in that span, however long the answer was on
-//! its way or waited in a buffer: the same argument as for the validity of a lease.
+//! process that was frozen reads old messages. Therefore contact is based on answers only. The time before each
+//! heartbeat of this incarnation is sent is recorded, a peer that receives the heartbeat echoes it, and the peer counts
+//! as reached for [`CONTACT_VALIDITY`] from the recorded time. A peer that counts therefore answered within the last
+//! [`CONTACT_VALIDITY`], however long its echo was in transit or waited in a buffer. The validity of a lease rests on
+//! the same argument.
 //!
-//! No clock is read here; times are readings of one monotonic clock that goes on while the process is frozen.
+//! This module reads no clock. Callers pass readings of one monotonic clock that keeps running while the process is
+//! frozen.
 
 use lanegate_coordination::membership::Heartbeat;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long an answer counts, from before its question was sent.
+/// How long an echo counts, measured from just before its heartbeat was sent.
 ///
-/// Five heartbeats: four may be late or lost with their answers before contact ends. Short enough for agents
-/// to have left a source that is partitioned well within the time after which machines have to follow the
-/// configuration again; the sum is in `docs/control/contact.md`.
+/// Five heartbeat intervals: four heartbeats or their echoes may be late or lost before contact ends. Short enough for
+/// agents to switch away from a partitioned source well within the time by which machines have to follow the
+/// configuration again; `docs/control/contact.md` has the calculation.
 pub(crate) const CONTACT_VALIDITY: Duration = Duration::from_millis(1_000);
-/// Heartbeats that are remembered: more than are sent within [`CONTACT_VALIDITY`].
+/// Maximum number of recorded heartbeats: more than are sent within [`CONTACT_VALIDITY`].
 const MAX_SENT_HEARTBEATS: usize = 32;
 
 /// Deliberate faults: each must be found by a test.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ContactFault {
-    /// The age of an answer counts from its receipt.
+    /// The age of an echo is measured from its receipt.
     AgeFromReceipt,
-    /// A majority is one less.
+    /// A majority is one member too small.
     SmallMajority,
     /// A peer whose heartbeats arrive counts as one that answers.
     CountReceivedHeartbeats,
-    /// Contact is judged by the time of the last message, not by the present one.
+    /// Contact is evaluated at the time of the last message instead of the current time.
     StaleClock,
     /// While the members change, a majority of the new group is enough.
     NewGroupOnly,
@@ -41,29 +42,29 @@
     AnyIncarnation,
 }
 
-/// A heartbeat of this process.
+/// A heartbeat that this process sent.
 #[derive(Debug, Clone, Copy)]
 struct SentHeartbeat {
     heartbeat: Heartbeat,
-    /// Reading of the clock before it left.
+    /// Clock reading before it was sent.
     at: Duration,
 }
 
-/// What peers have answered.
+/// The heartbeats that this process sent, and which of them each peer has echoed.
 #[derive(Debug)]
 pub(crate) struct QuorumContact {
     own_address: SocketAddr,
     incarnation: u64,
     /// The latest heartbeats, oldest first.
     sent: VecDeque<SentHeartbeat>,
-    /// For each peer, when the newest heartbeat that it has answered was sent.
+    /// For each peer, when the newest heartbeat that it has echoed was sent.
     answered: BTreeMap<SocketAddr, Duration>,
     last_event_at: Duration,
     fault: Option<ContactFault>,
 }
 
 impl QuorumContact {
-    /// Nobody has answered this `incarnation` of the process at `own_address` yet.
+    /// Starts without contact, for this `incarnation` of the controller at `own_address`.
     pub(crate) fn new(own_address: SocketAddr, incarnation: u64) -> Self {
         QuorumContact {
             own_address,
@@ -92,12 +93,13 @@
         self.sent.push_back(SentHeartbeat { heartbeat: *heartbeat, at: now });
     }
 
-    /// The newest heartbeat of this process. It may be sent again: its answer counts from when it left first.
+    /// The newest heartbeat of this process. It may be sent again: its echo counts from when it was first sent.
     pub(crate) fn newest(&self) -> Option<&Heartbeat> {
         self.sent.back().map(|last| &last.heartbeat)
     }
 
-    /// A heartbeat of `peer` has arrived. It is no contact: the peer may not receive messages of this process.
+    /// A heartbeat of `peer` has arrived. This does not count as contact, as the peer may not receive messages of this
+    /// process.
     pub(crate) fn heartbeat_received(&mut self, now: Duration, peer: SocketAddr) {
         self.last_event_at = now;
         if self.has(ContactFault::CountReceivedHeartbeats) {
@@ -105,7 +107,7 @@
         }
     }
 
-    /// `peer` has sent back `heartbeat`, one of this process. One that is not remembered is too old to count.
+    /// `peer` has echoed `heartbeat`. A heartbeat that is no longer recorded is too old to count.
     pub(crate) fn echo_received(&mut self, now: Duration, peer: SocketAddr, heartbeat: &Heartbeat) {
         self.last_event_at = now;
         let own = heartbeat.sender.address() == self.own_address
@@ -121,8 +123,9 @@
         *newest = at.max(*newest);
     }
 
-    /// Whether a majority of every one of `groups` (two while the members change) has answered within
-    /// [`CONTACT_VALIDITY`]. `now` has to be read for this question: the process may have stood still.
+    /// Whether a majority of each of `groups` (two during a membership change) has answered within
+    /// [`CONTACT_VALIDITY`]. The caller must read the clock for `now` immediately before, as the process may have
+    /// stalled since an earlier reading.
     pub(crate) fn reaches(&self, now: Duration, groups: &[Vec<SocketAddr>]) -> bool {
         let now = if self.has(ContactFault::StaleClock) { self.last_event_at } else { now };
         self.valid_until(groups).is_some_and(|end| now < end)
@@ -133,7 +136,7 @@
         self.answer_valid_until(peer).is_some_and(|end| now < end)
     }
 
-    /// When contact with `groups` ends if nobody answers any more; `None` if there was none.
+    /// When contact with `groups` ends unless further echoes arrive; `None` if there was no contact.
     pub(crate) fn valid_until(&self, groups: &[Vec<SocketAddr>]) -> Option<Duration> {
         let counted = if self.has(ContactFault::NewGroupOnly) {
             &groups[groups.len().saturating_sub(1)..]
@@ -144,7 +147,8 @@
         ends?.into_iter().min()
     }
 
-    /// The time up to which a majority of one group counts: that of its weakest necessary member.
+    /// When contact with one group ends: the earliest end among the members that form its majority with the newest
+    /// answers.
     fn group_valid_until(&self, group: &[SocketAddr]) -> Option<Duration> {
         let majority = group.len() / 2 + 1 - usize::from(self.has(ContactFault::SmallMajority));
         let mut ends: Vec<Duration> =
--- a/crates/controller/src/controller/consensus/records.rs
+++ b/crates/controller/src/controller/consensus/records.rs
@@ -1,4 +1,4 @@
-//! The records of the registers on disk.
+//! Register records on disk.
 
 use crate::controller::consensus::shards;
 use crate::controller::error::ControllerError;
--- a/crates/controller/src/controller/consensus/registers.rs
+++ b/crates/controller/src/controller/consensus/registers.rs
@@ -1,4 +1,4 @@
-//! The registers of the shards: outputs of their replicas, committed values, and outcomes of requests.
+//! The registers of the shards: executes replica outputs, applies committed values, and completes requests.
 
 use crate::controller::consensus::replica_groups::KnownGroups;
 use crate::controller::consensus::shards::{self, read_epoch};
@@ -111,12 +111,12 @@
                     self.reconcile_members(self.now());
                 }
             }
-            // What the read found has been learned from its committed value.
+            // The value that the read returned has been applied through its committed output.
             Some(InFlightRequest::Reread) | None => {}
         }
     }
 
-    /// The register has answered a request for an epoch, or given it up.
+    /// A request for an epoch has completed or failed.
     fn on_epoch_answered(&mut self, shard: u32, tenure: Tenure, outcome: &Outcome) {
         let now = self.now();
         let outputs = match outcome {
@@ -132,7 +132,7 @@
         self.lease_outputs(outputs);
     }
 
-    /// The outcome of a change is known: `answer` is an encoded outcome of the control state.
+    /// The outcome of a change is known; `answer` is the encoded [`Outcome`](Taken) of the control state.
     pub(crate) fn complete_change(&mut self, change: u64, answer: &[u8]) {
         match self
             .pending_changes
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Proposes a change of the operator at this controller's own replica.
+    /// Proposes an operator's change through this controller's own replica.
     pub(crate) fn propose_change(&mut self, change: u64) {
         let Some(command) = self.pending_changes.command(change).map(<[u8]>::to_vec) else { return };
         let now = self.now();
--- a/crates/controller/src/controller/consensus/replica_groups.rs
+++ b/crates/controller/src/controller/consensus/replica_groups.rs
@@ -1,20 +1,20 @@
-//! The groups of a shard that are in force, as one controller knows them.
+//! The replica groups in force for a shard, as one controller knows them.
 
 use crate::message::{Confirmation, GroupMembers};
 use lanegate_coordination::register::Value;
 use std::net::SocketAddr;
 
-/// Groups in force: one, or two while members change; none while no group is known (new or emptied disk).
+/// Groups in force: one, or two during a membership change; none while no group is known (new or emptied disk).
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct KnownGroups {
-    /// Revision of the value that names them.
+    /// Revision of the register value that names them.
     pub revision: u64,
     /// Members of each group.
     pub groups: Vec<Vec<SocketAddr>>,
 }
 
 impl KnownGroups {
-    /// The groups that a value names.
+    /// The groups that a register value names.
     pub(crate) fn of(value: Option<&Value>) -> Self {
         let Some(value) = value else { return KnownGroups::default() };
         let addresses = |members: &[lanegate_coordination::register::Node]| {
@@ -24,12 +24,13 @@
         KnownGroups { revision: value.revision, groups }
     }
 
-    /// A group of one.
+    /// A single group with `node` as its only member.
     pub(crate) fn only(node: SocketAddr) -> Self {
         KnownGroups { revision: 0, groups: vec![vec![node]] }
     }
 
-    /// The groups that a peer reported with its confirmation. An address that cannot be parsed becomes a member that nobody matches.
+    /// The groups that a peer reported with its confirmation. An address that cannot be parsed becomes the unspecified
+    /// address, which matches no controller.
     pub(crate) fn from_confirmation(confirmation: &Confirmation) -> Self {
         let unspecified = SocketAddr::from(([0, 0, 0, 0], 0));
         let read = |text: &str| text.parse().unwrap_or(unspecified);
@@ -38,7 +39,7 @@
         KnownGroups { revision: confirmation.revision, groups }
     }
 
-    /// The confirmation of the flush `token` by a controller that knows these groups.
+    /// A confirmation of the flush `token` that reports these groups.
     pub(crate) fn confirmation(&self, token: u64) -> Confirmation {
         let members = |group: &Vec<SocketAddr>| {
             let addresses: Vec<String> = group.iter().map(ToString::to_string).collect();
@@ -47,7 +48,7 @@
         Confirmation::new(token, self.revision, self.groups.iter().map(members).collect())
     }
 
-    /// Whether more than half of every group counts. Never, while no group is known.
+    /// Whether `counts` holds for more than half of every group. False while no group is known.
     pub(crate) fn have_majority(&self, counts: impl Fn(SocketAddr) -> bool) -> bool {
         let is_majority = |group: &Vec<SocketAddr>| {
             group.iter().filter(|member| counts(**member)).count() > group.len() / 2
--- a/crates/controller/src/controller/consensus/replica_groups_test.rs
+++ b/crates/controller/src/controller/consensus/replica_groups_test.rs
@@ -1,4 +1,4 @@
-//! Majorities of the groups in force, and how groups are told with a confirmation.
+//! Majorities of the groups in force, and the groups reported with a confirmation.
 
 use crate::controller::consensus::replica_groups::KnownGroups;
 use crate::message::{Confirmation, GroupMembers};
--- a/crates/controller/src/controller/consensus/shards.rs
+++ b/crates/controller/src/controller/consensus/shards.rs
@@ -1,7 +1,7 @@
-//! The shards of control state: one register each, all with replicas on the same group of controllers.
+//! The shards of control state: one replicated register each, normally on the same controllers.
 //!
-//! Shard 0 holds the configuration. The others are found by a hash of the service's name; each holds the
-//! epoch of the role that acts for its services.
+//! Shard 0 holds the configuration. Services are assigned to the other shards by a hash of their name; each of these
+//! holds the epoch of the newest lease tenure for its services.
 
 use lanegate_config::control_state::{self, Outcome};
 use lanegate_config::findings::Findings;
@@ -12,7 +12,7 @@
 
 /// The shard of the configuration.
 pub(crate) const CONFIGURATION: u8 = 0;
-/// Shards for services.
+/// Number of shards for services.
 const SERVICE_SHARDS: u8 = 4;
 
 /// The shard of a service.
@@ -25,7 +25,7 @@
     0..=SERVICE_SHARDS
 }
 
-/// Counts up: every command takes the next epoch.
+/// Epoch counter: every command allocates the next epoch.
 #[derive(Debug)]
 pub(crate) struct EpochCounter;
 
@@ -37,12 +37,12 @@
     }
 }
 
-/// The epoch that a register's state, or the answer to a command, holds; 0 for none yet.
+/// Decodes the epoch from a register's state or from the answer to a command; 0 if there is none yet.
 pub(crate) fn read_epoch(bytes: &[u8]) -> u64 {
     bytes.try_into().map_or(0, u64::from_be_bytes)
 }
 
-/// Applies changes of the operator to the configuration.
+/// Applies operators' changes to the configuration.
 #[derive(Debug)]
 pub(crate) struct ConfigurationMachine;
 
@@ -57,7 +57,7 @@
     std::iter::from_fn(|| replica.poll_output()).collect()
 }
 
-/// The replicas of this controller.
+/// This controller's replicas, one for each shard.
 pub(crate) struct Shards {
     replicas: BTreeMap<u8, Replica>,
 }
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Lets every replica do what is due.
+    /// Runs the due timers of all replicas, and returns their outputs.
     pub(crate) fn due(&mut self, now: Duration) -> Vec<(u8, Vec<Output>)> {
         let is_due = |replica: &Replica| replica.next_wake().is_some_and(|at| at <= now);
         let due = self.replicas.iter_mut().filter(|(_, replica)| is_due(replica));
@@ -104,7 +104,7 @@
         Ok((outcome, None)) if outcome.is_acknowledged() => Applied::Unchanged { answer: outcome.encode() },
         Ok((outcome, None)) => Applied::Refused { answer: outcome.encode() },
         Err(error) => {
-            // The change may be among those that an unreadable state has taken: it must not be refused.
+            // The unreadable state may already contain the change, so it must not be answered as refused.
             let findings = Findings::one("", error.to_string());
             Applied::Refused { answer: Outcome::Unclear(findings).encode() }
         }
--- a/crates/controller/src/controller/counters.rs
+++ b/crates/controller/src/controller/counters.rs
@@ -1,19 +1,19 @@
-//! Counts of what a controller did, for its metrics.
+//! Counters for the metrics of a controller.
 
 use lanegate_config::control_state::Outcome;
 use lanegate_placement::{Operation, OrderAnswer};
 use std::collections::BTreeMap;
 
-/// How an order ended.
+/// The outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum OrderOutcome {
     Answered(OrderAnswer),
-    /// It was never sent, as this controller may not act for the service now.
+    /// Not sent, because this controller does not hold the lease of the service's shard.
     NoLease,
 }
 
 impl OrderOutcome {
-    /// All outcomes, with their names as labels.
+    /// All outcomes, with the values of their metric label.
     pub(super) const ALL: [(OrderOutcome, &'static str); 9] = [
         (OrderOutcome::Answered(OrderAnswer::Accepted), "accepted"),
         (OrderOutcome::Answered(OrderAnswer::AlreadyDone), "already_done"),
@@ -27,23 +27,23 @@
     ];
 }
 
-/// Operations that are ordered, with their names as labels.
+/// Operations of orders, with the values of their metric label.
 pub(super) const OPERATIONS: [(Operation, &str); 2] =
     [(Operation::Load, "load"), (Operation::Evict, "evict")];
 
-/// How a change of the configuration ended for the operator.
+/// The outcome of a configuration change as reported to the operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ChangeOutcome {
     Taken,
     AlreadyTaken,
     Conflict,
     Invalid,
-    /// No clear answer: it may have been taken.
+    /// The outcome is unknown: the change may have been committed.
     Unclear,
 }
 
 impl ChangeOutcome {
-    /// All outcomes, with their names as labels.
+    /// All outcomes, with the values of their metric label.
     pub(super) const ALL: [(ChangeOutcome, &'static str); 5] = [
         (ChangeOutcome::Taken, "taken"),
         (ChangeOutcome::AlreadyTaken, "already_taken"),
@@ -52,7 +52,7 @@
         (ChangeOutcome::Unclear, "unclear"),
     ];
 
-    /// Decodes an outcome of the control state.
+    /// Decodes the answer of the configuration's register to a change.
     pub(super) fn of_encoded(encoded: &[u8]) -> Self {
         match Outcome::decode(encoded) {
             Ok(Outcome::Taken { .. }) => ChangeOutcome::Taken,
@@ -67,32 +67,32 @@
 /// Counts since the start of the process.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
-    /// Orders that were given and have no answer yet.
+    /// Orders that were sent and have no answer yet.
     pub orders_in_flight: u64,
     loads: BTreeMap<OrderOutcome, u64>,
     evictions: BTreeMap<OrderOutcome, u64>,
     changes: BTreeMap<ChangeOutcome, u64>,
     /// Endpoints removed because their heartbeats timed out.
     pub expiries: u64,
-    /// Times that the process noticed that it had stalled.
+    /// Stalls of this process that it detected.
     pub stalls: u64,
     /// Tenures of leases that have begun.
     pub tenures: u64,
 }
 
 impl Counters {
-    /// An order is sent.
+    /// Counts an order that is sent.
     pub(super) fn order_sent(&mut self) {
         self.orders_in_flight += 1;
     }
 
-    /// An order that was given has ended.
+    /// Counts the answer to an order that was sent, or its time-out.
     pub(super) fn order_answered(&mut self, operation: Operation, answer: OrderAnswer) {
         self.orders_in_flight = self.orders_in_flight.saturating_sub(1);
         self.count_order(operation, OrderOutcome::Answered(answer));
     }
 
-    /// An order was not given for want of the lease.
+    /// Counts an order that was not sent because this controller does not hold the lease.
     pub(super) fn order_withheld(&mut self, operation: Operation) {
         self.count_order(operation, OrderOutcome::NoLease);
     }
@@ -105,7 +105,7 @@
         *orders.entry(outcome).or_default() += 1;
     }
 
-    /// Orders of an operation that ended so.
+    /// Number of orders of `operation` with this outcome.
     pub(super) fn orders(&self, operation: Operation, outcome: OrderOutcome) -> u64 {
         let orders = match operation {
             Operation::Load => &self.loads,
@@ -114,12 +114,12 @@
         orders.get(&outcome).copied().unwrap_or_default()
     }
 
-    /// A change of the operator here has ended.
+    /// Counts a completed change that an operator sent to this controller.
     pub(super) fn change_ended(&mut self, outcome: ChangeOutcome) {
         *self.changes.entry(outcome).or_default() += 1;
     }
 
-    /// Changes that ended so.
+    /// Number of changes with this outcome.
     pub(super) fn changes(&self, outcome: ChangeOutcome) -> u64 {
         self.changes.get(&outcome).copied().unwrap_or_default()
     }
--- a/crates/controller/src/controller/counters_test.rs
+++ b/crates/controller/src/controller/counters_test.rs
@@ -1,4 +1,4 @@
-//! What is counted for the metrics.
+//! Counters of orders and changes.
 
 use crate::controller::counters::{ChangeOutcome, Counters, OPERATIONS, OrderOutcome};
 use lanegate_config::control_state::Outcome;
--- a/crates/controller/src/controller/error.rs
+++ b/crates/controller/src/controller/error.rs
@@ -1,40 +1,40 @@
-//! Errors that end a controller.
+//! Errors that stop a controller process.
 
 use lanegate_coordination::storage::StoreError;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a controller cannot run.
+/// Why a controller could not start or had to stop.
 #[derive(Debug, thiserror::Error)]
 pub enum ControllerError {
-    /// A field of the settings file that a controller needs.
-    #[error("settings: {0} is missing, and a controller needs it")]
+    /// A field of the settings file that a controller requires is missing.
+    #[error("settings: {0} is missing, but a controller requires it")]
     Missing(&'static str),
-    /// Only IPv4 addresses can name a controller.
-    #[error("settings: {0} is no IPv4 address and port")]
+    /// A controller address that is not IPv4.
+    #[error("settings: {0} is not an IPv4 address and port")]
     Address(SocketAddr),
     /// A store in the data directory cannot be opened.
-    #[error("data folder {folder}: {source}")]
+    #[error("store in data directory {folder} not opened: {source}")]
     Data {
         /// The data directory.
         folder: PathBuf,
-        /// Why not.
+        /// The underlying error.
         source: StoreError,
     },
     /// The data directory cannot be opened.
-    #[error("data folder {folder}: {source}")]
+    #[error("data directory {folder} not opened: {source}")]
     Folder {
         /// The data directory.
         folder: PathBuf,
-        /// Why not.
+        /// The underlying error.
         source: std::io::Error,
     },
     /// A listener cannot be bound.
-    #[error("{address}: {source}")]
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address of the listener.
         address: SocketAddr,
-        /// Why not.
+        /// The underlying error.
         source: std::io::Error,
     },
     /// Another call to the operating system failed.
--- a/crates/controller/src/controller/event.rs
+++ b/crates/controller/src/controller/event.rs
@@ -1,4 +1,4 @@
-//! The events of a controller: messages, calls, and completed writes, one after the other.
+//! Events that a controller handles one at a time: messages, calls, and completed writes.
 
 use crate::controller::operator::unavailable::Unavailable;
 use crate::link::Outbox;
@@ -23,7 +23,7 @@
 pub(crate) struct Call {
     pub method: Method,
     pub path: String,
-    /// The version in `If-Match`; `Err` holds what stood there instead of a number.
+    /// The version in `If-Match`; `Err` holds the header text if it is not a number.
     pub if_match: Option<Result<u64, String>>,
     pub body: Bytes,
     pub reply: oneshot::Sender<Answer>,
@@ -34,7 +34,7 @@
 pub(crate) struct Answer {
     pub status: u16,
     pub body: Bytes,
-    /// Why the status is 503, where it is.
+    /// The reason for a status of 503; `None` for any other status.
     pub unavailable: Option<Unavailable>,
 }
 
@@ -44,7 +44,7 @@
         Answer { status, body: body.into(), unavailable: None }
     }
 
-    /// There is no clear answer: 503.
+    /// An answer with status 503 for `reason`.
     pub(crate) fn unavailable(reason: Unavailable) -> Self {
         Answer { unavailable: Some(reason), ..Answer::error(503, reason.text()) }
     }
@@ -63,7 +63,7 @@
         peer: SocketAddr,
         outbox: Outbox,
     },
-    /// That link has ended; it is dialled again by itself.
+    /// That link has ended; it is redialled automatically.
     PeerDown {
         peer: SocketAddr,
     },
@@ -89,13 +89,13 @@
         agent: u64,
     },
     Call(Call),
-    /// An order was answered, or not.
+    /// An order has completed; `answer` also states if no answer arrived.
     OrderAnswered {
         service: String,
         order: Order,
         answer: OrderAnswer,
     },
-    /// An endpoint reported on itself.
+    /// An endpoint answered a report request.
     Reported {
         service: String,
         instance: String,
--- a/crates/controller/src/controller/event_loop.rs
+++ b/crates/controller/src/controller/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop of a controller: timers that are due, and the dispatch of events.
+//! The event loop of a controller: runs due timers and dispatches events.
 
 use crate::controller::Controller;
 use crate::controller::consensus::shards;
@@ -9,11 +9,11 @@
 use lanegate_coordination::register::{Input, Value};
 use std::time::Duration;
 
-/// A gap between ticks from which on this process is taken to have stalled.
+/// Minimum gap between two ticks that counts as a stall of this process.
 const STALL_THRESHOLD: Duration = Duration::from_millis(1_200);
 
 impl Controller {
-    /// Restores the state on disk, and dials the seeds.
+    /// Applies the committed values that were restored from disk, and connects to the seeds.
     pub(crate) fn start(&mut self) {
         let seeds = self.settings.seeds.clone();
         seeds.into_iter().for_each(|seed| self.discover_peer(seed));
@@ -50,7 +50,7 @@
         wakes.into_iter().flatten().min().unwrap_or(self.next_feed_heartbeat)
     }
 
-    /// Runs everything that is due.
+    /// Runs all due timers.
     pub(crate) fn tick(&mut self) {
         let now = self.now();
         if now > self.last_tick + STALL_THRESHOLD {
--- a/crates/controller/src/controller/fault.rs
+++ b/crates/controller/src/controller/fault.rs
@@ -1,4 +1,5 @@
-//! Deliberate faults of a controller, each of which the simulation must find. A process has none.
+//! Deliberate faults of a controller. Tests inject them to show that the simulation's checks detect them; a real
+//! process runs without any.
 
 use crate::controller::consensus::quorum_contact::ContactFault;
 use crate::controller::endpoints::acknowledgements::AcknowledgementFault;
@@ -11,56 +12,57 @@
 pub enum ControllerFault {
     /// A fault of the registers, in all shards.
     Register(register::Fault),
-    /// A fault in what counts as contact with a majority.
+    /// A fault in the detection of quorum contact.
     QuorumContact(ContactFault),
     /// A fault in the replacement of members.
     Replacement(ReplacementFault),
-    /// A fault in what makes an acknowledgement safe.
+    /// A fault in the conditions for acknowledging a drain or a deregistration.
     Acknowledgement(AcknowledgementFault),
-    /// `GET /config` answers from what this controller knows, without asking a majority.
+    /// `GET /config` answers from local state, without a read through a majority.
     ReadLocally,
-    /// A change is acknowledged once it is proposed.
+    /// A change is acknowledged as soon as it is proposed, before it is committed.
     AcknowledgeProposed,
-    /// A drain is acknowledged before any other controller has it.
+    /// A drain is acknowledged before any other controller has received it.
     AcknowledgeDrainLocally,
-    /// A removal that another controller sent is not forwarded to agents.
+    /// A removal that is received from another controller is not forwarded to agents.
     SkipRemovalForwarding,
-    /// Orders go on after the lease has ended.
+    /// Orders are still sent after the lease has ended.
     OrderWithoutLease,
-    /// A new holder does not wait until the one before has been quiet.
+    /// A new lease holder does not wait for the quiet period after the previous tenure.
     SkipQuietPeriod,
-    /// Every tenure acts under the same epoch.
+    /// Every tenure of a lease uses the same epoch.
     ReuseEpoch,
-    /// An epoch that the register did not give in time is not asked for again.
+    /// An epoch request that timed out at the register is not retried.
     SkipEpochRetry,
-    /// Members of the group are forgotten once they have been partitioned for long.
+    /// Group members that were partitioned for long expire from the list of peers.
     ExpireMembers,
-    /// Endpoints are taken off the list without contact with a majority.
+    /// Endpoints expire from the registry without contact with a majority.
     ExpireWithoutContact,
     /// Heartbeats of endpoints are acknowledged without contact with a majority.
     AcknowledgeHeartbeatWithoutContact,
-    /// A change is refused by what this controller knows, without asking a majority.
+    /// A change is refused on the basis of local state, without asking a majority.
     RefuseLocally,
-    /// A drain that another controller sent is not relayed to other controllers.
+    /// A drain that is received from another controller is not relayed to the others.
     SkipDrainRelay,
-    /// Heartbeats of endpoints are not relayed to a controller that does not receive them.
+    /// Heartbeats of endpoints are not relayed to a controller that does not receive them directly.
     SkipHeartbeatRelay,
-    /// A controller that shuts down does not wait until it is replaced.
+    /// A controller that shuts down does not wait for its replacement in the replica groups.
     ShutDownWithoutHandover,
-    /// The draining status of controllers is ignored: they own shards, and are not replaced, until they are suspected.
+    /// The draining status of controllers is ignored: they keep their shards, and are not replaced, until the failure
+    /// detector suspects them.
     IgnoreDraining,
-    /// A controller whose heartbeats arrive counts as reachable, whether it receives anything or not.
+    /// A controller whose heartbeats arrive counts as reachable, even if it receives nothing.
     CountUnreachedPeers,
-    /// The feed claims that this controller is current whether it has contact or not.
+    /// The feed reports this controller as current even without quorum contact.
     AlwaysCurrent,
     /// The configuration is not read again while a member of its group does not answer.
     SkipReread,
-    /// A replica whose disk stalls counts as able to vote.
+    /// A replica whose disk has stalled counts as able to vote.
     CountStalledDisk,
 }
 
 impl ControllerFault {
-    /// Every fault, those of the parts included.
+    /// The faults that the examples search for, including those of the registers and of quorum contact.
     #[must_use]
     pub fn all() -> Vec<ControllerFault> {
         use ControllerFault as Own;
@@ -106,7 +108,7 @@
         own.into_iter().chain(parts).collect()
     }
 
-    /// The fault of the registers.
+    /// The fault of the registers, if this is one.
     pub(crate) fn register(self) -> Option<register::Fault> {
         match self {
             ControllerFault::Register(fault) => Some(fault),
@@ -114,7 +116,7 @@
         }
     }
 
-    /// The fault in what counts as contact.
+    /// The fault in the detection of quorum contact, if this is one.
     pub(crate) fn quorum_contact(self) -> Option<ContactFault> {
         match self {
             ControllerFault::QuorumContact(fault) => Some(fault),
@@ -122,7 +124,7 @@
         }
     }
 
-    /// The fault in the replacement of members.
+    /// The fault in the replacement of members, if this is one.
     pub(crate) fn replacement(self) -> Option<ReplacementFault> {
         match self {
             ControllerFault::Replacement(fault) => Some(fault),
@@ -130,7 +132,7 @@
         }
     }
 
-    /// The fault in what makes an acknowledgement safe.
+    /// The fault in the conditions for an acknowledgement, if this is one.
     pub(crate) fn acknowledgement(self) -> Option<AcknowledgementFault> {
         match self {
             ControllerFault::Acknowledgement(fault) => Some(fault),
--- a/crates/controller/src/controller/inspect.rs
+++ b/crates/controller/src/controller/inspect.rs
@@ -1,4 +1,4 @@
-//! What a simulation inspects of a controller.
+//! Accessors through which a simulation inspects a controller.
 
 use crate::controller::Controller;
 use crate::controller::consensus::shards;
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 impl Controller {
-    /// Revision and group of each shard, as far as this controller has learned them.
+    /// Newest committed revision and replica group of each shard that this controller knows.
     pub(crate) fn learned_groups(&self) -> Vec<(u64, Vec<SocketAddr>)> {
         let known = |shard| {
             let committed = self.shards.get(shard).committed();
@@ -16,24 +16,24 @@
         shards::all().map(known).collect()
     }
 
-    /// The least number of failures that any shard tolerates; `None` if one has no majority, or while this
-    /// controller is no member of all groups.
+    /// The smallest number of failures that any shard tolerates; `None` if a shard has no majority or its group is not
+    /// known here.
     pub(crate) fn least_fault_tolerance(&self) -> Option<usize> {
         let margins: Option<Vec<usize>> = shards::all().map(|shard| self.fault_tolerance(shard)).collect();
         margins?.into_iter().min()
     }
 
-    /// Orders that the placers here withheld because they would have broken a limit.
+    /// Number of orders that the placers of this controller withheld because they would have violated a limit.
     pub(crate) fn violations(&self) -> InvariantViolations {
         self.placers.violations()
     }
 
-    /// Body of the answer to a status call, and the text of the metrics.
+    /// The body of the status document, and the metrics in text format.
     pub(crate) fn exported(&self) -> (Bytes, String) {
         (self.status().body, self.metrics().render().expect("strings take any text"))
     }
 
-    /// Shards for which this controller acts.
+    /// Number of shards whose lease this controller holds.
     pub(crate) fn acting_shards(&self) -> usize {
         shards::all().filter(|shard| self.placers.acts_for(*shard)).count()
     }
--- a/crates/controller/src/controller/metrics.rs
+++ b/crates/controller/src/controller/metrics.rs
@@ -1,4 +1,4 @@
-//! The figures of a controller, read from its state when they are asked for.
+//! The metrics of a controller, collected from its state at each scrape.
 
 use crate::controller::Controller;
 use crate::controller::consensus::disk::DiskCounts;
@@ -16,110 +16,116 @@
 );
 const SHARD_REVISION: Metric = Metric::gauge(
     "lanegate_controller_shard_revision",
-    "Newest decided revision of the shard that is known here, 0 for none",
+    "Newest committed revision of the shard that this controller knows, 0 for none",
+);
+const SHARD_MEMBERS: Metric = Metric::gauge(
+    "lanegate_controller_shard_members",
+    "Members of the shard's newest replica group that this controller knows",
 );
-const SHARD_MEMBERS: Metric =
-    Metric::gauge("lanegate_controller_shard_members", "Members of the shard's newest group known here");
 const SHARD_FAULT_TOLERANCE: Metric = Metric::gauge(
     "lanegate_controller_shard_margin",
-    "Further losses that the shard can bear; without a sample while it has no majority",
+    "Further failures that the shard's replica groups tolerate; no sample while one has no majority",
 );
 const SHARD_OWNER: Metric = Metric::gauge(
     "lanegate_controller_shard_owner",
-    "1 if this controller is the one that acts for the shard first, as far as it knows",
+    "1 if this controller considers itself the owner of the shard",
 );
 const SHARD_CONTACT: Metric = Metric::gauge(
     "lanegate_controller_shard_contact",
-    "1 while a majority of the shard's group has answered this controller a moment ago",
+    "1 while this controller has recent answers to its heartbeats from a majority of the shard's replica group",
 );
 const SHARD_LEASE: Metric = Metric::gauge(
     "lanegate_controller_shard_lease",
-    "1 while this controller holds the lease of the shard and may act now",
+    "1 while this controller holds a valid lease of the shard",
 );
 const SHARD_EPOCH: Metric = Metric::gauge(
     "lanegate_controller_shard_epoch",
-    "Epoch under which this controller acts for the shard, 0 for none",
+    "Epoch of this controller's current lease tenure for the shard, 0 for none",
 );
 const TENURES: Metric =
-    Metric::counter("lanegate_controller_tenures_total", "Tenures of leases that this controller has begun");
+    Metric::counter("lanegate_controller_tenures_total", "Lease tenures that this controller has begun");
 const QUORUM: Metric = Metric::gauge(
     "lanegate_controller_quorum",
-    "1 while a majority of the configuration's group has answered this controller a moment ago",
+    "1 while this controller has recent answers to its heartbeats from a majority of the configuration's group",
 );
 const CURRENT: Metric = Metric::gauge(
     "lanegate_controller_current",
-    "1 while this controller vouches for the configuration that it knows",
+    "1 while the configuration that this controller knows is confirmed to be current",
 );
 const COMPLETE: Metric = Metric::gauge(
     "lanegate_controller_complete",
-    "1 once everyone that registers with the system has been heard",
-);
-const DRAINING: Metric = Metric::gauge("lanegate_controller_leaving", "1 once the process was asked to end");
-const LIVE_CONTROLLERS: Metric =
-    Metric::gauge("lanegate_controller_live_controllers", "Controllers that are heard, this one included");
-const LINKED_PEERS: Metric =
-    Metric::gauge("lanegate_controller_linked_peers", "Other controllers to which a link is up");
-const ROUTERS: Metric = Metric::gauge("lanegate_controller_routers", "Routers that are live");
+    "1 once the registry of endpoints is complete after the start",
+);
+const DRAINING: Metric =
+    Metric::gauge("lanegate_controller_leaving", "1 once the process has been asked to shut down");
+const LIVE_CONTROLLERS: Metric = Metric::gauge(
+    "lanegate_controller_live_controllers",
+    "Controllers that the failure detector considers live, this one included",
+);
+const LINKED_PEERS: Metric = Metric::gauge(
+    "lanegate_controller_linked_peers",
+    "Other controllers to which this one has a working link",
+);
+const ROUTERS: Metric =
+    Metric::gauge("lanegate_controller_routers", "Routers that have reported their demand recently");
 const SUBSCRIBERS: Metric =
-    Metric::gauge("lanegate_controller_readers", "Agents that follow this controller's feed");
+    Metric::gauge("lanegate_controller_readers", "Agents that are subscribed to this controller's feed");
 const REGISTRATIONS: Metric =
     Metric::gauge("lanegate_controller_registrations", "Live registrations of endpoints, by their state");
 const ACKNOWLEDGEMENTS_WAITING: Metric = Metric::gauge(
     "lanegate_controller_acknowledgements_waiting",
-    "Ends and drains of endpoints that wait until a majority knows of them",
+    "Deregistrations and drains of endpoints that wait for confirmation by a majority",
 );
 const EXPIRIES: Metric = Metric::counter(
     "lanegate_controller_expiries_total",
-    "Endpoints that this controller removed as they were silent for too long",
+    "Endpoints that this controller removed because their heartbeats timed out",
 );
 const ORDERS: Metric = Metric::counter(
     "lanegate_controller_orders_total",
-    "Orders to endpoints that have ended, by operation and outcome",
+    "Completed orders to endpoints, by operation and outcome",
 );
 const ORDERS_IN_FLIGHT: Metric =
-    Metric::gauge("lanegate_controller_orders_under_way", "Orders that were given and have no answer yet");
+    Metric::gauge("lanegate_controller_orders_under_way", "Orders that were sent and have no answer yet");
 const CHANGES: Metric = Metric::counter(
     "lanegate_controller_changes_total",
-    "Changes of the configuration that an operator sent here, by their outcome",
+    "Configuration changes that operators sent to this controller, by outcome",
 );
 const CHANGES_IN_FLIGHT: Metric =
-    Metric::gauge("lanegate_controller_changes_under_way", "Changes that have no outcome yet");
+    Metric::gauge("lanegate_controller_changes_under_way", "Configuration changes that have no outcome yet");
 const CONFIGURATION_REVISION: Metric = Metric::gauge(
     "lanegate_controller_configuration_revision",
-    "Revision of the newest configuration that is known here, 0 for none",
+    "Register revision of the newest configuration that this controller knows, 0 for none",
 );
 const CONFIGURATION_VERSION: Metric = Metric::gauge(
     "lanegate_controller_configuration_version",
-    "Version of the newest configuration that is known here, 0 for none",
-);
-const STALLS: Metric = Metric::counter(
-    "lanegate_controller_pauses_total",
-    "Times that the process noticed that it had stood still",
+    "Version of the newest configuration that this controller knows, 0 for none",
 );
+const STALLS: Metric =
+    Metric::counter("lanegate_controller_pauses_total", "Stalls of this process that it detected");
 const UNAVAILABLE: Metric = Metric::counter(
     "lanegate_controller_unavailable_total",
     "Calls on the control interface that were answered 503, by reason",
 );
 const DISK_WRITES: Metric = Metric::counter(
     "lanegate_controller_disk_writes_total",
-    "Records that were written and synced, or could not be, by result",
+    "Attempts to write and sync a record, by result",
 );
 const DISK_WRITE_TIME: Metric = Metric::counter(
     "lanegate_controller_disk_write_seconds_total",
-    "Time that writing and syncing records took in all",
+    "Total time spent writing and syncing records",
 );
 const DISK_WRITE_LONGEST: Metric = Metric::gauge(
     "lanegate_controller_disk_write_longest_seconds",
-    "Longest time that one write took since the start",
+    "Longest time that a single write has taken since the start",
 );
 const DISK_WRITES_WAITING: Metric =
-    Metric::gauge("lanegate_controller_disk_writes_waiting", "Records that are not on disk yet");
+    Metric::gauge("lanegate_controller_disk_writes_waiting", "Records that are queued or being written");
 
-/// Roles of a replica, as labels.
+/// Values of the role label of a replica.
 const ROLES: [&str; 3] = ["member", "spare", "recovering"];
 
 impl Controller {
-    /// The figures now.
+    /// Collects the current metrics.
     pub(crate) fn metrics(&self) -> Exposition {
         let mut exposition = Exposition::default();
         for shard in shards::all() {
@@ -198,7 +204,7 @@
     }
 }
 
-/// Adds the counts of the control interface and of the disk, which the controller itself does not know.
+/// Adds the metrics of the control interface and of the disk thread, which are kept outside the controller's state.
 pub(super) fn add_process_metrics(
     exposition: &mut Exposition,
     unavailable: &UnavailableCounts,
--- a/crates/controller/src/controller/mod.rs
+++ b/crates/controller/src/controller/mod.rs
@@ -63,11 +63,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One controller. All of its state belongs to one task; nothing in it waits, and its clock, links and disk
-/// are those of its [`Environment`].
+/// One controller. All of its state is owned by a single task. No method blocks; the clock, links and disk are
+/// accessed through its [`Environment`].
 pub(crate) struct Controller {
     settings: Settings,
-    /// Control address, which names this controller to its peers.
+    /// Control address, by which peers identify this controller.
     own_address: SocketAddr,
     /// Drawn at random at each start of the process.
     incarnation: u64,
@@ -91,15 +91,15 @@
     placers: Placers,
     pending_loads: PendingLoads,
     recent_demand: RecentDemand,
-    /// The newest configuration, read.
+    /// The newest committed configuration, parsed.
     configuration: Option<Arc<Configuration>>,
     /// Whether this is the first start of the whole system.
     first_start: bool,
-    /// A deliberate fault, in a simulation only.
+    /// A deliberate fault, set in simulations only.
     fault: Option<ControllerFault>,
-    /// The newest committed configuration, as subscribers get it.
+    /// The newest committed configuration, as it is sent to subscribers.
     committed_configuration: Option<CommittedConfiguration>,
-    /// Requests to registers in flight, by their number.
+    /// Register requests in flight, by request number.
     in_flight: BTreeMap<u64, InFlightRequest>,
     next_request: u64,
     /// Whether the registry is complete: every live endpoint has sent a heartbeat here or to a peer.
@@ -110,26 +110,26 @@
     last_tick: Duration,
     counters: Counters,
     violations: Violations,
-    /// Newest revision learned of each shard.
+    /// Newest committed revision that is known for each shard.
     newest_revisions: BTreeMap<u8, u64>,
-    /// Epoch of the newest tenure of each shard here.
+    /// Epoch of this controller's newest lease tenure for each shard.
     newest_epochs: BTreeMap<u32, u64>,
 }
 
-/// What a request to a register was for.
+/// The purpose of a register request.
 #[derive(Debug)]
 enum InFlightRequest {
-    /// The operator reads the configuration.
+    /// A read of the configuration by an operator.
     Read(tokio::sync::oneshot::Sender<event::Answer>),
     /// A read barrier: confirms that the known configuration is current.
     Barrier,
-    /// A further read of the configuration, while a member of its group does not answer.
+    /// A repeated read of the configuration while a member of its replica group does not answer.
     Reread,
-    /// A change of the group of a shard.
+    /// A membership change of the replica group of a shard.
     MemberChange(u8),
-    /// A change of the operator, by its number there.
+    /// A configuration change by an operator, with its number in [`PendingChanges`].
     Change(u64),
-    /// An epoch for a lease.
+    /// Allocation of an epoch for a lease tenure.
     Epoch(u32, lanegate_coordination::lease::Tenure),
 }
 
@@ -148,20 +148,21 @@
         self.next_request
     }
 
-    /// Members of the group of a shard, as far as this controller knows them.
+    /// Members of the newest committed replica group of a shard that this controller knows.
     fn group(&self, shard: u8) -> Vec<SocketAddr> {
         let committed = self.shards.get(shard).committed();
         let members = committed.map(|value| value.newest_group().to_vec()).unwrap_or_default();
         members.into_iter().map(|node| SocketAddr::V4(node.into())).collect()
     }
 
-    /// The groups of a shard in force, as far as this controller knows them, committed or only accepted.
+    /// The replica groups in force for a shard, from the newest value that this controller knows, committed or only
+    /// accepted.
     fn known_groups(&self, shard: u8) -> KnownGroups {
         KnownGroups::of(self.shards.get(shard).newest_known())
     }
 
-    /// The controller that acts for a key first: the first live member of the group in the key's order. One that
-    /// is draining acts only if all others are unreachable.
+    /// The controller that owns a key: the first reachable group member in the rendezvous order of the key. A draining
+    /// member owns it only if every other member is unreachable.
     fn owner(&self, shard: u8, key: &[u8]) -> SocketAddr {
         let group = self.group(shard);
         let order = lanegate_coordination::membership::rendezvous_order(key, &group);
@@ -172,15 +173,15 @@
         staying.or(live.first()).copied().unwrap_or(self.own_address)
     }
 
-    /// Whether messages pass in both directions. A controller whose heartbeats arrive, but which receives nothing itself,
-    /// would block the shards that it owns.
+    /// Whether messages to and from `controller` both arrive. A controller whose heartbeats arrive here but which
+    /// receives nothing must not own shards: it could not act for them.
     fn is_reached(&self, now: Duration, controller: SocketAddr) -> bool {
         let answers = self.quorum_contact.is_answered_by(now, controller);
         self.membership.is_live(controller)
             && (answers || self.has_fault(ControllerFault::CountUnreachedPeers))
     }
 
-    /// Whether this controller acts for a shard, whose group it has to know for that.
+    /// Whether this controller owns a shard. False while it does not know the replica group of the shard.
     fn owns(&self, shard: u8) -> bool {
         !self.group(shard).is_empty() && self.owner(shard, &[shard]) == self.own_address
     }
--- a/crates/controller/src/controller/process.rs
+++ b/crates/controller/src/controller/process.rs
@@ -1,4 +1,4 @@
-//! The environment of a controller that runs as a process of its own: sockets, a disk, the machine's clock.
+//! The environment of a controller in a real process: sockets, a disk, and the system's monotonic clock.
 
 use crate::controller::consensus::disk::Disk;
 use crate::controller::environment::Environment;
@@ -14,18 +14,18 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// A process. Must be used inside a `LocalSet`.
+/// The environment of a real process. Must be used inside a `LocalSet`.
 #[derive(Debug)]
 pub(super) struct Process {
     /// When the process started.
     pub started: Instant,
-    /// Port at which controllers take links.
+    /// Port on which controllers accept links.
     pub link_port: u16,
-    /// What links begin with.
+    /// First message on every link that is opened.
     pub hello: Hello,
     pub disk: Disk,
     pub events: mpsc::UnboundedSender<Event>,
-    /// Links that are dialled or up.
+    /// Tasks that maintain the links to other controllers, by control address.
     pub links: BTreeMap<SocketAddr, AbortHandle>,
 }
 
--- a/crates/controller/src/controller/run.rs
+++ b/crates/controller/src/controller/run.rs
@@ -1,4 +1,4 @@
-//! A controller as a process: listeners, signals, and the loop that feeds it events.
+//! Runs a controller as a process: listeners, signal handlers, and the loop that passes events to it.
 
 use crate::controller::consensus::disk::{Disk, DiskCounts};
 use crate::controller::consensus::records::open_stores;
@@ -24,7 +24,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
 
-/// Time at the end of the process for the last answers to get from their tasks to the sockets.
+/// Delay before the process exits, so that connection tasks can write the last answers to their sockets.
 const FINAL_WRITE_DELAY: Duration = Duration::from_millis(10);
 
 /// Runs a controller until SIGTERM; it exports its metrics at `metrics_at`. Must run inside a `LocalSet`.
@@ -95,7 +95,7 @@
     Controller::new(start, Box::new(environment))
 }
 
-/// What the links that a controller opens begin with.
+/// The first message on every link that this controller opens.
 fn hello(settings: &Settings, control: SocketAddr, incarnation: u64) -> Hello {
     Hello {
         role: Role::Controller,
--- a/crates/controller/src/controller/setup.rs
+++ b/crates/controller/src/controller/setup.rs
@@ -1,4 +1,4 @@
-//! The state with which a controller starts.
+//! Construction of a controller: its initial state and the settings of its parts.
 
 use crate::controller::Controller;
 use crate::controller::consensus::fault_tolerance::ToleranceMonitor;
@@ -33,10 +33,12 @@
 
 /// Time between heartbeats of controllers.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a round of grants lets the holder of a lease act.
+/// How long the holder of a lease may act after a successful round of grants.
 const LEASE_VALIDITY: Duration = Duration::from_millis(600);
-/// Every controller monitors every other: there are a few of them.
+/// Number of peers that each controller monitors. Above the usual number of controllers, so that every controller
+/// monitors every other.
 const MONITORS: usize = 16;
+
 /// What a controller starts with.
 pub(crate) struct Start {
     pub settings: Settings,
@@ -44,9 +46,9 @@
     pub control: SocketAddr,
     /// Drawn at random at each start of the process.
     pub incarnation: u64,
-    /// Records found on disk.
+    /// Register records that were read from disk.
     pub records: Records,
-    /// A deliberate fault, in a simulation only.
+    /// A deliberate fault, set in simulations only.
     pub fault: Option<ControllerFault>,
 }
 
@@ -117,7 +119,7 @@
     }
 }
 
-/// A short validity, as a failover waits for it on top of the quiet period.
+/// Lease settings with a short validity, because a failover waits for it in addition to the quiet period.
 fn lease_settings(quiet_period: Duration) -> LeaseSettings {
     LeaseSettings {
         validity: LEASE_VALIDITY,
