--- a/crates/controller/src/controller/endpoints/acknowledgements.rs
+++ b/crates/controller/src/controller/endpoints/acknowledgements.rs
@@ -1,4 +1,5 @@
-//! Acknowledgements of drains and deregistrations, which wait until a majority of the controllers has them.
+//! Acknowledgements of drains and deregistrations, which are sent once a majority of the controllers has received the
+//! notice.
 
 use crate::controller::consensus::replica_groups::KnownGroups;
 use crate::controller::event::Answer;
@@ -8,38 +9,40 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Longest wait for the other replicas before a draining endpoint is sent elsewhere; it waits a second.
+/// Longest wait for confirmation by a majority. After it the call is answered with 503, before the endpoint's own
+/// time-out of one second, so that the endpoint calls another controller.
 const REPLICATION_TIMEOUT: Duration = Duration::from_millis(850);
 
-/// Deliberate faults: each must be found by a test.
+/// Deliberate faults. Tests show that each is detected.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcknowledgementFault {
-    /// Confirmations of controllers that are no members count as those of members.
+    /// Confirmations of controllers that are not members count like those of members.
     CountNonMembers,
-    /// What a peer confirmed counts after its restart.
+    /// A peer's confirmation still counts after the peer has restarted.
     CountRestartedPeers,
-    /// Flushes have the same numbers in every incarnation of the process.
+    /// Flushes are numbered from 1 in every incarnation of the process.
     RepeatTokens,
-    /// Groups that only a peer knows do not count.
+    /// Groups that only a peer knows are ignored.
     OwnGroupsOnly,
 }
 
-/// An acknowledgement that waits until a majority of every group in force has what it promises.
+/// An acknowledgement that waits until a majority of each group in force has received the notice.
 #[derive(Debug)]
 struct PendingAcknowledgement {
     reply: oneshot::Sender<Answer>,
     id: String,
-    /// Controllers that have it, each with the groups that it knew when it confirmed.
+    /// Controllers that confirmed, each with the groups that it knew at that time.
     confirmed_by: BTreeMap<SocketAddr, KnownGroups>,
     until: Duration,
 }
 
 impl PendingAcknowledgement {
-    /// Whether the controller `own_address`, which knows the groups `known`, may acknowledge it.
+    /// Whether the controller `own_address`, which knows the groups `known`, may send the acknowledgement.
     ///
-    /// A controller that confirmed may know of a change of members that `own_address` does not know of. Whoever has
-    /// the newer group's majority must have the notice too, so that group counts beside those known here.
+    /// A peer that confirmed may know of a newer membership change than `own_address` does. A majority of the newer
+    /// group may then act without the known members, so it must have the notice too: newer groups that peers reported
+    /// need a majority in addition to the known ones.
     fn is_confirmed(
         &self,
         own_address: SocketAddr,
@@ -61,12 +64,12 @@
     }
 }
 
-/// The acknowledgements of one controller that wait for a majority, and those that got it.
+/// The acknowledgements of one controller that wait for a majority, and the drains that a majority has confirmed.
 #[derive(Debug)]
 pub(crate) struct Acknowledgements {
-    /// This controller, which counts among those that know of a notice.
+    /// This controller, which counts as one that has received the notice.
     own_address: SocketAddr,
-    /// Draining incarnations that a majority has.
+    /// Draining incarnations whose drain a majority has confirmed.
     confirmed: BTreeSet<String>,
     pending: BTreeMap<u64, PendingAcknowledgement>,
     next_token: u64,
@@ -74,8 +77,9 @@
 }
 
 impl Acknowledgements {
-    /// No acknowledgement is pending at the controller `own_address`. Flushes are numbered from `incarnation`, drawn anew at
-    /// each start: an answer to an earlier incarnation confirms nothing.
+    /// Starts without pending acknowledgements, for the controller `own_address`. Flushes are numbered from
+    /// `incarnation`, which is drawn at random at each start, so that an answer to a flush of an earlier incarnation
+    /// confirms nothing.
     pub(crate) fn new(own_address: SocketAddr, incarnation: u64) -> Self {
         Acknowledgements {
             own_address,
@@ -93,22 +97,22 @@
         Acknowledgements { next_token, fault, ..self }
     }
 
-    /// Whether a majority has the drain of this incarnation.
+    /// Whether a majority has confirmed the drain of this incarnation.
     pub(crate) fn is_confirmed(&self, id: &str) -> bool {
         self.confirmed.contains(id)
     }
 
-    /// This incarnation is not draining any more.
+    /// This incarnation is no longer draining: its confirmation is dropped.
     pub(crate) fn forget(&mut self, id: &str) {
         self.confirmed.remove(id);
     }
 
-    /// Drops confirmed incarnations that are not live any more.
+    /// Drops confirmations of incarnations that are no longer live.
     pub(crate) fn retain_confirmed(&mut self, is_live: impl Fn(&str) -> bool) {
         self.confirmed.retain(|id| is_live(id));
     }
 
-    /// A peer that knows of the groups `known_to_peer` has everything up to the flush `token`.
+    /// A peer, which knows the groups `known_to_peer`, confirms that it received everything before the flush `token`.
     pub(crate) fn flushed(
         &mut self,
         token: u64,
@@ -121,7 +125,7 @@
         self.acknowledge_confirmed(known);
     }
 
-    /// A peer runs as another process than before: what the earlier one confirmed is lost with its memory.
+    /// A peer has restarted: confirmations by its earlier process are dropped, as the notices were only in its memory.
     pub(crate) fn peer_restarted(&mut self, peer: SocketAddr) {
         if self.fault == Some(AcknowledgementFault::CountRestartedPeers) {
             return;
@@ -131,7 +135,7 @@
         }
     }
 
-    /// Acknowledges what is confirmed, now that confirmations or the groups `known` have changed.
+    /// Sends the acknowledgements that are confirmed. To be called when confirmations or the groups `known` have changed.
     pub(crate) fn acknowledge_confirmed(&mut self, known: &KnownGroups) {
         let (own_address, fault) = (self.own_address, self.fault);
         let is_confirmed = |pending: &PendingAcknowledgement| pending.is_confirmed(own_address, known, fault);
@@ -144,14 +148,14 @@
         }
     }
 
-    /// A number for a flush that no acknowledgement waits for.
+    /// Allocates a flush number; also used for flushes that no acknowledgement waits for.
     pub(crate) fn next_token(&mut self) -> u64 {
         let token = self.next_token;
         self.next_token = token.wrapping_add(1);
         token
     }
 
-    /// Answers 503 to acknowledgements that no majority confirmed in time.
+    /// Answers calls with 503 that no majority has confirmed in time.
     pub(crate) fn expire_pending(&mut self, now: Duration) {
         let late: Vec<u64> = self
             .pending
@@ -165,7 +169,7 @@
         }
     }
 
-    /// Acknowledgements that wait for the other replicas.
+    /// Number of acknowledgements that wait for a majority.
     pub(crate) fn pending(&self) -> usize {
         self.pending.len()
     }
@@ -175,7 +179,8 @@
         self.pending.values().map(|pending| pending.until).min()
     }
 
-    /// Lets an acknowledgement wait for the other replicas. Returns the token of the flush, if any is needed.
+    /// Adds an acknowledgement, which waits for a majority. Returns the token of the flush to send, or `None` if no
+    /// further confirmation is needed.
     pub(crate) fn wait(
         &mut self,
         now: Duration,
@@ -193,12 +198,12 @@
     }
 }
 
-/// The answer to what is replicated.
+/// The answer to a call whose notice is replicated.
 pub(crate) fn acknowledged() -> Answer {
     Answer::new(200, "{}")
 }
 
-/// The answer to what too few controllers have.
+/// The answer to a call whose notice has reached too few controllers.
 pub(crate) fn not_replicated() -> Answer {
     Answer::unavailable(Unavailable::HeartbeatNotReplicated)
 }
--- a/crates/controller/src/controller/endpoints/expiry.rs
+++ b/crates/controller/src/controller/endpoints/expiry.rs
@@ -1,5 +1,5 @@
-//! Periodic tasks: expiry of endpoints, routers and peers, reconciliation of members, further reads of the configuration, and
-//! the completeness of the registry after a start.
+//! Periodic tasks: expiry of endpoints, routers and peers, reconciliation of members, repeated reads of the
+//! configuration, and detection that the registry is complete after a start.
 
 use crate::controller::consensus::shards::{self, shard_of};
 use crate::controller::{Controller, ControllerFault};
@@ -8,7 +8,8 @@
 
 /// Time between runs of the periodic tasks.
 pub(crate) const PERIODIC_TASKS_PERIOD: Duration = Duration::from_millis(400);
-/// Heartbeat periods after which a controller that started alone has received a heartbeat of every endpoint.
+/// Number of heartbeat periods after which a controller that started without peers has received a heartbeat from every
+/// endpoint.
 const HEARTBEATS_TO_COMPLETE: f64 = 2.2;
 
 impl Controller {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The registry is complete: subscribers may drop what they were not sent.
+    /// Marks the registry as complete: subscribers may drop endpoints that this feed has not sent.
     pub(crate) fn mark_complete(&mut self) {
         if !self.complete {
             self.complete = true;
--- a/crates/controller/src/controller/endpoints/mod.rs
+++ b/crates/controller/src/controller/endpoints/mod.rs
@@ -1,4 +1,5 @@
-//! Registrations of endpoints: merged, acknowledged, expired; and loads that are accepted and not yet visible.
+//! Registrations of endpoints (merging, acknowledgement, expiry, relay), and model loads that endpoints have accepted
+//! but not reported yet.
 
 pub(super) mod acknowledgements;
 pub(super) mod expiry;
--- a/crates/controller/src/controller/endpoints/pending_loads.rs
+++ b/crates/controller/src/controller/endpoints/pending_loads.rs
@@ -1,5 +1,5 @@
-//! Accepted loads whose model is not resident yet. Routers are notified of a loaded model or adapter as soon as it can
-//! be used, not with the endpoint's next heartbeat, which may be a second away.
+//! Accepted loads of models that are not resident yet. Routers are notified of a loaded model or adapter as soon as it
+//! can be used, instead of with the endpoint's next heartbeat, which may be up to a second later.
 
 use crate::controller::consensus::shards::shard_of;
 use crate::message::ResidencyUpdate;
@@ -9,16 +9,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after which an accepted adapter can be used; adapters arrive in some ms.
+/// Time after which an accepted adapter can be used; loading an adapter takes some milliseconds.
 const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(25);
-/// By how much an endpoint's report on itself lags, beyond a load's usual time.
+/// Delay after a load's usual time until the endpoint's report includes the model.
 const REPORT_LAG: Duration = Duration::from_millis(230);
-/// Delay before an endpoint that still loads is asked again.
+/// Delay before the report of an endpoint that is still loading is requested again.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Report requests for one load, the last of which gets [`RETRY_DELAY`] for its answer; after that the heartbeat reports it.
+/// Maximum number of report requests for one load. [`RETRY_DELAY`] after the last one the load is dropped, and the
+/// endpoint's heartbeats report the model.
 const MAX_REPORT_REQUESTS: u32 = 4;
 
-/// A load that an endpoint has accepted and has not reported as resident yet.
+/// A load that an endpoint has accepted but not reported as resident yet.
 #[derive(Debug)]
 struct PendingLoad {
     service: String,
@@ -30,12 +31,12 @@
     requests: u32,
 }
 
-/// What is due.
+/// An action that is due.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum PendingLoadStep {
-    /// Publish to peers and subscribers.
+    /// Publish the update to peers and subscribers.
     Publish(ResidencyUpdate),
-    /// Ask the endpoint for its report.
+    /// Request the report of the endpoint.
     RequestReport { service: String, instance: Arc<str>, address: SocketAddr },
 }
 
@@ -46,7 +47,7 @@
 }
 
 impl PendingLoads {
-    /// An order was accepted; `load_time` is the usual time of a load of the model from the store.
+    /// Tracks an accepted load order; `load_time` is the usual time to load the model from the store.
     pub(crate) fn accepted(&mut self, now: Duration, service: &str, order: &Order, load_time: Duration) {
         if order.operation != Operation::Load {
             return;
@@ -63,7 +64,7 @@
         });
     }
 
-    /// What is due now.
+    /// Returns the actions that are due.
     pub(crate) fn due(&mut self, now: Duration) -> Vec<PendingLoadStep> {
         self.pending.retain(|pending| pending.requests < MAX_REPORT_REQUESTS || pending.at > now);
         let mut steps = Vec::new();
@@ -80,7 +81,7 @@
         steps
     }
 
-    /// An endpoint reported its resident models. Returns the pending ones among them.
+    /// An endpoint reported its resident models. Completes the pending loads among them and returns their updates.
     pub(crate) fn reported(&mut self, instance: &str, models: &[ResidentModel]) -> Vec<ResidencyUpdate> {
         let is_resident = |pending: &PendingLoad| {
             *pending.instance == *instance
@@ -97,7 +98,7 @@
         updates
     }
 
-    /// The lease of a shard has ended: the loads of its services are another controller's now.
+    /// The lease of a shard has ended: drops the loads of its services, which the next lease holder tracks.
     pub(crate) fn tenure_ended(&mut self, shard: u8) {
         self.pending.retain(|pending| shard_of(&pending.service) != shard);
     }
@@ -119,8 +120,7 @@
     }
 }
 
-/// What is known of a model or adapter at an endpoint, as a message; its sequence and order come with its
-/// publication.
+/// A residency update for a model or adapter at an endpoint. Its sequence and order are set when it is published.
 pub(crate) fn residency_update(
     instance: &str,
     model: &str,
--- a/crates/controller/src/controller/endpoints/pending_loads_test.rs
+++ b/crates/controller/src/controller/endpoints/pending_loads_test.rs
@@ -1,4 +1,4 @@
-//! Loads that were accepted show to routers as soon as they can be used, and not before.
+//! Accepted loads are published to routers as soon as the model can be used, and not before.
 
 use crate::controller::consensus::shards::shard_of;
 use crate::controller::endpoints::pending_loads::{PendingLoadStep, PendingLoads, residency_update};
@@ -77,7 +77,11 @@
         steps.extend(pending_loads.due(at));
     }
     assert_eq!(steps, vec![request_report(), request_report(), request_report(), request_report()]);
-    assert_eq!(pending_loads.reported("i-1", &[resident("m")]), vec![], "a heartbeat tells the rest");
+    assert_eq!(
+        pending_loads.reported("i-1", &[resident("m")]),
+        vec![],
+        "from then on the heartbeats report the model"
+    );
 }
 
 #[test]
--- a/crates/controller/src/controller/endpoints/registry.rs
+++ b/crates/controller/src/controller/endpoints/registry.rs
@@ -1,4 +1,4 @@
-//! Registrations of endpoints at a controller: merged, replicated to the peers, acknowledged.
+//! The registry of endpoints at a controller: merges registrations, replicates them to the peers, and acknowledges them.
 
 use crate::controller::consensus::replica_groups::KnownGroups;
 use crate::controller::endpoints::acknowledgements::{
@@ -18,39 +18,39 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long the end of an incarnation is remembered.
+/// How long the tombstone of a removed incarnation is retained.
 const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
-/// Heartbeats that an endpoint may miss before it counts as lost. Routers see a dead endpoint long before;
-/// this only keeps the list from growing.
+/// Number of heartbeats that an endpoint may miss before it expires. Routers detect a dead endpoint long before; the
+/// expiry only keeps the registry from growing.
 const MISSED_HEARTBEATS: f64 = 3.5;
 
-/// What a call changed: messages for the other controllers, and which of them subscribers get too.
+/// The changes of a call: messages for the other controllers and for subscribers.
 #[derive(Debug, Default)]
 pub(crate) struct Changes {
     pub messages: Vec<Message>,
-    /// Asks the other controllers to confirm what was sent before.
+    /// Token of a flush by which the other controllers are asked to confirm the messages.
     pub flush: Option<u64>,
 }
 
-/// The result of merging a registration of another controller.
+/// The result of merging a registration that another controller sent.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct RegistrationMerge {
     /// Updates for subscribers.
     pub updates: Vec<Message>,
-    /// Whether it has to be relayed to the other controllers: a draining endpoint may have been acknowledged, so every
-    /// controller that this one reaches must learn of it, also if it does not reach the first.
+    /// Whether the updates have to be relayed to the other controllers. The drain may have been acknowledged already, so
+    /// it must reach every controller that this one reaches, including those partitioned from the original receiver.
     pub relay: bool,
 }
 
-/// The result of merging a removal of another controller.
+/// The result of merging a removal that another controller sent.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum RemovalMerge {
-    /// The incarnation is removed here too; subscribers must be notified.
+    /// The incarnation has been removed here too; subscribers must be notified.
     Removed,
     /// Nothing changed.
     Known,
-    /// A later heartbeat was received: the other controllers and all subscribers need this registration, as
-    /// whoever merged the removal gets no update from an unchanged heartbeat.
+    /// A later heartbeat is known here, so the removal is void. The other controllers and all subscribers need this
+    /// registration: those that merged the removal would not be updated by heartbeats that change nothing.
     Contradicted(Message),
 }
 
@@ -59,15 +59,15 @@
 pub(crate) struct EndpointRegistry {
     registry: Registry<Registered>,
     timeout: Duration,
-    /// Heartbeats since the last report to the other controllers.
+    /// Sequences of unchanged heartbeats that were received here since the last batch to the other controllers.
     heartbeats: BTreeMap<String, u64>,
     /// Acknowledgements of drains and deregistrations.
     pub(crate) acknowledgements: Acknowledgements,
 }
 
 impl EndpointRegistry {
-    /// An empty registry for endpoints that send a heartbeat every `heartbeat`, at the controller `own_address`. Flushes
-    /// are numbered from `incarnation`, drawn anew at each start: an answer to an earlier incarnation confirms nothing.
+    /// An empty registry of the controller `own_address`, for endpoints that send a heartbeat every `heartbeat`. Flushes
+    /// are numbered from `incarnation`, as described at [`Acknowledgements::new`].
     pub(crate) fn new(heartbeat: Duration, own_address: SocketAddr, incarnation: u64) -> Self {
         EndpointRegistry {
             registry: Registry::default(),
@@ -82,9 +82,10 @@
         EndpointRegistry { acknowledgements: self.acknowledgements.with_fault(fault), ..self }
     }
 
-    /// A heartbeat of `id`. A majority of the groups `known`, and of any newer ones, has to know of one that is
-    /// draining. One that is not draining is merged in any case, but acknowledged only `in_contact` with a majority:
-    /// the controller that expires it may not get the heartbeat from here, so it has to call another controller as well.
+    /// Handles a heartbeat of `id`. If the endpoint is draining, it is acknowledged once a majority of the groups `known`,
+    /// and of any newer ones, has received the notice. Otherwise it is acknowledged at once, but only `in_contact` with a
+    /// majority; without contact it is merged and the call is refused, because the controller that expires the endpoint
+    /// may not receive the heartbeat from here and the endpoint has to call another controller as well.
     pub(crate) fn register(
         &mut self,
         now: Duration,
@@ -125,7 +126,7 @@
         changes
     }
 
-    /// The endpoint `id` deregisters.
+    /// Handles the deregistration of the endpoint `id`.
     pub(crate) fn deregister(
         &mut self,
         now: Duration,
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Merges a residency update of a placer here. Returns the update to publish, if it changed anything.
+    /// Merges a residency update from a local placer. Returns the update to publish, if it changed anything.
     pub(crate) fn publish(&mut self, mut update: ResidencyUpdate) -> Option<ResidencyUpdate> {
         let entry = self.registry.get(&update.id.text())?;
         update.sequence = entry.latest;
@@ -163,20 +164,20 @@
         self.apply_residency(&update).then_some(update)
     }
 
-    /// Merges a residency update of a placer, here or elsewhere. Returns whether it changed anything.
+    /// Merges a residency update from a placer of any controller. Returns whether it changed anything.
     pub(crate) fn apply_residency(&mut self, update: &ResidencyUpdate) -> bool {
         let registration = self.registry.get_mut(&update.id.text());
         registration.is_some_and(|registration| registration.apply_residency(update.clone()))
     }
 
-    /// Whether a removal that another controller sent has to be relayed from here too, for the same
-    /// reason as in [`RegistrationMerge::relay`]; to be called before it is merged.
+    /// Whether a removal that another controller sent has to be relayed, for the same reason as in
+    /// [`RegistrationMerge::relay`]. To be called before the removal is merged.
     pub(crate) fn relays_removal(&self, removed: &Removed) -> bool {
         let known = self.registry.get(&removed.id.text());
         removed.sequence == FINAL_SEQUENCE && known.is_none_or(|entry| entry.sequence != FINAL_SEQUENCE)
     }
 
-    /// Another controller removed an incarnation.
+    /// Merges the removal of an incarnation that another controller sent.
     pub(crate) fn merge_removal(&mut self, now: Duration, removed: &Removed) -> RemovalMerge {
         let id = removed.id.text();
         if self.registry.remove(now, &id, removed.sequence) {
@@ -188,14 +189,15 @@
         }
     }
 
-    /// A live registration as of its newest heartbeat, which is newer than a removal that was received.
+    /// The registration of a live incarnation, with the sequence of its newest heartbeat.
     fn newer_registration(&self, id: &str) -> Option<Message> {
         let entry = self.registry.get(id)?;
         Some(registered_message(id, entry.latest, entry.registration.as_ref()?))
     }
 
-    /// Merges heartbeats that another controller received. Returns those that were news of a live incarnation: a removed
-    /// one stays as it is, so its heartbeat would be news each time that it came.
+    /// Merges heartbeats that another controller received. Returns those of live incarnations that are newer than any
+    /// known here. Heartbeats of removed incarnations are excluded: they do not update the registry, so they would count
+    /// as newer each time that they arrive.
     pub(crate) fn merge_heartbeats(&mut self, now: Duration, list: &HeartbeatBatch) -> Vec<BatchedHeartbeat> {
         let mut newer = Vec::new();
         for heartbeat in &list.heartbeats {
@@ -209,7 +211,7 @@
         newer
     }
 
-    /// Heartbeats received here since the last call, for the other controllers.
+    /// Takes the unchanged heartbeats that were received here since the last call, as a batch for the other controllers.
     pub(crate) fn take_heartbeat_batch(&mut self) -> Option<Message> {
         if self.heartbeats.is_empty() {
             return None;
@@ -233,12 +235,12 @@
             .collect()
     }
 
-    /// This process could not receive for a while: time-outs start anew.
+    /// This process could not receive messages for a while: restarts all time-outs.
     pub(crate) fn reset_timeouts(&mut self, now: Duration) {
         self.registry.restart_timeouts(now);
     }
 
-    /// Live incarnations, for subscribers of the feed.
+    /// The registrations of all live incarnations, for subscribers of the feed.
     pub(crate) fn snapshot(&self) -> impl Iterator<Item = Message> {
         self.registry.entries().flat_map(|(id, entry)| {
             let registration = entry.registration.as_ref();
--- a/crates/controller/src/controller/endpoints/registry_test.rs
+++ b/crates/controller/src/controller/endpoints/registry_test.rs
@@ -1,4 +1,4 @@
-//! Registrations at one controller: what is acknowledged when, and what the others and the readers hear.
+//! Registrations at one controller: when they are acknowledged, and what peers and subscribers are sent.
 
 use crate::controller::consensus::replica_groups::KnownGroups;
 use crate::controller::endpoints::acknowledgements::AcknowledgementFault;
@@ -13,12 +13,12 @@
 use tokio::sync::oneshot::{self, Receiver};
 
 const HEARTBEAT: Duration = Duration::from_secs(1);
-/// When a call without a majority is given up.
+/// Time after which a call without a majority is answered with 503.
 const EXPIRES_AT: Duration = Duration::from_millis(850);
-/// The controller of the tests.
+/// Number of the controller under test.
 const OWN_NUMBER: u8 = 1;
 const INCARNATION: u64 = 700;
-/// Members of the usual group, the controller of the tests included.
+/// Members of the usual group, including the controller under test.
 const THREE: &[u8] = &[1, 2, 3];
 const FIVE: &[u8] = &[1, 2, 3, 4, 5];
 
@@ -30,7 +30,7 @@
     SocketAddr::from(([10, 0, 0, number], 7_000))
 }
 
-/// An empty registry of the controller of the tests.
+/// An empty registry of the controller under test.
 fn endpoints() -> EndpointRegistry {
     EndpointRegistry::new(HEARTBEAT, peer(OWN_NUMBER), INCARNATION)
 }
@@ -45,7 +45,7 @@
     known_at(1, &[group])
 }
 
-/// A peer that knows of the same `group` as the controller of the tests confirms.
+/// Confirms a flush on behalf of a peer that knows the same `group` as the controller under test.
 fn confirm(endpoints: &mut EndpointRegistry, token: u64, number: u8, group: &[u8]) {
     endpoints.acknowledgements.flushed(token, peer(number), known(group), &known(group));
 }
@@ -102,7 +102,8 @@
     assert_eq!(endpoints.take_heartbeat_batch(), None);
 }
 
-/// Taken and told, so that nothing is lost if the cut ends, but the endpoint has to call another controller.
+/// The heartbeat is merged and replicated, so that nothing is lost if the partition heals, but the endpoint has to call
+/// another controller.
 #[test]
 fn a_ready_endpoint_is_not_acknowledged_out_of_contact() {
     let mut endpoints = endpoints();
@@ -116,14 +117,14 @@
     assert!(endpoints.take_heartbeat_batch().is_some());
 }
 
-/// The confirmations of a majority say more than contact does.
+/// Confirmations by a majority are stronger evidence than quorum contact.
 #[test]
 fn a_draining_endpoint_is_acknowledged_by_a_majority_whatever_contact_says() {
     let mut endpoints = endpoints();
     let (reply, mut answer) = oneshot::channel();
     let changes = endpoints.register(ms(0), "i-1", body(1, "draining"), &known(THREE), false, reply);
     assert_eq!(status(&mut answer), None);
-    confirm(&mut endpoints, changes.flush.expect("others are asked"), 2, THREE);
+    confirm(&mut endpoints, changes.flush.expect("a flush is sent"), 2, THREE);
     assert_eq!(status(&mut answer), Some(200));
 }
 
@@ -141,12 +142,12 @@
     let mut endpoints = endpoints();
     register(&mut endpoints, ms(0), FIVE, 1, "ready");
     let (changes, mut answer) = register(&mut endpoints, ms(10), FIVE, 2, "draining");
-    let token = changes.flush.expect("the others are asked");
+    let token = changes.flush.expect("a flush is sent");
     assert!(changes.messages.contains(&Message::Registered(registered(2, "draining"))));
     confirm(&mut endpoints, token, 2, FIVE);
     confirm(&mut endpoints, token, 2, FIVE);
     confirm(&mut endpoints, token + 1, 3, FIVE);
-    assert_eq!(status(&mut answer), None, "one peer that confirms twice is one");
+    assert_eq!(status(&mut answer), None, "a peer that confirms twice counts once");
     confirm(&mut endpoints, token, 3, FIVE);
     assert_eq!(status(&mut answer), Some(200));
     assert_eq!(endpoints.acknowledgements.next_wake(), None);
@@ -161,7 +162,7 @@
     assert_eq!(status(&mut answer), None);
     endpoints.acknowledgements.expire_pending(EXPIRES_AT);
     assert_eq!(status(&mut answer), Some(503));
-    confirm(&mut endpoints, changes.flush.expect("the others are asked"), 2, THREE);
+    confirm(&mut endpoints, changes.flush.expect("a flush is sent"), 2, THREE);
     assert_eq!(endpoints.acknowledgements.next_wake(), None);
 }
 
@@ -183,7 +184,7 @@
 fn a_draining_endpoint_of_which_a_majority_knows_is_acknowledged_at_once() {
     let mut endpoints = endpoints();
     let (changes, _answer) = register(&mut endpoints, ms(0), THREE, 1, "draining");
-    confirm(&mut endpoints, changes.flush.expect("the others are asked"), 2, THREE);
+    confirm(&mut endpoints, changes.flush.expect("a flush is sent"), 2, THREE);
     let (changes, mut answer) = register(&mut endpoints, ms(1_000), THREE, 2, "draining");
     assert_eq!((changes.flush, status(&mut answer)), (None, Some(200)));
 }
@@ -192,7 +193,7 @@
 fn an_endpoint_that_drains_a_second_time_needs_a_majority_again() {
     let mut endpoints = endpoints();
     let (changes, _answer) = register(&mut endpoints, ms(0), THREE, 1, "draining");
-    confirm(&mut endpoints, changes.flush.expect("the others are asked"), 2, THREE);
+    confirm(&mut endpoints, changes.flush.expect("a flush is sent"), 2, THREE);
     register(&mut endpoints, ms(1_000), THREE, 2, "ready");
     let (changes, mut answer) = register(&mut endpoints, ms(2_000), THREE, 3, "draining");
     assert!(changes.flush.is_some());
@@ -214,11 +215,11 @@
     let changes = endpoints.deregister(ms(10), "i-1", &known(THREE), reply);
     assert_eq!(changes.messages, vec![Message::Removed(removed(FINAL_SEQUENCE))]);
     assert_eq!(status(&mut answer), None);
-    confirm(&mut endpoints, changes.flush.expect("the others are asked"), 3, THREE);
+    confirm(&mut endpoints, changes.flush.expect("a flush is sent"), 3, THREE);
     assert_eq!(status(&mut answer), Some(200));
 
     let (changes, _answer) = register(&mut endpoints, ms(20), THREE, 2, "ready");
-    assert!(changes.messages.is_empty(), "a heartbeat that was late on its way revives nothing");
+    assert!(changes.messages.is_empty(), "a delayed heartbeat does not restore the registration");
     assert!(endpoints.registration("i-1").is_none());
 }
 
@@ -286,7 +287,7 @@
     let (mut owner, mut other) = (endpoints(), endpoints());
     owner.merge(ms(0), &registered(5, "ready"));
     other.merge(ms(0), &registered(5, "ready"));
-    // The heartbeat changes nothing, so that the owner hears of it only with the next list.
+    // The heartbeat changes nothing, so the owner receives it only with the next batch.
     let (changes, _answer) = register(&mut other, ms(3_600), THREE, 6, "ready");
     assert!(changes.messages.is_empty());
     assert_eq!(owner.expire(ms(3_600), |_| true), vec![Message::Removed(removed(5))]);
@@ -317,11 +318,11 @@
     assert_eq!(endpoints.merge_removal(ms(1), &removed(FINAL_SEQUENCE)), RemovalMerge::Removed);
 }
 
-/// A registry at which an endpoint has said that it leaves, the number of the flush, and the call.
+/// A registry with a draining endpoint, the token of the flush, and the pending answer to the endpoint.
 fn draining(group: &[u8]) -> (EndpointRegistry, u64, Receiver<Answer>) {
     let mut endpoints = endpoints();
     let (changes, answer) = register(&mut endpoints, ms(0), group, 1, "draining");
-    (endpoints, changes.flush.expect("the others are asked"), answer)
+    (endpoints, changes.flush.expect("a flush is sent"), answer)
 }
 
 #[test]
@@ -349,7 +350,7 @@
     let joint = known_at(2, &[&[1, 2, 3], &[3, 4, 5]]);
     let (mut endpoints, token, mut answer) = draining(THREE);
     endpoints.acknowledgements.flushed(token, peer(2), joint.clone(), &joint);
-    assert_eq!(status(&mut answer), None, "of the new group nobody has it");
+    assert_eq!(status(&mut answer), None, "no majority of the new group has it");
     endpoints.acknowledgements.flushed(token, peer(4), joint.clone(), &joint);
     assert_eq!(status(&mut answer), None);
     endpoints.acknowledgements.flushed(token, peer(3), joint.clone(), &joint);
@@ -361,7 +362,7 @@
     let (old, joint) = (known_at(1, &[&[1, 2, 3]]), known_at(2, &[&[1, 2, 3], &[2, 3, 4]]));
     let (mut endpoints, token, mut answer) = draining(THREE);
     endpoints.acknowledgements.flushed(token, peer(2), joint, &old);
-    assert_eq!(status(&mut answer), None, "this one and 2 are no majority of the group to come");
+    assert_eq!(status(&mut answer), None, "controllers 1 and 2 are no majority of the new group");
     endpoints.acknowledgements.flushed(token, peer(4), old.clone(), &old);
     assert_eq!(status(&mut answer), Some(200));
 }
@@ -380,7 +381,7 @@
     for number in [2, 3] {
         confirm(&mut endpoints, token, number, &[]);
     }
-    assert_eq!(status(&mut answer), None, "nobody is a member of a group that is not known");
+    assert_eq!(status(&mut answer), None, "a group that is not known has no members");
     endpoints.acknowledgements.acknowledge_confirmed(&known(THREE));
     assert_eq!(status(&mut answer), Some(200));
 }
@@ -412,7 +413,7 @@
     assert!(!endpoints.merge(ms(0), &registered(1, "ready")).relay);
     assert!(endpoints.merge(ms(1), &registered(2, "draining")).relay);
     assert!(!endpoints.merge(ms(2), &registered(2, "draining")).relay);
-    assert!(!endpoints.relays_removal(&removed(2)), "an expiry is acknowledged to nobody");
+    assert!(!endpoints.relays_removal(&removed(2)), "an expiry is not acknowledged to an endpoint");
     assert!(endpoints.relays_removal(&removed(FINAL_SEQUENCE)));
     endpoints.merge_removal(ms(3), &removed(FINAL_SEQUENCE));
     assert!(!endpoints.relays_removal(&removed(FINAL_SEQUENCE)));
@@ -426,7 +427,7 @@
     assert!(!endpoints.relays_removal(&removed(FINAL_SEQUENCE)));
 }
 
-/// The status with which a registry with a fault answers a drain once the peers that `known_to_peer` names have confirmed.
+/// The status with which a registry with `fault` answers a drain after the peers in `known_to_peer` have confirmed.
 fn with_fault_status(
     fault: AcknowledgementFault,
     known_to_peer: &[(u8, &KnownGroups)],
@@ -435,7 +436,7 @@
     let mut endpoints = endpoints().with_fault(Some(fault));
     let (reply, mut answer) = oneshot::channel();
     let changes = endpoints.register(ms(0), "i-1", body(1, "draining"), known, true, reply);
-    let token = changes.flush.expect("the others are asked");
+    let token = changes.flush.expect("a flush is sent");
     for (number, known_to_peer) in known_to_peer {
         endpoints.acknowledgements.flushed(token, peer(*number), (*known_to_peer).clone(), known);
     }
@@ -458,7 +459,7 @@
 fn the_checks_find_a_confirmation_that_outlasts_its_process() {
     let mut endpoints = endpoints().with_fault(Some(AcknowledgementFault::CountRestartedPeers));
     let (changes, mut answer) = register(&mut endpoints, ms(0), FIVE, 1, "draining");
-    let token = changes.flush.expect("the others are asked");
+    let token = changes.flush.expect("a flush is sent");
     confirm(&mut endpoints, token, 2, FIVE);
     endpoints.acknowledgements.peer_restarted(peer(2));
     confirm(&mut endpoints, token, 3, FIVE);
@@ -473,7 +474,7 @@
     let mut restarted =
         EndpointRegistry::new(HEARTBEAT, peer(OWN_NUMBER), INCARNATION * 1_000).with_fault(fault);
     let (_, mut answer) = register(&mut restarted, ms(0), THREE, 1, "draining");
-    confirm(&mut restarted, first.flush.expect("the others are asked"), 2, THREE);
+    confirm(&mut restarted, first.flush.expect("a flush is sent"), 2, THREE);
     assert_eq!(status(&mut answer), Some(200));
 }
 
@@ -484,11 +485,11 @@
     assert_eq!(endpoints.publish(loaded.clone()), None, "the endpoint is not known");
     register(&mut endpoints, ms(0), THREE, 5, "ready");
     endpoints.merge_heartbeats(ms(100), &vec![BatchedHeartbeat { id: "i-1".into(), sequence: 7 }].into());
-    let first = endpoints.publish(loaded.clone()).expect("it is news");
+    let first = endpoints.publish(loaded.clone()).expect("it is a change");
     assert_eq!((first.sequence, first.order), (7, 1));
-    let second = endpoints.publish(residency_update("i-1", "m", None, false)).expect("it is news");
+    let second = endpoints.publish(residency_update("i-1", "m", None, false)).expect("it is a change");
     assert_eq!((second.sequence, second.order), (7, 2));
-    assert!(!endpoints.apply_residency(&first), "it comes back late from another controller");
+    assert!(!endpoints.apply_residency(&first), "a delayed copy from another controller is stale");
 }
 
 #[test]
@@ -497,10 +498,10 @@
     register(&mut endpoints, ms(0), THREE, 5, "ready");
     register(&mut endpoints, ms(1_000), THREE, 6, "ready");
     let published = ResidencyUpdate { sequence: 5, order: 1, ..residency_update("i-1", "m", None, true) };
-    assert!(endpoints.apply_residency(&published), "its publisher had not heard of heartbeat 6 yet");
+    assert!(endpoints.apply_residency(&published), "its publisher had not received heartbeat 6 yet");
     register(&mut endpoints, ms(2_000), THREE, 7, "ready");
     let late = ResidencyUpdate { sequence: 6, order: 1, ..published };
-    assert!(!endpoints.apply_residency(&late), "heartbeat 7 says that the model is not there");
+    assert!(!endpoints.apply_residency(&late), "heartbeat 7 does not list the model");
 }
 
 #[test]
@@ -511,24 +512,24 @@
     };
     put_residency(&mut endpoints, ms(0), 5, "m");
     assert!(is_listed(&endpoints));
-    endpoints.publish(residency_update("i-1", "m", None, false)).expect("it is news");
+    endpoints.publish(residency_update("i-1", "m", None, false)).expect("it is a change");
     assert!(!is_listed(&endpoints));
     put_residency(&mut endpoints, ms(1_000), 6, "m");
     assert!(is_listed(&endpoints), "a heartbeat is newer than what was published before it");
-    endpoints.publish(residency_update("i-1", "m", None, false)).expect("it is news again");
+    endpoints.publish(residency_update("i-1", "m", None, false)).expect("it is a change again");
     assert!(!is_listed(&endpoints));
     register(&mut endpoints, ms(2_000), THREE, 7, "ready");
-    assert!(!is_listed(&endpoints), "it has gone");
+    assert!(!is_listed(&endpoints), "the endpoint no longer lists it");
 }
 
-/// A relayed heartbeat of a removed incarnation would else go round in circles among controllers that all removed it.
+/// Otherwise controllers that have all removed an incarnation would relay its heartbeat to each other without end.
 #[test]
 fn only_a_newer_heartbeat_of_a_live_incarnation_is_relayed() {
     let batch = |sequence| HeartbeatBatch::from(vec![BatchedHeartbeat { id: "i-1".into(), sequence }]);
     let mut endpoints = endpoints();
     register(&mut endpoints, ms(0), THREE, 1, "ready");
     assert_eq!(endpoints.merge_heartbeats(ms(1), &batch(2)), batch(2).heartbeats);
-    assert_eq!(endpoints.merge_heartbeats(ms(2), &batch(2)), vec![], "known by now");
+    assert_eq!(endpoints.merge_heartbeats(ms(2), &batch(2)), vec![], "already known");
     assert_eq!(endpoints.merge_removal(ms(3), &removed(2)), RemovalMerge::Removed);
     assert_eq!(endpoints.merge_heartbeats(ms(4), &batch(3)), vec![], "removed");
 }
--- a/crates/controller/src/controller/endpoints/relay_test.rs
+++ b/crates/controller/src/controller/endpoints/relay_test.rs
@@ -1,4 +1,4 @@
-//! Who is relayed to, and for how long.
+//! To which peers updates are relayed, and for how long.
 
 use crate::controller::endpoints::relay::{RELAY_TIME, RelayTargets};
 use std::net::SocketAddr;
--- a/crates/controller/src/controller/feed/agents.rs
+++ b/crates/controller/src/controller/feed/agents.rs
@@ -1,4 +1,4 @@
-//! The feed to agents: new subscribers, and the heartbeat that reports whether this controller is trusted.
+//! The feed to agents: new subscribers, and the heartbeat that reports whether agents may trust this controller.
 
 use crate::controller::feed::subscribers::FeedStatus;
 use crate::controller::{Controller, ControllerFault};
--- a/crates/controller/src/controller/feed/live_routers.rs
+++ b/crates/controller/src/controller/feed/live_routers.rs
@@ -1,15 +1,16 @@
-//! How many routers are live. Routers divide budgets by this number, so it must never be too low.
+//! Counts the live routers. Routers divide budgets by this number, so it must never be too low.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A router that has reported nothing for so long is removed. Until then its part of the budgets is reserved: it may
-/// have used it, and it may be partitioned from this controller only.
+/// A router is removed after this time without a report. Until then its share of the budgets stays reserved, because it
+/// may still use the share: it may be partitioned from this controller only.
 const ROUTER_TIMEOUT: Duration = Duration::from_secs(30);
-/// A controller reports no number before it has run for so long: every router reports its demand each second.
+/// Uptime before a controller reports the number. Every router reports its demand each second, so all live ones are
+/// known by then.
 const WARMUP: Duration = Duration::from_secs(5);
 
-/// Routers by name, and when each reported its demand last.
+/// Time of the last demand report of each router, by router name.
 #[derive(Debug, Default)]
 pub(crate) struct LiveRouters {
     last_report: BTreeMap<String, Duration>,
--- a/crates/controller/src/controller/feed/live_routers_test.rs
+++ b/crates/controller/src/controller/feed/live_routers_test.rs
@@ -1,4 +1,4 @@
-//! The number of live routers is never told too low.
+//! The reported number of live routers is never too low.
 
 use crate::controller::feed::live_routers::LiveRouters;
 use std::time::Duration;
--- a/crates/controller/src/controller/feed/mod.rs
+++ b/crates/controller/src/controller/feed/mod.rs
@@ -1,4 +1,4 @@
-//! The feed of this controller: its subscribers, and the count of live routers that it reports.
+//! The feed of this controller: its subscribers, and the number of live routers that it reports.
 
 pub(super) mod agents;
 pub(super) mod live_routers;
--- a/crates/controller/src/controller/feed/subscriber_storm_test.rs
+++ b/crates/controller/src/controller/feed/subscriber_storm_test.rs
@@ -1,4 +1,4 @@
-//! Readers of the feed under storms of changes: bytes, lag and the end state of each, in simulated time.
+//! Subscribers of the feed under bursts of changes, in simulated time: bytes, lag and final state of each.
 
 use crate::configuration_feed::fetcher::Pace;
 use crate::controller::feed::subscribers::{FeedStatus, Subscribers};
@@ -14,10 +14,10 @@
 
 /// A link of 10 Mbit/s.
 const LINK_BYTES_PER_MS: usize = 1_250;
-/// Twelve changes a second and a half.
+/// 12.5 changes per second.
 const CHANGE_PERIOD_MS: u64 = 80;
 const FEED_HEARTBEAT_PERIOD_MS: u64 = 500;
-/// `ConfigApplyMs`, less what is left for the loopback hop and the router.
+/// `ConfigApplyMs` minus the time reserved for the loopback hop and the router.
 const LAG_BOUND_MS: u64 = 1_600;
 
 fn ms(n: u64) -> Duration {
@@ -28,7 +28,7 @@
     SocketAddr::from(([10, 0, 0, number as u8 + 1], 7_000))
 }
 
-/// A configuration of `routes` routes; `how` makes the text of a route.
+/// A configuration with `routes` routes; `how` returns the time-out of a route by its number.
 fn document(version: u64, routes: u64, how: impl Fn(u64) -> u64) -> Vec<u8> {
     let route = |number: u64| {
         let timeout = how(number);
@@ -40,24 +40,24 @@
     format!(r#"{{"Version":{version},"Routes":[{}]}}"#, routes.join(",")).into_bytes()
 }
 
-/// One route is another one with each version.
+/// A configuration in which each version changes one route.
 fn one_route_changed(version: u64) -> Vec<u8> {
     document(version, 1_000, |number| if number == version % 1_000 { 5_000 + version } else { 5_000 })
 }
 
-/// No route is as it was before.
+/// A configuration in which each version changes every route.
 fn all_routes_changed(version: u64) -> Vec<u8> {
     document(version, 1_000, |number| 5_000 + version * 7 + number)
 }
 
-/// One source's link to a reader, as seen from the reader.
+/// The subscriber's side of its link to one source.
 struct Link {
     frames: Receiver<Bytes>,
-    /// The frame that is arriving, and the bytes of it that are still to come.
+    /// The frame that is arriving, and the number of its bytes that have not arrived yet.
     arriving: Option<(Bytes, usize)>,
 }
 
-/// A reader behind a link of its own.
+/// A subscriber with a limited link.
 struct SimulatedSubscriber {
     view: View,
     links: Vec<Link>,
@@ -67,7 +67,7 @@
 }
 
 impl SimulatedSubscriber {
-    /// Takes as many bytes as the link lets through in a millisecond.
+    /// Receives the bytes that the link carries in a millisecond.
     fn receive(&mut self, now: Duration) {
         let mut room = LINK_BYTES_PER_MS;
         for (number, link) in self.links.iter_mut().enumerate() {
@@ -96,12 +96,12 @@
     }
 }
 
-/// Two sources, their readers, and what was decided when.
+/// Two sources, their subscribers, and the commit time of each configuration.
 struct World {
     sources: Vec<Subscribers>,
     subscribers: Vec<SimulatedSubscriber>,
     committed_at: Vec<u64>,
-    /// Sources that read fetches and answer nothing.
+    /// Sources that receive fetches but never answer.
     unresponsive: Vec<usize>,
     now: u64,
 }
@@ -123,7 +123,7 @@
         World { sources, subscribers, committed_at: Vec::new(), unresponsive: Vec::new(), now: 0 }
     }
 
-    /// Plays `length` ms more; in the first `storm` of them a configuration is decided every
+    /// Runs for `length` ms more; in the first `storm` of them a configuration is committed every
     /// [`CHANGE_PERIOD_MS`].
     fn play(&mut self, length: u64, storm: u64, document: impl Fn(u64) -> Vec<u8>) {
         let begun = self.now;
@@ -142,7 +142,7 @@
         self.now += length;
     }
 
-    /// Lets every reader get its first configuration, which is a whole document; lags count from then on.
+    /// Runs until every subscriber has its first configuration, which is a complete document. Lags count from then on.
     fn begin(&mut self, document: impl Fn(u64) -> Vec<u8>) {
         self.play(1_200, 1, document);
         self.subscribers.iter_mut().for_each(|subscriber| subscriber.longest_lag = 0);
@@ -211,9 +211,9 @@
     let document_bytes = one_route_changed(changes).len();
     let (bytes, lag) = (world.most_bytes(), world.longest_lag());
     println!(
-        "document {document_bytes} B, {changes} changes, most bytes a reader {bytes}, longest lag {lag} ms"
+        "document {document_bytes} B, {changes} changes, most bytes per subscriber {bytes}, longest lag {lag} ms"
     );
-    assert!(bytes < document_bytes + 20_000, "one whole document, then differences: {bytes}");
+    assert!(bytes < document_bytes + 20_000, "one complete document, then deltas: {bytes}");
     assert!(lag < 250, "{lag} ms");
 }
 
@@ -230,7 +230,7 @@
     let small = 2 * (changes as usize * 25 + 40 * 60);
     let (bytes, lag) = (world.most_bytes(), world.longest_lag());
     println!(
-        "document {document_bytes} B, {changes} changes, most bytes a reader {bytes}, longest lag {lag} ms"
+        "document {document_bytes} B, {changes} changes, most bytes per subscriber {bytes}, longest lag {lag} ms"
     );
     assert!(
         bytes <= answers * (document_bytes + 100) + small,
@@ -252,7 +252,7 @@
     assert!(lag < LAG_BOUND_MS, "{lag} ms");
 }
 
-/// A registry as its publisher has it, with the feed's journal.
+/// The publisher of a feed: its subscribers, and the state that they should reach.
 struct Publisher {
     subscribers: Subscribers,
     expected: View,
@@ -264,7 +264,7 @@
         Publisher { subscribers: Subscribers::new(11), expected: View::default(), offset: 0 }
     }
 
-    /// Endpoint `number` changes; every seventh change takes it away, with its sequence.
+    /// Changes endpoint `number`; a sequence that is a multiple of seven removes it.
     fn change(&mut self, number: u64, sequence: u64) {
         let id = format!("i-{number}");
         let body = format!(
@@ -280,7 +280,7 @@
         self.offset += 1;
     }
 
-    /// `count` changes of fifty endpoints in turn.
+    /// Makes `count` changes, to fifty endpoints in turn.
     fn storm(&mut self, count: u64) {
         for _ in 0..count {
             self.change(self.offset % 50, 1 + self.offset / 50);
@@ -301,7 +301,7 @@
     }
 }
 
-/// Hands everything that waits to the view. Tells the bytes, and whether a snapshot was among them.
+/// Passes all queued messages to the view. Returns their bytes, and whether they include a snapshot.
 fn drain(view: &mut View, frames: &mut Receiver<Bytes>) -> (usize, bool) {
     let (mut bytes, mut from_snapshot) = (0, false);
     while let Ok(frame) = frames.try_recv() {
@@ -313,7 +313,7 @@
     (bytes, from_snapshot)
 }
 
-/// Registrations only, as a reader has them.
+/// The registrations in the state of a subscriber.
 fn registrations(view: &View) -> Vec<Message> {
     let snapshot = view.snapshot().into_iter();
     snapshot.filter(|message| matches!(message, Message::Registered(_))).collect()
@@ -335,7 +335,7 @@
     publisher.storm(200);
     let mut frames = publisher.join(position);
     let (_, from_snapshot) = drain(&mut view, &mut frames);
-    assert!(!from_snapshot, "the journal has what it lacks");
+    assert!(!from_snapshot, "the journal still has the missed changes");
     assert_eq!(registrations(&view), registrations(&publisher.expected));
 
     view.source_lost(ms(0), source(0));
@@ -344,7 +344,7 @@
     let mut frames = publisher.join(position);
     publisher.storm(300);
     let (_, from_snapshot) = drain(&mut view, &mut frames);
-    assert!(from_snapshot, "the journal has lost what it lacks");
+    assert!(from_snapshot, "the journal no longer has the missed changes");
     assert_eq!(registrations(&view), registrations(&publisher.expected));
 }
 
@@ -356,9 +356,9 @@
     publisher.subscribers.heartbeat(status(1));
     drain(&mut view, &mut frames);
     publisher.storm(10_000);
-    assert_eq!(publisher.subscribers.count(), 0, "nothing is sent to it any more");
+    assert_eq!(publisher.subscribers.count(), 0, "the subscriber is dropped");
     drain(&mut view, &mut frames);
-    assert!(frames.is_closed(), "its link ends");
+    assert!(frames.is_closed(), "its link is closed");
     assert_ne!(registrations(&view), registrations(&publisher.expected));
 
     view.source_lost(ms(0), source(0));
@@ -369,7 +369,8 @@
     assert_eq!(registrations(&view), registrations(&publisher.expected));
 }
 
-/// Bytes that bring a reader up to date that missed `missed` changes of endpoints and of the configuration each.
+/// Bytes sent to bring a subscriber up to date that missed `missed` changes of endpoints and as many of the
+/// configuration.
 fn catch_up_bytes(missed: u64) -> usize {
     let mut publisher = Publisher::new();
     let mut view = View::default();
@@ -385,7 +386,7 @@
     publisher.subscribers.disconnected(1);
 
     publisher.storm(missed);
-    // Only the versions that are kept as bases are built: older ones leave no trace.
+    // Only the newest versions are published: older ones would no longer be retained as bases.
     let newest = 1 + missed;
     (newest.saturating_sub(40).max(2)..=newest).for_each(|n| publisher.subscribers.publish(committed(n)));
     let mut frames = publisher.join(view.position(source(0)));
@@ -403,7 +404,7 @@
     let [ten, thousand, five_thousand] = [10, 1_000, 5_000].map(catch_up_bytes);
     println!("bytes after 10, 1,000, 5,000 changes missed: {ten}, {thousand}, {five_thousand}");
     let document_bytes = one_route_changed(5_001).len();
-    assert!(ten < 5_000, "differences only: {ten}");
+    assert!(ten < 5_000, "deltas only: {ten}");
     assert!(thousand < document_bytes + 64 * 1024, "{thousand}");
     assert!(five_thousand < document_bytes + 64 * 1024, "{five_thousand}");
 }
--- a/crates/controller/src/controller/feed/subscribers.rs
+++ b/crates/controller/src/controller/feed/subscribers.rs
@@ -1,4 +1,4 @@
-//! The agents that follow this controller's feed.
+//! The subscribers (agents) of this controller's feed.
 
 use crate::configuration_feed::publisher::ConfigurationPublisher;
 use crate::link::Outbox;
@@ -8,11 +8,11 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Changes retained for subscribers that reconnect: some minutes of frequent changes.
+/// Number of changes retained for subscribers that reconnect; enough for some minutes of frequent changes.
 const JOURNAL_CHANGES: usize = 2_048;
-/// Configurations retained as bases of deltas: those of some seconds of frequent changes.
+/// Number of configurations retained as bases of deltas; enough for some seconds of frequent changes.
 const RETAINED_CONFIGURATIONS: usize = 32;
-/// Bytes of changes that a subscriber is sent without comparing them with a snapshot.
+/// Up to this many bytes of missed changes are sent without comparing their size with that of a snapshot.
 const SHORT_TAIL_BYTES: usize = 64 * 1024;
 
 /// What a heartbeat of the feed reports.
@@ -20,22 +20,24 @@
 pub(crate) struct FeedStatus {
     /// Whether subscribers may rely on this source.
     pub is_trusted: bool,
-    /// Live routers, 0 while not known.
+    /// Number of live routers, 0 while it is not known.
     pub routers: u32,
 }
 
-/// The journal of the feed, and its subscribers. Configurations are not in the journal: subscribers fetch them.
+/// The journal of the feed, and its subscribers. Configurations are not in the journal: they are announced, and
+/// subscribers fetch them.
 #[derive(Debug)]
 pub(crate) struct Subscribers {
     journal: Journal<Bytes>,
     configurations: ConfigurationPublisher,
     outboxes: BTreeMap<u64, Outbox>,
-    /// The last snapshot, as frames, and its position in the journal: subscribers that connect together share it.
+    /// The last snapshot, as frames, and its position in the journal. Subscribers that connect between two changes share
+    /// it.
     snapshot: Option<(Position, Arc<[Bytes]>)>,
 }
 
 impl Subscribers {
-    /// A feed whose source is this incarnation of the process.
+    /// An empty feed that identifies itself as the source `incarnation`.
     pub(crate) fn new(incarnation: u64) -> Self {
         Subscribers {
             journal: Journal::new(incarnation, JOURNAL_CHANGES),
@@ -67,13 +69,13 @@
         }
     }
 
-    /// Sends what is no change: heartbeats.
+    /// Sends a heartbeat to all subscribers. Heartbeats are not in the journal.
     pub(crate) fn heartbeat(&mut self, status: FeedStatus) {
         let frame = self.heartbeat_message(status).frame();
         self.send_all(frame);
     }
 
-    /// Starts a subscriber: the changes that it lacks, or all of `snapshot`.
+    /// Adds a subscriber, and sends it the changes that it has missed or the whole `snapshot`.
     pub(crate) fn connected(
         &mut self,
         subscriber: u64,
@@ -93,7 +95,8 @@
         self.outboxes.insert(subscriber, outbox);
     }
 
-    /// What brings a subscriber at `position` up to date: the changes since, or a snapshot where that is shorter.
+    /// The frames that bring a subscriber at `position` up to date: the changes since then, or a snapshot if that is
+    /// shorter or the changes are no longer retained.
     fn start(&mut self, position: Position, snapshot: impl FnOnce() -> Vec<Message>) -> Vec<Bytes> {
         let tail: Option<Vec<Bytes>> = match self.journal.start(position) {
             Start::Tail { from } => Some(self.journal.tail(from).cloned().collect()),
@@ -109,7 +112,7 @@
         }
     }
 
-    /// The frames of a snapshot as of now. Encoded anew only after a change.
+    /// The frames of a snapshot of the current state. Encoded again only after a change.
     fn snapshot_frames(&mut self, snapshot: impl FnOnce() -> Vec<Message>) -> Arc<[Bytes]> {
         let end = self.journal.end();
         if let Some((_, frames)) = self.snapshot.as_ref().filter(|(position, _)| *position == end) {
@@ -120,7 +123,7 @@
         frames
     }
 
-    /// The link of a subscriber has ended.
+    /// The link of a subscriber has closed.
     pub(crate) fn disconnected(&mut self, subscriber: u64) {
         self.outboxes.remove(&subscriber);
     }
--- a/crates/controller/src/controller/feed/subscribers_test.rs
+++ b/crates/controller/src/controller/feed/subscribers_test.rs
@@ -1,4 +1,4 @@
-//! Readers of the feed go on where they stood, or begin with a snapshot.
+//! Subscribers of the feed resume at their position or start from a snapshot.
 
 use crate::controller::feed::subscribers::{FeedStatus, Subscribers};
 use crate::link::Outbox;
@@ -105,7 +105,7 @@
     assert_eq!(subscribers.count(), 0);
 }
 
-/// Starts a reader that is sent `snapshot`; tells whether that was made for it, and what it is sent.
+/// Connects a subscriber for which `snapshot` would be built. Returns whether it was built, and the messages sent.
 fn connect_with_snapshot(subscribers: &mut Subscribers, snapshot: Vec<Message>) -> (bool, Vec<Message>) {
     let (outbox, mut frames) = Outbox::new();
     let mut built = false;
--- a/crates/controller/src/controller/membership/handover_test.rs
+++ b/crates/controller/src/controller/membership/handover_test.rs
@@ -1,4 +1,4 @@
-//! What a controller waits for before it ends.
+//! What a controller waits for before it shuts down.
 
 use crate::controller::membership::handover::{GroupMembership, Handover};
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     SocketAddr::from(([10, 0, 0, number], 7_000))
 }
 
-/// A handover in which only the last flush, sent at `now` to two peers, is left.
+/// A handover that waits only for the final flush, sent at `now` to two peers.
 fn flushing(now: Duration) -> Handover {
     let mut handover = Handover::begin(ms(0), GRACE);
     handover.flush(now, TOKEN, [peer(2), peer(3)]);
@@ -53,10 +53,10 @@
     handover.flushed(TOKEN, peer(2));
     handover.flushed(TOKEN - 1, peer(3));
     handover.end_if_flushed(ms(110), true);
-    assert!(!handover.is_done(), "an earlier flush confirms less");
+    assert!(!handover.is_done(), "an earlier flush does not confirm the last messages");
     handover.flushed(TOKEN, peer(3));
     handover.end_if_flushed(ms(110), false);
-    assert!(!handover.is_done(), "someone waits for an answer");
+    assert!(!handover.is_done(), "a caller waits for an answer");
     handover.end_if_flushed(ms(111), true);
     assert!(handover.is_done());
     assert_eq!(handover.next_wake(), None);
--- a/crates/controller/src/controller/membership/links.rs
+++ b/crates/controller/src/controller/membership/links.rs
@@ -1,4 +1,4 @@
-//! The links of a controller: those it dials to its peers, and those that peers and agents open.
+//! The links of a controller: outgoing links to its peers, and incoming links from peers and agents.
 
 use crate::controller::event::Event;
 use crate::link::{self, MessageReader, Outbox, REDIAL_DELAY};
@@ -9,11 +9,11 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// Longest wait for the first message on a link that was opened.
+/// Longest wait for the first message on an accepted link.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Keeps a link to the peer `peer` (its control address) at `address`, until the returned handle ends it.
-/// Messages of the peer arrive on the link that it opens itself.
+/// Maintains an outgoing link to the controller with the control address `peer`, at `address`, until the returned
+/// handle is aborted. Messages from the peer arrive on the link that the peer opens.
 pub(crate) fn maintain_link(
     peer: SocketAddr,
     address: SocketAddr,
@@ -38,7 +38,7 @@
     events: &mpsc::UnboundedSender<Event>,
 ) -> std::io::Result<()> {
     let stream = link::dial(address).await?;
-    // The read half stays open: dropping it would shut nothing, but it shows when the peer has closed the connection.
+    // The read half is kept, although no data is expected on it: it reports when the peer closes the connection.
     let (mut read, write) = stream.into_split();
     let (outbox, frames) = Outbox::new();
     outbox.message(&Message::Hello(hello.clone()));
@@ -51,14 +51,14 @@
     result
 }
 
-/// Waits for the end of a link on which nothing is to be read.
+/// Waits until the peer closes a link on which it sends nothing.
 async fn until_closed(read: &mut tokio::net::tcp::OwnedReadHalf) -> std::io::Result<()> {
     use tokio::io::AsyncReadExt;
     let mut byte = [0];
     read.read(&mut byte).await.map(|_| ())
 }
 
-/// Accepts links of peers and agents until the process ends.
+/// Accepts links of peers and agents until the process exits.
 pub(crate) async fn accept(listener: TcpListener, events: mpsc::UnboundedSender<Event>) {
     let mut opened = 0;
     loop {
--- a/crates/controller/src/controller/membership/member_status_test.rs
+++ b/crates/controller/src/controller/membership/member_status_test.rs
@@ -1,4 +1,4 @@
-//! What controllers say of themselves, and for how long it holds.
+//! The status that controllers report about themselves, and how long it remains valid.
 
 use crate::controller::membership::member_status::MemberStatuses;
 use crate::message::MemberStatus;
@@ -32,7 +32,7 @@
     let mut member_statuses = MemberStatuses::default();
     member_statuses.record(node(1), MemberStatus::new(7, [0], true));
     member_statuses.restarted(node(1), 7);
-    assert!(member_statuses.is_draining(node(1)), "the same life");
+    assert!(member_statuses.is_draining(node(1)), "the same incarnation");
     member_statuses.restarted(node(1), 8);
     assert!(!member_statuses.is_draining(node(1)) && !member_statuses.can_vote(node(1), 0));
 }
--- a/crates/controller/src/controller/membership/mod.rs
+++ b/crates/controller/src/controller/membership/mod.rs
@@ -1,5 +1,5 @@
-//! The other controllers: links to them, their messages and status, changes of replica groups, and the shutdown of
-//! this controller.
+//! Membership: links to the other controllers, their messages and status, changes of replica groups, and the graceful
+//! shutdown of this controller.
 
 pub(super) mod handover;
 #[cfg(test)]
--- a/crates/controller/src/controller/membership/peer_discovery.rs
+++ b/crates/controller/src/controller/membership/peer_discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery of the other controllers, and what each is sent when its link comes up.
+//! Discovery of the other controllers, and the messages that each is sent when its link comes up.
 
 use crate::controller::consensus::shards;
 use crate::controller::{Controller, ControllerFault};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl Controller {
-    /// Sends a peer whose link has come up all that this controller knows.
+    /// Sends the full state of this controller to a peer whose link has come up.
     pub(crate) fn send_greeting(&self, outbox: &Outbox) {
         outbox.message(&self.controllers_message());
         outbox.message(&Message::MemberStatus(self.own_status()));
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Records that there is a controller at this address, and dials it if it is new.
+    /// Records that a controller exists at this address, and opens a link to it if it is new.
     pub(crate) fn discover_peer(&mut self, peer: SocketAddr) {
         let now = self.now();
         if !self.peers.observe(now, peer) {
@@ -33,7 +33,7 @@
         self.retry_replicas(peer);
     }
 
-    /// Makes the replicas repeat requests that a controller has not answered.
+    /// Makes the replicas resend the requests that this peer has not answered.
     pub(crate) fn retry_replicas(&mut self, peer: SocketAddr) {
         let now = self.now();
         let SocketAddr::V4(address) = peer else { return };
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Removes peers that nobody names any more. Seeds and members of any group are dialled for ever: a
-    /// controller that was partitioned for long is found again by them, or finds them.
+    /// Removes peers that have not been named for long. Seeds and members of any group never expire, so that they and a
+    /// controller that was partitioned for long find each other again.
     pub(crate) fn expire_peers(&mut self, now: Duration) {
         let members = shards::all().flat_map(|shard| self.group(shard));
         let needed: Vec<SocketAddr> = members.chain(self.settings.seeds.iter().copied()).collect();
@@ -74,7 +74,7 @@
         Message::Controllers(Controllers { addresses: addresses.join(" ").as_str().into() })
     }
 
-    /// The settings file may name other seeds.
+    /// Reads the settings file again and applies its seeds; other settings are not changed.
     pub(crate) fn read_settings(&mut self) {
         match self.environment.read_settings() {
             Ok(settings) => {
--- a/crates/controller/src/controller/membership/peer_messages.rs
+++ b/crates/controller/src/controller/membership/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of other controllers.
+//! Handling of messages from other controllers.
 
 use crate::controller::consensus::replica_groups::KnownGroups;
 use crate::controller::consensus::shards;
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 
 impl Controller {
-    /// Handles a message of another controller.
+    /// Handles a message from another controller.
     pub(crate) fn peer_message(&mut self, peer: SocketAddr, message: Message) {
         match message {
             Message::Heartbeat { body } => self.on_peer_heartbeat(peer, body),
@@ -74,7 +74,7 @@
         self.update_placers(&registered.id.text());
     }
 
-    /// Passes on what `source` has sent to the peers that do not hear it.
+    /// Relays a message from `source` to the peers that are considered partitioned from its sender.
     fn relay(&mut self, source: SocketAddr, message: &Message) {
         if self.has_fault(ControllerFault::SkipHeartbeatRelay) {
             return;
@@ -126,7 +126,7 @@
         self.propose_change(request);
     }
 
-    /// A peer confirms that it has all that was sent to it before a flush.
+    /// A peer confirms that it has received everything that was sent to it before a flush.
     fn flushed(&mut self, peer: SocketAddr, confirmation: &Confirmation) {
         let known = self.known_groups(shards::CONFIGURATION);
         let known_to_peer = KnownGroups::from_confirmation(confirmation);
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Merges a residency update of another controller's placer.
+    /// Merges a residency update from a placer of another controller.
     fn apply_peer_residency(&mut self, update: ResidencyUpdate) {
         if self.endpoints.apply_residency(&update) {
             self.subscribers.append(&Message::ResidencyUpdate(update));
--- a/crates/controller/src/controller/membership/peers.rs
+++ b/crates/controller/src/controller/membership/peers.rs
@@ -1,4 +1,4 @@
-//! The other controllers that this one knows, and what is sent to them.
+//! The known peers (other controllers), and the outgoing queues of their links.
 
 use crate::link::Outbox;
 use crate::message::Message;
@@ -6,13 +6,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a peer that nobody names any more is still dialled.
+/// How long a peer is retained, and redialled, after it was last named.
 const UNNAMED_PEER_RETENTION: Duration = Duration::from_secs(15);
 
 #[derive(Debug)]
 struct Peer {
     outbox: Option<Outbox>,
-    /// When the settings, the replica group or the peer itself named it last.
+    /// When the settings, a replica group, another controller or the peer itself last named it.
     last_named: Duration,
 }
 
@@ -29,7 +29,7 @@
         Peers { own_address, peers: BTreeMap::new() }
     }
 
-    /// Records that `peer` is a controller. Returns whether it is new; it needs a link then.
+    /// Records that a controller exists at `peer`. Returns whether it is new, in which case it needs a link.
     pub(crate) fn observe(&mut self, now: Duration, peer: SocketAddr) -> bool {
         if peer == self.own_address {
             return false;
@@ -42,7 +42,7 @@
         true
     }
 
-    /// Removes peers whose link is down and that nobody has named for long. Returns them.
+    /// Removes and returns peers whose link is down and that have not been named for long.
     pub(crate) fn expire(&mut self, now: Duration) -> Vec<SocketAddr> {
         let is_gone = |peer: &Peer| peer.outbox.is_none() && now >= peer.last_named + UNNAMED_PEER_RETENTION;
         let expired: Vec<SocketAddr> =
--- a/crates/controller/src/controller/membership/reconfiguration.rs
+++ b/crates/controller/src/controller/membership/reconfiguration.rs
@@ -11,14 +11,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for a change of members.
+/// Time limit for a membership change.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after the start of the process in which the others have reported their status.
+/// Time after the start of the process before fault tolerance is reported, so that the other controllers can report
+/// their status first.
 const FAULT_TOLERANCE_GRACE: Duration = Duration::from_secs(2);
 
 impl Controller {
-    /// Sends the newest heartbeat once more to a peer whose link has just come up, here or there: after a start of
-    /// all controllers, contact does not wait for the next one.
+    /// Sends the newest heartbeat again to a peer when the link in either direction has come up, so that contact after a
+    /// start of all controllers does not have to wait for the next heartbeat.
     pub(crate) fn repeat_heartbeat(&self, peer: SocketAddr) {
         if let Some(heartbeat) = self.quorum_contact.newest() {
             self.send_heartbeat(peer, heartbeat);
@@ -37,7 +38,7 @@
         for output in outputs {
             match output {
                 Output::Send { to, heartbeat } => {
-                    // Read before the heartbeat is sent: the age of its answer counts from here.
+                    // The clock is read before the heartbeat is sent: the age of its echo is measured from this time.
                     let now = self.now();
                     self.quorum_contact.heartbeat_sent(now, &heartbeat);
                     self.send_heartbeat(to, &heartbeat);
@@ -108,7 +109,7 @@
         MemberStatus::new(self.incarnation, voting, self.is_draining())
     }
 
-    /// Broadcasts the status of this controller, if it has changed.
+    /// Broadcasts the status of this controller if it has changed.
     pub(crate) fn broadcast_status(&mut self) {
         let status = self.own_status();
         if self.member_statuses.record(self.own_address, status) {
@@ -127,7 +128,7 @@
         }
     }
 
-    /// What this controller knows of a member.
+    /// The state of a group member as this controller sees it.
     fn member_state(&self, shard: u8, member: SocketAddr) -> MemberState {
         if !self.membership.is_live(member) {
             return MemberState::Suspected;
@@ -139,19 +140,19 @@
         }
     }
 
-    /// The members of all groups of a shard in force, and what is known of each.
+    /// The members of all groups in force for a shard, each with its state, as text.
     pub(crate) fn member_states(&self, shard: u8) -> impl Iterator<Item = (String, String)> {
         let members: BTreeSet<SocketAddr> = self.known_groups(shard).groups.into_iter().flatten().collect();
         let describe = move |member| (format!("{member}"), format!("{:?}", self.member_state(shard, member)));
         members.into_iter().map(describe)
     }
 
-    /// Failures that the groups of a shard still tolerate; `None` without a majority.
+    /// Number of failures that the groups of a shard still tolerate; `None` without a majority.
     pub(crate) fn fault_tolerance(&self, shard: u8) -> Option<usize> {
         tolerable_failures(&self.known_groups(shard).groups, |member| self.member_state(shard, member))
     }
 
-    /// Logs shards that tolerate no further failure, and those that do again.
+    /// Logs when a shard stops tolerating a further failure, and when it tolerates one again.
     fn report_fault_tolerance(&mut self, now: Duration) {
         if now < FAULT_TOLERANCE_GRACE || self.settings.fault_tolerance.machines == 0 {
             return;
--- a/crates/controller/src/controller/membership/replacement.rs
+++ b/crates/controller/src/controller/membership/replacement.rs
@@ -1,8 +1,8 @@
-//! Who belongs to the replica group of each shard: it grows to what carries the fault tolerance, and a member
-//! that is unreachable or draining is replaced by a spare.
+//! Plans the membership of the replica group of each shard: a group grows to the size that the configured fault
+//! tolerance requires, and a member that is unreachable or draining is replaced by a spare.
 //!
-//! Every shard has a group of its own and is judged by itself: the owner of one may have replaced a member that
-//! the owner of another has not replaced yet.
+//! Each shard has its own group and is planned independently: the owner of one shard may have replaced a member that
+//! the owner of another shard has not replaced yet.
 
 use crate::controller::consensus::replica_groups::KnownGroups;
 use crate::controller::membership::member_status::MemberStatuses;
@@ -10,43 +10,43 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a member has to be suspected before a spare replaces it. A
-/// spare has to count within the time that a new machine is given to catch up, which is some seconds.
+/// How long a member has to be suspected before a spare replaces it. The spare has to be a voting member within the
+/// time that a new machine is given to catch up, which is some seconds.
 pub(crate) const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// The shard whose suspicions a deliberate fault applies to all shards.
 const FIRST_SHARD: u8 = 0;
 
-/// One change of the group.
+/// One membership change of a group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct MemberChange {
     pub remove: Option<SocketAddr>,
     pub add: SocketAddr,
 }
 
-/// The group of a shard and the controllers around it, as one controller sees them.
+/// The group of a shard and the state of the other controllers, as one controller sees them.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct GroupView<'a> {
     pub shard: u8,
     /// Members of the newest group known; empty while none is known.
     pub group: &'a [SocketAddr],
-    /// Controllers that the failure detector does not suspect.
+    /// Controllers that are reachable: not suspected, and answering.
     pub live: &'a [SocketAddr],
-    /// Status that each controller reported.
+    /// The status that each controller reported.
     pub member_statuses: &'a MemberStatuses,
 }
 
-/// Deliberate faults: each must be found by a test.
+/// Deliberate faults. Tests show that each is detected.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplacementFault {
     /// Suspicions of the members of the first shard count for all shards.
     ShareSuspicions,
-    /// A change of the members of one shard holds up those of all others.
+    /// A membership change of one shard blocks those of all other shards.
     OneChangeAtATime,
-    /// A spare takes the place of a member before its replica can vote.
+    /// A spare replaces a member before its replica can vote.
     JoinBeforeVoting,
-    /// Time in which this process itself stood still counts as a time-out.
+    /// Time during which this process itself was stalled counts towards time-outs.
     CountOwnStall,
 }
 
@@ -65,12 +65,12 @@
 }
 
 impl ReplacementPlanner {
-    /// Suspects nobody yet. `fault` is a deliberate fault, for tests.
+    /// A planner without any suspected members. `fault` is a deliberate fault, for tests.
     pub(crate) fn new(fault: Option<ReplacementFault>) -> Self {
         ReplacementPlanner { fault, ..ReplacementPlanner::default() }
     }
 
-    /// Records which members of a shard are live.
+    /// Updates the suspected members of a shard: those of `group` that are not in `live`.
     pub(crate) fn observe(&mut self, now: Duration, shard: u8, group: &[SocketAddr], live: &[SocketAddr]) {
         self.observed_at = now;
         if self.has(ReplacementFault::ShareSuspicions) && shard != FIRST_SHARD {
@@ -83,21 +83,21 @@
         }
     }
 
-    /// Records the groups that a committed value of a shard names. Returns whether they differ from those before.
+    /// Records the groups of a newly committed value of a shard. Returns whether they differ from the previous ones.
     pub(crate) fn groups_committed(&mut self, shard: u8, groups: &KnownGroups) -> bool {
         let before = self.committed_groups.insert(shard, groups.groups.clone());
         before.is_none_or(|before| before != groups.groups)
     }
 
-    /// This process could not receive for a while: suspicions up to now are dropped.
+    /// This process could not receive messages for a while: drops all present suspicions.
     pub(crate) fn reset_timeouts(&mut self) {
         if !self.has(ReplacementFault::CountOwnStall) {
             self.suspected_since.clear();
         }
     }
 
-    /// When the next member times out. A time-out before the last observation needs no wake-up: its replacement
-    /// has been proposed, or waits for a spare.
+    /// When the next suspected member times out. Time-outs before the last observation need no wake-up: their
+    /// replacements have been proposed already, or wait for a spare.
     pub(crate) fn next_wake(&self) -> Option<Duration> {
         let suspected = self.suspected_since.values().flat_map(BTreeMap::values);
         suspected.map(|since| *since + REPLACEMENT_TIMEOUT).filter(|end| *end > self.observed_at).min()
@@ -108,12 +108,13 @@
         self.changing.insert(shard);
     }
 
-    /// The proposal is answered, whatever the answer.
+    /// The proposed change has completed, with any outcome.
     pub(crate) fn end(&mut self, shard: u8) {
         self.changing.remove(&shard);
     }
 
-    /// The next change that the group of a shard needs, if any: `size` members are wanted.
+    /// The next change that the group of a shard needs to reach `size` members without suspected or draining ones, if
+    /// any.
     pub(crate) fn plan(&self, now: Duration, view: GroupView<'_>, size: usize) -> Option<MemberChange> {
         if view.group.is_empty() || self.is_changing(view.shard) {
             return None;
@@ -131,14 +132,15 @@
         self.changing.contains(&shard) || (one_at_a_time && !self.changing.is_empty())
     }
 
-    /// The spare that joins next. All owners choose alike, so that the shards keep the same members.
+    /// The spare that joins next. The choice is deterministic, so that the owners of all shards choose the same spare and
+    /// the shards keep the same members.
     fn next_spare(&self, view: GroupView<'_>) -> Option<SocketAddr> {
         let outside = view.live.iter().copied().filter(|node| !view.group.contains(node));
         let before_voting = self.has(ReplacementFault::JoinBeforeVoting);
         outside.filter(|node| before_voting || view.member_statuses.can_join(*node, view.shard)).min()
     }
 
-    /// The member that has been suspected longest, if that is beyond [`REPLACEMENT_TIMEOUT`].
+    /// The member that has been suspected longest, if for at least [`REPLACEMENT_TIMEOUT`].
     fn longest_suspected(&self, now: Duration, view: GroupView<'_>) -> Option<SocketAddr> {
         let shared_record = self.has(ReplacementFault::ShareSuspicions);
         let record = if shared_record { FIRST_SHARD } else { view.shard };
--- a/crates/controller/src/controller/membership/replacement_test.rs
+++ b/crates/controller/src/controller/membership/replacement_test.rs
@@ -1,4 +1,4 @@
-//! Growth of the replica groups, and the replacement of members that are gone or leave.
+//! Growth of the replica groups, and the replacement of suspected and draining members.
 
 use crate::controller::membership::member_status::MemberStatuses;
 use crate::controller::membership::replacement::{GroupView, MemberChange, ReplacementPlanner};
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The shard of the tests that are about one shard.
+/// The shard in tests that involve one shard only.
 const SHARD: u8 = 0;
-/// Shards of which tests tell the voting replicas.
+/// Number of shards for which the tests report voting replicas.
 const SHARDS: u8 = 5;
 
 fn ms(n: u64) -> Duration {
@@ -32,7 +32,7 @@
     member_statuses
 }
 
-/// What is planned for `shard` at `time`, without a further look.
+/// The change that is planned for `shard` at `time`, without a new observation.
 fn planned(
     members: &ReplacementPlanner,
     time: u64,
@@ -46,7 +46,7 @@
     members.plan(ms(time), view, size)
 }
 
-/// What is planned at `time` by one who has just looked.
+/// The change that is planned at `time`, directly after an observation.
 fn observed_at(
     members: &mut ReplacementPlanner,
     time: u64,
@@ -204,7 +204,11 @@
         members.observe(ms(0), shard, &nodes(group.0), &nodes(group.1));
     }
     member_statuses.record(node(4), MemberStatus::new(4, [1], false));
-    assert_eq!(planned(&members, 9_000, 0, group, 3, &member_statuses), None, "it recovers there");
+    assert_eq!(
+        planned(&members, 9_000, 0, group, 3, &member_statuses),
+        None,
+        "its replica of shard 0 is still recovering"
+    );
     assert!(planned(&members, 9_000, 1, group, 3, &member_statuses).is_some());
 }
 
--- a/crates/controller/src/controller/membership/shutdown.rs
+++ b/crates/controller/src/controller/membership/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: what only this controller holds is handed over first.
+//! Graceful shutdown: hands over leases, group memberships and unsent updates before the process exits.
 
 use crate::controller::consensus::shards;
 use crate::controller::membership::handover::{GroupMembership, Handover};
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 impl Controller {
-    /// Starts the shutdown. The controller gives up its leases, takes no more calls, sends agents elsewhere, and reports
-    /// that it is draining, so that the other controllers replace it by a spare if there is one.
+    /// Starts the shutdown. The controller releases its leases, refuses further calls, makes agents switch to other
+    /// controllers, and reports that it is draining, so that the other controllers replace it by a spare if there is one.
     pub(crate) fn begin_shutdown(&mut self) {
         if self.is_draining() {
             return;
@@ -29,7 +29,7 @@
         self.handover.is_some()
     }
 
-    /// Whether the process may end.
+    /// Whether the process may exit.
     pub(crate) fn has_shut_down(&self) -> bool {
         self.handover.as_ref().is_some_and(Handover::is_done)
     }
@@ -61,7 +61,7 @@
         GroupMembership { is_member, has_spare: shards::all().any(could_join) }
     }
 
-    /// Sends what the others do not have yet, and asks them to confirm it.
+    /// Sends all updates that the other controllers do not have yet, and asks them to confirm.
     fn flush_last(&mut self, now: Duration) {
         if let Some(batch) = self.endpoints.take_heartbeat_batch() {
             self.peers.broadcast(&batch);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether nobody waits for an answer, and every lease is given back.
+    /// Whether no caller waits for an answer and all leases are released.
     fn is_idle(&self) -> bool {
         self.in_flight.is_empty()
             && self.pending_changes.next_wake().is_none()
