--- a/crates/controller/src/controller/consensus/freshness.rs
+++ b/crates/controller/src/controller/consensus/freshness.rs
@@ -126,7 +126,7 @@
             self.read_barrier();
         }
         if change.notify {
-            log::info!("configuration currency changed current={}", self.freshness.is_current());
+            log::info!("configuration freshness changed current={}", self.freshness.is_current());
             self.send_feed_heartbeat();
         }
     }
--- a/crates/controller/src/controller/consensus/quorum_contact_test.rs
+++ b/crates/controller/src/controller/consensus/quorum_contact_test.rs
@@ -1,4 +1,5 @@
-//! Contact: a majority's answers no older than stated, whatever links and processes do.
+//! Contact is claimed only with a majority whose answers are within the validity, whatever faults links and processes
+//! have.
 
 use crate::controller::consensus::quorum_contact::{CONTACT_VALIDITY, ContactFault, QuorumContact};
 use lanegate_coordination::membership::{Heartbeat, NodeId};
@@ -9,9 +10,9 @@
 /// Time between heartbeats, and between the steps of the simulation.
 const HEARTBEAT: Duration = Duration::from_millis(200);
 const STEP: Duration = Duration::from_millis(10);
-/// Usual time of a message on its way.
+/// Usual transit time of a message.
 const MESSAGE_DELAY: Duration = Duration::from_millis(20);
-/// The longest time from a link's return to contact: a heartbeat, two ways, and steps.
+/// Longest time from the healing of a link to contact: a heartbeat interval, a round trip, and steps.
 const RECOVERY_TIME: Duration = Duration::from_millis(300);
 
 fn ms(milliseconds: u64) -> Duration {
@@ -40,7 +41,7 @@
     Echo(Heartbeat),
 }
 
-/// Messages wait where a link is cut or the receiver frozen, as they do in the buffers of connections.
+/// A message in transit. It waits while its link is partitioned or its receiver frozen, as in a connection's buffer.
 struct Delivery {
     from: usize,
     to: usize,
@@ -59,11 +60,11 @@
     now: Duration,
     nodes: Vec<Node>,
     deliveries: Vec<Delivery>,
-    /// Directed links that carry nothing, from and to.
+    /// Partitioned directed links, as sender and receiver.
     partition: Vec<(usize, usize)>,
     /// Links on which messages take longer.
     slow: BTreeMap<(usize, usize), Duration>,
-    /// When both ways between two nodes were last open with both running, ordered pair.
+    /// For each ordered pair of nodes, when both directions were last open while both nodes were running.
     last_open: BTreeMap<(usize, usize), Duration>,
     groups: Vec<Vec<SocketAddr>>,
 }
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Nobody claims contact whose links to every majority of a group were shut for longer than the validity.
+    /// Checks that no node claims contact with a group unless its links to a majority were open within the validity.
     fn check(&self) -> Result<(), String> {
         for index in (0..self.nodes.len()).filter(|index| self.has_contact(*index)) {
             for group in &self.groups {
@@ -213,33 +214,33 @@
         world.run_for(STEP)?;
         for index in 0..3 {
             if !world.has_contact(index) {
-                return Err(format!("{:?}: {index} has no contact in calm", world.now));
+                return Err(format!("{:?}: {index} has no contact in a healthy network", world.now));
             }
         }
     }
     Ok(())
 }
 
-/// Cut off for twenty seconds on both ways: contact ends within the validity, the others keep theirs, and the
-/// heal gives it back within a heartbeat and a round trip.
+/// Node 0 is partitioned in both directions for twenty seconds: its contact ends within the validity, the others keep
+/// theirs, and after the partition heals it regains contact within a heartbeat interval and a round trip.
 fn partition_of_twenty_seconds(fault: Option<ContactFault>) -> Result<(), String> {
     let mut world = World::all(3, fault);
     world.run_for(ms(2_000))?;
     world.partition_off(0);
     world.run_for(CONTACT_VALIDITY)?;
     if world.has_contact(0) || !world.has_contact(1) || !world.has_contact(2) {
-        return Err("the cut-off one alone loses contact, within the validity".to_owned());
+        return Err("expected that only node 0 loses contact, within the validity".to_owned());
     }
     world.run_for(ms(19_000))?;
     world.partition.clear();
     world.run_for(RECOVERY_TIME)?;
     if !world.has_contact(0) {
-        return Err("contact is back after the heal".to_owned());
+        return Err("expected contact after the partition has healed".to_owned());
     }
     Ok(())
 }
 
-/// Nothing leaves node 0 any more, but it hears everyone.
+/// All messages from node 0 are lost, but it receives those of the others.
 fn outgoing_messages_lost(fault: Option<ContactFault>) -> Result<(), String> {
     let mut world = World::all(3, fault);
     world.run_for(ms(2_000))?;
@@ -247,12 +248,12 @@
     world.one_way_partition(0, 2);
     world.run_for(ms(20_000))?;
     if world.has_contact(0) {
-        return Err("questions that are not heard are not answered".to_owned());
+        return Err("heartbeats that were lost must not count as answered".to_owned());
     }
     Ok(())
 }
 
-/// Nothing reaches node 0 any more, but everyone hears it.
+/// All messages to node 0 are lost, but the others receive its messages.
 fn incoming_messages_lost(fault: Option<ContactFault>) -> Result<(), String> {
     let mut world = World::all(3, fault);
     world.run_for(ms(2_000))?;
@@ -261,7 +262,7 @@
     world.run_for(ms(20_000))
 }
 
-/// Answers lie in a buffer during a freeze and are read at the thaw.
+/// Echoes wait in a buffer while the process is frozen, and are read when it resumes.
 fn frozen_for_twenty_seconds(fault: Option<ContactFault>) -> Result<(), String> {
     let mut world = World::all(3, fault);
     world.run_for(ms(2_000))?;
@@ -271,9 +272,9 @@
     world.partition_off(0);
     world.nodes[0].frozen = false;
     if world.has_contact(0) {
-        return Err("contact outlasts a freeze".to_owned());
+        return Err("contact must not outlast a freeze".to_owned());
     }
-    // What waited in its own buffers is read now, although nobody can be reached.
+    // The echoes in its own buffers are read now, although no peer can be reached.
     let buffered: Vec<Delivery> =
         std::mem::take(&mut world.deliveries).into_iter().filter(|delivery| delivery.to == 0).collect();
     for delivery in buffered {
@@ -282,24 +283,24 @@
         }
     }
     if world.has_contact(0) {
-        return Err("an answer of before the freeze counts".to_owned());
+        return Err("an echo from before the freeze must not count".to_owned());
     }
     Ok(())
 }
 
-/// Answers take two seconds: each is too old when it comes.
+/// Echoes take two seconds, so each is too old when it arrives.
 fn late_answers(fault: Option<ContactFault>) -> Result<(), String> {
     let mut world = World::all(3, fault);
     world.slow.insert((1, 0), ms(2_000));
     world.slow.insert((2, 0), ms(2_000));
     world.run_for(ms(10_000))?;
     if world.has_contact(0) {
-        return Err("answers older than the validity count".to_owned());
+        return Err("echoes older than the validity must not count".to_owned());
     }
     Ok(())
 }
 
-/// One of four others is reached: two of five are no majority.
+/// Nodes 0 and 1 are partitioned from the other three: two of five are no majority.
 fn two_of_five(fault: Option<ContactFault>) -> Result<(), String> {
     let mut world = World::all(5, fault);
     world.run_for(ms(2_000))?;
@@ -309,12 +310,12 @@
     world.run_for(ms(20_000))?;
     let sides = [0, 1, 2, 3, 4].map(|index| world.has_contact(index));
     if sides != [false, false, true, true, true] {
-        return Err(format!("the side of three has contact alone: {sides:?}"));
+        return Err(format!("expected contact on the side of three only: {sides:?}"));
     }
     Ok(())
 }
 
-/// While the group changes from 0, 1, 2 to 0, 3, 4, node 0 is cut off from the old members.
+/// While the group changes from 0, 1, 2 to 0, 3, 4, node 0 is partitioned from the old members.
 fn members_change_during_a_partition(fault: Option<ContactFault>) -> Result<(), String> {
     let mut world = World::new(5, vec![group(&[0, 1, 2]), group(&[0, 3, 4])], fault);
     world.run_for(ms(2_000))?;
@@ -323,19 +324,19 @@
     }
     world.run_for(ms(5_000))?;
     if world.has_contact(0) {
-        return Err("a majority of the new group alone counts".to_owned());
+        return Err("a majority of the new group alone must not count".to_owned());
     }
     Ok(())
 }
 
-/// A late echo of the life before, with a sequence that this life has used too.
+/// A late echo of an earlier incarnation, with a sequence that this incarnation has used too.
 fn echo_of_an_earlier_incarnation(fault: Option<ContactFault>) -> Result<(), String> {
     let mut contact = QuorumContact::with_fault(address(0), 2, fault);
     contact.heartbeat_sent(ms(100), &heartbeat(0, 2, 1));
     contact.echo_received(ms(110), address(1), &heartbeat(0, 1, 1));
     contact.echo_received(ms(110), address(1), &heartbeat(2, 2, 1));
     if contact.reaches(ms(120), &[group(&[0, 1, 2])]) {
-        return Err("an echo of another life counts".to_owned());
+        return Err("an echo of another incarnation must not count".to_owned());
     }
     Ok(())
 }
@@ -343,15 +344,15 @@
 type Scenario = fn(Option<ContactFault>) -> Result<(), String>;
 
 const SCENARIOS: [(&str, Scenario); 9] = [
-    ("calm", healthy_network_gives_every_node_contact),
-    ("cut off for twenty seconds", partition_of_twenty_seconds),
-    ("nothing leaves", outgoing_messages_lost),
-    ("nothing arrives", incoming_messages_lost),
+    ("healthy network", healthy_network_gives_every_node_contact),
+    ("partition of twenty seconds", partition_of_twenty_seconds),
+    ("outgoing messages lost", outgoing_messages_lost),
+    ("incoming messages lost", incoming_messages_lost),
     ("frozen for twenty seconds", frozen_for_twenty_seconds),
     ("late answers", late_answers),
     ("two of five", two_of_five),
-    ("members change during a cut", members_change_during_a_partition),
-    ("echo of an earlier life", echo_of_an_earlier_incarnation),
+    ("members change during a partition", members_change_during_a_partition),
+    ("echo of an earlier incarnation", echo_of_an_earlier_incarnation),
 ];
 
 #[test]
@@ -361,7 +362,7 @@
     }
 }
 
-/// The scenarios that find a fault.
+/// The scenarios that detect a fault.
 fn found_by(fault: ContactFault) -> Vec<&'static str> {
     let failing = SCENARIOS.iter().filter(|(_, scenario)| scenario(Some(fault)).is_err());
     failing.map(|(name, _)| *name).collect()
@@ -380,7 +381,7 @@
 
 #[test]
 fn a_peer_that_only_sends_is_found() {
-    assert!(found_by(ContactFault::CountReceivedHeartbeats).contains(&"nothing leaves"));
+    assert!(found_by(ContactFault::CountReceivedHeartbeats).contains(&"outgoing messages lost"));
 }
 
 #[test]
@@ -390,12 +391,12 @@
 
 #[test]
 fn a_majority_of_the_new_group_alone_is_found() {
-    assert!(found_by(ContactFault::NewGroupOnly).contains(&"members change during a cut"));
+    assert!(found_by(ContactFault::NewGroupOnly).contains(&"members change during a partition"));
 }
 
 #[test]
 fn echoes_of_an_earlier_incarnation_are_found() {
-    assert!(found_by(ContactFault::AnyIncarnation).contains(&"echo of an earlier life"));
+    assert!(found_by(ContactFault::AnyIncarnation).contains(&"echo of an earlier incarnation"));
 }
 
 #[test]
@@ -431,7 +432,7 @@
     contact.echo_received(ms(720), address(1), &heartbeat(0, 1, 2));
     contact.echo_received(ms(900), address(1), &heartbeat(0, 1, 1));
     let end = ms(700) + CONTACT_VALIDITY;
-    assert_eq!(contact.valid_until(&groups), Some(end), "a late echo takes nothing back");
+    assert_eq!(contact.valid_until(&groups), Some(end), "a late echo does not shorten contact");
     assert!(contact.reaches(end - ms(1), &groups));
     assert!(!contact.reaches(end, &groups));
 }
@@ -449,7 +450,7 @@
     assert_eq!(contact.newest(), None);
     contact.heartbeat_sent(ms(100), &heartbeat(0, 1, 1));
     contact.heartbeat_sent(ms(300), &heartbeat(0, 1, 2));
-    let repeated = *contact.newest().expect("one has left");
+    let repeated = *contact.newest().expect("one was sent");
     assert_eq!(repeated, heartbeat(0, 1, 2));
     contact.echo_received(ms(450), address(1), &repeated);
     let groups = [group(&[0, 1, 2])];
--- a/crates/controller/src/controller/endpoints/acknowledgements.rs
+++ b/crates/controller/src/controller/endpoints/acknowledgements.rs
@@ -142,7 +142,7 @@
         let confirmed = self.pending.iter().filter(|(_, pending)| is_confirmed(pending));
         let confirmed: Vec<u64> = confirmed.map(|(token, _)| *token).collect();
         for token in confirmed {
-            let pending = self.pending.remove(&token).expect("it was just there");
+            let pending = self.pending.remove(&token).expect("the token was taken from this map");
             self.confirmed.insert(pending.id);
             let _ = pending.reply.send(acknowledged());
         }
@@ -164,7 +164,7 @@
             .map(|(token, _)| *token)
             .collect();
         for token in late {
-            let pending = self.pending.remove(&token).expect("it was just there");
+            let pending = self.pending.remove(&token).expect("the token was taken from this map");
             let _ = pending.reply.send(not_replicated());
         }
     }
--- a/crates/controller/src/controller/inspect.rs
+++ b/crates/controller/src/controller/inspect.rs
@@ -30,7 +30,7 @@
 
     /// The body of the status document, and the metrics in text format.
     pub(crate) fn exported(&self) -> (Bytes, String) {
-        (self.status().body, self.metrics().render().expect("strings take any text"))
+        (self.status().body, self.metrics().render().expect("metrics can be rendered as text"))
     }
 
     /// Number of shards whose lease this controller holds.
--- a/crates/controller/src/controller/membership/reconfiguration.rs
+++ b/crates/controller/src/controller/membership/reconfiguration.rs
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Adds missing members, and replaces unreachable and draining ones, in the groups of the shards that this controller owns.
+    /// Adds missing members, and replaces unreachable and draining ones, in the groups of the shards that this controller
+    /// owns.
     pub(crate) fn reconcile_members(&mut self, now: Duration) {
         let live: Vec<SocketAddr> =
             self.membership.live().filter(|member| self.is_reached(now, *member)).collect();
--- a/crates/controller/src/controller/operator/answers_test.rs
+++ b/crates/controller/src/controller/operator/answers_test.rs
@@ -1,4 +1,4 @@
-//! The bodies of the control interface's answers, byte for byte.
+//! Bodies of answers of the control interface, compared byte for byte.
 
 use crate::controller::event::Answer;
 use crate::controller::operator::control_calls::change_answer;
--- a/crates/controller/src/controller/operator/control_calls.rs
+++ b/crates/controller/src/controller/operator/control_calls.rs
@@ -1,4 +1,4 @@
-//! Calls on the control interface.
+//! Handling of calls on the control interface.
 
 use crate::controller::consensus::replica_groups::KnownGroups;
 use crate::controller::consensus::shards;
@@ -10,15 +10,15 @@
 use lanegate_config::findings::Findings;
 use std::collections::BTreeMap;
 
-/// Where the configuration is read and changed.
+/// Path at which the configuration is read and changed.
 const CONFIGURATION_PATH: &str = "/config";
-/// Where endpoints register.
+/// Path prefix under which endpoints register.
 const INSTANCES_PATH: &str = "/instances/";
 /// Path of the status document.
 const STATUS_PATH: &str = "/status";
 
 impl Controller {
-    /// Answers a call, at once or later.
+    /// Handles a call, which is answered at once or after a register request has completed.
     pub(crate) fn call(&mut self, call: Call) {
         if self.is_draining() && call.path != STATUS_PATH {
             return answer(call, Answer::unavailable(Unavailable::Draining));
@@ -104,7 +104,7 @@
         }
     }
 
-    /// What [`ControllerFault::RefuseLocally`] answers.
+    /// The answer with the fault [`ControllerFault::RefuseLocally`]; `None` without it.
     fn local_refusal(&self, command: &[u8]) -> Option<Answer> {
         let known = self.shards.get(shards::CONFIGURATION).committed()?;
         let wrong = self.has_fault(ControllerFault::RefuseLocally);
@@ -160,7 +160,7 @@
     serde_json::json!({ "Error": error, "Findings": findings })
 }
 
-/// What the operator gets for the encoded outcome of a change.
+/// The answer to an operator for the encoded outcome of a change.
 pub(crate) fn change_answer(encoded: &[u8]) -> Answer {
     let outcome = match Outcome::decode(encoded) {
         Ok(outcome) => outcome,
--- a/crates/controller/src/controller/operator/http.rs
+++ b/crates/controller/src/controller/operator/http.rs
@@ -1,4 +1,4 @@
-//! The control interface: endpoints and operators over HTTP/1.1.
+//! The HTTP/1.1 server of the control interface, for endpoints and operators.
 
 use crate::controller::event::{Answer, Call, Event, Method};
 use crate::controller::operator::unavailable::{Unavailable, UnavailableCounts};
@@ -15,16 +15,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 
-/// Largest body that is read.
+/// Maximum length of a body.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
-/// Bytes beyond [`MAX_BODY_BYTES`] that are read and dropped before the answer.
+/// Maximum number of bytes beyond [`MAX_BODY_BYTES`] that are read and discarded before the answer.
 const MAX_DROPPED_BYTES: usize = 8 * 1024 * 1024;
 /// Longest wait for the head of a call, and for its body.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a connection that could not be accepted.
+/// Delay after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves calls on `listener` until the process ends. Must run inside a `LocalSet`.
+/// Serves calls on `listener` until the process exits. Must run inside a `LocalSet`.
 pub(crate) async fn serve(
     listener: TcpListener,
     events: mpsc::UnboundedSender<Event>,
@@ -76,13 +76,15 @@
         unavailable.count(reason);
     }
     let mut response = Response::new(Full::new(answer.body));
-    *response.status_mut() = answer.status.try_into().expect("answers have a status of three digits");
-    response.headers_mut().insert(CONTENT_TYPE, "application/json".parse().expect("a media type"));
+    *response.status_mut() = answer.status.try_into().expect("answers have a valid status code");
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, "application/json".parse().expect("the media type is a valid header value"));
     Ok(response)
 }
 
-/// Reads a complete body. What is too long is read on for a while and dropped: a connection that is closed with bytes
-/// unread is reset, and the caller would lose the answer.
+/// Reads a complete body. The rest of a body that is too long is read up to a limit and discarded: closing a connection
+/// with unread bytes resets it, and the caller would lose the answer.
 async fn read_body(mut body: Incoming) -> Result<Bytes, Answer> {
     let mut bytes = BytesMut::new();
     let mut length = 0;
@@ -103,8 +105,8 @@
     Answer::error(413, &format!("the body is longer than {MAX_BODY_BYTES} bytes"))
 }
 
-/// The answer to a call whose body ended early. It is no refusal: the same change may have been committed by an earlier
-/// call.
+/// The answer to a call whose body ended early. It must not mean that the change was refused, as an earlier call may
+/// have committed the same change.
 fn incomplete_body(error: &hyper::Error) -> Answer {
     Answer::error(408, &format!("the body did not come whole: {error}"))
 }
--- a/crates/controller/src/controller/operator/http_callers_test.rs
+++ b/crates/controller/src/controller/operator/http_callers_test.rs
@@ -1,4 +1,4 @@
-//! Every caller of the control interface gets the answer to its own call, and no other.
+//! Each caller of the control interface receives the answer to its own call only.
 
 use crate::controller::event::{Answer, Call, Event};
 use crate::controller::operator::http::serve;
@@ -11,7 +11,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::timeout;
 
-/// Time in which something that must not happen would have happened.
+/// How long a test waits before it concludes that an event does not occur.
 const ABSENCE_TIMEOUT: Duration = Duration::from_millis(60);
 
 struct Interface {
@@ -35,19 +35,19 @@
     async fn call(&mut self) -> Call {
         match self.events.recv().await {
             Some(Event::Call(call)) => call,
-            _ => panic!("no call came"),
+            _ => panic!("no call arrived"),
         }
     }
 
     async fn assert_no_call(&mut self) {
-        assert!(timeout(ABSENCE_TIMEOUT, self.events.recv()).await.is_err(), "a call came");
+        assert!(timeout(ABSENCE_TIMEOUT, self.events.recv()).await.is_err(), "an unexpected call arrived");
     }
 }
 
 fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(LocalSet::new().run_until(async {
-        timeout(Duration::from_secs(20), test).await.expect("the test hangs");
+        timeout(Duration::from_secs(20), test).await.expect("the test timed out");
     }));
 }
 
--- a/crates/controller/src/controller/operator/http_test.rs
+++ b/crates/controller/src/controller/operator/http_test.rs
@@ -1,4 +1,4 @@
-//! Calls that break off or are too long, over real connections.
+//! Calls that are incomplete or too long, over real connections.
 
 use crate::controller::event::{Answer, Event};
 use crate::controller::operator::http;
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// The status of the answer to `sent`, after which the caller closes its side. Calls that are read whole get 200.
+/// Sends `sent`, closes the sending side, and returns the status of the answer. Complete calls are answered with 200.
 async fn status_of(sent: &[u8]) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -53,7 +53,7 @@
     assert_eq!(run(&[head, vec![b' '; 8_388_609]].concat()), "413");
 }
 
-/// The rest is on its way while the limit is passed: the answer must not be lost with it.
+/// The caller is still sending when the limit is exceeded, and must receive the answer nevertheless.
 #[test]
 fn a_body_that_is_far_too_long_is_refused() {
     let head = b"PUT /config HTTP/1.1\r\nHost: c\r\nContent-Length: 12582912\r\n\r\n".to_vec();
--- a/crates/controller/src/controller/operator/pending_changes.rs
+++ b/crates/controller/src/controller/operator/pending_changes.rs
@@ -1,8 +1,8 @@
-//! Calls of the operator: changes of the configuration and reading it back.
+//! Configuration changes that operators or other controllers sent and that have no outcome yet.
 //!
-//! Any controller may propose a change. The owner of the shard is preferred, so that proposals do not
-//! collide; when it does not answer, this controller proposes the same change itself. Taking a change twice
-//! is harmless: the second time it is found among those already taken.
+//! Any controller may propose a change. The owner of the shard is preferred, so that proposals do not conflict. If the
+//! owner does not answer in time, this controller proposes the same change itself. Proposing a change twice is safe: the
+//! register recognises the second one as already applied.
 
 use crate::controller::event::Answer;
 use crate::controller::operator::unavailable::Unavailable;
@@ -10,18 +10,18 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How long the owner of the shard has before this controller proposes a change itself.
+/// How long the owner of the shard may take to answer before this controller proposes a change itself.
 pub(crate) const OWNER_TIMEOUT: Duration = Duration::from_millis(350);
-/// Longest wait for a clear answer. The operator asks another controller after a second.
+/// Longest wait for an outcome. Below one second, after which the operator calls another controller.
 pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_millis(950);
-/// Changes in flight at a time.
+/// Maximum number of changes in flight.
 const MAX_PENDING: usize = 64;
 
-/// Whom the outcome of a proposal is for.
+/// Receiver of the outcome of a change.
 #[derive(Debug)]
 enum Caller {
     Operator(oneshot::Sender<Answer>),
-    /// Another controller, and its number for the change.
+    /// Another controller, with its own number for the change.
     Peer(std::net::SocketAddr, u64),
 }
 
@@ -29,21 +29,19 @@
 struct Pending {
     caller: Caller,
     command: Vec<u8>,
-    /// When this controller proposes it itself; `None` once it has.
+    /// When this controller proposes the change itself; `None` once it has.
     propose_at: Option<Duration>,
     until: Duration,
 }
 
-/// Who gets the outcome of a proposal.
+/// What remains to be done with the outcome of a change.
 #[derive(Debug)]
 pub(crate) enum Completion {
+    /// Nothing: the operator has been answered.
     Answered,
     /// Send this outcome to the controller that forwarded the change.
-    Return {
-        peer: std::net::SocketAddr,
-        request: u64,
-    },
-    /// No caller waits any more.
+    Return { peer: std::net::SocketAddr, request: u64 },
+    /// Nothing: no caller waits for it any longer.
     Unknown,
 }
 
@@ -53,19 +51,21 @@
     pending: BTreeMap<u64, Pending>,
     /// Number of the newest change.
     newest: u64,
-    /// Changes that were answered 503 because there was no outcome in time.
+    /// Number of changes that were answered with 503 because there was no outcome in time.
     timed_out: u64,
 }
 
 impl PendingChanges {
-    /// Nothing is in flight. Numbers go on from `incarnation`, drawn at each start of the process: an owner may answer
-    /// a change of an earlier incarnation, and that answer must not be taken for one to a change of this incarnation.
+    /// Starts without changes. Changes are numbered from `incarnation`, which is drawn at random at each start of the
+    /// process: an owner may still answer a change of an earlier incarnation, and that answer must not match a change of
+    /// this incarnation.
     pub(crate) fn new(incarnation: u64) -> Self {
         PendingChanges { pending: BTreeMap::new(), newest: incarnation, timed_out: 0 }
     }
 
-    /// Accepts a change. It is proposed here at once, unless `owner_live`: then it is forwarded to the owner first.
-    /// Returns its number, or `None` if too many are in flight.
+    /// Adds a change of an operator. The caller proposes it at once or, if `owner_live`, forwards it to the owner; in
+    /// that case it is due for a proposal here after [`OWNER_TIMEOUT`]. Returns its number, or `None` if too many changes are
+    /// in flight.
     pub(crate) fn begin(
         &mut self,
         now: Duration,
@@ -81,7 +81,7 @@
         Some(self.insert(now, Caller::Operator(reply), command, propose_at))
     }
 
-    /// Takes a change that another controller handed over; it is proposed here at once.
+    /// Adds a change that another controller forwarded; the caller proposes it at once.
     pub(crate) fn begin_forwarded(
         &mut self,
         now: Duration,
@@ -105,12 +105,12 @@
         self.newest
     }
 
-    /// Changes in flight, those that another controller forwarded included.
+    /// Number of changes in flight, including those that other controllers forwarded.
     pub(crate) fn in_flight(&self) -> usize {
         self.pending.len()
     }
 
-    /// Changes that were answered 503 because there was no outcome in time.
+    /// Number of changes that were answered with 503 because there was no outcome in time.
     pub(crate) fn timed_out(&self) -> u64 {
         self.timed_out
     }
@@ -120,7 +120,7 @@
         self.pending.get(&request).map(|pending| pending.command.as_slice())
     }
 
-    /// An outcome has arrived, here or from the owner; `answer` is sent to the operator.
+    /// Completes a change whose outcome was decided here or arrived from the owner; `answer` is sent to the operator.
     pub(crate) fn complete(&mut self, request: u64, answer: impl FnOnce() -> Answer) -> Completion {
         match self.pending.remove(&request).map(|pending| pending.caller) {
             Some(Caller::Operator(reply)) => {
@@ -132,7 +132,8 @@
         }
     }
 
-    /// Changes that the owner has not answered in time, to be proposed here now; ends those too late.
+    /// Answers changes that have timed out with 503. Returns the changes that the owner has not answered in time, which
+    /// have to be proposed here now.
     pub(crate) fn due(&mut self, now: Duration) -> Vec<u64> {
         let late: Vec<u64> =
             self.pending.iter().filter(|(_, pending)| pending.until <= now).map(|(id, _)| *id).collect();
--- a/crates/controller/src/controller/operator/pending_changes_test.rs
+++ b/crates/controller/src/controller/operator/pending_changes_test.rs
@@ -1,4 +1,4 @@
-//! Changes of the operator: the owner first, then this controller, and an end in any case.
+//! Changes of operators: proposed by the owner first, then by this controller, and always completed in bounded time.
 
 use crate::controller::event::Answer;
 use crate::controller::operator::pending_changes::{
@@ -52,7 +52,7 @@
     assert_eq!(changes.due(START + ANSWER_TIMEOUT), Vec::<u64>::new());
 }
 
-/// The owner was frozen with a change of this controller's earlier life before it, and answers now.
+/// The owner was frozen while it had a change of an earlier incarnation of this controller, and answers it only now.
 #[test]
 fn an_outcome_for_an_earlier_incarnation_answers_nobody() {
     let mut earlier = PendingChanges::new(0x5151_0000_0000);
@@ -80,7 +80,11 @@
 fn a_change_without_an_outcome_ends_with_503() {
     let mut changes = PendingChanges::default();
     let (request, mut answer) = started(&mut changes, true);
-    assert_eq!(changes.due(START + ANSWER_TIMEOUT), Vec::<u64>::new(), "it is too late to propose it");
+    assert_eq!(
+        changes.due(START + ANSWER_TIMEOUT),
+        Vec::<u64>::new(),
+        "the change has timed out and is not proposed"
+    );
     assert_eq!(answer.try_recv().expect("it is answered").status, 503);
     assert_eq!(changes.command(request), None);
     assert_eq!(changes.next_wake(), None);
--- a/crates/controller/src/controller/operator/unavailable.rs
+++ b/crates/controller/src/controller/operator/unavailable.rs
@@ -1,8 +1,8 @@
-//! Why a call was answered 503, and how often.
+//! Reasons for answering a call with 503, and their counts.
 
 use std::cell::Cell;
 
-/// Why there is no clear answer to a call.
+/// Why a call was answered with 503.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Unavailable {
     /// This controller is draining.
@@ -15,14 +15,14 @@
     ChangeUnclear,
     /// The configuration cannot be read without a majority.
     NoMajority,
-    /// Too few controllers have a heartbeat or a deregistration.
+    /// Too few controllers have received a heartbeat or a deregistration.
     HeartbeatNotReplicated,
     /// The call was dropped without an answer.
     Dropped,
 }
 
 impl Unavailable {
-    /// All reasons, in the order of their numbers.
+    /// All reasons, in the order of their discriminants.
     pub(crate) const ALL: [Unavailable; 7] = [
         Unavailable::Draining,
         Unavailable::TooManyChanges,
@@ -33,7 +33,7 @@
         Unavailable::Dropped,
     ];
 
-    /// Text of the answer.
+    /// Error text of the answer.
     pub(crate) fn text(self) -> &'static str {
         match self {
             Unavailable::Draining => "this controller is about to end",
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Its name as a label.
+    /// Value of the metric label.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Unavailable::Draining => "leaving",
@@ -59,7 +59,7 @@
     }
 }
 
-/// Calls answered 503, by reason.
+/// Number of calls answered with 503, by reason.
 #[derive(Debug, Default)]
 pub(crate) struct UnavailableCounts([Cell<u64>; Unavailable::ALL.len()]);
 
@@ -70,7 +70,7 @@
         count.set(count.get() + 1);
     }
 
-    /// Calls answered 503 for this reason.
+    /// Number of calls answered with 503 for this reason.
     pub(crate) fn get(&self, reason: Unavailable) -> u64 {
         self.0[reason as usize].get()
     }
--- a/crates/controller/src/controller/placement/endpoint_client.rs
+++ b/crates/controller/src/controller/placement/endpoint_client.rs
@@ -1,8 +1,8 @@
-//! Orders to endpoints and questions to them, over HTTP/1.1.
+//! HTTP/1.1 client for orders and report requests to endpoints.
 //!
-//! Each has a connection of its own and is sent once: no answer of another call can take its place, and nothing
-//! is repeated here. An order without an answer may have been taken, or may still be on its way; its connection is
-//! reset, so that the kernel does not deliver it when a link heals long after.
+//! Each call uses its own connection and is sent once, so its answer cannot be confused with that of another call, and
+//! nothing is retried here. An order without an answer may have been executed, or may still be in transit. Its
+//! connection is reset, so that the kernel does not deliver the order when a link heals much later.
 
 use crate::link::dial;
 use bytes::Bytes;
@@ -22,16 +22,16 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// Longest time in which an order reaches its endpoint, once it may be sent: until it is sent, and on its way.
+/// Longest time from the authorization of an order until it reaches its endpoint: connecting, sending and delivery.
 pub(crate) const ORDER_WIRE_TIME: Duration = Duration::from_millis(300);
-/// Longest wait for the connection that carries an order.
+/// Time limit for connecting to an endpoint.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
-/// How long the kernel tries to deliver an order. Below its shortest retransmission timeout, so that what the
-/// link has swallowed is given up then and not delivered when the link heals, after the lease.
+/// How long the kernel tries to deliver an order. Below its shortest retransmission timeout, so that the kernel drops
+/// data that the link has lost, instead of delivering it after the link heals and the lease has ended.
 const DELIVERY_TIMEOUT: Duration = Duration::from_millis(180);
 const _: () =
     assert!(CONNECT_TIMEOUT.as_millis() + DELIVERY_TIMEOUT.as_millis() <= ORDER_WIRE_TIME.as_millis());
-/// Longest wait for an answer; the connection is reset after it.
+/// Longest wait for an answer; after it the connection is reset.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("expect-instance");
@@ -51,12 +51,12 @@
     fencing_token: u64,
 }
 
-/// Why a call has no answer.
+/// Why a call has no usable answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallError {
     /// Nothing was sent.
     NotSent,
-    /// It may have been taken.
+    /// The request was sent and may have been executed.
     Unanswered,
 }
 
@@ -64,9 +64,9 @@
 #[derive(Debug)]
 struct EndpointResponse {
     status: StatusCode,
-    /// Whether the endpoint says that it did nothing.
+    /// Whether the endpoint declares that it did not execute the request.
     is_not_executed: bool,
-    /// Who answered, where the endpoint says so.
+    /// Id of the incarnation that answered, if the endpoint sent it.
     instance: Option<HeaderValue>,
     body: Bytes,
 }
@@ -93,7 +93,8 @@
     }
 }
 
-/// Only an endpoint that says so did not take the order; another 429 or 503 is no proof.
+/// Maps a response to the outcome of an order. A status such as 429 or 503 shows that the order was not executed only if
+/// the endpoint declares so explicitly.
 fn order_answer(response: &EndpointResponse) -> OrderAnswer {
     match OrderAnswer::from_status(response.status.as_u16()) {
         OrderAnswer::Unavailable if !response.is_not_executed => OrderAnswer::Unknown,
@@ -101,7 +102,7 @@
     }
 }
 
-/// Requests the report of an endpoint; `None` where another incarnation answers.
+/// Requests the report of an endpoint. `None` if there is no valid answer, or another incarnation answers.
 pub(crate) async fn request_report(instance: &str, address: SocketAddr) -> Option<EndpointReport> {
     let request = addressed(Method::GET, "/report", address, instance).body(Full::new(Bytes::new())).ok()?;
     let response = call(address, request, Instant::now() + CONNECT_TIMEOUT).await.ok()?;
@@ -112,7 +113,7 @@
     serde_json::from_slice(&response.body).ok()
 }
 
-/// The head of a call that only this incarnation of an endpoint is to take.
+/// The head of a request that only the incarnation `instance` of an endpoint may execute.
 fn addressed(method: Method, path: &str, address: SocketAddr, instance: &str) -> Builder {
     let request = Request::builder().method(method).uri(path);
     request.header("Host", address.to_string()).header(EXPECT_INSTANCE, instance)
@@ -129,7 +130,7 @@
     limited.map_err(|_| CallError::NotSent)?;
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (mut sender, mut connection) = handshake.map_err(|_| CallError::NotSent)?;
-    // The process may have stood still since the order was allowed, or while the connection came up.
+    // The process may have stalled since the order was authorized, or while connecting.
     if Instant::now() > send_by {
         return Err(CallError::NotSent);
     }
@@ -171,9 +172,9 @@
     })
 }
 
-/// Makes the kernel drop what it has not delivered yet.
+/// Makes the kernel reset the connection on close and discard undelivered data.
 fn reset(stream: &TcpStream) {
     if let Err(error) = stream.set_zero_linger() {
-        log::warn!("connection of an unanswered order not reset, delivery may be late error={error}");
+        log::warn!("connection not reset, unanswered call may be delivered late error={error}");
     }
 }
--- a/crates/controller/src/controller/placement/endpoint_client_test.rs
+++ b/crates/controller/src/controller/placement/endpoint_client_test.rs
@@ -9,17 +9,17 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, timeout};
 
-/// Time in which something that must not happen would have happened.
+/// How long a test waits before it concludes that an event does not occur.
 const ABSENCE_TIMEOUT: Duration = Duration::from_millis(60);
 
 fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(LocalSet::new().run_until(async {
-        timeout(Duration::from_secs(10), test).await.expect("the test hangs");
+        timeout(Duration::from_secs(10), test).await.expect("the test timed out");
     }));
 }
 
-/// Long enough for a connection.
+/// A deadline that leaves enough time to connect.
 fn soon() -> Instant {
     Instant::now() + Duration::from_secs(1)
 }
@@ -42,7 +42,7 @@
     }
 }
 
-/// Reads one call: its head, and its body as JSON where it has one.
+/// Reads one request: its head, and its body as JSON if it has one.
 async fn read_call(stream: &mut TcpStream) -> (String, serde_json::Value) {
     let mut read = Vec::new();
     loop {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Gives an order to an endpoint that answers with `bytes` and closes; tells what came of it.
+/// Sends an order to an endpoint that answers with `bytes` and closes. Returns the outcome.
 async fn answered_with(bytes: &'static str) -> OrderAnswer {
     let (listener, address) = endpoint().await;
     spawn_local(async move {
@@ -167,7 +167,7 @@
     });
 }
 
-/// The process stood still after the order was allowed, in its queue or while the connection came up.
+/// The process stalled after the order was authorized, before sending it or while connecting.
 #[test]
 fn an_order_that_is_late_is_not_sent() {
     run_test(async {
--- a/crates/controller/src/controller/placement/mod.rs
+++ b/crates/controller/src/controller/placement/mod.rs
@@ -1,4 +1,4 @@
-//! Placement of models: a placer for each service whose lease this controller holds, and orders to endpoints.
+//! Placement of models: a placer for each service whose shard lease this controller holds, and orders to endpoints.
 
 pub(super) mod endpoint_client;
 #[cfg(test)]
--- a/crates/controller/src/controller/placement/placement_control.rs
+++ b/crates/controller/src/controller/placement/placement_control.rs
@@ -1,4 +1,5 @@
-//! Placement for the services whose leases this controller holds: leases, updates for the placers, orders.
+//! Placement for the services whose shard leases this controller holds: candidacy for leases, input for the placers, and
+//! sending of orders.
 
 use crate::controller::consensus::shards;
 use crate::controller::endpoints::pending_loads::{PendingLoadStep, residency_update};
@@ -15,19 +16,21 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Longest wait for an epoch.
+/// Time limit for the allocation of an epoch.
 const EPOCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Epoch of the first holder ever.
+/// The first epoch of a shard.
 const FIRST_EPOCH: u64 = 1;
 
 impl Controller {
-    /// Stands for the leases of the shards that have engines and that this controller owns.
+    /// Sets for which leases this controller is a candidate: those of shards that have services with engines and that it
+    /// owns or already holds the lease of, while it is in contact with a majority and not draining.
     pub(crate) fn campaign_for_leases(&mut self) {
         let Some(configuration) = self.configuration.clone() else { return };
         let now = self.now();
         let wanted: BTreeSet<u8> = Placers::wanted_shards(&configuration).collect();
         for shard in shards::all().filter(|shard| *shard != shards::CONFIGURATION) {
-            // The lease holder stays candidate while it can: a handover to the first in order costs a quiet period.
+            // A lease holder remains a candidate even if it is no longer the owner: moving the lease to the owner would
+            // cost a quiet period.
             let acts = self.placers.acts_for(shard);
             let is_candidate = wanted.contains(&shard) && (acts || self.owns(shard));
             let is_candidate = is_candidate && self.has_contact(shard) && !self.is_draining();
@@ -66,7 +69,7 @@
                 }
                 Output::Ended { .. } if self.has_fault(ControllerFault::OrderWithoutLease) => {}
                 Output::Ended { shard, .. } => {
-                    log::info!("lease released shard={shard}");
+                    log::info!("lease ended shard={shard}");
                     self.placers.tenure_ended(shard as u8);
                     self.pending_loads.tenure_ended(shard as u8);
                 }
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Configures the placers; `epoch` is that of a tenure that has just begun, else 0.
+    /// Configures the placers; `epoch` is the epoch of a tenure that has just begun, or 0.
     pub(crate) fn configure_placements(&mut self, epoch: u64) {
         let Some(configuration) = self.configuration.clone() else { return };
         let first = self.first_start && epoch == FIRST_EPOCH;
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Executes what the placers and pending loads require now.
+    /// Executes the due actions of the placers and of pending loads.
     pub(crate) fn run_placers(&mut self, now: Duration) {
         for action in self.placers.due(now) {
             self.start_action(action);
@@ -117,7 +120,7 @@
         }
     }
 
-    /// An order was answered, or not.
+    /// An order has completed, with an answer or a time-out.
     pub(crate) fn order_answered(&mut self, service: &str, order: &Order, answer: OrderAnswer) {
         let now = self.now();
         self.counters.order_answered(order.operation, answer);
@@ -177,7 +180,7 @@
         }
     }
 
-    /// Notifies routers that an endpoint is about to drop a model before the endpoint is ordered to.
+    /// Notifies routers that an endpoint is about to evict a model, before the order is sent to the endpoint.
     fn announce_eviction(&mut self, action: &Action) {
         let Action::Order(order) = action else { return };
         if order.operation == Operation::Evict {
@@ -198,8 +201,9 @@
         self.republish_evictions(id);
     }
 
-    /// An endpoint lists what it was ordered to drop until the last run with it has ended, and refuses requests for
-    /// it all that time. Its heartbeats meanwhile do not bring routers back.
+    /// Publishes a pending eviction again after a heartbeat. An endpoint lists an evicted model until the last run with
+    /// it has ended, but refuses requests for it all that time. Without this its heartbeats would make routers send requests
+    /// for the model again.
     fn republish_evictions(&mut self, id: &str) {
         if !self.settings.switched_off.leaves(Mechanism::EvictionHiding) {
             return;
--- a/crates/controller/src/controller/placement/placers.rs
+++ b/crates/controller/src/controller/placement/placers.rs
@@ -1,5 +1,4 @@
-//! Placement at a controller: a placer for each service whose lease this controller holds, and the orders
-//! that it gives.
+//! The placers of a controller, one for each service whose shard lease it holds, and the execution of their actions.
 
 use crate::controller::consensus::shards::shard_of;
 use crate::controller::event::Event;
@@ -15,13 +14,13 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// The placers of the services whose shards this controller acts for.
+/// The placers of the services whose shard leases this controller holds.
 #[derive(Debug, Default)]
 pub(crate) struct Placers {
     placers: BTreeMap<String, Placer>,
-    /// Epochs of the shards that this controller acts for.
+    /// Epoch of each shard lease that this controller holds.
     epochs: BTreeMap<u8, u64>,
-    /// Violations counted by placers that have been dropped.
+    /// Violations counted by placers that were dropped.
     ended_violations: InvariantViolations,
 }
 
@@ -34,35 +33,35 @@
 }
 
 impl Placers {
-    /// Shards of the services of `configuration` whose endpoints are engines.
+    /// Shards of the services in `configuration` whose endpoints are engines.
     pub(crate) fn wanted_shards(configuration: &Configuration) -> impl Iterator<Item = u8> {
         let engines = configuration.backends.iter().filter(|backend| backend.runtime.is_some());
         engines.map(|backend| shard_of(&backend.name))
     }
 
-    /// This controller acts for `shard` from now on.
+    /// This controller has acquired the lease of `shard`.
     pub(crate) fn tenure_began(&mut self, shard: u8, epoch: u64) {
         self.epochs.insert(shard, epoch);
     }
 
-    /// The epoch under which this controller acts for `shard`.
+    /// The epoch of this controller's lease of `shard`, if it holds one.
     pub(crate) fn epoch(&self, shard: u8) -> Option<u64> {
         self.epochs.get(&shard).copied()
     }
 
-    /// Whether this controller acts for `shard`.
+    /// Whether this controller holds the lease of `shard`.
     pub(crate) fn acts_for(&self, shard: u8) -> bool {
         self.epochs.contains_key(&shard)
     }
 
-    /// This controller acts for `shard` no more.
+    /// The lease of `shard` has ended: drops the placers of its services.
     pub(crate) fn tenure_ended(&mut self, shard: u8) {
         self.epochs.remove(&shard);
         self.retain_placers(|service| shard_of(service) != shard);
     }
 
-    /// Creates missing placers, drops those whose service was removed, and configures all of them. New ones get the known
-    /// `instances` and `demand`, and start as `start` says.
+    /// Creates missing placers, drops those whose service was removed, and configures all of them. New placers are
+    /// created with `start` and receive the known `instances` and `demand`.
     pub(crate) fn configure<'a>(
         &mut self,
         now: Duration,
@@ -106,7 +105,7 @@
         self.placers.retain(|service, _| keep(service));
     }
 
-    /// Orders that placers of this process withheld because they would have broken a limit.
+    /// Orders that placers of this process withheld because they would have violated a limit.
     pub(crate) fn violations(&self) -> InvariantViolations {
         let mut sum = self.ended_violations;
         self.placers.values().for_each(|placer| sum += placer.violations());
@@ -120,7 +119,7 @@
         }
     }
 
-    /// What an endpoint of a service was ordered to drop and may not have dropped yet.
+    /// The item that an endpoint was ordered to evict and may not have evicted yet.
     pub(crate) fn evicting(&self, registered: &Registered) -> Option<Item> {
         let instance = &registered.instance;
         self.placers.get(&instance.backend)?.evicting(&instance.id).cloned()
@@ -136,14 +135,14 @@
         self.placers.values_mut().for_each(|placer| placer.demand(now, router, report));
     }
 
-    /// An order was answered, or not.
+    /// An order has completed, with an answer or a time-out.
     pub(crate) fn answered(&mut self, now: Duration, service: &str, order: OrderId, answer: OrderAnswer) {
         if let Some(placer) = self.placers.get_mut(service) {
             placer.order_answered(now, order, answer);
         }
     }
 
-    /// An endpoint reported on itself.
+    /// An endpoint answered a report request.
     pub(crate) fn reported(&mut self, now: Duration, service: &str, instance: &str, report: &EndpointReport) {
         if let Some(placer) = self.placers.get_mut(service) {
             placer.report(now, instance, report);
@@ -170,20 +169,20 @@
         self.placers.values().filter_map(Placer::next_wake).min()
     }
 
-    /// Whether this controller places for any service.
+    /// Whether this controller has a placer for any service.
     pub(crate) fn is_active(&self) -> bool {
         !self.placers.is_empty()
     }
 }
 
-/// On whose behalf an endpoint is called.
+/// The lease tenure on whose behalf an endpoint is called.
 #[derive(Debug)]
 pub(crate) struct OrderTenure {
     pub owner: String,
     pub epoch: u64,
 }
 
-/// Executes an action of a placer, and reports its outcome as an event. An order is not sent after `send_by`.
+/// Executes an action of a placer and reports its outcome as an event. An order is not sent after `send_by`.
 pub(crate) async fn execute_action(
     action: ServiceAction,
     tenure: OrderTenure,
@@ -201,7 +200,7 @@
             )
             .await;
             log::info!(
-                "order response received operation={:?} model={} adapter={:?} instance={} answer={answer:?}",
+                "order completed operation={:?} model={} adapter={:?} instance={} answer={answer:?}",
                 order.operation,
                 order.model,
                 order.adapter,
--- a/crates/controller/src/controller/placement/recent_demand.rs
+++ b/crates/controller/src/controller/placement/recent_demand.rs
@@ -1,31 +1,31 @@
-//! The demand of the last seconds, retained by every controller: one that takes a service's placement over goes
-//! on with it at once, and one that has just started gets it from its peers.
+//! Demand reports of the last seconds. Every controller retains them, so that one that takes over the placement of a
+//! service can use them at once; a controller that has just started receives them from its peers.
 
 use crate::message::{Message, RouterDemand};
 use lanegate_config::demand::DemandReport;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How long demand is retained: what is older hardly counts in any rate.
+/// How long reports are retained. Older ones have hardly any weight in the demand rates.
 const RETENTION: Duration = Duration::from_secs(20);
-/// Maximum number of reports retained: ten seconds of some hundred routers.
+/// Maximum number of retained reports: those of some hundred routers in ten seconds.
 const MAX_REPORTS: usize = 4_096;
 
-/// One report, and when the router sent it.
+/// A report, with the time at which the router sent it.
 #[derive(Debug)]
 struct ReceivedReport {
     at: Duration,
     demand: RouterDemand,
 }
 
-/// Reports of demand, the oldest first.
+/// The retained reports, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct RecentDemand {
     reports: VecDeque<ReceivedReport>,
 }
 
 impl RecentDemand {
-    /// Records a report. A relayed report that is known already is dropped.
+    /// Records a report. A relayed report that is already known is dropped.
     pub(crate) fn record(&mut self, now: Duration, demand: &RouterDemand) {
         let at = now.saturating_sub(Duration::from_millis(demand.age_ms.into()));
         let position = self.reports.partition_point(|report| report.at <= at);
--- a/crates/controller/src/controller/placement/recent_demand_test.rs
+++ b/crates/controller/src/controller/placement/recent_demand_test.rs
@@ -1,4 +1,4 @@
-//! Demand of the last seconds is kept in order, once, and not for ever.
+//! Recent demand reports are retained in order of time, without duplicates, and for a limited time.
 
 use crate::controller::placement::recent_demand::RecentDemand;
 use crate::message::{Message, RouterDemand};
--- a/crates/controller/src/feed_client.rs
+++ b/crates/controller/src/feed_client.rs
@@ -1,4 +1,4 @@
-//! The router's side of its agent's feed: messages become events for the router.
+//! The router's client of its agent's feed: converts messages into events for the router.
 
 use crate::agent::loopback_address;
 use crate::configuration_feed::fetcher::Pace;
@@ -16,10 +16,10 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
 
-/// Pause before the agent is dialled again, which may just be starting.
+/// Delay before the agent, which may be starting, is dialled again.
 const REDIAL_DELAY: Duration = Duration::from_millis(100);
 
-/// Follows the agent until the process ends. Must run inside a `LocalSet`.
+/// Follows the feed of the agent until the process exits. Must run inside a `LocalSet`.
 pub async fn feed_client(
     settings: Settings,
     events: mpsc::UnboundedSender<FeedEvent>,
@@ -48,7 +48,7 @@
     }
 }
 
-/// What a router knows from its agent, and the events that the router gets. Nothing in it waits or reads a clock.
+/// The router's view of the agent's feed, and the queue of events for the router. No method blocks or reads a clock.
 pub(crate) struct Client {
     settings: Settings,
     incarnation: u64,
@@ -56,12 +56,12 @@
     outbox: Option<Outbox>,
     events: mpsc::UnboundedSender<FeedEvent>,
     synchronized: bool,
-    /// Whether the router was last notified of being behind.
+    /// The last value that the router was sent as [`FeedEvent::Behind`].
     behind: bool,
 }
 
 impl Client {
-    /// A router that knows nothing yet. `incarnation` is drawn at random at each start of the process.
+    /// A client with an empty view. `incarnation` is drawn at random at each start of the process.
     pub(crate) fn new(
         settings: Settings,
         incarnation: u64,
@@ -71,7 +71,7 @@
         Client { settings, incarnation, view, outbox: None, events, synchronized: false, behind: false }
     }
 
-    /// What its link to the agent begins with.
+    /// The first message on its link to the agent.
     pub(crate) fn hello(&self) -> Hello {
         Hello {
             role: Role::Router,
@@ -89,7 +89,7 @@
         self.view.next_wake(now)
     }
 
-    /// Fetches a newer configuration, if there is one and it is time.
+    /// Fetches a newer configuration, if a fetch is due.
     pub(crate) fn fetch(&mut self, now: Duration) {
         let Some(outbox) = &self.outbox else { return };
         if let Some((_, fetch)) = self.view.fetch(now, None) {
@@ -154,7 +154,8 @@
         }
     }
 
-    /// Passes on an incarnation as it is known now; one that was removed is passed on as that.
+    /// Sends the current state of an incarnation to the router. Does nothing for one that is not live: its removal is
+    /// sent separately.
     fn forward_instance(&self, id: &str) {
         if let Some(registered) = self.view.registration(id) {
             self.send(FeedEvent::Instance(registered.current_instance()));
@@ -165,7 +166,7 @@
         let _ = self.events.send(event);
     }
 
-    /// Tells the agent what the router was asked for.
+    /// Sends a demand report of the router to the agent.
     pub(crate) fn send_demand(&self, report: &DemandReport) {
         let Some(outbox) = &self.outbox else { return };
         match serde_json::to_vec(report) {
--- a/crates/controller/src/link.rs
+++ b/crates/controller/src/link.rs
@@ -1,4 +1,4 @@
-//! Links between processes: TCP connections that carry one frame a message.
+//! Links between processes: TCP connections on which each message is one frame.
 
 use crate::message::{MAX_FRAME_BYTES, Message, MessageError};
 use bytes::Bytes;
@@ -11,48 +11,49 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Longest wait for a connection to come up; a partitioned link gives no error.
+/// Time limit for connecting: a partitioned network reports no error.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long sent bytes may stay unacknowledged before the link counts as dead.
 const SEND_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Delay before a link that failed is dialled again.
 pub const REDIAL_DELAY: Duration = Duration::from_millis(150);
-/// Messages that may be queued for a slow receiver; one more closes the link, and the next one starts anew.
+/// Maximum number of frames queued for a slow receiver. A subscriber whose queue overflows is disconnected, and starts
+/// again with a new link.
 const OUTBOX_MESSAGES: usize = 8_192;
-/// Most bytes of small frames that are written together; every link keeps room for so many, and a controller
-/// has hundreds of links.
+/// Maximum number of bytes of small frames that are written together. Each link has a buffer of this size, and a
+/// controller has hundreds of links.
 const BATCH_BYTES: usize = 32 * 1024;
-/// Connections that may wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const ACCEPT_BACKLOG: u32 = 512;
 
-/// Frames on their way to the other end of a link.
+/// Queue of the frames to send on a link.
 #[derive(Debug, Clone)]
 pub struct Outbox {
     frames: mpsc::Sender<Bytes>,
 }
 
 impl Outbox {
-    /// An outbox, and what is to be written.
+    /// Creates an outbox, and the receiver of the frames to write.
     pub fn new() -> (Outbox, mpsc::Receiver<Bytes>) {
         let (frames, receiver) = mpsc::channel(OUTBOX_MESSAGES);
         (Outbox { frames }, receiver)
     }
 
-    /// Queues a frame. False if the link is closed, or its receiver is too slow.
+    /// Queues a frame. Returns false if the link is closed or the queue is full.
     pub fn send(&self, frame: Bytes) -> bool {
         self.frames.try_send(frame).is_ok()
     }
 
-    /// Queues a message.
+    /// Queues a message, with the same result as [`Outbox::send`].
     pub fn message(&self, message: &Message) -> bool {
         self.send(message.frame())
     }
 }
 
-/// Dials `address` and sets the link's options.
+/// Connects to `address` and sets the socket options of a link.
 ///
 /// # Errors
-/// If the connection is not up within [`CONNECT_TIMEOUT`], or a socket option cannot be set.
+/// If the connection fails or is not established within [`CONNECT_TIMEOUT`], or a socket option cannot be set.
 pub async fn dial(address: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     let stream = timeout(CONNECT_TIMEOUT, socket.connect(address)).await??;
@@ -71,7 +72,7 @@
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// Sets the socket options of every link: no delay, and time-outs that detect a peer that vanished.
+/// Sets the socket options of a link: no delay, and time-outs that detect an unreachable peer.
 ///
 /// # Errors
 /// If a socket option cannot be set.
@@ -83,21 +84,21 @@
     socket.set_tcp_keepalive(&probes)
 }
 
-/// Reads messages off a link.
+/// Reads messages from a link.
 pub struct MessageReader {
     stream: BufReader<OwnedReadHalf>,
 }
 
 impl MessageReader {
-    /// Reads from this half of a connection.
+    /// A reader on the read half of a connection.
     pub fn new(half: OwnedReadHalf) -> Self {
         MessageReader { stream: BufReader::new(half) }
     }
 
-    /// The next message; an error once the link has ended.
+    /// Reads the next message.
     ///
     /// # Errors
-    /// If the link has ended, or a frame is too long or no message.
+    /// If the link has closed or failed, or a frame is too long or not a valid message.
     pub async fn next(&mut self) -> Result<Message, MessageError> {
         let length = self.stream.read_u32_le().await? as usize;
         if length > MAX_FRAME_BYTES {
@@ -109,8 +110,8 @@
     }
 }
 
-/// Writes queued frames until the link fails or the outbox is dropped. Small frames that wait together leave
-/// together; a large one is written as it is, as all links share it.
+/// Writes queued frames until the link fails or the outbox is dropped. Small frames that are queued together are copied
+/// into one write. Large frames are written directly, without a copy, because all links share their memory.
 ///
 /// # Errors
 /// If a write fails.
--- a/crates/controller/src/message.rs
+++ b/crates/controller/src/message.rs
@@ -1,19 +1,19 @@
-//! Messages between lanegate's processes: controllers among themselves, agents to controllers, and routers to their
-//! agent. Each frame is one message: its length in bytes (u32, little endian), then the encoded message.
+//! Messages between lanegate processes: between controllers, between agents and controllers, and between routers and
+//! their agent. Each frame carries one message: its length in bytes (u32, little endian), then the encoded message.
 
 use deku::prelude::*;
 
-/// Largest frame that is read; a configuration with its history is far below.
+/// Maximum length of a frame that is read. A configuration with its history is far smaller.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
-/// Most heartbeats in one message. Room for a list is set aside by the length that stands before it, so
-/// damaged bytes must not name any length.
+/// Maximum number of heartbeats in one message. Decoding reserves memory for a list by the length that precedes it, so
+/// the length has to be limited in case of corrupt bytes.
 pub const MAX_BATCHED_HEARTBEATS: u32 = 100_000;
 
-/// Most parts of a difference, for the same reason.
+/// Maximum number of parts of a delta, for the same reason as [`MAX_BATCHED_HEARTBEATS`].
 pub const MAX_DELTA_PARTS: u32 = 1_000_000;
 
-/// Bytes, as many as a frame holds.
+/// A byte string with its length, of at most the size of a frame.
 #[derive(Debug, Clone, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Blob {
@@ -37,7 +37,7 @@
 }
 
 impl Blob {
-    /// The bytes as text; what is no UTF-8 is replaced.
+    /// The bytes as text; invalid UTF-8 is replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.bytes).into_owned()
     }
@@ -47,13 +47,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub enum Role {
-    /// A controller, to a peer.
+    /// A controller that connects to a peer.
     #[deku(id = 1)]
     Controller,
-    /// An agent, to a controller.
+    /// An agent that connects to a controller.
     #[deku(id = 2)]
     Agent,
-    /// A router, to its agent.
+    /// A router that connects to its agent.
     #[deku(id = 3)]
     Router,
 }
@@ -70,13 +70,13 @@
     pub control_address: Blob,
     /// Drawn at random at each start of the process.
     pub incarnation: u64,
-    /// Source of the feed that the subscriber has followed so far, 0 for none.
+    /// Incarnation of the feed that the subscriber has followed so far, 0 for none.
     pub source: u64,
-    /// Offset from which it would go on.
+    /// Offset in that feed from which the subscriber can resume.
     pub offset: u64,
 }
 
-/// A message of one shard's register to another replica.
+/// An encoded message of a shard's register, or an encoded lease message, whose `shard` is always 0.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct ShardMessage {
@@ -98,17 +98,17 @@
     pub body: Blob,
 }
 
-/// An incarnation that is removed as of a sequence.
+/// The removal of an incarnation, as of a sequence.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Removed {
     /// Id of the incarnation.
     pub id: Blob,
-    /// Registrations up to this sequence are void; `u64::MAX` for a deregistration.
+    /// Registrations with a sequence up to this one are void; `u64::MAX` for a deregistration.
     pub sequence: u64,
 }
 
-/// One heartbeat that changed nothing.
+/// A heartbeat that did not change the registration.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct BatchedHeartbeat {
@@ -118,7 +118,7 @@
     pub sequence: u64,
 }
 
-/// Heartbeats since the last such message that changed nothing in the registration.
+/// Heartbeats since the last such message that did not change their registration.
 #[derive(Debug, Clone, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct HeartbeatBatch {
@@ -141,11 +141,11 @@
 pub struct CommittedConfiguration {
     /// Revision of the register, which orders configurations.
     pub revision: u64,
-    /// The configuration as JSON; empty while none was taken.
+    /// The configuration as JSON; empty if none has been committed.
     pub document: Blob,
 }
 
-/// Names the bytes of one configuration.
+/// Identifies the bytes of one configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct ConfigurationVersion {
@@ -159,7 +159,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub enum DeltaPart {
-    /// Bytes of the older document.
+    /// Bytes copied from the older document.
     #[deku(id = 1)]
     Copied {
         /// Position in the older document, bytes.
@@ -167,7 +167,7 @@
         /// Number of bytes.
         length: u32,
     },
-    /// Bytes that are not copied.
+    /// Bytes that are not in the older document.
     #[deku(id = 2)]
     Inserted(Blob),
 }
@@ -190,7 +190,7 @@
 }
 
 impl DeltaParts {
-    /// Bytes of the parts on the wire.
+    /// Encoded size of the parts, in bytes.
     pub fn size(&self) -> usize {
         let size = |part: &DeltaPart| match part {
             DeltaPart::Copied { .. } => 9,
@@ -200,29 +200,30 @@
     }
 }
 
-/// A configuration as the delta to an older one.
+/// A configuration as a delta against an older one.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct ConfigurationDelta {
     /// Digest of the older document.
     pub base: u64,
-    /// What the parts make.
+    /// The version that results from applying the parts.
     pub version: ConfigurationVersion,
-    /// The parts that make the document.
+    /// The parts of the resulting document.
     pub parts: DeltaParts,
 }
 
-/// A feed's heartbeat; reports whether the sender may be trusted.
+/// The heartbeat of a feed, which reports whether the sender may be trusted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct FeedHeartbeat {
-    /// 1 while the sender reaches more than half of its replica group.
+    /// 1 while subscribers may rely on the sender. From a controller: its configuration is current and it is not
+    /// draining. From an agent: at least one of its sources reports 1.
     pub quorum: u8,
-    /// Position of the subscriber once it has applied everything before.
+    /// Incarnation of the feed. With `offset`, the position of the subscriber after all earlier messages.
     pub source: u64,
     /// Offset in the journal of `source`.
     pub offset: u64,
-    /// Live routers.
+    /// Number of live routers, 0 while it is not known.
     pub routers: u32,
 }
 
@@ -234,17 +235,17 @@
     pub addresses: Blob,
 }
 
-/// A change of the operator, handed to the owner of the configuration's shard, or its outcome handed back.
+/// A configuration change that is forwarded to the owner of the configuration's shard, or its outcome.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Forwarded {
-    /// Number that the asking controller gave it.
+    /// Number of the change at the controller that forwarded it.
     pub request: u64,
     /// The encoded command or outcome.
     pub body: Blob,
 }
 
-/// A number that asks for, or gives, an acknowledgement.
+/// The number of a flush.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Token {
@@ -260,7 +261,7 @@
     pub addresses: Blob,
 }
 
-/// The sender has all that was sent before a [`Message::Flush`], and knows of these groups.
+/// Confirms that the sender has received everything before a [`Message::Flush`]; includes the groups that it knows.
 #[derive(Debug, Clone, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Confirmation {
@@ -270,7 +271,7 @@
     pub revision: u64,
     #[deku(update = "self.groups.len()")]
     count: u8,
-    /// The groups that this value names: one, or two while members change.
+    /// The groups that this value names: one, or two during a membership change.
     #[deku(count = "count")]
     pub groups: Vec<GroupMembers>,
 }
@@ -288,13 +289,13 @@
 pub struct MemberStatus {
     /// Drawn at random at each start of the process.
     pub incarnation: u64,
-    /// A bit for each shard whose replica can vote.
+    /// Bit mask of the shards whose replica can vote.
     pub voting: u32,
-    /// 1 once the process has been asked to end.
+    /// 1 once the process has been asked to shut down.
     pub draining: u8,
 }
 
-/// A change of an endpoint's resident models that a placer knows before the endpoint's next heartbeat.
+/// A change of an endpoint's resident models that a placer publishes ahead of the endpoint's next heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct ResidencyUpdate {
@@ -302,17 +303,17 @@
     pub id: Blob,
     /// Name of the model.
     pub model: Blob,
-    /// Empty for the model itself.
+    /// Name of the adapter; empty for the model itself.
     pub adapter: Blob,
-    /// 1 if the model is resident from now on, 0 if the endpoint is about to drop it.
+    /// 1 if the model is resident from now on, 0 if the endpoint is about to evict it.
     pub present: u8,
-    /// Sequence of the endpoint's newest heartbeat that its publisher knew: a later registration counts more.
+    /// Sequence of the newest heartbeat that the publisher knew; a later registration supersedes the update.
     pub sequence: u64,
-    /// Counts what was published of one registration; the higher one counts.
+    /// Number of the update among those for one registration; the higher one supersedes the others.
     pub order: u64,
 }
 
-/// The demand that a router saw.
+/// A demand report of a router.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct RouterDemand {
@@ -320,21 +321,21 @@
     pub router: Blob,
     /// A `DemandReport` as JSON.
     pub report: Blob,
-    /// Time since the router sent it, ms.
+    /// Time since the router sent it, in milliseconds.
     pub age_ms: u32,
 }
 
-/// Every message.
+/// A message on a link.
 #[derive(Debug, Clone, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", endian = "little")]
 pub enum Message {
     /// The first message on a link.
     #[deku(id = 1)]
     Hello(Hello),
-    /// The snapshot begins: what the receiver knows of this sender and is not in the snapshot is removed.
+    /// Start of a snapshot, which replaces everything that the receiver has from this sender.
     #[deku(id = 2)]
     SnapshotBegin,
-    /// The snapshot ends: `complete` is 1 if the registry of the sender is complete.
+    /// End of a snapshot.
     #[deku(id = 3)]
     SnapshotEnd {
         /// 1 if the registry of the sender is complete.
@@ -343,13 +344,13 @@
     /// A complete configuration.
     #[deku(id = 4)]
     CommittedConfiguration(CommittedConfiguration),
-    /// A registration, or a newer state of it.
+    /// A new or changed registration.
     #[deku(id = 5)]
     Registered(Registered),
     /// The removal of an incarnation.
     #[deku(id = 6)]
     Removed(Removed),
-    /// Heartbeats that changed nothing.
+    /// Heartbeats that did not change their registration.
     #[deku(id = 7)]
     HeartbeatBatch(HeartbeatBatch),
     /// The heartbeat of a feed.
@@ -370,7 +371,7 @@
     /// The outcome of a forwarded change.
     #[deku(id = 13)]
     ChangeOutcome(Forwarded),
-    /// Asks the receiver to acknowledge all that was sent before.
+    /// Asks the receiver to confirm everything that was sent before.
     #[deku(id = 14)]
     Flush(Token),
     /// The answer to a flush.
@@ -379,7 +380,7 @@
     /// A demand report of a router.
     #[deku(id = 16)]
     Demand(RouterDemand),
-    /// A controller's heartbeat to another, as the membership writes it.
+    /// A heartbeat between controllers, as the failure detector encodes it.
     #[deku(id = 17)]
     Heartbeat {
         /// The encoded heartbeat.
@@ -388,22 +389,22 @@
     /// A change of resident models.
     #[deku(id = 18)]
     ResidencyUpdate(ResidencyUpdate),
-    /// A heartbeat of the receiver, sent back by a controller that it reached.
+    /// A heartbeat of the receiver, echoed by the controller that it was sent to.
     #[deku(id = 19)]
     HeartbeatEcho {
         /// The heartbeat as it was received.
         body: Blob,
     },
-    /// The newest configuration that the sender has and can be asked for.
+    /// The newest configuration that can be fetched from the sender.
     #[deku(id = 20)]
     ConfigurationAnnounced(ConfigurationVersion),
-    /// Asks for the newest configuration; names the one that the sender has.
+    /// Requests the newest configuration; contains the version that the sender has.
     #[deku(id = 21)]
     ConfigurationFetch(ConfigurationVersion),
     /// A configuration as a delta.
     #[deku(id = 22)]
     ConfigurationDelta(ConfigurationDelta),
-    /// A configuration that the sender knows to exist and does not have yet.
+    /// A configuration that the sender knows to exist but does not have yet.
     #[deku(id = 23)]
     ConfigurationKnown(ConfigurationVersion),
     /// The status of a controller.
@@ -412,42 +413,42 @@
 }
 
 impl Message {
-    /// The message as one frame, its length first.
+    /// Encodes the message as one frame, including the length.
     ///
     /// # Panics
     /// Never: every message that can be built can be encoded.
     pub fn frame(&self) -> bytes::Bytes {
-        let body = self.to_bytes().expect("messages hold nothing that cannot be encoded");
+        let body = self.to_bytes().expect("every message can be encoded");
         let mut frame = Vec::with_capacity(4 + body.len());
         frame.extend_from_slice(&(body.len() as u32).to_le_bytes());
         frame.extend_from_slice(&body);
         frame.into()
     }
 
-    /// Reads the body of one frame; bytes left over are an error.
+    /// Decodes the body of one frame.
     ///
     /// # Errors
-    /// If the bytes are no message, or more than one.
+    /// If the bytes are not a valid message, or further bytes follow it.
     pub fn decode(body: &[u8]) -> Result<Message, MessageError> {
         let ((rest, _), message) = Message::from_bytes((body, 0))?;
         if rest.is_empty() { Ok(message) } else { Err(MessageError::Trailing(rest.len())) }
     }
 }
 
-/// A frame that is no message.
+/// Why a message could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// The bytes are no message.
-    #[error("not a message: {0}")]
+    /// The bytes are not a valid message.
+    #[error("message not decoded: {0}")]
     Unreadable(#[from] DekuError),
-    /// So many bytes follow the message.
-    #[error("{0} bytes behind the message")]
+    /// This number of bytes follows the message.
+    #[error("{0} trailing bytes after the message")]
     Trailing(usize),
     /// The frame is longer than [`MAX_FRAME_BYTES`].
-    #[error("a frame of {0} bytes")]
+    #[error("frame too long: {0} bytes")]
     TooLong(usize),
     /// Nothing arrived in time.
-    #[error("silent for too long")]
+    #[error("no message received before the time-out")]
     Timeout,
     /// The connection failed.
     #[error(transparent)]
--- a/crates/controller/src/registration.rs
+++ b/crates/controller/src/registration.rs
@@ -1,4 +1,4 @@
-//! How the registry sees the registration of an endpoint.
+//! The registration of an endpoint as the registry stores it.
 
 use crate::message::ResidencyUpdate;
 use bytes::Bytes;
@@ -6,24 +6,24 @@
 use lanegate_coordination::registry::Registration;
 use std::net::SocketAddr;
 
-/// An endpoint's registration: read, and as it was sent.
+/// An endpoint's registration, parsed and as it was sent, with residency updates from placers.
 #[derive(Debug, Clone)]
 pub struct Registered {
     /// The registration, parsed.
     pub instance: Instance,
     /// The body of the heartbeat.
     pub body: Bytes,
-    /// What the placer knows beyond it.
+    /// Residency updates that apply on top of the heartbeat's contents.
     residency_updates: Vec<ResidencyUpdate>,
-    /// Sequence of the first heartbeat with the contents of this one.
+    /// Sequence of the first heartbeat with the same contents as this one.
     content_sequence: u64,
 }
 
 impl Registered {
-    /// Reads the body of a heartbeat of the incarnation `id`.
+    /// Parses the body of a heartbeat of the incarnation `id`.
     ///
     /// # Errors
-    /// If the body is no registration.
+    /// If the body is not a valid registration.
     pub fn parse(id: &str, body: Bytes) -> Result<Self, serde_json::Error> {
         let mut instance: Instance = serde_json::from_slice(&body)?;
         id.clone_into(&mut instance.id);
@@ -31,7 +31,8 @@
         Ok(Registered { instance, body, residency_updates: Vec::new(), content_sequence })
     }
 
-    /// This registration after `previous`: it keeps what was published of this heartbeat or a later one.
+    /// Carries over from `previous` the residency updates that were published for this heartbeat or a later one, and the
+    /// sequence at which the contents last changed.
     pub fn carry_over_from(mut self, previous: Option<&Registered>) -> Self {
         let Some(previous) = previous else { return self };
         let sequence = self.instance.sequence;
@@ -43,13 +44,13 @@
         self
     }
 
-    /// The order of what is published next of this registration.
+    /// The order number for the next residency update of this registration.
     pub fn next_order(&self) -> u64 {
         self.residency_updates.iter().map(|update| update.order + 1).max().unwrap_or(1)
     }
 
-    /// Takes what a placer knows of the endpoint's models, unless it was published before this registration or
-    /// before what is known of the same model. Returns whether the resident models changed.
+    /// Applies a residency update, unless it is older than the contents of this registration or than a known update for
+    /// the same model. Returns whether the resident models changed.
     pub fn apply_residency(&mut self, update: ResidencyUpdate) -> bool {
         let same = |known: &ResidencyUpdate| known.model == update.model && known.adapter == update.adapter;
         let known = self.residency_updates.iter().find(|known| same(known));
@@ -63,17 +64,17 @@
         self.current_models() != old
     }
 
-    /// What the placer knows beyond the newest heartbeat.
+    /// Residency updates that apply on top of the heartbeat's contents.
     pub fn residency_updates(&self) -> &[ResidencyUpdate] {
         &self.residency_updates
     }
 
-    /// The instance with what the placer knows of its models.
+    /// The instance with the residency updates applied to its models.
     pub fn current_instance(&self) -> Instance {
         Instance { models: self.current_models(), ..self.instance.clone() }
     }
 
-    /// Whether it holds a model, or an adapter of it, by what is known now.
+    /// Whether a model, or an adapter of it, is resident, with the residency updates applied.
     pub fn has_resident(&self, model: &str, adapter: Option<&str>) -> bool {
         instance::is_resident(&self.current_models(), model, adapter)
     }
@@ -87,7 +88,8 @@
     }
 }
 
-/// What counts of two holdings of one model: the later one; of two published at once, that it is dropped.
+/// Orders residency updates for the same model: the later one wins, and of two with the same sequence and order the one
+/// that drops the model.
 fn rank(update: &ResidencyUpdate) -> (u64, u64, bool) {
     (update.sequence, update.order, update.present == 0)
 }
@@ -115,7 +117,8 @@
         self.instance.address
     }
 
-    /// The sequence, and the time left of a cold start or a notice, run on by themselves.
+    /// Ignores values that change with every heartbeat: the sequence, and the remaining time of a cold start or of a
+    /// notice.
     fn differs(&self, newer: &Self) -> bool {
         let (old, new) = (&self.instance, &newer.instance);
         old.state != new.state
--- a/crates/controller/src/subscription.rs
+++ b/crates/controller/src/subscription.rs
@@ -1,4 +1,4 @@
-//! The link of a subscriber to one source of a feed: dialled, opened with a hello, read until it ends.
+//! The link of a subscriber to one source of a feed: connects, sends a hello, and reads messages until the link ends.
 
 use crate::link::{self, MessageReader, Outbox};
 use crate::message::{Hello, Message, MessageError};
@@ -10,11 +10,11 @@
 /// An event of the link to a source.
 #[derive(Debug)]
 pub enum SourceEvent {
-    /// The link is up; messages for the source go here.
+    /// The link is up.
     Up {
         /// Address of the source.
         source: SocketAddr,
-        /// Messages for the source.
+        /// Queue for messages to the source.
         outbox: Outbox,
     },
     /// The source sent a message.
@@ -24,14 +24,15 @@
         /// The message.
         message: Message,
     },
-    /// The link is down; it is not dialled again by itself.
+    /// The link is down; it is not redialled automatically.
     Down {
         /// Address of the source.
         source: SocketAddr,
     },
 }
 
-/// Follows `source` until the link fails or nothing arrives for `receive_timeout`, and sends what happens to `events`.
+/// Subscribes to `source` until the link fails or no message arrives for `receive_timeout`. Sends the events of the link
+/// to `events`.
 pub async fn follow(
     source: SocketAddr,
     hello: Hello,
@@ -68,7 +69,7 @@
     }
 }
 
-/// Ends a task with the one that started it.
+/// Aborts a task when it is dropped, so that the task ends with the one that started it.
 struct AbortOnDrop<T>(tokio::task::JoinHandle<T>);
 
 impl<T> Drop for AbortOnDrop<T> {
--- a/crates/controller/src/view.rs
+++ b/crates/controller/src/view.rs
@@ -1,8 +1,8 @@
-//! The state of a subscriber: updates from any number of sources merged into one view.
+//! The state of a subscriber: updates from any number of sources, merged into one view.
 //!
-//! Configurations are ordered by revision and registrations by sequence, so a source that lags behind
-//! another can never take the view back. What has vanished while a source was away shows at the end of that
-//! source's next snapshot.
+//! Configurations are ordered by revision and registrations by sequence, so a source that lags behind another can never
+//! revert the view. Endpoints that were removed while a source was disconnected are dropped at the end of that source's
+//! next snapshot.
 
 use crate::configuration_feed::fetcher::{ConfigurationFetcher, Pace};
 use crate::message::{
@@ -18,29 +18,30 @@
 
 /// How long a tombstone is retained, so that a late registration does not undo it.
 const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
-/// How long the state of a lost source is retained, so that its feed can resume at its offset. Shorter than
-/// removals are remembered, as a replayed registration must not outlive them.
+/// How long the state of a lost source is retained, so that its feed can resume at its offset. Shorter than tombstones
+/// are retained, so that a registration that is replayed cannot outlive its tombstone.
 const LOST_SOURCE_RETENTION: Duration = Duration::from_secs(30);
-/// How long after the end of a source's link what it alone had listed still counts. It may have been ahead of the
-/// others, which get a registration within tenths of a second; or it was behind, and would not report its removal.
+/// How long endpoints that only a lost source had listed are kept after its link ended. The source may have been ahead of
+/// the others, which receive a registration within tenths of a second. Or it may have been behind, and have missed the
+/// removal of the endpoint.
 const LOST_SOURCE_GRACE: Duration = Duration::from_millis(1_000);
-/// How long a controller is retained that no source names any more.
+/// How long a controller is retained after a source last named it.
 const CONTROLLER_RETENTION: Duration = Duration::from_secs(30);
 
 /// State that one source has reported.
 #[derive(Debug, Default)]
 struct Source {
-    /// Position in its journal, as of its last heartbeat since the last snapshot began.
+    /// Position in its journal, from its last heartbeat; reset when a snapshot begins.
     position: Position,
     /// Whether it last reported contact with a majority.
     quorum: bool,
     /// Controllers that it names.
     controllers: BTreeSet<SocketAddr>,
-    /// Incarnations that are there by this source.
+    /// Incarnations that are live according to this source.
     listed: BTreeSet<String>,
-    /// Whether its last snapshot is complete, and its own registry was complete.
+    /// Whether its last snapshot has ended, and its registry was complete.
     complete: bool,
-    /// Live routers by its count; 0 while it does not know.
+    /// Number of live routers that it reported; 0 while it does not know.
     routers: u32,
 }
 
@@ -49,7 +50,7 @@
 struct LostSource {
     since: Duration,
     source: Source,
-    /// Whether what it alone had listed has been dropped.
+    /// Whether the endpoints that only it had listed have been dropped.
     expired: bool,
 }
 
@@ -61,7 +62,7 @@
     sources: BTreeMap<SocketAddr, Source>,
     lost: BTreeMap<SocketAddr, LostSource>,
     controllers: BTreeSet<SocketAddr>,
-    /// When each controller was named last.
+    /// When each controller was last named by a source.
     named: BTreeMap<SocketAddr, Duration>,
     routers: u32,
 }
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Takes a message of `source`, and appends what changed to `updates`.
+    /// Applies a message of `source`, and appends the resulting changes of the view to `updates`.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// A source whose link is up again goes on with what it had listed, unless it begins anew.
+    /// Restores the state of a lost source that has reconnected, unless it starts with a new snapshot.
     fn restore_source(&mut self, source: SocketAddr, message: &Message) {
         if let Some(lost) = self.lost.remove(&source)
             && *message != Message::SnapshotBegin
@@ -178,7 +179,8 @@
         self.refresh_controllers(now);
     }
 
-    /// Drops what only lost sources had listed, a grace period after their links ended, once another source is complete.
+    /// Drops endpoints that only lost sources had listed, once the grace period after the end of their links has passed
+    /// and another source is complete.
     fn expire_lost_sources(&mut self, now: Duration, updates: &mut Vec<Message>) {
         if !self.is_complete() {
             return;
@@ -198,7 +200,7 @@
         self.refresh_controllers(now);
     }
 
-    /// Controllers are known while any source names them, and some time longer.
+    /// Updates the known controllers: those that a source names, or named within [`CONTROLLER_RETENTION`].
     fn refresh_controllers(&mut self, now: Duration) {
         let named = self.sources.values().flat_map(|source| &source.controllers);
         self.named.extend(named.map(|controller| (*controller, now)));
@@ -206,7 +208,7 @@
         self.controllers = self.named.keys().copied().collect();
     }
 
-    /// The fetch of a configuration that is due, and whom to send it to; `preferred` if it has the newest.
+    /// The fetch request for a configuration that is due, and the source to send it to: `preferred` if it has the newest.
     pub fn fetch(&mut self, now: Duration, preferred: Option<SocketAddr>) -> Option<(SocketAddr, Message)> {
         self.configuration.fetch(now, preferred)
     }
@@ -216,17 +218,19 @@
         self.configuration.next_wake(now)
     }
 
-    /// Whether a newer configuration is known to exist, or no source is connected that would know of one.
+    /// Whether a newer configuration is known to exist, or no connected source is in contact with a majority, so that one
+    /// could exist unnoticed.
     pub fn may_be_behind(&self) -> bool {
         self.configuration.is_behind() || !self.sources.values().any(|source| source.quorum)
     }
 
-    /// Where a feed of `source` would go on; of no source if it has to begin anew.
+    /// The position from which the feed of `source` can resume; the default position if it has to start from a snapshot.
     pub fn position(&self, source: SocketAddr) -> Position {
         self.lost.get(&source).map(|lost| lost.source.position).unwrap_or_default()
     }
 
-    /// A source's link has ended; what it alone listed stays for a while, and as long as no other source is complete.
+    /// The link of a source has ended. Endpoints that only it listed are kept for a grace period, and until another
+    /// source is complete.
     pub fn source_lost(&mut self, now: Duration, source: SocketAddr) {
         self.configuration.on_source_lost(source);
         if let Some(lost) = self.sources.remove(&source) {
@@ -239,12 +243,12 @@
         self.sources.values().any(|source| source.complete)
     }
 
-    /// Controllers that any source names.
+    /// The known controllers.
     pub fn controllers(&self) -> &BTreeSet<SocketAddr> {
         &self.controllers
     }
 
-    /// Live routers, as reported last.
+    /// Number of live routers, as last reported.
     pub fn routers(&self) -> u32 {
         self.routers
     }
@@ -267,7 +271,7 @@
         messages
     }
 
-    /// Live endpoints.
+    /// Number of live endpoints.
     pub fn endpoints(&self) -> usize {
         self.registry.entries().filter(|(_, entry)| entry.registration.is_some()).count()
     }
@@ -277,7 +281,8 @@
         self.registry.get(id)?.registration.as_ref()
     }
 
-    /// The highest count of those who can know it; the last one stays while nobody does.
+    /// Updates the number of live routers to the highest count among sources in contact with a majority. Keeps the last
+    /// number while no source reports one.
     fn count_routers(&mut self, source: SocketAddr, heartbeat: FeedHeartbeat) {
         self.source(source).routers = if heartbeat.quorum == 1 { heartbeat.routers } else { 0 };
         let highest = self.sources.values().map(|source| source.routers).max().unwrap_or(0);
@@ -338,7 +343,7 @@
         }
     }
 
-    /// Drops what no complete source lists.
+    /// Drops endpoints that no complete source lists.
     fn drop_unlisted(&mut self, updates: &mut Vec<Message>) {
         let is_listed = |id: &str| self.sources.values().any(|s| s.complete && s.listed.contains(id));
         let live = self.registry.entries().filter(|(_, entry)| entry.registration.is_some());
@@ -346,14 +351,14 @@
             live.filter(|(id, _)| !is_listed(id)).map(|(id, entry)| (id.clone(), entry.sequence)).collect();
         for (id, sequence) in vanished {
             self.registry.drop_entry(&id);
-            // A lost source that lists it would not send it again.
+            // A lost source that lists the endpoint must not resume at its offset: its feed would not send it again.
             self.lost.retain(|_, lost| !lost.source.listed.contains(&id));
             updates.push(Message::Removed(Removed { id: id.as_str().into(), sequence }));
         }
     }
 }
 
-/// A registration as a message.
+/// The message for a registration.
 pub fn registered_message(id: &str, sequence: u64, registration: &Registered) -> Message {
     Message::Registered(RegisteredMessage {
         id: id.into(),
