--- a/crates/controller/src/controller/consensus/fault_tolerance_test.rs
+++ b/crates/controller/src/controller/consensus/fault_tolerance_test.rs
@@ -51,7 +51,11 @@
     assert_eq!(monitor.observe(0, Some(0)), Some(ToleranceChange::Exhausted));
     assert_eq!(monitor.observe(0, Some(0)), None);
     assert_eq!(monitor.observe(0, None), None);
-    assert_eq!(monitor.observe(1, None), Some(ToleranceChange::Exhausted), "each shard by itself");
+    assert_eq!(
+        monitor.observe(1, None),
+        Some(ToleranceChange::Exhausted),
+        "each shard is tracked separately"
+    );
     assert_eq!(monitor.observe(0, Some(1)), Some(ToleranceChange::Restored));
     assert_eq!(monitor.observe(0, Some(2)), None);
 }
--- a/crates/controller/src/controller/consensus/freshness_test.rs
+++ b/crates/controller/src/controller/consensus/freshness_test.rs
@@ -59,7 +59,7 @@
     assert!(freshness.observe_contact(all()).read);
     freshness.read_started(2);
     freshness.read_ended(1, true);
-    assert!(!freshness.is_current(), "the answer to an earlier read says nothing of the later contact");
+    assert!(!freshness.is_current(), "a read from before contact was lost does not count");
     freshness.read_ended(2, true);
     assert!(freshness.is_current());
 }
--- a/crates/controller/src/controller/consensus/pending_writes_test.rs
+++ b/crates/controller/src/controller/consensus/pending_writes_test.rs
@@ -23,7 +23,10 @@
     writes.ended(SHARD);
     assert!(!writes.is_stalled(START + STALL_THRESHOLD));
     writes.started(START + STALL_THRESHOLD, SHARD);
-    assert!(!writes.is_stalled(START + STALL_THRESHOLD), "the next write has its own time");
+    assert!(
+        !writes.is_stalled(START + STALL_THRESHOLD),
+        "the time of the next write counts from its own start"
+    );
 }
 
 #[test]
--- a/crates/controller/src/controller/endpoints/pending_loads_test.rs
+++ b/crates/controller/src/controller/endpoints/pending_loads_test.rs
@@ -100,7 +100,7 @@
     assert_eq!(pending_loads.next_wake(), None);
 }
 
-/// The lease of one shard may go to another controller while this one keeps the others.
+/// The lease of one shard may move to another controller while this one retains the others.
 #[test]
 fn the_end_of_a_tenure_leaves_the_loads_of_other_shards() {
     let names = (0..).map(|number| format!("service-{number}"));
--- a/crates/controller/src/controller/endpoints/registry.rs
+++ b/crates/controller/src/controller/endpoints/registry.rs
@@ -83,9 +83,10 @@
     }
 
     /// Handles a heartbeat of `id`. If the endpoint is draining, it is acknowledged once a majority of the groups
-    /// `known`, and of any newer ones, has received the notice. Otherwise it is acknowledged at once, but only `in_contact` with a
-    /// majority; without contact it is merged and the call is refused, because the controller that expires the endpoint
-    /// may not receive the heartbeat from here and the endpoint has to call another controller as well.
+    /// `known`, and of any newer ones, has received the notice. Otherwise it is acknowledged at once, but only
+    /// `in_contact` with a majority; without contact it is merged and the call is refused, because the controller
+    /// that expires the endpoint may not receive the heartbeat from here and the endpoint has to call another
+    /// controller as well.
     pub(crate) fn register(
         &mut self,
         now: Duration,
--- a/crates/controller/src/controller/environment.rs
+++ b/crates/controller/src/controller/environment.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The environment of one controller. No call blocks; what takes time completes with an event.
+/// The environment of one controller. No method blocks; slow operations report their completion as an event.
 pub(crate) trait Environment {
     /// Time since the process started, from a monotonic clock that keeps running while the process is frozen.
     fn now(&self) -> Duration;
--- a/crates/controller/src/controller/feed/subscribers.rs
+++ b/crates/controller/src/controller/feed/subscribers.rs
@@ -15,7 +15,7 @@
 /// Up to this many bytes of missed changes are sent without comparing their size with that of a snapshot.
 const SHORT_TAIL_BYTES: usize = 64 * 1024;
 
-/// What a heartbeat of the feed reports.
+/// The status that a heartbeat of the feed reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct FeedStatus {
     /// Whether subscribers may rely on this source.
--- a/crates/controller/src/controller/operator/pending_changes.rs
+++ b/crates/controller/src/controller/operator/pending_changes.rs
@@ -64,8 +64,8 @@
     }
 
     /// Adds a change of an operator. The caller proposes it at once or, if `owner_live`, forwards it to the owner; in
-    /// that case it is due for a proposal here after [`OWNER_TIMEOUT`]. Returns its number, or `None` if too many changes are
-    /// in flight.
+    /// that case it is due for a proposal here after [`OWNER_TIMEOUT`]. Returns its number, or `None` if too many
+    /// changes are in flight.
     pub(crate) fn begin(
         &mut self,
         now: Duration,
--- a/crates/controller/src/controller/placement/placement_control.rs
+++ b/crates/controller/src/controller/placement/placement_control.rs
@@ -202,7 +202,7 @@
     }
 
     /// Publishes a pending eviction again after a heartbeat. An endpoint lists an evicted model until the last run with
-    /// it has ended, but refuses requests for it all that time. Without this its heartbeats would make routers send requests
+    /// it has ended, but refuses requests for it all that time. Otherwise its heartbeats would make routers send requests
     /// for the model again.
     fn republish_evictions(&mut self, id: &str) {
         if !self.settings.switched_off.leaves(Mechanism::EvictionHiding) {
--- a/crates/controller/src/controller/setup.rs
+++ b/crates/controller/src/controller/setup.rs
@@ -39,7 +39,7 @@
 /// monitors every other.
 const MONITORS: usize = 16;
 
-/// What a controller starts with.
+/// Parameters of a new controller.
 pub(crate) struct Start {
     pub settings: Settings,
     /// Control address.
--- a/crates/controller/src/message.rs
+++ b/crates/controller/src/message.rs
@@ -217,7 +217,7 @@
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct FeedHeartbeat {
     /// 1 while subscribers may rely on the sender. From a controller: its configuration is current and it is not
-    /// draining. From an agent: at least one of its sources reports 1.
+    /// draining. From an agent: it follows at least one trusted source.
     pub quorum: u8,
     /// Incarnation of the feed. With `offset`, the position of the subscriber after all earlier messages.
     pub source: u64,
@@ -307,7 +307,8 @@
     pub adapter: Blob,
     /// 1 if the model is resident from now on, 0 if the endpoint is about to evict it.
     pub present: u8,
-    /// Sequence of the newest heartbeat that the publisher knew; a later registration supersedes the update.
+    /// Sequence of the newest heartbeat that the publisher knew; a later registration with other contents supersedes
+    /// the update.
     pub sequence: u64,
     /// Number of the update among those for one registration; the higher one supersedes the others.
     pub order: u64,
