--- a/crates/controller/src/controller/consensus/fault_tolerance_test.rs
+++ b/crates/controller/src/controller/consensus/fault_tolerance_test.rs
@@ -14,7 +14,7 @@
 }
 
 /// Failures that `groups` tolerate if the members `lost` are in `state` and all others vote.
-fn with(groups: &[&[u8]], lost: &[u8], state: MemberState) -> Option<usize> {
+fn tolerated_failures(groups: &[&[u8]], lost: &[u8], state: MemberState) -> Option<usize> {
     let groups: Vec<Vec<SocketAddr>> = groups.iter().map(|numbers| group(numbers)).collect();
     tolerable_failures(
         &groups,
@@ -24,24 +24,24 @@
 
 #[test]
 fn each_member_that_does_not_vote_takes_one_from_the_margin() {
-    assert_eq!(with(&[&[1, 2, 3]], &[], MemberState::Suspected), Some(1));
-    assert_eq!(with(&[&[1, 2, 3, 4, 5]], &[], MemberState::Suspected), Some(2));
+    assert_eq!(tolerated_failures(&[&[1, 2, 3]], &[], MemberState::Suspected), Some(1));
+    assert_eq!(tolerated_failures(&[&[1, 2, 3, 4, 5]], &[], MemberState::Suspected), Some(2));
     for state in [MemberState::Suspected, MemberState::NotVoting, MemberState::Unknown] {
-        assert_eq!(with(&[&[1, 2, 3]], &[2], state), Some(0), "{state:?}");
-        assert_eq!(with(&[&[1, 2, 3]], &[2, 3], state), None, "{state:?}");
-        assert_eq!(with(&[&[1, 2, 3, 4, 5]], &[2, 3], state), Some(0), "{state:?}");
+        assert_eq!(tolerated_failures(&[&[1, 2, 3]], &[2], state), Some(0), "{state:?}");
+        assert_eq!(tolerated_failures(&[&[1, 2, 3]], &[2, 3], state), None, "{state:?}");
+        assert_eq!(tolerated_failures(&[&[1, 2, 3, 4, 5]], &[2, 3], state), Some(0), "{state:?}");
     }
 }
 
 #[test]
 fn while_members_change_the_weaker_group_counts() {
-    assert_eq!(with(&[&[1, 2, 3], &[2, 3, 4]], &[4], MemberState::NotVoting), Some(0));
-    assert_eq!(with(&[&[1, 2, 3], &[2, 3, 4]], &[3, 4], MemberState::Suspected), None);
+    assert_eq!(tolerated_failures(&[&[1, 2, 3], &[2, 3, 4]], &[4], MemberState::NotVoting), Some(0));
+    assert_eq!(tolerated_failures(&[&[1, 2, 3], &[2, 3, 4]], &[3, 4], MemberState::Suspected), None);
 }
 
 #[test]
 fn a_group_that_is_not_known_has_no_margin() {
-    assert_eq!(with(&[], &[], MemberState::Voting), None);
+    assert_eq!(tolerated_failures(&[], &[], MemberState::Voting), None);
 }
 
 #[test]
--- a/crates/controller/src/controller/endpoints/registry_test.rs
+++ b/crates/controller/src/controller/endpoints/registry_test.rs
@@ -239,9 +239,9 @@
 #[test]
 fn a_registration_from_a_peer_is_sent_to_subscribers_once() {
     let mut endpoints = endpoints();
-    let known_to_peer = vec![Message::Registered(registered(4, "ready"))];
+    let registered_message = vec![Message::Registered(registered(4, "ready"))];
     let updates = |updates| RegistrationMerge { updates, relay: false };
-    assert_eq!(endpoints.merge(ms(0), &registered(4, "ready")), updates(known_to_peer));
+    assert_eq!(endpoints.merge(ms(0), &registered(4, "ready")), updates(registered_message));
     assert_eq!(endpoints.merge(ms(1), &registered(4, "ready")), updates(vec![]));
     assert_eq!(endpoints.merge(ms(1), &registered(3, "draining")), updates(vec![]));
 }
@@ -262,8 +262,8 @@
     endpoints.merge(ms(0), &registered(5, "ready"));
     let later: HeartbeatBatch = vec![BatchedHeartbeat { id: "i-1".into(), sequence: 7 }].into();
     endpoints.merge_heartbeats(ms(1), &later);
-    let known_to_peer = vec![Message::Registered(registered(6, "draining"))];
-    assert_eq!(endpoints.merge(ms(2), &registered(6, "draining")).updates, known_to_peer);
+    let registered_message = vec![Message::Registered(registered(6, "draining"))];
+    assert_eq!(endpoints.merge(ms(2), &registered(6, "draining")).updates, registered_message);
 }
 
 #[test]
@@ -292,11 +292,11 @@
     assert!(changes.messages.is_empty());
     assert_eq!(owner.expire(ms(3_600), |_| true), vec![Message::Removed(removed(5))]);
 
-    let RemovalMerge::Contradicted(known_to_peer) = other.merge_removal(ms(3_601), &removed(5)) else {
+    let RemovalMerge::Contradicted(registered_message) = other.merge_removal(ms(3_601), &removed(5)) else {
         panic!("the endpoint is live");
     };
-    assert_eq!(known_to_peer, Message::Registered(registered(6, "ready")));
-    assert_eq!(owner.merge(ms(3_602), &registered(6, "ready")).updates, vec![known_to_peer]);
+    assert_eq!(registered_message, Message::Registered(registered(6, "ready")));
+    assert_eq!(owner.merge(ms(3_602), &registered(6, "ready")).updates, vec![registered_message]);
 }
 
 #[test]
@@ -304,10 +304,10 @@
     let mut endpoints = endpoints();
     endpoints.merge(ms(0), &registered(5, "ready"));
     endpoints.merge_heartbeats(ms(3_600), &vec![BatchedHeartbeat { id: "i-1".into(), sequence: 6 }].into());
-    let known_to_peer = Registered { sequence: 6, ..registered(5, "ready") };
+    let registered_message = Registered { sequence: 6, ..registered(5, "ready") };
     assert_eq!(
         endpoints.merge_removal(ms(3_601), &removed(5)),
-        RemovalMerge::Contradicted(Message::Registered(known_to_peer))
+        RemovalMerge::Contradicted(Message::Registered(registered_message))
     );
 }
 
