--- a/crates/controller/src/controller/metrics.rs
+++ b/crates/controller/src/controller/metrics.rs
@@ -1,4 +1,6 @@
 //! The metrics of a controller, collected from its state at each scrape.
+//!
+//! `tests/behaviour_digests.rs` covers the help texts of the metrics that [`Controller::metrics`] exports.
 
 use crate::controller::Controller;
 use crate::controller::consensus::disk::DiskCounts;
@@ -16,92 +18,86 @@
 );
 const SHARD_REVISION: Metric = Metric::gauge(
     "lanegate_controller_shard_revision",
-    "Newest committed revision of the shard that this controller knows, 0 for none",
-);
-const SHARD_MEMBERS: Metric = Metric::gauge(
-    "lanegate_controller_shard_members",
-    "Members of the shard's newest replica group that this controller knows",
+    "Newest decided revision of the shard that is known here, 0 for none",
 );
+const SHARD_MEMBERS: Metric =
+    Metric::gauge("lanegate_controller_shard_members", "Members of the shard's newest group known here");
 const SHARD_FAULT_TOLERANCE: Metric = Metric::gauge(
     "lanegate_controller_shard_margin",
-    "Further failures that the shard's replica groups tolerate; no sample while one has no majority",
+    "Further losses that the shard can bear; without a sample while it has no majority",
 );
 const SHARD_OWNER: Metric = Metric::gauge(
     "lanegate_controller_shard_owner",
-    "1 if this controller considers itself the owner of the shard",
+    "1 if this controller is the one that acts for the shard first, as far as it knows",
 );
 const SHARD_CONTACT: Metric = Metric::gauge(
     "lanegate_controller_shard_contact",
-    "1 while this controller has recent answers to its heartbeats from a majority of the shard's replica group",
+    "1 while a majority of the shard's group has answered this controller a moment ago",
 );
 const SHARD_LEASE: Metric = Metric::gauge(
     "lanegate_controller_shard_lease",
-    "1 while this controller holds a valid lease of the shard",
+    "1 while this controller holds the lease of the shard and may act now",
 );
 const SHARD_EPOCH: Metric = Metric::gauge(
     "lanegate_controller_shard_epoch",
-    "Epoch of this controller's current lease tenure for the shard, 0 for none",
+    "Epoch under which this controller acts for the shard, 0 for none",
 );
 const TENURES: Metric =
-    Metric::counter("lanegate_controller_tenures_total", "Lease tenures that this controller has begun");
+    Metric::counter("lanegate_controller_tenures_total", "Tenures of leases that this controller has begun");
 const QUORUM: Metric = Metric::gauge(
     "lanegate_controller_quorum",
-    "1 while this controller has recent answers to its heartbeats from a majority of the configuration's group",
+    "1 while a majority of the configuration's group has answered this controller a moment ago",
 );
 const CURRENT: Metric = Metric::gauge(
     "lanegate_controller_current",
-    "1 while the configuration that this controller knows is confirmed to be current",
+    "1 while this controller vouches for the configuration that it knows",
 );
 const COMPLETE: Metric = Metric::gauge(
     "lanegate_controller_complete",
-    "1 once the registry of endpoints is complete after the start",
-);
-const DRAINING: Metric =
-    Metric::gauge("lanegate_controller_leaving", "1 once the process has been asked to shut down");
-const LIVE_CONTROLLERS: Metric = Metric::gauge(
-    "lanegate_controller_live_controllers",
-    "Controllers that the failure detector considers live, this one included",
-);
-const LINKED_PEERS: Metric = Metric::gauge(
-    "lanegate_controller_linked_peers",
-    "Other controllers to which this one has a working link",
-);
-const ROUTERS: Metric =
-    Metric::gauge("lanegate_controller_routers", "Routers that have reported their demand recently");
+    "1 once everyone that registers with the system has been heard",
+);
+const DRAINING: Metric = Metric::gauge("lanegate_controller_leaving", "1 once the process was asked to end");
+const LIVE_CONTROLLERS: Metric =
+    Metric::gauge("lanegate_controller_live_controllers", "Controllers that are heard, this one included");
+const LINKED_PEERS: Metric =
+    Metric::gauge("lanegate_controller_linked_peers", "Other controllers to which a link is up");
+const ROUTERS: Metric = Metric::gauge("lanegate_controller_routers", "Routers that are live");
 const SUBSCRIBERS: Metric =
-    Metric::gauge("lanegate_controller_readers", "Agents that are subscribed to this controller's feed");
+    Metric::gauge("lanegate_controller_readers", "Agents that follow this controller's feed");
 const REGISTRATIONS: Metric =
     Metric::gauge("lanegate_controller_registrations", "Live registrations of endpoints, by their state");
 const ACKNOWLEDGEMENTS_WAITING: Metric = Metric::gauge(
     "lanegate_controller_acknowledgements_waiting",
-    "Deregistrations and drains of endpoints that wait for confirmation by a majority",
+    "Ends and drains of endpoints that wait until a majority knows of them",
 );
 const EXPIRIES: Metric = Metric::counter(
     "lanegate_controller_expiries_total",
-    "Endpoints that this controller removed because their heartbeats timed out",
+    "Endpoints that this controller removed as they were silent for too long",
 );
 const ORDERS: Metric = Metric::counter(
     "lanegate_controller_orders_total",
-    "Completed orders to endpoints, by operation and outcome",
+    "Orders to endpoints that have ended, by operation and outcome",
 );
 const ORDERS_IN_FLIGHT: Metric =
-    Metric::gauge("lanegate_controller_orders_under_way", "Orders that were sent and have no answer yet");
+    Metric::gauge("lanegate_controller_orders_under_way", "Orders that were given and have no answer yet");
 const CHANGES: Metric = Metric::counter(
     "lanegate_controller_changes_total",
-    "Configuration changes that operators sent to this controller, by outcome",
+    "Changes of the configuration that an operator sent here, by their outcome",
 );
 const CHANGES_IN_FLIGHT: Metric =
-    Metric::gauge("lanegate_controller_changes_under_way", "Configuration changes that have no outcome yet");
+    Metric::gauge("lanegate_controller_changes_under_way", "Changes that have no outcome yet");
 const CONFIGURATION_REVISION: Metric = Metric::gauge(
     "lanegate_controller_configuration_revision",
-    "Register revision of the newest configuration that this controller knows, 0 for none",
+    "Revision of the newest configuration that is known here, 0 for none",
 );
 const CONFIGURATION_VERSION: Metric = Metric::gauge(
     "lanegate_controller_configuration_version",
-    "Version of the newest configuration that this controller knows, 0 for none",
+    "Version of the newest configuration that is known here, 0 for none",
+);
+const STALLS: Metric = Metric::counter(
+    "lanegate_controller_pauses_total",
+    "Times that the process noticed that it had stood still",
 );
-const STALLS: Metric =
-    Metric::counter("lanegate_controller_pauses_total", "Stalls of this process that it detected");
 const UNAVAILABLE: Metric = Metric::counter(
     "lanegate_controller_unavailable_total",
     "Calls on the control interface that were answered 503, by reason",
