--- a/crates/controller/src/controller/consensus/fault_tolerance_test.rs
+++ b/crates/controller/src/controller/consensus/fault_tolerance_test.rs
@@ -1,4 +1,4 @@
-//! How many losses a group can bear, and when the operators are told.
+//! How many failures a group tolerates, and when a change is reported.
 
 use crate::controller::consensus::fault_tolerance::{
     MemberState, ToleranceChange, ToleranceMonitor, tolerable_failures,
@@ -13,8 +13,8 @@
     numbers.iter().map(|number| node(*number)).collect()
 }
 
-/// The margin of `groups` if `lost` are in the state `state` and all others vote.
-fn with(groups: &[&[u8]], lost: &[u8], state: MemberState) -> Option<usize> {
+/// Failures that `groups` tolerate if the members `lost` are in `state` and all others vote.
+fn tolerated_failures(groups: &[&[u8]], lost: &[u8], state: MemberState) -> Option<usize> {
     let groups: Vec<Vec<SocketAddr>> = groups.iter().map(|numbers| group(numbers)).collect();
     tolerable_failures(
         &groups,
@@ -24,24 +24,24 @@
 
 #[test]
 fn each_member_that_does_not_vote_takes_one_from_the_margin() {
-    assert_eq!(with(&[&[1, 2, 3]], &[], MemberState::Suspected), Some(1));
-    assert_eq!(with(&[&[1, 2, 3, 4, 5]], &[], MemberState::Suspected), Some(2));
+    assert_eq!(tolerated_failures(&[&[1, 2, 3]], &[], MemberState::Suspected), Some(1));
+    assert_eq!(tolerated_failures(&[&[1, 2, 3, 4, 5]], &[], MemberState::Suspected), Some(2));
     for state in [MemberState::Suspected, MemberState::NotVoting, MemberState::Unknown] {
-        assert_eq!(with(&[&[1, 2, 3]], &[2], state), Some(0), "{state:?}");
-        assert_eq!(with(&[&[1, 2, 3]], &[2, 3], state), None, "{state:?}");
-        assert_eq!(with(&[&[1, 2, 3, 4, 5]], &[2, 3], state), Some(0), "{state:?}");
+        assert_eq!(tolerated_failures(&[&[1, 2, 3]], &[2], state), Some(0), "{state:?}");
+        assert_eq!(tolerated_failures(&[&[1, 2, 3]], &[2, 3], state), None, "{state:?}");
+        assert_eq!(tolerated_failures(&[&[1, 2, 3, 4, 5]], &[2, 3], state), Some(0), "{state:?}");
     }
 }
 
 #[test]
 fn while_members_change_the_weaker_group_counts() {
-    assert_eq!(with(&[&[1, 2, 3], &[2, 3, 4]], &[4], MemberState::NotVoting), Some(0));
-    assert_eq!(with(&[&[1, 2, 3], &[2, 3, 4]], &[3, 4], MemberState::Suspected), None);
+    assert_eq!(tolerated_failures(&[&[1, 2, 3], &[2, 3, 4]], &[4], MemberState::NotVoting), Some(0));
+    assert_eq!(tolerated_failures(&[&[1, 2, 3], &[2, 3, 4]], &[3, 4], MemberState::Suspected), None);
 }
 
 #[test]
 fn a_group_that_is_not_known_has_no_margin() {
-    assert_eq!(with(&[], &[], MemberState::Voting), None);
+    assert_eq!(tolerated_failures(&[], &[], MemberState::Voting), None);
 }
 
 #[test]
@@ -51,7 +51,11 @@
     assert_eq!(monitor.observe(0, Some(0)), Some(ToleranceChange::Exhausted));
     assert_eq!(monitor.observe(0, Some(0)), None);
     assert_eq!(monitor.observe(0, None), None);
-    assert_eq!(monitor.observe(1, None), Some(ToleranceChange::Exhausted), "each shard by itself");
+    assert_eq!(
+        monitor.observe(1, None),
+        Some(ToleranceChange::Exhausted),
+        "each shard is tracked separately"
+    );
     assert_eq!(monitor.observe(0, Some(1)), Some(ToleranceChange::Restored));
     assert_eq!(monitor.observe(0, Some(2)), None);
 }
--- a/crates/controller/src/controller/consensus/freshness_test.rs
+++ b/crates/controller/src/controller/consensus/freshness_test.rs
@@ -1,4 +1,4 @@
-//! A controller vouches for its configuration only after a read that began in the contact that lasts.
+//! A controller counts as current only after a read that started in the present period of quorum contact.
 
 use crate::controller::consensus::freshness::Freshness;
 use crate::controller::consensus::shards::{self, CONFIGURATION};
@@ -59,7 +59,7 @@
     assert!(freshness.observe_contact(all()).read);
     freshness.read_started(2);
     freshness.read_ended(1, true);
-    assert!(!freshness.is_current(), "the answer to an earlier read says nothing of the later contact");
+    assert!(!freshness.is_current(), "a read from before contact was lost does not count");
     freshness.read_ended(2, true);
     assert!(freshness.is_current());
 }
--- a/crates/controller/src/controller/endpoints/pending_loads_test.rs
+++ b/crates/controller/src/controller/endpoints/pending_loads_test.rs
@@ -1,4 +1,4 @@
-//! Loads that were accepted show to routers as soon as they can be used, and not before.
+//! Accepted loads are published to routers as soon as the model can be used, and not before.
 
 use crate::controller::consensus::shards::shard_of;
 use crate::controller::endpoints::pending_loads::{PendingLoadStep, PendingLoads, residency_update};
@@ -77,11 +77,15 @@
         steps.extend(pending_loads.due(at));
     }
     assert_eq!(steps, vec![request_report(), request_report(), request_report(), request_report()]);
-    assert_eq!(pending_loads.reported("i-1", &[resident("m")]), vec![], "a heartbeat tells the rest");
+    assert_eq!(
+        pending_loads.reported("i-1", &[resident("m")]),
+        vec![],
+        "from then on the heartbeats report the model"
+    );
 }
 
 #[test]
-fn an_eviction_is_nothing_to_wait_for() {
+fn an_accepted_eviction_is_not_tracked() {
     let mut pending_loads = PendingLoads::default();
     pending_loads.accepted(ms(0), SERVICE, &order(Operation::Evict, "m", None), LOAD_TIME);
     assert_eq!(pending_loads.next_wake(), None);
@@ -96,7 +100,7 @@
     assert_eq!(pending_loads.next_wake(), None);
 }
 
-/// The lease of one shard may go to another controller while this one keeps the others.
+/// The lease of one shard may move to another controller while this one retains the others.
 #[test]
 fn the_end_of_a_tenure_leaves_the_loads_of_other_shards() {
     let names = (0..).map(|number| format!("service-{number}"));
--- a/crates/controller/src/controller/feed/subscriber_storm_test.rs
+++ b/crates/controller/src/controller/feed/subscriber_storm_test.rs
@@ -1,4 +1,4 @@
-//! Readers of the feed under storms of changes: bytes, lag and the end state of each, in simulated time.
+//! Subscribers of the feed under bursts of changes, in simulated time: bytes, lag and final state of each.
 
 use crate::configuration_feed::fetcher::Pace;
 use crate::controller::feed::subscribers::{FeedStatus, Subscribers};
@@ -14,10 +14,10 @@
 
 /// A link of 10 Mbit/s.
 const LINK_BYTES_PER_MS: usize = 1_250;
-/// Twelve changes a second and a half.
+/// 12.5 changes per second.
 const CHANGE_PERIOD_MS: u64 = 80;
 const FEED_HEARTBEAT_PERIOD_MS: u64 = 500;
-/// `ConfigApplyMs`, less what is left for the loopback hop and the router.
+/// `ConfigApplyMs` minus the time reserved for the loopback hop and the router.
 const LAG_BOUND_MS: u64 = 1_600;
 
 fn ms(n: u64) -> Duration {
@@ -28,7 +28,7 @@
     SocketAddr::from(([10, 0, 0, number as u8 + 1], 7_000))
 }
 
-/// A configuration of `routes` routes; `how` makes the text of a route.
+/// A configuration with `routes` routes; `how` returns the time-out of a route by its number.
 fn document(version: u64, routes: u64, how: impl Fn(u64) -> u64) -> Vec<u8> {
     let route = |number: u64| {
         let timeout = how(number);
@@ -40,25 +40,25 @@
     format!(r#"{{"Version":{version},"Routes":[{}]}}"#, routes.join(",")).into_bytes()
 }
 
-/// One route is another one with each version.
+/// A configuration in which each version changes one route.
 fn one_route_changed(version: u64) -> Vec<u8> {
     document(version, 1_000, |number| if number == version % 1_000 { 5_000 + version } else { 5_000 })
 }
 
-/// No route is as it was before.
+/// A configuration in which each version changes every route.
 fn all_routes_changed(version: u64) -> Vec<u8> {
     document(version, 1_000, |number| 5_000 + version * 7 + number)
 }
 
-/// One source's link to a reader, as seen from the reader.
+/// The subscriber's side of its link to one source.
 struct Link {
     frames: Receiver<Bytes>,
-    /// The frame that is arriving, and the bytes of it that are still to come.
+    /// The frame that is arriving, and the number of its bytes that have not arrived yet.
     arriving: Option<(Bytes, usize)>,
 }
 
-/// A reader behind a link of its own.
-struct MessageReader {
+/// A subscriber with a limited link.
+struct SimulatedSubscriber {
     view: View,
     links: Vec<Link>,
     fetches: VecDeque<(Duration, usize, Message)>,
@@ -66,8 +66,8 @@
     longest_lag: u64,
 }
 
-impl MessageReader {
-    /// Takes as many bytes as the link lets through in a millisecond.
+impl SimulatedSubscriber {
+    /// Receives the bytes that the link carries in a millisecond.
     fn receive(&mut self, now: Duration) {
         let mut room = LINK_BYTES_PER_MS;
         for (number, link) in self.links.iter_mut().enumerate() {
@@ -96,13 +96,13 @@
     }
 }
 
-/// Two sources, their readers, and what was decided when.
+/// Two sources, their subscribers, and the commit time of each configuration.
 struct World {
     sources: Vec<Subscribers>,
-    subscribers: Vec<MessageReader>,
-    decided_at: Vec<u64>,
-    /// Sources that read fetches and answer nothing.
-    mute: Vec<usize>,
+    subscribers: Vec<SimulatedSubscriber>,
+    committed_at: Vec<u64>,
+    /// Sources that receive fetches but never answer.
+    unresponsive: Vec<usize>,
     now: u64,
 }
 
@@ -117,20 +117,20 @@
             });
             let links = links.collect();
             let view = View::new(Pace::LINK);
-            MessageReader { view, links, fetches: VecDeque::new(), bytes: 0, longest_lag: 0 }
+            SimulatedSubscriber { view, links, fetches: VecDeque::new(), bytes: 0, longest_lag: 0 }
         };
         let subscribers = (0..count).map(&mut subscriber).collect();
-        World { sources, subscribers, decided_at: Vec::new(), mute: Vec::new(), now: 0 }
+        World { sources, subscribers, committed_at: Vec::new(), unresponsive: Vec::new(), now: 0 }
     }
 
-    /// Plays `length` ms more; in the first `storm` of them a configuration is decided every
+    /// Runs for `length` ms more; in the first `storm` of them a configuration is committed every
     /// [`CHANGE_PERIOD_MS`].
     fn play(&mut self, length: u64, storm: u64, document: impl Fn(u64) -> Vec<u8>) {
         let begun = self.now;
         for now in begun..begun + length {
             if now < begun + storm && (now - begun).is_multiple_of(CHANGE_PERIOD_MS) {
-                self.decided_at.push(now);
-                let revision = self.decided_at.len() as u64;
+                self.committed_at.push(now);
+                let revision = self.committed_at.len() as u64;
                 let committed = CommittedConfiguration { revision, document: document(revision).into() };
                 self.sources.iter_mut().for_each(|source| source.publish(committed.clone()));
             }
@@ -142,7 +142,7 @@
         self.now += length;
     }
 
-    /// Lets every reader get its first configuration, which is a whole document; lags count from then on.
+    /// Runs until every subscriber has its first configuration, which is a complete document. Lags count from then on.
     fn begin(&mut self, document: impl Fn(u64) -> Vec<u8>) {
         self.play(1_200, 1, document);
         self.subscribers.iter_mut().for_each(|subscriber| subscriber.longest_lag = 0);
@@ -154,12 +154,12 @@
             while subscriber.fetches.front().is_some_and(|(at, ..)| *at <= ms(now)) {
                 let Some((_, to, fetch)) = subscriber.fetches.pop_front() else { break };
                 let Message::ConfigurationFetch(base) = fetch else { panic!("{fetch:?}") };
-                if !self.mute.contains(&to) {
+                if !self.unresponsive.contains(&to) {
                     self.sources[to].fetch(number as u64, base);
                 }
             }
-            let missing = self.decided_at.get(subscriber.revision() as usize);
-            let lag = missing.map_or(0, |decided_at| now - decided_at);
+            let missing = self.committed_at.get(subscriber.revision() as usize);
+            let lag = missing.map_or(0, |committed_at| now - committed_at);
             subscriber.longest_lag = subscriber.longest_lag.max(lag);
         }
     }
@@ -201,17 +201,19 @@
 }
 
 #[test]
-fn four_hundred_readers_of_a_thousand_routes_keep_up_with_twelve_changes_a_second() {
+fn four_hundred_subscribers_of_a_thousand_routes_keep_up_with_twelve_changes_a_second() {
     let mut world = World::new(400);
     world.begin(one_route_changed);
     world.play(2_400, 2_000, one_route_changed);
-    let changes = world.decided_at.len() as u64;
+    let changes = world.committed_at.len() as u64;
     assert_eq!(changes, 26);
     world.assert_all_have(&one_route_changed(changes));
-    let whole = one_route_changed(changes).len();
+    let document_bytes = one_route_changed(changes).len();
     let (bytes, lag) = (world.most_bytes(), world.longest_lag());
-    println!("document {whole} B, {changes} changes, most bytes a reader {bytes}, longest lag {lag} ms");
-    assert!(bytes < whole + 20_000, "one whole document, then differences: {bytes}");
+    println!(
+        "document {document_bytes} B, {changes} changes, most bytes per subscriber {bytes}, longest lag {lag} ms"
+    );
+    assert!(bytes < document_bytes + 20_000, "one complete document, then deltas: {bytes}");
     assert!(lag < 250, "{lag} ms");
 }
 
@@ -220,15 +222,21 @@
     const LENGTH_MS: u64 = 10_000;
     let mut world = World::new(4);
     world.play(LENGTH_MS + 1_500, LENGTH_MS, all_routes_changed);
-    let changes = world.decided_at.len() as u64;
+    let changes = world.committed_at.len() as u64;
     world.assert_all_have(&all_routes_changed(changes));
-    let whole = all_routes_changed(changes).len();
-    let interval = Pace::LINK.interval(whole).as_millis() as u64;
+    let document_bytes = all_routes_changed(changes).len();
+    let interval = Pace::LINK.interval(document_bytes).as_millis() as u64;
     let answers = 1 + (LENGTH_MS + 1_500).div_ceil(interval) as usize;
     let small = 2 * (changes as usize * 25 + 40 * 60);
     let (bytes, lag) = (world.most_bytes(), world.longest_lag());
-    println!("document {whole} B, {changes} changes, most bytes a reader {bytes}, longest lag {lag} ms");
-    assert!(bytes <= answers * (whole + 100) + small, "{bytes} of {}", answers * (whole + 100) + small);
+    println!(
+        "document {document_bytes} B, {changes} changes, most bytes per subscriber {bytes}, longest lag {lag} ms"
+    );
+    assert!(
+        bytes <= answers * (document_bytes + 100) + small,
+        "{bytes} of {}",
+        answers * (document_bytes + 100) + small
+    );
     assert!(lag < LAG_BOUND_MS, "{lag} ms");
 }
 
@@ -236,27 +244,27 @@
 fn a_source_that_does_not_deliver_costs_one_timeout_per_change() {
     let mut world = World::new(4);
     world.begin(one_route_changed);
-    world.mute = vec![0];
+    world.unresponsive = vec![0];
     world.play(3_500, 2_000, one_route_changed);
-    world.assert_all_have(&one_route_changed(world.decided_at.len() as u64));
+    world.assert_all_have(&one_route_changed(world.committed_at.len() as u64));
     let lag = world.longest_lag();
-    println!("longest lag with a mute source {lag} ms");
+    println!("longest lag with an unresponsive source {lag} ms");
     assert!(lag < LAG_BOUND_MS, "{lag} ms");
 }
 
-/// A registry as its publisher has it, with the feed's journal.
+/// The publisher of a feed: its subscribers, and the state that they should reach.
 struct Publisher {
     subscribers: Subscribers,
-    truth: View,
+    expected: View,
     offset: u64,
 }
 
 impl Publisher {
     fn new() -> Publisher {
-        Publisher { subscribers: Subscribers::new(11), truth: View::default(), offset: 0 }
+        Publisher { subscribers: Subscribers::new(11), expected: View::default(), offset: 0 }
     }
 
-    /// Endpoint `number` changes; every seventh change takes it away, with its sequence.
+    /// Changes endpoint `number`; a sequence that is a multiple of seven removes it.
     fn change(&mut self, number: u64, sequence: u64) {
         let id = format!("i-{number}");
         let body = format!(
@@ -267,12 +275,12 @@
         } else {
             Message::Registered(Registered { id: id.as_str().into(), sequence, body: body.as_str().into() })
         };
-        self.truth.receive(ms(0), source(0), message.clone(), &mut Vec::new());
+        self.expected.receive(ms(0), source(0), message.clone(), &mut Vec::new());
         self.subscribers.append(&message);
         self.offset += 1;
     }
 
-    /// `count` changes of fifty endpoints in turn.
+    /// Makes `count` changes, to fifty endpoints in turn.
     fn storm(&mut self, count: u64) {
         for _ in 0..count {
             self.change(self.offset % 50, 1 + self.offset / 50);
@@ -281,9 +289,9 @@
 
     fn join(&mut self, position: Position) -> Receiver<Bytes> {
         let (outbox, frames) = Outbox::new();
-        let truth = &self.truth;
+        let expected = &self.expected;
         let snapshot = || {
-            let mut messages = truth.snapshot();
+            let mut messages = expected.snapshot();
             messages.pop();
             messages.push(Message::SnapshotEnd { complete: 1 });
             messages
@@ -293,26 +301,26 @@
     }
 }
 
-/// Hands everything that waits to the view. Tells the bytes, and whether a snapshot was among them.
+/// Passes all queued messages to the view. Returns their bytes, and whether they include a snapshot.
 fn drain(view: &mut View, frames: &mut Receiver<Bytes>) -> (usize, bool) {
-    let (mut bytes, mut anew) = (0, false);
+    let (mut bytes, mut from_snapshot) = (0, false);
     while let Ok(frame) = frames.try_recv() {
         bytes += frame.len();
         let message = Message::decode(&frame[4..]).expect("a message");
-        anew |= message == Message::SnapshotBegin;
+        from_snapshot |= message == Message::SnapshotBegin;
         view.receive(ms(0), source(0), message, &mut Vec::new());
     }
-    (bytes, anew)
+    (bytes, from_snapshot)
 }
 
-/// Registrations only, as a reader has them.
+/// The registrations in the state of a subscriber.
 fn registrations(view: &View) -> Vec<Message> {
     let snapshot = view.snapshot().into_iter();
     snapshot.filter(|message| matches!(message, Message::Registered(_))).collect()
 }
 
 #[test]
-fn a_reader_that_falls_out_of_the_journal_begins_anew_and_ends_right() {
+fn a_subscriber_behind_the_journal_restarts_from_a_snapshot_and_converges() {
     let mut publisher = Publisher::new();
     let mut view = View::default();
     let mut frames = publisher.join(Position::default());
@@ -326,42 +334,43 @@
     assert_eq!(position, Position { source: 11, offset: 500 });
     publisher.storm(200);
     let mut frames = publisher.join(position);
-    let (_, anew) = drain(&mut view, &mut frames);
-    assert!(!anew, "the journal has what it lacks");
-    assert_eq!(registrations(&view), registrations(&publisher.truth));
+    let (_, from_snapshot) = drain(&mut view, &mut frames);
+    assert!(!from_snapshot, "the journal still has the missed changes");
+    assert_eq!(registrations(&view), registrations(&publisher.expected));
 
     view.source_lost(ms(0), source(0));
     let position = view.position(source(0));
     publisher.storm(2_049);
     let mut frames = publisher.join(position);
     publisher.storm(300);
-    let (_, anew) = drain(&mut view, &mut frames);
-    assert!(anew, "the journal has lost what it lacks");
-    assert_eq!(registrations(&view), registrations(&publisher.truth));
+    let (_, from_snapshot) = drain(&mut view, &mut frames);
+    assert!(from_snapshot, "the journal no longer has the missed changes");
+    assert_eq!(registrations(&view), registrations(&publisher.expected));
 }
 
 #[test]
-fn a_reader_that_overruns_its_queue_loses_its_link_and_ends_right() {
+fn a_subscriber_that_overruns_its_queue_is_disconnected_and_converges() {
     let mut publisher = Publisher::new();
     let mut view = View::default();
     let mut frames = publisher.join(Position::default());
     publisher.subscribers.heartbeat(status(1));
     drain(&mut view, &mut frames);
     publisher.storm(10_000);
-    assert_eq!(publisher.subscribers.count(), 0, "nothing is sent to it any more");
+    assert_eq!(publisher.subscribers.count(), 0, "the subscriber is dropped");
     drain(&mut view, &mut frames);
-    assert!(frames.is_closed(), "its link ends");
-    assert_ne!(registrations(&view), registrations(&publisher.truth));
+    assert!(frames.is_closed(), "its link is closed");
+    assert_ne!(registrations(&view), registrations(&publisher.expected));
 
     view.source_lost(ms(0), source(0));
     let mut frames = publisher.join(view.position(source(0)));
     publisher.storm(77);
-    let (_, anew) = drain(&mut view, &mut frames);
-    assert!(anew);
-    assert_eq!(registrations(&view), registrations(&publisher.truth));
+    let (_, from_snapshot) = drain(&mut view, &mut frames);
+    assert!(from_snapshot);
+    assert_eq!(registrations(&view), registrations(&publisher.expected));
 }
 
-/// Bytes that bring a reader up to date that missed `missed` changes of endpoints and of the configuration each.
+/// Bytes sent to bring a subscriber up to date that missed `missed` changes of endpoints and as many of the
+/// configuration.
 fn catch_up_bytes(missed: u64) -> usize {
     let mut publisher = Publisher::new();
     let mut view = View::default();
@@ -377,7 +386,7 @@
     publisher.subscribers.disconnected(1);
 
     publisher.storm(missed);
-    // Only the versions that are kept as bases are built: older ones leave no trace.
+    // Only the newest versions are published: older ones would no longer be retained as bases.
     let newest = 1 + missed;
     (newest.saturating_sub(40).max(2)..=newest).for_each(|n| publisher.subscribers.publish(committed(n)));
     let mut frames = publisher.join(view.position(source(0)));
@@ -385,7 +394,7 @@
     let Some((_, Message::ConfigurationFetch(base))) = view.fetch(ms(1_000), None) else { panic!("a fetch") };
     publisher.subscribers.fetch(1, base);
     bytes += drain(&mut view, &mut frames).0;
-    assert_eq!(registrations(&view), registrations(&publisher.truth));
+    assert_eq!(registrations(&view), registrations(&publisher.expected));
     assert!(view.configuration().is_some_and(|held| held.revision == newest));
     bytes
 }
@@ -394,8 +403,8 @@
 fn catching_up_does_not_grow_with_the_changes_missed() {
     let [ten, thousand, five_thousand] = [10, 1_000, 5_000].map(catch_up_bytes);
     println!("bytes after 10, 1,000, 5,000 changes missed: {ten}, {thousand}, {five_thousand}");
-    let whole = one_route_changed(5_001).len();
-    assert!(ten < 5_000, "differences only: {ten}");
-    assert!(thousand < whole + 64 * 1024, "{thousand}");
-    assert!(five_thousand < whole + 64 * 1024, "{five_thousand}");
+    let document_bytes = one_route_changed(5_001).len();
+    assert!(ten < 5_000, "deltas only: {ten}");
+    assert!(thousand < document_bytes + 64 * 1024, "{thousand}");
+    assert!(five_thousand < document_bytes + 64 * 1024, "{five_thousand}");
 }
--- a/crates/controller/src/controller/membership/links.rs
+++ b/crates/controller/src/controller/membership/links.rs
@@ -1,4 +1,4 @@
-//! The links of a controller: those it dials to its peers, and those that peers and agents open.
+//! The links of a controller: outgoing links to its peers, and incoming links from peers and agents.
 
 use crate::controller::event::Event;
 use crate::link::{self, MessageReader, Outbox, REDIAL_DELAY};
@@ -9,12 +9,12 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// Longest wait for the first message on a link that was opened.
+/// Longest wait for the first message on an accepted link.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Keeps a link to the peer `peer` (its control address) at `address`, until the returned handle ends it.
-/// Messages of the peer arrive on the link that it opens itself.
-pub(crate) fn keep_link(
+/// Maintains an outgoing link to the controller with the control address `peer`, at `address`, until the returned
+/// handle is aborted. Messages from the peer arrive on the link that the peer opens.
+pub(crate) fn maintain_link(
     peer: SocketAddr,
     address: SocketAddr,
     hello: Hello,
@@ -22,7 +22,7 @@
 ) -> AbortHandle {
     let task = async move {
         loop {
-            if let Err(error) = speak(peer, address, &hello, &events).await {
+            if let Err(error) = run_outgoing_link(peer, address, &hello, &events).await {
                 log::debug!("link failed peer={peer} error={error}");
             }
             tokio::time::sleep(REDIAL_DELAY).await;
@@ -31,14 +31,14 @@
     tokio::task::spawn_local(task).abort_handle()
 }
 
-async fn speak(
+async fn run_outgoing_link(
     peer: SocketAddr,
     address: SocketAddr,
     hello: &Hello,
     events: &mpsc::UnboundedSender<Event>,
 ) -> std::io::Result<()> {
     let stream = link::dial(address).await?;
-    // The read half stays open: dropping it would shut nothing, but it shows when the peer has closed the connection.
+    // The read half is kept, although no data is expected on it: it reports when the peer closes the connection.
     let (mut read, write) = stream.into_split();
     let (outbox, frames) = Outbox::new();
     outbox.message(&Message::Hello(hello.clone()));
@@ -51,14 +51,14 @@
     result
 }
 
-/// Waits for the end of a link on which nothing is to be read.
+/// Waits until the peer closes a link on which it sends nothing.
 async fn until_closed(read: &mut tokio::net::tcp::OwnedReadHalf) -> std::io::Result<()> {
     use tokio::io::AsyncReadExt;
     let mut byte = [0];
     read.read(&mut byte).await.map(|_| ())
 }
 
-/// Accepts links of peers and agents until the process ends.
+/// Accepts links of peers and agents until the process exits.
 pub(crate) async fn accept(listener: TcpListener, events: mpsc::UnboundedSender<Event>) {
     let mut opened = 0;
     loop {
@@ -69,14 +69,14 @@
         opened += 1;
         let events = events.clone();
         tokio::task::spawn_local(async move {
-            if let Err(error) = listen(stream, opened, &events).await {
+            if let Err(error) = serve_incoming_link(stream, opened, &events).await {
                 log::debug!("accepted link failed error={error}");
             }
         });
     }
 }
 
-async fn listen(
+async fn serve_incoming_link(
     stream: TcpStream,
     opened: u64,
     events: &mpsc::UnboundedSender<Event>,
@@ -88,12 +88,12 @@
         tokio::time::timeout(HELLO_TIMEOUT, reader.next()).await.map_err(|_| MessageError::Timeout)??;
     let Message::Hello(hello) = first else { return Ok(()) };
     match hello.role {
-        Role::Controller => peer_link(reader, hello, events).await,
-        Role::Agent | Role::Router => agent_link(reader, write, opened, hello, events).await,
+        Role::Controller => receive_from_peer(reader, hello, events).await,
+        Role::Agent | Role::Router => serve_agent(reader, write, opened, hello, events).await,
     }
 }
 
-async fn peer_link(
+async fn receive_from_peer(
     mut reader: MessageReader,
     hello: Hello,
     events: &mpsc::UnboundedSender<Event>,
@@ -106,7 +106,7 @@
     }
 }
 
-async fn agent_link(
+async fn serve_agent(
     mut reader: MessageReader,
     write: tokio::net::tcp::OwnedWriteHalf,
     agent: u64,
--- a/crates/controller/src/controller/metrics.rs
+++ b/crates/controller/src/controller/metrics.rs
@@ -1,4 +1,6 @@
-//! The figures of a controller, read from its state when they are asked for.
+//! The metrics of a controller, collected from its state at each scrape.
+//!
+//! `tests/behaviour_digests.rs` covers the help texts of the metrics that [`Controller::metrics`] exports.
 
 use crate::controller::Controller;
 use crate::controller::consensus::disk::DiskCounts;
@@ -102,24 +104,24 @@
 );
 const DISK_WRITES: Metric = Metric::counter(
     "lanegate_controller_disk_writes_total",
-    "Records that were written and synced, or could not be, by result",
+    "Attempts to write and sync a record, by result",
 );
 const DISK_WRITE_TIME: Metric = Metric::counter(
     "lanegate_controller_disk_write_seconds_total",
-    "Time that writing and syncing records took in all",
+    "Total time spent writing and syncing records",
 );
 const DISK_WRITE_LONGEST: Metric = Metric::gauge(
     "lanegate_controller_disk_write_longest_seconds",
-    "Longest time that one write took since the start",
+    "Longest time that a single write has taken since the start",
 );
 const DISK_WRITES_WAITING: Metric =
-    Metric::gauge("lanegate_controller_disk_writes_waiting", "Records that are not on disk yet");
+    Metric::gauge("lanegate_controller_disk_writes_waiting", "Records that are queued or being written");
 
-/// Roles of a replica, as labels.
+/// Values of the role label of a replica.
 const ROLES: [&str; 3] = ["member", "spare", "recovering"];
 
 impl Controller {
-    /// The figures now.
+    /// Collects the current metrics.
     pub(crate) fn metrics(&self) -> Exposition {
         let mut exposition = Exposition::default();
         for shard in shards::all() {
@@ -198,8 +200,8 @@
     }
 }
 
-/// Adds the counts of the control interface and of the disk, which the controller itself does not know.
-pub(super) fn add_surroundings(
+/// Adds the metrics of the control interface and of the disk thread, which are kept outside the controller's state.
+pub(super) fn add_process_metrics(
     exposition: &mut Exposition,
     unavailable: &UnavailableCounts,
     disk: &DiskCounts,
--- a/crates/controller/src/controller/setup.rs
+++ b/crates/controller/src/controller/setup.rs
@@ -1,4 +1,4 @@
-//! The state with which a controller starts.
+//! Construction of a controller: its initial state and the settings of its parts.
 
 use crate::controller::Controller;
 use crate::controller::consensus::fault_tolerance::ToleranceMonitor;
@@ -33,20 +33,22 @@
 
 /// Time between heartbeats of controllers.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a round of grants lets the holder of a lease act.
+/// How long the holder of a lease may act after a successful round of grants.
 const LEASE_VALIDITY: Duration = Duration::from_millis(600);
-/// Every controller monitors every other: there are a few of them.
+/// Number of peers that each controller monitors. Above the usual number of controllers, so that every controller
+/// monitors every other.
 const MONITORS: usize = 16;
-/// What a controller starts with.
+
+/// Parameters of a new controller.
 pub(crate) struct Start {
     pub settings: Settings,
     /// Control address.
     pub control: SocketAddr,
     /// Drawn at random at each start of the process.
     pub incarnation: u64,
-    /// Records found on disk.
+    /// Register records that were read from disk.
     pub records: Records,
-    /// A deliberate fault, in a simulation only.
+    /// A deliberate fault, set in simulations only.
     pub fault: Option<ControllerFault>,
 }
 
@@ -59,8 +61,8 @@
         let first = settings.bootstrap && records.is_empty();
         let replicas = start_replicas(&settings, own_address, records, incarnation, fault)?;
         let node = NodeId::new(own_address, incarnation);
-        let skips = fault == Some(ControllerFault::SkipQuietPeriod);
-        let quiet_ms = if skips { 1.0 } else { settings.bounds.lease_ms };
+        let skip_quiet_period = fault == Some(ControllerFault::SkipQuietPeriod);
+        let quiet_ms = if skip_quiet_period { 1.0 } else { settings.bounds.lease_ms };
         let lease = lease_settings(Duration::from_secs_f64(quiet_ms / 1e3));
         let start = if first { GrantorStart::First } else { GrantorStart::Restarted };
         let heartbeat = Duration::from_secs_f64(settings.heartbeat_ms / 1e3);
@@ -117,7 +119,7 @@
     }
 }
 
-/// A short validity, as a failover waits for it on top of the quiet period.
+/// Lease settings with a short validity, because a failover waits for it in addition to the quiet period.
 fn lease_settings(quiet_period: Duration) -> LeaseSettings {
     LeaseSettings {
         validity: LEASE_VALIDITY,
@@ -148,12 +150,12 @@
             shards::CONFIGURATION => Box::new(ConfigurationMachine),
             _ => Box::new(EpochCounter),
         };
-        let mut of_shard = register::Settings::new(own_address.into(), seeds.clone());
-        of_shard.bootstrap = settings.bootstrap;
-        of_shard.seed = u64::from(shard);
-        of_shard.fault = fault.and_then(ControllerFault::register);
+        let mut replica_settings = register::Settings::new(own_address.into(), seeds.clone());
+        replica_settings.bootstrap = settings.bootstrap;
+        replica_settings.seed = u64::from(shard);
+        replica_settings.fault = fault.and_then(ControllerFault::register);
         let nonce = incarnation.wrapping_add(u64::from(shard));
-        let replica = Replica::new(of_shard, machine, records.remove(&shard), Duration::ZERO, nonce);
+        let replica = Replica::new(replica_settings, machine, records.remove(&shard), Duration::ZERO, nonce);
         (shard, replica)
     };
     Ok(shards::all().map(start).collect())
