--- a/src/scheduler/calls.rs
+++ b/src/scheduler/calls.rs
@@ -33,7 +33,7 @@
     ) {
         let now = self.now;
         let open = joined.get_mut(&endpoint).filter(|(_, room)| *room > 0);
-        let (call, opens) = match open {
+        let (call, connects) = match open {
             Some((call, room)) => {
                 *room -= 1;
                 self.endpoints.get_mut(&endpoint).expect("chosen").join_call(*call);
@@ -43,16 +43,16 @@
         };
         let patience = sec(self.attempt_timeout(&self.endpoints[&endpoint]));
         let message = self.messages.get_mut(&id).expect("held");
-        let left = message.end - now - ns(self.set.tick) * 2;
+        let left = message.deadline - now - ns(self.set.tick) * 2;
         // What may run only once is given all its time: cutting it short can only fail it.
         let once = self.set.classes[message.class].effect == Effect::Once;
         let timeout = if once { left } else { left.min(patience) };
         let (dest, due) = (message.dest, message.due);
         message.attempts += 1;
-        message.last = Some(endpoint);
-        message.flight = Some(Flight { endpoint, call, cancelled: false, sent: now, opens });
-        self.found -= usize::from(std::mem::take(&mut message.found));
-        self.destination(dest).chart.remove(due, id);
+        message.previous = Some(endpoint);
+        message.in_flight = Some(InFlight { endpoint, call, cancelled: false, sent: now, connects });
+        self.recovered -= usize::from(std::mem::take(&mut message.recovered));
+        self.destination(dest).timeline.remove(due, id);
         out.push(Action::Send { message: id, endpoint, timeout: span(timeout.max(1)) });
         self.space_calls(endpoint);
     }
@@ -61,19 +61,19 @@
     fn begin_call(&mut self, id: EndpointId, joined: &mut Joined) -> (u64, bool) {
         let (now, call, pool) = (self.now, self.next_call, self.pool_id(id));
         self.next_call += 1;
-        self.calls_out += 1;
+        self.in_flight += 1;
         let endpoint = self.endpoints.get_mut(&id).expect("chosen");
         joined.insert(id, (call, self.set.kinds[endpoint.kind].bundle_max.max(1) - 1));
         endpoint.calls.insert(call, (now, 1));
         endpoint.trial = Some(call);
         endpoint.idle.retain(|used| *used > now - ns(self.set.keepalive));
-        let opens = endpoint.idle.pop().is_none();
-        if opens {
-            endpoint.connect_at = now + sec(connect_pause(endpoint.unconnected));
+        let connects = endpoint.idle.pop().is_none();
+        if connects {
+            endpoint.connect_at = now + sec(connect_pause(endpoint.connect_failures));
         }
         self.pools.get_mut(&pool).expect("known").take(now);
         self.destination(pool.0).calls += 1;
-        (call, opens)
+        (call, connects)
     }
 
     /// How long an attempt that may be repeated is waited for, s.
@@ -83,14 +83,14 @@
 
     /// Calls off the oldest stuck call where messages wait for its slot. An unsafe message is lost by it.
     pub(super) fn cancel_stuck_call(&mut self, out: &mut Vec<Action>) {
-        self.stuck_at = NEVER;
-        let wanted = self.set.may_cancel && !self.pressed.is_empty();
-        let full = self.calls_out >= self.set.slots;
+        self.stuck_check_at = NEVER;
+        let wanted = self.set.may_cancel && !self.need_slot.is_empty();
+        let full = self.in_flight >= self.set.slots;
         let stuck = |message: &Message| {
             let flight = message
-                .flight
+                .in_flight
                 .as_ref()
-                .filter(|flight| !flight.cancelled && (full || self.pressed.contains(&message.dest)))?;
+                .filter(|flight| !flight.cancelled && (full || self.need_slot.contains(&message.dest)))?;
             Some(flight.sent + sec(self.attempt_timeout(&self.endpoints[&flight.endpoint]) * STUCK_PATIENCE))
         };
         let first = self
@@ -100,33 +100,33 @@
             .filter(|_| wanted)
             .min();
         let Some((at, id)) = first else { return };
-        self.stuck_at = at.max(self.now + ns(self.set.tick));
+        self.stuck_check_at = at.max(self.now + ns(self.set.tick));
         if at <= self.now {
             let message = self.messages.get_mut(&id).expect("known");
-            message.flight.as_mut().expect("in flight").cancelled = true;
+            message.in_flight.as_mut().expect("in flight").cancelled = true;
             out.push(Action::Cancel { message: id, attempt: message.attempts - 1 });
         }
     }
 
     /// Books the end of a call: slots, latency, pace and health. A bundle is booked once.
-    pub(super) fn call_ended(&mut self, flight: Flight, ended: &Ended, out: &mut Vec<Action>) {
+    pub(super) fn call_ended(&mut self, flight: InFlight, ended: &Ended, out: &mut Vec<Action>) {
         let (id, outcome, took) = (ended.endpoint, ended.outcome, ended.took.as_secs_f64());
-        let Flight { call, sent, opens, .. } = flight;
+        let InFlight { call, sent, connects, .. } = flight;
         let endpoint = self.endpoints.get_mut(&id).expect("a sent endpoint is known");
         let (dest, was_open) = (endpoint.dest, endpoint.calls.len());
         let first = endpoint.leave_call(call);
         let closed = was_open - endpoint.calls.len();
-        self.calls_out -= closed;
+        self.in_flight -= closed;
         self.destination(dest).calls -= closed;
         if !first || outcome == Outcome::Moot {
             return;
         }
-        self.record_connection(id, sent, opens, outcome);
+        self.record_connection(id, sent, connects, outcome);
         let endpoint = self.endpoints.get_mut(&id).expect("a sent endpoint is known");
         let destination = self.dests.get_mut(&endpoint.dest).expect("known");
         if !matches!(outcome, Outcome::Full { .. }) {
             let well = matches!(outcome, Outcome::Delivered | Outcome::Cancelled);
-            destination.recent.record(well, took, destination.latency.seconds());
+            destination.recent_calls.record(well, took, destination.latency.seconds());
         }
         match outcome {
             Outcome::Delivered => {
@@ -141,7 +141,7 @@
             Outcome::Full { wait } => self.refused_as_full(id, sent, wait),
             // Too many connections look like a dead endpoint, but for answers on the others.
             Outcome::ConnectFailed
-                if endpoint.last_ok > sent || (!endpoint.calls.is_empty() && endpoint.last_ok > 0) =>
+                if endpoint.success_at > sent || (!endpoint.calls.is_empty() && endpoint.success_at > 0) =>
             {
                 return self.close_spare_connections(id, out);
             }
@@ -164,20 +164,20 @@
         let random: f64 = self.rng.random();
         let pool = self.pools.get_mut(&pool).expect("each endpoint has a pool");
         // A rush that left before the first refusal was known counts once.
-        pool.fulls = (pool.fulls + u32::from(sent >= pool.full_at)).max(1);
-        pool.full_at = now;
+        pool.refusals = (pool.refusals + u32::from(sent >= pool.refused_at)).max(1);
+        pool.refused_at = now;
         pool.cut(now, self.set.couriers);
         let endpoint = self.endpoints.get_mut(&id).expect("a sent endpoint is known");
         endpoint.trial = None;
         if wait.is_none() {
-            let doubled = FULL_PAUSE * f64::from(1u32 << (pool.fulls - 1).min(FULL_DOUBLINGS));
+            let doubled = FULL_PAUSE * f64::from(1u32 << (pool.refusals - 1).min(FULL_DOUBLINGS));
             let pause = doubled.min(slow.max(FULL_LONGEST)) * (0.5 + random);
             pool.wait_until = pool.wait_until.max(now + sec(pause));
         } else if let Some(wait) = wait.filter(|wait| wait.as_secs_f64() > SHUT_WAIT) {
             // Shut until then: all that were told so come at once, and it is cold.
-            endpoint.warm_from = Some(now + ns(wait));
+            endpoint.slow_start_from = Some(now + ns(wait));
             let spread = self.set.cold_span.as_secs_f64() * random.sqrt();
-            endpoint.free_at = now + ns(wait) + sec(spread.min(2.0 * random * gap));
+            endpoint.next_call_at = now + ns(wait) + sec(spread.min(2.0 * random * gap));
         }
     }
 }
--- a/src/scheduler/choice.rs
+++ b/src/scheduler/choice.rs
@@ -20,11 +20,11 @@
     /// Sends what may go now, by earliest deadline over the destinations with news.
     pub(super) fn release(&mut self, touched: &BTreeSet<DestinationId>, out: &mut Vec<Action>) {
         let held: BTreeSet<_> =
-            touched.iter().flat_map(|destination| self.dests[destination].chart.iter()).collect();
+            touched.iter().flat_map(|destination| self.dests[destination].timeline.iter()).collect();
         let mut joined = Joined::new();
         for (_, id) in held {
             let message = &self.messages[&id];
-            let (dest, rest) = (message.dest, message.key.as_ref().and_then(|key| self.rests.get(key)));
+            let (dest, rest) = (message.dest, message.key.as_ref().and_then(|key| self.key_pauses.get(key)));
             if !self.has_turn(id, message) || message.not_before > self.now {
                 self.look_again(dest, rest.filter(|r| r.1 > self.now).map_or(NEVER, |r| r.1));
                 continue;
@@ -32,7 +32,7 @@
             if let Some(endpoint) = self.choose_endpoint(id, &joined) {
                 self.send(id, endpoint, &mut joined, out);
             } else if !self.has_room(&self.dests[&dest]) {
-                self.pressed.insert(dest);
+                self.need_slot.insert(dest);
             }
         }
         self.cancel_stuck_call(out);
@@ -61,8 +61,8 @@
             let pool_id = self.pool_id(*id);
             let pool = &self.pools[&pool_id];
             // Rules: waits are kept, and an endpoint back from an outage gets its calls spaced.
-            let spaced = !joins && endpoint.warm_from.is_some();
-            let mut free = if spaced { pool.wait_until.max(endpoint.free_at) } else { pool.wait_until };
+            let spaced = !joins && endpoint.slow_start_from.is_some();
+            let mut free = if spaced { pool.wait_until.max(endpoint.next_call_at) } else { pool.wait_until };
             if let Some(paced) = self.paced_until(pool, endpoint).filter(|_| !joins) {
                 free = free.max(paced);
                 starved.push(pool_id);
@@ -80,7 +80,7 @@
                 best = Some((cost, *id));
             }
         }
-        starved.into_iter().for_each(|pool| self.pools.get_mut(&pool).expect("known").starved = true);
+        starved.into_iter().for_each(|pool| self.pools.get_mut(&pool).expect("known").rate_limited = true);
         self.look_again(dest, later);
         best.map(|(_, id)| id)
     }
@@ -102,25 +102,26 @@
         let fee = self.set.zone_fees.get(endpoint.zone).filter(|_| separate).copied().unwrap_or(0.0);
         let cold = if connects { self.set.handshake_cost } else { 0.0 };
         let aim = self.set.classes[message.class].aim.as_secs_f64().max(FIRST_LATENCY);
-        let again = if message.last == Some(id) && message.attempts > 0 { COST_LATENCY } else { 0.0 };
+        let again = if message.previous == Some(id) && message.attempts > 0 { COST_LATENCY } else { 0.0 };
         let load = 1.0 + endpoint.calls.len() as f64 / 4.0;
-        let few = self.calls_out + 1 + self.set.slots / SLOTS_FEW >= self.set.slots;
+        let few = self.in_flight + 1 + self.set.slots / SLOTS_FEW >= self.set.slots;
         let short = if few { COST_SLOT } else { 0.0 };
         let latency = endpoint.latency.seconds();
         let slow = COST_LATENCY / aim * latency + short * latency.max(FIRST_LATENCY);
-        fee + cold + again + slow * load + COST_LEAN * endpoint.lean + COST_DOUBT * self.doubt(endpoint)
+        let failures = COST_DOUBT * self.doubt(endpoint);
+        fee + cold + again + slow * load + COST_LEAN * endpoint.tie_breaker + failures
     }
 
     /// Rule: ordered messages go one at a time by key, which rests after one that may still run.
     fn has_turn(&self, id: MessageId, message: &Message) -> bool {
         let Some(key) = &message.key else { return true };
-        let rested = self.rests.get(key).is_none_or(|(of, until)| *of == id || *until <= self.now);
-        rested && self.turns.get(key).and_then(VecDeque::front) == Some(&id)
+        let rested = self.key_pauses.get(key).is_none_or(|(of, until)| *of == id || *until <= self.now);
+        rested && self.key_queues.get(key).and_then(VecDeque::front) == Some(&id)
     }
 
     /// Rule: what may have run goes again only where that is harmless by its effect class.
     fn in_scope(&self, message: &Message, id: EndpointId, endpoint: &Endpoint) -> bool {
-        let Some((first, zone, _)) = message.ran else { return true };
+        let Some((first, zone, _)) = message.may_have_run else { return true };
         match self.set.classes[message.class].effect {
             Effect::Repeatable | Effect::Keyed { scope: KeyScope::All, .. } => true,
             Effect::Keyed { scope: KeyScope::Zone, .. } => endpoint.zone == zone,
@@ -130,7 +131,7 @@
     }
 
     pub(super) fn may_try(&self, message: &Message, start: Ns) -> bool {
-        let in_window = match (message.ran, self.set.classes[message.class].effect) {
+        let in_window = match (message.may_have_run, self.set.classes[message.class].effect) {
             (None, _) | (Some(_), Effect::Repeatable) => true,
             (Some(_), Effect::Once) => false,
             (Some((_, _, at)), Effect::Keyed { window, .. }) => start < at + ns(window),
@@ -141,7 +142,7 @@
     /// None if the message may go there, else when to ask again. A half-open breaker lets one trial through.
     /// What may run only once keeps off doubtful endpoints until half its time is gone.
     fn kept_off_until(&self, message: &Message, endpoint: &Endpoint) -> Option<Ns> {
-        let half_gone = message.end - ns(self.set.classes[message.class].deadline) / 2;
+        let half_gone = message.deadline - ns(self.set.classes[message.class].deadline) / 2;
         let doubt = self.doubt(endpoint);
         let doubtful = self.set.classes[message.class].effect == Effect::Once && doubt >= ONCE_DOUBT;
         match endpoint.breaker {
--- a/src/scheduler/connections.rs
+++ b/src/scheduler/connections.rs
@@ -12,22 +12,22 @@
 impl Scheduler {
     /// Where no connection was to be had (the endpoint's limit, or that of what lies between), new ones are
     /// tried one at a time and ever more seldom; the kept ones serve on.
-    pub(super) fn record_connection(&mut self, id: EndpointId, sent: Ns, opens: bool, outcome: Outcome) {
+    pub(super) fn record_connection(&mut self, id: EndpointId, sent: Ns, connects: bool, outcome: Outcome) {
         let kept = matches!(outcome, Outcome::Delivered | Outcome::Error | Outcome::Full { .. });
         let (now, endpoint) = (self.now, self.endpoints.get_mut(&id).expect("known"));
         endpoint.idle.extend(kept.then_some(now));
-        if kept && opens {
-            endpoint.unconnected = endpoint.unconnected.saturating_sub(1);
+        if kept && connects {
+            endpoint.connect_failures = endpoint.connect_failures.saturating_sub(1);
         }
         if outcome == Outcome::ConnectFailed {
-            self.tight[endpoint.kind] = secs(now);
+            self.last_connect_failure[endpoint.kind] = secs(now);
             // Those that were thought idle when it left are not there.
             endpoint.idle.retain(|t| *t > sent);
             // A rush that left before the first failure was known counts once.
-            endpoint.unconnected += u32::from(sent >= endpoint.connect_failed);
-            endpoint.connect_failed = now;
+            endpoint.connect_failures += u32::from(sent >= endpoint.connect_failed_at);
+            endpoint.connect_failed_at = now;
             endpoint.connect_at =
-                now + sec(connect_pause(endpoint.unconnected) * (0.5 + self.rng.random::<f64>()));
+                now + sec(connect_pause(endpoint.connect_failures) * (0.5 + self.rng.random::<f64>()));
         }
     }
 
@@ -35,9 +35,9 @@
     pub(super) fn close_spare_connections(&mut self, id: EndpointId, out: &mut Vec<Action>) {
         let endpoint = &self.endpoints[&id];
         let span = self.set.keepalive.as_secs_f64();
-        let tight = secs(self.now) < self.tight[endpoint.kind] + TIGHT_SPANS * span;
-        let rare = self.pools[&self.pool_id(id)].flow * span < REUSE_LEAST;
-        if tight && rare && endpoint.calls.is_empty() && self.dests[&endpoint.dest].chart.is_empty() {
+        let tight = secs(self.now) < self.last_connect_failure[endpoint.kind] + TIGHT_SPANS * span;
+        let rare = self.pools[&self.pool_id(id)].accept_rate * span < REUSE_LEAST;
+        if tight && rare && endpoint.calls.is_empty() && self.dests[&endpoint.dest].timeline.is_empty() {
             self.endpoints.get_mut(&id).expect("known").idle.clear();
             out.push(Action::Close { endpoint: id });
         }
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -28,21 +28,21 @@
 
 impl Scheduler {
     pub(super) fn doubt(&self, endpoint: &Endpoint) -> f64 {
-        endpoint.doubt * 0.5f64.powf(secs(self.now - endpoint.doubt_at) / DOUBT_HALVES)
+        endpoint.failure_ratio * 0.5f64.powf(secs(self.now - endpoint.failure_ratio_at) / DOUBT_HALVES)
     }
 
     pub(super) fn record_success(&mut self, id: EndpointId) {
         let (now, doubt) = (self.now, self.doubt(&self.endpoints[&id]));
         let endpoint = self.endpoints.get_mut(&id).expect("known");
-        (endpoint.doubt, endpoint.doubt_at) = (doubt * (1.0 - FAILURE_GAIN), now);
-        endpoint.last_ok = now;
+        (endpoint.failure_ratio, endpoint.failure_ratio_at) = (doubt * (1.0 - FAILURE_GAIN), now);
+        endpoint.success_at = now;
         // Slow start follows failures, not mere silence: a lost reply must not cost a well endpoint its rate.
         if endpoint.breaker != Breaker::Closed {
             endpoint.breaker = Breaker::Closed;
-            if endpoint.cold && secs(now - endpoint.ailing_from) > CONFIRMED {
+            if endpoint.was_down && secs(now - endpoint.failing_since) > CONFIRMED {
                 // It was down: that is why there were no connections, not that they are few.
-                self.tight[endpoint.kind] = f64::MIN;
-                (endpoint.warm_from, endpoint.free_at) = (Some(now), now);
+                self.last_connect_failure[endpoint.kind] = f64::MIN;
+                (endpoint.slow_start_from, endpoint.next_call_at) = (Some(now), now);
                 self.space_calls(id);
             }
         }
@@ -51,10 +51,10 @@
     pub(super) fn record_failure(&mut self, id: EndpointId, call: u64) {
         let (now, doubt) = (self.now, self.doubt(&self.endpoints[&id]));
         let endpoint = self.endpoints.get_mut(&id).expect("known");
-        let gain = if secs(now - endpoint.last_ok) < 4.0 { FAILURE_GAIN } else { STALE_GAIN };
-        (endpoint.doubt, endpoint.doubt_at) = (doubt + gain * (1.0 - doubt), now);
+        let gain = if secs(now - endpoint.success_at) < 4.0 { FAILURE_GAIN } else { STALE_GAIN };
+        (endpoint.failure_ratio, endpoint.failure_ratio_at) = (doubt + gain * (1.0 - doubt), now);
         match endpoint.breaker {
-            Breaker::Closed if endpoint.doubt > TRIP_RATIO => self.open_breaker(id, true),
+            Breaker::Closed if endpoint.failure_ratio > TRIP_RATIO => self.open_breaker(id, true),
             Breaker::HalfOpen if endpoint.trial == Some(call) => self.open_breaker(id, true),
             _ => {}
         }
@@ -66,13 +66,13 @@
         let (now, jitter, rate) = (self.now, self.jitter(), self.own_share(id).max(1e-3));
         let endpoint = self.endpoints.get_mut(&id).expect("known");
         let closed = endpoint.breaker == Breaker::Closed;
-        if closed && endpoint.warm_from.is_none() {
-            endpoint.ailing_from = now;
+        if closed && endpoint.slow_start_from.is_none() {
+            endpoint.failing_since = now;
         }
         let pause =
-            (OPEN_FIRST + OPEN_GROWTH * secs(now - endpoint.ailing_from)).min(1.0 / rate).max(OPEN_LEAST);
-        endpoint.cold = cold || (endpoint.cold && !closed);
-        endpoint.warm_from = endpoint.warm_from.filter(|_| !endpoint.cold);
+            (OPEN_FIRST + OPEN_GROWTH * secs(now - endpoint.failing_since)).min(1.0 / rate).max(OPEN_LEAST);
+        endpoint.was_down = cold || (endpoint.was_down && !closed);
+        endpoint.slow_start_from = endpoint.slow_start_from.filter(|_| !endpoint.was_down);
         let (turn_at, apart) = (now + sec(pause * jitter), sec(TRIAL_APART * pause));
         endpoint.breaker = Breaker::Open;
         // Outages mostly take a destination whole: one trial speaks for all its open endpoints. They take
@@ -80,9 +80,9 @@
         let others = self.dests[&endpoint.dest].endpoints.iter().map(|o| (*o, &self.endpoints[o]));
         let shut =
             others.filter(|(o, endpoint)| *o != id && endpoint.ready && endpoint.breaker == Breaker::Open);
-        let turns: BTreeSet<_> = shut.map(|(o, endpoint)| (endpoint.turn_at, o)).collect();
+        let turns: BTreeSet<_> = shut.map(|(o, endpoint)| (endpoint.trial_at, o)).collect();
         for (n, (at, other)) in turns.into_iter().chain([(turn_at, id)]).enumerate() {
-            self.endpoints.get_mut(&other).expect("known").turn_at = at.max(turn_at + apart * n as Ns);
+            self.endpoints.get_mut(&other).expect("known").trial_at = at.max(turn_at + apart * n as Ns);
         }
     }
 
@@ -90,15 +90,15 @@
     pub(super) fn check_health(&mut self, dest: DestinationId) {
         let now = self.now;
         let destination = &self.dests[&dest];
-        let (held, usual) = (!destination.chart.is_empty(), destination.latency.seconds());
+        let (held, usual) = (!destination.timeline.is_empty(), destination.latency.seconds());
         for id in destination.endpoints.iter().copied().collect::<Vec<_>>() {
             let pool_waits = self.pools[&self.pool_id(id)].wait_until;
             let endpoint = self.endpoints.get_mut(&id).expect("known");
             let hang = sec((HANG_LATENCIES * endpoint.latency.seconds().max(usual)).max(HANG_LEAST));
-            endpoint.warm_from = endpoint.warm_from.filter(|t| now - t <= ns(self.set.cold_span));
+            endpoint.slow_start_from = endpoint.slow_start_from.filter(|t| now - t <= ns(self.set.cold_span));
             // Silence: a call much older than usual and no answer since it left. One slow call can trip it,
             // which costs a trial. A courier that stalled hears all its news first: that is no silence.
-            let hung = |c: &(Ns, usize)| c.0 != Ns::MIN && now - c.0 > hang && endpoint.last_ok < c.0;
+            let hung = |c: &(Ns, usize)| c.0 != Ns::MIN && now - c.0 > hang && endpoint.success_at < c.0;
             let waits =
                 endpoint.calls.values().filter(|c| c.0 != Ns::MIN && !hung(c)).map(|c| c.0 + hang + 1).min();
             let trial_lost = |t| endpoint.calls.get(&t).is_none_or(hung);
@@ -107,7 +107,7 @@
                     self.open_breaker(id, false);
                     self.zone_heard(id, Outcome::TimedOut);
                 }
-                Breaker::Open if held && endpoint.turn_at.max(pool_waits) <= now => {
+                Breaker::Open if held && endpoint.trial_at.max(pool_waits) <= now => {
                     (endpoint.breaker, endpoint.trial) = (Breaker::HalfOpen, None);
                 }
                 Breaker::HalfOpen if endpoint.trial.is_some_and(trial_lost) => self.open_breaker(id, true),
@@ -115,14 +115,14 @@
             }
             let endpoint = &self.endpoints[&id];
             let turn =
-                (endpoint.breaker == Breaker::Open && held).then_some(endpoint.turn_at.max(pool_waits));
+                (endpoint.breaker == Breaker::Open && held).then_some(endpoint.trial_at.max(pool_waits));
             self.look_again(dest, waits.unwrap_or(NEVER).min(turn.unwrap_or(NEVER)));
         }
     }
 
     /// Time, s, in which this courier's part of the fail-back budget allows so many calls, as it grows.
     pub(super) fn warm_up_gap(&self, id: EndpointId, calls: f64) -> f64 {
-        let (from, cold) = (self.endpoints[&id].warm_from.unwrap_or(self.now), self.set.cold_from);
+        let (from, cold) = (self.endpoints[&id].slow_start_from.unwrap_or(self.now), self.set.cold_from);
         let span = self.set.cold_span.as_secs_f64().max(1e-3);
         let present = cold + (1.0 - cold) * (secs(self.now - from) / span).clamp(0.0, 1.0);
         let budget = calls / (self.set.fall_multiple * self.own_share(id)).max(1e-3);
@@ -138,10 +138,10 @@
         let gap = self.warm_up_gap(id, 0.5 + random);
         let (now, cold) = (self.now, ns(self.set.cold_span));
         let endpoint = self.endpoints.get_mut(&id).expect("known");
-        endpoint.warm_from = endpoint.warm_from.filter(|t| now - t <= cold);
-        if let Some(from) = endpoint.warm_from {
+        endpoint.slow_start_from = endpoint.slow_start_from.filter(|t| now - t <= cold);
+        if let Some(from) = endpoint.slow_start_from {
             let left = secs(from + cold - now);
-            endpoint.free_at = endpoint.free_at.max(now + sec((left * random.sqrt()).min(gap)));
+            endpoint.next_call_at = endpoint.next_call_at.max(now + sec((left * random.sqrt()).min(gap)));
         }
     }
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -25,7 +25,7 @@
     /// Starts a courier's module without any state; `seed` feeds its jitter.
     pub fn new(set: Settings, seed: u64) -> Result<Self, String> {
         set.check()?;
-        Ok(Scheduler { ask_pause: LIST_RETRY, ..Scheduler::blank(set, seed) })
+        Ok(Scheduler { resubscribe_pause: LIST_RETRY, ..Scheduler::blank(set, seed) })
     }
 
     /// Takes the news of one moment and appends what is to be done.
@@ -35,16 +35,16 @@
         for event in events {
             self.apply(event, out);
         }
-        while let Some((at, dest)) = self.agenda.first().copied().filter(|(at, _)| *at <= self.now) {
-            self.agenda.remove(&(at, dest));
+        while let Some((at, dest)) = self.timers.first().copied().filter(|(at, _)| *at <= self.now) {
+            self.timers.remove(&(at, dest));
             self.touched.insert(dest);
         }
-        if self.calls_out < self.set.slots {
-            self.touched.append(&mut self.pressed);
+        if self.in_flight < self.set.slots {
+            self.touched.append(&mut self.need_slot);
         }
         let touched = std::mem::take(&mut self.touched);
         for dest in &touched {
-            self.destination(*dest).next = NEVER;
+            self.destination(*dest).next_check = NEVER;
             self.end_hopeless(*dest, out);
             self.check_health(*dest);
         }
@@ -53,13 +53,13 @@
         for dest in &touched {
             self.schedule(*dest);
         }
-        if self.ask_at.is_some_and(|t| t <= self.now) {
+        if self.resubscribe_at.is_some_and(|t| t <= self.now) {
             // Asked again only if no answer comes; an answer clears this.
-            self.ask_at = Some(self.now + sec(self.ask_pause * 4.0 * self.jitter()));
+            self.resubscribe_at = Some(self.now + sec(self.resubscribe_pause * 4.0 * self.jitter()));
             out.push(Action::Subscribe { active: true });
         }
-        let next =
-            self.agenda.first().map_or(NEVER, |a| a.0).min(self.stuck_at).min(self.ask_at.unwrap_or(NEVER));
+        let resubscribe_at = self.resubscribe_at.unwrap_or(NEVER);
+        let next = self.timers.first().map_or(NEVER, |t| t.0).min(self.stuck_check_at).min(resubscribe_at);
         if next < self.wake.map_or(NEVER, |w| w.1) {
             self.next_token += 1;
             self.wake = Some((self.next_token, next));
@@ -68,16 +68,16 @@
     }
 
     fn has_room(&self, destination: &Destination) -> bool {
-        self.calls_out < self.set.slots && destination.calls < self.call_cap(destination)
+        self.in_flight < self.set.slots && destination.calls < self.call_cap(destination)
     }
 
     fn apply(&mut self, event: &Event, out: &mut Vec<Action>) {
         match event {
             Event::Listed { whole, entries } => self.update_list(*whole, entries, out),
             Event::ListFailed => {
-                let again = self.now + sec(self.ask_pause * self.jitter());
-                self.ask_at = self.set.must_subscribe.then_some(again);
-                self.ask_pause = (self.ask_pause * 2.0).min(LIST_RETRY * 8.0);
+                let again = self.now + sec(self.resubscribe_pause * self.jitter());
+                self.resubscribe_at = self.set.must_subscribe.then_some(again);
+                self.resubscribe_pause = (self.resubscribe_pause * 2.0).min(LIST_RETRY * 8.0);
             }
             Event::Taken(taken) => self.take_on(taken, out),
             Event::Answering { .. } | Event::Told { .. } => {}
@@ -93,22 +93,22 @@
         let (id, dest) = (taken.message, taken.destination);
         let message = Message::new(taken, &self.set, self.now);
         if let Some(key) = &message.key {
-            self.turns.entry(key.clone()).or_default().push_back(id);
+            self.key_queues.entry(key.clone()).or_default().push_back(id);
         }
         self.miss_ratios.request(message.group, self.now);
-        self.found += usize::from(message.found);
+        self.recovered += usize::from(message.recovered);
         self.messages.insert(id, message);
         self.touched.insert(dest);
-        self.destination(dest).members.insert(id);
-        self.live += 1;
+        self.destination(dest).messages.insert(id);
+        self.unanswered += 1;
         self.hold(id, out);
-        while self.live as f64 > ROOM_SHARE * self.set.max_held as f64 {
+        while self.unanswered as f64 > ROOM_SHARE * self.set.max_held as f64 {
             // The destination that holds most gives way: a paused one must not close the door to others.
-            let longest = self.dests.values().max_by_key(|destination| destination.chart.len());
-            let Some(chart) = longest.map(|longest| &longest.chart).filter(|chart| !chart.is_empty()) else {
+            let longest = self.dests.values().max_by_key(|destination| destination.timeline.len());
+            let Some(timeline) = longest.map(|longest| &longest.timeline).filter(|t| !t.is_empty()) else {
                 break;
             };
-            let held: Vec<_> = chart.iter().map(|(_, id)| id).collect();
+            let held: Vec<_> = timeline.iter().map(|(_, id)| id).collect();
             self.give_up(self.victim(&held), out);
         }
     }
@@ -117,25 +117,25 @@
         let (id, endpoint, outcome) = (ended.message, ended.endpoint, ended.outcome);
         self.note_report(endpoint, outcome, &ended.report);
         let Some(message) = self.messages.get_mut(&id) else { return };
-        let Some(flight) = message.flight.take() else { return };
+        let Some(flight) = message.in_flight.take() else { return };
         let running = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
-        if message.ran.is_none() && (running || outcome == Outcome::Error) {
-            message.ran = Some((endpoint, self.endpoints[&endpoint].zone, flight.sent));
+        if message.may_have_run.is_none() && (running || outcome == Outcome::Error) {
+            message.may_have_run = Some((endpoint, self.endpoints[&endpoint].zone, flight.sent));
         }
         if let Some(key) = message.key.as_ref().filter(|_| running) {
-            self.rests.insert(key.clone(), (id, self.now + ns(self.set.order_pause)));
+            self.key_pauses.insert(key.clone(), (id, self.now + ns(self.set.order_pause)));
         }
-        let late = self.now > message.aim;
+        let late = self.now > message.target;
         self.touched.insert(message.dest);
         self.call_ended(flight, ended, out);
         if outcome != Outcome::Moot {
             self.back_off(id, matches!(outcome, Outcome::Full { .. } | Outcome::ConnectFailed));
         }
         let message = &self.messages[&id];
-        if outcome != Outcome::Delivered && !ended.over && !message.over {
+        if outcome != Outcome::Delivered && !ended.over && !message.answered {
             return if self.may_try(message, self.now) { self.hold(id, out) } else { self.give_up(id, out) };
         }
-        if late && !message.over {
+        if late && !message.answered {
             self.miss(id);
         }
         self.close(id);
--- a/src/scheduler/pace.rs
+++ b/src/scheduler/pace.rs
@@ -35,7 +35,7 @@
             None => self.ready_endpoints(pool_id.0).count(),
         };
         let known = pool.even_share(self.set.couriers).unwrap_or(pool.peak);
-        known.max(2.0 * (pool.flow - 1.0 / FLOW_SPAN)) / sharing.max(1) as f64
+        known.max(2.0 * (pool.accept_rate - 1.0 / FLOW_SPAN)) / sharing.max(1) as f64
     }
 
     /// Nothing may go there before this: a wait was told, or is kept after refusals.
@@ -62,7 +62,7 @@
     /// Tokens now. Without a pace the bucket stays full: calls sent then are no debt later.
     pub(super) fn filled_up(&self, now: Ns) -> f64 {
         let Some(rate) = self.rate else { return 1.0 };
-        (self.tokens + rate * secs(now - self.filled)).min(self.depth())
+        (self.tokens + rate * secs(now - self.filled_at)).min(self.depth())
     }
 
     /// Calls that may be saved up, or owed.
@@ -72,19 +72,20 @@
 
     pub(super) fn take(&mut self, now: Ns) {
         self.tokens = self.filled_up(now) - 1.0;
-        self.filled = now;
+        self.filled_at = now;
     }
 
     pub(super) fn accepted(&mut self, now: Ns, couriers: usize) {
-        self.fulls = 0;
-        self.flow = self.flow * (-secs(now - self.flow_at) / FLOW_SPAN).exp() + 1.0 / FLOW_SPAN;
-        self.flow_at = now;
-        self.oks.push_back(now);
-        self.oks.retain(|t| *t > now - sec(RATE_SPAN));
-        let span = secs(now - *self.first_ok.get_or_insert(now)).clamp(PACE_SPAN, RATE_SPAN);
-        self.peak = self.peak.max((self.oks.len() - 1) as f64 / span);
+        self.refusals = 0;
+        self.accept_rate =
+            self.accept_rate * (-secs(now - self.rated_at) / FLOW_SPAN).exp() + 1.0 / FLOW_SPAN;
+        self.rated_at = now;
+        self.accepted_at.push_back(now);
+        self.accepted_at.retain(|t| *t > now - sec(RATE_SPAN));
+        let span = secs(now - *self.first_accepted.get_or_insert(now)).clamp(PACE_SPAN, RATE_SPAN);
+        self.peak = self.peak.max((self.accepted_at.len() - 1) as f64 / span);
         // AIMD: grows only while it is the pace that holds messages back.
-        if std::mem::take(&mut self.starved) {
+        if std::mem::take(&mut self.rate_limited) {
             let step = self.even_share(couriers).map_or(self.peak, |even| even.max(PACE_LEAST));
             let top = |r: f64| self.limit.unwrap_or(f64::INFINITY).max(r);
             let over = |r: f64| self.even_share(couriers).is_some_and(|even| r >= even);
@@ -98,7 +99,7 @@
     pub(super) fn cut(&mut self, now: Ns, couriers: usize) {
         let even = self.even_share(couriers);
         let owed = if even.is_some() { 1.0 } else { 0.0 };
-        (self.tokens, self.filled) = ((self.filled_up(now) - owed).max(-self.depth()), now);
+        (self.tokens, self.filled_at) = ((self.filled_up(now) - owed).max(-self.depth()), now);
         if now - self.cut_at < sec(PACE_SPAN) && self.cut_at > 0 {
             return;
         }
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -18,7 +18,7 @@
     /// When a message is answered at the latest: held ones while the usual latency is still left.
     pub(super) fn answer_by(&self, message: &Message) -> Ns {
         let need = if message.is_waiting() { sec(self.dests[&message.dest].latency.seconds()) } else { 0 };
-        message.end - need.max(ns(self.set.tick) * MARGIN_TICKS)
+        message.deadline - need.max(ns(self.set.tick) * MARGIN_TICKS)
     }
 
     /// Sigma: the smoothed latency over the calls that may run at once, and no less than paces under a known
@@ -29,9 +29,9 @@
         let pools = || pools.iter().map(|pool| &self.pools[pool]);
         let pace = pools().map(|pool| pool.limit.and(pool.rate)).sum::<Option<f64>>();
         // One that no refusal has taught is a guess: nothing that a restart found gives way by it.
-        let found = |held: (Ns, MessageId)| self.messages[&held.1].found;
-        let guess = self.found > 0 && pools().any(|pool| pool.cut_at == 0);
-        let pace = pace.filter(|r| *r > 0.0 && !(guess && destination.chart.iter().any(found)));
+        let found = |held: (Ns, MessageId)| self.messages[&held.1].recovered;
+        let guess = self.recovered > 0 && pools().any(|pool| pool.cut_at == 0);
+        let pace = pace.filter(|r| *r > 0.0 && !(guess && destination.timeline.iter().any(found)));
         let paced = pace.map_or(0.0, |r| 1.0 / r);
         sec((destination.latency.seconds() / self.call_cap(destination) as f64).max(paced)).max(1)
     }
@@ -47,7 +47,7 @@
 
     /// Calls that this courier may have out at a destination.
     pub(super) fn call_cap(&self, destination: &Destination) -> usize {
-        destination.recent.cap(self.set.slots)
+        destination.recent_calls.cap(self.set.slots)
     }
 
     pub(super) fn hold(&mut self, id: MessageId, out: &mut Vec<Action>) {
@@ -55,16 +55,17 @@
         let soonest = self.now + sec(self.dests[&dest].latency.seconds());
         while self.messages[&id].due < soonest && self.postpone(id) {}
         let (due, sigma) = (self.messages[&id].due, self.sigma(dest));
-        let chart = &mut self.destination(dest).chart;
-        chart.resize(sigma);
-        chart.insert(due, id);
+        let timeline = &mut self.destination(dest).timeline;
+        timeline.resize(sigma);
+        timeline.insert(due, id);
         self.make_feasible(dest, out);
     }
 
     /// Where a message stands that cannot meet its due: by steps from its aim to its end, as long as it is
     /// worth something there; and what it loses by that. With no later place it loses all.
     fn later_due(&self, message: &Message) -> (Option<Ns>, f64) {
-        let steps = SETBACKS.map(|part| message.end - ((message.end - message.aim) as f64 * part) as Ns);
+        let extra = (message.deadline - message.target) as f64;
+        let steps = SETBACKS.map(|part| message.deadline - (extra * part) as Ns);
         let next = steps.into_iter().find(|at| *at > message.due && self.set.worth(message, *at) > 0.0);
         (next, self.set.worth(message, message.due) - next.map_or(0.0, |at| self.set.worth(message, at)))
     }
@@ -76,9 +77,9 @@
         let Some(next) = self.later_due(message).0 else { return false };
         let message = self.messages.get_mut(&id).expect("held");
         (message.late, message.due) = (true, next);
-        let chart = &mut self.destination(dest).chart;
-        if chart.remove(due, id) {
-            chart.insert(next, id);
+        let timeline = &mut self.destination(dest).timeline;
+        if timeline.remove(due, id) {
+            timeline.insert(next, id);
         }
         self.miss(id);
         true
@@ -88,7 +89,7 @@
     /// set back while late worth remains, and refused after that.
     fn make_feasible(&mut self, dest: DestinationId, out: &mut Vec<Action>) {
         let from = self.now - self.pace_credit(dest);
-        while let Some(first) = self.destination(dest).chart.overdue(from) {
+        while let Some(first) = self.destination(dest).timeline.overdue(from) {
             let victim = self.victim(&first);
             if !self.postpone(victim) {
                 self.give_up(victim, out);
@@ -109,7 +110,7 @@
             let loss = self.later_due(x).1.total_cmp(&self.later_due(y).1);
             score(a)
                 .total_cmp(&score(b))
-                .then(x.found.cmp(&y.found))
+                .then(x.recovered.cmp(&y.recovered))
                 .then(loss)
                 .then(y.due.cmp(&x.due))
                 .then(b.cmp(a))
@@ -133,12 +134,12 @@
         let over = |message: &Message| {
             self.answer_by(message) <= start(message) || message.is_waiting() && !self.may_try(message, opens)
         };
-        let open = self.dests[&dest].members.iter().filter(|id| !self.messages[id].over);
+        let open = self.dests[&dest].messages.iter().filter(|id| !self.messages[id].answered);
         for id in open.filter(|id| over(&self.messages[id])).copied().collect::<Vec<_>>() {
             self.give_up(id, out);
         }
         let sigma = self.sigma(dest);
-        self.destination(dest).chart.resize(sigma);
+        self.destination(dest).timeline.resize(sigma);
         self.make_feasible(dest, out);
     }
 
@@ -151,7 +152,7 @@
             (_, false) if message.attempts > 1 => RETRY_SHARE * 3f64.powi(message.attempts as i32 - 2),
             _ => return,
         };
-        message.not_before = self.now + sec(secs(message.end - self.now) * random * share);
+        message.not_before = self.now + sec(secs(message.deadline - self.now) * random * share);
     }
 
     /// Ends a message undelivered: refused if that is known to be harmless, else given up as failed.
@@ -161,7 +162,7 @@
         let harmless = match self.set.classes[message.class].effect {
             Effect::Repeatable => true,
             Effect::Keyed { scope: KeyScope::All, .. } => message.is_waiting(),
-            _ => message.is_waiting() && message.ran.is_none(),
+            _ => message.is_waiting() && message.may_have_run.is_none(),
         };
         let refuse = Action::Refuse { message: id, wait: self.retry_after(message.dest) };
         out.push(if harmless { refuse } else { Action::Fail { message: id } });
@@ -170,26 +171,26 @@
 
     /// When a refused client may come again: what is held there has had time to go, and a wait is over.
     pub(super) fn retry_after(&self, dest: DestinationId) -> Option<Duration> {
-        let queue = self.sigma(dest) * self.dests[&dest].chart.len() as Ns;
+        let queue = self.sigma(dest) * self.dests[&dest].timeline.len() as Ns;
         let wait = span((self.open_from(dest) - self.now).max(queue).max(sec(FULL_PAUSE)));
         self.set.retry_after.map(|most| wait.min(most))
     }
 
     pub(super) fn close(&mut self, id: MessageId) {
         let Some(message) = self.messages.get_mut(&id) else { return };
-        self.live -= usize::from(!std::mem::replace(&mut message.over, true));
-        self.found -= usize::from(std::mem::take(&mut message.found));
-        let (dest, due, out) = (message.dest, message.due, message.flight.is_some());
-        self.destination(dest).chart.remove(due, id);
+        self.unanswered -= usize::from(!std::mem::replace(&mut message.answered, true));
+        self.recovered -= usize::from(std::mem::take(&mut message.recovered));
+        let (dest, due, out) = (message.dest, message.due, message.in_flight.is_some());
+        self.destination(dest).timeline.remove(due, id);
         self.touched.insert(dest);
         if !out && let Some(message) = self.messages.remove(&id) {
-            self.destination(dest).members.remove(&id);
-            if let Some(line) = message.key.and_then(|key| self.turns.get_mut(&key)) {
+            self.destination(dest).messages.remove(&id);
+            if let Some(line) = message.key.and_then(|key| self.key_queues.get_mut(&key)) {
                 line.retain(|other| *other != id);
                 self.touched.extend(line.front().map(|next| self.messages[next].dest));
             }
-            self.turns.retain(|_, line| !line.is_empty());
-            self.rests.retain(|_, (_, until)| *until > self.now);
+            self.key_queues.retain(|_, line| !line.is_empty());
+            self.key_pauses.retain(|_, (_, until)| *until > self.now);
         }
     }
 }
--- a/src/scheduler/timers.rs
+++ b/src/scheduler/timers.rs
@@ -7,7 +7,7 @@
     /// Puts the destination on the agenda for the next moment at which anything there can change.
     pub(super) fn schedule(&mut self, dest: DestinationId) {
         let destination = &self.dests[&dest];
-        let open = destination.members.iter().map(|id| &self.messages[id]).filter(|message| !message.over);
+        let open = destination.messages.iter().map(|id| &self.messages[id]).filter(|m| !m.answered);
         let backed_off = |message: &Message| message.is_waiting() && message.not_before > self.now;
         let times = open.map(|message| {
             if backed_off(message) {
@@ -16,17 +16,17 @@
                 self.answer_by(message)
             }
         });
-        let next = times.min().unwrap_or(NEVER).min(destination.next);
+        let next = times.min().unwrap_or(NEVER).min(destination.next_check);
         let (soonest, credit) = (self.now + ns(self.set.tick), self.pace_credit(dest));
         let destination = self.destination(dest);
-        let next = next.min(destination.chart.start().map_or(NEVER, |start| start + credit + 1)).max(soonest);
-        let was = std::mem::replace(&mut destination.booked, next);
-        self.agenda.remove(&(was, dest));
-        self.agenda.extend((next < NEVER).then_some((next, dest)));
+        let next = next.min(destination.timeline.start().map_or(NEVER, |at| at + credit + 1)).max(soonest);
+        let was = std::mem::replace(&mut destination.timer_at, next);
+        self.timers.remove(&(was, dest));
+        self.timers.extend((next < NEVER).then_some((next, dest)));
     }
 
     /// Looks at the destination again at this time at the latest.
     pub(super) fn look_again(&mut self, dest: DestinationId, at: Ns) {
-        self.destination(dest).next = self.dests[&dest].next.min(at);
+        self.destination(dest).next_check = self.dests[&dest].next_check.min(at);
     }
 }
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -11,14 +11,19 @@
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Destination {
     pub(crate) endpoints: BTreeSet<EndpointId>,
-    pub(crate) chart: Timeline<MessageId>,
+    #[serde(rename = "chart")]
+    pub(crate) timeline: Timeline<MessageId>,
     /// Messages not yet forgotten; when to look here next, as on the agenda.
-    pub(crate) members: BTreeSet<MessageId>,
-    pub(crate) next: Ns,
-    pub(crate) booked: Ns,
+    #[serde(rename = "members")]
+    pub(crate) messages: BTreeSet<MessageId>,
+    #[serde(rename = "next")]
+    pub(crate) next_check: Ns,
+    #[serde(rename = "booked")]
+    pub(crate) timer_at: Ns,
     pub(crate) calls: usize,
     pub(crate) latency: Smoothed,
-    pub(crate) recent: RecentCalls,
+    #[serde(rename = "recent")]
+    pub(crate) recent_calls: RecentCalls,
 }
 
 pub(crate) type PoolId = (DestinationId, Option<EndpointId>);
@@ -29,21 +34,29 @@
     pub(crate) wait_until: Ns,
     pub(crate) rate: Option<f64>,
     pub(crate) tokens: f64,
-    pub(crate) filled: Ns,
+    #[serde(rename = "filled")]
+    pub(crate) filled_at: Ns,
     /// Refusals as full since a call was accepted, and when the last one came.
-    pub(crate) fulls: u32,
-    pub(crate) full_at: Ns,
+    #[serde(rename = "fulls")]
+    pub(crate) refusals: u32,
+    #[serde(rename = "full_at")]
+    pub(crate) refused_at: Ns,
     pub(crate) cut_at: Ns,
     /// The limit in calls a second as told by reports, or by the list.
     pub(crate) limit: Option<f64>,
     /// Calls accepted in the last rate span.
-    pub(crate) oks: VecDeque<Ns>,
-    pub(crate) first_ok: Option<Ns>,
+    #[serde(rename = "oks")]
+    pub(crate) accepted_at: VecDeque<Ns>,
+    #[serde(rename = "first_ok")]
+    pub(crate) first_accepted: Option<Ns>,
     pub(crate) peak: f64,
-    pub(crate) starved: bool,
+    #[serde(rename = "starved")]
+    pub(crate) rate_limited: bool,
     /// Calls accepted, decayed.
-    pub(crate) flow: f64,
-    pub(crate) flow_at: Ns,
+    #[serde(rename = "flow")]
+    pub(crate) accept_rate: f64,
+    #[serde(rename = "flow_at")]
+    pub(crate) rated_at: Ns,
 }
 
 impl Pool {
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -16,9 +16,11 @@
 
 /// How an endpoint's last call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Ill {
-    Unconnected,
-    Silent,
+pub(crate) enum FailureKind {
+    #[serde(rename = "Unconnected")]
+    Connect,
+    #[serde(rename = "Silent")]
+    Timeout,
     Reset,
     Error,
 }
@@ -31,9 +33,11 @@
     /// The list has it ready, and operators do not leave it out.
     pub(crate) ready: bool,
     pub(crate) listed: bool,
-    pub(crate) left_out: bool,
+    #[serde(rename = "left_out")]
+    pub(crate) in_maintenance: bool,
     /// Since when the list has it no more.
-    pub(crate) gone: Option<Ns>,
+    #[serde(rename = "gone")]
+    pub(crate) delisted_at: Option<Ns>,
     pub(crate) latency: Smoothed,
     /// Calls out: when sent and messages without an outcome.
     pub(crate) calls: BTreeMap<u64, (Ns, usize)>,
@@ -41,28 +45,41 @@
     pub(crate) idle: Vec<Ns>,
     /// No new connection is tried before this; how many were not to be had, less those that were; the last.
     pub(crate) connect_at: Ns,
-    pub(crate) unconnected: u32,
-    pub(crate) connect_failed: Ns,
-    pub(crate) doubt: f64,
-    pub(crate) doubt_at: Ns,
-    pub(crate) last_ok: Ns,
+    #[serde(rename = "unconnected")]
+    pub(crate) connect_failures: u32,
+    #[serde(rename = "connect_failed")]
+    pub(crate) connect_failed_at: Ns,
+    #[serde(rename = "doubt")]
+    pub(crate) failure_ratio: f64,
+    #[serde(rename = "doubt_at")]
+    pub(crate) failure_ratio_at: Ns,
+    #[serde(rename = "last_ok")]
+    pub(crate) success_at: Ns,
     pub(crate) breaker: Breaker,
     /// When an open breaker lets a trial through, if one is held.
-    pub(crate) turn_at: Ns,
+    #[serde(rename = "turn_at")]
+    pub(crate) trial_at: Ns,
     /// The outage is confirmed, so slow start follows; the call that is the trial.
-    pub(crate) cold: bool,
+    #[serde(rename = "cold")]
+    pub(crate) was_down: bool,
     pub(crate) trial: Option<u64>,
-    pub(crate) warm_from: Option<Ns>,
+    #[serde(rename = "warm_from")]
+    pub(crate) slow_start_from: Option<Ns>,
     /// Since when it ails, for the spacing of trials; while it warms, nothing before `free_at`.
-    pub(crate) ailing_from: Ns,
-    pub(crate) free_at: Ns,
+    #[serde(rename = "ailing_from")]
+    pub(crate) failing_since: Ns,
+    #[serde(rename = "free_at")]
+    pub(crate) next_call_at: Ns,
     /// This courier's own leaning among equals, 0 to 1.
-    pub(crate) lean: f64,
+    #[serde(rename = "lean")]
+    pub(crate) tie_breaker: f64,
     /// When a call last told something of it, and what it ailed from then.
     #[serde(default)]
-    pub(crate) heard: Ns,
+    #[serde(rename = "heard")]
+    pub(crate) outcome_at: Ns,
     #[serde(default)]
-    pub(crate) ill: Option<Ill>,
+    #[serde(rename = "ill")]
+    pub(crate) last_failure: Option<FailureKind>,
 }
 
 impl Endpoint {
@@ -84,27 +101,28 @@
 
     pub(crate) fn delisted(&mut self, now: Ns) {
         (self.ready, self.listed) = (false, false);
-        self.gone.get_or_insert(now);
+        self.delisted_at.get_or_insert(now);
     }
 
     /// Takes its standing from the list.
     pub(crate) fn update_standing(&mut self, standing: Standing, now: Ns) {
         match standing {
             Standing::Gone => self.delisted(now),
-            _ => (self.listed, self.gone) = (standing == Standing::Ready, None),
+            _ => (self.listed, self.delisted_at) = (standing == Standing::Ready, None),
         }
-        self.ready = self.listed && !self.left_out;
+        self.ready = self.listed && !self.in_maintenance;
     }
 
     /// Left out by operators, or used again. True if it comes back: with a new process, of which nothing is
     /// known but that it is cold.
     pub(crate) fn maintain(&mut self, out: bool, now: Ns) -> bool {
-        let back = std::mem::replace(&mut self.left_out, out) && !out;
+        let back = std::mem::replace(&mut self.in_maintenance, out) && !out;
         self.ready = self.listed && !out;
         if back {
-            (self.breaker, self.trial, self.cold, self.doubt) = (Breaker::Closed, None, false, 0.0);
-            (self.unconnected, self.connect_at) = (0, now);
-            (self.warm_from, self.free_at) = (Some(now), now);
+            (self.breaker, self.trial, self.was_down, self.failure_ratio) =
+                (Breaker::Closed, None, false, 0.0);
+            (self.connect_failures, self.connect_at) = (0, now);
+            (self.slow_start_from, self.next_call_at) = (Some(now), now);
             self.idle.clear();
         }
         back
@@ -113,7 +131,7 @@
 
 /// What is thought of a zone as a whole.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum ZoneStanding {
+pub(crate) enum ZoneState {
     #[default]
     Healthy,
     Suspect,
@@ -123,7 +141,8 @@
 
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Zone {
-    pub(crate) standing: ZoneStanding,
+    #[serde(rename = "standing")]
+    pub(crate) state: ZoneState,
     /// Since when.
     pub(crate) since: Ns,
 }
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -5,13 +5,14 @@
 use serde::{Deserialize, Serialize};
 
 #[derive(Serialize, Deserialize)]
-pub(crate) struct Flight {
+pub(crate) struct InFlight {
     pub(crate) endpoint: EndpointId,
     pub(crate) call: u64,
     pub(crate) cancelled: bool,
     pub(crate) sent: Ns,
     /// It had to open a connection.
-    pub(crate) opens: bool,
+    #[serde(rename = "opens")]
+    pub(crate) connects: bool,
 }
 
 #[derive(Default, Serialize, Deserialize)]
@@ -20,25 +21,32 @@
     pub(crate) group: usize,
     pub(crate) dest: DestinationId,
     pub(crate) key: Option<String>,
-    pub(crate) aim: Ns,
-    pub(crate) end: Ns,
+    #[serde(rename = "aim")]
+    pub(crate) target: Ns,
+    #[serde(rename = "end")]
+    pub(crate) deadline: Ns,
     /// Deadline on the chart: the aim, or the end once set back.
     pub(crate) due: Ns,
     pub(crate) late: bool,
     pub(crate) missed: bool,
     pub(crate) attempts: u32,
-    pub(crate) flight: Option<Flight>,
+    #[serde(rename = "flight")]
+    pub(crate) in_flight: Option<InFlight>,
     /// First attempt that may have run: its endpoint, zone and send time.
-    pub(crate) ran: Option<(EndpointId, usize, Ns)>,
-    pub(crate) last: Option<EndpointId>,
+    #[serde(rename = "ran")]
+    pub(crate) may_have_run: Option<(EndpointId, usize, Ns)>,
+    #[serde(rename = "last")]
+    pub(crate) previous: Option<EndpointId>,
     /// Not sent again before this: its own backoff.
     pub(crate) not_before: Ns,
     /// A restart found it, surely not run, and it has not been tried since: its time was spent on the restart, so
     /// that newer ones would always lose more by giving way.
     #[serde(default)]
-    pub(crate) found: bool,
+    #[serde(rename = "found")]
+    pub(crate) recovered: bool,
     /// The final answer is out; kept until its attempt has an outcome.
-    pub(crate) over: bool,
+    #[serde(rename = "over")]
+    pub(crate) answered: bool,
 }
 
 impl Message {
@@ -56,19 +64,19 @@
             group,
             dest: taken.destination,
             key: taken.key.clone().filter(|_| terms.ordered),
-            aim,
-            end,
+            target: aim,
+            deadline: end,
             due: aim,
             attempts: taken.past.attempts,
-            ran,
-            found: taken.past.found && ran.is_none(),
+            may_have_run: ran,
+            recovered: taken.past.found && ran.is_none(),
             ..Message::default()
         }
     }
 
     /// No attempt is out.
     pub(crate) fn is_waiting(&self) -> bool {
-        self.flight.is_none()
+        self.in_flight.is_none()
     }
 }
 
@@ -76,11 +84,13 @@
     /// What a message is worth if it is delivered at this time.
     pub(crate) fn worth(&self, message: &Message, at: Ns) -> f64 {
         let c = &self.classes[message.class];
-        let after = secs(at - message.aim).max(0.0);
+        let after = secs(at - message.target).max(0.0);
         let share = match self.worth_loss {
-            WorthLoss::Line => 1.0 - (1.0 - c.late_share) * after / secs(message.end - message.aim).max(1e-9),
+            WorthLoss::Line => {
+                1.0 - (1.0 - c.late_share) * after / secs(message.deadline - message.target).max(1e-9)
+            }
             WorthLoss::Halves => 0.5f64.powf((after / c.aim.as_secs_f64().max(1e-9)).ceil()),
         };
-        if at > message.end { 0.0 } else { c.worth * share.max(c.late_share) }
+        if at > message.deadline { 0.0 } else { c.worth * share.max(c.late_share) }
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -28,37 +28,49 @@
     pub(crate) origin: Option<Time>,
     pub(crate) now: Ns,
     pub(crate) messages: BTreeMap<MessageId, Message>,
-    pub(crate) live: usize,
+    #[serde(rename = "live")]
+    pub(crate) unanswered: usize,
     /// How many of them a restart has found untried.
     #[serde(default)]
-    pub(crate) found: usize,
+    #[serde(rename = "found")]
+    pub(crate) recovered: usize,
     pub(crate) dests: BTreeMap<DestinationId, Destination>,
     pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
     pub(crate) pools: BTreeMap<PoolId, Pool>,
     /// Messages of ordered classes by key, in order of arrival; and when a key has rested.
-    pub(crate) turns: BTreeMap<String, VecDeque<MessageId>>,
-    pub(crate) rests: BTreeMap<String, (MessageId, Ns)>,
+    #[serde(rename = "turns")]
+    pub(crate) key_queues: BTreeMap<String, VecDeque<MessageId>>,
+    #[serde(rename = "rests")]
+    pub(crate) key_pauses: BTreeMap<String, (MessageId, Ns)>,
     #[serde(rename = "tallies")]
     pub(crate) miss_ratios: MissRatios,
-    pub(crate) calls_out: usize,
+    #[serde(rename = "calls_out")]
+    pub(crate) in_flight: usize,
     pub(crate) next_call: u64,
     pub(crate) wake: Option<(u64, Ns)>,
     pub(crate) next_token: u64,
     /// Destinations with news, those to look at later, and those that wait for a slot.
     pub(crate) touched: BTreeSet<DestinationId>,
-    pub(crate) agenda: BTreeSet<(Ns, DestinationId)>,
+    #[serde(rename = "agenda")]
+    pub(crate) timers: BTreeSet<(Ns, DestinationId)>,
     /// When an endpoint of each kind last had no connection left, s.
-    pub(crate) tight: Vec<f64>,
-    pub(crate) pressed: BTreeSet<DestinationId>,
-    pub(crate) stuck_at: Ns,
+    #[serde(rename = "tight")]
+    pub(crate) last_connect_failure: Vec<f64>,
+    #[serde(rename = "pressed")]
+    pub(crate) need_slot: BTreeSet<DestinationId>,
+    #[serde(rename = "stuck_at")]
+    pub(crate) stuck_check_at: Ns,
     /// When to ask for the list again.
-    pub(crate) ask_at: Option<Ns>,
-    pub(crate) ask_pause: f64,
+    #[serde(rename = "ask_at")]
+    pub(crate) resubscribe_at: Option<Ns>,
+    #[serde(rename = "ask_pause")]
+    pub(crate) resubscribe_pause: f64,
     /// By number; those of which something was heard that may change what is thought of them.
     #[serde(default)]
     pub(crate) zones: BTreeMap<usize, Zone>,
     #[serde(default)]
-    pub(crate) zones_with_news: BTreeSet<usize>,
+    #[serde(rename = "zones_with_news")]
+    pub(crate) changed_zones: BTreeSet<usize>,
 }
 
 fn unseeded() -> SmallRng {
@@ -104,27 +116,27 @@
             origin: None,
             now: 0,
             messages: BTreeMap::new(),
-            live: 0,
-            found: 0,
+            unanswered: 0,
+            recovered: 0,
             dests: BTreeMap::new(),
             endpoints: BTreeMap::new(),
             pools: BTreeMap::new(),
-            turns: BTreeMap::new(),
-            rests: BTreeMap::new(),
+            key_queues: BTreeMap::new(),
+            key_pauses: BTreeMap::new(),
             miss_ratios: MissRatios::new(groups),
-            calls_out: 0,
+            in_flight: 0,
             next_call: 0,
             wake: None,
             next_token: 0,
             touched: BTreeSet::new(),
-            agenda: BTreeSet::new(),
-            tight: vec![f64::MIN; set.kinds.len()],
-            pressed: BTreeSet::new(),
-            stuck_at: NEVER,
-            ask_at: set.must_subscribe.then_some(0),
-            ask_pause: 0.0,
+            timers: BTreeSet::new(),
+            last_connect_failure: vec![f64::MIN; set.kinds.len()],
+            need_slot: BTreeSet::new(),
+            stuck_check_at: NEVER,
+            resubscribe_at: set.must_subscribe.then_some(0),
+            resubscribe_pause: 0.0,
             zones: BTreeMap::new(),
-            zones_with_news: BTreeSet::new(),
+            changed_zones: BTreeSet::new(),
             set,
         }
     }
--- a/src/state/tables.rs
+++ b/src/state/tables.rs
@@ -11,7 +11,7 @@
     pub(crate) fn update_list(&mut self, whole: bool, entries: &[Entry], out: &mut Vec<Action>) {
         // The cached list of the start comes before anything was asked for; later news are answers.
         if self.now > 0 {
-            (self.ask_at, self.ask_pause) = (None, LIST_RETRY);
+            (self.resubscribe_at, self.resubscribe_pause) = (None, LIST_RETRY);
         }
         if whole {
             self.endpoints.values_mut().for_each(|endpoint| endpoint.delisted(self.now));
@@ -19,7 +19,7 @@
         for entry in entries {
             let kind = entry.kind.min(self.set.kinds.len() - 1);
             let (dest, zone, lean) = (entry.destination, entry.zone, self.rng.random());
-            let fresh = || Endpoint { dest, zone, kind, lean, ..Endpoint::default() };
+            let fresh = || Endpoint { dest, zone, kind, tie_breaker: lean, ..Endpoint::default() };
             let endpoint = self.endpoints.entry(entry.endpoint).or_insert_with(fresh);
             endpoint.update_standing(entry.standing, self.now);
             self.destination(entry.destination).endpoints.insert(entry.endpoint);
@@ -31,7 +31,7 @@
         }
         self.forget(out);
         self.touched.extend(
-            self.dests.iter().filter(|(_, destination)| !destination.members.is_empty()).map(|(id, _)| *id),
+            self.dests.iter().filter(|(_, destination)| !destination.messages.is_empty()).map(|(id, _)| *id),
         );
     }
 
@@ -70,8 +70,9 @@
     /// endpoints are replaced all day, the tables would grow and each choice walk ever more of them.
     pub(crate) fn forget(&mut self, out: &mut Vec<Action>) {
         let (now, span) = (self.now, ns(self.set.cold_span));
-        let old =
-            |endpoint: &Endpoint| endpoint.gone.is_some_and(|t| now - t > span) && endpoint.calls.is_empty();
+        let old = |endpoint: &Endpoint| {
+            endpoint.delisted_at.is_some_and(|t| now - t > span) && endpoint.calls.is_empty()
+        };
         let mut gone: BTreeSet<_> =
             self.endpoints.iter().filter(|(_, endpoint)| old(endpoint)).map(|(id, _)| *id).collect();
         if gone.is_empty() {
@@ -79,9 +80,9 @@
         }
         for message in self.messages.values() {
             let named = [
-                message.last,
-                message.ran.map(|r| r.0),
-                message.flight.as_ref().map(|flight| flight.endpoint),
+                message.previous,
+                message.may_have_run.map(|r| r.0),
+                message.in_flight.as_ref().map(|flight| flight.endpoint),
             ];
             gone.retain(|id| !named.contains(&Some(*id)));
         }
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -24,7 +24,7 @@
     heard: usize,
     bad: usize,
     destinations: BTreeSet<DestinationId>,
-    /// By kind, as in `Ill`.
+    /// By kind, as in `FailureKind`.
     kinds: [usize; 4],
 }
 
@@ -43,27 +43,28 @@
     pub(crate) fn zone_heard(&mut self, id: EndpointId, outcome: Outcome) {
         let ill = match outcome {
             Outcome::Delivered | Outcome::Full { .. } => None,
-            Outcome::ConnectFailed => Some(Ill::Unconnected),
-            Outcome::TimedOut | Outcome::Cancelled => Some(Ill::Silent),
-            Outcome::Reset => Some(Ill::Reset),
-            Outcome::Error => Some(Ill::Error),
+            Outcome::ConnectFailed => Some(FailureKind::Connect),
+            Outcome::TimedOut | Outcome::Cancelled => Some(FailureKind::Timeout),
+            Outcome::Reset => Some(FailureKind::Reset),
+            Outcome::Error => Some(FailureKind::Error),
             Outcome::Moot => return,
         };
         let now = self.now;
         let Some(e) = self.endpoints.get_mut(&id).filter(|_| self.set.zone_fees.len() > 1) else { return };
-        (e.heard, e.ill) = (now, ill);
+        (e.outcome_at, e.last_failure) = (now, ill);
         // In a well zone what went well changes nothing; others are judged each time.
         if ill.is_some() {
-            self.zones_with_news.insert(e.zone);
+            self.changed_zones.insert(e.zone);
         }
     }
 
     fn evidence(&self, zone: usize) -> Evidence {
         let mut all = Evidence::default();
-        let fresh = |e: &&Endpoint| e.zone == zone && e.heard > 0 && secs(self.now - e.heard) < FRESH;
+        let fresh =
+            |e: &&Endpoint| e.zone == zone && e.outcome_at > 0 && secs(self.now - e.outcome_at) < FRESH;
         for e in self.endpoints.values().filter(fresh) {
             all.heard += 1;
-            if let Some(ill) = e.ill {
+            if let Some(ill) = e.last_failure {
                 all.bad += 1;
                 all.kinds[ill as usize] += 1;
                 all.destinations.insert(e.dest);
@@ -75,14 +76,14 @@
     /// Judges the zones of which something was heard, and those that are not well; notes each change with its
     /// figures. Nothing is heard of one that all calls have left: that it stays so must count by itself.
     pub(crate) fn judge_zones(&mut self, out: &mut Vec<Action>) {
-        let ailing = self.zones.iter().filter(|(_, z)| z.standing != ZoneStanding::Healthy);
+        let ailing = self.zones.iter().filter(|(_, z)| z.state != ZoneState::Healthy);
         let ailing: BTreeSet<_> = ailing.map(|(zone, _)| *zone).collect();
-        for zone in std::mem::take(&mut self.zones_with_news).union(&ailing).copied() {
+        for zone in std::mem::take(&mut self.changed_zones).union(&ailing).copied() {
             let (evidence, now) = (self.evidence(zone), self.now);
             let was = self.zones.entry(zone).or_default();
             let (for_long, share) = (secs(now - was.since), evidence.share());
-            use ZoneStanding::*;
-            let next = match was.standing {
+            use ZoneState::*;
+            let next = match was.state {
                 Healthy if evidence.is_suspect() => Suspect,
                 Suspect if evidence.bad >= OUT_BAD && share >= OUT_SHARE => Out,
                 Suspect if evidence.is_suspect() && for_long >= OUT_AFTER => Out,
@@ -92,17 +93,17 @@
                 Returning if share < WELL_SHARE && for_long >= self.set.cold_span.as_secs_f64() => Healthy,
                 same => same,
             };
-            if next == was.standing {
+            if next == was.state {
                 continue;
             }
             let Evidence { heard, bad, destinations, kinds: [unconnected, silent, reset, error] } = evidence;
-            let (from, of) = (was.standing, destinations.len());
+            let (from, of) = (was.state, destinations.len());
             let text = format!(
                 "zone {zone}: {from:?} to {next:?} after {for_long:.1} s: {bad} of {heard} endpoints fail, \
                  of {of} destinations; \
                  {unconnected} unconnected, {silent} silent, {reset} reset, {error} error"
             );
-            *was = Zone { standing: next, since: now };
+            *was = Zone { state: next, since: now };
             out.push(Action::Note { text });
         }
     }
