--- a/src/scheduler/calls.rs
+++ b/src/scheduler/calls.rs
@@ -1,7 +1,7 @@
 //! Calls: begun, called off where they are stuck, and booked when they end.
 
 use super::connections::connect_pause;
-use super::pace::{FULL_DOUBLINGS, FULL_LONGEST, FULL_PAUSE};
+use super::pace::{REFUSAL_DOUBLINGS, REFUSAL_LONGEST, REFUSAL_PAUSE};
 use crate::interface::*;
 use crate::state::*;
 use fair_edf::Smoothing;
@@ -9,18 +9,18 @@
 use std::time::Duration;
 
 /// Latency before the first answer, s, of a destination and of an endpoint; weight of each further one.
-pub(super) const FIRST_LATENCY: f64 = 0.05;
+pub(super) const INITIAL_LATENCY: f64 = 0.05;
 const LATENCY_GAIN: f64 = 0.15;
-pub(crate) const DEST_LATENCY: Smoothing = Smoothing { initial: FIRST_LATENCY, gain: LATENCY_GAIN };
+pub(crate) const DEST_LATENCY: Smoothing = Smoothing { initial: INITIAL_LATENCY, gain: LATENCY_GAIN };
 const ENDPOINT_LATENCY: Smoothing = Smoothing { initial: 0.0, gain: LATENCY_GAIN };
 /// Time-out in latencies, and least, s, as a call that is given up is work done twice, and the time that is
 /// left bounds it anyway; time-outs after which a call that blocks others is called off.
 const TIMEOUT_LATENCIES: f64 = 7.0;
-const TIMEOUT_LEAST: f64 = 1.0;
-const STUCK_PATIENCE: f64 = 1.5;
+const MIN_TIMEOUT: f64 = 1.0;
+const STUCK_FACTOR: f64 = 1.5;
 /// Length, s, of a told wait that ends cold: a limit tells waits of its window, a second or two, and only
 /// one that is shut tells more.
-const SHUT_WAIT: f64 = 2.5;
+const LONG_WAIT: f64 = 2.5;
 
 impl Scheduler {
     /// Sends a held message, in a call that others of this reply share where there is room.
@@ -28,7 +28,7 @@
         &mut self,
         id: MessageId,
         endpoint: EndpointId,
-        joined: &mut Joined,
+        joined: &mut OpenCalls,
         out: &mut Vec<Action>,
     ) {
         let now = self.now;
@@ -41,7 +41,7 @@
             }
             None => self.begin_call(endpoint, joined),
         };
-        let patience = sec(self.attempt_timeout(&self.endpoints[&endpoint]));
+        let patience = to_ns(self.attempt_timeout(&self.endpoints[&endpoint]));
         let message = self.messages.get_mut(&id).expect("held");
         let left = message.deadline - now - ns(self.set.tick) * 2;
         // What may run only once is given all its time: cutting it short can only fail it.
@@ -53,12 +53,12 @@
         message.in_flight = Some(InFlight { endpoint, call, cancelled: false, sent: now, connects });
         self.recovered -= usize::from(std::mem::take(&mut message.recovered));
         self.destination(dest).timeline.remove(due, id);
-        out.push(Action::Send { message: id, endpoint, timeout: span(timeout.max(1)) });
+        out.push(Action::Send { message: id, endpoint, timeout: to_duration(timeout.max(1)) });
         self.space_calls(endpoint);
     }
 
     /// Takes a slot for a new call; true if it has to open a connection.
-    fn begin_call(&mut self, id: EndpointId, joined: &mut Joined) -> (u64, bool) {
+    fn begin_call(&mut self, id: EndpointId, joined: &mut OpenCalls) -> (u64, bool) {
         let (now, call, pool) = (self.now, self.next_call, self.pool_id(id));
         self.next_call += 1;
         self.in_flight += 1;
@@ -69,7 +69,7 @@
         endpoint.idle.retain(|used| *used > now - ns(self.set.keepalive));
         let connects = endpoint.idle.pop().is_none();
         if connects {
-            endpoint.connect_at = now + sec(connect_pause(endpoint.connect_failures));
+            endpoint.connect_at = now + to_ns(connect_pause(endpoint.connect_failures));
         }
         self.pools.get_mut(&pool).expect("known").take(now);
         self.destination(pool.0).calls += 1;
@@ -78,7 +78,7 @@
 
     /// How long an attempt that may be repeated is waited for, s.
     fn attempt_timeout(&self, endpoint: &Endpoint) -> f64 {
-        (TIMEOUT_LATENCIES * endpoint.latency.seconds()).max(TIMEOUT_LEAST)
+        (TIMEOUT_LATENCIES * endpoint.latency.seconds()).max(MIN_TIMEOUT)
     }
 
     /// Calls off the oldest stuck call where messages wait for its slot. An unsafe message is lost by it.
@@ -87,11 +87,11 @@
         let wanted = self.set.may_cancel && !self.need_slot.is_empty();
         let full = self.in_flight >= self.set.slots;
         let stuck = |message: &Message| {
-            let flight = message
+            let call = message
                 .in_flight
                 .as_ref()
-                .filter(|flight| !flight.cancelled && (full || self.need_slot.contains(&message.dest)))?;
-            Some(flight.sent + sec(self.attempt_timeout(&self.endpoints[&flight.endpoint]) * STUCK_PATIENCE))
+                .filter(|call| !call.cancelled && (full || self.need_slot.contains(&message.dest)))?;
+            Some(call.sent + to_ns(self.attempt_timeout(&self.endpoints[&call.endpoint]) * STUCK_FACTOR))
         };
         let first = self
             .messages
@@ -138,7 +138,7 @@
                 self.record_success(id);
                 self.space_calls(id);
             }
-            Outcome::Full { wait } => self.refused_as_full(id, sent, wait),
+            Outcome::Full { wait } => self.record_refusal(id, sent, wait),
             // Too many connections look like a dead endpoint, but for answers on the others.
             Outcome::ConnectFailed
                 if endpoint.success_at > sent || (!endpoint.calls.is_empty() && endpoint.success_at > 0) =>
@@ -153,14 +153,14 @@
                 self.record_failure(id, call);
             }
         }
-        self.zone_heard(id, outcome);
+        self.record_zone_outcome(id, outcome);
         self.close_spare_connections(id, out);
     }
 
     /// Books a refusal: its pool waits as told, or ever longer, and its pace is cut.
-    fn refused_as_full(&mut self, id: EndpointId, sent: Ns, wait: Option<Duration>) {
+    fn record_refusal(&mut self, id: EndpointId, sent: Ns, wait: Option<Duration>) {
         let (now, pool) = (self.now, self.pool_id(id));
-        let (gap, slow) = (self.warm_up_gap(id, 1.0), 1.0 / (self.own_share(id)).max(1e-3));
+        let (gap, slow) = (self.warm_up_gap(id, 1.0), 1.0 / (self.rate_share(id)).max(1e-3));
         let random: f64 = self.rng.random();
         let pool = self.pools.get_mut(&pool).expect("each endpoint has a pool");
         // A rush that left before the first refusal was known counts once.
@@ -170,14 +170,14 @@
         let endpoint = self.endpoints.get_mut(&id).expect("a sent endpoint is known");
         endpoint.trial = None;
         if wait.is_none() {
-            let doubled = FULL_PAUSE * f64::from(1u32 << (pool.refusals - 1).min(FULL_DOUBLINGS));
-            let pause = doubled.min(slow.max(FULL_LONGEST)) * (0.5 + random);
-            pool.wait_until = pool.wait_until.max(now + sec(pause));
-        } else if let Some(wait) = wait.filter(|wait| wait.as_secs_f64() > SHUT_WAIT) {
+            let doubled = REFUSAL_PAUSE * f64::from(1u32 << (pool.refusals - 1).min(REFUSAL_DOUBLINGS));
+            let pause = doubled.min(slow.max(REFUSAL_LONGEST)) * (0.5 + random);
+            pool.wait_until = pool.wait_until.max(now + to_ns(pause));
+        } else if let Some(wait) = wait.filter(|wait| wait.as_secs_f64() > LONG_WAIT) {
             // Shut until then: all that were told so come at once, and it is cold.
             endpoint.slow_start_from = Some(now + ns(wait));
             let spread = self.set.cold_span.as_secs_f64() * random.sqrt();
-            endpoint.next_call_at = now + ns(wait) + sec(spread.min(2.0 * random * gap));
+            endpoint.next_call_at = now + ns(wait) + to_ns(spread.min(2.0 * random * gap));
         }
     }
 }
--- a/src/scheduler/choice.rs
+++ b/src/scheduler/choice.rs
@@ -1,32 +1,32 @@
 //! Which held messages go now, and to which endpoint.
 
-use super::calls::FIRST_LATENCY;
-use super::health::DOUBT_HALVES;
+use super::calls::INITIAL_LATENCY;
+use super::health::RATIO_HALF_LIFE;
 use crate::interface::*;
 use crate::state::*;
 use std::collections::{BTreeSet, VecDeque};
 
 /// Endpoints are compared in points of the result: latency (per aim), doubt, and each courier's own leaning.
 const COST_LATENCY: f64 = 0.05;
-const COST_DOUBT: f64 = 0.5;
+const COST_FAILURES: f64 = 0.5;
 /// Of the last slots, one in so many and one more, a second costs what other messages could have had of it.
-const COST_SLOT: f64 = 0.5;
-const SLOTS_FEW: usize = 20;
-const COST_LEAN: f64 = 0.005;
+const COST_LAST_SLOTS: f64 = 0.5;
+const LAST_SLOTS: usize = 20;
+const COST_TIE: f64 = 0.005;
 /// Failure ratio too doubtful for a message that may run only once.
-const ONCE_DOUBT: f64 = 0.2;
+const ONCE_MAX_RATIO: f64 = 0.2;
 
 impl Scheduler {
     /// Sends what may go now, by earliest deadline over the destinations with news.
     pub(super) fn release(&mut self, touched: &BTreeSet<DestinationId>, out: &mut Vec<Action>) {
         let held: BTreeSet<_> =
             touched.iter().flat_map(|destination| self.dests[destination].timeline.iter()).collect();
-        let mut joined = Joined::new();
+        let mut joined = OpenCalls::new();
         for (_, id) in held {
             let message = &self.messages[&id];
             let (dest, rest) = (message.dest, message.key.as_ref().and_then(|key| self.key_pauses.get(key)));
-            if !self.has_turn(id, message) || message.not_before > self.now {
-                self.look_again(dest, rest.filter(|r| r.1 > self.now).map_or(NEVER, |r| r.1));
+            if !self.is_next_for_key(id, message) || message.not_before > self.now {
+                self.check_by(dest, rest.filter(|r| r.1 > self.now).map_or(NEVER, |r| r.1));
                 continue;
             }
             if let Some(endpoint) = self.choose_endpoint(id, &joined) {
@@ -39,7 +39,7 @@
     }
 
     /// The cheapest endpoint that may take this message now. Each rule on sends is kept here.
-    fn choose_endpoint(&mut self, id: MessageId, joined: &Joined) -> Option<EndpointId> {
+    fn choose_endpoint(&mut self, id: MessageId, joined: &OpenCalls) -> Option<EndpointId> {
         let message = &self.messages[&id];
         let dest = message.dest;
         let has_room = self.has_room(&self.dests[&dest]);
@@ -50,7 +50,7 @@
             if !endpoint.ready || !self.in_scope(message, *id, endpoint) {
                 continue;
             }
-            if let Some(at) = self.kept_off_until(message, endpoint) {
+            if let Some(at) = self.avoided_until(message, endpoint) {
                 later = later.min(at);
                 continue;
             }
@@ -81,15 +81,15 @@
             }
         }
         starved.into_iter().for_each(|pool| self.pools.get_mut(&pool).expect("known").rate_limited = true);
-        self.look_again(dest, later);
+        self.check_by(dest, later);
         best.map(|(_, id)| id)
     }
 
     /// When the pace lets the next call through, if it holds it back now. Trials are not paced.
     fn paced_until(&self, pool: &Pool, endpoint: &Endpoint) -> Option<Ns> {
-        let lack = 1.0 - pool.filled_up(self.now);
+        let lack = 1.0 - pool.tokens_at(self.now);
         let rate = pool.rate.filter(|_| lack > 0.0 && endpoint.breaker == Breaker::Closed)?;
-        Some(self.now + sec(lack / rate) + 1)
+        Some(self.now + to_ns(lack / rate) + 1)
     }
 
     fn has_idle_connection(&self, endpoint: &Endpoint) -> bool {
@@ -101,19 +101,18 @@
         let separate = self.set.kinds[endpoint.kind].separate_routes;
         let fee = self.set.zone_fees.get(endpoint.zone).filter(|_| separate).copied().unwrap_or(0.0);
         let cold = if connects { self.set.handshake_cost } else { 0.0 };
-        let aim = self.set.classes[message.class].aim.as_secs_f64().max(FIRST_LATENCY);
+        let aim = self.set.classes[message.class].aim.as_secs_f64().max(INITIAL_LATENCY);
         let again = if message.previous == Some(id) && message.attempts > 0 { COST_LATENCY } else { 0.0 };
         let load = 1.0 + endpoint.calls.len() as f64 / 4.0;
-        let few = self.in_flight + 1 + self.set.slots / SLOTS_FEW >= self.set.slots;
-        let short = if few { COST_SLOT } else { 0.0 };
-        let latency = endpoint.latency.seconds();
-        let slow = COST_LATENCY / aim * latency + short * latency.max(FIRST_LATENCY);
-        let failures = COST_DOUBT * self.doubt(endpoint);
-        fee + cold + again + slow * load + COST_LEAN * endpoint.tie_breaker + failures
+        let few = self.in_flight + 1 + self.set.slots / LAST_SLOTS >= self.set.slots;
+        let short = if few { COST_LAST_SLOTS } else { 0.0 };
+        let (latency, failures) = (endpoint.latency.seconds(), COST_FAILURES * self.failure_ratio(endpoint));
+        let slow = COST_LATENCY / aim * latency + short * latency.max(INITIAL_LATENCY);
+        fee + cold + again + slow * load + COST_TIE * endpoint.tie_breaker + failures
     }
 
     /// Rule: ordered messages go one at a time by key, which rests after one that may still run.
-    fn has_turn(&self, id: MessageId, message: &Message) -> bool {
+    fn is_next_for_key(&self, id: MessageId, message: &Message) -> bool {
         let Some(key) = &message.key else { return true };
         let rested = self.key_pauses.get(key).is_none_or(|(of, until)| *of == id || *until <= self.now);
         rested && self.key_queues.get(key).and_then(VecDeque::front) == Some(&id)
@@ -141,13 +140,13 @@
 
     /// None if the message may go there, else when to ask again. A half-open breaker lets one trial through.
     /// What may run only once keeps off doubtful endpoints until half its time is gone.
-    fn kept_off_until(&self, message: &Message, endpoint: &Endpoint) -> Option<Ns> {
+    fn avoided_until(&self, message: &Message, endpoint: &Endpoint) -> Option<Ns> {
         let half_gone = message.deadline - ns(self.set.classes[message.class].deadline) / 2;
-        let doubt = self.doubt(endpoint);
-        let doubtful = self.set.classes[message.class].effect == Effect::Once && doubt >= ONCE_DOUBT;
+        let ratio = self.failure_ratio(endpoint);
+        let failing = self.set.classes[message.class].effect == Effect::Once && ratio >= ONCE_MAX_RATIO;
         match endpoint.breaker {
-            Breaker::Closed | Breaker::HalfOpen if doubtful && half_gone > self.now => {
-                Some(half_gone.min(self.now + sec(DOUBT_HALVES * (doubt / ONCE_DOUBT).log2()) + 1))
+            Breaker::Closed | Breaker::HalfOpen if failing && half_gone > self.now => {
+                Some(half_gone.min(self.now + to_ns(RATIO_HALF_LIFE * (ratio / ONCE_MAX_RATIO).log2()) + 1))
             }
             Breaker::Closed => None,
             Breaker::HalfOpen if endpoint.trial.is_none() => None,
--- a/src/scheduler/connections.rs
+++ b/src/scheduler/connections.rs
@@ -1,13 +1,13 @@
 //! Connections to endpoints: which are kept, and when new ones are tried.
 
-use super::pace::{FULL_LONGEST, FULL_PAUSE};
+use super::pace::{REFUSAL_LONGEST, REFUSAL_PAUSE};
 use crate::interface::*;
 use crate::state::*;
 use rand::Rng;
 
 /// Calls a keep-alive that make a connection worth keeping where few can be had, and memory of that.
-const REUSE_LEAST: f64 = 5.0;
-const TIGHT_SPANS: f64 = 6.0;
+const MIN_REUSE: f64 = 5.0;
+const SCARCE_SPANS: f64 = 6.0;
 
 impl Scheduler {
     /// Where no connection was to be had (the endpoint's limit, or that of what lies between), new ones are
@@ -27,7 +27,7 @@
             endpoint.connect_failures += u32::from(sent >= endpoint.connect_failed_at);
             endpoint.connect_failed_at = now;
             endpoint.connect_at =
-                now + sec(connect_pause(endpoint.connect_failures) * (0.5 + self.rng.random::<f64>()));
+                now + to_ns(connect_pause(endpoint.connect_failures) * (0.5 + self.rng.random::<f64>()));
         }
     }
 
@@ -35,9 +35,9 @@
     pub(super) fn close_spare_connections(&mut self, id: EndpointId, out: &mut Vec<Action>) {
         let endpoint = &self.endpoints[&id];
         let span = self.set.keepalive.as_secs_f64();
-        let tight = secs(self.now) < self.last_connect_failure[endpoint.kind] + TIGHT_SPANS * span;
-        let rare = self.pools[&self.pool_id(id)].accept_rate * span < REUSE_LEAST;
-        if tight && rare && endpoint.calls.is_empty() && self.dests[&endpoint.dest].timeline.is_empty() {
+        let scarce = secs(self.now) < self.last_connect_failure[endpoint.kind] + SCARCE_SPANS * span;
+        let rare = self.pools[&self.pool_id(id)].accept_rate * span < MIN_REUSE;
+        if scarce && rare && endpoint.calls.is_empty() && self.dests[&endpoint.dest].timeline.is_empty() {
             self.endpoints.get_mut(&id).expect("known").idle.clear();
             out.push(Action::Close { endpoint: id });
         }
@@ -46,5 +46,5 @@
 
 /// Pause between new connections after so many that were not to be had, s.
 pub(super) fn connect_pause(times: u32) -> f64 {
-    if times == 0 { 0.0 } else { (FULL_PAUSE * 2f64.powi(times as i32 - 1)).min(FULL_LONGEST) }
+    if times == 0 { 0.0 } else { (REFUSAL_PAUSE * 2f64.powi(times as i32 - 1)).min(REFUSAL_LONGEST) }
 }
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -9,37 +9,37 @@
 const FAILURE_GAIN: f64 = 0.25;
 const STALE_GAIN: f64 = 0.6;
 /// A failure ratio halves in this time, s.
-pub(super) const DOUBT_HALVES: f64 = 4.0;
+pub(super) const RATIO_HALF_LIFE: f64 = 4.0;
 /// Failure ratio (each failure moves it) above which a breaker opens.
 const TRIP_RATIO: f64 = 0.5;
 /// Pause of an open breaker: first, s, and growth with the time for which it has ailed; least, s; part of a
 /// pause between the trials of one destination. A trial is a real message: the first pause outlasts a
 /// hiccup, the growth spares a long outage most of them, and a known rate ends a pause sooner.
 const OPEN_FIRST: f64 = 1.5;
-const OPEN_LEAST: f64 = 0.5;
+const MIN_OPEN: f64 = 0.5;
 const OPEN_GROWTH: f64 = 6.0;
-const TRIAL_APART: f64 = 0.5;
+const TRIAL_SPACING: f64 = 0.5;
 /// Length, s, of an outage that ends cold. In a shorter one nobody has stopped calling.
-const CONFIRMED: f64 = 1.0;
+const MIN_OUTAGE: f64 = 1.0;
 /// A call this many latencies old with no answer since is taken as hung; and the least, s, which one slow
 /// call among fast ones does not reach.
 const HANG_LATENCIES: f64 = 6.0;
-const HANG_LEAST: f64 = 0.8;
+const MIN_HANG: f64 = 0.8;
 
 impl Scheduler {
-    pub(super) fn doubt(&self, endpoint: &Endpoint) -> f64 {
-        endpoint.failure_ratio * 0.5f64.powf(secs(self.now - endpoint.failure_ratio_at) / DOUBT_HALVES)
+    pub(super) fn failure_ratio(&self, endpoint: &Endpoint) -> f64 {
+        endpoint.failure_ratio * 0.5f64.powf(secs(self.now - endpoint.failure_ratio_at) / RATIO_HALF_LIFE)
     }
 
     pub(super) fn record_success(&mut self, id: EndpointId) {
-        let (now, doubt) = (self.now, self.doubt(&self.endpoints[&id]));
+        let (now, ratio) = (self.now, self.failure_ratio(&self.endpoints[&id]));
         let endpoint = self.endpoints.get_mut(&id).expect("known");
-        (endpoint.failure_ratio, endpoint.failure_ratio_at) = (doubt * (1.0 - FAILURE_GAIN), now);
+        (endpoint.failure_ratio, endpoint.failure_ratio_at) = (ratio * (1.0 - FAILURE_GAIN), now);
         endpoint.success_at = now;
         // Slow start follows failures, not mere silence: a lost reply must not cost a well endpoint its rate.
         if endpoint.breaker != Breaker::Closed {
             endpoint.breaker = Breaker::Closed;
-            if endpoint.was_down && secs(now - endpoint.failing_since) > CONFIRMED {
+            if endpoint.was_down && secs(now - endpoint.failing_since) > MIN_OUTAGE {
                 // It was down: that is why there were no connections, not that they are few.
                 self.last_connect_failure[endpoint.kind] = f64::MIN;
                 (endpoint.slow_start_from, endpoint.next_call_at) = (Some(now), now);
@@ -49,10 +49,10 @@
     }
 
     pub(super) fn record_failure(&mut self, id: EndpointId, call: u64) {
-        let (now, doubt) = (self.now, self.doubt(&self.endpoints[&id]));
+        let (now, ratio) = (self.now, self.failure_ratio(&self.endpoints[&id]));
         let endpoint = self.endpoints.get_mut(&id).expect("known");
         let gain = if secs(now - endpoint.success_at) < 4.0 { FAILURE_GAIN } else { STALE_GAIN };
-        (endpoint.failure_ratio, endpoint.failure_ratio_at) = (doubt + gain * (1.0 - doubt), now);
+        (endpoint.failure_ratio, endpoint.failure_ratio_at) = (ratio + gain * (1.0 - ratio), now);
         match endpoint.breaker {
             Breaker::Closed if endpoint.failure_ratio > TRIP_RATIO => self.open_breaker(id, true),
             Breaker::HalfOpen if endpoint.trial == Some(call) => self.open_breaker(id, true),
@@ -63,17 +63,17 @@
     /// Opens a breaker. The next trial comes after a multiple of the time for which it has ailed, as ever
     /// more couriers have something to try there, but no later than the known rate has room for all.
     fn open_breaker(&mut self, id: EndpointId, cold: bool) {
-        let (now, jitter, rate) = (self.now, self.jitter(), self.own_share(id).max(1e-3));
+        let (now, jitter, rate) = (self.now, self.jitter(), self.rate_share(id).max(1e-3));
         let endpoint = self.endpoints.get_mut(&id).expect("known");
         let closed = endpoint.breaker == Breaker::Closed;
         if closed && endpoint.slow_start_from.is_none() {
             endpoint.failing_since = now;
         }
         let pause =
-            (OPEN_FIRST + OPEN_GROWTH * secs(now - endpoint.failing_since)).min(1.0 / rate).max(OPEN_LEAST);
+            (OPEN_FIRST + OPEN_GROWTH * secs(now - endpoint.failing_since)).min(1.0 / rate).max(MIN_OPEN);
         endpoint.was_down = cold || (endpoint.was_down && !closed);
         endpoint.slow_start_from = endpoint.slow_start_from.filter(|_| !endpoint.was_down);
-        let (turn_at, apart) = (now + sec(pause * jitter), sec(TRIAL_APART * pause));
+        let (turn_at, apart) = (now + to_ns(pause * jitter), to_ns(TRIAL_SPACING * pause));
         endpoint.breaker = Breaker::Open;
         // Outages mostly take a destination whole: one trial speaks for all its open endpoints. They take
         // turns, what failed last comes last: else it alone is tried, and others that are back stay shut.
@@ -94,7 +94,7 @@
         for id in destination.endpoints.iter().copied().collect::<Vec<_>>() {
             let pool_waits = self.pools[&self.pool_id(id)].wait_until;
             let endpoint = self.endpoints.get_mut(&id).expect("known");
-            let hang = sec((HANG_LATENCIES * endpoint.latency.seconds().max(usual)).max(HANG_LEAST));
+            let hang = to_ns((HANG_LATENCIES * endpoint.latency.seconds().max(usual)).max(MIN_HANG));
             endpoint.slow_start_from = endpoint.slow_start_from.filter(|t| now - t <= ns(self.set.cold_span));
             // Silence: a call much older than usual and no answer since it left. One slow call can trip it,
             // which costs a trial. A courier that stalled hears all its news first: that is no silence.
@@ -105,7 +105,7 @@
             match endpoint.breaker {
                 Breaker::Closed if endpoint.calls.values().any(hung) => {
                     self.open_breaker(id, false);
-                    self.zone_heard(id, Outcome::TimedOut);
+                    self.record_zone_outcome(id, Outcome::TimedOut);
                 }
                 Breaker::Open if held && endpoint.trial_at.max(pool_waits) <= now => {
                     (endpoint.breaker, endpoint.trial) = (Breaker::HalfOpen, None);
@@ -116,7 +116,7 @@
             let endpoint = &self.endpoints[&id];
             let turn =
                 (endpoint.breaker == Breaker::Open && held).then_some(endpoint.trial_at.max(pool_waits));
-            self.look_again(dest, waits.unwrap_or(NEVER).min(turn.unwrap_or(NEVER)));
+            self.check_by(dest, waits.unwrap_or(NEVER).min(turn.unwrap_or(NEVER)));
         }
     }
 
@@ -125,7 +125,7 @@
         let (from, cold) = (self.endpoints[&id].slow_start_from.unwrap_or(self.now), self.set.cold_from);
         let span = self.set.cold_span.as_secs_f64().max(1e-3);
         let present = cold + (1.0 - cold) * (secs(self.now - from) / span).clamp(0.0, 1.0);
-        let budget = calls / (self.set.fall_multiple * self.own_share(id)).max(1e-3);
+        let budget = calls / (self.set.fall_multiple * self.rate_share(id)).max(1e-3);
         // Present grows by this a second; what it lets through until then is the budget.
         let growth = ((1.0 - cold) / span).max(1e-9);
         ((present * present + 2.0 * growth * budget).sqrt() - present) / growth
@@ -141,7 +141,7 @@
         endpoint.slow_start_from = endpoint.slow_start_from.filter(|t| now - t <= cold);
         if let Some(from) = endpoint.slow_start_from {
             let left = secs(from + cold - now);
-            endpoint.next_call_at = endpoint.next_call_at.max(now + sec((left * random.sqrt()).min(gap)));
+            endpoint.next_call_at = endpoint.next_call_at.max(now + to_ns((left * random.sqrt()).min(gap)));
         }
     }
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -45,7 +45,7 @@
         let touched = std::mem::take(&mut self.touched);
         for dest in &touched {
             self.destination(*dest).next_check = NEVER;
-            self.end_hopeless(*dest, out);
+            self.end_expired(*dest, out);
             self.check_health(*dest);
         }
         self.judge_zones(out);
@@ -55,7 +55,7 @@
         }
         if self.resubscribe_at.is_some_and(|t| t <= self.now) {
             // Asked again only if no answer comes; an answer clears this.
-            self.resubscribe_at = Some(self.now + sec(self.resubscribe_pause * 4.0 * self.jitter()));
+            self.resubscribe_at = Some(self.now + to_ns(self.resubscribe_pause * 4.0 * self.jitter()));
             out.push(Action::Subscribe { active: true });
         }
         let resubscribe_at = self.resubscribe_at.unwrap_or(NEVER);
@@ -63,7 +63,7 @@
         if next < self.wake.map_or(NEVER, |w| w.1) {
             self.next_token += 1;
             self.wake = Some((self.next_token, next));
-            out.push(Action::Wake { token: self.next_token, after: span((next - self.now).max(1)) });
+            out.push(Action::Wake { token: self.next_token, after: to_duration((next - self.now).max(1)) });
         }
     }
 
@@ -75,21 +75,21 @@
         match event {
             Event::Listed { whole, entries } => self.update_list(*whole, entries, out),
             Event::ListFailed => {
-                let again = self.now + sec(self.resubscribe_pause * self.jitter());
+                let again = self.now + to_ns(self.resubscribe_pause * self.jitter());
                 self.resubscribe_at = self.set.must_subscribe.then_some(again);
                 self.resubscribe_pause = (self.resubscribe_pause * 2.0).min(LIST_RETRY * 8.0);
             }
-            Event::Taken(taken) => self.take_on(taken, out),
+            Event::Taken(taken) => self.accept(taken, out),
             Event::Answering { .. } | Event::Told { .. } => {}
             Event::Ended(ended) => self.attempt_ended(ended, out),
             Event::Withdrawn { message } => self.close(*message),
             Event::Maintenance { endpoint, out } => self.maintain(*endpoint, *out),
             Event::Woken { token } => self.wake = self.wake.filter(|w| w.0 != *token),
-            Event::Probed { endpoint, outcome, report, .. } => self.note_report(*endpoint, *outcome, report),
+            Event::Probed { endpoint, outcome, report, .. } => self.update_limit(*endpoint, *outcome, report),
         }
     }
 
-    fn take_on(&mut self, taken: &Taken, out: &mut Vec<Action>) {
+    fn accept(&mut self, taken: &Taken, out: &mut Vec<Action>) {
         let (id, dest) = (taken.message, taken.destination);
         let message = Message::new(taken, &self.set, self.now);
         if let Some(key) = &message.key {
@@ -115,7 +115,7 @@
 
     fn attempt_ended(&mut self, ended: &Ended, out: &mut Vec<Action>) {
         let (id, endpoint, outcome) = (ended.message, ended.endpoint, ended.outcome);
-        self.note_report(endpoint, outcome, &ended.report);
+        self.update_limit(endpoint, outcome, &ended.report);
         let Some(message) = self.messages.get_mut(&id) else { return };
         let Some(flight) = message.in_flight.take() else { return };
         let running = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
--- a/src/scheduler/pace.rs
+++ b/src/scheduler/pace.rs
@@ -6,9 +6,9 @@
 /// Pause after a refusal that tells no wait, s: first, doublings at most, and longest at a full pace, which
 /// a known slower pace extends. Limits are told in calls a second: a tenth of one is the least that can
 /// help.
-pub(super) const FULL_PAUSE: f64 = 0.1;
-pub(super) const FULL_DOUBLINGS: u32 = 7;
-pub(super) const FULL_LONGEST: f64 = 1.6;
+pub(super) const REFUSAL_PAUSE: f64 = 0.1;
+pub(super) const REFUSAL_DOUBLINGS: u32 = 7;
+pub(super) const REFUSAL_LONGEST: f64 = 1.6;
 /// Pace at first, over an even share of one call a rate span; AIMD's cut and growth; floor over an even
 /// share, or the peak; least pace, calls a second; burst of a bucket and time between two cuts, s.
 const PACE_START: f64 = 1.2;
@@ -16,10 +16,10 @@
 const PACE_GROW: f64 = 0.06;
 const PACE_GROW_OVER: f64 = 0.02;
 const PACE_FLOOR: f64 = 0.3;
-const PACE_FLOOR_BLIND: f64 = 0.4;
-const PACE_LEAST: f64 = 0.03;
+const PACE_FLOOR_PEAK: f64 = 0.4;
+const MIN_PACE: f64 = 0.03;
 const PACE_SPAN: f64 = 0.5;
-const PACE_DEPTH: f64 = 2.0;
+const MIN_BURST: f64 = 2.0;
 /// Span of the rate of accepted calls, and memory of their flow, s: some windows of a limit told in calls a
 /// second, and some spans of that.
 const RATE_SPAN: f64 = 2.0;
@@ -27,7 +27,7 @@
 
 impl Scheduler {
     /// This courier's part, in calls a second: an even share of the limit, or more where it has had more.
-    pub(super) fn own_share(&self, id: EndpointId) -> f64 {
+    pub(super) fn rate_share(&self, id: EndpointId) -> f64 {
         let pool_id = self.pool_id(id);
         let pool = &self.pools[&pool_id];
         let sharing = match pool_id.1 {
@@ -45,7 +45,7 @@
     }
 
     /// Rule: a wait told holds for the whole pool, whoever told it; a shorter one never replaces it.
-    pub(super) fn note_report(&mut self, id: EndpointId, outcome: Outcome, report: &Option<Report>) {
+    pub(super) fn update_limit(&mut self, id: EndpointId, outcome: Outcome, report: &Option<Report>) {
         let (Some(_), now) = (self.endpoints.get(&id), self.now) else { return };
         let pool_id = self.pool_id(id);
         let pool = self.pools.get_mut(&pool_id).expect("each endpoint has a pool");
@@ -60,18 +60,18 @@
 
 impl Pool {
     /// Tokens now. Without a pace the bucket stays full: calls sent then are no debt later.
-    pub(super) fn filled_up(&self, now: Ns) -> f64 {
+    pub(super) fn tokens_at(&self, now: Ns) -> f64 {
         let Some(rate) = self.rate else { return 1.0 };
         (self.tokens + rate * secs(now - self.filled_at)).min(self.depth())
     }
 
     /// Calls that may be saved up, or owed.
     pub(super) fn depth(&self) -> f64 {
-        self.rate.map_or(0.0, |rate| (rate * PACE_SPAN).max(PACE_DEPTH))
+        self.rate.map_or(0.0, |rate| (rate * PACE_SPAN).max(MIN_BURST))
     }
 
     pub(super) fn take(&mut self, now: Ns) {
-        self.tokens = self.filled_up(now) - 1.0;
+        self.tokens = self.tokens_at(now) - 1.0;
         self.filled_at = now;
     }
 
@@ -81,12 +81,12 @@
             self.accept_rate * (-secs(now - self.rated_at) / FLOW_SPAN).exp() + 1.0 / FLOW_SPAN;
         self.rated_at = now;
         self.accepted_at.push_back(now);
-        self.accepted_at.retain(|t| *t > now - sec(RATE_SPAN));
+        self.accepted_at.retain(|t| *t > now - to_ns(RATE_SPAN));
         let span = secs(now - *self.first_accepted.get_or_insert(now)).clamp(PACE_SPAN, RATE_SPAN);
         self.peak = self.peak.max((self.accepted_at.len() - 1) as f64 / span);
         // AIMD: grows only while it is the pace that holds messages back.
         if std::mem::take(&mut self.rate_limited) {
-            let step = self.even_share(couriers).map_or(self.peak, |even| even.max(PACE_LEAST));
+            let step = self.even_share(couriers).map_or(self.peak, |even| even.max(MIN_PACE));
             let top = |r: f64| self.limit.unwrap_or(f64::INFINITY).max(r);
             let over = |r: f64| self.even_share(couriers).is_some_and(|even| r >= even);
             let grow = |r: f64| if over(r) { PACE_GROW_OVER } else { PACE_GROW };
@@ -99,13 +99,13 @@
     pub(super) fn cut(&mut self, now: Ns, couriers: usize) {
         let even = self.even_share(couriers);
         let owed = if even.is_some() { 1.0 } else { 0.0 };
-        (self.tokens, self.filled_at) = ((self.filled_up(now) - owed).max(-self.depth()), now);
-        if now - self.cut_at < sec(PACE_SPAN) && self.cut_at > 0 {
+        (self.tokens, self.filled_at) = ((self.tokens_at(now) - owed).max(-self.depth()), now);
+        if now - self.cut_at < to_ns(PACE_SPAN) && self.cut_at > 0 {
             return;
         }
         self.cut_at = now;
-        let blind = (self.peak * PACE_FLOOR_BLIND).max(1.0 / RATE_SPAN);
-        let floor = even.map_or(blind, |even| (even * PACE_FLOOR).max(PACE_LEAST));
+        let blind = (self.peak * PACE_FLOOR_PEAK).max(1.0 / RATE_SPAN);
+        let floor = even.map_or(blind, |even| (even * PACE_FLOOR).max(MIN_PACE));
         // Without a pace the even share is all that is known of what is its to take.
         let from = self.rate.unwrap_or(if even.is_some() { f64::INFINITY } else { self.peak / PACE_CUT });
         let cut = even.filter(|even| from > *even).unwrap_or(from * PACE_CUT);
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -1,13 +1,13 @@
 //! Messages that are held: their places on the chart, who gives way there, and what is answered unsent.
 
-use super::pace::FULL_PAUSE;
+use super::pace::REFUSAL_PAUSE;
 use crate::interface::*;
 use crate::state::*;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// Where a message is set back to, by the part of the time from its aim to its end that is left there.
-const SETBACKS: [f64; 3] = [0.5, 0.25, 0.0];
+const POSTPONE_STEPS: [f64; 3] = [0.5, 0.25, 0.0];
 /// A message is answered this many ticks before its time is up.
 const MARGIN_TICKS: Ns = 5;
 /// Attempts spread over the time left; before these, backoff after a second failure, as its share.
@@ -17,7 +17,7 @@
 impl Scheduler {
     /// When a message is answered at the latest: held ones while the usual latency is still left.
     pub(super) fn answer_by(&self, message: &Message) -> Ns {
-        let need = if message.is_waiting() { sec(self.dests[&message.dest].latency.seconds()) } else { 0 };
+        let need = if message.is_waiting() { to_ns(self.dests[&message.dest].latency.seconds()) } else { 0 };
         message.deadline - need.max(ns(self.set.tick) * MARGIN_TICKS)
     }
 
@@ -33,7 +33,7 @@
         let guess = self.recovered > 0 && pools().any(|pool| pool.cut_at == 0);
         let pace = pace.filter(|r| *r > 0.0 && !(guess && destination.timeline.iter().any(found)));
         let paced = pace.map_or(0.0, |r| 1.0 / r);
-        sec((destination.latency.seconds() / self.call_cap(destination) as f64).max(paced)).max(1)
+        to_ns((destination.latency.seconds() / self.call_cap(destination) as f64).max(paced)).max(1)
     }
 
     /// How far its pace has run ahead: calls saved up go at once, and debts come first. On the chart a call
@@ -42,7 +42,7 @@
         let pool = self.pools.get(&(id, None)).filter(|pool| pool.limit.is_some());
         let Some((pool, rate)) = pool.and_then(|pool| Some((pool, pool.rate?))) else { return 0 };
         let idle = (1.0 / rate - self.dests[&id].latency.seconds()).max(0.0);
-        sec((pool.filled_up(self.now) - 1.0) / rate + idle)
+        to_ns((pool.tokens_at(self.now) - 1.0) / rate + idle)
     }
 
     /// Calls that this courier may have out at a destination.
@@ -52,7 +52,7 @@
 
     pub(super) fn hold(&mut self, id: MessageId, out: &mut Vec<Action>) {
         let dest = self.messages[&id].dest;
-        let soonest = self.now + sec(self.dests[&dest].latency.seconds());
+        let soonest = self.now + to_ns(self.dests[&dest].latency.seconds());
         while self.messages[&id].due < soonest && self.postpone(id) {}
         let (due, sigma) = (self.messages[&id].due, self.sigma(dest));
         let timeline = &mut self.destination(dest).timeline;
@@ -65,7 +65,7 @@
     /// worth something there; and what it loses by that. With no later place it loses all.
     fn later_due(&self, message: &Message) -> (Option<Ns>, f64) {
         let extra = (message.deadline - message.target) as f64;
-        let steps = SETBACKS.map(|part| message.deadline - (extra * part) as Ns);
+        let steps = POSTPONE_STEPS.map(|part| message.deadline - (extra * part) as Ns);
         let next = steps.into_iter().find(|at| *at > message.due && self.set.worth(message, *at) > 0.0);
         (next, self.set.worth(message, message.due) - next.map_or(0.0, |at| self.set.worth(message, at)))
     }
@@ -127,7 +127,7 @@
     }
 
     /// Late refusal, and the end of messages whose time is nearly up; then the chart.
-    pub(super) fn end_hopeless(&mut self, dest: DestinationId, out: &mut Vec<Action>) {
+    pub(super) fn end_expired(&mut self, dest: DestinationId, out: &mut Vec<Action>) {
         // What would be too late once the destination opens is answered now: waiting cannot help it.
         let opens = self.now.max(self.open_from(dest));
         let start = |message: &Message| if message.is_waiting() { opens } else { self.now };
@@ -152,7 +152,7 @@
             (_, false) if message.attempts > 1 => RETRY_SHARE * 3f64.powi(message.attempts as i32 - 2),
             _ => return,
         };
-        message.not_before = self.now + sec(secs(message.deadline - self.now) * random * share);
+        message.not_before = self.now + to_ns(secs(message.deadline - self.now) * random * share);
     }
 
     /// Ends a message undelivered: refused if that is known to be harmless, else given up as failed.
@@ -172,7 +172,7 @@
     /// When a refused client may come again: what is held there has had time to go, and a wait is over.
     pub(super) fn retry_after(&self, dest: DestinationId) -> Option<Duration> {
         let queue = self.sigma(dest) * self.dests[&dest].timeline.len() as Ns;
-        let wait = span((self.open_from(dest) - self.now).max(queue).max(sec(FULL_PAUSE)));
+        let wait = to_duration((self.open_from(dest) - self.now).max(queue).max(to_ns(REFUSAL_PAUSE)));
         self.set.retry_after.map(|most| wait.min(most))
     }
 
--- a/src/scheduler/timers.rs
+++ b/src/scheduler/timers.rs
@@ -26,7 +26,7 @@
     }
 
     /// Looks at the destination again at this time at the latest.
-    pub(super) fn look_again(&mut self, dest: DestinationId, at: Ns) {
+    pub(super) fn check_by(&mut self, dest: DestinationId, at: Ns) {
         self.destination(dest).next_check = self.dests[&dest].next_check.min(at);
     }
 }
--- a/src/state/destination.rs
+++ b/src/state/destination.rs
@@ -67,4 +67,4 @@
 }
 
 /// Calls begun in this reply that have room for more messages.
-pub(crate) type Joined = BTreeMap<EndpointId, (u64, usize)>;
+pub(crate) type OpenCalls = BTreeMap<EndpointId, (u64, usize)>;
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -99,7 +99,7 @@
         first
     }
 
-    pub(crate) fn delisted(&mut self, now: Ns) {
+    pub(crate) fn mark_delisted(&mut self, now: Ns) {
         (self.ready, self.listed) = (false, false);
         self.delisted_at.get_or_insert(now);
     }
@@ -107,7 +107,7 @@
     /// Takes its standing from the list.
     pub(crate) fn update_standing(&mut self, standing: Standing, now: Ns) {
         match standing {
-            Standing::Gone => self.delisted(now),
+            Standing::Gone => self.mark_delisted(now),
             _ => (self.listed, self.delisted_at) = (standing == Standing::Ready, None),
         }
         self.ready = self.listed && !self.in_maintenance;
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -56,7 +56,7 @@
         let terms = &set.classes[class];
         let end = now + ns(taken.time_left);
         let stretch = taken.work.map_or(0.0, |work| terms.aim_stretch * work.as_secs_f64());
-        let aim = (end - ns(terms.deadline) + ns(terms.aim) + sec(stretch)).min(end);
+        let aim = (end - ns(terms.deadline) + ns(terms.aim) + to_ns(stretch)).min(end);
         let group = if set.tenants > 0 { taken.tenant.min(set.tenants - 1) } else { class };
         let ran = taken.past.ran.map(|ran| (ran.endpoint, ran.zone, now - ns(ran.ago)));
         Message {
--- a/src/state/tables.rs
+++ b/src/state/tables.rs
@@ -14,7 +14,7 @@
             (self.resubscribe_at, self.resubscribe_pause) = (None, LIST_RETRY);
         }
         if whole {
-            self.endpoints.values_mut().for_each(|endpoint| endpoint.delisted(self.now));
+            self.endpoints.values_mut().for_each(|endpoint| endpoint.mark_delisted(self.now));
         }
         for entry in entries {
             let kind = entry.kind.min(self.set.kinds.len() - 1);
--- a/src/state/time.rs
+++ b/src/state/time.rs
@@ -10,7 +10,7 @@
     d.as_nanos().min(1 << 61) as Ns
 }
 
-pub(crate) fn sec(s: f64) -> Ns {
+pub(crate) fn to_ns(s: f64) -> Ns {
     (s * 1e9).min(2f64.powi(61)) as Ns
 }
 
@@ -18,6 +18,6 @@
     n as f64 / 1e9
 }
 
-pub(crate) fn span(n: Ns) -> Duration {
+pub(crate) fn to_duration(n: Ns) -> Duration {
     Duration::from_nanos(n.max(0) as u64)
 }
