--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -8,22 +8,22 @@
     let settings = Settings {
         couriers: 1,
         classes: vec![Class {
-            aim: Duration::from_secs(2),
+            latency_target: Duration::from_secs(2),
             deadline: Duration::from_secs(20),
-            worth: 1.0,
-            late_share: 0.3,
+            value: 1.0,
+            late_value_share: 0.3,
             effect: Effect::Once,
             ordered: false,
-            aim_stretch: 0.0,
+            target_stretch: 0.0,
         }],
-        kinds: vec![Kind { separate_routes: false, bundle_max: 1 }],
+        kinds: vec![Kind { separate_routes: false, max_batch: 1 }],
         tenants: 0,
         slots: 4,
         max_held: 100,
-        attempt_cap: 6,
-        worth_loss: WorthLoss::Line,
+        max_attempts: 6,
+        value_decay: ValueDecay::Linear,
         handshake_cost: 0.04,
-        zone_fees: vec![0.0],
+        zone_costs: vec![0.0],
         weights: WeightKind::None,
         connect_timeout: Duration::from_secs(1),
         keepalive: Duration::from_secs(10),
@@ -33,15 +33,15 @@
         must_subscribe: false,
         tick: Duration::from_millis(5),
         drain_grace: Duration::from_secs(1),
-        cold_from: 0.2,
-        cold_span: Duration::from_secs(10),
-        fall_multiple: 2.0,
-        fall_span: Duration::from_secs(3),
-        order_pause: Duration::ZERO,
+        cold_capacity: 0.2,
+        warm_up: Duration::from_secs(10),
+        overload_factor: 2.0,
+        overload_span: Duration::from_secs(3),
+        key_pause: Duration::ZERO,
     };
     let mut scheduler = Scheduler::new(settings, 7)?;
     let (endpoint, destination) = (EndpointId(0), DestinationId(0));
-    let entry = Entry { endpoint, destination, zone: 0, kind: 0, standing: Standing::Ready, weight: 0.0 };
+    let entry = Entry { endpoint, destination, zone: 0, kind: 0, state: EndpointState::Ready, weight: 0.0 };
     let mut events = vec![
         Event::Listed { whole: true, entries: vec![entry] },
         Event::Taken(Taken {
@@ -51,8 +51,8 @@
             destination,
             key: None,
             time_left: Duration::from_secs(20),
-            work: None,
-            past: Past::default(),
+            estimated_work: None,
+            history: Past::default(),
         }),
     ];
     let mut now = Duration::ZERO;
@@ -69,7 +69,7 @@
                     endpoint,
                     outcome: Outcome::Delivered,
                     took: Duration::from_millis(30),
-                    over: true,
+                    answered: true,
                     report: None,
                 }));
             }
--- a/src/bin/courier.rs
+++ b/src/bin/courier.rs
@@ -52,7 +52,7 @@
 const DAMAGED: u8 = 1;
 const UNUSABLE: u8 = 3;
 
-fn told(fault: &impl Display) {
+fn print_error(fault: &impl Display) {
     eprintln!("courier: {fault}");
 }
 
@@ -67,7 +67,7 @@
         Ok(Finding::Sound | Finding::Mended) => ExitCode::SUCCESS,
         Ok(Finding::Damaged) => ExitCode::from(DAMAGED),
         Err(fault) => {
-            told(&fault);
+            print_error(&fault);
             ExitCode::from(UNUSABLE)
         }
     }
@@ -79,7 +79,7 @@
         None => match node::run() {
             Ok(()) => ExitCode::SUCCESS,
             Err(fault) => {
-                told(&fault);
+                print_error(&fault);
                 ExitCode::FAILURE
             }
         },
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -43,27 +43,33 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Class {
     /// Full worth is earned when delivered within this time.
-    pub aim: Duration,
+    #[serde(rename = "aim")]
+    pub latency_target: Duration,
     /// Nothing is earned after this time.
     pub deadline: Duration,
     /// Worth of a message delivered within the aim.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub value: f64,
     /// Share of the worth left at the deadline.
-    pub late_share: f64,
+    #[serde(rename = "late_share")]
+    pub late_value_share: f64,
     pub effect: Effect,
     /// Messages of one key go one at a time, in order of arrival.
     pub ordered: bool,
     /// The aim grows by this multiple of the message's estimated work.
-    pub aim_stretch: f64,
+    #[serde(rename = "aim_stretch")]
+    pub target_stretch: f64,
 }
 
 /// How worth falls between the aim and the deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum WorthLoss {
+pub enum ValueDecay {
     /// Evenly, down to the late share.
-    Line,
+    #[serde(rename = "Line")]
+    Linear,
     /// By half with each further aim, not under the late share.
-    Halves,
+    #[serde(rename = "Halves")]
+    Halving,
 }
 
 /// A kind of destination.
@@ -72,7 +78,8 @@
     /// The endpoints are routes apart, each with its own limit, pace and outages.
     pub separate_routes: bool,
     /// Messages that one call carries at most.
-    pub bundle_max: usize,
+    #[serde(rename = "bundle_max")]
+    pub max_batch: usize,
 }
 
 /// What the weight of a list entry means.
@@ -99,12 +106,15 @@
     /// Messages that may be held, sent or not.
     pub max_held: usize,
     /// Attempts a message may have.
-    pub attempt_cap: u32,
-    pub worth_loss: WorthLoss,
+    #[serde(rename = "attempt_cap")]
+    pub max_attempts: u32,
+    #[serde(rename = "worth_loss")]
+    pub value_decay: ValueDecay,
     /// Price of a new connection, in points of the result for one a message.
     pub handshake_cost: f64,
     /// Price of a message on a separate route, by zone, in the same points.
-    pub zone_fees: Vec<f64>,
+    #[serde(rename = "zone_fees")]
+    pub zone_costs: Vec<f64>,
     pub weights: WeightKind,
     /// A connection not established within this time is a failed connect.
     pub connect_timeout: Duration,
@@ -121,20 +131,25 @@
     /// Nothing new may go to an endpoint this long after news that it drains or is gone.
     pub drain_grace: Duration,
     /// A destination back from an outage has this share of its capacity at least,
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub cold_capacity: f64,
     /// and all of it after this time.
-    pub cold_span: Duration,
+    #[serde(rename = "cold_span")]
+    pub warm_up: Duration,
     /// A cold destination falls over when sent more than this multiple of its present capacity
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_factor: f64,
     /// for this long.
-    pub fall_span: Duration,
+    #[serde(rename = "fall_span")]
+    pub overload_span: Duration,
     /// How long a key rests after an attempt that may still be running.
-    pub order_pause: Duration,
+    #[serde(rename = "order_pause")]
+    pub key_pause: Duration,
 }
 
-/// Standing of a list entry.
+/// EndpointState of a list entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointState {
     Ready,
     Draining,
     Gone,
@@ -147,7 +162,7 @@
     pub destination: DestinationId,
     pub zone: usize,
     pub kind: usize,
-    pub standing: Standing,
+    pub state: EndpointState,
     pub weight: f64,
 }
 
@@ -170,7 +185,8 @@
     /// Called off; it may have run.
     Cancelled,
     /// Not sent; it never ran, but counts as an attempt.
-    Moot,
+    #[serde(rename = "Moot")]
+    NotSent,
 }
 
 /// What an endpoint tells of its limit.
@@ -193,19 +209,19 @@
     /// How long it may still be delivered.
     pub time_left: Duration,
     /// A guess of the work it makes, if there is one.
-    pub work: Option<Duration>,
+    pub estimated_work: Option<Duration>,
     /// What it went through before this courier restarted; nothing for a new one.
-    pub past: Past,
+    pub history: Past,
 }
 
 /// What is on record of a message that was taken before the courier restarted.
 #[derive(Clone, Debug, Default)]
 pub struct Past {
     /// It was taken on before a restart.
-    pub found: bool,
+    pub recovered: bool,
     pub attempts: u32,
     /// The first attempt that may have run.
-    pub ran: Option<Ran>,
+    pub may_have_run: Option<Ran>,
 }
 
 /// An attempt that may have run: where it went, and how long ago.
@@ -224,7 +240,7 @@
     pub outcome: Outcome,
     pub took: Duration,
     /// The message has its final answer.
-    pub over: bool,
+    pub answered: bool,
     pub report: Option<Report>,
 }
 
--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -293,7 +293,7 @@
                     ended,
                 )
             }
-            Err(_) => CallEnd { outcome: Outcome::Moot, over: false, report: None, at: Instant::now() },
+            Err(_) => CallEnd { outcome: Outcome::NotSent, over: false, report: None, at: Instant::now() },
         };
         let _ = news.send(News::Called { message, attempt, endpoint, end }).await;
     }
@@ -326,7 +326,7 @@
         Err(lost) => {
             let outcome = match lost {
                 Lost::Unsent => Outcome::ConnectFailed,
-                Lost::Recalled => Outcome::Moot,
+                Lost::Recalled => Outcome::NotSent,
                 Lost::Broken => Outcome::Reset,
                 Lost::Silent => Outcome::TimedOut,
             };
@@ -344,14 +344,14 @@
             let ms = head("Wait-Ms").and_then(|v| v.parse::<f64>().ok()).filter(|ms| *ms > 0.0 && *ms < 1e9);
             Outcome::Full { wait: ms.map(|ms| Duration::from_secs_f64(ms / 1000.0)) }
         }
-        StatusCode::SERVICE_UNAVAILABLE if head("Slots-Taken") == Some("1") => Outcome::Moot,
+        StatusCode::SERVICE_UNAVAILABLE if head("Slots-Taken") == Some("1") => Outcome::NotSent,
         // It is the connection that is turned away, not the call: the endpoint holds as many as it will, and
         // those that are kept serve on. Taken for a limit of the destination it would stop these too. Covers
         // an endpoint that is shutting down as well. Hurts where a destination at its limit closes whatever
         // it turns away: then new connections alone are held back, and its limit is found on kept ones.
         StatusCode::SERVICE_UNAVAILABLE if closes(&answer.headers) => Outcome::ConnectFailed,
         StatusCode::SERVICE_UNAVAILABLE => Outcome::Full { wait: None },
-        StatusCode::GATEWAY_TIMEOUT | StatusCode::GONE => Outcome::Moot,
+        StatusCode::GATEWAY_TIMEOUT | StatusCode::GONE => Outcome::NotSent,
         _ => Outcome::Error,
     };
     let over = matches!(answer.status, StatusCode::OK | StatusCode::GONE);
--- a/src/node/commit_test.rs
+++ b/src/node/commit_test.rs
@@ -10,7 +10,7 @@
 use crate::node::options::Options;
 use crate::node::register::Register;
 use crate::scheduler::Scheduler;
-use crate::settings::Conf;
+use crate::settings::PlatformConfig;
 use crate::store::Durability;
 use crate::store::segments::{Batch, Status};
 use std::net::SocketAddr;
@@ -54,7 +54,8 @@
         let endpoint = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let platform = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let at = |listener: &TcpListener| listener.local_addr().expect("an address");
-        let page: Conf = serde_json::from_str(include_str!("../../tests/settings.json")).expect("settings");
+        let page: PlatformConfig =
+            serde_json::from_str(include_str!("../../tests/settings.json")).expect("settings");
         let mut settings = page.settings().expect("settings");
         settings.connect_timeout = CONNECT_TIMEOUT;
         let host = Host {
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -4,7 +4,7 @@
 use super::discovery::List;
 use super::options::Options;
 use crate::interface::Settings;
-use crate::settings::Conf;
+use crate::settings::PlatformConfig;
 use serde::Deserialize;
 use std::env;
 use std::fmt;
@@ -52,7 +52,7 @@
     admin_addr: Option<String>,
     limits: Limits,
     known: Option<List>,
-    settings: Conf,
+    settings: PlatformConfig,
 }
 
 /// All that a courier is told.
--- a/src/node/courier/attempts.rs
+++ b/src/node/courier/attempts.rs
@@ -81,7 +81,7 @@
     /// A call has ended.
     pub(super) fn call_ended(&mut self, message: u64, attempt: u32, endpoint: EndpointId, end: CallEnd) {
         // What proves that it never ran; all else may have.
-        let never = matches!(end.outcome, Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::Moot);
+        let never = matches!(end.outcome, Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::NotSent);
         if never {
             self.journal.never_ran(message, attempt);
         }
@@ -102,7 +102,7 @@
             endpoint,
             outcome: aged(end.outcome, end.at),
             took: end.at.saturating_duration_since(sent),
-            over: end.over,
+            answered: end.over,
             report: end.report,
         }));
         // The module drops a message with its last outcome, and so does the courier.
@@ -155,9 +155,9 @@
     Event::Ended(Ended {
         message: MessageId(message),
         endpoint,
-        outcome: Outcome::Moot,
+        outcome: Outcome::NotSent,
         took: Duration::ZERO,
-        over: false,
+        answered: false,
         report: None,
     })
 }
--- a/src/node/courier/endpoints.rs
+++ b/src/node/courier/endpoints.rs
@@ -66,14 +66,14 @@
         }
         // An address that cannot be read leaves nowhere to send to.
         let standing = match host.health {
-            Health::Ready if e.address.is_some() => interface::Standing::Ready,
-            Health::Gone => interface::Standing::Gone,
-            _ => interface::Standing::Draining,
+            Health::Ready if e.address.is_some() => interface::EndpointState::Ready,
+            Health::Gone => interface::EndpointState::Gone,
+            _ => interface::EndpointState::Draining,
         };
-        e.ready = standing == interface::Standing::Ready;
+        e.ready = standing == interface::EndpointState::Ready;
         self.destinations.insert(host.block);
         let (destination, weight) = (DestinationId(host.block), host.share);
-        Some(Entry { endpoint, destination, zone, kind, standing, weight })
+        Some(Entry { endpoint, destination, zone, kind, state: standing, weight })
     }
 
     /// Calls to such endpoints that are still without their connection do not begin.
--- a/src/node/courier/offers.rs
+++ b/src/node/courier/offers.rs
@@ -54,8 +54,8 @@
             destination: DestinationId(offer.letter.destination),
             key: None,
             time_left: offer.time_left.saturating_sub(offer.at.elapsed()),
-            work: None,
-            past: Past::default(),
+            estimated_work: None,
+            history: Past::default(),
         }));
         self.offers.insert(message, offer);
     }
--- a/src/node/courier/resume.rs
+++ b/src/node/courier/resume.rs
@@ -47,8 +47,8 @@
             destination: DestinationId(letter.destination),
             key: None,
             time_left,
-            work: None,
-            past: Past { found: true, attempts, ran },
+            estimated_work: None,
+            history: Past { recovered: true, attempts, may_have_run: ran },
         }));
         self.held.insert(message, Held::new(letter, attempts));
     }
--- a/src/node/golden_test.rs
+++ b/src/node/golden_test.rs
@@ -147,7 +147,7 @@
         ("ended-connect-failed", Word::Ended(ended(Outcome::ConnectFailed, None))),
         ("ended-reset", Word::Ended(ended(Outcome::Reset, None))),
         ("ended-cancelled", Word::Ended(ended(Outcome::Cancelled, None))),
-        ("ended-moot", Word::Ended(ended(Outcome::Moot, None))),
+        ("ended-moot", Word::Ended(ended(Outcome::NotSent, None))),
         ("cancel", Word::Cancel(11)),
         ("operate-endpoint", Word::Operate(1, Change::Endpoint { id, out: true })),
         ("operate-service", Word::Operate(2, Change::Service { out: false })),
--- a/src/scheduler/calls.rs
+++ b/src/scheduler/calls.rs
@@ -63,7 +63,7 @@
         self.next_call += 1;
         self.in_flight += 1;
         let endpoint = self.endpoints.get_mut(&id).expect("chosen");
-        joined.insert(id, (call, self.set.kinds[endpoint.kind].bundle_max.max(1) - 1));
+        joined.insert(id, (call, self.set.kinds[endpoint.kind].max_batch.max(1) - 1));
         endpoint.calls.insert(call, (now, 1));
         endpoint.trial = Some(call);
         endpoint.idle.retain(|used| *used > now - ns(self.set.keepalive));
@@ -118,7 +118,7 @@
         let closed = was_open - endpoint.calls.len();
         self.in_flight -= closed;
         self.destination(dest).calls -= closed;
-        if !first || outcome == Outcome::Moot {
+        if !first || outcome == Outcome::NotSent {
             return;
         }
         self.record_connection(id, sent, connects, outcome);
@@ -145,7 +145,7 @@
             {
                 return self.close_spare_connections(id, out);
             }
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
             _ => {
                 // A call takes at least as long as it was out: else a slow one never meets its time-out.
                 let least = if outcome == Outcome::TimedOut { took } else { 0.0 };
@@ -176,7 +176,7 @@
         } else if let Some(wait) = wait.filter(|wait| wait.as_secs_f64() > LONG_WAIT) {
             // Shut until then: all that were told so come at once, and it is cold.
             endpoint.slow_start_from = Some(now + ns(wait));
-            let spread = self.set.cold_span.as_secs_f64() * random.sqrt();
+            let spread = self.set.warm_up.as_secs_f64() * random.sqrt();
             endpoint.next_call_at = now + ns(wait) + to_ns(spread.min(2.0 * random * gap));
         }
     }
--- a/src/scheduler/choice.rs
+++ b/src/scheduler/choice.rs
@@ -99,9 +99,9 @@
     /// What a message costs at an endpoint, in points of the result.
     fn cost(&self, message: &Message, id: EndpointId, endpoint: &Endpoint, connects: bool) -> f64 {
         let separate = self.set.kinds[endpoint.kind].separate_routes;
-        let fee = self.set.zone_fees.get(endpoint.zone).filter(|_| separate).copied().unwrap_or(0.0);
+        let fee = self.set.zone_costs.get(endpoint.zone).filter(|_| separate).copied().unwrap_or(0.0);
         let cold = if connects { self.set.handshake_cost } else { 0.0 };
-        let aim = self.set.classes[message.class].aim.as_secs_f64().max(INITIAL_LATENCY);
+        let aim = self.set.classes[message.class].latency_target.as_secs_f64().max(INITIAL_LATENCY);
         let again = if message.previous == Some(id) && message.attempts > 0 { COST_LATENCY } else { 0.0 };
         let load = 1.0 + endpoint.calls.len() as f64 / 4.0;
         let few = self.in_flight + 1 + self.set.slots / LAST_SLOTS >= self.set.slots;
@@ -135,7 +135,7 @@
             (Some(_), Effect::Once) => false,
             (Some((_, _, at)), Effect::Keyed { window, .. }) => start < at + ns(window),
         };
-        in_window && message.attempts < self.set.attempt_cap
+        in_window && message.attempts < self.set.max_attempts
     }
 
     /// None if the message may go there, else when to ask again. A half-open breaker lets one trial through.
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -95,7 +95,7 @@
             let pool_waits = self.pools[&self.pool_id(id)].wait_until;
             let endpoint = self.endpoints.get_mut(&id).expect("known");
             let hang = to_ns((HANG_LATENCIES * endpoint.latency.seconds().max(usual)).max(MIN_HANG));
-            endpoint.slow_start_from = endpoint.slow_start_from.filter(|t| now - t <= ns(self.set.cold_span));
+            endpoint.slow_start_from = endpoint.slow_start_from.filter(|t| now - t <= ns(self.set.warm_up));
             // Silence: a call much older than usual and no answer since it left. One slow call can trip it,
             // which costs a trial. A courier that stalled hears all its news first: that is no silence.
             let hung = |c: &(Ns, usize)| c.0 != Ns::MIN && now - c.0 > hang && endpoint.success_at < c.0;
@@ -122,10 +122,10 @@
 
     /// Time, s, in which this courier's part of the fail-back budget allows so many calls, as it grows.
     pub(super) fn warm_up_gap(&self, id: EndpointId, calls: f64) -> f64 {
-        let (from, cold) = (self.endpoints[&id].slow_start_from.unwrap_or(self.now), self.set.cold_from);
-        let span = self.set.cold_span.as_secs_f64().max(1e-3);
+        let (from, cold) = (self.endpoints[&id].slow_start_from.unwrap_or(self.now), self.set.cold_capacity);
+        let span = self.set.warm_up.as_secs_f64().max(1e-3);
         let present = cold + (1.0 - cold) * (secs(self.now - from) / span).clamp(0.0, 1.0);
-        let budget = calls / (self.set.fall_multiple * self.rate_share(id)).max(1e-3);
+        let budget = calls / (self.set.overload_factor * self.rate_share(id)).max(1e-3);
         // Present grows by this a second; what it lets through until then is the budget.
         let growth = ((1.0 - cold) / span).max(1e-9);
         ((present * present + 2.0 * growth * budget).sqrt() - present) / growth
@@ -136,7 +136,7 @@
     pub(crate) fn space_calls(&mut self, id: EndpointId) {
         let random = self.rng.random::<f64>();
         let gap = self.warm_up_gap(id, 0.5 + random);
-        let (now, cold) = (self.now, ns(self.set.cold_span));
+        let (now, cold) = (self.now, ns(self.set.warm_up));
         let endpoint = self.endpoints.get_mut(&id).expect("known");
         endpoint.slow_start_from = endpoint.slow_start_from.filter(|t| now - t <= cold);
         if let Some(from) = endpoint.slow_start_from {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -68,7 +68,7 @@
     }
 
     fn has_room(&self, destination: &Destination) -> bool {
-        self.in_flight < self.set.slots && destination.calls < self.call_cap(destination)
+        self.in_flight < self.set.slots && destination.calls < self.max_calls(destination)
     }
 
     fn apply(&mut self, event: &Event, out: &mut Vec<Action>) {
@@ -123,16 +123,16 @@
             message.may_have_run = Some((endpoint, self.endpoints[&endpoint].zone, flight.sent));
         }
         if let Some(key) = message.key.as_ref().filter(|_| running) {
-            self.key_pauses.insert(key.clone(), (id, self.now + ns(self.set.order_pause)));
+            self.key_pauses.insert(key.clone(), (id, self.now + ns(self.set.key_pause)));
         }
         let late = self.now > message.target;
         self.touched.insert(message.dest);
         self.call_ended(flight, ended, out);
-        if outcome != Outcome::Moot {
+        if outcome != Outcome::NotSent {
             self.back_off(id, matches!(outcome, Outcome::Full { .. } | Outcome::ConnectFailed));
         }
         let message = &self.messages[&id];
-        if outcome != Outcome::Delivered && !ended.over && !message.answered {
+        if outcome != Outcome::Delivered && !ended.answered && !message.answered {
             return if self.may_try(message, self.now) { self.hold(id, out) } else { self.give_up(id, out) };
         }
         if late && !message.answered {
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -33,7 +33,7 @@
         let guess = self.recovered > 0 && pools().any(|pool| pool.cut_at == 0);
         let pace = pace.filter(|r| *r > 0.0 && !(guess && destination.timeline.iter().any(found)));
         let paced = pace.map_or(0.0, |r| 1.0 / r);
-        to_ns((destination.latency.seconds() / self.call_cap(destination) as f64).max(paced)).max(1)
+        to_ns((destination.latency.seconds() / self.max_calls(destination) as f64).max(paced)).max(1)
     }
 
     /// How far its pace has run ahead: calls saved up go at once, and debts come first. On the chart a call
@@ -45,8 +45,7 @@
         to_ns((pool.tokens_at(self.now) - 1.0) / rate + idle)
     }
 
-    /// Calls that this courier may have out at a destination.
-    pub(super) fn call_cap(&self, destination: &Destination) -> usize {
+    pub(super) fn max_calls(&self, destination: &Destination) -> usize {
         destination.recent_calls.cap(self.set.slots)
     }
 
@@ -66,8 +65,9 @@
     fn later_due(&self, message: &Message) -> (Option<Ns>, f64) {
         let extra = (message.deadline - message.target) as f64;
         let steps = POSTPONE_STEPS.map(|part| message.deadline - (extra * part) as Ns);
-        let next = steps.into_iter().find(|at| *at > message.due && self.set.worth(message, *at) > 0.0);
-        (next, self.set.worth(message, message.due) - next.map_or(0.0, |at| self.set.worth(message, at)))
+        let value = |at| self.set.value_at(message, at);
+        let next = steps.into_iter().find(|at| *at > message.due && value(*at) > 0.0);
+        (next, value(message.due) - next.map_or(0.0, value))
     }
 
     /// Gives up its due for a later one, if there is one.
@@ -102,7 +102,7 @@
     pub(super) fn victim(&self, candidates: &[MessageId]) -> MessageId {
         let score = |id: &MessageId| {
             let message = &self.messages[id];
-            let weight = if self.set.tenants > 0 { 1.0 } else { self.set.classes[message.class].worth };
+            let weight = if self.set.tenants > 0 { 1.0 } else { self.set.classes[message.class].value };
             self.miss_ratios.ratio(message.group) * weight
         };
         let by = |a: &&MessageId, b: &&MessageId| {
@@ -146,7 +146,7 @@
     /// Spreads attempts over the time left: an outage or a rush may outlast quick retries.
     pub(super) fn back_off(&mut self, id: MessageId, full: bool) {
         let (random, message) = (self.jitter(), self.messages.get_mut(&id).expect("known"));
-        let left = self.set.attempt_cap.saturating_sub(message.attempts);
+        let left = self.set.max_attempts.saturating_sub(message.attempts);
         let share = match (left, full) {
             (left, _) if left <= LAST_ATTEMPTS => 1.0 / f64::from(left + 1),
             (_, false) if message.attempts > 1 => RETRY_SHARE * 3f64.powi(message.attempts as i32 - 2),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -7,7 +7,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Conf {
+pub struct PlatformConfig {
     #[serde(default)]
     costs: Costs,
     #[serde(default)]
@@ -110,7 +110,7 @@
     u64::try_from(ns).map(Duration::from_nanos).map_err(|_| format!("{name} is negative"))
 }
 
-impl Conf {
+impl PlatformConfig {
     /// The names of the classes, in the order of their numbers.
     pub fn class_names(&self) -> impl Iterator<Item = &str> {
         self.lanes.iter().map(|l| l.name.as_str())
@@ -150,20 +150,20 @@
                 other => return Err(of(&format!("unknown effect {other:?}"))),
             };
             classes.push(Class {
-                aim: span(lane.aim_ns, &of("aim-ns"))?,
+                latency_target: span(lane.aim_ns, &of("aim-ns"))?,
                 deadline: span(lane.deadline_ns, &of("deadline-ns"))?,
-                worth: lane.credit,
-                late_share: lane.late_share,
+                value: lane.credit,
+                late_value_share: lane.late_share,
                 effect,
                 ordered: lane.by_arrival,
-                aim_stretch: lane.aim_stretch,
+                target_stretch: lane.aim_stretch,
             });
         }
         let (family, limits, rules) = (&conf.family_info, &conf.limits, &conf.rules);
         let count = conf.skus.len().max(family.bundle_max.len()).max(family.separate_routes.len()).max(1);
         let kind = |k| Kind {
             separate_routes: family.separate_routes.get(k).copied().unwrap_or(false),
-            bundle_max: family.bundle_max.get(k).copied().unwrap_or(1),
+            max_batch: family.bundle_max.get(k).copied().unwrap_or(1),
         };
         Ok(Settings {
             couriers: conf.siblings,
@@ -172,10 +172,14 @@
             tenants: conf.customers.len(),
             slots: family.slots,
             max_held: limits.max_open,
-            attempt_cap: limits.send_cap,
-            worth_loss: if family.loses_worth == "halves" { WorthLoss::Halves } else { WorthLoss::Line },
+            max_attempts: limits.send_cap,
+            value_decay: if family.loses_worth == "halves" {
+                ValueDecay::Halving
+            } else {
+                ValueDecay::Linear
+            },
             handshake_cost: conf.costs.handshake,
-            zone_fees: (0..conf.dcs.len().max(family.fee_by_zone.len()))
+            zone_costs: (0..conf.dcs.len().max(family.fee_by_zone.len()))
                 .map(|z| family.fee_by_zone.get(z).copied().unwrap_or(0.0))
                 .collect(),
             weights: match conf.weight_kind.as_str() {
@@ -194,11 +198,11 @@
             must_subscribe: conf.membership_mode == "subscribe",
             tick: span(conf.tick_ns, "tick-ns")?,
             drain_grace: span(rules.drain_grace_ns, "drain-grace-ns")?,
-            cold_from: rules.cold_from,
-            cold_span: span(rules.cold_ns, "cold-ns")?,
-            fall_multiple: rules.fall_multiple,
-            fall_span: span(rules.fall_ns, "fall-ns")?,
-            order_pause: span(rules.order_pause_ns, "order-pause-ns")?,
+            cold_capacity: rules.cold_from,
+            warm_up: span(rules.cold_ns, "cold-ns")?,
+            overload_factor: rules.fall_multiple,
+            overload_span: span(rules.fall_ns, "fall-ns")?,
+            key_pause: span(rules.order_pause_ns, "order-pause-ns")?,
         })
     }
 }
@@ -211,7 +215,7 @@
     fn read(change: impl Fn(&mut Value)) -> Result<Settings, String> {
         let mut page: Value = serde_json::from_str(include_str!("../tests/settings.json")).expect("settings");
         change(&mut page);
-        serde_json::from_value::<Conf>(page).map_err(|e| e.to_string())?.settings()
+        serde_json::from_value::<PlatformConfig>(page).map_err(|e| e.to_string())?.settings()
     }
 
     #[test]
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -105,10 +105,10 @@
     }
 
     /// Takes its standing from the list.
-    pub(crate) fn update_standing(&mut self, standing: Standing, now: Ns) {
+    pub(crate) fn update_standing(&mut self, standing: EndpointState, now: Ns) {
         match standing {
-            Standing::Gone => self.mark_delisted(now),
-            _ => (self.listed, self.delisted_at) = (standing == Standing::Ready, None),
+            EndpointState::Gone => self.mark_delisted(now),
+            _ => (self.listed, self.delisted_at) = (standing == EndpointState::Ready, None),
         }
         self.ready = self.listed && !self.in_maintenance;
     }
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -55,10 +55,10 @@
         let class = taken.class.min(set.classes.len() - 1);
         let terms = &set.classes[class];
         let end = now + ns(taken.time_left);
-        let stretch = taken.work.map_or(0.0, |work| terms.aim_stretch * work.as_secs_f64());
-        let aim = (end - ns(terms.deadline) + ns(terms.aim) + to_ns(stretch)).min(end);
+        let stretch = taken.estimated_work.map_or(0.0, |work| terms.target_stretch * work.as_secs_f64());
+        let aim = (end - ns(terms.deadline) + ns(terms.latency_target) + to_ns(stretch)).min(end);
         let group = if set.tenants > 0 { taken.tenant.min(set.tenants - 1) } else { class };
-        let ran = taken.past.ran.map(|ran| (ran.endpoint, ran.zone, now - ns(ran.ago)));
+        let ran = taken.history.may_have_run.map(|ran| (ran.endpoint, ran.zone, now - ns(ran.ago)));
         Message {
             class,
             group,
@@ -67,9 +67,9 @@
             target: aim,
             deadline: end,
             due: aim,
-            attempts: taken.past.attempts,
+            attempts: taken.history.attempts,
             may_have_run: ran,
-            recovered: taken.past.found && ran.is_none(),
+            recovered: taken.history.recovered && ran.is_none(),
             ..Message::default()
         }
     }
@@ -82,15 +82,15 @@
 
 impl Settings {
     /// What a message is worth if it is delivered at this time.
-    pub(crate) fn worth(&self, message: &Message, at: Ns) -> f64 {
+    pub(crate) fn value_at(&self, message: &Message, at: Ns) -> f64 {
         let c = &self.classes[message.class];
         let after = secs(at - message.target).max(0.0);
-        let share = match self.worth_loss {
-            WorthLoss::Line => {
-                1.0 - (1.0 - c.late_share) * after / secs(message.deadline - message.target).max(1e-9)
+        let share = match self.value_decay {
+            ValueDecay::Linear => {
+                1.0 - (1.0 - c.late_value_share) * after / secs(message.deadline - message.target).max(1e-9)
             }
-            WorthLoss::Halves => 0.5f64.powf((after / c.aim.as_secs_f64().max(1e-9)).ceil()),
+            ValueDecay::Halving => 0.5f64.powf((after / c.latency_target.as_secs_f64().max(1e-9)).ceil()),
         };
-        if at > message.deadline { 0.0 } else { c.worth * share.max(c.late_share) }
+        if at > message.deadline { 0.0 } else { c.value * share.max(c.late_value_share) }
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -145,14 +145,14 @@
 impl Settings {
     /// Names the first figure that cannot be worked with.
     pub(crate) fn check(&self) -> Result<(), String> {
-        let classes = self.classes.iter().flat_map(|c| [c.worth, c.late_share, c.aim_stretch]);
-        let figures = [self.cold_from, self.fall_multiple, self.handshake_cost].into_iter();
+        let classes = self.classes.iter().flat_map(|c| [c.value, c.late_value_share, c.target_stretch]);
+        let figures = [self.cold_capacity, self.overload_factor, self.handshake_cost].into_iter();
         let positive = |x: f64| x >= 0.0;
         for (good, what) in [
             (self.slots > 0, "no slots"),
             (!self.classes.is_empty() && !self.kinds.is_empty(), "no classes or no kinds"),
-            (self.max_held > 0 && self.attempt_cap > 0, "no room for messages or attempts"),
-            (figures.chain(classes).chain(self.zone_fees.clone()).all(positive), "a figure is negative"),
+            (self.max_held > 0 && self.max_attempts > 0, "no room for messages or attempts"),
+            (figures.chain(classes).chain(self.zone_costs.clone()).all(positive), "a figure is negative"),
         ] {
             if !good {
                 return Err(format!("settings: {what}"));
--- a/src/state/tables.rs
+++ b/src/state/tables.rs
@@ -21,7 +21,7 @@
             let (dest, zone, lean) = (entry.destination, entry.zone, self.rng.random());
             let fresh = || Endpoint { dest, zone, kind, tie_breaker: lean, ..Endpoint::default() };
             let endpoint = self.endpoints.entry(entry.endpoint).or_insert_with(fresh);
-            endpoint.update_standing(entry.standing, self.now);
+            endpoint.update_standing(entry.state, self.now);
             self.destination(entry.destination).endpoints.insert(entry.endpoint);
             let id = self.pool_id(entry.endpoint);
             let pool = self.pools.entry(id).or_insert_with(|| Pool { tokens: 1.0, ..Pool::default() });
@@ -69,7 +69,7 @@
     /// Drops the rows of endpoints that are long gone and that no call, wait or message names: where
     /// endpoints are replaced all day, the tables would grow and each choice walk ever more of them.
     pub(crate) fn forget(&mut self, out: &mut Vec<Action>) {
-        let (now, span) = (self.now, ns(self.set.cold_span));
+        let (now, span) = (self.now, ns(self.set.warm_up));
         let old = |endpoint: &Endpoint| {
             endpoint.delisted_at.is_some_and(|t| now - t > span) && endpoint.calls.is_empty()
         };
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::*;
 use crate::scheduler::Scheduler;
-use crate::settings::Conf;
+use crate::settings::PlatformConfig;
 use base64::{Engine, engine::general_purpose::STANDARD};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
@@ -13,7 +13,7 @@
 /// One line received.
 #[derive(Deserialize)]
 #[serde(tag = "what", rename_all_fields = "kebab-case")]
-enum News {
+enum Incoming {
     #[serde(rename = "SYNC")]
     Sync { wall_ns: u64 },
     #[serde(rename = "GO")]
@@ -21,7 +21,7 @@
     #[serde(rename = "TABLE")]
     Table { buffer: u64, elements: Vec<Element> },
     #[serde(rename = "NEW_INSTANCE")]
-    NewInstance { courier_id: u64, salt: u64, conf: Box<Conf> },
+    NewInstance { courier_id: u64, salt: u64, conf: Box<PlatformConfig> },
     #[serde(rename = "EXIT")]
     Exit { courier_id: u64 },
     #[serde(rename = "DIRECTORY_UPDATE")]
@@ -54,7 +54,7 @@
         took_ns: u64,
         #[serde(default)]
         last: bool,
-        pressure: Option<Pressure>,
+        pressure: Option<LoadReport>,
     },
     #[serde(rename = "WITHDRAWN")]
     Withdrawn { courier_id: u64, job: u64 },
@@ -69,7 +69,7 @@
         detail: u64,
         #[serde(default)]
         took_ns: u64,
-        pressure: Option<Pressure>,
+        pressure: Option<LoadReport>,
     },
     #[serde(rename = "WHISPER")]
     Whisper { courier_id: u64, sender: u64, contents: String },
@@ -90,7 +90,7 @@
 }
 
 #[derive(Deserialize)]
-struct Pressure {
+struct LoadReport {
     x0: Option<f64>,
     x1: Option<f64>,
 }
@@ -98,7 +98,7 @@
 /// One line sent.
 #[derive(Serialize, Debug, PartialEq)]
 #[serde(tag = "what", rename_all = "SCREAMING_SNAKE_CASE", rename_all_fields = "kebab-case")]
-enum Deed<'a> {
+enum Outgoing<'a> {
     SubmitTo {
         courier_id: u64,
         job: u64,
@@ -169,12 +169,12 @@
         50 => Outcome::ConnectFailed,
         60 => Outcome::Reset,
         70 => Outcome::Cancelled,
-        80 => Outcome::Moot,
+        80 => Outcome::NotSent,
         other => return Err(format!("unknown outcome {other}")),
     })
 }
 
-fn report(pressure: Option<Pressure>) -> Option<Report> {
+fn report(pressure: Option<LoadReport>) -> Option<Report> {
     let p = pressure?;
     Some(Report { left: p.x0?, limit: p.x1? })
 }
@@ -185,7 +185,7 @@
     classes: usize,
     names: Vec<String>,
     numbers: HashMap<String, EndpointId>,
-    news: Vec<Event>,
+    events: Vec<Event>,
     fault: Option<String>,
 }
 
@@ -206,10 +206,10 @@
             destination: DestinationId(e.destination),
             zone: e.zone,
             kind: e.sku,
-            standing: match e.state {
-                0 => Standing::Gone,
-                1 => Standing::Ready,
-                2 => Standing::Draining,
+            state: match e.state {
+                0 => EndpointState::Gone,
+                1 => EndpointState::Ready,
+                2 => EndpointState::Draining,
                 other => return Err(format!("unknown state {other}")),
             },
             weight: e.rating,
@@ -224,7 +224,7 @@
     tables: BTreeMap<u64, Vec<Element>>,
     instances: BTreeMap<u64, Instance>,
     /// Instances with news in this batch, in order of their first event.
-    turn: Vec<u64>,
+    pending: Vec<u64>,
 }
 
 impl Host {
@@ -236,59 +236,60 @@
             if line.trim().is_empty() {
                 continue;
             }
-            let news: News = serde_json::from_str(&line).map_err(|e| at(e.to_string()))?;
-            if let News::Go {} = news {
-                self.answer(&mut output).map_err(|e| at(format!("cannot write the reply: {e}")))?;
+            let incoming: Incoming = serde_json::from_str(&line).map_err(|e| at(e.to_string()))?;
+            if let Incoming::Go {} = incoming {
+                self.reply(&mut output).map_err(|e| at(format!("cannot write the reply: {e}")))?;
             } else {
-                self.take(news).map_err(at)?;
+                self.apply(incoming).map_err(at)?;
             }
         }
         Ok(())
     }
 
     fn push(&mut self, id: u64, event: Event) -> Result<(), String> {
-        self.known(id)?.news.push(event);
+        self.instance(id)?.events.push(event);
         Ok(())
     }
 
-    fn known(&mut self, id: u64) -> Result<&mut Instance, String> {
+    fn instance(&mut self, id: u64) -> Result<&mut Instance, String> {
         let instance = self.instances.get_mut(&id).ok_or_else(|| format!("unknown instance {id}"))?;
-        if !self.turn.contains(&id) {
-            self.turn.push(id);
+        if !self.pending.contains(&id) {
+            self.pending.push(id);
         }
         Ok(instance)
     }
 
-    fn take(&mut self, news: News) -> Result<(), String> {
-        match news {
-            News::Sync { wall_ns } => self.now = Duration::from_nanos(wall_ns),
-            News::Go {} => {}
-            News::Table { buffer, elements } => {
+    fn apply(&mut self, incoming: Incoming) -> Result<(), String> {
+        match incoming {
+            Incoming::Sync { wall_ns } => self.now = Duration::from_nanos(wall_ns),
+            Incoming::Go {} => {}
+            Incoming::Table { buffer, elements } => {
                 self.tables.insert(buffer, elements);
             }
-            News::NewInstance { courier_id, salt, conf } => {
-                let made = conf.settings().and_then(|s| Scheduler::new(s, salt).map_err(|e| e.to_string()));
-                let (scheduler, fault) = match made {
+            Incoming::NewInstance { courier_id, salt, conf } => {
+                let created =
+                    conf.settings().and_then(|s| Scheduler::new(s, salt).map_err(|e| e.to_string()));
+                let (scheduler, fault) = match created {
                     Ok(scheduler) => (Some(scheduler), None),
                     Err(fault) => (None, Some(fault)),
                 };
                 let classes = conf.class_names().count();
-                let (names, numbers, news) = (Vec::new(), HashMap::new(), Vec::new());
+                let (names, numbers, events) = (Vec::new(), HashMap::new(), Vec::new());
                 self.instances
-                    .insert(courier_id, Instance { scheduler, classes, names, numbers, news, fault });
-                self.known(courier_id)?;
+                    .insert(courier_id, Instance { scheduler, classes, names, numbers, events, fault });
+                self.instance(courier_id)?;
             }
-            News::Exit { courier_id } => {
-                self.known(courier_id)?;
+            Incoming::Exit { courier_id } => {
+                self.instance(courier_id)?;
                 self.instances.remove(&courier_id);
-                self.turn.retain(|id| *id != courier_id);
+                self.pending.retain(|id| *id != courier_id);
             }
-            News::DirectoryUpdate { courier_id, kind, buffer } => {
+            Incoming::DirectoryUpdate { courier_id, kind, buffer } => {
                 let event = match kind {
                     0..=2 => {
                         let number = buffer.unwrap_or(0);
                         let table = self.tables.remove(&number).ok_or(format!("no table {number}"))?;
-                        let instance = self.known(courier_id);
+                        let instance = self.instance(courier_id);
                         let entries =
                             instance.and_then(|i| table.iter().map(|e| i.entry(e)).collect::<Result<_, _>>());
                         self.tables.insert(number, table);
@@ -299,7 +300,7 @@
                 };
                 self.push(courier_id, event)?;
             }
-            News::Order {
+            Incoming::Order {
                 courier_id,
                 job,
                 marks,
@@ -310,7 +311,7 @@
                 customer,
                 to_exchange,
             } => {
-                if kind >= self.known(courier_id)?.classes {
+                if kind >= self.instance(courier_id)?.classes {
                     return Err(format!("class {kind} is not listed"));
                 }
                 let event = Event::Taken(Taken {
@@ -320,40 +321,40 @@
                     destination: DestinationId(to_exchange),
                     key: item,
                     time_left: Duration::from_nanos(time_budget_ns.max(0) as u64),
-                    work: estimate_ns.filter(|_| marks & 1 != 0).map(Duration::from_nanos),
-                    past: Past::default(),
+                    estimated_work: estimate_ns.filter(|_| marks & 1 != 0).map(Duration::from_nanos),
+                    history: Past::default(),
                 });
                 self.push(courier_id, event)?;
             }
-            News::Flowing { courier_id, job } => {
+            Incoming::Flowing { courier_id, job } => {
                 self.push(courier_id, Event::Answering { message: MessageId(job) })?;
             }
-            News::Done { courier_id, job, endpoint, how, detail, took_ns, last, pressure } => {
-                let endpoint = self.known(courier_id)?.number(&endpoint);
+            Incoming::Done { courier_id, job, endpoint, how, detail, took_ns, last, pressure } => {
+                let endpoint = self.instance(courier_id)?.number(&endpoint);
                 let event = Event::Ended(Ended {
                     message: MessageId(job),
                     endpoint,
                     outcome: outcome(how, detail)?,
                     took: Duration::from_nanos(took_ns),
-                    over: last,
+                    answered: last,
                     report: report(pressure),
                 });
                 self.push(courier_id, event)?;
             }
-            News::Withdrawn { courier_id, job } => {
+            Incoming::Withdrawn { courier_id, job } => {
                 self.push(courier_id, Event::Withdrawn { message: MessageId(job) })?;
             }
-            News::Elapsed { courier_id, name } => {
+            Incoming::Elapsed { courier_id, name } => {
                 // A name that is no number was not set by the module; it has no use for it.
-                let woken = name.parse().map(|token| Event::Woken { token });
-                if let Ok(event) = woken {
+                let wake_up = name.parse().map(|token| Event::Woken { token });
+                if let Ok(event) = wake_up {
                     self.push(courier_id, event)?;
                 } else {
-                    self.known(courier_id)?;
+                    self.instance(courier_id)?;
                 }
             }
-            News::Echo { courier_id, endpoint, how, detail, took_ns, pressure } => {
-                let endpoint = self.known(courier_id)?.number(&endpoint);
+            Incoming::Echo { courier_id, endpoint, how, detail, took_ns, pressure } => {
+                let endpoint = self.instance(courier_id)?.number(&endpoint);
                 let event = Event::Probed {
                     endpoint,
                     outcome: outcome(how, detail)?,
@@ -362,7 +363,7 @@
                 };
                 self.push(courier_id, event)?;
             }
-            News::Whisper { courier_id, sender, contents } => {
+            Incoming::Whisper { courier_id, sender, contents } => {
                 let note = STANDARD.decode(contents).map_err(|e| format!("contents: {e}"))?;
                 self.push(courier_id, Event::Told { from: sender, note })?;
             }
@@ -370,15 +371,15 @@
         Ok(())
     }
 
-    fn answer(&mut self, output: &mut impl Write) -> io::Result<()> {
+    fn reply(&mut self, output: &mut impl Write) -> io::Result<()> {
         let mut actions = Vec::new();
-        for id in std::mem::take(&mut self.turn) {
+        for id in std::mem::take(&mut self.pending) {
             let Some(instance) = self.instances.get_mut(&id) else { continue };
-            let news = std::mem::take(&mut instance.news);
+            let events = std::mem::take(&mut instance.events);
             actions.clear();
             if let Some(scheduler) = &mut instance.scheduler {
                 let now = self.now;
-                let run = catch_unwind(AssertUnwindSafe(|| scheduler.handle(now, &news, &mut actions)));
+                let run = catch_unwind(AssertUnwindSafe(|| scheduler.handle(now, &events, &mut actions)));
                 if let Err(panic) = run {
                     let text = panic.downcast_ref::<String>().map(String::as_str);
                     let text = text.or(panic.downcast_ref::<&str>().copied());
@@ -387,53 +388,55 @@
                 }
             }
             for action in &actions {
-                if let Some(deed) = deed(id, action, &instance.names) {
-                    write_line(output, &deed)?;
+                if let Some(line) = outgoing(id, action, &instance.names) {
+                    write_line(output, &line)?;
                 }
             }
             if let Some(message) = instance.fault.take() {
-                write_line(output, &Deed::Bug { courier_id: id, message })?;
+                write_line(output, &Outgoing::Bug { courier_id: id, message })?;
             }
         }
-        write_line(output, &Deed::Done)?;
+        write_line(output, &Outgoing::Done)?;
         output.flush()
     }
 }
 
 /// What the wire says of an action; nothing where it has no word for it.
-fn deed<'a>(courier_id: u64, action: &Action, names: &'a [String]) -> Option<Deed<'a>> {
+fn outgoing<'a>(courier_id: u64, action: &Action, names: &'a [String]) -> Option<Outgoing<'a>> {
     let name = |e: EndpointId| names[e.0 as usize].as_str();
     Some(match action {
         // An endpoint that was once listed stays known to the bench.
         Action::Forget { .. } => return None,
-        Action::Send { message, endpoint, timeout } => Deed::SubmitTo {
+        Action::Send { message, endpoint, timeout } => Outgoing::SubmitTo {
             courier_id,
             job: message.0,
             try_for_ns: nanos(*timeout),
             endpoint: name(*endpoint),
         },
         Action::Refuse { message, wait } => {
-            Deed::TurnAway { courier_id, job: message.0, backoff_ns: wait.map(nanos) }
+            Outgoing::TurnAway { courier_id, job: message.0, backoff_ns: wait.map(nanos) }
         }
-        Action::Fail { message } => Deed::ReportFailure { courier_id, job: message.0 },
-        Action::Cancel { message, attempt } => Deed::Revoke { courier_id, job: message.0, send_no: *attempt },
-        Action::Probe { endpoint } => Deed::Poll { courier_id, endpoint: name(*endpoint) },
-        Action::Close { endpoint } => Deed::Close { courier_id, endpoint: name(*endpoint) },
-        Action::Subscribe { active } => Deed::Subscribe { courier_id, active: *active },
-        Action::Fetch => Deed::Fetch { courier_id },
-        Action::Tell { to, note } => Deed::Notify {
+        Action::Fail { message } => Outgoing::ReportFailure { courier_id, job: message.0 },
+        Action::Cancel { message, attempt } => {
+            Outgoing::Revoke { courier_id, job: message.0, send_no: *attempt }
+        }
+        Action::Probe { endpoint } => Outgoing::Poll { courier_id, endpoint: name(*endpoint) },
+        Action::Close { endpoint } => Outgoing::Close { courier_id, endpoint: name(*endpoint) },
+        Action::Subscribe { active } => Outgoing::Subscribe { courier_id, active: *active },
+        Action::Fetch => Outgoing::Fetch { courier_id },
+        Action::Tell { to, note } => Outgoing::Notify {
             courier_id,
             whom: to.map_or(-1, |peer| peer as i64),
             contents: STANDARD.encode(note),
         },
         Action::Wake { token, after } => {
-            Deed::WakeAt { courier_id, name: token.to_string(), from_now_ns: nanos(*after) }
+            Outgoing::WakeAt { courier_id, name: token.to_string(), from_now_ns: nanos(*after) }
         }
-        Action::Note { text } => Deed::NoteDown { courier_id, message: text.clone() },
+        Action::Note { text } => Outgoing::NoteDown { courier_id, message: text.clone() },
     })
 }
 
-fn write_line(output: &mut impl Write, deed: &Deed) -> io::Result<()> {
-    serde_json::to_writer(&mut *output, deed)?;
+fn write_line(output: &mut impl Write, line: &Outgoing) -> io::Result<()> {
+    serde_json::to_writer(&mut *output, line)?;
     output.write_all(b"\n")
 }
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -47,10 +47,10 @@
             Outcome::TimedOut | Outcome::Cancelled => Some(FailureKind::Timeout),
             Outcome::Reset => Some(FailureKind::Reset),
             Outcome::Error => Some(FailureKind::Error),
-            Outcome::Moot => return,
+            Outcome::NotSent => return,
         };
         let now = self.now;
-        let Some(e) = self.endpoints.get_mut(&id).filter(|_| self.set.zone_fees.len() > 1) else { return };
+        let Some(e) = self.endpoints.get_mut(&id).filter(|_| self.set.zone_costs.len() > 1) else { return };
         (e.outcome_at, e.last_failure) = (now, failure);
         // In a well zone what went well changes nothing; others are judged each time.
         if failure.is_some() {
@@ -90,7 +90,7 @@
                 Suspect if share < HEALTHY_SHARE => Healthy,
                 Out if evidence.observed > 0 && share < SUSPECT_SHARE => Returning,
                 Returning if evidence.is_suspect() => Out,
-                Returning if share < HEALTHY_SHARE && elapsed >= self.set.cold_span.as_secs_f64() => Healthy,
+                Returning if share < HEALTHY_SHARE && elapsed >= self.set.warm_up.as_secs_f64() => Healthy,
                 same => same,
             };
             if next == was.state {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -11,13 +11,13 @@
 
 pub fn class(effect: Effect, aim_ms: u32, deadline_ms: u32, worth: f64) -> Class {
     Class {
-        aim: MS * aim_ms,
+        latency_target: MS * aim_ms,
         deadline: MS * deadline_ms,
-        worth,
-        late_share: 0.3,
+        value: worth,
+        late_value_share: 0.3,
         effect,
         ordered: false,
-        aim_stretch: 0.0,
+        target_stretch: 0.0,
     }
 }
 
@@ -32,17 +32,17 @@
             class(Effect::Once, 2000, 20_000, 5.0),
         ],
         kinds: vec![
-            Kind { separate_routes: false, bundle_max: 1 },
-            Kind { separate_routes: true, bundle_max: 1 },
-            Kind { separate_routes: true, bundle_max: 4 },
+            Kind { separate_routes: false, max_batch: 1 },
+            Kind { separate_routes: true, max_batch: 1 },
+            Kind { separate_routes: true, max_batch: 4 },
         ],
         tenants: 0,
         slots: 8,
         max_held: 200,
-        attempt_cap: 6,
-        worth_loss: WorthLoss::Line,
+        max_attempts: 6,
+        value_decay: ValueDecay::Linear,
         handshake_cost: 0.04,
-        zone_fees: vec![0.0, 0.03],
+        zone_costs: vec![0.0, 0.03],
         weights: WeightKind::None,
         connect_timeout: MS * 1000,
         keepalive: MS * 10_000,
@@ -52,11 +52,11 @@
         must_subscribe: false,
         tick: MS * 5,
         drain_grace: MS * 1000,
-        cold_from: 0.2,
-        cold_span: MS * 10_000,
-        fall_multiple: 2.0,
-        fall_span: MS * 3000,
-        order_pause: MS * 500,
+        cold_capacity: 0.2,
+        warm_up: MS * 10_000,
+        overload_factor: 2.0,
+        overload_span: MS * 3000,
+        key_pause: MS * 500,
     }
 }
 
@@ -66,7 +66,7 @@
         destination: DestinationId(destination),
         zone,
         kind,
-        standing: Standing::Ready,
+        state: EndpointState::Ready,
         weight: 0.0,
     }
 }
@@ -79,8 +79,8 @@
         destination: DestinationId(destination),
         key: None,
         time_left,
-        work: None,
-        past: Past::default(),
+        estimated_work: None,
+        history: Past::default(),
     })
 }
 
@@ -90,7 +90,7 @@
         endpoint: EndpointId(endpoint),
         outcome,
         took: MS * took_ms,
-        over: outcome == Outcome::Delivered,
+        answered: outcome == Outcome::Delivered,
         report: None,
     })
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -7,10 +7,10 @@
 
 /// Notices lose all their worth soon after their aim, orders little by little.
 fn notices_and_orders() -> Settings {
-    let mut set = Settings { weights: WeightKind::Nominal, worth_loss: WorthLoss::Line, ..settings() };
+    let mut set = Settings { weights: WeightKind::Nominal, value_decay: ValueDecay::Linear, ..settings() };
     let keyed = Effect::Keyed { scope: KeyScope::All, window: MS * 5000 };
     set.classes = vec![
-        Class { late_share: 0.0, ..class(Effect::Repeatable, 800, 5000, 2.0) },
+        Class { late_value_share: 0.0, ..class(Effect::Repeatable, 800, 5000, 2.0) },
         class(keyed, 3000, 12_000, 1.0),
     ];
     (set.tenants, set.couriers) = (1, 1);
@@ -32,9 +32,9 @@
             .map(|(_, message, endpoint)| {
                 let (at, class) = arrivals[message as usize];
                 let c = &set.classes[class];
-                let late = (now - start).saturating_sub(MS * at + c.aim).as_secs_f64();
-                let span = (c.deadline - c.aim).as_secs_f64();
-                earned[message as usize] = 1.0 - (1.0 - c.late_share) * late / span;
+                let late = (now - start).saturating_sub(MS * at + c.latency_target).as_secs_f64();
+                let span = (c.deadline - c.latency_target).as_secs_f64();
+                earned[message as usize] = 1.0 - (1.0 - c.late_value_share) * late / span;
                 ended(message, endpoint, Outcome::Delivered, 80)
             })
             .collect();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -55,7 +55,7 @@
         assert!(!m.out, "two attempts out");
         assert_eq!(told.entry.destination.0, m.destination, "sent to another destination");
         assert!(told.ended.is_none_or(|t| self.now <= t + self.set.drain_grace), "drain not kept");
-        assert!(m.attempts < self.set.attempt_cap, "too many attempts");
+        assert!(m.attempts < self.set.max_attempts, "too many attempts");
         if let Some((first, at)) = m.ran {
             match self.set.classes[m.class].effect {
                 Effect::Repeatable => {}
@@ -82,7 +82,7 @@
             3 | 4 => Outcome::TimedOut,
             5 => Outcome::ConnectFailed,
             6 => Outcome::Reset,
-            7 => Outcome::Moot,
+            7 => Outcome::NotSent,
             _ => Outcome::Delivered,
         };
         let took = match outcome {
@@ -95,7 +95,7 @@
             endpoint: EndpointId(endpoint),
             outcome,
             took,
-            over,
+            answered: over,
             report: None,
         });
         self.coming.push((self.now + took, event));
@@ -129,13 +129,13 @@
         let pool = self.pool(e.endpoint.0);
         let m = self.open.get_mut(&e.message.0).expect("known");
         m.out = false;
-        m.answered |= e.over;
+        m.answered |= e.answered;
         let ran = matches!(e.outcome, Outcome::Error | Outcome::TimedOut | Outcome::Reset);
         if ran && m.ran.is_none() {
             m.ran = Some((e.endpoint.0, self.now - e.took));
         }
         if let (Outcome::TimedOut | Outcome::Reset, Some(key)) = (e.outcome, &m.key) {
-            self.rests.insert(key.clone(), (e.message.0, self.now + self.set.order_pause));
+            self.rests.insert(key.clone(), (e.message.0, self.now + self.set.key_pause));
         }
         if let Outcome::Full { wait: Some(wait) } = e.outcome {
             let until = self.waits.entry(pool).or_default();
@@ -199,10 +199,10 @@
         if world.rng.random_bool(0.004) {
             let n = world.rng.random_range(0..6);
             let told = world.list.get_mut(&n).expect("listed");
-            let standing =
-                [Standing::Ready, Standing::Draining, Standing::Gone][world.rng.random_range(0..3)];
-            told.entry.standing = standing;
-            told.ended = (standing != Standing::Ready).then(|| told.ended.unwrap_or(now));
+            let standing = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone]
+                [world.rng.random_range(0..3)];
+            told.entry.state = standing;
+            told.ended = (standing != EndpointState::Ready).then(|| told.ended.unwrap_or(now));
             events.push(Event::Listed { whole: false, entries: vec![told.entry] });
         }
         if world.rng.random_bool(0.01) {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -32,7 +32,7 @@
 fn settings_that_cannot_be_worked_with_are_an_error() {
     let no_slots = Settings { slots: 0, ..settings() };
     let no_classes = Settings { classes: Vec::new(), ..settings() };
-    let nonsense = Settings { fall_multiple: f64::NAN, ..settings() };
+    let nonsense = Settings { overload_factor: f64::NAN, ..settings() };
     assert!([no_slots, no_classes, nonsense].into_iter().all(|s| Scheduler::new(s, 1).is_err()));
 }
 
@@ -154,7 +154,7 @@
 #[test]
 fn nothing_goes_to_a_draining_endpoint_and_a_message_without_one_is_refused_in_time() {
     let mut d = Drive::new(settings(), vec![entry(0, 1, 0, 0)]);
-    let gone = Entry { standing: Standing::Draining, ..entry(0, 1, 0, 0) };
+    let gone = Entry { state: EndpointState::Draining, ..entry(0, 1, 0, 0) };
     d.feed(&[Event::Listed { whole: false, entries: vec![gone] }]);
     let mut actions = d.feed(&[taken(1, 0, 1, MS * 3000)]);
     actions.extend(d.pass(MS * 3100));
@@ -448,7 +448,7 @@
 /// A message that was taken on before a restart, and not tried.
 fn found(message: u64, class: usize, destination: u64, time_left: Duration) -> Event {
     match taken(message, class, destination, time_left) {
-        Event::Taken(t) => Event::Taken(Taken { past: Past { found: true, ..Past::default() }, ..t }),
+        Event::Taken(t) => Event::Taken(Taken { history: Past { recovered: true, ..Past::default() }, ..t }),
         other => other,
     }
 }
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -11,7 +11,7 @@
 const EACH: u32 = 2;
 
 fn world(zones: usize) -> Drive {
-    let set = Settings { slots: 60, zone_fees: vec![0.0; zones], couriers: 1, ..settings() };
+    let set = Settings { slots: 60, zone_costs: vec![0.0; zones], couriers: 1, ..settings() };
     let mut entries = Vec::new();
     for z in 0..zones {
         for d in 0..DESTINATIONS {
@@ -89,7 +89,7 @@
         let away = |z: usize, d: u64, n| entry(100 * z as u32 + 10 * d as u32 + n, d, z, 0);
         let all = [0, 2].into_iter().flat_map(|z| (0..DESTINATIONS).map(move |d| (z, d)));
         let entries = all.flat_map(|(z, d)| (0..EACH).map(move |n| away(z, d, n)));
-        let entries = entries.map(|e| Entry { standing: Standing::Draining, ..e }).collect();
+        let entries = entries.map(|e| Entry { state: EndpointState::Draining, ..e }).collect();
         drive.feed(&[Event::Listed { whole: false, entries }]);
         traffic(&mut drive, &mut next, MS * 25_000, well);
         assert_eq!(path(&drive, 1), ["Suspect", "Out", "Returning", "Healthy"], "{outcome:?}");
