--- a/src/scheduler/calls.rs
+++ b/src/scheduler/calls.rs
@@ -1,4 +1,4 @@
-//! Calls: begun, called off where they are stuck, and booked when they end.
+//! Starts calls, cancels stuck ones, and records how they end.
 
 use super::connections::connect_pause;
 use super::pace::{REFUSAL_DOUBLINGS, REFUSAL_LONGEST, REFUSAL_PAUSE};
@@ -8,22 +8,22 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Latency before the first answer, s, of a destination and of an endpoint; weight of each further one.
+/// Initial latency estimate of a destination, s (an endpoint starts at 0); EWMA weight of each sample.
 pub(super) const INITIAL_LATENCY: f64 = 0.05;
 const LATENCY_GAIN: f64 = 0.15;
 pub(crate) const DEST_LATENCY: Smoothing = Smoothing { initial: INITIAL_LATENCY, gain: LATENCY_GAIN };
 const ENDPOINT_LATENCY: Smoothing = Smoothing { initial: 0.0, gain: LATENCY_GAIN };
-/// Time-out in latencies, and least, s, as a call that is given up is work done twice, and the time that is
-/// left bounds it anyway; time-outs after which a call that blocks others is called off.
+/// Time-out as a multiple of the latency, and its minimum, s: a call that is given up too early is work done
+/// twice, and the deadline bounds it anyway. `STUCK_FACTOR` time-outs cancel a call that blocks others.
 const TIMEOUT_LATENCIES: f64 = 7.0;
 const MIN_TIMEOUT: f64 = 1.0;
 const STUCK_FACTOR: f64 = 1.5;
-/// Length, s, of a told wait that ends cold: a limit tells waits of its window, a second or two, and only
-/// one that is shut tells more.
+/// Requested wait, s, beyond which slow start follows: a rate limit asks for waits of its window, 1 to 2 s;
+/// only a destination that is shut asks for more.
 const LONG_WAIT: f64 = 2.5;
 
 impl Scheduler {
-    /// Sends a held message, in a call that others of this reply share where there is room.
+    /// Sends a queued message, in a call begun by the same `handle` if that has room for more messages.
     pub(super) fn send(
         &mut self,
         id: MessageId,
@@ -44,7 +44,7 @@
         let patience = to_ns(self.attempt_timeout(&self.endpoints[&endpoint]));
         let message = self.messages.get_mut(&id).expect("held");
         let left = message.deadline - now - ns(self.set.tick) * 2;
-        // What may run only once is given all its time: cutting it short can only fail it.
+        // A message that may run only once gets all its time: an earlier time-out could only fail it.
         let once = self.set.classes[message.class].effect == Effect::Once;
         let timeout = if once { left } else { left.min(patience) };
         let (dest, due) = (message.dest, message.due);
@@ -57,7 +57,7 @@
         self.space_calls(endpoint);
     }
 
-    /// Takes a slot for a new call; true if it has to open a connection.
+    /// Takes a slot for a new call; true if the call has to open a connection.
     fn begin_call(&mut self, id: EndpointId, joined: &mut OpenCalls) -> (u64, bool) {
         let (now, call, pool) = (self.now, self.next_call, self.pool_id(id));
         self.next_call += 1;
@@ -76,12 +76,12 @@
         (call, connects)
     }
 
-    /// How long an attempt that may be repeated is waited for, s.
+    /// Time-out of an attempt that may be repeated, s.
     fn attempt_timeout(&self, endpoint: &Endpoint) -> f64 {
         (TIMEOUT_LATENCIES * endpoint.latency.seconds()).max(MIN_TIMEOUT)
     }
 
-    /// Calls off the oldest stuck call where messages wait for its slot. An unsafe message is lost by it.
+    /// Cancels the oldest stuck call if messages wait for its slot. A message that may run only once is lost.
     pub(super) fn cancel_stuck_call(&mut self, out: &mut Vec<Action>) {
         self.stuck_check_at = NEVER;
         let wanted = self.set.may_cancel && !self.need_slot.is_empty();
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Books the end of a call: slots, latency, pace and health. A bundle is booked once.
+    /// Records the end of a call: slots, latency, rate and health. A batch of messages is recorded once.
     pub(super) fn call_ended(&mut self, flight: InFlight, ended: &Ended, out: &mut Vec<Action>) {
         let (id, outcome, took) = (ended.endpoint, ended.outcome, ended.took.as_secs_f64());
         let InFlight { call, sent, connects, .. } = flight;
@@ -139,7 +139,7 @@
                 self.space_calls(id);
             }
             Outcome::Full { wait } => self.record_refusal(id, sent, wait),
-            // Too many connections look like a dead endpoint, but for answers on the others.
+            // Running out of connections looks like a dead endpoint, except that other connections answer.
             Outcome::ConnectFailed
                 if endpoint.success_at > sent || (!endpoint.calls.is_empty() && endpoint.success_at > 0) =>
             {
@@ -147,7 +147,7 @@
             }
             Outcome::Cancelled | Outcome::NotSent => {}
             _ => {
-                // A call takes at least as long as it was out: else a slow one never meets its time-out.
+                // After a time-out the latency is at least that long; else slow calls would always time out.
                 let least = if outcome == Outcome::TimedOut { took } else { 0.0 };
                 endpoint.latency.sample_at_least(&ENDPOINT_LATENCY, least);
                 self.record_failure(id, call);
@@ -157,13 +157,13 @@
         self.close_spare_connections(id, out);
     }
 
-    /// Books a refusal: its pool waits as told, or ever longer, and its pace is cut.
+    /// Records a refusal: the pool waits as requested, or with exponential backoff, and its rate is cut.
     fn record_refusal(&mut self, id: EndpointId, sent: Ns, wait: Option<Duration>) {
         let (now, pool) = (self.now, self.pool_id(id));
         let (gap, slow) = (self.warm_up_gap(id, 1.0), 1.0 / (self.rate_share(id)).max(1e-3));
         let random: f64 = self.rng.random();
         let pool = self.pools.get_mut(&pool).expect("each endpoint has a pool");
-        // A rush that left before the first refusal was known counts once.
+        // Calls sent before the first refusal was known count as one.
         pool.refusals = (pool.refusals + u32::from(sent >= pool.refused_at)).max(1);
         pool.refused_at = now;
         pool.cut(now, self.set.couriers);
@@ -174,7 +174,7 @@
             let pause = doubled.min(slow.max(REFUSAL_LONGEST)) * (0.5 + random);
             pool.wait_until = pool.wait_until.max(now + to_ns(pause));
         } else if let Some(wait) = wait.filter(|wait| wait.as_secs_f64() > LONG_WAIT) {
-            // Shut until then: all that were told so come at once, and it is cold.
+            // Shut until then: all couriers return at once and it has reduced capacity, so start slowly.
             endpoint.slow_start_from = Some(now + ns(wait));
             let spread = self.set.warm_up.as_secs_f64() * random.sqrt();
             endpoint.next_call_at = now + ns(wait) + to_ns(spread.min(2.0 * random * gap));
--- a/src/scheduler/choice.rs
+++ b/src/scheduler/choice.rs
@@ -1,4 +1,4 @@
-//! Which held messages go now, and to which endpoint.
+//! Selects which queued messages are sent now, and to which endpoint.
 
 use super::calls::INITIAL_LATENCY;
 use super::health::RATIO_HALF_LIFE;
@@ -6,18 +6,18 @@
 use crate::state::*;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Endpoints are compared in points of the result: latency (per aim), doubt, and each courier's own leaning.
+/// Endpoint costs in score points: of latency (relative to the target), failure ratio and tie-breaker.
 const COST_LATENCY: f64 = 0.05;
 const COST_FAILURES: f64 = 0.5;
-/// Of the last slots, one in so many and one more, a second costs what other messages could have had of it.
+/// Cost per second of one of the last slots (1 in `LAST_SLOTS`, plus one), which other messages could use.
 const COST_LAST_SLOTS: f64 = 0.5;
 const LAST_SLOTS: usize = 20;
 const COST_TIE: f64 = 0.005;
-/// Failure ratio too doubtful for a message that may run only once.
+/// Failure ratio from which an endpoint is avoided for messages that may run only once.
 const ONCE_MAX_RATIO: f64 = 0.2;
 
 impl Scheduler {
-    /// Sends what may go now, by earliest deadline over the destinations with news.
+    /// Sends all messages that may go now, earliest deadline first, over the destinations that changed.
     pub(super) fn release(&mut self, touched: &BTreeSet<DestinationId>, out: &mut Vec<Action>) {
         let held: BTreeSet<_> =
             touched.iter().flat_map(|destination| self.dests[destination].timeline.iter()).collect();
@@ -38,7 +38,7 @@
         self.cancel_stuck_call(out);
     }
 
-    /// The cheapest endpoint that may take this message now. Each rule on sends is kept here.
+    /// Returns the cheapest endpoint that may take this message now. All rules on sending are enforced here.
     fn choose_endpoint(&mut self, id: MessageId, joined: &OpenCalls) -> Option<EndpointId> {
         let message = &self.messages[&id];
         let dest = message.dest;
@@ -46,7 +46,7 @@
         let (mut best, mut starved, mut later) = (None, Vec::new(), NEVER);
         for id in &self.dests[&dest].endpoints {
             let endpoint = &self.endpoints[id];
-            // Rules: nothing to a draining or gone endpoint; a keyed repeat only where it is dropped.
+            // Rules: no sends to draining or removed endpoints; keyed repeats only where deduplicated.
             if !endpoint.ready || !self.in_scope(message, *id, endpoint) {
                 continue;
             }
@@ -60,7 +60,7 @@
             }
             let pool_id = self.pool_id(*id);
             let pool = &self.pools[&pool_id];
-            // Rules: waits are kept, and an endpoint back from an outage gets its calls spaced.
+            // Rules: requested waits are respected; after an outage calls to an endpoint are spaced.
             let spaced = !joins && endpoint.slow_start_from.is_some();
             let mut free = if spaced { pool.wait_until.max(endpoint.next_call_at) } else { pool.wait_until };
             if let Some(paced) = self.paced_until(pool, endpoint).filter(|_| !joins) {
@@ -85,7 +85,7 @@
         best.map(|(_, id)| id)
     }
 
-    /// When the pace lets the next call through, if it holds it back now. Trials are not paced.
+    /// When the rate limiter permits the next call, if not now. Trial calls are exempt.
     fn paced_until(&self, pool: &Pool, endpoint: &Endpoint) -> Option<Ns> {
         let lack = 1.0 - pool.tokens_at(self.now);
         let rate = pool.rate.filter(|_| lack > 0.0 && endpoint.breaker == Breaker::Closed)?;
@@ -96,7 +96,7 @@
         endpoint.idle.iter().any(|used| *used > self.now - ns(self.set.keepalive))
     }
 
-    /// What a message costs at an endpoint, in points of the result.
+    /// Cost of sending the message to this endpoint, in score points.
     fn cost(&self, message: &Message, id: EndpointId, endpoint: &Endpoint, connects: bool) -> f64 {
         let separate = self.set.kinds[endpoint.kind].separate_routes;
         let fee = self.set.zone_costs.get(endpoint.zone).filter(|_| separate).copied().unwrap_or(0.0);
@@ -111,14 +111,14 @@
         fee + cold + again + slow * load + COST_TIE * endpoint.tie_breaker + failures
     }
 
-    /// Rule: ordered messages go one at a time by key, which rests after one that may still run.
+    /// Rule: ordered messages go one at a time per key, with a pause after one that may still be running.
     fn is_next_for_key(&self, id: MessageId, message: &Message) -> bool {
         let Some(key) = &message.key else { return true };
         let rested = self.key_pauses.get(key).is_none_or(|(of, until)| *of == id || *until <= self.now);
         rested && self.key_queues.get(key).and_then(VecDeque::front) == Some(&id)
     }
 
-    /// Rule: what may have run goes again only where that is harmless by its effect class.
+    /// Rule: a message that may have run is repeated only where its effect class makes that harmless.
     fn in_scope(&self, message: &Message, id: EndpointId, endpoint: &Endpoint) -> bool {
         let Some((first, zone, _)) = message.may_have_run else { return true };
         match self.set.classes[message.class].effect {
@@ -138,8 +138,8 @@
         in_window && message.attempts < self.set.max_attempts
     }
 
-    /// None if the message may go there, else when to ask again. A half-open breaker lets one trial through.
-    /// What may run only once keeps off doubtful endpoints until half its time is gone.
+    /// None if the endpoint may be used, else when to check again. A half-open breaker admits one trial call.
+    /// Messages that may run only once avoid failing endpoints until half of their time has passed.
     fn avoided_until(&self, message: &Message, endpoint: &Endpoint) -> Option<Ns> {
         let half_gone = message.deadline - ns(self.set.classes[message.class].deadline) / 2;
         let ratio = self.failure_ratio(endpoint);
--- a/src/scheduler/connections.rs
+++ b/src/scheduler/connections.rs
@@ -1,17 +1,17 @@
-//! Connections to endpoints: which are kept, and when new ones are tried.
+//! Connections to endpoints: which are kept open, and when new ones are attempted.
 
 use super::pace::{REFUSAL_LONGEST, REFUSAL_PAUSE};
 use crate::interface::*;
 use crate::state::*;
 use rand::Rng;
 
-/// Calls a keep-alive that make a connection worth keeping where few can be had, and memory of that.
+/// Calls per keep-alive time from which a scarce connection is kept; keep-alive times it counts as scarce.
 const MIN_REUSE: f64 = 5.0;
 const SCARCE_SPANS: f64 = 6.0;
 
 impl Scheduler {
-    /// Where no connection was to be had (the endpoint's limit, or that of what lies between), new ones are
-    /// tried one at a time and ever more seldom; the kept ones serve on.
+    /// After a failed connect (the endpoint's connection limit, or one on the network path), new connections
+    /// are attempted one at a time with exponential backoff; existing connections stay in use.
     pub(super) fn record_connection(&mut self, id: EndpointId, sent: Ns, connects: bool, outcome: Outcome) {
         let kept = matches!(outcome, Outcome::Delivered | Outcome::Error | Outcome::Full { .. });
         let (now, endpoint) = (self.now, self.endpoints.get_mut(&id).expect("known"));
@@ -21,9 +21,9 @@
         }
         if outcome == Outcome::ConnectFailed {
             self.last_connect_failure[endpoint.kind] = secs(now);
-            // Those that were thought idle when it left are not there.
+            // Connections thought to be idle when the call was sent no longer exist.
             endpoint.idle.retain(|t| *t > sent);
-            // A rush that left before the first failure was known counts once.
+            // Calls sent before the first failure was known count as one.
             endpoint.connect_failures += u32::from(sent >= endpoint.connect_failed_at);
             endpoint.connect_failed_at = now;
             endpoint.connect_at =
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Frees an idle connection where they are few and this courier has no early use for it: idle ones count.
+    /// Closes idle connections if they are scarce and not needed soon, as idle ones count against the limit.
     pub(super) fn close_spare_connections(&mut self, id: EndpointId, out: &mut Vec<Action>) {
         let endpoint = &self.endpoints[&id];
         let span = self.set.keepalive.as_secs_f64();
@@ -44,7 +44,7 @@
     }
 }
 
-/// Pause between new connections after so many that were not to be had, s.
+/// Pause before the next new connection after this many failed connects, s.
 pub(super) fn connect_pause(times: u32) -> f64 {
     if times == 0 { 0.0 } else { (REFUSAL_PAUSE * 2f64.powi(times as i32 - 1)).min(REFUSAL_LONGEST) }
 }
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -1,28 +1,28 @@
-//! Health of endpoints: breakers, silence, and slow start after an outage.
+//! Endpoint health: circuit breakers, hung calls, and slow start after an outage.
 
 use crate::interface::*;
 use crate::state::*;
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// EWMA weights: of a failure, and of a failure where there is no fresh success.
+/// EWMA weights: of a failure, and of a failure without a recent success (4 s).
 const FAILURE_GAIN: f64 = 0.25;
 const STALE_GAIN: f64 = 0.6;
-/// A failure ratio halves in this time, s.
+/// Half-life of a failure ratio without new calls, s.
 pub(super) const RATIO_HALF_LIFE: f64 = 4.0;
-/// Failure ratio (each failure moves it) above which a breaker opens.
+/// Failure ratio (updated by each failure) above which a breaker opens.
 const TRIP_RATIO: f64 = 0.5;
-/// Pause of an open breaker: first, s, and growth with the time for which it has ailed; least, s; part of a
-/// pause between the trials of one destination. A trial is a real message: the first pause outlasts a
-/// hiccup, the growth spares a long outage most of them, and a known rate ends a pause sooner.
+/// Pause of an open breaker: initial, s; minimum, s; growth per second of failure; and, as a share of it, the
+/// spacing of trials at one destination. A trial is a real message, so the first pause outlasts a short
+/// glitch, the growth limits trials in a long outage, and a known rate limit shortens the pause.
 const OPEN_FIRST: f64 = 1.5;
 const MIN_OPEN: f64 = 0.5;
 const OPEN_GROWTH: f64 = 6.0;
 const TRIAL_SPACING: f64 = 0.5;
-/// Length, s, of an outage that ends cold. In a shorter one nobody has stopped calling.
+/// Outage length, s, from which slow start follows. In a shorter one couriers have not stopped calling.
 const MIN_OUTAGE: f64 = 1.0;
-/// A call this many latencies old with no answer since is taken as hung; and the least, s, which one slow
-/// call among fast ones does not reach.
+/// Age, in latencies, from which a call counts as hung if the endpoint has not answered since it was sent;
+/// and the minimum, s, which one slow call among fast ones does not reach.
 const HANG_LATENCIES: f64 = 6.0;
 const MIN_HANG: f64 = 0.8;
 
@@ -36,11 +36,11 @@
         let endpoint = self.endpoints.get_mut(&id).expect("known");
         (endpoint.failure_ratio, endpoint.failure_ratio_at) = (ratio * (1.0 - FAILURE_GAIN), now);
         endpoint.success_at = now;
-        // Slow start follows failures, not mere silence: a lost reply must not cost a well endpoint its rate.
+        // Slow start follows failures, not hung calls: a lost reply must not cut a healthy endpoint's rate.
         if endpoint.breaker != Breaker::Closed {
             endpoint.breaker = Breaker::Closed;
             if endpoint.was_down && secs(now - endpoint.failing_since) > MIN_OUTAGE {
-                // It was down: that is why there were no connections, not that they are few.
+                // Connects failed because it was down, not because connections are scarce.
                 self.last_connect_failure[endpoint.kind] = f64::MIN;
                 (endpoint.slow_start_from, endpoint.next_call_at) = (Some(now), now);
                 self.space_calls(id);
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Opens a breaker. The next trial comes after a multiple of the time for which it has ailed, as ever
-    /// more couriers have something to try there, but no later than the known rate has room for all.
+    /// Opens a breaker. The pause until the next trial grows with the duration of the failure, as more
+    /// couriers have messages to try there, but is no longer than the known rate needs to serve all of them.
     fn open_breaker(&mut self, id: EndpointId, cold: bool) {
         let (now, jitter, rate) = (self.now, self.jitter(), self.rate_share(id).max(1e-3));
         let endpoint = self.endpoints.get_mut(&id).expect("known");
@@ -75,8 +75,8 @@
         endpoint.slow_start_from = endpoint.slow_start_from.filter(|_| !endpoint.was_down);
         let (turn_at, apart) = (now + to_ns(pause * jitter), to_ns(TRIAL_SPACING * pause));
         endpoint.breaker = Breaker::Open;
-        // Outages mostly take a destination whole: one trial speaks for all its open endpoints. They take
-        // turns, what failed last comes last: else it alone is tried, and others that are back stay shut.
+        // Outages mostly affect a whole destination, so one trial stands for all its open endpoints. Trials
+        // rotate, the latest failure last; else only that one is tried and recovered ones stay unused.
         let others = self.dests[&endpoint.dest].endpoints.iter().map(|o| (*o, &self.endpoints[o]));
         let shut =
             others.filter(|(o, endpoint)| *o != id && endpoint.ready && endpoint.breaker == Breaker::Open);
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Finds hung calls and moves open breakers on, at the endpoints of one destination.
+    /// Detects hung calls and advances open breakers at the endpoints of one destination.
     pub(super) fn check_health(&mut self, dest: DestinationId) {
         let now = self.now;
         let destination = &self.dests[&dest];
@@ -96,8 +96,8 @@
             let endpoint = self.endpoints.get_mut(&id).expect("known");
             let hang = to_ns((HANG_LATENCIES * endpoint.latency.seconds().max(usual)).max(MIN_HANG));
             endpoint.slow_start_from = endpoint.slow_start_from.filter(|t| now - t <= ns(self.set.warm_up));
-            // Silence: a call much older than usual and no answer since it left. One slow call can trip it,
-            // which costs a trial. A courier that stalled hears all its news first: that is no silence.
+            // Hung: much older than usual, no answer since it was sent. One slow call may open the breaker,
+            // for the cost of a trial. A courier that stalled applies pending events first, so sees no hang.
             let hung = |c: &(Ns, usize)| c.0 != Ns::MIN && now - c.0 > hang && endpoint.success_at < c.0;
             let waits =
                 endpoint.calls.values().filter(|c| c.0 != Ns::MIN && !hung(c)).map(|c| c.0 + hang + 1).min();
@@ -120,19 +120,19 @@
         }
     }
 
-    /// Time, s, in which this courier's part of the fail-back budget allows so many calls, as it grows.
+    /// Time, s, until this courier's growing share of the slow-start budget allows this many calls.
     pub(super) fn warm_up_gap(&self, id: EndpointId, calls: f64) -> f64 {
         let (from, cold) = (self.endpoints[&id].slow_start_from.unwrap_or(self.now), self.set.cold_capacity);
         let span = self.set.warm_up.as_secs_f64().max(1e-3);
         let present = cold + (1.0 - cold) * (secs(self.now - from) / span).clamp(0.0, 1.0);
         let budget = calls / (self.set.overload_factor * self.rate_share(id)).max(1e-3);
-        // Present grows by this a second; what it lets through until then is the budget.
+        // Capacity share now, and its growth per second; the integral over the gap equals the budget.
         let growth = ((1.0 - cold) / span).max(1e-9);
         ((present * present + 2.0 * growth * budget).sqrt() - present) / growth
     }
 
-    /// Rule: an endpoint back from an outage is not pushed over. Each keeps its part of the budget, or,
-    /// where that is less than a call, goes once at random while it warms, rather late than early.
+    /// Rule: do not overload an endpoint after an outage. Each courier keeps to its share of the budget or,
+    /// if that is less than a call, calls once at a random time of the slow start, rather late than early.
     pub(crate) fn space_calls(&mut self, id: EndpointId) {
         let random = self.rng.random::<f64>();
         let gap = self.warm_up_gap(id, 0.5 + random);
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,9 +1,10 @@
-//! The decision module: what one courier does with each message. Pure: time comes with each call, chance
-//! from the seed. Each destination has a Fair-EDF occupancy chart of the messages held for it; they leave
-//! by earliest deadline; when a chart is infeasible the fewest give way, of the tenant or class least missed.
+//! The scheduler: decides what one courier does with each message. It is deterministic: each call passes the
+//! time, and the seed determines all randomness. Each destination has a Fair-EDF timeline (occupancy chart)
+//! of its queued messages, sent earliest deadline first. While a timeline is infeasible, as few messages as
+//! possible are postponed or refused, from the tenant or class with the lowest miss ratio.
 //!
-//! Times are in s, and stand here only where the settings tell none. Deadlines, windows, graces, limits and
-//! costs come from these alone; what acts on load is a share of them, or of what was measured there.
+//! Constants are in seconds and exist only where the settings give no value. Deadlines, windows, grace times,
+//! limits and costs come from the settings; reactions to load are a share of them or of measured values.
 
 mod calls;
 mod choice;
@@ -18,17 +19,17 @@
 use crate::state::*;
 pub(crate) use calls::DEST_LATENCY;
 
-/// Held messages past this share of the room: the longest chart sheds.
+/// When more than this share of `max_held` is in use, the longest timeline sheds messages.
 const ROOM_SHARE: f64 = 0.9;
 
 impl Scheduler {
-    /// Starts a courier's module without any state; `seed` feeds its jitter.
+    /// Creates a scheduler without any state; `seed` initialises its random jitter.
     pub fn new(set: Settings, seed: u64) -> Result<Self, String> {
         set.check()?;
         Ok(Scheduler { resubscribe_pause: LIST_RETRY, ..Scheduler::blank(set, seed) })
     }
 
-    /// Takes the news of one moment and appends what is to be done.
+    /// Processes the events of one point in time and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, events: &[Event], out: &mut Vec<Action>) {
         let origin = *self.origin.get_or_insert(now);
         self.now = ns(now.saturating_sub(origin)).max(self.now);
@@ -54,7 +55,7 @@
             self.schedule(*dest);
         }
         if self.resubscribe_at.is_some_and(|t| t <= self.now) {
-            // Asked again only if no answer comes; an answer clears this.
+            // Repeats the request if no answer arrives; an answer clears this timer.
             self.resubscribe_at = Some(self.now + to_ns(self.resubscribe_pause * 4.0 * self.jitter()));
             out.push(Action::Subscribe { active: true });
         }
@@ -103,7 +104,7 @@
         self.unanswered += 1;
         self.hold(id, out);
         while self.unanswered as f64 > ROOM_SHARE * self.set.max_held as f64 {
-            // The destination that holds most gives way: a paused one must not close the door to others.
+            // Sheds from the longest timeline, so that one paused destination cannot block the others.
             let longest = self.dests.values().max_by_key(|destination| destination.timeline.len());
             let Some(timeline) = longest.map(|longest| &longest.timeline).filter(|t| !t.is_empty()) else {
                 break;
--- a/src/scheduler/pace.rs
+++ b/src/scheduler/pace.rs
@@ -1,16 +1,15 @@
-//! Paces under the limits that calls to a destination, or on a route, share.
+//! Rate limiting (token bucket with AIMD) under the limits shared by all calls to a destination or route.
 
 use crate::interface::*;
 use crate::state::*;
 
-/// Pause after a refusal that tells no wait, s: first, doublings at most, and longest at a full pace, which
-/// a known slower pace extends. Limits are told in calls a second: a tenth of one is the least that can
-/// help.
+/// Pause after a refusal without a requested wait, s: initial, number of doublings, and maximum, which a
+/// known lower rate extends. Limits are in calls per second, so a pause below a tenth of one cannot help.
 pub(super) const REFUSAL_PAUSE: f64 = 0.1;
 pub(super) const REFUSAL_DOUBLINGS: u32 = 7;
 pub(super) const REFUSAL_LONGEST: f64 = 1.6;
-/// Pace at first, over an even share of one call a rate span; AIMD's cut and growth; floor over an even
-/// share, or the peak; least pace, calls a second; burst of a bucket and time between two cuts, s.
+/// Initial rate over the even share, if that exceeds one call per `RATE_SPAN`; AIMD cut, growth (and over
+/// the even share); floor over the even share or the peak; minimum, calls/s; burst and cut interval, s.
 const PACE_START: f64 = 1.2;
 const PACE_CUT: f64 = 0.7;
 const PACE_GROW: f64 = 0.06;
@@ -20,13 +19,13 @@
 const MIN_PACE: f64 = 0.03;
 const PACE_SPAN: f64 = 0.5;
 const MIN_BURST: f64 = 2.0;
-/// Span of the rate of accepted calls, and memory of their flow, s: some windows of a limit told in calls a
-/// second, and some spans of that.
+/// Window of the measured accept rate, s, a few windows of a per-second limit; and time constant of its
+/// decayed average, a few of those windows.
 const RATE_SPAN: f64 = 2.0;
 const FLOW_SPAN: f64 = 10.0;
 
 impl Scheduler {
-    /// This courier's part, in calls a second: an even share of the limit, or more where it has had more.
+    /// This courier's share, calls/s: an even share of the limit, or more if it has been getting more.
     pub(super) fn rate_share(&self, id: EndpointId) -> f64 {
         let pool_id = self.pool_id(id);
         let pool = &self.pools[&pool_id];
@@ -38,13 +37,13 @@
         known.max(2.0 * (pool.accept_rate - 1.0 / FLOW_SPAN)) / sharing.max(1) as f64
     }
 
-    /// Nothing may go there before this: a wait was told, or is kept after refusals.
+    /// No call may go there before this time, due to a requested wait or the pause after refusals.
     pub(super) fn open_from(&self, dest: DestinationId) -> Ns {
         let waits = self.ready_endpoints(dest).map(|endpoint| self.pools[&self.pool_id(endpoint)].wait_until);
         waits.min().unwrap_or(0)
     }
 
-    /// Rule: a wait told holds for the whole pool, whoever told it; a shorter one never replaces it.
+    /// Rule: a wait requested by any endpoint holds for the whole pool; a shorter one never replaces it.
     pub(super) fn update_limit(&mut self, id: EndpointId, outcome: Outcome, report: &Option<Report>) {
         let (Some(_), now) = (self.endpoints.get(&id), self.now) else { return };
         let pool_id = self.pool_id(id);
@@ -59,13 +58,13 @@
 }
 
 impl Pool {
-    /// Tokens now. Without a pace the bucket stays full: calls sent then are no debt later.
+    /// Tokens available now. Without a rate the bucket stays full: earlier calls are not owed later.
     pub(super) fn tokens_at(&self, now: Ns) -> f64 {
         let Some(rate) = self.rate else { return 1.0 };
         (self.tokens + rate * secs(now - self.filled_at)).min(self.depth())
     }
 
-    /// Calls that may be saved up, or owed.
+    /// Bucket size: calls that may be saved up or owed.
     pub(super) fn depth(&self) -> f64 {
         self.rate.map_or(0.0, |rate| (rate * PACE_SPAN).max(MIN_BURST))
     }
@@ -84,7 +83,7 @@
         self.accepted_at.retain(|t| *t > now - to_ns(RATE_SPAN));
         let span = secs(now - *self.first_accepted.get_or_insert(now)).clamp(PACE_SPAN, RATE_SPAN);
         self.peak = self.peak.max((self.accepted_at.len() - 1) as f64 / span);
-        // AIMD: grows only while it is the pace that holds messages back.
+        // AIMD: grows only while the rate limit delays messages.
         if std::mem::take(&mut self.rate_limited) {
             let step = self.even_share(couriers).map_or(self.peak, |even| even.max(MIN_PACE));
             let top = |r: f64| self.limit.unwrap_or(f64::INFINITY).max(r);
@@ -94,8 +93,8 @@
         }
     }
 
-    /// Turned away: what that used up of a limit is taken off, for all that are turned away do so. One that
-    /// took more than its even share goes back to it at once; else AIMD's cut.
+    /// Cuts the rate after a refusal: to the even share if it was above that, else by the AIMD factor. Under
+    /// a known limit one token is also removed, since refused calls use up the limit too.
     pub(super) fn cut(&mut self, now: Ns, couriers: usize) {
         let even = self.even_share(couriers);
         let owed = if even.is_some() { 1.0 } else { 0.0 };
@@ -106,7 +105,7 @@
         self.cut_at = now;
         let blind = (self.peak * PACE_FLOOR_PEAK).max(1.0 / RATE_SPAN);
         let floor = even.map_or(blind, |even| (even * PACE_FLOOR).max(MIN_PACE));
-        // Without a pace the even share is all that is known of what is its to take.
+        // Without a rate so far, the even share is the only known bound.
         let from = self.rate.unwrap_or(if even.is_some() { f64::INFINITY } else { self.peak / PACE_CUT });
         let cut = even.filter(|even| from > *even).unwrap_or(from * PACE_CUT);
         self.rate = Some(cut.max(floor));
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -1,4 +1,4 @@
-//! Messages that are held: their places on the chart, who gives way there, and what is answered unsent.
+//! Queued messages: their position on the timeline, which are postponed or refused, and retry backoff.
 
 use super::pace::REFUSAL_PAUSE;
 use crate::interface::*;
@@ -6,29 +6,29 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Where a message is set back to, by the part of the time from its aim to its end that is left there.
+/// Successive due times of a postponed message: share of the time from target to deadline left after each.
 const POSTPONE_STEPS: [f64; 3] = [0.5, 0.25, 0.0];
-/// A message is answered this many ticks before its time is up.
+/// Every message gets its final answer at least this many ticks before its deadline.
 const MARGIN_TICKS: Ns = 5;
-/// Attempts spread over the time left; before these, backoff after a second failure, as its share.
+/// This many last attempts are spread over the time left; before them, backoff share after the 2nd failure.
 const LAST_ATTEMPTS: u32 = 2;
 const RETRY_SHARE: f64 = 0.06;
 
 impl Scheduler {
-    /// When a message is answered at the latest: held ones while the usual latency is still left.
+    /// Latest time for a final answer: a queued message needs the usual latency before its deadline.
     pub(super) fn answer_by(&self, message: &Message) -> Ns {
         let need = if message.is_waiting() { to_ns(self.dests[&message.dest].latency.seconds()) } else { 0 };
         message.deadline - need.max(ns(self.set.tick) * MARGIN_TICKS)
     }
 
-    /// Sigma: the smoothed latency over the calls that may run at once, and no less than paces under a known
-    /// limit allow: else a chart believes in rates it has not. Hurts where a pace is far below the limit.
+    /// Service time per message (sigma): smoothed latency / concurrency, at least the interval of rates under
+    /// a known limit, else the timeline overestimates throughput. Costly if a rate is far below its limit.
     fn sigma(&self, id: DestinationId) -> Ns {
         let destination = &self.dests[&id];
         let pools: BTreeSet<_> = self.ready_endpoints(id).map(|endpoint| self.pool_id(endpoint)).collect();
         let pools = || pools.iter().map(|pool| &self.pools[pool]);
         let pace = pools().map(|pool| pool.limit.and(pool.rate)).sum::<Option<f64>>();
-        // One that no refusal has taught is a guess: nothing that a restart found gives way by it.
+        // Until the first refusal a rate is a guess: recovered messages are not postponed because of it.
         let found = |held: (Ns, MessageId)| self.messages[&held.1].recovered;
         let guess = self.recovered > 0 && pools().any(|pool| pool.cut_at == 0);
         let pace = pace.filter(|r| *r > 0.0 && !(guess && destination.timeline.iter().any(found)));
@@ -36,8 +36,8 @@
         to_ns((destination.latency.seconds() / self.max_calls(destination) as f64).max(paced)).max(1)
     }
 
-    /// How far its pace has run ahead: calls saved up go at once, and debts come first. On the chart a call
-    /// ends a whole step of the pace after it left; in truth it takes the latency alone.
+    /// Time credit of the rate limiter: saved tokens allow calls at once, owed tokens delay them. A timeline
+    /// slot lasts a whole rate interval, but the call itself takes only its latency; the difference is added.
     pub(super) fn pace_credit(&self, id: DestinationId) -> Ns {
         let pool = self.pools.get(&(id, None)).filter(|pool| pool.limit.is_some());
         let Some((pool, rate)) = pool.and_then(|pool| Some((pool, pool.rate?))) else { return 0 };
@@ -60,8 +60,8 @@
         self.make_feasible(dest, out);
     }
 
-    /// Where a message stands that cannot meet its due: by steps from its aim to its end, as long as it is
-    /// worth something there; and what it loses by that. With no later place it loses all.
+    /// The next later due time, in steps from target to deadline, that still has some value, and the value
+    /// lost by moving there. Without a later due time all remaining value is lost.
     fn later_due(&self, message: &Message) -> (Option<Ns>, f64) {
         let extra = (message.deadline - message.target) as f64;
         let steps = POSTPONE_STEPS.map(|part| message.deadline - (extra * part) as Ns);
@@ -70,7 +70,7 @@
         (next, value(message.due) - next.map_or(0.0, value))
     }
 
-    /// Gives up its due for a later one, if there is one.
+    /// Moves a message to its next later due time; false if there is none.
     fn postpone(&mut self, id: MessageId) -> bool {
         let message = &self.messages[&id];
         let (dest, due) = (message.dest, message.due);
@@ -85,8 +85,8 @@
         true
     }
 
-    /// While the first busy segment starts before now, one of its messages gives way. Departure: it is only
-    /// set back while late worth remains, and refused after that.
+    /// While the first busy segment starts in the past, removes one of its messages. Unlike in Fair-EDF, that
+    /// message is postponed as long as late delivery has value, and refused only after that.
     fn make_feasible(&mut self, dest: DestinationId, out: &mut Vec<Action>) {
         let from = self.now - self.pace_credit(dest);
         while let Some(first) = self.destination(dest).timeline.overdue(from) {
@@ -97,8 +97,8 @@
         }
     }
 
-    /// The message to give way: of the group that has missed least, weighted by worth, one that no restart
-    /// has found untried, the one that loses least by it; of these the one with most time left.
+    /// The message to postpone or refuse: from the group with the lowest miss ratio weighted by value, with
+    /// untried recovered ones last, then the smallest loss of value, then the latest due time.
     pub(super) fn victim(&self, candidates: &[MessageId]) -> MessageId {
         let score = |id: &MessageId| {
             let message = &self.messages[id];
@@ -126,9 +126,9 @@
         }
     }
 
-    /// Late refusal, and the end of messages whose time is nearly up; then the chart.
+    /// Answers messages that can no longer be delivered in time, then makes the timeline feasible.
     pub(super) fn end_expired(&mut self, dest: DestinationId, out: &mut Vec<Action>) {
-        // What would be too late once the destination opens is answered now: waiting cannot help it.
+        // If it would be too late once the destination accepts calls again, waiting cannot help: answer now.
         let opens = self.now.max(self.open_from(dest));
         let start = |message: &Message| if message.is_waiting() { opens } else { self.now };
         let over = |message: &Message| {
@@ -143,7 +143,7 @@
         self.make_feasible(dest, out);
     }
 
-    /// Spreads attempts over the time left: an outage or a rush may outlast quick retries.
+    /// Spreads retries over the time left, since an outage or a burst may outlast quick retries.
     pub(super) fn back_off(&mut self, id: MessageId, full: bool) {
         let (random, message) = (self.jitter(), self.messages.get_mut(&id).expect("known"));
         let left = self.set.max_attempts.saturating_sub(message.attempts);
@@ -155,7 +155,7 @@
         message.not_before = self.now + to_ns(secs(message.deadline - self.now) * random * share);
     }
 
-    /// Ends a message undelivered: refused if that is known to be harmless, else given up as failed.
+    /// Ends a message undelivered: refused if a retry by the client is known to be harmless, else failed.
     pub(super) fn give_up(&mut self, id: MessageId, out: &mut Vec<Action>) {
         self.miss(id);
         let message = &self.messages[&id];
@@ -169,7 +169,7 @@
         self.close(id);
     }
 
-    /// When a refused client may come again: what is held there has had time to go, and a wait is over.
+    /// When a refused client may retry: after the current queue had time to drain and any wait is over.
     pub(super) fn retry_after(&self, dest: DestinationId) -> Option<Duration> {
         let queue = self.sigma(dest) * self.dests[&dest].timeline.len() as Ns;
         let wait = to_duration((self.open_from(dest) - self.now).max(queue).max(to_ns(REFUSAL_PAUSE)));
--- a/src/scheduler/timers.rs
+++ b/src/scheduler/timers.rs
@@ -1,10 +1,10 @@
-//! When each destination is to be looked at again.
+//! Timers: when each destination is to be checked again.
 
 use crate::interface::*;
 use crate::state::*;
 
 impl Scheduler {
-    /// Puts the destination on the agenda for the next moment at which anything there can change.
+    /// Sets the destination's timer to the next time at which anything there can change.
     pub(super) fn schedule(&mut self, dest: DestinationId) {
         let destination = &self.dests[&dest];
         let open = destination.messages.iter().map(|id| &self.messages[id]).filter(|m| !m.answered);
@@ -25,7 +25,7 @@
         self.timers.extend((next < NEVER).then_some((next, dest)));
     }
 
-    /// Looks at the destination again at this time at the latest.
+    /// Requests a check of the destination at this time at the latest.
     pub(super) fn check_by(&mut self, dest: DestinationId, at: Ns) {
         self.destination(dest).next_check = self.dests[&dest].next_check.min(at);
     }
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -1,30 +1,30 @@
-//! Zones: what this courier's own calls tell of each as a whole. One bad endpoint, or one bad destination, is
-//! no bad zone; many endpoints of several destinations that fail at once are.
+//! Zone health, inferred from this courier's own calls. One failing endpoint or destination does not make a
+//! zone unhealthy; many endpoints of several destinations failing at the same time do.
 
 use crate::interface::*;
 use crate::state::*;
 use std::collections::BTreeSet;
 
-/// What an endpoint's last call told counts for so long, s.
+/// How long the outcome of an endpoint's last call counts, s.
 const RECENT: f64 = 4.0;
-/// Suspect from so many failing endpoints, of so many destinations, that are this share of those heard of.
+/// Suspect from this many failing endpoints, in this many destinations, at this share of those observed.
 const SUSPECT_MIN: usize = 3;
 const MIN_DESTS: usize = 2;
 const SUSPECT_SHARE: f64 = 0.5;
-/// Out from so many, of this share; and where a suspect one stays so for this time, s.
+/// Out from this many at this share, or after being suspect for this time, s.
 const OUT_MIN: usize = 4;
 const OUT_SHARE: f64 = 0.75;
 const OUT_AFTER: f64 = 1.0;
-/// Well below this share.
+/// Healthy again below this share.
 const HEALTHY_SHARE: f64 = 0.25;
 
-/// What the endpoints of a zone that were heard of lately tell.
+/// Recent outcomes of a zone's endpoints.
 #[derive(Default)]
 struct Evidence {
     observed: usize,
     failed: usize,
     destinations: BTreeSet<DestinationId>,
-    /// By kind, as in `FailureKind`.
+    /// Failures by `FailureKind`.
     kinds: [usize; 4],
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl Scheduler {
-    /// Takes note of how a call ended for the zone of its endpoint. A full one is there, and well.
+    /// Records a call's outcome for the zone of its endpoint. A refusal as full counts as healthy.
     pub(crate) fn record_zone_outcome(&mut self, id: EndpointId, outcome: Outcome) {
         let failure = match outcome {
             Outcome::Delivered | Outcome::Full { .. } => None,
@@ -52,7 +52,7 @@
         let now = self.now;
         let Some(e) = self.endpoints.get_mut(&id).filter(|_| self.set.zone_costs.len() > 1) else { return };
         (e.outcome_at, e.last_failure) = (now, failure);
-        // In a well zone what went well changes nothing; others are judged each time.
+        // A success changes nothing in a healthy zone; unhealthy zones are evaluated each time anyway.
         if failure.is_some() {
             self.changed_zones.insert(e.zone);
         }
@@ -73,8 +73,8 @@
         all
     }
 
-    /// Judges the zones of which something was heard, and those that are not well; notes each change with its
-    /// figures. Nothing is heard of one that all calls have left: that it stays so must count by itself.
+    /// Evaluates zones with new failures and unhealthy zones, and logs each change with its figures. A zone
+    /// that gets no more calls yields no outcomes, so the time in its state has to count by itself.
     pub(crate) fn judge_zones(&mut self, out: &mut Vec<Action>) {
         let unhealthy = self.zones.iter().filter(|(_, z)| z.state != ZoneState::Healthy);
         let unhealthy: BTreeSet<_> = unhealthy.map(|(zone, _)| *zone).collect();
