--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint as its calls and the list tell of it, and the zone it stands in.
+//! What is known of an endpoint from its calls and from the endpoint list, and the health of zones.
 
 use super::time::*;
 use crate::interface::*;
@@ -30,25 +30,27 @@
     pub(crate) dest: DestinationId,
     pub(crate) zone: usize,
     pub(crate) kind: usize,
-    /// The list has it ready, and operators do not leave it out.
+    /// Ready in the list, and not taken out of service by operators.
     pub(crate) ready: bool,
     pub(crate) listed: bool,
     #[serde(rename = "left_out")]
     pub(crate) in_maintenance: bool,
-    /// Since when the list has it no more.
+    /// When it was removed from the list.
     #[serde(rename = "gone")]
     pub(crate) delisted_at: Option<Ns>,
     pub(crate) latency: Smoothed,
-    /// Calls out: when sent and messages without an outcome.
+    /// Calls in flight: when sent (`Ns::MIN` after the first outcome), and messages without an outcome.
     pub(crate) calls: BTreeMap<u64, (Ns, usize)>,
-    /// When idle connections were last used.
+    /// Idle connections, by the time of last use.
     pub(crate) idle: Vec<Ns>,
-    /// No new connection is tried before this; how many were not to be had, less those that were; the last.
+    /// No new connection is attempted before this.
     pub(crate) connect_at: Ns,
+    /// Failed connects minus successful ones, not below 0; and the time of the last failed one.
     #[serde(rename = "unconnected")]
     pub(crate) connect_failures: u32,
     #[serde(rename = "connect_failed")]
     pub(crate) connect_failed_at: Ns,
+    /// EWMA of failures at `failure_ratio_at`; decays from there.
     #[serde(rename = "doubt")]
     pub(crate) failure_ratio: f64,
     #[serde(rename = "doubt_at")]
@@ -56,24 +58,24 @@
     #[serde(rename = "last_ok")]
     pub(crate) success_at: Ns,
     pub(crate) breaker: Breaker,
-    /// When an open breaker lets a trial through, if one is held.
+    /// When an open breaker admits a trial call, if a message is queued.
     #[serde(rename = "turn_at")]
     pub(crate) trial_at: Ns,
-    /// The outage is confirmed, so slow start follows; the call that is the trial.
+    /// The breaker opened on failures, so slow start follows; and the call that is the trial.
     #[serde(rename = "cold")]
     pub(crate) was_down: bool,
     pub(crate) trial: Option<u64>,
     #[serde(rename = "warm_from")]
     pub(crate) slow_start_from: Option<Ns>,
-    /// Since when it ails, for the spacing of trials; while it warms, nothing before `free_at`.
+    /// Since when it fails, for the spacing of trials; during slow start no call before `next_call_at`.
     #[serde(rename = "ailing_from")]
     pub(crate) failing_since: Ns,
     #[serde(rename = "free_at")]
     pub(crate) next_call_at: Ns,
-    /// This courier's own leaning among equals, 0 to 1.
+    /// Random per courier, 0 to 1: spreads couriers over endpoints of equal cost.
     #[serde(rename = "lean")]
     pub(crate) tie_breaker: f64,
-    /// When a call last told something of it, and what it ailed from then.
+    /// When the last outcome was recorded for zone health, and how that call failed, if it did.
     #[serde(default)]
     #[serde(rename = "heard")]
     pub(crate) outcome_at: Ns,
@@ -83,12 +85,12 @@
 }
 
 impl Endpoint {
-    /// One more message goes with a call that is out.
+    /// Adds a message to a call in flight.
     pub(crate) fn join_call(&mut self, call: u64) {
         self.calls.get_mut(&call).expect("open call").1 += 1;
     }
 
-    /// A message of a call has an outcome; the call ends with the last of them. True for the first one.
+    /// Records that a message of the call has an outcome; the last one ends the call. True for the first one.
     pub(crate) fn leave_call(&mut self, call: u64) -> bool {
         let Some((sent, messages)) = self.calls.get_mut(&call) else { return false };
         let first = std::mem::replace(sent, Ns::MIN) != Ns::MIN;
@@ -104,7 +106,7 @@
         self.delisted_at.get_or_insert(now);
     }
 
-    /// Takes its standing from the list.
+    /// Updates its state from the list.
     pub(crate) fn update_standing(&mut self, standing: EndpointState, now: Ns) {
         match standing {
             EndpointState::Gone => self.mark_delisted(now),
@@ -113,8 +115,8 @@
         self.ready = self.listed && !self.in_maintenance;
     }
 
-    /// Left out by operators, or used again. True if it comes back: with a new process, of which nothing is
-    /// known but that it is cold.
+    /// Takes the endpoint out of service for operators, or puts it back. True if it comes back: with a new
+    /// process, of which nothing is known except that it needs a slow start.
     pub(crate) fn maintain(&mut self, out: bool, now: Ns) -> bool {
         let back = std::mem::replace(&mut self.in_maintenance, out) && !out;
         self.ready = self.listed && !out;
@@ -129,7 +131,7 @@
     }
 }
 
-/// What is thought of a zone as a whole.
+/// Health of a zone as a whole. The names are written to the operators' log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ZoneState {
     #[default]
@@ -143,6 +145,6 @@
 pub(crate) struct Zone {
     #[serde(rename = "standing")]
     pub(crate) state: ZoneState,
-    /// Since when.
+    /// Start of this state.
     pub(crate) since: Ns,
 }
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -1,4 +1,4 @@
-//! A message and the call that carries it.
+//! A message, and the call that is delivering it.
 
 use super::time::*;
 use crate::interface::*;
@@ -10,7 +10,7 @@
     pub(crate) call: u64,
     pub(crate) cancelled: bool,
     pub(crate) sent: Ns,
-    /// It had to open a connection.
+    /// The call had to open a connection.
     #[serde(rename = "opens")]
     pub(crate) connects: bool,
 }
@@ -21,36 +21,38 @@
     pub(crate) group: usize,
     pub(crate) dest: DestinationId,
     pub(crate) key: Option<String>,
+    /// Latency target: full value is earned until then.
     #[serde(rename = "aim")]
     pub(crate) target: Ns,
     #[serde(rename = "end")]
     pub(crate) deadline: Ns,
-    /// Deadline on the chart: the aim, or the end once set back.
+    /// Due time on the timeline: the target, or a later time up to the deadline once postponed.
     pub(crate) due: Ns,
     pub(crate) late: bool,
     pub(crate) missed: bool,
     pub(crate) attempts: u32,
     #[serde(rename = "flight")]
     pub(crate) in_flight: Option<InFlight>,
-    /// First attempt that may have run: its endpoint, zone and send time.
+    /// First attempt that may have run: endpoint, zone and time of sending.
     #[serde(rename = "ran")]
     pub(crate) may_have_run: Option<(EndpointId, usize, Ns)>,
     #[serde(rename = "last")]
     pub(crate) previous: Option<EndpointId>,
-    /// Not sent again before this: its own backoff.
+    /// Retry backoff: no attempt before this time.
     pub(crate) not_before: Ns,
-    /// A restart found it, surely not run, and it has not been tried since: its time was spent on the restart, so
-    /// that newer ones would always lose more by giving way.
+    /// Recovered after a restart, certainly not run, and not attempted since. Its time was spent on the
+    /// restart, so without this mark newer messages would always lose more value by being postponed in its
+    /// place.
     #[serde(default)]
     #[serde(rename = "found")]
     pub(crate) recovered: bool,
-    /// The final answer is out; kept until its attempt has an outcome.
+    /// The final answer was given; the message is kept until its attempt has an outcome.
     #[serde(rename = "over")]
     pub(crate) answered: bool,
 }
 
 impl Message {
-    /// What is known of a message at the start: for a resumed one its attempts, and the one that may have run.
+    /// A newly accepted message; a recovered one keeps its attempts and the attempt that may have run.
     pub(crate) fn new(taken: &Taken, set: &Settings, now: Ns) -> Self {
         let class = taken.class.min(set.classes.len() - 1);
         let terms = &set.classes[class];
@@ -74,14 +76,14 @@
         }
     }
 
-    /// No attempt is out.
+    /// No attempt is in flight.
     pub(crate) fn is_waiting(&self) -> bool {
         self.in_flight.is_none()
     }
 }
 
 impl Settings {
-    /// What a message is worth if it is delivered at this time.
+    /// Value of a message if it is delivered at this time.
     pub(crate) fn value_at(&self, message: &Message, at: Ns) -> f64 {
         let c = &self.classes[message.class];
         let after = secs(at - message.target).max(0.0);
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What the decision module remembers, as plain data. Nothing here decides anything: each figure is
-//! set and read in [`crate::scheduler`].
+//! State of the scheduler as plain data. No decisions are made here: all values are set and read in
+//! [`crate::scheduler`].
 
 mod destination;
 mod endpoint;
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The decisions of one courier.
+/// The scheduler of one courier: its complete state.
 #[derive(Serialize, Deserialize)]
 pub struct Scheduler {
     pub(crate) set: Settings,
@@ -28,16 +28,18 @@
     pub(crate) origin: Option<Time>,
     pub(crate) now: Ns,
     pub(crate) messages: BTreeMap<MessageId, Message>,
+    /// Number of messages without a final answer.
     #[serde(rename = "live")]
     pub(crate) unanswered: usize,
-    /// How many of them a restart has found untried.
+    /// Number of messages recovered after a restart and not attempted since.
     #[serde(default)]
     #[serde(rename = "found")]
     pub(crate) recovered: usize,
     pub(crate) dests: BTreeMap<DestinationId, Destination>,
     pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
     pub(crate) pools: BTreeMap<PoolId, Pool>,
-    /// Messages of ordered classes by key, in order of arrival; and when a key has rested.
+    /// Messages of ordered classes by key, in order of arrival; and keys that are paused: for whom, until
+    /// when.
     #[serde(rename = "turns")]
     pub(crate) key_queues: BTreeMap<String, VecDeque<MessageId>>,
     #[serde(rename = "rests")]
@@ -49,23 +51,23 @@
     pub(crate) next_call: u64,
     pub(crate) wake: Option<(u64, Ns)>,
     pub(crate) next_token: u64,
-    /// Destinations with news, those to look at later, and those that wait for a slot.
+    /// Destinations to check now, to check at a given time, and those waiting for a free slot.
     pub(crate) touched: BTreeSet<DestinationId>,
     #[serde(rename = "agenda")]
     pub(crate) timers: BTreeSet<(Ns, DestinationId)>,
-    /// When an endpoint of each kind last had no connection left, s.
+    /// By kind of destination: when a connect last failed, s.
     #[serde(rename = "tight")]
     pub(crate) last_connect_failure: Vec<f64>,
     #[serde(rename = "pressed")]
     pub(crate) need_slot: BTreeSet<DestinationId>,
     #[serde(rename = "stuck_at")]
     pub(crate) stuck_check_at: Ns,
-    /// When to ask for the list again.
+    /// When to request the list again, and the pause before the next such request, s.
     #[serde(rename = "ask_at")]
     pub(crate) resubscribe_at: Option<Ns>,
     #[serde(rename = "ask_pause")]
     pub(crate) resubscribe_pause: f64,
-    /// By number; those of which something was heard that may change what is thought of them.
+    /// Zones by number, and those with new failures, whose health is to be evaluated.
     #[serde(default)]
     pub(crate) zones: BTreeMap<usize, Zone>,
     #[serde(default)]
@@ -78,19 +80,19 @@
 }
 
 impl Scheduler {
-    /// All that it remembers, for the process that goes on in its place.
+    /// Serialises the complete state for the successor process.
     pub fn pack(&self) -> Result<Vec<u8>, String> {
         let mut bytes = Vec::new();
         ciborium::into_writer(self, &mut bytes).map_err(|e| e.to_string())?;
         Ok(bytes)
     }
 
-    /// Goes on with what another process remembered, on the same clock. Connections are not carried over,
-    /// and the settings are its own.
+    /// Restores the state of a predecessor process on the same clock. Connections are not carried over, and
+    /// `set` replaces its settings.
     pub fn unpack(bytes: &[u8], set: Settings, seed: u64) -> Result<Self, String> {
         set.check()?;
         let old: Scheduler = ciborium::from_reader(bytes).map_err(|e| e.to_string())?;
-        // Its tables are made for these: with others it starts anew.
+        // The stored tables depend on these: if they differ, the state cannot be used.
         let frame = |set: &Settings| {
             let routes: Vec<_> = set.kinds.iter().map(|k| k.separate_routes).collect();
             (set.classes.len(), set.tenants, routes)
@@ -104,7 +106,7 @@
         Ok(scheduler)
     }
 
-    /// The messages that it is to end yet, or whose call is out.
+    /// True if the message still needs a final answer or has a call in flight.
     pub fn knows(&self, message: MessageId) -> bool {
         self.messages.contains_key(&message)
     }
@@ -143,7 +145,7 @@
 }
 
 impl Settings {
-    /// Names the first figure that cannot be worked with.
+    /// Checks the settings; the error names the first invalid value.
     pub(crate) fn check(&self) -> Result<(), String> {
         let classes = self.classes.iter().flat_map(|c| [c.value, c.late_value_share, c.target_stretch]);
         let figures = [self.cold_capacity, self.overload_factor, self.handshake_cost].into_iter();
--- a/src/state/tables.rs
+++ b/src/state/tables.rs
@@ -1,15 +1,15 @@
-//! The rows of endpoints, pools and destinations: made and changed as the list and operators tell, and dropped.
+//! Creates, updates and drops endpoints, pools and destinations, following the endpoint list and operators.
 
 use super::*;
 use crate::scheduler::DEST_LATENCY;
 use rand::Rng;
 
-/// Retry of a failed list call, s, before it doubles.
+/// Initial pause before a failed list request is repeated, s; it doubles with each failure.
 pub(crate) const LIST_RETRY: f64 = 1.0;
 
 impl Scheduler {
     pub(crate) fn update_list(&mut self, whole: bool, entries: &[Entry], out: &mut Vec<Action>) {
-        // The cached list of the start comes before anything was asked for; later news are answers.
+        // At time 0 the list comes from the start-up cache; later lists are answers to requests.
         if self.now > 0 {
             (self.resubscribe_at, self.resubscribe_pause) = (None, LIST_RETRY);
         }
@@ -40,7 +40,7 @@
         self.dests.entry(id).or_insert_with(fresh)
     }
 
-    /// The endpoints of a destination that may be sent to.
+    /// The endpoints of a destination that accept new calls.
     pub(crate) fn ready_endpoints(&self, id: DestinationId) -> impl Iterator<Item = EndpointId> {
         let endpoints = self.dests[&id].endpoints.iter().copied();
         endpoints.filter(|endpoint| self.endpoints[endpoint].ready)
@@ -55,8 +55,8 @@
         0.5 + self.rng.random::<f64>()
     }
 
-    /// What operators do with an endpoint, whatever the list says. One that nobody knows is told of again
-    /// with the list that names it.
+    /// Takes an endpoint out of service for operators, or puts it back, independent of the list. An unknown
+    /// endpoint is ignored; the event is repeated with the list that contains it.
     pub(crate) fn maintain(&mut self, id: EndpointId, out: bool) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         let dest = endpoint.dest;
@@ -66,8 +66,8 @@
         self.touched.insert(dest);
     }
 
-    /// Drops the rows of endpoints that are long gone and that no call, wait or message names: where
-    /// endpoints are replaced all day, the tables would grow and each choice walk ever more of them.
+    /// Drops endpoints that were removed from the list long ago and that no call, wait or message refers to.
+    /// Where endpoints are replaced all day, the tables would grow and each choice would scan more of them.
     pub(crate) fn forget(&mut self, out: &mut Vec<Action>) {
         let (now, span) = (self.now, ns(self.set.warm_up));
         let old = |endpoint: &Endpoint| {
--- a/src/state/time.rs
+++ b/src/state/time.rs
@@ -1,9 +1,9 @@
-//! Time inside the decision module: whole nanoseconds since its first call.
+//! Time inside the scheduler: whole nanoseconds since the first call of `handle`.
 
 pub(crate) use fair_edf::Ns;
 use std::time::Duration;
 
-/// Far away.
+/// A time that is never reached.
 pub(crate) const NEVER: Ns = Ns::MAX;
 
 pub(crate) fn ns(d: Duration) -> Ns {
