--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,4 +1,5 @@
-//! A courier in miniature: one destination with one endpoint, one message, answered at once.
+//! Embeds the scheduler in a minimal courier: one destination with one endpoint that answers one message after
+//! 30 ms.
 
 use lanegate_courier::interface::*;
 use lanegate_courier::scheduler::Scheduler;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,5 +1,5 @@
-//! The vocabulary of the decision module: settings, events, actions and the ids they use.
-//! Plain data without behaviour of its own; every decision is in [`crate::scheduler`].
+//! The interface of the scheduler: settings, events, actions and the ids they use.
+//! Plain data without behaviour; all decisions are made in [`crate::scheduler`].
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -7,67 +7,67 @@
 /// A point on the courier's monotonic clock, as the time since an arbitrary origin.
 pub type Time = Duration;
 
-/// A message, as numbered by the courier. Never reused within a life.
+/// Id of a message, assigned by the courier; never reused by the same courier process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MessageId(pub u64);
 
-/// An endpoint, as numbered by the courier in the order in which it first heard of them.
+/// Id of an endpoint, assigned by the courier in the order in which endpoints become known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointId(pub u32);
 
-/// A destination: the party a message is meant for, reached through its endpoints.
+/// Id of a destination: the receiver of a message, reached through its endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DestinationId(pub u64);
 
-/// What a repeated delivery of a message does.
+/// Effect of delivering a message more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Effect {
-    /// Nothing: repeats are harmless.
+    /// None: repeats are harmless (idempotent).
     Repeatable,
-    /// Dropped by the receivers in `scope` for `window` from the first send that may have run.
+    /// Deduplicated by the receivers in `scope` for `window`, from the first attempt that may have run.
     Keyed { scope: KeyScope, window: Duration },
-    /// It takes effect again, so it must never be repeated once it may have run.
+    /// It takes effect again, so it is never repeated once an attempt may have run.
     Once,
 }
 
-/// Which endpoints of a destination share the memory of a key.
+/// Which endpoints of a destination share the record of seen keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyScope {
     All,
     Zone,
-    /// Only the endpoint itself (used where the scope is none this crate knows).
+    /// Only the endpoint itself; also used for scopes that this crate does not know.
     Endpoint,
 }
 
-/// A class of message.
+/// A message class.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Class {
-    /// Full worth is earned when delivered within this time.
+    /// Full value is earned when delivered within this time.
     #[serde(rename = "aim")]
     pub latency_target: Duration,
     /// Nothing is earned after this time.
     pub deadline: Duration,
-    /// Worth of a message delivered within the aim.
+    /// Value of a message delivered within the latency target.
     #[serde(rename = "worth")]
     pub value: f64,
-    /// Share of the worth left at the deadline.
+    /// Share of the value left at the deadline.
     #[serde(rename = "late_share")]
     pub late_value_share: f64,
     pub effect: Effect,
-    /// Messages of one key go one at a time, in order of arrival.
+    /// Messages with the same key are delivered one at a time, in order of arrival.
     pub ordered: bool,
-    /// The aim grows by this multiple of the message's estimated work.
+    /// The latency target grows by this multiple of the message's estimated work.
     #[serde(rename = "aim_stretch")]
     pub target_stretch: f64,
 }
 
-/// How worth falls between the aim and the deadline.
+/// How the value falls between the latency target and the deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ValueDecay {
-    /// Evenly, down to the late share.
+    /// Linearly, down to `late_value_share`.
     #[serde(rename = "Line")]
     Linear,
-    /// By half with each further aim, not under the late share.
+    /// Halved with each further multiple of the latency target, but not below `late_value_share`.
     #[serde(rename = "Halves")]
     Halving,
 }
@@ -75,79 +75,80 @@
 /// A kind of destination.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Kind {
-    /// The endpoints are routes apart, each with its own limit, pace and outages.
+    /// Each endpoint is a separate route with its own limit, rate and outages.
     pub separate_routes: bool,
-    /// Messages that one call carries at most.
+    /// Maximum number of messages per call.
     #[serde(rename = "bundle_max")]
     pub max_batch: usize,
 }
 
-/// What the weight of a list entry means.
+/// Meaning of the weight of a list entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WeightKind {
     None,
-    /// Calls a second the destination or route takes from all couriers together.
+    /// Calls per second that the destination or route accepts from all couriers together.
     Nominal,
-    /// The same, up to half too high or too low.
+    /// The same, but up to half too high or too low.
     Rough,
 }
 
-/// What the courier knows when it starts.
+/// Settings of the scheduler, fixed for the life of the process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Settings {
-    /// How many couriers share the destinations, this one included.
+    /// Number of couriers that share the destinations, including this one.
     pub couriers: usize,
     pub classes: Vec<Class>,
     pub kinds: Vec<Kind>,
-    /// Number of tenants; with none, fairness is between classes.
+    /// Number of tenants; if 0, fairness is between classes.
     pub tenants: usize,
-    /// Calls that may be out at once.
+    /// Maximum number of calls in flight.
     pub slots: usize,
-    /// Messages that may be held, sent or not.
+    /// Maximum number of messages accepted and not yet answered, whether sent or not.
     pub max_held: usize,
-    /// Attempts a message may have.
+    /// Maximum number of attempts per message.
     #[serde(rename = "attempt_cap")]
     pub max_attempts: u32,
     #[serde(rename = "worth_loss")]
     pub value_decay: ValueDecay,
-    /// Price of a new connection, in points of the result for one a message.
+    /// Cost of a new connection, in score points per message.
     pub handshake_cost: f64,
-    /// Price of a message on a separate route, by zone, in the same points.
+    /// Cost of a message on a separate route, by zone, in the same points.
     #[serde(rename = "zone_fees")]
     pub zone_costs: Vec<f64>,
     pub weights: WeightKind,
-    /// A connection not established within this time is a failed connect.
+    /// A connection that is not established within this time counts as failed.
     pub connect_timeout: Duration,
-    /// Idle connections close after this time.
+    /// Idle connections are closed after this time.
     pub keepalive: Duration,
     pub may_probe: bool,
     pub may_cancel: bool,
-    /// The longest time to stay away that a refused client heeds; none where clients are not told.
+    /// Longest retry delay that a refused client respects; none if clients are not given one.
     pub retry_after: Option<Duration>,
-    /// List changes come only after [`Action::Subscribe`].
+    /// List changes are sent only after [`Action::Subscribe`].
     pub must_subscribe: bool,
-    /// The smallest time between two calls of the module.
+    /// Minimum time between two calls of the scheduler.
     pub tick: Duration,
-    /// Nothing new may go to an endpoint this long after news that it drains or is gone.
+    /// From this long after an endpoint is reported as draining or removed, no new calls to it are allowed.
     pub drain_grace: Duration,
-    /// A destination back from an outage has this share of its capacity at least,
+    /// Minimum share of its capacity that a destination has right after an outage.
     #[serde(rename = "cold_from")]
     pub cold_capacity: f64,
-    /// and all of it after this time.
+    /// Time after an outage until a destination has its full capacity again.
     #[serde(rename = "cold_span")]
     pub warm_up: Duration,
-    /// A cold destination falls over when sent more than this multiple of its present capacity
+    /// While its capacity is reduced, a destination fails when it gets more than this multiple of its current
+    /// capacity for `overload_span`.
     #[serde(rename = "fall_multiple")]
     pub overload_factor: f64,
-    /// for this long.
+    /// See `overload_factor`.
     #[serde(rename = "fall_span")]
     pub overload_span: Duration,
-    /// How long a key rests after an attempt that may still be running.
+    /// Pause of an ordered key after an attempt that may still be running.
     #[serde(rename = "order_pause")]
     pub key_pause: Duration,
 }
 
-/// EndpointState of a list entry.
+/// State of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
     Ready,
@@ -155,7 +156,7 @@
     Gone,
 }
 
-/// One line of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
     pub endpoint: EndpointId,
@@ -166,39 +167,39 @@
     pub weight: f64,
 }
 
-/// How an attempt or a probe ended.
+/// Outcome of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     Delivered,
-    /// Answered with an error; it may have run.
+    /// The endpoint answered with an error; the attempt may have run.
     Error,
-    /// Turned away unseen, perhaps with a time to wait; it never ran.
+    /// Refused before processing because of a limit, possibly with a time to wait; it never ran.
     Full {
         wait: Option<Duration>,
     },
-    /// No answer in time; it may have run or still run.
+    /// No answer in time; the attempt may have run or may still be running.
     TimedOut,
-    /// No connection could be had; it never ran.
+    /// No connection could be established; the attempt never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled by this courier; the attempt may have run.
     Cancelled,
-    /// Not sent; it never ran, but counts as an attempt.
+    /// Not sent: it never ran, but counts as an attempt.
     #[serde(rename = "Moot")]
     NotSent,
 }
 
-/// What an endpoint tells of its limit.
+/// Load report of an endpoint about its rate limit.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Report {
-    /// Share of the allowance that is left.
+    /// Unused share of the limit.
     pub left: f64,
-    /// The limit in calls a second; 0 where there is none.
+    /// The limit in calls per second; 0 if there is none.
     pub limit: f64,
 }
 
-/// A message handed to the courier.
+/// A message accepted by the courier.
 #[derive(Clone, Debug)]
 pub struct Taken {
     pub message: MessageId,
@@ -206,25 +207,25 @@
     pub tenant: usize,
     pub destination: DestinationId,
     pub key: Option<String>,
-    /// How long it may still be delivered.
+    /// Time left until the deadline.
     pub time_left: Duration,
-    /// A guess of the work it makes, if there is one.
+    /// Estimated processing time at the receiver, if known.
     pub estimated_work: Option<Duration>,
-    /// What it went through before this courier restarted; nothing for a new one.
+    /// Attempts from before a restart of this courier; the default for a new message.
     pub history: Past,
 }
 
-/// What is on record of a message that was taken before the courier restarted.
+/// Recorded history of a message that was accepted before the courier restarted.
 #[derive(Clone, Debug, Default)]
 pub struct Past {
-    /// It was taken on before a restart.
+    /// The message was accepted before a restart and recovered from the journal.
     pub recovered: bool,
     pub attempts: u32,
     /// The first attempt that may have run.
     pub may_have_run: Option<Ran>,
 }
 
-/// An attempt that may have run: where it went, and how long ago.
+/// An attempt that may have run: its endpoint and zone, and how long ago it was sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Ran {
     pub endpoint: EndpointId,
@@ -232,44 +233,44 @@
     pub ago: Duration,
 }
 
-/// The end of an attempt.
+/// Result of an attempt.
 #[derive(Clone, Debug)]
 pub struct Ended {
     pub message: MessageId,
     pub endpoint: EndpointId,
     pub outcome: Outcome,
     pub took: Duration,
-    /// The message has its final answer.
+    /// The message has its final answer, so no further attempt is needed.
     pub answered: bool,
     pub report: Option<Report>,
 }
 
-/// News for the module.
+/// Input of the scheduler.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Changed entries, or with `whole` the complete list.
+    /// Changed entries of the endpoint list; the complete list if `whole` is set.
     Listed { whole: bool, entries: Vec<Entry> },
     /// A request for the list failed, or the subscription broke.
     ListFailed,
-    /// A message was taken and is owed one final answer.
+    /// A message was accepted and must get exactly one final answer.
     Taken(Taken),
-    /// A streamed answer has begun.
+    /// A streamed answer has started.
     Answering { message: MessageId },
     /// An attempt ended.
     Ended(Ended),
-    /// Nobody wants the message any more.
+    /// The client no longer needs the message.
     Withdrawn { message: MessageId },
-    /// Operators leave an endpoint out, whatever the list says, or use it again: then it was restarted.
+    /// Operators take an endpoint out of service, independent of the list, or put it back after a restart.
     Maintenance { endpoint: EndpointId, out: bool },
-    /// A wake-up asked for with [`Action::Wake`].
+    /// A timer set with [`Action::Wake`] fired.
     Woken { token: u64 },
     /// A probe ended.
     Probed { endpoint: EndpointId, outcome: Outcome, took: Duration, report: Option<Report> },
-    /// A note from another courier.
+    /// A message from another courier.
     Told { from: u64, note: Vec<u8> },
 }
 
-/// What the module wants done.
+/// Output of the scheduler: what the courier is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     Send {
@@ -277,13 +278,13 @@
         endpoint: EndpointId,
         timeout: Duration,
     },
-    /// End the message undelivered; trying again is harmless.
-    /// `wait` advises the client how long to stay away.
+    /// End the message undelivered; the client may safely retry it.
+    /// `wait` advises the client how long to wait before that.
     Refuse {
         message: MessageId,
         wait: Option<Duration>,
     },
-    /// End the message; whether it took effect is not known.
+    /// End the message as failed; whether it took effect is unknown.
     Fail {
         message: MessageId,
     },
@@ -294,21 +295,21 @@
         message: MessageId,
         attempt: u32,
     },
-    /// Ask for list changes from now on, or no longer.
+    /// Subscribe to changes of the endpoint list, or unsubscribe.
     Subscribe {
         active: bool,
     },
-    /// Ask for the whole list once.
+    /// Request the complete endpoint list once.
     Fetch,
-    /// Close the idle connections to an endpoint.
+    /// Close all idle connections to an endpoint.
     Close {
         endpoint: EndpointId,
     },
-    /// An endpoint that is long gone is known no more: nothing refers to it.
+    /// Drop an endpoint that was removed from the list long ago; nothing refers to its id any more.
     Forget {
         endpoint: EndpointId,
     },
-    /// A note of 256 bytes at most to one courier, or to all.
+    /// Send a message of at most 256 bytes to one courier, or to all.
     Tell {
         to: Option<u64>,
         note: Vec<u8>,
@@ -317,7 +318,7 @@
         token: u64,
         after: Duration,
     },
-    /// A line for the operators' log.
+    /// Write a line to the operators' log.
     Note {
         text: String,
     },
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decides, for one courier, what to do with each message it has taken: hold it, send it to an
-//! endpoint of its destination, refuse it or report it failed.
+//! The courier: accepts messages and delivers them to endpoints of their destinations. For each message it
+//! decides whether to queue it, send it to an endpoint, refuse it or report it as failed.
 //!
-//! [`scheduler`] holds every decision, [`interface`] the vocabulary it speaks, and [`wire`] the
-//! translation to the line protocol of the bench. A courier embeds [`scheduler::Scheduler`] directly and
-//! never needs `wire`; `examples/embed.rs` shows how.
+//! [`scheduler`] makes all these decisions, [`interface`] defines its inputs and outputs, [`node`] is the
+//! deployed courier, and [`wire`] translates to the simulator's line protocol. A program can embed
+//! [`scheduler::Scheduler`] directly and does not need `wire`; `examples/embed.rs` shows how.
 
 pub mod interface;
 pub mod node;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,10 +1,12 @@
-//! The settings as the platform writes them: in the first message of the bench's line protocol, and in
-//! a real courier's configuration. Parsed here once, for both.
+//! Parses the settings in the platform's format, which is used by the first message of the simulator's line
+//! protocol and by the configuration of a deployed courier.
 
 use crate::interface::*;
 use serde::Deserialize;
 use std::time::Duration;
 
+/// Settings in the platform's format: lanes are message classes, customers tenants, dcs zones, skus kinds of
+/// destination, and siblings the number of couriers.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct PlatformConfig {
@@ -121,16 +123,17 @@
         self.customers.iter().map(|c| c.name.as_str())
     }
 
-    /// The names of the zones and of the kinds of destination, in the order of their numbers.
+    /// The names of the zones, in the order of their numbers.
     pub fn zone_names(&self) -> &[String] {
         &self.dcs
     }
 
+    /// The names of the kinds of destination, in the order of their numbers.
     pub fn kind_names(&self) -> &[String] {
         &self.skus
     }
 
-    /// The settings in the terms of the module. An error names what cannot be worked with.
+    /// Converts to the scheduler's settings. An error names the invalid value.
     pub fn settings(&self) -> Result<Settings, String> {
         let conf = self;
         let mut classes = Vec::new();
@@ -219,7 +222,7 @@
     }
 
     #[test]
-    fn a_class_may_have_any_effect_and_what_cannot_be_worked_with_is_named() {
+    fn each_effect_is_accepted_and_errors_name_the_invalid_value() {
         let effect = |effect: &str| read(|page| page["lanes"][0]["effect"] = json!(effect));
         for (word, expected) in [("repeatable", Effect::Repeatable), ("once", Effect::Once)] {
             assert_eq!(effect(word).map(|set| set.classes[0].effect), Ok(expected));
@@ -231,7 +234,7 @@
     }
 
     #[test]
-    fn names_that_are_not_known_are_passed_over() {
+    fn unknown_fields_are_ignored() {
         let known = read(|_| ()).expect("sound");
         let more = read(|page| {
             page["new-part"] = json!({"x": 1});
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,5 @@
-//! Translates the line protocol of the bench to and from [`crate::interface`]. It decides nothing.
+//! Translates the simulator's line protocol (one JSON object per line) to and from [`crate::interface`].
+//! Makes no decisions.
 
 use crate::interface::*;
 use crate::scheduler::Scheduler;
@@ -10,7 +11,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::time::Duration;
 
-/// One line received.
+/// A received line.
 #[derive(Deserialize)]
 #[serde(tag = "what", rename_all_fields = "kebab-case")]
 enum Incoming {
@@ -95,7 +96,7 @@
     x1: Option<f64>,
 }
 
-/// One line sent.
+/// A line to send.
 #[derive(Serialize, Debug, PartialEq)]
 #[serde(tag = "what", rename_all = "SCREAMING_SNAKE_CASE", rename_all_fields = "kebab-case")]
 enum Outgoing<'a> {
@@ -179,7 +180,7 @@
     Some(Report { left: p.x0?, limit: p.x1? })
 }
 
-/// One courier: its module and the numbers given to the endpoint addresses it has heard of.
+/// One simulated courier: its scheduler, and the ids assigned to the endpoint addresses it knows.
 struct Instance {
     scheduler: Option<Scheduler>,
     classes: usize,
@@ -217,18 +218,19 @@
     }
 }
 
-/// The adapter: all instances of this process.
+/// The adapter: hosts all courier instances of this process.
 #[derive(Default)]
 pub struct Host {
     now: Time,
     tables: BTreeMap<u64, Vec<Element>>,
     instances: BTreeMap<u64, Instance>,
-    /// Instances with news in this batch, in order of their first event.
+    /// Instances with events in this batch, in order of their first event.
     pending: Vec<u64>,
 }
 
 impl Host {
-    /// Reads events until the input ends, answering each batch. An error names what was wrong.
+    /// Reads lines until the input ends and replies to each batch (a `GO`). An error names the line and the
+    /// cause.
     pub fn run(&mut self, input: impl BufRead, mut output: impl Write) -> Result<(), String> {
         for (index, line) in input.lines().enumerate() {
             let at = |fault: String| format!("line {}: {fault}", index + 1);
@@ -345,7 +347,7 @@
                 self.push(courier_id, Event::Withdrawn { message: MessageId(job) })?;
             }
             Incoming::Elapsed { courier_id, name } => {
-                // A name that is no number was not set by the module; it has no use for it.
+                // The scheduler names its timers by number; any other name is not from it and is ignored.
                 let wake_up = name.parse().map(|token| Event::Woken { token });
                 if let Ok(event) = wake_up {
                     self.push(courier_id, event)?;
@@ -401,11 +403,11 @@
     }
 }
 
-/// What the wire says of an action; nothing where it has no word for it.
+/// The line that expresses an action; none if the protocol has no line for it.
 fn outgoing<'a>(courier_id: u64, action: &Action, names: &'a [String]) -> Option<Outgoing<'a>> {
     let name = |e: EndpointId| names[e.0 as usize].as_str();
     Some(match action {
-        // An endpoint that was once listed stays known to the bench.
+        // The simulator keeps every endpoint that was ever listed.
         Action::Forget { .. } => return None,
         Action::Send { message, endpoint, timeout } => Outgoing::SubmitTo {
             courier_id,
