--- a/src/bin/courier.rs
+++ b/src/bin/courier.rs
@@ -1,5 +1,5 @@
-//! The courier as a program: clients, endpoints, discovery and the platform on real sockets; and what operators
-//! do with the journal of one that does not run.
+//! The courier executable: runs the courier on real sockets (clients, endpoints, discovery, platform), and has
+//! commands for operators to inspect and repair the journal of a courier that is not running.
 
 use clap::{Parser, Subcommand};
 use lanegate_courier::node;
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Without arguments: the courier, as the environment tells it.
+/// Without arguments, runs the courier as configured by the environment.
 #[derive(Parser)]
 #[command(name = "courier", version, about, disable_help_subcommand = true)]
 struct Arguments {
@@ -19,32 +19,32 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// The journal of a courier that does not run
+    /// Inspect or repair the journal of a courier that is not running
     #[command(subcommand, after_help = EXITS)]
     Journal(Journal),
 }
 
 const EXITS: &str =
-    "Exit codes: 0 sound, or mended; 1 damaged; 2 wrong arguments; 3 in use, or it cannot be read.";
+    "Exit codes: 0 intact or repaired; 1 damaged; 2 invalid arguments; 3 in use or unreadable.";
 
-/// DIR is the folder that LB_STATE names for that courier.
+/// DIR is the directory that LB_STATE sets for that courier.
 #[derive(Subcommand)]
 enum Journal {
-    /// Tell what is damaged, and what that costs; changes nothing
+    /// Report damage and its consequences; changes nothing
     #[command(after_help = EXITS)]
     Check { dir: PathBuf },
-    /// Print the messages that live, with their attempts; changes nothing
+    /// Print the messages without a final answer, with their attempts; changes nothing
     #[command(after_help = EXITS)]
     Show {
         dir: PathBuf,
-        /// Only the message of this id
+        /// Only the message with this id
         #[arg(long)]
         id: Option<String>,
-        /// One JSON object a line
+        /// Print one JSON object per line
         #[arg(long)]
         json: bool,
     },
-    /// Write a damaged journal anew from what can be read; the damaged one is kept under another name
+    /// Rewrite a damaged journal from its readable records; the damaged one is kept under another name
     #[command(after_help = EXITS)]
     Repair { dir: PathBuf },
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -98,7 +98,7 @@
             (set.classes.len(), set.tenants, routes)
         };
         if frame(&set) != frame(&old.set) {
-            return Err("it was made for other classes, tenants or kinds".to_owned());
+            return Err("the stored state is for other classes, tenants or kinds of destination".to_owned());
         }
         let Scheduler { set, rng, .. } = Scheduler::blank(set, seed);
         let mut scheduler = Scheduler { set, rng, wake: None, ..old };
