--- a/src/scheduler/choice.rs
+++ b/src/scheduler/choice.rs
@@ -43,7 +43,7 @@
         let message = &self.messages[&id];
         let dest = message.dest;
         let has_room = self.has_room(&self.dests[&dest]);
-        let (mut best, mut starved, mut later) = (None, Vec::new(), NEVER);
+        let (mut best, mut limited, mut later) = (None, Vec::new(), NEVER);
         for id in &self.dests[&dest].endpoints {
             let endpoint = &self.endpoints[id];
             // Rules: no sends to draining or removed endpoints; keyed repeats only where deduplicated.
@@ -65,7 +65,7 @@
             let mut free = if spaced { pool.wait_until.max(endpoint.next_call_at) } else { pool.wait_until };
             if let Some(paced) = self.paced_until(pool, endpoint).filter(|_| !joins) {
                 free = free.max(paced);
-                starved.push(pool_id);
+                limited.push(pool_id);
             }
             let connects = !joins && !self.has_idle_connection(endpoint);
             if connects {
@@ -80,7 +80,7 @@
                 best = Some((cost, *id));
             }
         }
-        starved.into_iter().for_each(|pool| self.pools.get_mut(&pool).expect("known").rate_limited = true);
+        limited.into_iter().for_each(|pool| self.pools.get_mut(&pool).expect("known").rate_limited = true);
         self.check_by(dest, later);
         best.map(|(_, id)| id)
     }
@@ -101,13 +101,13 @@
         let separate = self.set.kinds[endpoint.kind].separate_routes;
         let fee = self.set.zone_costs.get(endpoint.zone).filter(|_| separate).copied().unwrap_or(0.0);
         let cold = if connects { self.set.handshake_cost } else { 0.0 };
-        let aim = self.set.classes[message.class].latency_target.as_secs_f64().max(INITIAL_LATENCY);
+        let target = self.set.classes[message.class].latency_target.as_secs_f64().max(INITIAL_LATENCY);
         let again = if message.previous == Some(id) && message.attempts > 0 { COST_LATENCY } else { 0.0 };
         let load = 1.0 + endpoint.calls.len() as f64 / 4.0;
         let few = self.in_flight + 1 + self.set.slots / LAST_SLOTS >= self.set.slots;
         let short = if few { COST_LAST_SLOTS } else { 0.0 };
         let (latency, failures) = (endpoint.latency.seconds(), COST_FAILURES * self.failure_ratio(endpoint));
-        let slow = COST_LATENCY / aim * latency + short * latency.max(INITIAL_LATENCY);
+        let slow = COST_LATENCY / target * latency + short * latency.max(INITIAL_LATENCY);
         fee + cold + again + slow * load + COST_TIE * endpoint.tie_breaker + failures
     }
 
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -73,16 +73,16 @@
             (OPEN_FIRST + OPEN_GROWTH * secs(now - endpoint.failing_since)).min(1.0 / rate).max(MIN_OPEN);
         endpoint.was_down = cold || (endpoint.was_down && !closed);
         endpoint.slow_start_from = endpoint.slow_start_from.filter(|_| !endpoint.was_down);
-        let (turn_at, apart) = (now + to_ns(pause * jitter), to_ns(TRIAL_SPACING * pause));
+        let (trial_at, apart) = (now + to_ns(pause * jitter), to_ns(TRIAL_SPACING * pause));
         endpoint.breaker = Breaker::Open;
         // Outages mostly affect a whole destination, so one trial stands for all its open endpoints. Trials
         // rotate, the latest failure last; else only that one is tried and recovered ones stay unused.
         let others = self.dests[&endpoint.dest].endpoints.iter().map(|o| (*o, &self.endpoints[o]));
-        let shut =
+        let open =
             others.filter(|(o, endpoint)| *o != id && endpoint.ready && endpoint.breaker == Breaker::Open);
-        let turns: BTreeSet<_> = shut.map(|(o, endpoint)| (endpoint.trial_at, o)).collect();
-        for (n, (at, other)) in turns.into_iter().chain([(turn_at, id)]).enumerate() {
-            self.endpoints.get_mut(&other).expect("known").trial_at = at.max(turn_at + apart * n as Ns);
+        let trials: BTreeSet<_> = open.map(|(o, endpoint)| (endpoint.trial_at, o)).collect();
+        for (n, (at, other)) in trials.into_iter().chain([(trial_at, id)]).enumerate() {
+            self.endpoints.get_mut(&other).expect("known").trial_at = at.max(trial_at + apart * n as Ns);
         }
     }
 
@@ -114,9 +114,9 @@
                 _ => {}
             }
             let endpoint = &self.endpoints[&id];
-            let turn =
+            let trial_at =
                 (endpoint.breaker == Breaker::Open && held).then_some(endpoint.trial_at.max(pool_waits));
-            self.check_by(dest, waits.unwrap_or(NEVER).min(turn.unwrap_or(NEVER)));
+            self.check_by(dest, waits.unwrap_or(NEVER).min(trial_at.unwrap_or(NEVER)));
         }
     }
 
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -56,22 +56,23 @@
     pub(crate) fn new(taken: &Taken, set: &Settings, now: Ns) -> Self {
         let class = taken.class.min(set.classes.len() - 1);
         let terms = &set.classes[class];
-        let end = now + ns(taken.time_left);
+        let deadline = now + ns(taken.time_left);
         let stretch = taken.estimated_work.map_or(0.0, |work| terms.target_stretch * work.as_secs_f64());
-        let aim = (end - ns(terms.deadline) + ns(terms.latency_target) + to_ns(stretch)).min(end);
+        let target =
+            (deadline - ns(terms.deadline) + ns(terms.latency_target) + to_ns(stretch)).min(deadline);
         let group = if set.tenants > 0 { taken.tenant.min(set.tenants - 1) } else { class };
-        let ran = taken.history.may_have_run.map(|ran| (ran.endpoint, ran.zone, now - ns(ran.ago)));
+        let may_have_run = taken.history.may_have_run.map(|ran| (ran.endpoint, ran.zone, now - ns(ran.ago)));
         Message {
             class,
             group,
             dest: taken.destination,
             key: taken.key.clone().filter(|_| terms.ordered),
-            target: aim,
-            deadline: end,
-            due: aim,
+            target,
+            deadline,
+            due: target,
             attempts: taken.history.attempts,
-            may_have_run: ran,
-            recovered: taken.history.recovered && ran.is_none(),
+            may_have_run,
+            recovered: taken.history.recovered && may_have_run.is_none(),
             ..Message::default()
         }
     }
