--- a/src/scheduler/calls.rs
+++ b/src/scheduler/calls.rs
@@ -1,39 +1,39 @@
-//! Calls: begun, called off where they are stuck, and booked when they end.
+//! Starts calls, cancels stuck ones, and records how they end.
 
 use super::connections::connect_pause;
-use super::pace::{FULL_DOUBLINGS, FULL_LONGEST, FULL_PAUSE};
+use super::pace::{REFUSAL_DOUBLINGS, REFUSAL_LONGEST, REFUSAL_PAUSE};
 use crate::interface::*;
 use crate::state::*;
 use fair_edf::Smoothing;
 use rand::Rng;
 use std::time::Duration;
 
-/// Latency before the first answer, s, of a destination and of an endpoint; weight of each further one.
-pub(super) const FIRST_LATENCY: f64 = 0.05;
+/// Initial latency estimate of a destination, s (an endpoint starts at 0); EWMA weight of each sample.
+pub(super) const INITIAL_LATENCY: f64 = 0.05;
 const LATENCY_GAIN: f64 = 0.15;
-pub(crate) const DEST_LATENCY: Smoothing = Smoothing { initial: FIRST_LATENCY, gain: LATENCY_GAIN };
+pub(crate) const DEST_LATENCY: Smoothing = Smoothing { initial: INITIAL_LATENCY, gain: LATENCY_GAIN };
 const ENDPOINT_LATENCY: Smoothing = Smoothing { initial: 0.0, gain: LATENCY_GAIN };
-/// Time-out in latencies, and least, s, as a call that is given up is work done twice, and the time that is
-/// left bounds it anyway; time-outs after which a call that blocks others is called off.
+/// Time-out as a multiple of the latency, and its minimum, s: a call that is given up too early is work done
+/// twice, and the deadline bounds it anyway. `STUCK_FACTOR` time-outs cancel a call that blocks others.
 const TIMEOUT_LATENCIES: f64 = 7.0;
-const TIMEOUT_LEAST: f64 = 1.0;
-const STUCK_PATIENCE: f64 = 1.5;
-/// Length, s, of a told wait that ends cold: a limit tells waits of its window, a second or two, and only
-/// one that is shut tells more.
-const SHUT_WAIT: f64 = 2.5;
+const MIN_TIMEOUT: f64 = 1.0;
+const STUCK_FACTOR: f64 = 1.5;
+/// Requested wait, s, beyond which slow start follows: a rate limit asks for waits of its window, 1 to 2 s;
+/// only a destination that is shut asks for more.
+const LONG_WAIT: f64 = 2.5;
 
 impl Scheduler {
-    /// Sends a held message, in a call that others of this reply share where there is room.
+    /// Sends a queued message, in a call begun by the same `handle` if that has room for more messages.
     pub(super) fn send(
         &mut self,
         id: MessageId,
         endpoint: EndpointId,
-        joined: &mut Joined,
+        joined: &mut OpenCalls,
         out: &mut Vec<Action>,
     ) {
         let now = self.now;
         let open = joined.get_mut(&endpoint).filter(|(_, room)| *room > 0);
-        let (call, opens) = match open {
+        let (call, connects) = match open {
             Some((call, room)) => {
                 *room -= 1;
                 self.endpoints.get_mut(&endpoint).expect("chosen").join_call(*call);
@@ -41,57 +41,57 @@
             }
             None => self.begin_call(endpoint, joined),
         };
-        let patience = sec(self.attempt_timeout(&self.endpoints[&endpoint]));
+        let patience = to_ns(self.attempt_timeout(&self.endpoints[&endpoint]));
         let message = self.messages.get_mut(&id).expect("held");
-        let left = message.end - now - ns(self.set.tick) * 2;
-        // What may run only once is given all its time: cutting it short can only fail it.
+        let left = message.deadline - now - ns(self.set.tick) * 2;
+        // A message that may run only once gets all its time: an earlier time-out could only fail it.
         let once = self.set.classes[message.class].effect == Effect::Once;
         let timeout = if once { left } else { left.min(patience) };
         let (dest, due) = (message.dest, message.due);
         message.attempts += 1;
-        message.last = Some(endpoint);
-        message.flight = Some(Flight { endpoint, call, cancelled: false, sent: now, opens });
-        self.found -= usize::from(std::mem::take(&mut message.found));
-        self.destination(dest).chart.remove(due, id);
-        out.push(Action::Send { message: id, endpoint, timeout: span(timeout.max(1)) });
+        message.previous = Some(endpoint);
+        message.in_flight = Some(InFlight { endpoint, call, cancelled: false, sent: now, connects });
+        self.recovered -= usize::from(std::mem::take(&mut message.recovered));
+        self.destination(dest).timeline.remove(due, id);
+        out.push(Action::Send { message: id, endpoint, timeout: to_duration(timeout.max(1)) });
         self.space_calls(endpoint);
     }
 
-    /// Takes a slot for a new call; true if it has to open a connection.
-    fn begin_call(&mut self, id: EndpointId, joined: &mut Joined) -> (u64, bool) {
+    /// Takes a slot for a new call; true if the call has to open a connection.
+    fn begin_call(&mut self, id: EndpointId, joined: &mut OpenCalls) -> (u64, bool) {
         let (now, call, pool) = (self.now, self.next_call, self.pool_id(id));
         self.next_call += 1;
-        self.calls_out += 1;
+        self.in_flight += 1;
         let endpoint = self.endpoints.get_mut(&id).expect("chosen");
-        joined.insert(id, (call, self.set.kinds[endpoint.kind].bundle_max.max(1) - 1));
+        joined.insert(id, (call, self.set.kinds[endpoint.kind].max_batch.max(1) - 1));
         endpoint.calls.insert(call, (now, 1));
         endpoint.trial = Some(call);
         endpoint.idle.retain(|used| *used > now - ns(self.set.keepalive));
-        let opens = endpoint.idle.pop().is_none();
-        if opens {
-            endpoint.connect_at = now + sec(connect_pause(endpoint.unconnected));
+        let connects = endpoint.idle.pop().is_none();
+        if connects {
+            endpoint.connect_at = now + to_ns(connect_pause(endpoint.connect_failures));
         }
         self.pools.get_mut(&pool).expect("known").take(now);
         self.destination(pool.0).calls += 1;
-        (call, opens)
+        (call, connects)
     }
 
-    /// How long an attempt that may be repeated is waited for, s.
+    /// Time-out of an attempt that may be repeated, s.
     fn attempt_timeout(&self, endpoint: &Endpoint) -> f64 {
-        (TIMEOUT_LATENCIES * endpoint.latency.seconds()).max(TIMEOUT_LEAST)
+        (TIMEOUT_LATENCIES * endpoint.latency.seconds()).max(MIN_TIMEOUT)
     }
 
-    /// Calls off the oldest stuck call where messages wait for its slot. An unsafe message is lost by it.
+    /// Cancels the oldest stuck call if messages wait for its slot. A message that may run only once is lost.
     pub(super) fn cancel_stuck_call(&mut self, out: &mut Vec<Action>) {
-        self.stuck_at = NEVER;
-        let wanted = self.set.may_cancel && !self.pressed.is_empty();
-        let full = self.calls_out >= self.set.slots;
+        self.stuck_check_at = NEVER;
+        let wanted = self.set.may_cancel && !self.need_slot.is_empty();
+        let full = self.in_flight >= self.set.slots;
         let stuck = |message: &Message| {
-            let flight = message
-                .flight
+            let call = message
+                .in_flight
                 .as_ref()
-                .filter(|flight| !flight.cancelled && (full || self.pressed.contains(&message.dest)))?;
-            Some(flight.sent + sec(self.attempt_timeout(&self.endpoints[&flight.endpoint]) * STUCK_PATIENCE))
+                .filter(|call| !call.cancelled && (full || self.need_slot.contains(&message.dest)))?;
+            Some(call.sent + to_ns(self.attempt_timeout(&self.endpoints[&call.endpoint]) * STUCK_FACTOR))
         };
         let first = self
             .messages
@@ -100,33 +100,33 @@
             .filter(|_| wanted)
             .min();
         let Some((at, id)) = first else { return };
-        self.stuck_at = at.max(self.now + ns(self.set.tick));
+        self.stuck_check_at = at.max(self.now + ns(self.set.tick));
         if at <= self.now {
             let message = self.messages.get_mut(&id).expect("known");
-            message.flight.as_mut().expect("in flight").cancelled = true;
+            message.in_flight.as_mut().expect("in flight").cancelled = true;
             out.push(Action::Cancel { message: id, attempt: message.attempts - 1 });
         }
     }
 
-    /// Books the end of a call: slots, latency, pace and health. A bundle is booked once.
-    pub(super) fn call_ended(&mut self, flight: Flight, ended: &Ended, out: &mut Vec<Action>) {
+    /// Records the end of a call: slots, latency, rate and health. A batch of messages is recorded once.
+    pub(super) fn call_ended(&mut self, flight: InFlight, ended: &Ended, out: &mut Vec<Action>) {
         let (id, outcome, took) = (ended.endpoint, ended.outcome, ended.took.as_secs_f64());
-        let Flight { call, sent, opens, .. } = flight;
+        let InFlight { call, sent, connects, .. } = flight;
         let endpoint = self.endpoints.get_mut(&id).expect("a sent endpoint is known");
         let (dest, was_open) = (endpoint.dest, endpoint.calls.len());
         let first = endpoint.leave_call(call);
         let closed = was_open - endpoint.calls.len();
-        self.calls_out -= closed;
+        self.in_flight -= closed;
         self.destination(dest).calls -= closed;
-        if !first || outcome == Outcome::Moot {
+        if !first || outcome == Outcome::NotSent {
             return;
         }
-        self.record_connection(id, sent, opens, outcome);
+        self.record_connection(id, sent, connects, outcome);
         let endpoint = self.endpoints.get_mut(&id).expect("a sent endpoint is known");
         let destination = self.dests.get_mut(&endpoint.dest).expect("known");
         if !matches!(outcome, Outcome::Full { .. }) {
             let well = matches!(outcome, Outcome::Delivered | Outcome::Cancelled);
-            destination.recent.record(well, took, destination.latency.seconds());
+            destination.recent_calls.record(well, took, destination.latency.seconds());
         }
         match outcome {
             Outcome::Delivered => {
@@ -138,46 +138,46 @@
                 self.record_success(id);
                 self.space_calls(id);
             }
-            Outcome::Full { wait } => self.refused_as_full(id, sent, wait),
-            // Too many connections look like a dead endpoint, but for answers on the others.
+            Outcome::Full { wait } => self.record_refusal(id, sent, wait),
+            // Running out of connections looks like a dead endpoint, except that other connections answer.
             Outcome::ConnectFailed
-                if endpoint.last_ok > sent || (!endpoint.calls.is_empty() && endpoint.last_ok > 0) =>
+                if endpoint.success_at > sent || (!endpoint.calls.is_empty() && endpoint.success_at > 0) =>
             {
                 return self.close_spare_connections(id, out);
             }
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
             _ => {
-                // A call takes at least as long as it was out: else a slow one never meets its time-out.
+                // After a time-out the latency is at least that long; else slow calls would always time out.
                 let least = if outcome == Outcome::TimedOut { took } else { 0.0 };
                 endpoint.latency.sample_at_least(&ENDPOINT_LATENCY, least);
                 self.record_failure(id, call);
             }
         }
-        self.zone_heard(id, outcome);
+        self.record_zone_outcome(id, outcome);
         self.close_spare_connections(id, out);
     }
 
-    /// Books a refusal: its pool waits as told, or ever longer, and its pace is cut.
-    fn refused_as_full(&mut self, id: EndpointId, sent: Ns, wait: Option<Duration>) {
+    /// Records a refusal: the pool waits as requested, or with exponential backoff, and its rate is cut.
+    fn record_refusal(&mut self, id: EndpointId, sent: Ns, wait: Option<Duration>) {
         let (now, pool) = (self.now, self.pool_id(id));
-        let (gap, slow) = (self.warm_up_gap(id, 1.0), 1.0 / (self.own_share(id)).max(1e-3));
+        let (gap, slow) = (self.warm_up_gap(id, 1.0), 1.0 / (self.rate_share(id)).max(1e-3));
         let random: f64 = self.rng.random();
         let pool = self.pools.get_mut(&pool).expect("each endpoint has a pool");
-        // A rush that left before the first refusal was known counts once.
-        pool.fulls = (pool.fulls + u32::from(sent >= pool.full_at)).max(1);
-        pool.full_at = now;
+        // Calls sent before the first refusal was known count as one.
+        pool.refusals = (pool.refusals + u32::from(sent >= pool.refused_at)).max(1);
+        pool.refused_at = now;
         pool.cut(now, self.set.couriers);
         let endpoint = self.endpoints.get_mut(&id).expect("a sent endpoint is known");
         endpoint.trial = None;
         if wait.is_none() {
-            let doubled = FULL_PAUSE * f64::from(1u32 << (pool.fulls - 1).min(FULL_DOUBLINGS));
-            let pause = doubled.min(slow.max(FULL_LONGEST)) * (0.5 + random);
-            pool.wait_until = pool.wait_until.max(now + sec(pause));
-        } else if let Some(wait) = wait.filter(|wait| wait.as_secs_f64() > SHUT_WAIT) {
-            // Shut until then: all that were told so come at once, and it is cold.
-            endpoint.warm_from = Some(now + ns(wait));
-            let spread = self.set.cold_span.as_secs_f64() * random.sqrt();
-            endpoint.free_at = now + ns(wait) + sec(spread.min(2.0 * random * gap));
+            let doubled = REFUSAL_PAUSE * f64::from(1u32 << (pool.refusals - 1).min(REFUSAL_DOUBLINGS));
+            let pause = doubled.min(slow.max(REFUSAL_LONGEST)) * (0.5 + random);
+            pool.wait_until = pool.wait_until.max(now + to_ns(pause));
+        } else if let Some(wait) = wait.filter(|wait| wait.as_secs_f64() > LONG_WAIT) {
+            // Shut until then: all couriers return at once and it has reduced capacity, so start slowly.
+            endpoint.slow_start_from = Some(now + ns(wait));
+            let spread = self.set.warm_up.as_secs_f64() * random.sqrt();
+            endpoint.next_call_at = now + ns(wait) + to_ns(spread.min(2.0 * random * gap));
         }
     }
 }
--- a/src/scheduler/choice.rs
+++ b/src/scheduler/choice.rs
@@ -1,56 +1,56 @@
-//! Which held messages go now, and to which endpoint.
+//! Selects which queued messages are sent now, and to which endpoint.
 
-use super::calls::FIRST_LATENCY;
-use super::health::DOUBT_HALVES;
+use super::calls::INITIAL_LATENCY;
+use super::health::RATIO_HALF_LIFE;
 use crate::interface::*;
 use crate::state::*;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Endpoints are compared in points of the result: latency (per aim), doubt, and each courier's own leaning.
+/// Endpoint costs in score points: of latency (relative to the target), failure ratio and tie-breaker.
 const COST_LATENCY: f64 = 0.05;
-const COST_DOUBT: f64 = 0.5;
-/// Of the last slots, one in so many and one more, a second costs what other messages could have had of it.
-const COST_SLOT: f64 = 0.5;
-const SLOTS_FEW: usize = 20;
-const COST_LEAN: f64 = 0.005;
-/// Failure ratio too doubtful for a message that may run only once.
-const ONCE_DOUBT: f64 = 0.2;
+const COST_FAILURES: f64 = 0.5;
+/// Cost per second of one of the last slots (1 in `LAST_SLOTS`, plus one), which other messages could use.
+const COST_LAST_SLOTS: f64 = 0.5;
+const LAST_SLOTS: usize = 20;
+const COST_TIE: f64 = 0.005;
+/// Failure ratio from which an endpoint is avoided for messages that may run only once.
+const ONCE_MAX_RATIO: f64 = 0.2;
 
 impl Scheduler {
-    /// Sends what may go now, by earliest deadline over the destinations with news.
+    /// Sends all messages that may go now, earliest deadline first, over the destinations that changed.
     pub(super) fn release(&mut self, touched: &BTreeSet<DestinationId>, out: &mut Vec<Action>) {
         let held: BTreeSet<_> =
-            touched.iter().flat_map(|destination| self.dests[destination].chart.iter()).collect();
-        let mut joined = Joined::new();
+            touched.iter().flat_map(|destination| self.dests[destination].timeline.iter()).collect();
+        let mut joined = OpenCalls::new();
         for (_, id) in held {
             let message = &self.messages[&id];
-            let (dest, rest) = (message.dest, message.key.as_ref().and_then(|key| self.rests.get(key)));
-            if !self.has_turn(id, message) || message.not_before > self.now {
-                self.look_again(dest, rest.filter(|r| r.1 > self.now).map_or(NEVER, |r| r.1));
+            let (dest, rest) = (message.dest, message.key.as_ref().and_then(|key| self.key_pauses.get(key)));
+            if !self.is_next_for_key(id, message) || message.not_before > self.now {
+                self.check_by(dest, rest.filter(|r| r.1 > self.now).map_or(NEVER, |r| r.1));
                 continue;
             }
             if let Some(endpoint) = self.choose_endpoint(id, &joined) {
                 self.send(id, endpoint, &mut joined, out);
             } else if !self.has_room(&self.dests[&dest]) {
-                self.pressed.insert(dest);
+                self.need_slot.insert(dest);
             }
         }
         self.cancel_stuck_call(out);
     }
 
-    /// The cheapest endpoint that may take this message now. Each rule on sends is kept here.
-    fn choose_endpoint(&mut self, id: MessageId, joined: &Joined) -> Option<EndpointId> {
+    /// Returns the cheapest endpoint that may take this message now. All rules on sending are enforced here.
+    fn choose_endpoint(&mut self, id: MessageId, joined: &OpenCalls) -> Option<EndpointId> {
         let message = &self.messages[&id];
         let dest = message.dest;
         let has_room = self.has_room(&self.dests[&dest]);
-        let (mut best, mut starved, mut later) = (None, Vec::new(), NEVER);
+        let (mut best, mut limited, mut later) = (None, Vec::new(), NEVER);
         for id in &self.dests[&dest].endpoints {
             let endpoint = &self.endpoints[id];
-            // Rules: nothing to a draining or gone endpoint; a keyed repeat only where it is dropped.
+            // Rules: no sends to draining or removed endpoints; keyed repeats only where deduplicated.
             if !endpoint.ready || !self.in_scope(message, *id, endpoint) {
                 continue;
             }
-            if let Some(at) = self.kept_off_until(message, endpoint) {
+            if let Some(at) = self.avoided_until(message, endpoint) {
                 later = later.min(at);
                 continue;
             }
@@ -60,12 +60,12 @@
             }
             let pool_id = self.pool_id(*id);
             let pool = &self.pools[&pool_id];
-            // Rules: waits are kept, and an endpoint back from an outage gets its calls spaced.
-            let spaced = !joins && endpoint.warm_from.is_some();
-            let mut free = if spaced { pool.wait_until.max(endpoint.free_at) } else { pool.wait_until };
+            // Rules: requested waits are respected; after an outage calls to an endpoint are spaced.
+            let spaced = !joins && endpoint.slow_start_from.is_some();
+            let mut free = if spaced { pool.wait_until.max(endpoint.next_call_at) } else { pool.wait_until };
             if let Some(paced) = self.paced_until(pool, endpoint).filter(|_| !joins) {
                 free = free.max(paced);
-                starved.push(pool_id);
+                limited.push(pool_id);
             }
             let connects = !joins && !self.has_idle_connection(endpoint);
             if connects {
@@ -80,47 +80,47 @@
                 best = Some((cost, *id));
             }
         }
-        starved.into_iter().for_each(|pool| self.pools.get_mut(&pool).expect("known").starved = true);
-        self.look_again(dest, later);
+        limited.into_iter().for_each(|pool| self.pools.get_mut(&pool).expect("known").rate_limited = true);
+        self.check_by(dest, later);
         best.map(|(_, id)| id)
     }
 
-    /// When the pace lets the next call through, if it holds it back now. Trials are not paced.
+    /// When the rate limiter permits the next call, if not now. Trial calls are exempt.
     fn paced_until(&self, pool: &Pool, endpoint: &Endpoint) -> Option<Ns> {
-        let lack = 1.0 - pool.filled_up(self.now);
+        let lack = 1.0 - pool.tokens_at(self.now);
         let rate = pool.rate.filter(|_| lack > 0.0 && endpoint.breaker == Breaker::Closed)?;
-        Some(self.now + sec(lack / rate) + 1)
+        Some(self.now + to_ns(lack / rate) + 1)
     }
 
     fn has_idle_connection(&self, endpoint: &Endpoint) -> bool {
         endpoint.idle.iter().any(|used| *used > self.now - ns(self.set.keepalive))
     }
 
-    /// What a message costs at an endpoint, in points of the result.
+    /// Cost of sending the message to this endpoint, in score points.
     fn cost(&self, message: &Message, id: EndpointId, endpoint: &Endpoint, connects: bool) -> f64 {
         let separate = self.set.kinds[endpoint.kind].separate_routes;
-        let fee = self.set.zone_fees.get(endpoint.zone).filter(|_| separate).copied().unwrap_or(0.0);
+        let fee = self.set.zone_costs.get(endpoint.zone).filter(|_| separate).copied().unwrap_or(0.0);
         let cold = if connects { self.set.handshake_cost } else { 0.0 };
-        let aim = self.set.classes[message.class].aim.as_secs_f64().max(FIRST_LATENCY);
-        let again = if message.last == Some(id) && message.attempts > 0 { COST_LATENCY } else { 0.0 };
+        let target = self.set.classes[message.class].latency_target.as_secs_f64().max(INITIAL_LATENCY);
+        let again = if message.previous == Some(id) && message.attempts > 0 { COST_LATENCY } else { 0.0 };
         let load = 1.0 + endpoint.calls.len() as f64 / 4.0;
-        let few = self.calls_out + 1 + self.set.slots / SLOTS_FEW >= self.set.slots;
-        let short = if few { COST_SLOT } else { 0.0 };
-        let latency = endpoint.latency.seconds();
-        let slow = COST_LATENCY / aim * latency + short * latency.max(FIRST_LATENCY);
-        fee + cold + again + slow * load + COST_LEAN * endpoint.lean + COST_DOUBT * self.doubt(endpoint)
+        let few = self.in_flight + 1 + self.set.slots / LAST_SLOTS >= self.set.slots;
+        let short = if few { COST_LAST_SLOTS } else { 0.0 };
+        let (latency, failures) = (endpoint.latency.seconds(), COST_FAILURES * self.failure_ratio(endpoint));
+        let slow = COST_LATENCY / target * latency + short * latency.max(INITIAL_LATENCY);
+        fee + cold + again + slow * load + COST_TIE * endpoint.tie_breaker + failures
     }
 
-    /// Rule: ordered messages go one at a time by key, which rests after one that may still run.
-    fn has_turn(&self, id: MessageId, message: &Message) -> bool {
+    /// Rule: ordered messages go one at a time per key, with a pause after one that may still be running.
+    fn is_next_for_key(&self, id: MessageId, message: &Message) -> bool {
         let Some(key) = &message.key else { return true };
-        let rested = self.rests.get(key).is_none_or(|(of, until)| *of == id || *until <= self.now);
-        rested && self.turns.get(key).and_then(VecDeque::front) == Some(&id)
+        let rested = self.key_pauses.get(key).is_none_or(|(of, until)| *of == id || *until <= self.now);
+        rested && self.key_queues.get(key).and_then(VecDeque::front) == Some(&id)
     }
 
-    /// Rule: what may have run goes again only where that is harmless by its effect class.
+    /// Rule: a message that may have run is repeated only where its effect class makes that harmless.
     fn in_scope(&self, message: &Message, id: EndpointId, endpoint: &Endpoint) -> bool {
-        let Some((first, zone, _)) = message.ran else { return true };
+        let Some((first, zone, _)) = message.may_have_run else { return true };
         match self.set.classes[message.class].effect {
             Effect::Repeatable | Effect::Keyed { scope: KeyScope::All, .. } => true,
             Effect::Keyed { scope: KeyScope::Zone, .. } => endpoint.zone == zone,
@@ -130,23 +130,23 @@
     }
 
     pub(super) fn may_try(&self, message: &Message, start: Ns) -> bool {
-        let in_window = match (message.ran, self.set.classes[message.class].effect) {
+        let in_window = match (message.may_have_run, self.set.classes[message.class].effect) {
             (None, _) | (Some(_), Effect::Repeatable) => true,
             (Some(_), Effect::Once) => false,
             (Some((_, _, at)), Effect::Keyed { window, .. }) => start < at + ns(window),
         };
-        in_window && message.attempts < self.set.attempt_cap
+        in_window && message.attempts < self.set.max_attempts
     }
 
-    /// None if the message may go there, else when to ask again. A half-open breaker lets one trial through.
-    /// What may run only once keeps off doubtful endpoints until half its time is gone.
-    fn kept_off_until(&self, message: &Message, endpoint: &Endpoint) -> Option<Ns> {
-        let half_gone = message.end - ns(self.set.classes[message.class].deadline) / 2;
-        let doubt = self.doubt(endpoint);
-        let doubtful = self.set.classes[message.class].effect == Effect::Once && doubt >= ONCE_DOUBT;
+    /// None if the endpoint may be used, else when to check again. A half-open breaker admits one trial call.
+    /// Messages that may run only once avoid failing endpoints until half of their time has passed.
+    fn avoided_until(&self, message: &Message, endpoint: &Endpoint) -> Option<Ns> {
+        let half_gone = message.deadline - ns(self.set.classes[message.class].deadline) / 2;
+        let ratio = self.failure_ratio(endpoint);
+        let failing = self.set.classes[message.class].effect == Effect::Once && ratio >= ONCE_MAX_RATIO;
         match endpoint.breaker {
-            Breaker::Closed | Breaker::HalfOpen if doubtful && half_gone > self.now => {
-                Some(half_gone.min(self.now + sec(DOUBT_HALVES * (doubt / ONCE_DOUBT).log2()) + 1))
+            Breaker::Closed | Breaker::HalfOpen if failing && half_gone > self.now => {
+                Some(half_gone.min(self.now + to_ns(RATIO_HALF_LIFE * (ratio / ONCE_MAX_RATIO).log2()) + 1))
             }
             Breaker::Closed => None,
             Breaker::HalfOpen if endpoint.trial.is_none() => None,
--- a/src/scheduler/connections.rs
+++ b/src/scheduler/connections.rs
@@ -1,50 +1,50 @@
-//! Connections to endpoints: which are kept, and when new ones are tried.
+//! Connections to endpoints: which are kept open, and when new ones are attempted.
 
-use super::pace::{FULL_LONGEST, FULL_PAUSE};
+use super::pace::{REFUSAL_LONGEST, REFUSAL_PAUSE};
 use crate::interface::*;
 use crate::state::*;
 use rand::Rng;
 
-/// Calls a keep-alive that make a connection worth keeping where few can be had, and memory of that.
-const REUSE_LEAST: f64 = 5.0;
-const TIGHT_SPANS: f64 = 6.0;
+/// Calls per keep-alive time from which a scarce connection is kept; keep-alive times it counts as scarce.
+const MIN_REUSE: f64 = 5.0;
+const SCARCE_SPANS: f64 = 6.0;
 
 impl Scheduler {
-    /// Where no connection was to be had (the endpoint's limit, or that of what lies between), new ones are
-    /// tried one at a time and ever more seldom; the kept ones serve on.
-    pub(super) fn record_connection(&mut self, id: EndpointId, sent: Ns, opens: bool, outcome: Outcome) {
+    /// After a failed connect (the endpoint's connection limit, or one on the network path), new connections
+    /// are attempted one at a time with exponential backoff; existing connections stay in use.
+    pub(super) fn record_connection(&mut self, id: EndpointId, sent: Ns, connects: bool, outcome: Outcome) {
         let kept = matches!(outcome, Outcome::Delivered | Outcome::Error | Outcome::Full { .. });
         let (now, endpoint) = (self.now, self.endpoints.get_mut(&id).expect("known"));
         endpoint.idle.extend(kept.then_some(now));
-        if kept && opens {
-            endpoint.unconnected = endpoint.unconnected.saturating_sub(1);
+        if kept && connects {
+            endpoint.connect_failures = endpoint.connect_failures.saturating_sub(1);
         }
         if outcome == Outcome::ConnectFailed {
-            self.tight[endpoint.kind] = secs(now);
-            // Those that were thought idle when it left are not there.
+            self.last_connect_failure[endpoint.kind] = secs(now);
+            // Connections thought to be idle when the call was sent no longer exist.
             endpoint.idle.retain(|t| *t > sent);
-            // A rush that left before the first failure was known counts once.
-            endpoint.unconnected += u32::from(sent >= endpoint.connect_failed);
-            endpoint.connect_failed = now;
+            // Calls sent before the first failure was known count as one.
+            endpoint.connect_failures += u32::from(sent >= endpoint.connect_failed_at);
+            endpoint.connect_failed_at = now;
             endpoint.connect_at =
-                now + sec(connect_pause(endpoint.unconnected) * (0.5 + self.rng.random::<f64>()));
+                now + to_ns(connect_pause(endpoint.connect_failures) * (0.5 + self.rng.random::<f64>()));
         }
     }
 
-    /// Frees an idle connection where they are few and this courier has no early use for it: idle ones count.
+    /// Closes idle connections if they are scarce and not needed soon, as idle ones count against the limit.
     pub(super) fn close_spare_connections(&mut self, id: EndpointId, out: &mut Vec<Action>) {
         let endpoint = &self.endpoints[&id];
         let span = self.set.keepalive.as_secs_f64();
-        let tight = secs(self.now) < self.tight[endpoint.kind] + TIGHT_SPANS * span;
-        let rare = self.pools[&self.pool_id(id)].flow * span < REUSE_LEAST;
-        if tight && rare && endpoint.calls.is_empty() && self.dests[&endpoint.dest].chart.is_empty() {
+        let scarce = secs(self.now) < self.last_connect_failure[endpoint.kind] + SCARCE_SPANS * span;
+        let rare = self.pools[&self.pool_id(id)].accept_rate * span < MIN_REUSE;
+        if scarce && rare && endpoint.calls.is_empty() && self.dests[&endpoint.dest].timeline.is_empty() {
             self.endpoints.get_mut(&id).expect("known").idle.clear();
             out.push(Action::Close { endpoint: id });
         }
     }
 }
 
-/// Pause between new connections after so many that were not to be had, s.
+/// Pause before the next new connection after this many failed connects, s.
 pub(super) fn connect_pause(times: u32) -> f64 {
-    if times == 0 { 0.0 } else { (FULL_PAUSE * 2f64.powi(times as i32 - 1)).min(FULL_LONGEST) }
+    if times == 0 { 0.0 } else { (REFUSAL_PAUSE * 2f64.powi(times as i32 - 1)).min(REFUSAL_LONGEST) }
 }
--- a/src/scheduler/health.rs
+++ b/src/scheduler/health.rs
@@ -1,147 +1,147 @@
-//! Health of endpoints: breakers, silence, and slow start after an outage.
+//! Endpoint health: circuit breakers, hung calls, and slow start after an outage.
 
 use crate::interface::*;
 use crate::state::*;
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// EWMA weights: of a failure, and of a failure where there is no fresh success.
+/// EWMA weights: of a failure, and of a failure without a recent success (4 s).
 const FAILURE_GAIN: f64 = 0.25;
 const STALE_GAIN: f64 = 0.6;
-/// A failure ratio halves in this time, s.
-pub(super) const DOUBT_HALVES: f64 = 4.0;
-/// Failure ratio (each failure moves it) above which a breaker opens.
+/// Half-life of a failure ratio without new calls, s.
+pub(super) const RATIO_HALF_LIFE: f64 = 4.0;
+/// Failure ratio (updated by each failure) above which a breaker opens.
 const TRIP_RATIO: f64 = 0.5;
-/// Pause of an open breaker: first, s, and growth with the time for which it has ailed; least, s; part of a
-/// pause between the trials of one destination. A trial is a real message: the first pause outlasts a
-/// hiccup, the growth spares a long outage most of them, and a known rate ends a pause sooner.
+/// Pause of an open breaker: initial, s; minimum, s; growth per second of failure; and, as a share of it, the
+/// spacing of trials at one destination. A trial is a real message, so the first pause outlasts a short
+/// glitch, the growth limits trials in a long outage, and a known rate limit shortens the pause.
 const OPEN_FIRST: f64 = 1.5;
-const OPEN_LEAST: f64 = 0.5;
+const MIN_OPEN: f64 = 0.5;
 const OPEN_GROWTH: f64 = 6.0;
-const TRIAL_APART: f64 = 0.5;
-/// Length, s, of an outage that ends cold. In a shorter one nobody has stopped calling.
-const CONFIRMED: f64 = 1.0;
-/// A call this many latencies old with no answer since is taken as hung; and the least, s, which one slow
-/// call among fast ones does not reach.
+const TRIAL_SPACING: f64 = 0.5;
+/// Outage length, s, from which slow start follows. In a shorter one couriers have not stopped calling.
+const MIN_OUTAGE: f64 = 1.0;
+/// Age, in latencies, from which a call counts as hung if the endpoint has not answered since it was sent;
+/// and the minimum, s, which one slow call among fast ones does not reach.
 const HANG_LATENCIES: f64 = 6.0;
-const HANG_LEAST: f64 = 0.8;
+const MIN_HANG: f64 = 0.8;
 
 impl Scheduler {
-    pub(super) fn doubt(&self, endpoint: &Endpoint) -> f64 {
-        endpoint.doubt * 0.5f64.powf(secs(self.now - endpoint.doubt_at) / DOUBT_HALVES)
+    pub(super) fn failure_ratio(&self, endpoint: &Endpoint) -> f64 {
+        endpoint.failure_ratio * 0.5f64.powf(secs(self.now - endpoint.failure_ratio_at) / RATIO_HALF_LIFE)
     }
 
     pub(super) fn record_success(&mut self, id: EndpointId) {
-        let (now, doubt) = (self.now, self.doubt(&self.endpoints[&id]));
+        let (now, ratio) = (self.now, self.failure_ratio(&self.endpoints[&id]));
         let endpoint = self.endpoints.get_mut(&id).expect("known");
-        (endpoint.doubt, endpoint.doubt_at) = (doubt * (1.0 - FAILURE_GAIN), now);
-        endpoint.last_ok = now;
-        // Slow start follows failures, not mere silence: a lost reply must not cost a well endpoint its rate.
+        (endpoint.failure_ratio, endpoint.failure_ratio_at) = (ratio * (1.0 - FAILURE_GAIN), now);
+        endpoint.success_at = now;
+        // Slow start follows failures, not hung calls: a lost reply must not cut a healthy endpoint's rate.
         if endpoint.breaker != Breaker::Closed {
             endpoint.breaker = Breaker::Closed;
-            if endpoint.cold && secs(now - endpoint.ailing_from) > CONFIRMED {
-                // It was down: that is why there were no connections, not that they are few.
-                self.tight[endpoint.kind] = f64::MIN;
-                (endpoint.warm_from, endpoint.free_at) = (Some(now), now);
+            if endpoint.was_down && secs(now - endpoint.failing_since) > MIN_OUTAGE {
+                // Connects failed because it was down, not because connections are scarce.
+                self.last_connect_failure[endpoint.kind] = f64::MIN;
+                (endpoint.slow_start_from, endpoint.next_call_at) = (Some(now), now);
                 self.space_calls(id);
             }
         }
     }
 
     pub(super) fn record_failure(&mut self, id: EndpointId, call: u64) {
-        let (now, doubt) = (self.now, self.doubt(&self.endpoints[&id]));
+        let (now, ratio) = (self.now, self.failure_ratio(&self.endpoints[&id]));
         let endpoint = self.endpoints.get_mut(&id).expect("known");
-        let gain = if secs(now - endpoint.last_ok) < 4.0 { FAILURE_GAIN } else { STALE_GAIN };
-        (endpoint.doubt, endpoint.doubt_at) = (doubt + gain * (1.0 - doubt), now);
+        let gain = if secs(now - endpoint.success_at) < 4.0 { FAILURE_GAIN } else { STALE_GAIN };
+        (endpoint.failure_ratio, endpoint.failure_ratio_at) = (ratio + gain * (1.0 - ratio), now);
         match endpoint.breaker {
-            Breaker::Closed if endpoint.doubt > TRIP_RATIO => self.open_breaker(id, true),
+            Breaker::Closed if endpoint.failure_ratio > TRIP_RATIO => self.open_breaker(id, true),
             Breaker::HalfOpen if endpoint.trial == Some(call) => self.open_breaker(id, true),
             _ => {}
         }
     }
 
-    /// Opens a breaker. The next trial comes after a multiple of the time for which it has ailed, as ever
-    /// more couriers have something to try there, but no later than the known rate has room for all.
+    /// Opens a breaker. The pause until the next trial grows with the duration of the failure, as more
+    /// couriers have messages to try there, but is no longer than the known rate needs to serve all of them.
     fn open_breaker(&mut self, id: EndpointId, cold: bool) {
-        let (now, jitter, rate) = (self.now, self.jitter(), self.own_share(id).max(1e-3));
+        let (now, jitter, rate) = (self.now, self.jitter(), self.rate_share(id).max(1e-3));
         let endpoint = self.endpoints.get_mut(&id).expect("known");
         let closed = endpoint.breaker == Breaker::Closed;
-        if closed && endpoint.warm_from.is_none() {
-            endpoint.ailing_from = now;
+        if closed && endpoint.slow_start_from.is_none() {
+            endpoint.failing_since = now;
         }
         let pause =
-            (OPEN_FIRST + OPEN_GROWTH * secs(now - endpoint.ailing_from)).min(1.0 / rate).max(OPEN_LEAST);
-        endpoint.cold = cold || (endpoint.cold && !closed);
-        endpoint.warm_from = endpoint.warm_from.filter(|_| !endpoint.cold);
-        let (turn_at, apart) = (now + sec(pause * jitter), sec(TRIAL_APART * pause));
+            (OPEN_FIRST + OPEN_GROWTH * secs(now - endpoint.failing_since)).min(1.0 / rate).max(MIN_OPEN);
+        endpoint.was_down = cold || (endpoint.was_down && !closed);
+        endpoint.slow_start_from = endpoint.slow_start_from.filter(|_| !endpoint.was_down);
+        let (trial_at, apart) = (now + to_ns(pause * jitter), to_ns(TRIAL_SPACING * pause));
         endpoint.breaker = Breaker::Open;
-        // Outages mostly take a destination whole: one trial speaks for all its open endpoints. They take
-        // turns, what failed last comes last: else it alone is tried, and others that are back stay shut.
+        // Outages mostly affect a whole destination, so one trial stands for all its open endpoints. Trials
+        // rotate, the latest failure last; else only that one is tried and recovered ones stay unused.
         let others = self.dests[&endpoint.dest].endpoints.iter().map(|o| (*o, &self.endpoints[o]));
-        let shut =
+        let open =
             others.filter(|(o, endpoint)| *o != id && endpoint.ready && endpoint.breaker == Breaker::Open);
-        let turns: BTreeSet<_> = shut.map(|(o, endpoint)| (endpoint.turn_at, o)).collect();
-        for (n, (at, other)) in turns.into_iter().chain([(turn_at, id)]).enumerate() {
-            self.endpoints.get_mut(&other).expect("known").turn_at = at.max(turn_at + apart * n as Ns);
+        let trials: BTreeSet<_> = open.map(|(o, endpoint)| (endpoint.trial_at, o)).collect();
+        for (n, (at, other)) in trials.into_iter().chain([(trial_at, id)]).enumerate() {
+            self.endpoints.get_mut(&other).expect("known").trial_at = at.max(trial_at + apart * n as Ns);
         }
     }
 
-    /// Finds hung calls and moves open breakers on, at the endpoints of one destination.
+    /// Detects hung calls and advances open breakers at the endpoints of one destination.
     pub(super) fn check_health(&mut self, dest: DestinationId) {
         let now = self.now;
         let destination = &self.dests[&dest];
-        let (held, usual) = (!destination.chart.is_empty(), destination.latency.seconds());
+        let (held, usual) = (!destination.timeline.is_empty(), destination.latency.seconds());
         for id in destination.endpoints.iter().copied().collect::<Vec<_>>() {
             let pool_waits = self.pools[&self.pool_id(id)].wait_until;
             let endpoint = self.endpoints.get_mut(&id).expect("known");
-            let hang = sec((HANG_LATENCIES * endpoint.latency.seconds().max(usual)).max(HANG_LEAST));
-            endpoint.warm_from = endpoint.warm_from.filter(|t| now - t <= ns(self.set.cold_span));
-            // Silence: a call much older than usual and no answer since it left. One slow call can trip it,
-            // which costs a trial. A courier that stalled hears all its news first: that is no silence.
-            let hung = |c: &(Ns, usize)| c.0 != Ns::MIN && now - c.0 > hang && endpoint.last_ok < c.0;
+            let hang = to_ns((HANG_LATENCIES * endpoint.latency.seconds().max(usual)).max(MIN_HANG));
+            endpoint.slow_start_from = endpoint.slow_start_from.filter(|t| now - t <= ns(self.set.warm_up));
+            // Hung: much older than usual, no answer since it was sent. One slow call may open the breaker,
+            // for the cost of a trial. A courier that stalled applies pending events first, so sees no hang.
+            let hung = |c: &(Ns, usize)| c.0 != Ns::MIN && now - c.0 > hang && endpoint.success_at < c.0;
             let waits =
                 endpoint.calls.values().filter(|c| c.0 != Ns::MIN && !hung(c)).map(|c| c.0 + hang + 1).min();
             let trial_lost = |t| endpoint.calls.get(&t).is_none_or(hung);
             match endpoint.breaker {
                 Breaker::Closed if endpoint.calls.values().any(hung) => {
                     self.open_breaker(id, false);
-                    self.zone_heard(id, Outcome::TimedOut);
+                    self.record_zone_outcome(id, Outcome::TimedOut);
                 }
-                Breaker::Open if held && endpoint.turn_at.max(pool_waits) <= now => {
+                Breaker::Open if held && endpoint.trial_at.max(pool_waits) <= now => {
                     (endpoint.breaker, endpoint.trial) = (Breaker::HalfOpen, None);
                 }
                 Breaker::HalfOpen if endpoint.trial.is_some_and(trial_lost) => self.open_breaker(id, true),
                 _ => {}
             }
             let endpoint = &self.endpoints[&id];
-            let turn =
-                (endpoint.breaker == Breaker::Open && held).then_some(endpoint.turn_at.max(pool_waits));
-            self.look_again(dest, waits.unwrap_or(NEVER).min(turn.unwrap_or(NEVER)));
+            let trial_at =
+                (endpoint.breaker == Breaker::Open && held).then_some(endpoint.trial_at.max(pool_waits));
+            self.check_by(dest, waits.unwrap_or(NEVER).min(trial_at.unwrap_or(NEVER)));
         }
     }
 
-    /// Time, s, in which this courier's part of the fail-back budget allows so many calls, as it grows.
+    /// Time, s, until this courier's growing share of the slow-start budget allows this many calls.
     pub(super) fn warm_up_gap(&self, id: EndpointId, calls: f64) -> f64 {
-        let (from, cold) = (self.endpoints[&id].warm_from.unwrap_or(self.now), self.set.cold_from);
-        let span = self.set.cold_span.as_secs_f64().max(1e-3);
+        let (from, cold) = (self.endpoints[&id].slow_start_from.unwrap_or(self.now), self.set.cold_capacity);
+        let span = self.set.warm_up.as_secs_f64().max(1e-3);
         let present = cold + (1.0 - cold) * (secs(self.now - from) / span).clamp(0.0, 1.0);
-        let budget = calls / (self.set.fall_multiple * self.own_share(id)).max(1e-3);
-        // Present grows by this a second; what it lets through until then is the budget.
+        let budget = calls / (self.set.overload_factor * self.rate_share(id)).max(1e-3);
+        // Capacity share now, and its growth per second; the integral over the gap equals the budget.
         let growth = ((1.0 - cold) / span).max(1e-9);
         ((present * present + 2.0 * growth * budget).sqrt() - present) / growth
     }
 
-    /// Rule: an endpoint back from an outage is not pushed over. Each keeps its part of the budget, or,
-    /// where that is less than a call, goes once at random while it warms, rather late than early.
+    /// Rule: do not overload an endpoint after an outage. Each courier keeps to its share of the budget or,
+    /// if that is less than a call, calls once at a random time of the slow start, rather late than early.
     pub(crate) fn space_calls(&mut self, id: EndpointId) {
         let random = self.rng.random::<f64>();
         let gap = self.warm_up_gap(id, 0.5 + random);
-        let (now, cold) = (self.now, ns(self.set.cold_span));
+        let (now, cold) = (self.now, ns(self.set.warm_up));
         let endpoint = self.endpoints.get_mut(&id).expect("known");
-        endpoint.warm_from = endpoint.warm_from.filter(|t| now - t <= cold);
-        if let Some(from) = endpoint.warm_from {
+        endpoint.slow_start_from = endpoint.slow_start_from.filter(|t| now - t <= cold);
+        if let Some(from) = endpoint.slow_start_from {
             let left = secs(from + cold - now);
-            endpoint.free_at = endpoint.free_at.max(now + sec((left * random.sqrt()).min(gap)));
+            endpoint.next_call_at = endpoint.next_call_at.max(now + to_ns((left * random.sqrt()).min(gap)));
         }
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,13 +1,15 @@
-//! The settings as the platform writes them: in the first message of the bench's line protocol, and in
-//! a real courier's configuration. Parsed here once, for both.
+//! Parses the settings in the platform's format, which is used by the first message of the simulator's line
+//! protocol and by the configuration of a deployed courier.
 
 use crate::interface::*;
 use serde::Deserialize;
 use std::time::Duration;
 
+/// Settings in the platform's format: lanes are message classes, customers tenants, dcs zones, skus kinds of
+/// destination, and siblings the number of couriers.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Conf {
+pub struct PlatformConfig {
     #[serde(default)]
     costs: Costs,
     #[serde(default)]
@@ -110,7 +112,7 @@
     u64::try_from(ns).map(Duration::from_nanos).map_err(|_| format!("{name} is negative"))
 }
 
-impl Conf {
+impl PlatformConfig {
     /// The names of the classes, in the order of their numbers.
     pub fn class_names(&self) -> impl Iterator<Item = &str> {
         self.lanes.iter().map(|l| l.name.as_str())
@@ -121,16 +123,17 @@
         self.customers.iter().map(|c| c.name.as_str())
     }
 
-    /// The names of the zones and of the kinds of destination, in the order of their numbers.
+    /// The names of the zones, in the order of their numbers.
     pub fn zone_names(&self) -> &[String] {
         &self.dcs
     }
 
+    /// The names of the kinds of destination, in the order of their numbers.
     pub fn kind_names(&self) -> &[String] {
         &self.skus
     }
 
-    /// The settings in the terms of the module. An error names what cannot be worked with.
+    /// Converts to the scheduler's settings. An error names the invalid value.
     pub fn settings(&self) -> Result<Settings, String> {
         let conf = self;
         let mut classes = Vec::new();
@@ -150,20 +153,20 @@
                 other => return Err(of(&format!("unknown effect {other:?}"))),
             };
             classes.push(Class {
-                aim: span(lane.aim_ns, &of("aim-ns"))?,
+                latency_target: span(lane.aim_ns, &of("aim-ns"))?,
                 deadline: span(lane.deadline_ns, &of("deadline-ns"))?,
-                worth: lane.credit,
-                late_share: lane.late_share,
+                value: lane.credit,
+                late_value_share: lane.late_share,
                 effect,
                 ordered: lane.by_arrival,
-                aim_stretch: lane.aim_stretch,
+                target_stretch: lane.aim_stretch,
             });
         }
         let (family, limits, rules) = (&conf.family_info, &conf.limits, &conf.rules);
         let count = conf.skus.len().max(family.bundle_max.len()).max(family.separate_routes.len()).max(1);
         let kind = |k| Kind {
             separate_routes: family.separate_routes.get(k).copied().unwrap_or(false),
-            bundle_max: family.bundle_max.get(k).copied().unwrap_or(1),
+            max_batch: family.bundle_max.get(k).copied().unwrap_or(1),
         };
         Ok(Settings {
             couriers: conf.siblings,
@@ -172,10 +175,14 @@
             tenants: conf.customers.len(),
             slots: family.slots,
             max_held: limits.max_open,
-            attempt_cap: limits.send_cap,
-            worth_loss: if family.loses_worth == "halves" { WorthLoss::Halves } else { WorthLoss::Line },
+            max_attempts: limits.send_cap,
+            value_decay: if family.loses_worth == "halves" {
+                ValueDecay::Halving
+            } else {
+                ValueDecay::Linear
+            },
             handshake_cost: conf.costs.handshake,
-            zone_fees: (0..conf.dcs.len().max(family.fee_by_zone.len()))
+            zone_costs: (0..conf.dcs.len().max(family.fee_by_zone.len()))
                 .map(|z| family.fee_by_zone.get(z).copied().unwrap_or(0.0))
                 .collect(),
             weights: match conf.weight_kind.as_str() {
@@ -194,11 +201,11 @@
             must_subscribe: conf.membership_mode == "subscribe",
             tick: span(conf.tick_ns, "tick-ns")?,
             drain_grace: span(rules.drain_grace_ns, "drain-grace-ns")?,
-            cold_from: rules.cold_from,
-            cold_span: span(rules.cold_ns, "cold-ns")?,
-            fall_multiple: rules.fall_multiple,
-            fall_span: span(rules.fall_ns, "fall-ns")?,
-            order_pause: span(rules.order_pause_ns, "order-pause-ns")?,
+            cold_capacity: rules.cold_from,
+            warm_up: span(rules.cold_ns, "cold-ns")?,
+            overload_factor: rules.fall_multiple,
+            overload_span: span(rules.fall_ns, "fall-ns")?,
+            key_pause: span(rules.order_pause_ns, "order-pause-ns")?,
         })
     }
 }
@@ -211,11 +218,11 @@
     fn read(change: impl Fn(&mut Value)) -> Result<Settings, String> {
         let mut page: Value = serde_json::from_str(include_str!("../tests/settings.json")).expect("settings");
         change(&mut page);
-        serde_json::from_value::<Conf>(page).map_err(|e| e.to_string())?.settings()
+        serde_json::from_value::<PlatformConfig>(page).map_err(|e| e.to_string())?.settings()
     }
 
     #[test]
-    fn a_class_may_have_any_effect_and_what_cannot_be_worked_with_is_named() {
+    fn each_effect_is_accepted_and_errors_name_the_invalid_value() {
         let effect = |effect: &str| read(|page| page["lanes"][0]["effect"] = json!(effect));
         for (word, expected) in [("repeatable", Effect::Repeatable), ("once", Effect::Once)] {
             assert_eq!(effect(word).map(|set| set.classes[0].effect), Ok(expected));
@@ -227,7 +234,7 @@
     }
 
     #[test]
-    fn names_that_are_not_known_are_passed_over() {
+    fn unknown_fields_are_ignored() {
         let known = read(|_| ()).expect("sound");
         let more = read(|page| {
             page["new-part"] = json!({"x": 1});
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint as its calls and the list tell of it, and the zone it stands in.
+//! What is known of an endpoint from its calls and from the endpoint list, and the health of zones.
 
 use super::time::*;
 use crate::interface::*;
@@ -16,9 +16,11 @@
 
 /// How an endpoint's last call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Ill {
-    Unconnected,
-    Silent,
+pub(crate) enum FailureKind {
+    #[serde(rename = "Unconnected")]
+    Connect,
+    #[serde(rename = "Silent")]
+    Timeout,
     Reset,
     Error,
 }
@@ -28,50 +30,67 @@
     pub(crate) dest: DestinationId,
     pub(crate) zone: usize,
     pub(crate) kind: usize,
-    /// The list has it ready, and operators do not leave it out.
+    /// Ready in the list, and not taken out of service by operators.
     pub(crate) ready: bool,
     pub(crate) listed: bool,
-    pub(crate) left_out: bool,
-    /// Since when the list has it no more.
-    pub(crate) gone: Option<Ns>,
+    #[serde(rename = "left_out")]
+    pub(crate) in_maintenance: bool,
+    /// When it was removed from the list.
+    #[serde(rename = "gone")]
+    pub(crate) delisted_at: Option<Ns>,
     pub(crate) latency: Smoothed,
-    /// Calls out: when sent and messages without an outcome.
+    /// Calls in flight: when sent (`Ns::MIN` after the first outcome), and messages without an outcome.
     pub(crate) calls: BTreeMap<u64, (Ns, usize)>,
-    /// When idle connections were last used.
+    /// Idle connections, by the time of last use.
     pub(crate) idle: Vec<Ns>,
-    /// No new connection is tried before this; how many were not to be had, less those that were; the last.
+    /// No new connection is attempted before this.
     pub(crate) connect_at: Ns,
-    pub(crate) unconnected: u32,
-    pub(crate) connect_failed: Ns,
-    pub(crate) doubt: f64,
-    pub(crate) doubt_at: Ns,
-    pub(crate) last_ok: Ns,
+    /// Failed connects minus successful ones, not below 0; and the time of the last failed one.
+    #[serde(rename = "unconnected")]
+    pub(crate) connect_failures: u32,
+    #[serde(rename = "connect_failed")]
+    pub(crate) connect_failed_at: Ns,
+    /// EWMA of failures at `failure_ratio_at`; decays from there.
+    #[serde(rename = "doubt")]
+    pub(crate) failure_ratio: f64,
+    #[serde(rename = "doubt_at")]
+    pub(crate) failure_ratio_at: Ns,
+    #[serde(rename = "last_ok")]
+    pub(crate) success_at: Ns,
     pub(crate) breaker: Breaker,
-    /// When an open breaker lets a trial through, if one is held.
-    pub(crate) turn_at: Ns,
-    /// The outage is confirmed, so slow start follows; the call that is the trial.
-    pub(crate) cold: bool,
+    /// When an open breaker admits a trial call, if a message is queued.
+    #[serde(rename = "turn_at")]
+    pub(crate) trial_at: Ns,
+    /// The breaker opened on failures, so slow start follows; and the call that is the trial.
+    #[serde(rename = "cold")]
+    pub(crate) was_down: bool,
     pub(crate) trial: Option<u64>,
-    pub(crate) warm_from: Option<Ns>,
-    /// Since when it ails, for the spacing of trials; while it warms, nothing before `free_at`.
-    pub(crate) ailing_from: Ns,
-    pub(crate) free_at: Ns,
-    /// This courier's own leaning among equals, 0 to 1.
-    pub(crate) lean: f64,
-    /// When a call last told something of it, and what it ailed from then.
+    #[serde(rename = "warm_from")]
+    pub(crate) slow_start_from: Option<Ns>,
+    /// Since when it fails, for the spacing of trials; during slow start no call before `next_call_at`.
+    #[serde(rename = "ailing_from")]
+    pub(crate) failing_since: Ns,
+    #[serde(rename = "free_at")]
+    pub(crate) next_call_at: Ns,
+    /// Random per courier, 0 to 1: spreads couriers over endpoints of equal cost.
+    #[serde(rename = "lean")]
+    pub(crate) tie_breaker: f64,
+    /// When the last outcome was recorded for zone health, and how that call failed, if it did.
     #[serde(default)]
-    pub(crate) heard: Ns,
+    #[serde(rename = "heard")]
+    pub(crate) outcome_at: Ns,
     #[serde(default)]
-    pub(crate) ill: Option<Ill>,
+    #[serde(rename = "ill")]
+    pub(crate) last_failure: Option<FailureKind>,
 }
 
 impl Endpoint {
-    /// One more message goes with a call that is out.
+    /// Adds a message to a call in flight.
     pub(crate) fn join_call(&mut self, call: u64) {
         self.calls.get_mut(&call).expect("open call").1 += 1;
     }
 
-    /// A message of a call has an outcome; the call ends with the last of them. True for the first one.
+    /// Records that a message of the call has an outcome; the last one ends the call. True for the first one.
     pub(crate) fn leave_call(&mut self, call: u64) -> bool {
         let Some((sent, messages)) = self.calls.get_mut(&call) else { return false };
         let first = std::mem::replace(sent, Ns::MIN) != Ns::MIN;
@@ -82,38 +101,39 @@
         first
     }
 
-    pub(crate) fn delisted(&mut self, now: Ns) {
+    pub(crate) fn mark_delisted(&mut self, now: Ns) {
         (self.ready, self.listed) = (false, false);
-        self.gone.get_or_insert(now);
+        self.delisted_at.get_or_insert(now);
     }
 
-    /// Takes its standing from the list.
-    pub(crate) fn update_standing(&mut self, standing: Standing, now: Ns) {
+    /// Updates its state from the list.
+    pub(crate) fn update_standing(&mut self, standing: EndpointState, now: Ns) {
         match standing {
-            Standing::Gone => self.delisted(now),
-            _ => (self.listed, self.gone) = (standing == Standing::Ready, None),
+            EndpointState::Gone => self.mark_delisted(now),
+            _ => (self.listed, self.delisted_at) = (standing == EndpointState::Ready, None),
         }
-        self.ready = self.listed && !self.left_out;
+        self.ready = self.listed && !self.in_maintenance;
     }
 
-    /// Left out by operators, or used again. True if it comes back: with a new process, of which nothing is
-    /// known but that it is cold.
+    /// Takes the endpoint out of service for operators, or puts it back. True if it comes back: with a new
+    /// process, of which nothing is known except that it needs a slow start.
     pub(crate) fn maintain(&mut self, out: bool, now: Ns) -> bool {
-        let back = std::mem::replace(&mut self.left_out, out) && !out;
+        let back = std::mem::replace(&mut self.in_maintenance, out) && !out;
         self.ready = self.listed && !out;
         if back {
-            (self.breaker, self.trial, self.cold, self.doubt) = (Breaker::Closed, None, false, 0.0);
-            (self.unconnected, self.connect_at) = (0, now);
-            (self.warm_from, self.free_at) = (Some(now), now);
+            (self.breaker, self.trial, self.was_down, self.failure_ratio) =
+                (Breaker::Closed, None, false, 0.0);
+            (self.connect_failures, self.connect_at) = (0, now);
+            (self.slow_start_from, self.next_call_at) = (Some(now), now);
             self.idle.clear();
         }
         back
     }
 }
 
-/// What is thought of a zone as a whole.
+/// Health of a zone as a whole. The names are written to the operators' log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum ZoneStanding {
+pub(crate) enum ZoneState {
     #[default]
     Healthy,
     Suspect,
@@ -123,7 +143,8 @@
 
 #[derive(Default, Serialize, Deserialize)]
 pub(crate) struct Zone {
-    pub(crate) standing: ZoneStanding,
-    /// Since when.
+    #[serde(rename = "standing")]
+    pub(crate) state: ZoneState,
+    /// Start of this state.
     pub(crate) since: Ns,
 }
--- a/src/state/message.rs
+++ b/src/state/message.rs
@@ -1,17 +1,18 @@
-//! A message and the call that carries it.
+//! A message, and the call that is delivering it.
 
 use super::time::*;
 use crate::interface::*;
 use serde::{Deserialize, Serialize};
 
 #[derive(Serialize, Deserialize)]
-pub(crate) struct Flight {
+pub(crate) struct InFlight {
     pub(crate) endpoint: EndpointId,
     pub(crate) call: u64,
     pub(crate) cancelled: bool,
     pub(crate) sent: Ns,
-    /// It had to open a connection.
-    pub(crate) opens: bool,
+    /// The call had to open a connection.
+    #[serde(rename = "opens")]
+    pub(crate) connects: bool,
 }
 
 #[derive(Default, Serialize, Deserialize)]
@@ -20,67 +21,79 @@
     pub(crate) group: usize,
     pub(crate) dest: DestinationId,
     pub(crate) key: Option<String>,
-    pub(crate) aim: Ns,
-    pub(crate) end: Ns,
-    /// Deadline on the chart: the aim, or the end once set back.
+    /// Latency target: full value is earned until then.
+    #[serde(rename = "aim")]
+    pub(crate) target: Ns,
+    #[serde(rename = "end")]
+    pub(crate) deadline: Ns,
+    /// Due time on the timeline: the target, or a later time up to the deadline once postponed.
     pub(crate) due: Ns,
     pub(crate) late: bool,
     pub(crate) missed: bool,
     pub(crate) attempts: u32,
-    pub(crate) flight: Option<Flight>,
-    /// First attempt that may have run: its endpoint, zone and send time.
-    pub(crate) ran: Option<(EndpointId, usize, Ns)>,
-    pub(crate) last: Option<EndpointId>,
-    /// Not sent again before this: its own backoff.
+    #[serde(rename = "flight")]
+    pub(crate) in_flight: Option<InFlight>,
+    /// First attempt that may have run: endpoint, zone and time of sending.
+    #[serde(rename = "ran")]
+    pub(crate) may_have_run: Option<(EndpointId, usize, Ns)>,
+    #[serde(rename = "last")]
+    pub(crate) previous: Option<EndpointId>,
+    /// Retry backoff: no attempt before this time.
     pub(crate) not_before: Ns,
-    /// A restart found it, surely not run, and it has not been tried since: its time was spent on the restart, so
-    /// that newer ones would always lose more by giving way.
+    /// Recovered after a restart, certainly not run, and not attempted since. Its time was spent on the
+    /// restart, so without this mark newer messages would always lose more value by being postponed in its
+    /// place.
     #[serde(default)]
-    pub(crate) found: bool,
-    /// The final answer is out; kept until its attempt has an outcome.
-    pub(crate) over: bool,
+    #[serde(rename = "found")]
+    pub(crate) recovered: bool,
+    /// The final answer was given; the message is kept until its attempt has an outcome.
+    #[serde(rename = "over")]
+    pub(crate) answered: bool,
 }
 
 impl Message {
-    /// What is known of a message at the start: for a resumed one its attempts, and the one that may have run.
+    /// A newly accepted message; a recovered one keeps its attempts and the attempt that may have run.
     pub(crate) fn new(taken: &Taken, set: &Settings, now: Ns) -> Self {
         let class = taken.class.min(set.classes.len() - 1);
         let terms = &set.classes[class];
-        let end = now + ns(taken.time_left);
-        let stretch = taken.work.map_or(0.0, |work| terms.aim_stretch * work.as_secs_f64());
-        let aim = (end - ns(terms.deadline) + ns(terms.aim) + sec(stretch)).min(end);
+        let deadline = now + ns(taken.time_left);
+        let stretch = taken.estimated_work.map_or(0.0, |work| terms.target_stretch * work.as_secs_f64());
+        let target =
+            (deadline - ns(terms.deadline) + ns(terms.latency_target) + to_ns(stretch)).min(deadline);
         let group = if set.tenants > 0 { taken.tenant.min(set.tenants - 1) } else { class };
-        let ran = taken.past.ran.map(|ran| (ran.endpoint, ran.zone, now - ns(ran.ago)));
+        let may_have_run = taken.history.may_have_run.map(|ran| (ran.endpoint, ran.zone, now - ns(ran.ago)));
         Message {
             class,
             group,
             dest: taken.destination,
             key: taken.key.clone().filter(|_| terms.ordered),
-            aim,
-            end,
-            due: aim,
-            attempts: taken.past.attempts,
-            ran,
-            found: taken.past.found && ran.is_none(),
+            target,
+            deadline,
+            due: target,
+            attempts: taken.history.attempts,
+            may_have_run,
+            recovered: taken.history.recovered && may_have_run.is_none(),
             ..Message::default()
         }
     }
 
-    /// No attempt is out.
+    /// No attempt is in flight.
     pub(crate) fn is_waiting(&self) -> bool {
-        self.flight.is_none()
+        self.in_flight.is_none()
     }
 }
 
 impl Settings {
-    /// What a message is worth if it is delivered at this time.
-    pub(crate) fn worth(&self, message: &Message, at: Ns) -> f64 {
+    /// Value of a message if it is delivered at this time.
+    pub(crate) fn value_at(&self, message: &Message, at: Ns) -> f64 {
         let c = &self.classes[message.class];
-        let after = secs(at - message.aim).max(0.0);
-        let share = match self.worth_loss {
-            WorthLoss::Line => 1.0 - (1.0 - c.late_share) * after / secs(message.end - message.aim).max(1e-9),
-            WorthLoss::Halves => 0.5f64.powf((after / c.aim.as_secs_f64().max(1e-9)).ceil()),
+        let after = secs(at - message.target).max(0.0);
+        let share = match self.value_decay {
+            ValueDecay::Linear => {
+                1.0 - (1.0 - c.late_value_share) * after / secs(message.deadline - message.target).max(1e-9)
+            }
+            ValueDecay::Halving => 0.5f64.powf((after / c.latency_target.as_secs_f64().max(1e-9)).ceil()),
         };
-        if at > message.end { 0.0 } else { c.worth * share.max(c.late_share) }
+        if at > message.deadline { 0.0 } else { c.value * share.max(c.late_value_share) }
     }
 }
--- a/src/state/tables.rs
+++ b/src/state/tables.rs
@@ -1,27 +1,27 @@
-//! The rows of endpoints, pools and destinations: made and changed as the list and operators tell, and dropped.
+//! Creates, updates and drops endpoints, pools and destinations, following the endpoint list and operators.
 
 use super::*;
 use crate::scheduler::DEST_LATENCY;
 use rand::Rng;
 
-/// Retry of a failed list call, s, before it doubles.
+/// Initial pause before a failed list request is repeated, s; it doubles with each failure.
 pub(crate) const LIST_RETRY: f64 = 1.0;
 
 impl Scheduler {
     pub(crate) fn update_list(&mut self, whole: bool, entries: &[Entry], out: &mut Vec<Action>) {
-        // The cached list of the start comes before anything was asked for; later news are answers.
+        // At time 0 the list comes from the start-up cache; later lists are answers to requests.
         if self.now > 0 {
-            (self.ask_at, self.ask_pause) = (None, LIST_RETRY);
+            (self.resubscribe_at, self.resubscribe_pause) = (None, LIST_RETRY);
         }
         if whole {
-            self.endpoints.values_mut().for_each(|endpoint| endpoint.delisted(self.now));
+            self.endpoints.values_mut().for_each(|endpoint| endpoint.mark_delisted(self.now));
         }
         for entry in entries {
             let kind = entry.kind.min(self.set.kinds.len() - 1);
             let (dest, zone, lean) = (entry.destination, entry.zone, self.rng.random());
-            let fresh = || Endpoint { dest, zone, kind, lean, ..Endpoint::default() };
+            let fresh = || Endpoint { dest, zone, kind, tie_breaker: lean, ..Endpoint::default() };
             let endpoint = self.endpoints.entry(entry.endpoint).or_insert_with(fresh);
-            endpoint.update_standing(entry.standing, self.now);
+            endpoint.update_standing(entry.state, self.now);
             self.destination(entry.destination).endpoints.insert(entry.endpoint);
             let id = self.pool_id(entry.endpoint);
             let pool = self.pools.entry(id).or_insert_with(|| Pool { tokens: 1.0, ..Pool::default() });
@@ -31,7 +31,7 @@
         }
         self.forget(out);
         self.touched.extend(
-            self.dests.iter().filter(|(_, destination)| !destination.members.is_empty()).map(|(id, _)| *id),
+            self.dests.iter().filter(|(_, destination)| !destination.messages.is_empty()).map(|(id, _)| *id),
         );
     }
 
@@ -40,7 +40,7 @@
         self.dests.entry(id).or_insert_with(fresh)
     }
 
-    /// The endpoints of a destination that may be sent to.
+    /// The endpoints of a destination that accept new calls.
     pub(crate) fn ready_endpoints(&self, id: DestinationId) -> impl Iterator<Item = EndpointId> {
         let endpoints = self.dests[&id].endpoints.iter().copied();
         endpoints.filter(|endpoint| self.endpoints[endpoint].ready)
@@ -55,8 +55,8 @@
         0.5 + self.rng.random::<f64>()
     }
 
-    /// What operators do with an endpoint, whatever the list says. One that nobody knows is told of again
-    /// with the list that names it.
+    /// Takes an endpoint out of service for operators, or puts it back, independent of the list. An unknown
+    /// endpoint is ignored; the event is repeated with the list that contains it.
     pub(crate) fn maintain(&mut self, id: EndpointId, out: bool) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         let dest = endpoint.dest;
@@ -66,12 +66,13 @@
         self.touched.insert(dest);
     }
 
-    /// Drops the rows of endpoints that are long gone and that no call, wait or message names: where
-    /// endpoints are replaced all day, the tables would grow and each choice walk ever more of them.
+    /// Drops endpoints that were removed from the list long ago and that no call, wait or message refers to.
+    /// Where endpoints are replaced all day, the tables would grow and each choice would scan more of them.
     pub(crate) fn forget(&mut self, out: &mut Vec<Action>) {
-        let (now, span) = (self.now, ns(self.set.cold_span));
-        let old =
-            |endpoint: &Endpoint| endpoint.gone.is_some_and(|t| now - t > span) && endpoint.calls.is_empty();
+        let (now, span) = (self.now, ns(self.set.warm_up));
+        let old = |endpoint: &Endpoint| {
+            endpoint.delisted_at.is_some_and(|t| now - t > span) && endpoint.calls.is_empty()
+        };
         let mut gone: BTreeSet<_> =
             self.endpoints.iter().filter(|(_, endpoint)| old(endpoint)).map(|(id, _)| *id).collect();
         if gone.is_empty() {
@@ -79,9 +80,9 @@
         }
         for message in self.messages.values() {
             let named = [
-                message.last,
-                message.ran.map(|r| r.0),
-                message.flight.as_ref().map(|flight| flight.endpoint),
+                message.previous,
+                message.may_have_run.map(|r| r.0),
+                message.in_flight.as_ref().map(|flight| flight.endpoint),
             ];
             gone.retain(|id| !named.contains(&Some(*id)));
         }
