--- a/src/node/channel.rs
+++ b/src/node/channel.rs
@@ -1,7 +1,7 @@
 //! What the process that serves and its successor say to each other: words in frames over a local socket,
 //! each perhaps with an open descriptor.
 
-use super::register::{Change, Unset};
+use super::register::{Change, ChangeError};
 use crate::interface::{EndpointId, Outcome, Report};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
@@ -24,7 +24,7 @@
 
 /// An endpoint as the old process has it.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Known {
+pub struct EndpointState {
     pub id: EndpointId,
     pub host: String,
     pub dial: Option<String>,
@@ -35,7 +35,7 @@
 
 /// A call that is out, and for how long it has been.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Out {
+pub struct InFlightCall {
     pub message: u64,
     pub endpoint: EndpointId,
     pub attempt: u32,
@@ -44,26 +44,31 @@
 
 /// All that the journal does not tell.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct State {
+pub struct HandoverState {
     /// The module, packed by itself: another version may not be able to read it.
     #[serde(rename = "brain")]
     pub scheduler: Vec<u8>,
     /// What its clock shows, and the Unix time of that moment.
     pub clock: Duration,
-    pub at: Duration,
-    pub endpoints: Vec<Known>,
-    pub numbered: u32,
+    #[serde(rename = "at")]
+    pub unix_time: Duration,
+    pub endpoints: Vec<EndpointState>,
+    #[serde(rename = "numbered")]
+    pub endpoint_ids_assigned: u32,
     pub destinations: Vec<u64>,
     /// The version of the list, where it is one of discovery's.
-    pub list: Option<u64>,
-    pub out: Vec<Out>,
+    #[serde(rename = "list")]
+    pub list_version: Option<u64>,
+    #[serde(rename = "out")]
+    pub in_flight: Vec<InFlightCall>,
     /// The last number that a message has had.
-    pub last: u64,
+    #[serde(rename = "last")]
+    pub last_message: u64,
 }
 
 /// The end of a call that the old process had out.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Ended {
+pub struct EndedCall {
     pub message: u64,
     pub attempt: u32,
     pub endpoint: EndpointId,
@@ -74,7 +79,7 @@
     pub age: Duration,
 }
 
-impl Ended {
+impl EndedCall {
     pub fn report(&self) -> Option<Report> {
         self.report.map(|(left, limit)| Report { left, limit })
     }
@@ -82,9 +87,10 @@
 
 /// A client's connection that comes with the word.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Client {
+pub struct ClientConnection {
     /// What has come of a request that is not judged.
-    pub heard: Vec<u8>,
+    #[serde(rename = "heard")]
+    pub received: Vec<u8>,
     /// For how long it has stood where it stands.
     pub age: Duration,
     /// It has had an answer before.
@@ -92,51 +98,55 @@
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Word {
+pub enum HandoverMessage {
     /// From the successor, first of all.
     Hello,
-    State(Box<State>),
+    State(Box<HandoverState>),
     /// The successor has what it needs. Without `whole` it starts from the journal.
     Ready {
-        whole: bool,
+        #[serde(rename = "whole")]
+        state_loaded: bool,
     },
     /// The lock is free: from here on the successor is the courier.
-    Go,
-    Client(Client),
-    Ended(Ended),
+    #[serde(rename = "Go")]
+    LockReleased,
+    Client(ClientConnection),
+    Ended(EndedCall),
     /// To the old process: a call that is to be called off.
     Cancel(u64),
     /// An operators' call that reached the old process, and its answer.
-    Operate(u64, Change),
-    Operated(u64, Result<(), Unset>),
+    #[serde(rename = "Operate")]
+    OperatorChange(u64, Change),
+    #[serde(rename = "Operated")]
+    OperatorChangeResult(u64, Result<(), ChangeError>),
 }
 
 /// The end that speaks; several tasks may.
 #[derive(Clone)]
-pub struct Mouth {
+pub struct HandoverSender {
     stream: Rc<UnixStream>,
     turn: Rc<tokio::sync::Mutex<()>>,
 }
 
 /// The end that listens.
-pub struct Ear {
+pub struct HandoverReceiver {
     stream: Rc<UnixStream>,
     bytes: Vec<u8>,
     descriptors: VecDeque<OwnedFd>,
 }
 
-pub fn split(stream: UnixStream) -> (Mouth, Ear) {
+pub fn split(stream: UnixStream) -> (HandoverSender, HandoverReceiver) {
     let stream = Rc::new(stream);
-    let mouth = Mouth { stream: stream.clone(), turn: Rc::default() };
-    (mouth, Ear { stream, bytes: Vec::new(), descriptors: VecDeque::new() })
+    let sender = HandoverSender { stream: stream.clone(), turn: Rc::default() };
+    (sender, HandoverReceiver { stream, bytes: Vec::new(), descriptors: VecDeque::new() })
 }
 
 fn bad(why: impl ToString) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, why.to_string())
 }
 
-impl Mouth {
-    pub async fn say(&self, word: &Word, with: Option<OwnedFd>) -> io::Result<()> {
+impl HandoverSender {
+    pub async fn send(&self, word: &HandoverMessage, with: Option<OwnedFd>) -> io::Result<()> {
         // Whether a descriptor comes stands in the frame, so that each finds its word.
         let mut bytes = vec![0; HEAD];
         ciborium::into_writer(&(word, with.is_some()), &mut bytes).map_err(bad)?;
@@ -165,12 +175,12 @@
     Ok(sendmsg(stream, &[IoSlice::new(bytes)], &mut ancillary, SendFlags::NOSIGNAL)?)
 }
 
-impl Ear {
+impl HandoverReceiver {
     /// The next word and its descriptor. An error is also the end of the other process.
-    pub async fn hear(&mut self) -> io::Result<(Word, Option<OwnedFd>)> {
+    pub async fn receive(&mut self) -> io::Result<(HandoverMessage, Option<OwnedFd>)> {
         loop {
             if let Some(frame) = self.frame()? {
-                let (word, with): (Word, bool) = ciborium::from_reader(&frame[..]).map_err(bad)?;
+                let (word, with): (HandoverMessage, bool) = ciborium::from_reader(&frame[..]).map_err(bad)?;
                 let descriptor = if with { self.descriptors.pop_front() } else { None };
                 if with && descriptor.is_none() {
                     return Err(bad("a descriptor is missing"));
@@ -223,27 +233,34 @@
     #[tokio::test]
     async fn words_of_any_size_come_whole_and_descriptors_with_their_own() {
         let (here, there) = UnixStream::pair().expect("a pair");
-        let ((mouth, _open), (_quiet, mut ear)) = (split(here), split(there));
+        let ((sender, _open), (_quiet, mut receiver)) = (split(here), split(there));
         let (client, mut far) = std::os::unix::net::UnixStream::pair().expect("a client");
-        let heard: Vec<u8> = (0..300_000).map(|n| n as u8).collect();
+        let received: Vec<u8> = (0..300_000).map(|n| n as u8).collect();
         let say = async {
-            let client_of = |heard| Word::Client(Client { heard, age: Duration::ZERO, served: true });
-            mouth.say(&Word::Cancel(7), None).await.expect("said");
-            mouth.say(&client_of(heard.clone()), Some(client.into())).await.expect("said");
-            mouth.say(&Word::Go, None).await.expect("said");
+            let client_of = |received| {
+                HandoverMessage::Client(ClientConnection { received, age: Duration::ZERO, served: true })
+            };
+            sender.send(&HandoverMessage::Cancel(7), None).await.expect("said");
+            sender.send(&client_of(received.clone()), Some(client.into())).await.expect("said");
+            sender.send(&HandoverMessage::LockReleased, None).await.expect("said");
         };
         let hear = async {
-            assert!(matches!(ear.hear().await.expect("a word"), (Word::Cancel(7), None)));
-            let (Word::Client(got), Some(fd)) = ear.hear().await.expect("a word") else { panic!("a client") };
-            assert!(got.heard == heard && got.served);
-            assert!(matches!(ear.hear().await.expect("a word"), (Word::Go, None)));
+            assert!(matches!(receiver.receive().await.expect("a word"), (HandoverMessage::Cancel(7), None)));
+            let (HandoverMessage::Client(got), Some(fd)) = receiver.receive().await.expect("a word") else {
+                panic!("a client")
+            };
+            assert!(got.received == received && got.served);
+            assert!(matches!(
+                receiver.receive().await.expect("a word"),
+                (HandoverMessage::LockReleased, None)
+            ));
             fd
         };
         let ((), fd) = tokio::join!(say, hear);
         std::os::unix::net::UnixStream::from(fd).write_all(b"x").expect("written");
         let mut byte = [0];
         far.read_exact(&mut byte).expect("it is the client's own connection");
-        drop((mouth, _open));
-        assert!(ear.hear().await.is_err(), "the end of the other process is heard");
+        drop((sender, _open));
+        assert!(receiver.receive().await.is_err(), "the end of the other process is received");
     }
 }
--- a/src/node/golden_test.rs
+++ b/src/node/golden_test.rs
@@ -1,10 +1,12 @@
 //! The courier's records on disk and its words to its successor, byte for byte.
 
-use super::channel::{Client, Ended, Known, Out, State, Word};
+use super::channel::{
+    ClientConnection, EndedCall, EndpointState, HandoverMessage, HandoverState, InFlightCall,
+};
 use super::journal::{Attempt, Letter, Live, Verdict};
 use super::ledger::{self, Kind};
 use super::outcomes::Notice;
-use super::register::{Change, Register, Unset};
+use super::register::{Change, ChangeError, Register};
 use crate::interface::{EndpointId, Outcome};
 use crate::store::Durability;
 use crate::store::frame::{self, Head, Label, Piece};
@@ -107,10 +109,10 @@
     lanegate_golden::assert_bytes(env!("CARGO_MANIFEST_DIR"), "journal_segments", forms);
 }
 
-fn words() -> Vec<(&'static str, Word)> {
+fn words() -> Vec<(&'static str, HandoverMessage)> {
     let endpoint = EndpointId(4);
     let age = Duration::new(3, 500);
-    let known = |dial: Option<&str>, ready| Known {
+    let known = |dial: Option<&str>, ready| EndpointState {
         id: endpoint,
         host: "s-1".to_owned(),
         dial: dial.map(str::to_owned),
@@ -118,49 +120,49 @@
         ready,
         listed: true,
     };
-    let state = State {
+    let state = HandoverState {
         scheduler: vec![1, 2, 3],
         clock: Duration::from_secs(5),
-        at: micros(6),
+        unix_time: micros(6),
         endpoints: vec![known(Some("10.0.0.1:80"), true), known(None, false)],
-        numbered: 5,
+        endpoint_ids_assigned: 5,
         destinations: vec![7, 8],
-        list: Some(9),
-        out: vec![Out { message: 11, endpoint, attempt: 2, age }],
-        last: 12,
+        list_version: Some(9),
+        in_flight: vec![InFlightCall { message: 11, endpoint, attempt: 2, age }],
+        last_message: 12,
     };
     let ended =
-        |outcome, report| Ended { message: 11, attempt: 1, endpoint, outcome, over: true, report, age };
-    let client = Client { heard: b"POST /v1".to_vec(), age, served: true };
+        |outcome, report| EndedCall { message: 11, attempt: 1, endpoint, outcome, over: true, report, age };
+    let client = ClientConnection { received: b"POST /v1".to_vec(), age, served: true };
     let id = "s-1".to_owned();
     let wait = Some(Duration::from_millis(20));
     vec![
-        ("hello", Word::Hello),
-        ("state", Word::State(Box::new(state))),
-        ("ready", Word::Ready { whole: true }),
-        ("go", Word::Go),
-        ("client", Word::Client(client)),
-        ("ended-delivered", Word::Ended(ended(Outcome::Delivered, Some((0.5, 80.0))))),
-        ("ended-error", Word::Ended(ended(Outcome::Error, None))),
-        ("ended-full", Word::Ended(ended(Outcome::Full { wait }, None))),
-        ("ended-timed-out", Word::Ended(ended(Outcome::TimedOut, None))),
-        ("ended-connect-failed", Word::Ended(ended(Outcome::ConnectFailed, None))),
-        ("ended-reset", Word::Ended(ended(Outcome::Reset, None))),
-        ("ended-cancelled", Word::Ended(ended(Outcome::Cancelled, None))),
-        ("ended-moot", Word::Ended(ended(Outcome::Moot, None))),
-        ("cancel", Word::Cancel(11)),
-        ("operate-endpoint", Word::Operate(1, Change::Endpoint { id, out: true })),
-        ("operate-service", Word::Operate(2, Change::Service { out: false })),
-        ("operated", Word::Operated(1, Ok(()))),
-        ("operated-unknown", Word::Operated(1, Err(Unset::Unknown))),
-        ("operated-not-serving", Word::Operated(1, Err(Unset::NotServing))),
-        ("operated-unrecorded", Word::Operated(1, Err(Unset::Unrecorded))),
+        ("hello", HandoverMessage::Hello),
+        ("state", HandoverMessage::State(Box::new(state))),
+        ("ready", HandoverMessage::Ready { state_loaded: true }),
+        ("go", HandoverMessage::LockReleased),
+        ("client", HandoverMessage::Client(client)),
+        ("ended-delivered", HandoverMessage::Ended(ended(Outcome::Delivered, Some((0.5, 80.0))))),
+        ("ended-error", HandoverMessage::Ended(ended(Outcome::Error, None))),
+        ("ended-full", HandoverMessage::Ended(ended(Outcome::Full { wait }, None))),
+        ("ended-timed-out", HandoverMessage::Ended(ended(Outcome::TimedOut, None))),
+        ("ended-connect-failed", HandoverMessage::Ended(ended(Outcome::ConnectFailed, None))),
+        ("ended-reset", HandoverMessage::Ended(ended(Outcome::Reset, None))),
+        ("ended-cancelled", HandoverMessage::Ended(ended(Outcome::Cancelled, None))),
+        ("ended-moot", HandoverMessage::Ended(ended(Outcome::Moot, None))),
+        ("cancel", HandoverMessage::Cancel(11)),
+        ("operate-endpoint", HandoverMessage::OperatorChange(1, Change::Endpoint { id, out: true })),
+        ("operate-service", HandoverMessage::OperatorChange(2, Change::Service { out: false })),
+        ("operated", HandoverMessage::OperatorChangeResult(1, Ok(()))),
+        ("operated-unknown", HandoverMessage::OperatorChangeResult(1, Err(ChangeError::UnknownEndpoint))),
+        ("operated-not-serving", HandoverMessage::OperatorChangeResult(1, Err(ChangeError::NotServing))),
+        ("operated-unrecorded", HandoverMessage::OperatorChangeResult(1, Err(ChangeError::NotPersisted))),
     ]
 }
 
 #[test]
 fn words_to_a_successor_match_the_recorded_bytes() {
-    let encode = |word: &Word| {
+    let encode = |word: &HandoverMessage| {
         let mut bytes = Vec::new();
         ciborium::into_writer(&(word, true), &mut bytes).expect("a word can be written");
         bytes
@@ -168,7 +170,8 @@
     let mut forms = Vec::new();
     for (name, word) in words() {
         let bytes = encode(&word);
-        let (again, with): (Word, bool) = ciborium::from_reader(&bytes[..]).expect("it can be read");
+        let (again, with): (HandoverMessage, bool) =
+            ciborium::from_reader(&bytes[..]).expect("it can be read");
         assert!(with && encode(&again) == bytes, "{name}");
         forms.push((name, bytes));
     }
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -2,7 +2,10 @@
 //! one before keeps only the calls that are out. `docs/design.md` tells the steps and what ends them early.
 
 use super::calls::{CallEnd, Leave};
-use super::channel::{self, Client, Ear, Ended, Known, Mouth, Out, State, Word};
+use super::channel::{
+    self, ClientConnection, EndedCall, EndpointState, HandoverMessage, HandoverReceiver, HandoverSender,
+    HandoverState, InFlightCall,
+};
 use super::courier::{Courier, End, Endpoint, Held, STOP_ALL, STOP_LISTENING};
 use super::intake::{Intake, PassedConnection, Reply};
 use super::journal::unix;
@@ -28,11 +31,11 @@
 
 const SOCKET: &str = "handover";
 /// How long either process waits for the other's next word; clients wait as long.
-const WORD_TIME: Duration = Duration::from_millis(1500);
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// When the lock, or the process that holds it, is asked again.
-const AGAIN: Duration = Duration::from_millis(20);
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// Calls that were cut off have closed their connections by then: after a last look for their answers.
-const CUT: Duration = Duration::from_millis(30);
+const CANCEL_GRACE: Duration = Duration::from_millis(30);
 
 /// The socket's address by way of the open folder: the folder's own path may be longer than an address.
 fn socket(folder: &Path) -> io::Result<(File, PathBuf)> {
@@ -43,8 +46,8 @@
 
 /// A process that wants to go on in this one's place.
 pub struct Successor {
-    mouth: Mouth,
-    ear: Ear,
+    sender: HandoverSender,
+    receiver: HandoverReceiver,
 }
 
 /// Hears of successors from now on.
@@ -60,14 +63,16 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let (mouth, mut ear) = channel::split(stream);
-                    if let Ok(Ok((Word::Hello, _))) = timeout(WORD_TIME, ear.hear()).await {
-                        let _ = news.send(News::Successor(Successor { mouth, ear })).await;
+                    let (sender, mut receiver) = channel::split(stream);
+                    if let Ok(Ok((HandoverMessage::Hello, _))) =
+                        timeout(MESSAGE_TIMEOUT, receiver.receive()).await
+                    {
+                        let _ = news.send(News::Successor(Successor { sender, receiver })).await;
                     }
                 }
                 Err(e) => {
                     say!("handover: cannot accept: {e}");
-                    sleep(AGAIN).await;
+                    sleep(RETRY_INTERVAL).await;
                 }
             }
         }
@@ -76,11 +81,11 @@
 }
 
 /// What the process before has left to this one.
-pub struct Estate {
+pub struct Predecessor {
     /// The module as it was, and all that goes with it; none if it cannot be read.
-    state: Option<(Scheduler, Box<State>)>,
-    mouth: Mouth,
-    ear: Ear,
+    state: Option<(Scheduler, Box<HandoverState>)>,
+    sender: HandoverSender,
+    receiver: HandoverReceiver,
 }
 
 /// Waits until this process is the courier: at once where no other is, else from the other's go on, or from its
@@ -90,24 +95,24 @@
     shared: bool,
     set: &Settings,
     seed: u64,
-) -> io::Result<(Lock, Option<Estate>)> {
+) -> io::Result<(Lock, Option<Predecessor>)> {
     let mut told = false;
     loop {
-        if let Some(tenure) = Lock::take(folder)? {
-            return Ok((tenure, None));
+        if let Some(lock) = Lock::take(folder)? {
+            return Ok((lock, None));
         }
         if !shared {
-            sleep(AGAIN).await;
+            sleep(RETRY_INTERVAL).await;
             continue;
         }
-        match ask(folder, set, seed).await {
-            Ok(estate) => {
+        match request_handover(folder, set, seed).await {
+            Ok(predecessor) => {
                 let since = Instant::now();
-                while since.elapsed() < WORD_TIME {
-                    if let Some(tenure) = Lock::take(folder)? {
-                        return Ok((tenure, Some(estate)));
+                while since.elapsed() < MESSAGE_TIMEOUT {
+                    if let Some(lock) = Lock::take(folder)? {
+                        return Ok((lock, Some(predecessor)));
                     }
-                    sleep(AGAIN / 10).await;
+                    sleep(RETRY_INTERVAL / 10).await;
                 }
             }
             Err(e) if !told => {
@@ -116,48 +121,50 @@
             }
             Err(_) => {}
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
-async fn ask(folder: &Path, set: &Settings, seed: u64) -> io::Result<Estate> {
+async fn request_handover(folder: &Path, set: &Settings, seed: u64) -> io::Result<Predecessor> {
     let (_open, path) = socket(folder)?;
-    let (mouth, mut ear) = channel::split(UnixStream::connect(path).await?);
-    mouth.say(&Word::Hello, None).await?;
-    let (Word::State(state), _) = timeout(WORD_TIME, ear.hear()).await?? else {
+    let (sender, mut receiver) = channel::split(UnixStream::connect(path).await?);
+    sender.send(&HandoverMessage::Hello, None).await?;
+    let (HandoverMessage::State(state), _) = timeout(MESSAGE_TIMEOUT, receiver.receive()).await?? else {
         return Err(io::ErrorKind::InvalidData.into());
     };
     let scheduler = Scheduler::unpack(&state.scheduler, set.clone(), seed);
     let scheduler =
         scheduler.inspect_err(|e| say!("handover: starting from the journal, the state is of no use: {e}"));
-    mouth.say(&Word::Ready { whole: scheduler.is_ok() }, None).await?;
-    match timeout(WORD_TIME, ear.hear()).await?? {
-        (Word::Go, _) => Ok(Estate { state: scheduler.ok().map(|b| (b, state)), mouth, ear }),
+    sender.send(&HandoverMessage::Ready { state_loaded: scheduler.is_ok() }, None).await?;
+    match timeout(MESSAGE_TIMEOUT, receiver.receive()).await?? {
+        (HandoverMessage::LockReleased, _) => {
+            Ok(Predecessor { state: scheduler.ok().map(|b| (b, state)), sender, receiver })
+        }
         _ => Err(io::ErrorKind::InvalidData.into()),
     }
 }
 
-impl Estate {
+impl Predecessor {
     /// Lets the courier go on where the other stopped, and hears from now on what that has still to tell.
-    pub fn enter(self, courier: &mut Courier, intake: Rc<Intake>, register: Arc<Register>) {
-        let Estate { state, mouth, ear } = self;
+    pub fn resume_into(self, courier: &mut Courier, intake: Rc<Intake>, register: Arc<Register>) {
+        let Predecessor { state, sender, receiver } = self;
         let mut out = HashMap::new();
         match state {
             Some((scheduler, state)) => {
-                out.extend(state.out.iter().map(|o| (o.message, (o.attempt, o.endpoint))));
-                courier.inherit(scheduler, *state, &mouth);
+                out.extend(state.in_flight.iter().map(|o| (o.message, (o.attempt, o.endpoint))));
+                courier.inherit(scheduler, *state, &sender);
             }
             None => courier.begin(),
         }
         let news = courier.news.clone();
-        tokio::task::spawn_local(hear(ear, mouth, out, news, intake, register));
+        tokio::task::spawn_local(receive_messages(receiver, sender, out, news, intake, register));
     }
 }
 
 /// Hears the process before until it ends. The calls that it had out then have broken.
-async fn hear(
-    mut ear: Ear,
-    mouth: Mouth,
+async fn receive_messages(
+    mut receiver: HandoverReceiver,
+    sender: HandoverSender,
     mut out: HashMap<u64, (u32, EndpointId)>,
     news: Sender<News>,
     intake: Rc<Intake>,
@@ -165,26 +172,26 @@
 ) {
     let mut clients = 0;
     loop {
-        match ear.hear().await {
-            Ok((Word::Client(client), Some(descriptor))) => {
+        match receiver.receive().await {
+            Ok((HandoverMessage::Client(client), Some(descriptor))) => {
                 clients += 1;
                 if let Err(e) = intake.clone().adopt(descriptor, client) {
                     say!("handover: a client's connection cannot be used: {e}");
                 }
             }
-            Ok((Word::Ended(ended), _)) => {
+            Ok((HandoverMessage::Ended(ended), _)) => {
                 out.remove(&ended.message);
                 let (report, at) = (ended.report(), Instant::now());
                 let at = at.checked_sub(ended.age).unwrap_or(at);
                 let end = CallEnd { outcome: ended.outcome, over: ended.over, report, at };
-                let Ended { message, attempt, endpoint, .. } = ended;
+                let EndedCall { message, attempt, endpoint, .. } = ended;
                 let _ = news.send(News::Called { message, attempt, endpoint, end }).await;
             }
-            Ok((Word::Operate(number, change), _)) => {
-                let (register, mouth) = (register.clone(), mouth.clone());
+            Ok((HandoverMessage::OperatorChange(number, change), _)) => {
+                let (register, sender) = (register.clone(), sender.clone());
                 tokio::task::spawn_local(async move {
                     let set = register.set(change).await;
-                    let _ = mouth.say(&Word::Operated(number, set), None).await;
+                    let _ = sender.send(&HandoverMessage::OperatorChangeResult(number, set), None).await;
                 });
             }
             Ok(_) => {}
@@ -200,9 +207,9 @@
 
 impl Courier {
     /// All that its successor needs beside the journal.
-    fn state(&self) -> Result<State, String> {
+    fn state(&self) -> Result<HandoverState, String> {
         let zone = |e: &Endpoint| self.config.zones.get(e.zone).cloned().unwrap_or_default();
-        let endpoints = self.endpoints.iter().map(|(id, e)| Known {
+        let endpoints = self.endpoints.iter().map(|(id, e)| EndpointState {
             id: *id,
             host: e.host.clone(),
             dial: e.address.map(|a| a.to_string()),
@@ -210,42 +217,43 @@
             ready: e.ready,
             listed: e.listed,
         });
-        let out = self.held.iter().filter_map(|(message, m)| {
+        let in_flight = self.held.iter().filter_map(|(message, m)| {
             let (sent, _) = m.out.as_ref()?;
             let (endpoint, attempt) = (m.leave.as_ref()?.0, m.attempts.checked_sub(1)?);
-            Some(Out { message: *message, endpoint, attempt, age: sent.elapsed() })
+            Some(InFlightCall { message: *message, endpoint, attempt, age: sent.elapsed() })
         });
-        Ok(State {
+        Ok(HandoverState {
             scheduler: self.scheduler.pack()?,
             clock: self.origin.elapsed(),
-            at: unix(),
+            unix_time: unix(),
             endpoints: endpoints.collect(),
-            numbered: self.numbered,
+            endpoint_ids_assigned: self.numbered,
             destinations: self.destinations.iter().copied().collect(),
-            list: self.seq,
-            out: out.collect(),
-            last: self.next - 1,
+            list_version: self.seq,
+            in_flight: in_flight.collect(),
+            last_message: self.next - 1,
         })
     }
 
     /// Goes on in another's place: with its module, on its clock, under its numbers.
-    fn inherit(&mut self, scheduler: Scheduler, state: State, mouth: &Mouth) {
-        let clock = state.clock + unix().saturating_sub(state.at);
+    fn inherit(&mut self, scheduler: Scheduler, state: HandoverState, sender: &HandoverSender) {
+        let clock = state.clock + unix().saturating_sub(state.unix_time);
         self.origin = Instant::now().checked_sub(clock).unwrap_or(self.origin);
         self.scheduler = scheduler;
         for known in state.endpoints {
             let (zone, address) = (self.zone(&known.zone), known.dial.and_then(|d| d.parse().ok()));
-            let Known { id, host, ready, listed, .. } = known;
+            let EndpointState { id, host, ready, listed, .. } = known;
             self.numbers.insert(host.clone(), id);
             self.endpoints.insert(id, Endpoint { host, address, zone, ready, listed });
         }
-        self.numbered = state.numbered;
+        self.numbered = state.endpoint_ids_assigned;
         self.destinations = state.destinations.into_iter().collect();
-        (self.seq, self.listed) = (state.list, state.list.is_some());
-        self.next = self.next.max(state.last + 1);
+        (self.seq, self.listed) = (state.list_version, state.list_version.is_some());
+        self.next = self.next.max(state.last_message + 1);
         self.publish_hosts();
         let now = Instant::now();
-        let mut out: HashMap<u64, Out> = state.out.into_iter().map(|o| (o.message, o)).collect();
+        let mut out: HashMap<u64, InFlightCall> =
+            state.in_flight.into_iter().map(|o| (o.message, o)).collect();
         let live: Vec<_> = self.journal.live().map(|(n, m)| (n, m.clone())).collect();
         for (message, m) in live {
             if !self.scheduler.knows(MessageId(message)) {
@@ -260,10 +268,10 @@
             let leave = out.as_ref().map(|o| (o.endpoint, Leave::default()));
             let out = out.map(|o| {
                 let (cancel, cancelled) = oneshot::channel();
-                let mouth = mouth.clone();
+                let sender = sender.clone();
                 tokio::task::spawn_local(async move {
                     if cancelled.await.is_ok() {
-                        let _ = mouth.say(&Word::Cancel(message), None).await;
+                        let _ = sender.send(&HandoverMessage::Cancel(message), None).await;
                     }
                 });
                 (now.checked_sub(o.age).unwrap_or(now), Some(cancel))
@@ -284,37 +292,37 @@
     }
 
     /// Offers all to the successor. False if this process is still the courier; after true it never is again.
-    pub async fn hand_over(&mut self, to: &mut Successor, tenure: &mut Option<Lock>) -> bool {
-        match self.offer(to).await {
+    pub async fn hand_over(&mut self, to: &mut Successor, lock: &mut Option<Lock>) -> bool {
+        match self.send_state(to).await {
             Ok(()) => {}
             Err(e) => {
                 say!("handover: not taken over: {e}");
                 return false;
             }
         }
-        drop(tenure.take());
+        drop(lock.take());
         // Nothing that cannot be said here changes what was given up: the lock tells who goes on.
-        if let Err(e) = to.mouth.say(&Word::Go, None).await {
+        if let Err(e) = to.sender.send(&HandoverMessage::LockReleased, None).await {
             say!("handover: the successor is gone: {e}");
         }
         true
     }
 
-    async fn offer(&mut self, to: &mut Successor) -> io::Result<()> {
+    async fn send_state(&mut self, to: &mut Successor) -> io::Result<()> {
         // A call without its connection does not begin any more.
         self.held.values().filter_map(|m| m.leave.as_ref()).for_each(|(_, leave)| leave.recall());
         if !self.settle_whole().await {
             return Err(io::Error::other("the journal cannot be written"));
         }
         let state = self.state().map_err(io::Error::other)?;
-        say!("handover: to a successor, with {} calls out", state.out.len());
-        timeout(WORD_TIME, to.mouth.say(&Word::State(Box::new(state)), None)).await??;
-        match timeout(WORD_TIME, to.ear.hear()).await?? {
-            (Word::Ready { whole: true }, _) => Ok(()),
-            (Word::Ready { whole: false }, _) => {
+        say!("handover: to a successor, with {} calls out", state.in_flight.len());
+        timeout(MESSAGE_TIMEOUT, to.sender.send(&HandoverMessage::State(Box::new(state)), None)).await??;
+        match timeout(MESSAGE_TIMEOUT, to.receiver.receive()).await?? {
+            (HandoverMessage::Ready { state_loaded: true }, _) => Ok(()),
+            (HandoverMessage::Ready { state_loaded: false }, _) => {
                 // It will take these for broken.
                 self.held.values_mut().for_each(|m| m.cancel());
-                sleep(CUT).await;
+                sleep(CANCEL_GRACE).await;
                 Ok(())
             }
             _ => Err(io::ErrorKind::InvalidData.into()),
@@ -322,7 +330,7 @@
     }
 
     /// After the go: passes on clients and the ends of calls until it is told to stop and all have ended.
-    pub async fn linger(
+    pub async fn drain_after_handover(
         mut self,
         mut to: Successor,
         mut inbox: Receiver<News>,
@@ -336,23 +344,23 @@
             let word = tokio::select! {
                 biased;
                 Some(PassedConnection { descriptor, received, age, served }) = clients.recv() => {
-                    let client = Word::Client(Client { heard: received, age, served });
+                    let client = HandoverMessage::Client(ClientConnection { received, age, served });
                     // A successor that is gone is heard below.
-                    let _ = to.mouth.say(&client, Some(descriptor)).await;
+                    let _ = to.sender.send(&client, Some(descriptor)).await;
                     None
                 }
                 Some((change, reply)) = forwards.recv() => {
                     asked += 1;
                     waiting.insert(asked, reply);
-                    Some(Word::Operate(asked, change))
+                    Some(HandoverMessage::OperatorChange(asked, change))
                 }
-                Some(news) = inbox.recv() => self.late(news),
-                word = to.ear.hear() => {
+                Some(news) = inbox.recv() => self.handle_late_news(news),
+                word = to.receiver.receive() => {
                     match word {
-                        Ok((Word::Cancel(message), _)) => {
+                        Ok((HandoverMessage::Cancel(message), _)) => {
                             self.held.get_mut(&message).into_iter().for_each(Held::cancel);
                         }
-                        Ok((Word::Operated(number, set), _)) => {
+                        Ok((HandoverMessage::OperatorChangeResult(number, set), _)) => {
                             if let Some(reply) = waiting.remove(&number) {
                                 let _ = reply.send(set);
                             }
@@ -366,10 +374,10 @@
                     }
                     None
                 }
-                () = sleep(AGAIN) => None,
+                () = sleep(RETRY_INTERVAL) => None,
             };
             if let Some(word) = word {
-                let _ = to.mouth.say(&word, None).await;
+                let _ = to.sender.send(&word, None).await;
             }
             if let Some(since) = self.stopping.map(|at| at.elapsed()) {
                 let calls = self.held.values().any(|m| m.out.is_some());
@@ -382,13 +390,13 @@
     }
 
     /// News that came after the go.
-    fn late(&mut self, news: News) -> Option<Word> {
+    fn handle_late_news(&mut self, news: News) -> Option<HandoverMessage> {
         match news {
             News::Called { message, attempt, endpoint, end } => {
                 let m = self.held.get_mut(&message)?;
                 m.out.take()?;
                 say!("{} attempt {attempt}: {:?}, told to the successor", m.letter.id, end.outcome);
-                Some(Word::Ended(Ended {
+                Some(HandoverMessage::Ended(EndedCall {
                     message,
                     attempt,
                     endpoint,
--- a/src/node/intake/serving.rs
+++ b/src/node/intake/serving.rs
@@ -5,7 +5,7 @@
 use super::connection::{Connection, Stage};
 use super::limits::{HEAD_MOST, SILENT_TIME, UNREAD_GRACE, UNREAD_STEP};
 use super::stream::ClientStream;
-use crate::node::channel::Client;
+use crate::node::channel::ClientConnection;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -26,11 +26,11 @@
 
 impl Intake {
     /// Goes on with a connection that another process had.
-    pub fn adopt(self: Rc<Self>, descriptor: OwnedFd, client: Client) -> io::Result<()> {
+    pub fn adopt(self: Rc<Self>, descriptor: OwnedFd, client: ClientConnection) -> io::Result<()> {
         let stream = std::net::TcpStream::from(descriptor);
         stream.set_nonblocking(true)?;
         let stream = TcpStream::from_std(stream)?;
-        tokio::task::spawn_local(self.serve(stream, client.age, client.served, client.heard.into()));
+        tokio::task::spawn_local(self.serve(stream, client.age, client.served, client.received.into()));
         Ok(())
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -145,7 +145,7 @@
     let state = |e: io::Error| Fault::Bad("LB_STATE", e.to_string());
     // Another process comes only where the platform hands the listening socket down.
     let shared = config.listener.is_some();
-    let (tenure, estate) = tokio::select! {
+    let (tenure, predecessor) = tokio::select! {
         taken = handover::take_over(&config.state, shared, &config.settings, config.seed) => {
             taken.map_err(state)?
         }
@@ -179,8 +179,8 @@
     tokio::task::spawn_local(reload(hangup, config.file.clone(), news.clone()));
     let mut courier =
         Courier::new(config, scheduler, journal, recovery.last, calls, standing.clone(), news.clone());
-    match estate {
-        Some(estate) => estate.enter(&mut courier, intake.clone(), register.clone()),
+    match predecessor {
+        Some(predecessor) => predecessor.resume_into(&mut courier, intake.clone(), register.clone()),
         None => courier.begin(),
     }
     let mut changes = register.serve();
@@ -220,5 +220,5 @@
     accepting.abort();
     let (pass, clients) = mpsc::unbounded_channel();
     standing.pass_on(pass);
-    Ok(courier.linger(successor, inbox, clients, forwards).await)
+    Ok(courier.drain_after_handover(successor, inbox, clients, forwards).await)
 }
--- a/src/node/operators.rs
+++ b/src/node/operators.rs
@@ -2,7 +2,7 @@
 //! nor for the courier's loop. What it may touch is the register alone.
 
 use super::log::{Aside, say};
-use super::register::{Change, Register, Unset};
+use super::register::{Change, ChangeError, Register};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -188,11 +188,13 @@
                 let set = timeout(ANSWER_TIME, self.register.clone().set(change)).await;
                 let answer = match set {
                     Ok(Ok(())) => (StatusCode::OK, "done\n"),
-                    Ok(Err(Unset::Unknown)) => (StatusCode::NOT_FOUND, "no such endpoint\n"),
-                    Ok(Err(Unset::NotServing)) => {
+                    Ok(Err(ChangeError::UnknownEndpoint)) => (StatusCode::NOT_FOUND, "no such endpoint\n"),
+                    Ok(Err(ChangeError::NotServing)) => {
                         (StatusCode::SERVICE_UNAVAILABLE, "this process takes no clients\n")
                     }
-                    Ok(Err(Unset::Unrecorded)) => (StatusCode::INSUFFICIENT_STORAGE, "it cannot be kept\n"),
+                    Ok(Err(ChangeError::NotPersisted)) => {
+                        (StatusCode::INSUFFICIENT_STORAGE, "it cannot be kept\n")
+                    }
                     Err(_) => (StatusCode::SERVICE_UNAVAILABLE, "not done in time: ask again\n"),
                 };
                 self.log.line(format!("operators: {told}: {}", answer.0));
--- a/src/node/register.rs
+++ b/src/node/register.rs
@@ -38,13 +38,15 @@
 
 /// Why nothing has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Unset {
+pub enum ChangeError {
     /// Nobody has an endpoint of this id.
-    Unknown,
+    #[serde(rename = "Unknown")]
+    UnknownEndpoint,
     /// Another process serves, or none yet.
     NotServing,
     /// The folder that lasts does not take it.
-    Unrecorded,
+    #[serde(rename = "Unrecorded")]
+    NotPersisted,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -55,7 +57,7 @@
 }
 
 /// A change for the process that serves now, and where its answer goes.
-pub type Forward = (Change, oneshot::Sender<Result<(), Unset>>);
+pub type Forward = (Change, oneshot::Sender<Result<(), ChangeError>>);
 
 /// What this process is.
 #[derive(Default)]
@@ -148,19 +150,19 @@
 
     /// Makes a change: on record, then in force, then told to the courier. One that changes nothing is
     /// fulfilled already.
-    pub async fn set(self: Arc<Self>, change: Change) -> Result<(), Unset> {
+    pub async fn set(self: Arc<Self>, change: Change) -> Result<(), ChangeError> {
         let this = self.clone();
         let task = async move {
             let _turn = this.turn.lock().await;
             let forwards = match &this.state().role {
-                Role::Idle => return Err(Unset::NotServing),
+                Role::Idle => return Err(ChangeError::NotServing),
                 Role::Serves(_) => None,
                 Role::Replaced(forwards) => Some(forwards.clone()),
             };
             if let Some(forwards) = forwards {
                 let (reply, answer) = oneshot::channel();
                 let _ = forwards.send((change, reply));
-                return answer.await.unwrap_or(Err(Unset::NotServing));
+                return answer.await.unwrap_or(Err(ChangeError::NotServing));
             }
             let page = {
                 let state = this.state();
@@ -168,7 +170,7 @@
                 match &change {
                     Change::Service { out } => page.out_of_service = *out,
                     Change::Endpoint { id, .. } if !state.known.contains(id) && !page.out.contains(id) => {
-                        return Err(Unset::Unknown);
+                        return Err(ChangeError::UnknownEndpoint);
                     }
                     Change::Endpoint { id, out: true } => _ = page.out.insert(id.clone()),
                     Change::Endpoint { id, out: false } => _ = page.out.remove(id),
@@ -182,7 +184,7 @@
             let record = move || page::replace(&folder, durability, (NAME, kept), FILE_MOST);
             let kept = tokio::task::spawn_blocking(record).await;
             if !matches!(kept, Ok(Ok(()))) {
-                return Err(Unset::Unrecorded);
+                return Err(ChangeError::NotPersisted);
             }
             let mut state = this.state();
             state.page = page;
@@ -192,7 +194,7 @@
             Ok(())
         };
         // Goes on though its caller has given up: what is on record must come into force.
-        tokio::spawn(task).await.unwrap_or(Err(Unset::Unrecorded))
+        tokio::spawn(task).await.unwrap_or(Err(ChangeError::NotPersisted))
     }
 }
 
@@ -216,9 +218,9 @@
     async fn what_is_set_is_a_state_and_outlasts_the_process() {
         let folder = folder("state");
         let register = Register::new(&folder, Durability::Process);
-        assert_eq!(register.clone().set(endpoint(true)).await, Err(Unset::NotServing));
+        assert_eq!(register.clone().set(endpoint(true)).await, Err(ChangeError::NotServing));
         let mut changed = register.serve();
-        assert_eq!(register.clone().set(endpoint(true)).await, Err(Unset::Unknown));
+        assert_eq!(register.clone().set(endpoint(true)).await, Err(ChangeError::UnknownEndpoint));
         register.know(BTreeSet::from(["s-1".to_owned()]));
         for _ in 0..2 {
             assert_eq!(register.clone().set(endpoint(true)).await, Ok(()));
@@ -233,7 +235,7 @@
         assert_eq!(register.clone().set(Change::Service { out: true }).await, Ok(()));
         assert_eq!(register.clone().set(endpoint(false)).await, Ok(()));
         assert!(!register.is_out("s-1") && register.out_of_service());
-        assert_eq!(register.clone().set(endpoint(false)).await, Err(Unset::Unknown));
+        assert_eq!(register.clone().set(endpoint(false)).await, Err(ChangeError::UnknownEndpoint));
         let _ = fs::remove_dir_all(folder);
     }
 
@@ -243,7 +245,7 @@
         let register = Register::new(&folder, Durability::Process);
         let _changed = register.serve();
         fs::remove_dir_all(&folder).expect("removed");
-        assert_eq!(register.clone().set(Change::Service { out: true }).await, Err(Unset::Unrecorded));
+        assert_eq!(register.clone().set(Change::Service { out: true }).await, Err(ChangeError::NotPersisted));
         assert!(!register.out_of_service());
     }
 
