--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
-use lanegate_courier::node::journal::{self, Attempt, Letter};
+use lanegate_courier::node::journal::{self, Attempt, Message};
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -24,14 +24,14 @@
     }
 }
 
-pub fn letter(n: u64, body: usize) -> Letter {
-    Letter {
+pub fn letter(n: u64, body: usize) -> Message {
+    Message {
         id: format!("9b1f03aa5c7e{n:08x}"),
         class: "status".to_owned(),
         destination: n % 40,
         until: journal::unix() + Duration::from_secs(1000),
         body: Bytes::from(vec![b'x'; body]),
-        ..Letter::default()
+        ..Message::default()
     }
 }
 
--- a/benches/journal.rs
+++ b/benches/journal.rs
@@ -4,7 +4,7 @@
 mod common;
 use common::*;
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
-use lanegate_courier::node::journal::{Journal, Keeping, Letter, Verdict};
+use lanegate_courier::node::journal::{Journal, JournalOptions, Message, Verdict};
 use lanegate_courier::store::{Durability, frame};
 use rand::rngs::SmallRng;
 use rand::{RngCore, SeedableRng};
@@ -12,13 +12,13 @@
 use std::rc::Rc;
 
 fn open_at(place: &Place, room: u64, durability: Durability) -> Journal {
-    let keeping = Keeping { room, durability, refuse_damage: false };
-    Journal::open(&place.0, keeping, 1).expect("opens").0
+    let journal_options = JournalOptions { room, durability, refuse_damage: false };
+    Journal::open(&place.0, journal_options, 1).expect("opens").0
 }
 
 /// A message with all that a usual one has.
-fn usual(n: u64, body: usize) -> Rc<Letter> {
-    Rc::new(Letter {
+fn usual(n: u64, body: usize) -> Rc<Message> {
+    Rc::new(Message {
         class: "update-notices".to_owned(),
         tenant: "namib-marine".to_owned(),
         destination: 7,
--- a/benches/stall.rs
+++ b/benches/stall.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use lanegate_courier::node::journal::{Journal, Keeping};
+use lanegate_courier::node::journal::{Journal, JournalOptions};
 use lanegate_courier::store::Durability;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -21,8 +21,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     for (name, durability) in [("process", Durability::Process), ("power", Durability::Power)] {
         let place = Place::new(name);
-        let keeping = Keeping { room: LIVE * 3, durability, refuse_damage: false };
-        let (mut journal, _) = Journal::open(&place.0, keeping, 1).expect("opens");
+        let journal_options = JournalOptions { room: LIVE * 3, durability, refuse_damage: false };
+        let (mut journal, _) = Journal::open(&place.0, journal_options, 1).expect("opens");
         let (mut next, mut live, mut took) = (0, VecDeque::new(), Vec::new());
         let commit = |journal: &mut Journal| {
             let from = Instant::now();
--- a/benches/start.rs
+++ b/benches/start.rs
@@ -5,7 +5,7 @@
 mod common;
 use common::*;
 use courier_lab::report::plot::{Line, Plot};
-use lanegate_courier::node::journal::{Journal, Keeping};
+use lanegate_courier::node::journal::{Journal, JournalOptions};
 use lanegate_courier::store::Durability;
 use serde_json::json;
 use std::io::{Read, Write};
@@ -43,9 +43,12 @@
 }
 
 fn fill(state: &Path, live: u64, body: usize, disk_mb: f64) -> u64 {
-    let keeping =
-        Keeping { room: (disk_mb * 1e6) as u64, durability: Durability::Process, refuse_damage: false };
-    let (mut journal, _) = Journal::open(state, keeping, 1).expect("opens");
+    let journal_options = JournalOptions {
+        room: (disk_mb * 1e6) as u64,
+        durability: Durability::Process,
+        refuse_damage: false,
+    };
+    let (mut journal, _) = Journal::open(state, journal_options, 1).expect("opens");
     let (mut n, mut held) = (0u64, 0);
     while held < live {
         n += 1;
--- a/fuzz/fuzz_targets/journal.rs
+++ b/fuzz/fuzz_targets/journal.rs
@@ -43,7 +43,7 @@
         if let Ok(found) = journal::read(&folder(&bytes)) {
             // No more is held than was there: each attempt that is not written down was preceded by one that is.
             let attempts: usize = found.live.values().map(|live| live.attempts.len()).sum();
-            assert!(attempts <= 17 * bytes.len() / frame::FRAME + found.live.len());
+            assert!(attempts <= 17 * bytes.len() / frame::RECORD_HEADER + found.live.len());
         }
     }
 });
--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to endpoints and probes, and the connections kept for them. One call a connection at a time; what
 //! may have run is told apart from what never did.
 
-use super::journal::Letter;
+use super::journal::Message;
 use super::link::{Answer, LAST_LOOK, Link, Lost};
 use super::log::say;
 use super::news::News;
@@ -42,7 +42,7 @@
     pub endpoint: EndpointId,
     pub host: String,
     pub address: SocketAddr,
-    pub letter: Rc<Letter>,
+    pub letter: Rc<Message>,
     pub timeout: Duration,
     /// It must not be sent again if it may have run.
     pub once: bool,
--- a/src/node/commit.rs
+++ b/src/node/commit.rs
@@ -13,19 +13,19 @@
 use tokio::time::Instant;
 
 /// When a disk that failed is tried again.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 /// How long records may wait on which nothing depends, and how many bytes of them, where each commit is synced.
-const LAZY: Duration = Duration::from_millis(100);
-const LAZY_MOST: u64 = 256 * 1024;
+const MAX_DELAY: Duration = Duration::from_millis(100);
+const MAX_DELAYED_BYTES: u64 = 256 * 1024;
 /// When the next of several commits in a row is made.
-const NEXT: Duration = Duration::from_millis(10);
+const REWRITE_INTERVAL: Duration = Duration::from_millis(10);
 /// A call that has waited for less is not cut short by it.
-const AT_ONCE: Duration = Duration::from_millis(2);
+const NEGLIGIBLE_WAIT: Duration = Duration::from_millis(2);
 /// How long the last commit of a process may take.
-const LAST: Duration = Duration::from_millis(300);
+const FINAL_COMMIT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Something that may be done once the records before it are kept.
-pub(super) enum Due {
+pub(super) enum PendingAction {
     Reply {
         message: u64,
         reply: Answer,
@@ -40,17 +40,17 @@
 
 /// What is due, and how the record fares.
 #[derive(Default)]
-pub(super) struct Dues {
-    waiting: Vec<Due>,
+pub(super) struct PendingActions {
+    waiting: Vec<PendingAction>,
     /// Those that wait for the commit that is under way.
-    committing: Vec<Due>,
+    committing: Vec<PendingAction>,
     failed: Option<Instant>,
     /// When the last commit was begun.
     last: Option<Instant>,
 }
 
-impl Dues {
-    pub(super) fn push(&mut self, due: Due) {
+impl PendingActions {
+    pub(super) fn push(&mut self, due: PendingAction) {
         self.waiting.push(due);
     }
 
@@ -66,7 +66,7 @@
     /// Where the answer will go for a message that is taken on, but whose client may not be told so yet.
     pub(super) fn answer(&mut self, message: u64) -> Option<&mut Answer> {
         self.waiting.iter_mut().chain(&mut self.committing).find_map(|due| match due {
-            Due::Reply { message: m, reply } if *m == message => Some(reply),
+            PendingAction::Reply { message: m, reply } if *m == message => Some(reply),
             _ => None,
         })
     }
@@ -76,17 +76,17 @@
     /// Brings the records to disk; what is due follows, at once or when that is done. After an error nothing
     /// more is taken on until it works again.
     pub(super) fn settle(&mut self) {
-        let later = self.journal.is_busy() || (self.journal.syncs() && self.may_wait());
+        let later = self.journal.is_busy() || (self.journal.syncs() && self.may_delay_commit());
         if !later {
             self.commit();
         }
     }
 
     /// Nothing depends yet on what is to be recorded.
-    fn may_wait(&self) -> bool {
+    fn may_delay_commit(&self) -> bool {
         self.dues.waiting.is_empty() && !self.dues.failed() && !self.journal.is_behind() && {
-            let lately = self.dues.last.is_some_and(|t| t.elapsed() < LAZY);
-            self.journal.waiting() == 0 || (lately && self.journal.waiting() < LAZY_MOST)
+            let lately = self.dues.last.is_some_and(|t| t.elapsed() < MAX_DELAY);
+            self.journal.waiting() == 0 || (lately && self.journal.waiting() < MAX_DELAYED_BYTES)
         }
     }
 
@@ -94,7 +94,7 @@
         self.dues.committing = std::mem::take(&mut self.dues.waiting);
         let now = Instant::now();
         // A disk that has just failed is not asked once more for each message.
-        if self.dues.failed.is_some_and(|t| now < t + RETRY) {
+        if self.dues.failed.is_some_and(|t| now < t + RETRY_INTERVAL) {
             return self.release(false);
         }
         self.dues.last = Some(now);
@@ -125,16 +125,18 @@
     fn release(&mut self, kept: bool) {
         for due in std::mem::take(&mut self.dues.committing) {
             match due {
-                Due::Reply { message, reply } => {
+                PendingAction::Reply { message, reply } => {
                     let told = if kept { Reply::Taken } else { Reply::Unavailable };
                     if !reply.send(told) || !kept {
                         self.withdraw(message);
                     }
                 }
-                Due::Call { call, cancelled } => self.begin_call(call, cancelled, kept),
+                PendingAction::Call { call, cancelled } => self.begin_call(call, cancelled, kept),
                 // A crash before the record would have the message sent again that its client was told to
                 // hand in again; not if its time is up.
-                Due::Notice(notice, until) if kept || unix() >= until => self.notices.push_back(notice),
+                PendingAction::Notice(notice, until) if kept || unix() >= until => {
+                    self.notices.push_back(notice)
+                }
                 notice => self.dues.waiting.push(notice),
             }
         }
@@ -146,7 +148,7 @@
         if let Some(waited) = waited.filter(|waited| kept && *waited < call.timeout)
             && cancelled.try_recv().is_err()
         {
-            if waited >= AT_ONCE {
+            if waited >= NEGLIGIBLE_WAIT {
                 call.timeout -= waited;
             }
             let calls = self.calls.clone();
@@ -166,12 +168,12 @@
             return None;
         }
         if let Some(failed) = self.dues.failed {
-            return Some(failed + RETRY);
+            return Some(failed + RETRY_INTERVAL);
         }
         let last = self.dues.last?;
-        let behind = self.journal.is_behind().then(|| last + NEXT);
-        let lazy = (self.journal.syncs() && self.journal.waiting() > 0).then(|| last + LAZY);
-        behind.into_iter().chain(lazy).min()
+        let behind = self.journal.is_behind().then(|| last + REWRITE_INTERVAL);
+        let delayed = (self.journal.syncs() && self.journal.waiting() > 0).then(|| last + MAX_DELAY);
+        behind.into_iter().chain(delayed).min()
     }
 
     /// Brings all to disk and waits for it, but not for ever. False if it is not known to be there.
@@ -189,7 +191,7 @@
                 }
             }
         };
-        tokio::time::timeout(LAST, all).await.is_ok() && !self.dues.failed()
+        tokio::time::timeout(FINAL_COMMIT_TIMEOUT, all).await.is_ok() && !self.dues.failed()
     }
 }
 
--- a/src/node/commit_test.rs
+++ b/src/node/commit_test.rs
@@ -5,7 +5,7 @@
 use crate::node::config::{Config, Limits};
 use crate::node::discovery::{Health, Host, List};
 use crate::node::intake::{Answer, Offer, Standing};
-use crate::node::journal::{Journal, Letter, Tell};
+use crate::node::journal::{Journal, Message, Tell};
 use crate::node::news::News;
 use crate::node::options::Options;
 use crate::node::register::Register;
@@ -50,7 +50,7 @@
     async fn new(name: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("commit-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
-        let (journal, batches, done) = Journal::by_hand(&folder).expect("a journal");
+        let (journal, batches, done) = Journal::manual(&folder).expect("a journal");
         let endpoint = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let platform = TcpListener::bind("127.0.0.1:0").await.expect("bound");
         let at = |listener: &TcpListener| listener.local_addr().expect("an address");
@@ -100,12 +100,12 @@
 
     /// Hands a message in; where its answer comes.
     async fn offer(&self, id: &str, class: usize, left: Duration) -> oneshot::Receiver<Reply> {
-        let letter = Letter {
+        let letter = Message {
             id: id.to_owned(),
             class: ["notice", "status", "payment"][class].to_owned(),
             destination: 7,
             until: unix() + left,
-            ..Letter::default()
+            ..Message::default()
         };
         let (reply, answer) = Answer::new();
         let (letter, at) = (Rc::new(letter), Instant::now());
--- a/src/node/courier/attempts.rs
+++ b/src/node/courier/attempts.rs
@@ -3,7 +3,7 @@
 use super::Courier;
 use crate::interface::{Effect, Ended, EndpointId, Event, MessageId, Outcome};
 use crate::node::calls::{Call, CallEnd, Leave};
-use crate::node::commit::Due;
+use crate::node::commit::PendingAction;
 use crate::node::journal::{Attempt, unix};
 use crate::node::log::say;
 use std::time::Duration;
@@ -62,7 +62,7 @@
             m.out = Some((now, Some(cancel)));
         }
         let call = Call { message, attempt: number, endpoint, host, address, letter, timeout, once, leave };
-        self.dues.push(Due::Call { call, cancelled });
+        self.dues.push(PendingAction::Call { call, cancelled });
     }
 
     /// What a repeated delivery of a message of this class does.
--- a/src/node/courier/mod.rs
+++ b/src/node/courier/mod.rs
@@ -17,11 +17,11 @@
 pub(super) use stopping::{STOP_ALL, STOP_CLOSING, STOP_LISTENING};
 
 use super::calls::{Calls, Leave};
-use super::commit::Dues;
+use super::commit::PendingActions;
 use super::config::Config;
 use super::handover::Successor;
 use super::intake::{Offer, Standing};
-use super::journal::{Journal, Letter};
+use super::journal::{Journal, Message};
 use super::news::News;
 use super::outcomes::{Notice, Platform};
 use crate::interface::{EndpointId, Event};
@@ -57,7 +57,7 @@
 
 /// A message that is taken on and has not ended.
 pub(super) struct Held {
-    pub(super) letter: Rc<Letter>,
+    pub(super) letter: Rc<Message>,
     pub(super) attempts: u32,
     /// The call that is out: when it left, and how to call it off.
     pub(super) out: Option<(Instant, Option<oneshot::Sender<()>>)>,
@@ -67,7 +67,7 @@
 
 impl Held {
     /// One of which no call is out.
-    fn new(letter: Rc<Letter>, attempts: u32) -> Self {
+    fn new(letter: Rc<Message>, attempts: u32) -> Self {
         Held { letter, attempts, out: None, leave: None }
     }
 
@@ -113,7 +113,7 @@
     pub(super) listed: bool,
     pub(super) stopping: Option<Instant>,
     /// What waits for the record.
-    pub(super) dues: Dues,
+    pub(super) dues: PendingActions,
     /// When the next segment of the journal is read again.
     scrub: Option<Instant>,
 }
@@ -156,7 +156,7 @@
             successor: None,
             listed: false,
             stopping: None,
-            dues: Dues::default(),
+            dues: PendingActions::default(),
             scrub: None,
         }
     }
--- a/src/node/courier/offers.rs
+++ b/src/node/courier/offers.rs
@@ -2,7 +2,7 @@
 
 use super::{Courier, Held};
 use crate::interface::{DestinationId, Event, MessageId, Past, Taken};
-use crate::node::commit::Due;
+use crate::node::commit::PendingAction;
 use crate::node::intake::{Offer, Reply};
 use crate::node::journal::Verdict;
 use crate::node::log::say;
@@ -94,7 +94,7 @@
             say!("{id} taken on: {class} for {dest} of {of}, {} ms left", time_left.as_millis());
             self.journal.accept(message, letter.clone());
             self.held.insert(message, Held::new(letter, 0));
-            self.dues.push(Due::Reply { message, reply });
+            self.dues.push(PendingAction::Reply { message, reply });
         }
         self.settle();
     }
@@ -111,7 +111,7 @@
     /// Nothing more is owed for the message.
     pub(super) fn end(&mut self, message: u64) {
         if let Some(m) = self.journal.get(message) {
-            let id = m.letter.id.clone();
+            let id = m.submitted.id.clone();
             self.ids.remove(&id);
             self.journal.end(message);
         }
--- a/src/node/courier/resume.rs
+++ b/src/node/courier/resume.rs
@@ -3,7 +3,7 @@
 use super::{Courier, Held};
 use crate::interface::{DestinationId, Event, MessageId, Past, Ran, Taken};
 use crate::node::discovery::List;
-use crate::node::journal::{Attempt, Letter, Verdict, unix};
+use crate::node::journal::{Attempt, Message, Verdict, unix};
 use std::time::Duration;
 
 const AGES: Duration = Duration::from_secs(24 * 3600);
@@ -16,7 +16,7 @@
         let known = self.config.known.clone();
         self.seq = known.as_ref().map(|l| l.seq);
         self.apply_list(List { whole: true, ..known.unwrap_or_default() });
-        let mut live: Vec<_> = self.journal.live().map(|(n, m)| (m.letter.until, n)).collect();
+        let mut live: Vec<_> = self.journal.live().map(|(n, m)| (m.submitted.until, n)).collect();
         // Those that are out of time end first, and the others come to judgement by how little they have left.
         live.sort_unstable();
         live.into_iter().for_each(|(_, message)| self.resume(message));
@@ -25,7 +25,7 @@
     /// Hands back a message that is on record, with what is known of its attempts.
     pub(in crate::node) fn resume(&mut self, message: u64) {
         let Some(m) = self.journal.get(message) else { return };
-        let (now, letter, taken, verdict) = (unix(), m.letter.clone(), m.taken, m.verdict);
+        let (now, letter, taken, verdict) = (unix(), m.submitted.clone(), m.taken, m.verdict);
         let attempts = m.attempts.len() as u32;
         let ran = m.attempts.iter().find(|a| a.may_have_run).cloned();
         self.ids.insert(letter.id.clone(), message);
@@ -64,7 +64,7 @@
 }
 
 /// What a message on record has left. A clock that went back gives it no more than it had when it was taken on.
-fn time_left(letter: &Letter, taken: Duration, now: Duration) -> Duration {
+fn time_left(letter: &Message, taken: Duration, now: Duration) -> Duration {
     letter.until.saturating_sub(now.max(taken))
 }
 
--- a/src/node/courier/turn.rs
+++ b/src/node/courier/turn.rs
@@ -3,7 +3,7 @@
 use super::Courier;
 use super::attempts::Send;
 use crate::interface::{Action, Event};
-use crate::node::commit::Due;
+use crate::node::commit::PendingAction;
 use crate::node::journal::Verdict;
 use crate::node::log::say;
 use crate::node::outcomes::Notice;
@@ -76,6 +76,6 @@
             self.held.remove(&message);
         }
         self.journal.judge(message, verdict);
-        self.dues.push(Due::Notice(Notice { message, id, verdict }, until));
+        self.dues.push(PendingAction::Notice(Notice { message, id, verdict }, until));
     }
 }
--- a/src/node/golden_test.rs
+++ b/src/node/golden_test.rs
@@ -3,9 +3,9 @@
 use super::channel::{
     ClientConnection, EndedCall, EndpointState, HandoverMessage, HandoverState, InFlightCall,
 };
-use super::journal::{Attempt, Letter, Live, Verdict};
-use super::ledger::{self, Kind};
+use super::journal::{Attempt, LiveMessage, Message, Verdict};
 use super::outcomes::Notice;
+use super::record_codec::{self, RecordKind};
 use super::register::{Change, ChangeError, Register};
 use crate::interface::{EndpointId, Outcome};
 use crate::store::Durability;
@@ -20,8 +20,8 @@
     Duration::from_micros(1_790_000_000_000_000 + n)
 }
 
-fn letter(key: Option<&str>) -> Rc<Letter> {
-    Rc::new(Letter {
+fn test_message(key: Option<&str>) -> Rc<Message> {
+    Rc::new(Message {
         id: "m-1".to_owned(),
         class: "notice".to_owned(),
         tenant: "acme".to_owned(),
@@ -36,12 +36,27 @@
     Attempt { host: host.to_owned(), zone: "north".to_owned(), sent: micros(5), may_have_run }
 }
 
-fn lives() -> [(&'static str, Live); 3] {
-    let new = Live { letter: letter(Some("key")), taken: micros(1), attempts: Vec::new(), verdict: None };
+fn lives() -> [(&'static str, LiveMessage); 3] {
+    let new = LiveMessage {
+        submitted: test_message(Some("key")),
+        taken: micros(1),
+        attempts: Vec::new(),
+        verdict: None,
+    };
     let attempts = vec![attempt("s-1", false), attempt("s-2", true)];
-    let tried = Live { letter: letter(None), taken: micros(2), attempts, verdict: Some(Verdict::Dead) };
+    let tried = LiveMessage {
+        submitted: test_message(None),
+        taken: micros(2),
+        attempts,
+        verdict: Some(Verdict::Dead),
+    };
     let bounced = Some(Verdict::Bounced { wait: Some(Duration::from_millis(30)) });
-    let bounced = Live { letter: letter(None), taken: micros(3), attempts: Vec::new(), verdict: bounced };
+    let bounced = LiveMessage {
+        submitted: test_message(None),
+        taken: micros(3),
+        attempts: Vec::new(),
+        verdict: bounced,
+    };
     [("live-new", new), ("live-tried-dead", tried), ("live-bounced", bounced)]
 }
 
@@ -49,13 +64,13 @@
 fn payloads_of_records_match_the_recorded_bytes() {
     let mut forms = Vec::new();
     for (name, live) in lives() {
-        let bytes = ledger::put_live(11, &live);
-        assert_eq!(ledger::live(&bytes), Some(live));
-        assert_eq!(ledger::id(11, &bytes).as_deref(), Some("m-1"));
+        let bytes = record_codec::encode_snapshot(11, &live);
+        assert_eq!(record_codec::decode_snapshot(&bytes), Some(live));
+        assert_eq!(record_codec::decode_id(11, &bytes).as_deref(), Some("m-1"));
         forms.push((name, bytes));
     }
-    let bytes = ledger::put_attempt(2, &attempt("s-1", true));
-    assert_eq!(ledger::attempt(&bytes), Some((2, attempt("s-1", true))));
+    let bytes = record_codec::encode_attempt(2, &attempt("s-1", true));
+    assert_eq!(record_codec::decode_attempt(&bytes), Some((2, attempt("s-1", true))));
     forms.push(("attempt", bytes));
     let wait = Some(Duration::from_millis(1_500));
     for (name, verdict) in [
@@ -63,20 +78,27 @@
         ("verdict-bounced", Verdict::Bounced { wait: None }),
         ("verdict-bounced-wait", Verdict::Bounced { wait }),
     ] {
-        let bytes = ledger::put_verdict(verdict);
-        assert_eq!(ledger::verdict(&bytes), Some(verdict));
+        let bytes = record_codec::encode_verdict(verdict);
+        assert_eq!(record_codec::decode_verdict(&bytes), Some(verdict));
         forms.push((name, bytes));
     }
-    assert_eq!(ledger::never_ran(&[3, 0, 0, 0]), Some(3));
+    assert_eq!(record_codec::decode_never_ran(&[3, 0, 0, 0]), Some(3));
     lanegate_golden::assert_bytes(env!("CARGO_MANIFEST_DIR"), "journal_payloads", forms);
 }
 
 #[test]
 fn numbers_of_record_kinds_match_the_recorded_bytes() {
-    let kinds = [Kind::Live, Kind::Attempt, Kind::NeverRan, Kind::Verdict, Kind::Ended, Kind::Doubted];
+    let kinds = [
+        RecordKind::Snapshot,
+        RecordKind::Attempt,
+        RecordKind::NeverRan,
+        RecordKind::Verdict,
+        RecordKind::Ended,
+        RecordKind::AssumedAttempt,
+    ];
     assert_eq!(kinds.map(|kind| kind as u8), [1, 2, 3, 4, 5, 6]);
-    assert!(kinds.into_iter().all(|kind| Kind::of(kind as u8) == Some(kind)));
-    assert_eq!((Kind::of(0), Kind::of(7), DROPPED, SYNCED), (None, None, 0xF0, 0xF1));
+    assert!(kinds.into_iter().all(|kind| RecordKind::of(kind as u8) == Some(kind)));
+    assert_eq!((RecordKind::of(0), RecordKind::of(7), DROPPED, SYNCED), (None, None, 0xF0, 0xF1));
     assert_eq!(
         (name(26), unnamed(26, 5)),
         ("000000000000001a".into(), "000000000000001a-0000000000000005.new".into())
@@ -90,7 +112,7 @@
         let head = Head { number: 3, identity: 0x0102_0304_0506_0708, first: 10, oldest: 2, synced };
         let mut bytes = head.bytes();
         let labels = [
-            Label { kind: Kind::Live as u8, sequence: 10, message: 11 },
+            Label { kind: RecordKind::Snapshot as u8, sequence: 10, message: 11 },
             Label { kind: DROPPED, sequence: 11, message: 2 },
             Label { kind: SYNCED, sequence: 12, message: 0 },
         ];
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -260,9 +260,9 @@
                 self.resume(message);
                 continue;
             }
-            self.ids.insert(m.letter.id.clone(), message);
+            self.ids.insert(m.submitted.id.clone(), message);
             if let Some(verdict) = m.verdict {
-                self.tell(message, m.letter.id.clone(), verdict);
+                self.tell(message, m.submitted.id.clone(), verdict);
             }
             let out = out.remove(&message);
             let leave = out.as_ref().map(|o| (o.endpoint, Leave::default()));
@@ -277,7 +277,7 @@
                 (now.checked_sub(o.age).unwrap_or(now), Some(cancel))
             });
             if m.verdict.is_none() || out.is_some() {
-                let (letter, attempts) = (m.letter, m.attempts.len() as u32);
+                let (letter, attempts) = (m.submitted, m.attempts.len() as u32);
                 self.held.insert(message, Held { letter, attempts, out, leave });
             }
         }
--- a/src/node/intake/message.rs
+++ b/src/node/intake/message.rs
@@ -1,7 +1,7 @@
 //! Reads a message from a request's path, headers and body.
 
 use super::Intake;
-use crate::node::journal::Letter;
+use crate::node::journal::Message;
 use bytes::Bytes;
 use hyper::HeaderMap;
 use hyper::header::ToStrError;
@@ -16,7 +16,7 @@
 
 /// A message as its client has handed it in.
 pub(super) struct ReadMessage {
-    pub(super) letter: Letter,
+    pub(super) letter: Message,
     /// Places in the lists of classes and of tenants.
     pub(super) class: usize,
     pub(super) tenant: usize,
@@ -40,7 +40,7 @@
         let destination = destination(headers)?;
         let key = idempotency_key(headers)?;
         let tenant = self.tenant(headers);
-        let letter = Letter {
+        let letter = Message {
             id: id.to_owned(),
             class: self.classes[class].clone(),
             tenant: tenant.map_or(String::new(), |t| self.tenants[t].clone()),
--- a/src/node/intake/offer.rs
+++ b/src/node/intake/offer.rs
@@ -1,6 +1,6 @@
 //! A message on offer to the courier, and the reply that its clients wait for.
 
-use crate::node::journal::Letter;
+use crate::node::journal::Message;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -8,7 +8,7 @@
 
 /// A message that is offered, and where its answer goes.
 pub struct Offer {
-    pub letter: Rc<Letter>,
+    pub letter: Rc<Message>,
     pub class: usize,
     pub tenant: usize,
     pub time_left: Duration,
--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -1,13 +1,13 @@
 //! The record of what this courier has taken on, in the folder that lasts: which messages live, what was tried
 //! and what was decided. `docs/recovery.md` tells what each kind of damage to it costs.
 
-use super::ledger::{self, Kind};
 use super::old_journal;
+use super::record_codec::{self, RecordKind};
 use crate::store::Durability;
 use crate::store::disk::{Disk, Folder};
-use crate::store::frame::{FRAME, Record};
-use crate::store::scan::{self, Damage, Read, Sealed};
-use crate::store::segments::{Batch, Plan, Segments, Status, keep_aside};
+use crate::store::frame::{RECORD_HEADER, Record};
+use crate::store::scan::{self, Damage, Read, SealedSegment};
+use crate::store::segments::{Batch, Plan, Segments, Status, quarantine};
 use crate::store::writer::{Done, Writer};
 use bytes::Bytes;
 use std::collections::{BTreeMap, VecDeque};
@@ -21,26 +21,26 @@
 pub(super) const NAME: &str = "journal";
 /// What a message may still add after it was taken: attempts with names of hosts and zones, their outcomes,
 /// verdict and end. More would turn messages away that have room.
-const TRAIL: u64 = 720;
+const MESSAGE_RESERVE: u64 = 720;
 /// Shares of the disk: of the messages that live, of all segments, and of what is kept aside. Between the
 /// first two there is always a segment that can be dropped.
 const LIVE_SHARE: f64 = 0.45;
-const FILE_SHARE: f64 = 0.85;
-const FULL_SHARE: f64 = 0.94;
-const ASIDE_SHARE: f64 = 0.06;
+const SEGMENTS_SHARE: f64 = 0.85;
+const HARD_LIMIT_SHARE: f64 = 0.94;
+const QUARANTINE_SHARE: f64 = 0.06;
 /// So many times what lives may stand in the segments before the oldest is dropped, and so many segments.
-const GARBAGE: u64 = 4;
-const SEGMENTS_LEAST: u64 = 2;
+const MAX_GARBAGE_RATIO: u64 = 4;
+const MIN_SEGMENTS: u64 = 2;
 /// A segment's part of the disk, and its bounds.
 const SEGMENT_SHARE: f64 = 1.0 / 32.0;
-const SEGMENT: (u64, u64) = (64 * 1024, 4 * 1024 * 1024);
+const SEGMENT_SIZE_BOUNDS: (u64, u64) = (64 * 1024, 4 * 1024 * 1024);
 
 /// Attempts in a row of which the records may be lost, and the next one is still believed.
-const LOST_MOST: usize = 16;
+const MAX_LOST_ATTEMPTS: usize = 16;
 
 /// A message as its client handed it in.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Letter {
+pub struct Message {
     pub id: String,
     pub class: String,
     /// By name, empty where the settings know none.
@@ -73,8 +73,8 @@
 
 /// A message that has not ended.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Live {
-    pub letter: Rc<Letter>,
+pub struct LiveMessage {
+    pub submitted: Rc<Message>,
     /// When it was taken on, Unix time.
     pub taken: Duration,
     pub attempts: Vec<Attempt>,
@@ -82,15 +82,15 @@
     pub verdict: Option<Verdict>,
 }
 
-impl Live {
-    fn weight(&self) -> u64 {
-        weight(&self.letter)
+impl LiveMessage {
+    fn reserved_bytes(&self) -> u64 {
+        reserved_bytes(&self.submitted)
     }
 }
 
 /// What a message may take of the disk, with all that it may still add.
-fn weight(letter: &Letter) -> u64 {
-    (FRAME + ledger::letter_size(letter)) as u64 + TRAIL
+fn reserved_bytes(submitted: &Message) -> u64 {
+    (RECORD_HEADER + record_codec::approximate_size(submitted)) as u64 + MESSAGE_RESERVE
 }
 
 /// The time as records tell it.
@@ -105,9 +105,9 @@
     pub last: u64,
     pub damage: Vec<Damage>,
     /// Messages that count as ones that may have run, as records that may have been theirs are lost.
-    pub doubted: usize,
+    pub assumed_run: usize,
     /// Messages of which little more than the id is left: they end as dead.
-    pub ghosts: usize,
+    pub id_only: usize,
     /// Messages of which not even the id could be read.
     pub unreadable: usize,
     /// The last write, cut short by a loss of power.
@@ -117,10 +117,10 @@
 impl Recovery {
     /// What the damage costs, in one line; none where there is none.
     pub fn costs(&self) -> Option<String> {
-        let Recovery { damage, doubted, ghosts, unreadable, .. } = self;
-        (!damage.is_empty() || *doubted > 0).then(|| {
+        let Recovery { damage, assumed_run, id_only, unreadable, .. } = self;
+        (!damage.is_empty() || *assumed_run > 0).then(|| {
             format!(
-                "{} damaged places; {doubted} messages count as ones that may have run, {ghosts} end as dead, \
+                "{} damaged places; {assumed_run} messages count as ones that may have run, {id_only} end as dead, \
                  {unreadable} cannot be read",
                 damage.len()
             )
@@ -130,7 +130,7 @@
 
 /// How the journal is kept.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Keeping {
+pub struct JournalOptions {
     /// Bytes that it may take of the disk.
     pub room: u64,
     pub durability: Durability,
@@ -145,23 +145,23 @@
     batch: Batch,
     live: BTreeMap<u64, Entry>,
     /// By segment, the messages that were written whole to it.
-    within: BTreeMap<u64, Vec<u64>>,
+    by_segment: BTreeMap<u64, Vec<u64>>,
     /// Those that were written whole by what is not yet committed.
-    unplaced: Vec<u64>,
+    uncommitted: Vec<u64>,
     /// Of the messages that were written whole by the commit that is under way.
-    placing: Vec<u64>,
-    weight: u64,
+    committing: Vec<u64>,
+    reserved_bytes: u64,
     room: u64,
     plan: Plan,
     /// As the last commit has left it.
     status: Status,
-    sealed: VecDeque<Sealed>,
+    sealed: VecDeque<SealedSegment>,
     /// The segment that was read again last.
     scrubbed: u64,
     /// All segments up to this one are written anew: it has spoilt.
-    renew: Option<u64>,
+    rewrite_up_to: Option<u64>,
     /// Bytes that may still be kept aside.
-    aside: u64,
+    quarantine_room: u64,
     /// Commits and syncs since the start.
     pub commits: u64,
     pub syncs: u64,
@@ -169,7 +169,7 @@
 
 /// A message that lives, and the segment in which it was last written whole; none until that is committed.
 struct Entry {
-    live: Live,
+    live: LiveMessage,
     segment: Option<u64>,
 }
 
@@ -201,16 +201,16 @@
             Err(e) if e.kind() == io::ErrorKind::NotFound => ("vanished since it was written", 0),
             Err(_) => ("cannot be read any more", 0),
         };
-        let mut damage = Damage { file, offset: 0, length, what, aside: false };
+        let mut damage = Damage { file, offset: 0, length, what, quarantined: false };
         let names = self.disk.list().unwrap_or_default();
-        keep_aside(&self.disk, &names, &mut self.room, &mut damage);
+        quarantine(&self.disk, &names, &mut self.room, &mut damage);
         Scrubbed { number: self.number, damage: Some(damage) }
     }
 }
 
 /// What a folder holds, read without a change to it.
 pub struct Found {
-    pub live: BTreeMap<u64, Live>,
+    pub live: BTreeMap<u64, LiveMessage>,
     pub recovery: Recovery,
     pub segments: usize,
     /// Bytes in them.
@@ -225,7 +225,7 @@
     (recovery.damage, recovery.cut) = (scan.damage, scan.cut);
     let mut live = BTreeMap::new();
     for (message, mut found) in replay.live {
-        recovery.doubted += usize::from(found.doubt());
+        recovery.assumed_run += usize::from(found.assume_attempt());
         live.insert(message, found.live);
     }
     let size = scan.sealed.iter().map(|s| s.size).sum();
@@ -233,15 +233,21 @@
 }
 
 /// Writes a journal anew, in a folder that holds none. It outlasts a loss of power.
-pub fn write(folder: &Path, live: &BTreeMap<u64, Live>, seed: u64) -> io::Result<()> {
-    let plan = Plan { size: SEGMENT.0, seed, aside: 0, durability: Durability::Power, refuse_damage: true };
-    fill(folder, plan, ROOM_ENOUGH, live)
+pub fn write(folder: &Path, live: &BTreeMap<u64, LiveMessage>, seed: u64) -> io::Result<()> {
+    let plan = Plan {
+        size: SEGMENT_SIZE_BOUNDS.0,
+        seed,
+        quarantine_room: 0,
+        durability: Durability::Power,
+        refuse_damage: true,
+    };
+    fill(folder, plan, UNLIMITED_ROOM, live)
 }
 
-fn fill(folder: &Path, plan: Plan, room: u64, live: &BTreeMap<u64, Live>) -> io::Result<()> {
+fn fill(folder: &Path, plan: Plan, room: u64, live: &BTreeMap<u64, LiveMessage>) -> io::Result<()> {
     let (mut journal, _) = Journal::on(Folder::open(folder)?, plan, room)?;
     for (message, live) in live {
-        journal.keep(*message, live.clone());
+        journal.write_snapshot(*message, live.clone());
         if journal.waiting() > plan.size {
             journal.flush()?;
         }
@@ -249,35 +255,35 @@
     journal.flush()
 }
 
-/// For a disk of which nobody has told a bound.
-const ROOM_ENOUGH: u64 = 1 << 60;
+/// For a disk of which nobody has replayed a bound.
+const UNLIMITED_ROOM: u64 = 1 << 60;
 
 /// Messages as records tell them, while these are read.
 #[derive(Default)]
 struct Replay {
-    live: BTreeMap<u64, Told>,
+    live: BTreeMap<u64, ReplayedMessage>,
     recovery: Recovery,
     /// The segment that is being read.
     segment: u64,
 }
 
 /// A message as far as it has been read.
-struct Told {
-    live: Live,
+struct ReplayedMessage {
+    live: LiveMessage,
     /// Records that may have been its own are lost.
-    doubted: bool,
+    records_lost: bool,
     /// Where it was last written whole.
     segment: u64,
 }
 
-impl Told {
+impl ReplayedMessage {
     /// Counts it as one that may have run, where records that may have been its own are lost.
-    fn doubt(&mut self) -> bool {
-        let doubt = self.doubted && self.live.verdict.is_none();
-        if doubt {
-            doubted(&mut self.live);
+    fn assume_attempt(&mut self) -> bool {
+        let assumed = self.records_lost && self.live.verdict.is_none();
+        if assumed {
+            add_assumed_attempt(&mut self.live);
         }
-        doubt
+        assumed
     }
 }
 
@@ -286,107 +292,111 @@
         match read {
             Read::Record(Record { label, payload, sound }) => {
                 self.recovery.last = self.recovery.last.max(label.message);
-                if !sound || self.record(label.kind, label.message, payload).is_none() {
-                    self.spoilt(label.kind, label.message, payload);
+                if !sound || self.apply(label.kind, label.message, payload).is_none() {
+                    self.apply_corrupt(label.kind, label.message, payload);
                 }
             }
-            Read::Missing => self.live.values_mut().for_each(|found| found.doubted = true),
+            Read::Missing => self.live.values_mut().for_each(|found| found.records_lost = true),
             Read::Segment(number) => self.segment = number,
         }
     }
 
     /// None if it cannot be read.
-    fn record(&mut self, kind: u8, message: u64, payload: &[u8]) -> Option<()> {
+    fn apply(&mut self, kind: u8, message: u64, payload: &[u8]) -> Option<()> {
         let of = self.live.get_mut(&message);
-        match Kind::of(kind)? {
-            Kind::Live => {
-                let (live, segment) = (ledger::live(payload)?, self.segment);
-                self.live.insert(message, Told { live, doubted: false, segment });
+        match RecordKind::of(kind)? {
+            RecordKind::Snapshot => {
+                let (live, segment) = (record_codec::decode_snapshot(payload)?, self.segment);
+                self.live.insert(message, ReplayedMessage { live, records_lost: false, segment });
             }
-            Kind::Attempt => {
-                let (number, attempt) = ledger::attempt(payload)?;
-                let Some(Told { live, .. }) = of else { return Some(()) };
+            RecordKind::Attempt => {
+                let (number, attempt) = record_codec::decode_attempt(payload)?;
+                let Some(ReplayedMessage { live, .. }) = of else { return Some(()) };
                 // The records of those between are lost. More than a few are claimed only by what was never
                 // written, and must not take room.
-                (number <= live.attempts.len() + LOST_MOST).then_some(())?;
+                (number <= live.attempts.len() + MAX_LOST_ATTEMPTS).then_some(())?;
                 let unknown = Attempt { sent: live.taken, may_have_run: true, ..Attempt::default() };
                 if live.attempts.len() <= number {
                     live.attempts.resize(number + 1, unknown);
                 }
                 live.attempts[number] = attempt;
             }
-            Kind::NeverRan => {
-                let number = ledger::never_ran(payload)?;
+            RecordKind::NeverRan => {
+                let number = record_codec::decode_never_ran(payload)?;
                 if let Some(attempt) = of.and_then(|found| found.live.attempts.get_mut(number)) {
                     attempt.may_have_run = false;
                 }
             }
-            Kind::Verdict => {
-                let verdict = ledger::verdict(payload)?;
+            RecordKind::Verdict => {
+                let verdict = record_codec::decode_verdict(payload)?;
                 if let Some(found) = of {
                     found.live.verdict = Some(verdict);
                 }
             }
-            Kind::Doubted => {
+            RecordKind::AssumedAttempt => {
                 if let Some(found) = of {
-                    doubted(&mut found.live);
-                    found.doubted = false;
+                    add_assumed_attempt(&mut found.live);
+                    found.records_lost = false;
                 }
             }
-            Kind::Ended => drop(self.live.remove(&message)),
+            RecordKind::Ended => drop(self.live.remove(&message)),
         }
         Some(())
     }
 
     /// Only whose it is and what it was is known.
-    fn spoilt(&mut self, kind: u8, message: u64, payload: &[u8]) {
+    fn apply_corrupt(&mut self, kind: u8, message: u64, payload: &[u8]) {
         let of = self.live.get_mut(&message);
-        match (Kind::of(kind), of) {
+        match (RecordKind::of(kind), of) {
             // It was written whole before, and that is still there.
-            (Some(Kind::Live), Some(found)) => found.doubted = true,
-            (Some(Kind::Live), None) => match ledger::id(message, payload) {
+            (Some(RecordKind::Snapshot), Some(found)) => found.records_lost = true,
+            (Some(RecordKind::Snapshot), None) => match record_codec::decode_id(message, payload) {
                 Some(id) => {
-                    let letter = Rc::new(Letter { id, ..Letter::default() });
-                    let ghost = Live { letter, verdict: Some(Verdict::Dead), ..Live::default() };
-                    self.recovery.ghosts += 1;
+                    let submitted = Rc::new(Message { id, ..Message::default() });
+                    let id_only =
+                        LiveMessage { submitted, verdict: Some(Verdict::Dead), ..LiveMessage::default() };
+                    self.recovery.id_only += 1;
                     let segment = self.segment;
-                    self.live.insert(message, Told { live: ghost, doubted: false, segment });
+                    self.live
+                        .insert(message, ReplayedMessage { live: id_only, records_lost: false, segment });
                 }
                 None => self.recovery.unreadable += 1,
             },
-            (Some(Kind::Attempt | Kind::Doubted), Some(found)) => found.doubted = true,
-            // That it was decided is known; what was, is not, and its client may have been told.
-            (Some(Kind::Verdict), Some(found)) => found.live.verdict = Some(Verdict::Dead),
-            (Some(Kind::Ended), _) => drop(self.live.remove(&message)),
+            (Some(RecordKind::Attempt | RecordKind::AssumedAttempt), Some(found)) => {
+                found.records_lost = true
+            }
+            // That it was decided is known; what was, is not, and its client may have been replayed.
+            (Some(RecordKind::Verdict), Some(found)) => found.live.verdict = Some(Verdict::Dead),
+            (Some(RecordKind::Ended), _) => drop(self.live.remove(&message)),
             // Without that record it may have run.
-            (Some(Kind::NeverRan), _) | (_, None) => {}
-            (None, Some(found)) => found.doubted = true,
+            (Some(RecordKind::NeverRan), _) | (_, None) => {}
+            (None, Some(found)) => found.records_lost = true,
         }
     }
 }
 
 /// An attempt of which nothing is known but that it may have been, at any time since the message came.
-fn doubted(live: &mut Live) {
+fn add_assumed_attempt(live: &mut LiveMessage) {
     let sent = live.taken;
     live.attempts.push(Attempt { sent, may_have_run: true, ..Attempt::default() });
 }
 
 impl Journal {
     /// Opens the record in the folder that lasts. `seed` is new with each start.
-    pub fn open(folder: &Path, keeping: Keeping, seed: u64) -> io::Result<(Self, Recovery)> {
-        old_journal::carry_over(folder, |live, to| fill(to, Plan::of(keeping, seed), keeping.room, live))?;
+    pub fn open(folder: &Path, options: JournalOptions, seed: u64) -> io::Result<(Self, Recovery)> {
+        old_journal::carry_over(folder, |live, to| fill(to, Plan::of(options, seed), options.room, live))?;
         let path = folder.join(NAME);
         let opened = match fs::symlink_metadata(&path) {
             Ok(found) if !found.is_dir() => Err(io::Error::other(format!("{} is no folder", path.display()))),
-            _ => Journal::on(Folder::open(&path)?, Plan::of(keeping, seed), keeping.room),
+            _ => Journal::on(Folder::open(&path)?, Plan::of(options, seed), options.room),
         };
         let (mut journal, recovery) = opened?;
-        if keeping.durability.syncs() {
+        if options.durability.syncs() {
             // The name of the journal's own folder.
             Folder::at(folder).sync_folder()?;
         }
         journal.writer = match journal.writer {
-            Writer::Here(segments) if keeping.durability.syncs() => Writer::apart(*segments)?,
+            Writer::Inline(segments) if options.durability.syncs() => Writer::spawn(*segments)?,
             writer => writer,
         };
         Ok((journal, recovery))
@@ -394,11 +404,11 @@
 }
 
 impl Plan {
-    fn of(keeping: Keeping, seed: u64) -> Self {
-        let part = |share: f64| (keeping.room as f64 * share) as u64;
-        let size = part(SEGMENT_SHARE).clamp(SEGMENT.0, SEGMENT.1);
-        let Keeping { durability, refuse_damage, .. } = keeping;
-        Plan { size, seed, aside: part(ASIDE_SHARE), durability, refuse_damage }
+    fn of(options: JournalOptions, seed: u64) -> Self {
+        let part = |share: f64| (options.room as f64 * share) as u64;
+        let size = part(SEGMENT_SHARE).clamp(SEGMENT_SIZE_BOUNDS.0, SEGMENT_SIZE_BOUNDS.1);
+        let JournalOptions { durability, refuse_damage, .. } = options;
+        Plan { size, seed, quarantine_room: part(QUARANTINE_SHARE), durability, refuse_damage }
     }
 }
 
@@ -410,32 +420,32 @@
         (recovery.damage, recovery.cut) = (scan.damage, scan.cut);
         let mut journal = Journal {
             status: segments.status(),
-            writer: Writer::Here(Box::new(segments)),
+            writer: Writer::Inline(Box::new(segments)),
             disk: folder,
             batch: Batch::default(),
             live: BTreeMap::new(),
-            within: BTreeMap::new(),
-            unplaced: Vec::new(),
-            placing: Vec::new(),
-            weight: 0,
+            by_segment: BTreeMap::new(),
+            uncommitted: Vec::new(),
+            committing: Vec::new(),
+            reserved_bytes: 0,
             room,
             plan,
             sealed: scan.sealed.into(),
             scrubbed: 0,
-            renew: None,
-            aside: scan.room,
+            rewrite_up_to: None,
+            quarantine_room: scan.room,
             commits: 0,
             syncs: 0,
         };
-        for (message, mut told) in live {
-            if told.doubt() {
+        for (message, mut replayed) in live {
+            if replayed.assume_attempt() {
                 // On record, so that the next start finds the same and does not doubt once more.
-                journal.batch.append(Kind::Doubted as u8, message, &[]);
-                recovery.doubted += 1;
+                journal.batch.append(RecordKind::AssumedAttempt as u8, message, &[]);
+                recovery.assumed_run += 1;
             }
-            let Told { live, segment, .. } = told;
-            journal.weight += live.weight();
-            journal.within.entry(segment).or_default().push(message);
+            let ReplayedMessage { live, segment, .. } = replayed;
+            journal.reserved_bytes += live.reserved_bytes();
+            journal.by_segment.entry(segment).or_default().push(message);
             journal.live.insert(message, Entry { live, segment: Some(segment) });
         }
         journal.flush()?;
@@ -444,12 +454,12 @@
 
     /// The next sealed segment that is to be read again; none if there is none that was whole.
     pub fn scrub(&mut self) -> Option<Scrub<D>> {
-        let whole = |s: &&Sealed| s.whole.is_some();
+        let whole = |s: &&SealedSegment| s.whole.is_some();
         let next = self.sealed.iter().filter(whole).find(|s| s.number > self.scrubbed);
         let next = next.or_else(|| self.sealed.iter().find(whole))?;
         self.scrubbed = next.number;
         let (number, whole) = (next.number, next.whole.clone()?);
-        Some(Scrub { disk: self.disk.clone(), number, whole, room: self.aside })
+        Some(Scrub { disk: self.disk.clone(), number, whole, room: self.quarantine_room })
     }
 }
 
@@ -460,18 +470,18 @@
         let Some(damage) = &scrubbed.damage else { return false };
         let Some(sealed) = self.sealed.iter_mut().find(|s| s.number == scrubbed.number) else { return false };
         sealed.whole = None;
-        if damage.aside {
-            self.aside = self.aside.saturating_sub(damage.length as u64);
+        if damage.quarantined {
+            self.quarantine_room = self.quarantine_room.saturating_sub(damage.length as u64);
         }
-        self.renew = self.renew.max(Some(scrubbed.number));
+        self.rewrite_up_to = self.rewrite_up_to.max(Some(scrubbed.number));
         true
     }
 
-    pub fn live(&self) -> impl Iterator<Item = (u64, &Live)> {
+    pub fn live(&self) -> impl Iterator<Item = (u64, &LiveMessage)> {
         self.live.iter().map(|(message, entry)| (*message, &entry.live))
     }
 
-    pub fn get(&self, message: u64) -> Option<&Live> {
+    pub fn get(&self, message: u64) -> Option<&LiveMessage> {
         self.live.get(&message).map(|entry| &entry.live)
     }
 
@@ -480,28 +490,36 @@
     }
 
     /// Whether a message would fit, with all that it may still add.
-    pub fn fits(&self, letter: &Letter) -> bool {
-        self.weight + weight(letter) <= (self.room as f64 * LIVE_SHARE) as u64
+    pub fn fits(&self, submitted: &Message) -> bool {
+        self.reserved_bytes + reserved_bytes(submitted) <= (self.room as f64 * LIVE_SHARE) as u64
     }
 
-    pub fn accept(&mut self, message: u64, letter: Rc<Letter>) {
-        self.keep(message, Live { letter, taken: unix(), ..Live::default() });
+    pub fn accept(&mut self, message: u64, submitted: Rc<Message>) {
+        self.write_snapshot(message, LiveMessage { submitted, taken: unix(), ..LiveMessage::default() });
     }
 
     /// Writes a message whole.
-    fn keep(&mut self, message: u64, live: Live) {
-        self.batch.append(Kind::Live as u8, message, &ledger::put_live(message, &live));
-        self.weight += live.weight();
-        self.unplaced.push(message);
+    fn write_snapshot(&mut self, message: u64, live: LiveMessage) {
+        self.batch.append(
+            RecordKind::Snapshot as u8,
+            message,
+            &record_codec::encode_snapshot(message, &live),
+        );
+        self.reserved_bytes += live.reserved_bytes();
+        self.uncommitted.push(message);
         if let Some(before) = self.live.insert(message, Entry { live, segment: None }) {
-            self.weight -= before.live.weight();
+            self.reserved_bytes -= before.live.reserved_bytes();
         }
     }
 
     pub fn attempt(&mut self, message: u64, attempt: Attempt) {
         if let Some(entry) = self.live.get_mut(&message) {
             let number = entry.live.attempts.len() as u32;
-            self.batch.append(Kind::Attempt as u8, message, &ledger::put_attempt(number, &attempt));
+            self.batch.append(
+                RecordKind::Attempt as u8,
+                message,
+                &record_codec::encode_attempt(number, &attempt),
+            );
             entry.live.attempts.push(attempt);
         }
     }
@@ -511,21 +529,21 @@
         let entry = self.live.get_mut(&message);
         if let Some(a) = entry.and_then(|e| e.live.attempts.get_mut(attempt as usize)) {
             a.may_have_run = false;
-            self.batch.append(Kind::NeverRan as u8, message, &attempt.to_le_bytes());
+            self.batch.append(RecordKind::NeverRan as u8, message, &attempt.to_le_bytes());
         }
     }
 
     pub fn judge(&mut self, message: u64, verdict: Verdict) {
         if let Some(entry) = self.live.get_mut(&message) {
             entry.live.verdict = Some(verdict);
-            self.batch.append(Kind::Verdict as u8, message, &ledger::put_verdict(verdict));
+            self.batch.append(RecordKind::Verdict as u8, message, &record_codec::encode_verdict(verdict));
         }
     }
 
     pub fn end(&mut self, message: u64) {
         if let Some(entry) = self.live.remove(&message) {
-            self.weight -= entry.live.weight();
-            self.batch.append(Kind::Ended as u8, message, &[]);
+            self.reserved_bytes -= entry.live.reserved_bytes();
+            self.batch.append(RecordKind::Ended as u8, message, &[]);
         }
     }
 
@@ -546,19 +564,19 @@
     /// Brings all records to disk. After an error they wait and go first the next time. None: that is under
     /// way, and `done` tells how it ended. Not to be called while one is.
     pub fn commit(&mut self) -> Option<io::Result<()>> {
-        let full = (self.room as f64 * FULL_SHARE) as u64;
+        let full = (self.room as f64 * HARD_LIMIT_SHARE) as u64;
         loop {
             let crowded = self.status.total + self.status.waiting + self.batch.size() > full;
             if crowded && self.status.oldest.is_none() {
                 return Some(Err(io::ErrorKind::StorageFull.into()));
             }
-            if crowded || self.has_garbage() || self.is_renewing() {
+            if crowded || self.has_garbage() || self.must_rewrite_oldest() {
                 self.rewrite_oldest();
             }
-            self.placing.append(&mut self.unplaced);
+            self.committing.append(&mut self.uncommitted);
             self.commits += 1;
             let done = self.writer.commit(&mut self.batch)?;
-            if let Err(e) = self.take_in(done) {
+            if let Err(e) = self.finish_commit(done) {
                 return Some(Err(e));
             }
             if !self.has_garbage() {
@@ -575,10 +593,10 @@
     /// The end of the commit that is under way; waits for ever if none is.
     pub async fn done(&mut self) -> io::Result<()> {
         let done = self.writer.done().await;
-        self.take_in(done)
+        self.finish_commit(done)
     }
 
-    fn take_in(&mut self, (result, status): Done) -> io::Result<()> {
+    fn finish_commit(&mut self, (result, status): Done) -> io::Result<()> {
         self.syncs += u64::from(status.syncs);
         self.sealed.extend(status.sealed.iter().cloned());
         // Where none is left, the last one was dropped as well.
@@ -588,10 +606,10 @@
         }
         self.status = status;
         result?;
-        for message in std::mem::take(&mut self.placing) {
+        for message in std::mem::take(&mut self.committing) {
             if let Some(entry) = self.live.get_mut(&message) {
                 entry.segment = Some(self.status.segment);
-                self.within.entry(self.status.segment).or_default().push(message);
+                self.by_segment.entry(self.status.segment).or_default().push(message);
             }
         }
         Ok(())
@@ -599,26 +617,26 @@
 
     /// So much has ended that the oldest segment is to be dropped.
     fn has_garbage(&self) -> bool {
-        let most = (self.weight * GARBAGE).max(self.plan.size * SEGMENTS_LEAST);
-        let most = most.min((self.room as f64 * FILE_SHARE) as u64);
+        let most = (self.reserved_bytes * MAX_GARBAGE_RATIO).max(self.plan.size * MIN_SEGMENTS);
+        let most = most.min((self.room as f64 * SEGMENTS_SHARE) as u64);
         self.status.oldest.is_some() && self.status.total > most
     }
 
     /// The oldest segment is to be dropped because it, or a later one, has spoilt: one with each commit.
-    fn is_renewing(&self) -> bool {
-        self.status.oldest.is_some() && self.status.oldest <= self.renew
+    fn must_rewrite_oldest(&self) -> bool {
+        self.status.oldest.is_some() && self.status.oldest <= self.rewrite_up_to
     }
 
     /// Another commit is needed though nothing waits for one.
     pub fn is_behind(&self) -> bool {
-        self.has_garbage() || self.is_renewing()
+        self.has_garbage() || self.must_rewrite_oldest()
     }
 
     /// Writes anew what lives of the oldest segment, which is dropped with that.
     fn rewrite_oldest(&mut self) {
         let Some(oldest) = self.status.oldest else { return };
         // Also what was written to one before that a failed write has cut off.
-        while let Some(mut entry) = self.within.first_entry().filter(|e| *e.key() <= oldest) {
+        while let Some(mut entry) = self.by_segment.first_entry().filter(|e| *e.key() <= oldest) {
             let messages = std::mem::take(entry.get_mut());
             let segment = *entry.key();
             entry.remove();
@@ -627,8 +645,12 @@
                     continue;
                 };
                 entry.segment = None;
-                self.batch.append(Kind::Live as u8, message, &ledger::put_live(message, &entry.live));
-                self.unplaced.push(message);
+                self.batch.append(
+                    RecordKind::Snapshot as u8,
+                    message,
+                    &record_codec::encode_snapshot(message, &entry.live),
+                );
+                self.uncommitted.push(message);
             }
         }
         self.batch.drop_oldest();
@@ -638,10 +660,10 @@
 #[cfg(test)]
 impl Journal {
     /// A journal in an empty folder whose commits end when the other side says so.
-    pub fn by_hand(folder: &Path) -> io::Result<(Self, std::sync::mpsc::Receiver<Batch>, Tell)> {
-        let keeping = Keeping { room: 3_000_000, durability: Durability::Power, refuse_damage: false };
-        let (mut journal, _) = Journal::on(Folder::open(folder)?, Plan::of(keeping, 1), keeping.room)?;
-        let (writer, batches, tell) = Writer::by_hand();
+    pub fn manual(folder: &Path) -> io::Result<(Self, std::sync::mpsc::Receiver<Batch>, Tell)> {
+        let options = JournalOptions { room: 3_000_000, durability: Durability::Power, refuse_damage: false };
+        let (mut journal, _) = Journal::on(Folder::open(folder)?, Plan::of(options, 1), options.room)?;
+        let (writer, batches, tell) = Writer::manual();
         journal.writer = writer;
         Ok((journal, batches, tell))
     }
--- a/src/node/journal_test.rs
+++ b/src/node/journal_test.rs
@@ -6,8 +6,8 @@
 
 const DISK: u64 = 3_000_000;
 
-fn keeping(room: u64) -> Keeping {
-    Keeping { room, durability: Durability::Process, refuse_damage: false }
+fn journal_options(room: u64) -> JournalOptions {
+    JournalOptions { room, durability: Durability::Process, refuse_damage: false }
 }
 
 struct Place(std::path::PathBuf);
@@ -22,7 +22,7 @@
     }
 
     fn open(&self, seed: u64) -> (Journal, Recovery) {
-        Journal::open(&self.0, keeping(DISK), seed).expect("opens")
+        Journal::open(&self.0, journal_options(DISK), seed).expect("opens")
     }
 
     /// The segments, oldest first.
@@ -40,8 +40,8 @@
     }
 }
 
-pub(super) fn letter(id: &str, body: usize) -> Rc<Letter> {
-    Rc::new(Letter {
+pub(super) fn test_message(id: &str, body: usize) -> Rc<Message> {
+    Rc::new(Message {
         id: id.to_owned(),
         class: "notice".to_owned(),
         tenant: "acme".to_owned(),
@@ -58,22 +58,22 @@
 }
 
 /// What is live, without the time at which it was taken on, which is the clock's.
-pub(super) type State = Vec<(u64, Live)>;
+pub(super) type State = Vec<(u64, LiveMessage)>;
 
 pub(super) fn state<D: Disk>(journal: &Journal<D>) -> State {
-    journal.live().map(|(n, live)| (n, Live { taken: Duration::ZERO, ..live.clone() })).collect()
+    journal.live().map(|(n, live)| (n, LiveMessage { taken: Duration::ZERO, ..live.clone() })).collect()
 }
 
 type Step = fn(&mut Journal<Simulated>, u64);
 
 /// What a message goes through, in some order that can be: one step a flush.
 const STEPS: [Step; 8] = [
-    |j, n| j.accept(n, letter(&format!("m{n}"), (n % 40) as usize * 9)),
+    |j, n| j.accept(n, test_message(&format!("m{n}"), (n % 40) as usize * 9)),
     |j, n| j.attempt(n, attempt("s-1")),
     |j, n| j.never_ran(n, 0),
     |j, n| j.attempt(n, attempt("s-2")),
     |j, n| {
-        j.accept(n + 1000, letter(&format!("n{n}"), 5));
+        j.accept(n + 1000, test_message(&format!("n{n}"), 5));
         j.attempt(n + 1000, attempt("s-3"));
     },
     |j, n| j.judge(n, Verdict::Bounced { wait: Some(Duration::from_millis(500)) }),
@@ -86,7 +86,7 @@
 ];
 
 fn simulated(disk: &Simulated, room: u64) -> io::Result<(Journal<Simulated>, Recovery)> {
-    Journal::on(disk.clone(), Plan::of(keeping(room), 7), room)
+    Journal::on(disk.clone(), Plan::of(journal_options(room), 7), room)
 }
 
 /// Plays the script for so many messages; after each flush that succeeds `done` is told.
@@ -124,7 +124,7 @@
     let (again, recovery) = simulated(&disk, DISK).expect("opens");
     assert_eq!(state(&again), state(&journal));
     assert_eq!(again.count(), 10, "every third one of the other kind lives");
-    assert!(recovery.damage.is_empty() && recovery.doubted == 0, "{recovery:?}");
+    assert!(recovery.damage.is_empty() && recovery.assumed_run == 0, "{recovery:?}");
     assert_eq!(recovery.last, 1030);
 }
 
@@ -155,7 +155,7 @@
             let (before, next) = (&states[done].1, &states[(done + 1).min(states.len() - 1)].1);
             let found = state(&found);
             assert!(possible(before, next).contains(&found), "call {call} after {after}: {found:?}");
-            assert!(recovery.damage.is_empty() && recovery.doubted == 0, "{call} {after}: {recovery:?}");
+            assert!(recovery.damage.is_empty() && recovery.assumed_run == 0, "{call} {after}: {recovery:?}");
             let (again, _) = simulated(&left, room).expect("opens");
             assert_eq!(state(&again), found, "the next start finds the same");
         }
@@ -183,7 +183,7 @@
             assert_eq!(state(&journal), want);
             let (again, recovery) = simulated(&disk, room).expect("opens");
             assert_eq!(state(&again), want, "call {call} after {after}");
-            assert!(recovery.damage.is_empty() && recovery.doubted == 0, "{call} {after}: {recovery:?}");
+            assert!(recovery.damage.is_empty() && recovery.assumed_run == 0, "{call} {after}: {recovery:?}");
         }
     }
     println!("{points} calls that failed");
@@ -212,7 +212,7 @@
 #[test]
 fn a_start_on_damage_is_refused_where_the_policy_says_so() {
     let refusing = |disk: &Simulated| {
-        let plan = Plan::of(Keeping { refuse_damage: true, ..keeping(DISK) }, 7);
+        let plan = Plan::of(JournalOptions { refuse_damage: true, ..journal_options(DISK) }, 7);
         Journal::on(disk.clone(), plan, DISK).map(|(journal, _)| journal.count())
     };
     let disk = full(100);
@@ -245,14 +245,14 @@
     assert!(!disk.files().contains_key("0000000000000002"), "it is dropped");
     assert!(disk.files().keys().any(|name| name.starts_with("aside-0000000000000002")), "and kept aside");
     let (again, recovery) = simulated(&disk, DISK).expect("opens");
-    assert_eq!((state(&again), recovery.damage.len(), recovery.doubted), (want, 0, 0));
+    assert_eq!((state(&again), recovery.damage.len(), recovery.assumed_run), (want, 0, 0));
 }
 
 /// The only sealed segment is dropped: there is nothing to read again, and nothing has vanished.
 #[test]
 fn a_segment_that_was_dropped_is_not_read_again() {
     let (mut journal, _) = simulated(&Simulated::default(), DISK).expect("opens");
-    (1..=300).for_each(|n| journal.accept(n, letter(&format!("m{n}"), 900)));
+    (1..=300).for_each(|n| journal.accept(n, test_message(&format!("m{n}"), 900)));
     journal.flush().expect("written");
     assert!(journal.scrub().is_some_and(|scrub| scrub.run().damage.is_none()), "one is sealed");
     (1..=300).for_each(|n| journal.end(n));
@@ -265,7 +265,7 @@
     let disk = Simulated::default();
     let (mut journal, _) = simulated(&disk, DISK).expect("opens");
     for n in 1..=messages {
-        journal.accept(n, letter(&format!("m{n}"), 300));
+        journal.accept(n, test_message(&format!("m{n}"), 300));
         journal.attempt(n, attempt("s-1"));
         journal.never_ran(n, 0);
         journal.flush().expect("written");
@@ -289,10 +289,10 @@
         let at = 128 + (length - 129) * n / 64;
         let spoilt = spoil(&disk, |files| files[0][at] ^= 1 << (n % 8));
         let (journal, recovery) = simulated(&spoilt, DISK).expect("opens");
-        let lost = recovery.unreadable + recovery.ghosts;
+        let lost = recovery.unreadable + recovery.id_only;
         assert!(journal.count() + recovery.unreadable >= 999 && lost <= 1, "{at}: {recovery:?}");
         assert_eq!(recovery.damage.len(), 1, "{at}: {recovery:?}");
-        let kept = recovery.damage[0].aside && spoilt.files().len() > disk.files().len();
+        let kept = recovery.damage[0].quarantined && spoilt.files().len() > disk.files().len();
         assert!(kept, "{at}: {recovery:?}");
         // It was never cut off: the next start finds the same.
         let (again, second) = simulated(&spoilt, DISK).expect("opens");
@@ -309,11 +309,11 @@
     assert!(journal.count() >= 997, "{} of 1000", journal.count());
     assert!(recovery.damage.len() <= 3, "{recovery:?}");
     // Whose the attempts in it were nobody knows: those that lived then may have run.
-    assert!(recovery.doubted > 10 && recovery.doubted < 60, "{recovery:?}");
-    let may = |live: &Live| live.attempts.iter().any(|a| a.may_have_run);
-    assert_eq!(journal.live().filter(|(_, live)| may(live)).count(), recovery.doubted);
+    assert!(recovery.assumed_run > 10 && recovery.assumed_run < 60, "{recovery:?}");
+    let may = |live: &LiveMessage| live.attempts.iter().any(|a| a.may_have_run);
+    assert_eq!(journal.live().filter(|(_, live)| may(live)).count(), recovery.assumed_run);
     let (again, second) = simulated(&spoilt, DISK).expect("opens");
-    assert_eq!((state(&again), second.doubted), (state(&journal), 0), "they are doubted once");
+    assert_eq!((state(&again), second.assumed_run), (state(&journal), 0), "they are doubted once");
 }
 
 /// The spoilt record by its kind: what is known of its message afterwards.
@@ -324,11 +324,11 @@
     let mut at = Vec::new();
     let end = |disk: &Simulated| disk.files().values().next().map_or(0, Vec::len);
     let steps: [Step; 6] = [
-        |j, n| j.accept(n, letter("mine", 80)),
+        |j, n| j.accept(n, test_message("mine", 80)),
         |j, n| j.attempt(n, attempt("s-1")),
         |j, n| j.never_ran(n, 0),
         |j, n| j.judge(n, Verdict::Bounced { wait: None }),
-        |j, _| j.accept(2, letter("other", 80)),
+        |j, _| j.accept(2, test_message("other", 80)),
         |j, n| j.end(n),
     ];
     for step in steps {
@@ -348,14 +348,14 @@
     };
     let (mine, _, recovery) = spoilt(0, 3);
     let mine = mine.expect("its id can be read");
-    assert_eq!((mine.letter.id.as_str(), mine.verdict), ("mine", Some(Verdict::Dead)));
-    assert_eq!((recovery.ghosts, recovery.doubted), (1, 0));
+    assert_eq!((mine.submitted.id.as_str(), mine.verdict), ("mine", Some(Verdict::Dead)));
+    assert_eq!((recovery.id_only, recovery.assumed_run), (1, 0));
     let (mine, _, recovery) = spoilt(1, 3);
     assert!(
         mine.expect("it lives").attempts.iter().any(|a| a.may_have_run),
         "the attempt may have been made"
     );
-    assert_eq!(recovery.doubted, 1);
+    assert_eq!(recovery.assumed_run, 1);
     let (mine, _, _) = spoilt(2, 3);
     assert!(mine.expect("it lives").attempts[0].may_have_run, "nothing proves the contrary any more");
     let (mine, other, _) = spoilt(3, 5);
@@ -373,7 +373,7 @@
     let (journal, recovery) = simulated(&Simulated::new(files.clone(), Fault::None), DISK).expect("opens");
     assert!(journal.count() > 500 && journal.count() < 1000);
     assert!(recovery.damage.iter().any(|d| d.what.contains("vanished")), "{recovery:?}");
-    assert!(recovery.doubted > 0);
+    assert!(recovery.assumed_run > 0);
     // A copy of one under the number of the next: what it holds is not played again.
     let mut files = disk.files();
     let copy = files[&names[0]].clone();
@@ -403,7 +403,7 @@
     let (mut j, _) = simulated(&disk, room).expect("opens");
     let (mut refused, mut live) = (0, std::collections::VecDeque::new());
     for n in 1..3000u64 {
-        let new = letter(&format!("m{n}"), (n as usize * 37) % 9000);
+        let new = test_message(&format!("m{n}"), (n as usize * 37) % 9000);
         if j.fits(&new) {
             j.accept(n, new);
             for a in 0..4 {
@@ -427,12 +427,12 @@
 fn what_ended_does_not_fill_the_disk() {
     let disk = Simulated::default();
     let (mut j, _) = simulated(&disk, DISK).expect("opens");
-    j.accept(1, letter("old", 100));
+    j.accept(1, test_message("old", 100));
     j.attempt(1, attempt("s-1"));
     j.attempt(1, attempt("s-2"));
     j.never_ran(1, 0);
     for n in 2..3000 {
-        j.accept(n, letter("new", 300));
+        j.accept(n, test_message("new", 300));
         j.flush().expect("written");
         j.end(n);
         j.flush().expect("written");
@@ -449,7 +449,7 @@
     // Found on a day with a backlog: the room for later records was counted so high that 580 filled the disk.
     let (mut j, _) = simulated(&Simulated::default(), DISK).expect("opens");
     for n in 1..=1000u64 {
-        let new = letter(&format!("9b1f03aa5c7e{n:04x}"), 480);
+        let new = test_message(&format!("9b1f03aa5c7e{n:04x}"), 480);
         assert!(j.fits(&new), "{n}");
         j.accept(n, new);
         j.flush().expect("written");
@@ -460,7 +460,7 @@
 fn it_works_on_a_real_folder() {
     let place = Place::new();
     let (mut journal, _) = place.open(1);
-    journal.accept(1, letter("a", 10));
+    journal.accept(1, test_message("a", 10));
     journal.attempt(1, attempt("s-1"));
     journal.flush().expect("written");
     let segments = place.segments();
@@ -517,7 +517,10 @@
     let check = |place: &Place| {
         let (journal, _) = place.open(9);
         let one = journal.get(1).expect("it lives");
-        assert_eq!((one.letter.as_ref(), &one.attempts[..]), (&*letter("m1", 2), &[attempt("s-1")][..]));
+        assert_eq!(
+            (one.submitted.as_ref(), &one.attempts[..]),
+            (&*test_message("m1", 2), &[attempt("s-1")][..])
+        );
         assert_eq!(
             journal.get(2).expect("its notice is owed").verdict,
             Some(Verdict::Bounced { wait: None })
@@ -615,7 +618,7 @@
     let spoilt = Simulated::new(files, Fault::None);
     let (journal, recovery) = simulated(&spoilt, DISK).expect("opens");
     for (n, live) in journal.live() {
-        proptest::prop_assert_eq!(&live.letter.id, &format!("m{n}"));
+        proptest::prop_assert_eq!(&live.submitted.id, &format!("m{n}"));
         // All were tried once, and that never ran: its loss makes them ones that may have.
         let may = live.attempts.iter().any(|a| a.may_have_run);
         let known = live.attempts.len() == 1 && !may;
@@ -624,7 +627,7 @@
     let (again, second) = simulated(&spoilt, DISK).expect("opens");
     proptest::prop_assert_eq!(state(&again), state(&journal));
     proptest::prop_assert_eq!(second.damage, recovery.damage);
-    proptest::prop_assert_eq!(second.doubted, 0);
+    proptest::prop_assert_eq!(second.assumed_run, 0);
     Ok(())
 }
 
@@ -641,7 +644,9 @@
     let (name, bytes) = full(20).files().into_iter().next().expect("a segment");
     let (_, found) = frame::read(&bytes).expect("a head is sound");
     let payload = |(at, piece): &frame::Found| match piece {
-        frame::Piece::Record(record) if record.label.kind == Kind::Live as u8 => Some(at + FRAME),
+        frame::Piece::Record(record) if record.label.kind == RecordKind::Snapshot as u8 => {
+            Some(at + RECORD_HEADER)
+        }
         _ => None,
     };
     let payloads: Vec<usize> = found.iter().filter_map(payload).collect();
@@ -652,9 +657,9 @@
             suffer(&mut twice, *from, Harm::Twice(to - from));
             let spoilt = Simulated::new([(name.clone(), twice)].into(), Fault::None);
             let (journal, recovery) = simulated(&spoilt, DISK).expect("opens");
-            let ids = journal.live().all(|(n, live)| live.letter.id == format!("m{n}"));
+            let ids = journal.live().all(|(n, live)| live.submitted.id == format!("m{n}"));
             assert!(ids, "from {from} to {to}");
-            assert_eq!((recovery.ghosts, recovery.unreadable), (0, 1), "from {from} to {to}");
+            assert_eq!((recovery.id_only, recovery.unreadable), (0, 1), "from {from} to {to}");
         }
     }
 }
@@ -662,13 +667,13 @@
 /// A record as the program of before wrote it: its id under a checksum that does not know the message's number.
 #[test]
 fn an_id_under_the_checksum_of_before_is_still_read() {
-    let live = Live { letter: letter("m7", 300), ..Live::default() };
-    let mut payload = ledger::put_live(7, &live);
+    let live = LiveMessage { submitted: test_message("m7", 300), ..LiveMessage::default() };
+    let mut payload = record_codec::encode_snapshot(7, &live);
     let id_end = size_of::<u32>() + "m7".len();
     let check = crc32fast::hash(&payload[..id_end]).to_le_bytes();
     payload[id_end..id_end + check.len()].copy_from_slice(&check);
-    assert_eq!(ledger::id(7, &payload).as_deref(), Some("m7"));
-    assert_eq!(ledger::live(&payload), Some(live));
+    assert_eq!(record_codec::decode_id(7, &payload).as_deref(), Some("m7"));
+    assert_eq!(record_codec::decode_snapshot(&payload), Some(live));
     payload[id_end - 1] ^= 1;
-    assert_eq!(ledger::id(7, &payload), None);
+    assert_eq!(record_codec::decode_id(7, &payload), None);
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -12,7 +12,6 @@
 mod handover;
 mod intake;
 pub mod journal;
-mod ledger;
 mod link;
 mod log;
 mod news;
@@ -21,6 +20,7 @@
 mod operators;
 mod options;
 mod outcomes;
+mod record_codec;
 mod register;
 
 use crate::scheduler::Scheduler;
@@ -28,7 +28,7 @@
 use config::{Config, Fault};
 use courier::{Courier, End, STOP_CLOSING, STOP_LISTENING};
 use intake::{Intake, Standing};
-use journal::{Journal, Keeping, Recovery};
+use journal::{Journal, JournalOptions, Recovery};
 use log::say;
 use news::News;
 use options::OnDamage;
@@ -153,12 +153,12 @@
     };
     register.load().map_err(|e| Fault::Bad("LB_STATE", format!("what operators have set: {e}")))?;
     let store = config.options.store;
-    let keeping = Keeping {
+    let journal_options = JournalOptions {
         room: ((config.limits.disk_mb * 1e6) as u64).saturating_sub(register::DISK_MOST),
         durability: store.durability,
         refuse_damage: store.on_damage == OnDamage::Refuse,
     };
-    let (journal, recovery) = Journal::open(&config.state, keeping, config.seed).map_err(state)?;
+    let (journal, recovery) = Journal::open(&config.state, journal_options, config.seed).map_err(state)?;
     tell(&recovery);
     let (news, mut inbox) = mpsc::channel(INBOX);
     let for_calls = (config.limits.sockets / 3).max(16);
--- a/src/node/offline.rs
+++ b/src/node/offline.rs
@@ -1,6 +1,6 @@
 //! The journal of a courier that does not run: looked at, shown, mended. `docs/on-call.md` tells when to use which.
 
-use super::journal::{self, Found, Live, NAME, Verdict, unix};
+use super::journal::{self, Found, LiveMessage, NAME, Verdict, unix};
 use super::old_journal::{self, IN};
 use crate::store::disk::{Disk, Folder};
 use crate::store::lock::{Lock, Look};
@@ -131,24 +131,24 @@
 }
 
 impl<'a> Shown<'a> {
-    fn of(message: u64, live: &'a Live) -> Self {
+    fn of(message: u64, live: &'a LiveMessage) -> Self {
         let tried = |a: &'a journal::Attempt| Tried {
             host: &a.host,
             zone: &a.zone,
             sent: a.sent.as_secs_f64(),
             may_have_run: a.may_have_run,
         };
-        let letter = &live.letter;
+        let submitted = &live.submitted;
         Shown {
             message,
-            id: &letter.id,
-            class: &letter.class,
-            tenant: &letter.tenant,
-            destination: letter.destination,
-            key: letter.key.as_deref(),
-            bytes: letter.body.len(),
+            id: &submitted.id,
+            class: &submitted.class,
+            tenant: &submitted.tenant,
+            destination: submitted.destination,
+            key: submitted.key.as_deref(),
+            bytes: submitted.body.len(),
             taken: live.taken.as_secs_f64(),
-            until: letter.until.as_secs_f64(),
+            until: submitted.until.as_secs_f64(),
             attempts: live.attempts.iter().map(tried).collect(),
             verdict: live.verdict.map(|v| match v {
                 Verdict::Dead => "dead",
@@ -163,7 +163,7 @@
     let found = Idle::take(folder)?.read()?;
     let now = unix().as_secs_f64();
     let mut print = || -> io::Result<()> {
-        let of = |live: &&Live| id.is_none_or(|id| live.letter.id == id);
+        let of = |live: &&LiveMessage| id.is_none_or(|id| live.submitted.id == id);
         for (message, live) in found.live.iter().filter(|(_, live)| of(live)) {
             let shown = Shown::of(*message, live);
             if json {
--- a/src/node/old_journal.rs
+++ b/src/node/old_journal.rs
@@ -1,9 +1,9 @@
 //! The journal in the form of before: one file of records, each with its length and checksum. Read once, and
 //! carried over.
 
-use super::journal::{Attempt, Letter, Live, NAME};
-use super::ledger::Fields;
+use super::journal::{Attempt, LiveMessage, Message, NAME};
 use super::log::say;
+use super::record_codec::FieldReader;
 use crate::store::scan::Damage;
 use bytes::Bytes;
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
 /// anywhere, the next start finds the old one whole or the new one.
 pub fn carry_over(
     folder: &Path,
-    write: impl FnOnce(&BTreeMap<u64, Live>, &Path) -> io::Result<()>,
+    write: impl FnOnce(&BTreeMap<u64, LiveMessage>, &Path) -> io::Result<()>,
 ) -> io::Result<()> {
     let [journal, out, new] = [NAME, OUT, IN].map(|name| folder.join(name));
     if fs::symlink_metadata(&journal).is_ok_and(|found| found.is_file()) {
@@ -66,18 +66,19 @@
 const ENDED: u8 = 5;
 
 /// Applies one record; None if it cannot be read.
-fn apply(live: &mut BTreeMap<u64, Live>, record: &[u8]) -> Option<()> {
-    let mut f = Fields(record);
-    let (kind, message) = (f.byte()?, f.long()?);
+fn apply(live: &mut BTreeMap<u64, LiveMessage>, record: &[u8]) -> Option<()> {
+    let mut f = FieldReader(record);
+    let (kind, message) = (f.u8()?, f.u64()?);
     match kind {
         ACCEPTED => {
-            let (until, destination) = (f.time()?, f.long()?);
-            let (id, class, keyed, key) = (f.text()?, f.text()?, f.byte()? == 1, f.text()?);
+            let (until, destination) = (f.time()?, f.u64()?);
+            let (id, class, keyed, key) = (f.text()?, f.text()?, f.u8()? == 1, f.text()?);
             let body = Bytes::copy_from_slice(f.bytes()?);
             // Records of the earliest versions end here.
             let tenant = if f.0.is_empty() { String::new() } else { f.text()? };
-            let letter = Letter { id, class, tenant, destination, key: keyed.then_some(key), until, body };
-            live.insert(message, Live { letter: Rc::new(letter), ..Live::default() });
+            let submitted =
+                Message { id, class, tenant, destination, key: keyed.then_some(key), until, body };
+            live.insert(message, LiveMessage { submitted: Rc::new(submitted), ..LiveMessage::default() });
         }
         ATTEMPT => {
             let (sent, host, zone) = (f.time()?, f.text()?, f.text()?);
@@ -86,7 +87,7 @@
             }
         }
         OUTCOME => {
-            let attempt = f.short()? as usize;
+            let attempt = f.u32()? as usize;
             if let Some(a) = live.get_mut(&message).and_then(|m| m.attempts.get_mut(attempt)) {
                 a.may_have_run = false;
             }
@@ -106,14 +107,14 @@
 /// What cannot be read of one that is sound up to there.
 pub fn unread(bytes: &[u8], sound: usize) -> Damage {
     let what = "the form of before cannot be read from here on";
-    Damage { file: NAME.to_owned(), offset: sound, length: bytes.len() - sound, what, aside: false }
+    Damage { file: NAME.to_owned(), offset: sound, length: bytes.len() - sound, what, quarantined: false }
 }
 
 /// Replays what is sound: the live messages, and the length of the sound part.
-pub fn replay(bytes: &[u8]) -> (BTreeMap<u64, Live>, usize) {
+pub fn replay(bytes: &[u8]) -> (BTreeMap<u64, LiveMessage>, usize) {
     let (mut live, mut sound) = (BTreeMap::new(), 0);
-    let mut f = Fields(bytes);
-    while let (Some(len), Some(sum)) = (f.short(), f.short()) {
+    let mut f = FieldReader(bytes);
+    while let (Some(len), Some(sum)) = (f.u32(), f.u32()) {
         let record = f.take(len as usize).filter(|r| r.len() <= RECORD_MOST && crc32fast::hash(r) == sum);
         if record.and_then(|r| apply(&mut live, r)).is_none() {
             break;
--- a/src/node/power_test.rs
+++ b/src/node/power_test.rs
@@ -1,6 +1,6 @@
 //! Losses of power, at every call on the disk and with every part of what was not synced there or not.
 
-use super::tests::{State, attempt, letter, state};
+use super::tests::{State, attempt, state, test_message};
 use super::*;
 use crate::store::safeguard::{Safeguard, without};
 use crate::store::simulated::{Fault, Files, Lies, Simulated};
@@ -13,7 +13,8 @@
 
 /// Small segments, so that some are sealed and dropped on the way.
 fn open(disk: &Simulated, seed: u64) -> io::Result<(Journal<Simulated>, Recovery)> {
-    let plan = Plan { size: 1536, seed, aside: 4096, durability: Durability::Power, refuse_damage: false };
+    let plan =
+        Plan { size: 1536, seed, quarantine_room: 4096, durability: Durability::Power, refuse_damage: false };
     Journal::on(disk.clone(), plan, ROOM)
 }
 
@@ -28,7 +29,7 @@
     match rng.random_range(0..10) {
         0..3 if live.len() < 8 => {
             *next += 1;
-            journal.accept(*next, letter(&format!("m{next}"), rng.random_range(0..700)));
+            journal.accept(*next, test_message(&format!("m{next}"), rng.random_range(0..700)));
         }
         3..6 if tried < 4 => journal.attempt(n, attempt("s-1")),
         6 if tried > 0 => journal.never_ran(n, tried - 1),
@@ -52,7 +53,7 @@
 
 /// A state in few words: message, what may have run of its attempts, whether it is decided.
 fn brief(state: &State) -> String {
-    let one = |(n, m): &(u64, Live)| {
+    let one = |(n, m): &(u64, LiveMessage)| {
         let tried: String = m.attempts.iter().map(|a| if a.may_have_run { '+' } else { '-' }).collect();
         format!("{n}{tried}{}", if m.verdict.is_some() { "!" } else { "" })
     };
@@ -94,7 +95,7 @@
         self.expect(allowed.contains(&found), || {
             format!("found [{}], allowed {}", brief(&found), briefs(allowed))
         });
-        let harmed = !recovery.damage.is_empty() || recovery.doubted > 0;
+        let harmed = !recovery.damage.is_empty() || recovery.assumed_run > 0;
         self.expect(!harmed, || format!("a loss of power is no damage: {recovery:?}"));
         let again = open(disk, 2000 + self.states).map(|(journal, _)| state(&journal));
         self.expect(again.as_ref().is_ok_and(|s| *s == found), || {
@@ -242,7 +243,7 @@
 fn stale_block_counts() -> bool {
     let life = |disk: &Simulated, seed| {
         let (mut journal, _) = open(disk, seed).expect("opens");
-        journal.accept(1, letter("m1", 40));
+        journal.accept(1, test_message("m1", 40));
         journal.flush().expect("written");
         journal
     };
--- a/src/node/ledger.rs
+++ b/src/node/record_codec.rs
@@ -1,15 +1,15 @@
 //! The journal's records as bytes: what a message is, what was tried, what was decided.
 
-use super::journal::{Attempt, Letter, Live, Verdict};
+use super::journal::{Attempt, LiveMessage, Message, Verdict};
 use bytes::{BufMut, Bytes};
 use std::rc::Rc;
 use std::time::Duration;
 
 /// Kinds of records; the numbers stand on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RecordKind {
     /// A message whole, with all that is known of it. Replaces what was known before.
-    Live = 1,
+    Snapshot = 1,
     /// An attempt, by its number.
     Attempt = 2,
     /// An attempt is known not to have run.
@@ -17,12 +17,19 @@
     Verdict = 4,
     Ended = 5,
     /// Records that may have been its own are lost: one more attempt may have been.
-    Doubted = 6,
+    AssumedAttempt = 6,
 }
 
-impl Kind {
+impl RecordKind {
     pub fn of(kind: u8) -> Option<Self> {
-        let all = [Kind::Live, Kind::Attempt, Kind::NeverRan, Kind::Verdict, Kind::Ended, Kind::Doubted];
+        let all = [
+            RecordKind::Snapshot,
+            RecordKind::Attempt,
+            RecordKind::NeverRan,
+            RecordKind::Verdict,
+            RecordKind::Ended,
+            RecordKind::AssumedAttempt,
+        ];
         all.into_iter().find(|k| *k as u8 == kind)
     }
 }
@@ -33,7 +40,7 @@
 }
 
 /// Bytes of a message without attempts, about.
-pub fn letter_size(l: &Letter) -> usize {
+pub fn approximate_size(l: &Message) -> usize {
     let texts =
         [l.id.len(), l.class.len(), l.tenant.len(), l.key.as_deref().map_or(0, str::len), l.body.len()];
     texts.iter().map(|t| t + 4).sum::<usize>() + 42
@@ -49,44 +56,44 @@
 }
 
 /// A message whole.
-pub fn put_live(message: u64, live: &Live) -> Vec<u8> {
-    let letter = &live.letter;
-    let mut to = Vec::with_capacity(letter_size(letter) + live.attempts.len() * 64);
-    put_text(&mut to, letter.id.as_bytes());
+pub fn encode_snapshot(message: u64, live: &LiveMessage) -> Vec<u8> {
+    let submitted = &live.submitted;
+    let mut to = Vec::with_capacity(approximate_size(submitted) + live.attempts.len() * 64);
+    put_text(&mut to, submitted.id.as_bytes());
     // The id by itself: where the rest is spoilt its client can still be told.
     to.put_u32_le(id_check(message, &to));
     to.put_u64_le(live.taken.as_micros() as u64);
-    to.put_u64_le(letter.until.as_micros() as u64);
-    to.put_u64_le(letter.destination);
-    put_text(&mut to, letter.class.as_bytes());
-    put_text(&mut to, letter.tenant.as_bytes());
-    to.put_u8(u8::from(letter.key.is_some()));
-    put_text(&mut to, letter.key.as_deref().unwrap_or_default().as_bytes());
-    put_text(&mut to, &letter.body);
+    to.put_u64_le(submitted.until.as_micros() as u64);
+    to.put_u64_le(submitted.destination);
+    put_text(&mut to, submitted.class.as_bytes());
+    put_text(&mut to, submitted.tenant.as_bytes());
+    to.put_u8(u8::from(submitted.key.is_some()));
+    put_text(&mut to, submitted.key.as_deref().unwrap_or_default().as_bytes());
+    put_text(&mut to, &submitted.body);
     to.put_u8(u8::from(live.verdict.is_some()));
-    to.extend(live.verdict.map(put_verdict).unwrap_or_default());
+    to.extend(live.verdict.map(encode_verdict).unwrap_or_default());
     to.put_u32_le(live.attempts.len() as u32);
     for attempt in &live.attempts {
         to.put_u8(u8::from(attempt.may_have_run));
-        put_attempted(&mut to, attempt);
+        encode_attempt_fields(&mut to, attempt);
     }
     to
 }
 
-fn put_attempted(to: &mut Vec<u8>, attempt: &Attempt) {
+fn encode_attempt_fields(to: &mut Vec<u8>, attempt: &Attempt) {
     to.put_u64_le(attempt.sent.as_micros() as u64);
     put_text(to, attempt.host.as_bytes());
     put_text(to, attempt.zone.as_bytes());
 }
 
-pub fn put_attempt(number: u32, attempt: &Attempt) -> Vec<u8> {
+pub fn encode_attempt(number: u32, attempt: &Attempt) -> Vec<u8> {
     let mut to = Vec::with_capacity(64);
     to.put_u32_le(number);
-    put_attempted(&mut to, attempt);
+    encode_attempt_fields(&mut to, attempt);
     to
 }
 
-pub fn put_verdict(verdict: Verdict) -> Vec<u8> {
+pub fn encode_verdict(verdict: Verdict) -> Vec<u8> {
     let (bounced, wait) = match verdict {
         Verdict::Dead => (false, None),
         Verdict::Bounced { wait } => (true, wait),
@@ -97,29 +104,29 @@
 }
 
 /// Reads fields; None once something does not fit.
-pub struct Fields<'a>(pub &'a [u8]);
+pub struct FieldReader<'a>(pub &'a [u8]);
 
-impl<'a> Fields<'a> {
+impl<'a> FieldReader<'a> {
     pub fn take(&mut self, n: usize) -> Option<&'a [u8]> {
         let (head, rest) = self.0.split_at_checked(n)?;
         self.0 = rest;
         Some(head)
     }
 
-    pub fn byte(&mut self) -> Option<u8> {
+    pub fn u8(&mut self) -> Option<u8> {
         self.take(1).map(|b| b[0])
     }
 
-    pub fn short(&mut self) -> Option<u32> {
+    pub fn u32(&mut self) -> Option<u32> {
         self.take(4)?.try_into().ok().map(u32::from_le_bytes)
     }
 
-    pub fn long(&mut self) -> Option<u64> {
+    pub fn u64(&mut self) -> Option<u64> {
         self.take(8)?.try_into().ok().map(u64::from_le_bytes)
     }
 
     pub fn bytes(&mut self) -> Option<&'a [u8]> {
-        let n = self.short()?;
+        let n = self.u32()?;
         self.take(n as usize)
     }
 
@@ -128,58 +135,58 @@
     }
 
     pub fn time(&mut self) -> Option<Duration> {
-        self.long().map(Duration::from_micros)
+        self.u64().map(Duration::from_micros)
     }
 
     pub fn verdict(&mut self) -> Option<Verdict> {
-        let (bounced, wait) = (self.byte()? == 1, self.time()?);
+        let (bounced, wait) = (self.u8()? == 1, self.time()?);
         let wait = Some(wait).filter(|w| !w.is_zero());
         Some(if bounced { Verdict::Bounced { wait } } else { Verdict::Dead })
     }
 
-    fn attempted(&mut self, may_have_run: bool) -> Option<Attempt> {
+    fn attempt_fields(&mut self, may_have_run: bool) -> Option<Attempt> {
         let (sent, host, zone) = (self.time()?, self.text()?, self.text()?);
         Some(Attempt { host, zone, sent, may_have_run })
     }
 }
 
 /// The id, of a record of which the rest may be spoilt.
-pub fn id(message: u64, payload: &[u8]) -> Option<String> {
-    let mut f = Fields(payload);
+pub fn decode_id(message: u64, payload: &[u8]) -> Option<String> {
+    let mut f = FieldReader(payload);
     let id = f.text()?;
     let field = &payload[..payload.len() - f.0.len()];
-    let check = f.short()?;
+    let check = f.u32()?;
     // Programs of before did not put the number in.
     let sound = check == id_check(message, field) || check == crc32fast::hash(field);
     sound.then_some(id)
 }
 
-pub fn live(payload: &[u8]) -> Option<Live> {
-    let mut f = Fields(payload);
-    let (id, _check) = (f.text()?, f.short()?);
-    let (taken, until, destination) = (f.time()?, f.time()?, f.long()?);
-    let (class, tenant, keyed, key) = (f.text()?, f.text()?, f.byte()? == 1, f.text()?);
+pub fn decode_snapshot(payload: &[u8]) -> Option<LiveMessage> {
+    let mut f = FieldReader(payload);
+    let (id, _check) = (f.text()?, f.u32()?);
+    let (taken, until, destination) = (f.time()?, f.time()?, f.u64()?);
+    let (class, tenant, keyed, key) = (f.text()?, f.text()?, f.u8()? == 1, f.text()?);
     let body = Bytes::copy_from_slice(f.bytes()?);
-    let verdict = if f.byte()? == 1 { Some(f.verdict()?) } else { None };
+    let verdict = if f.u8()? == 1 { Some(f.verdict()?) } else { None };
     let mut attempts = Vec::new();
-    for _ in 0..f.short()? {
-        let may_have_run = f.byte()? == 1;
-        attempts.push(f.attempted(may_have_run)?);
+    for _ in 0..f.u32()? {
+        let may_have_run = f.u8()? == 1;
+        attempts.push(f.attempt_fields(may_have_run)?);
     }
-    let letter = Letter { id, class, tenant, destination, key: keyed.then_some(key), until, body };
-    Some(Live { letter: Rc::new(letter), taken, attempts, verdict })
+    let submitted = Message { id, class, tenant, destination, key: keyed.then_some(key), until, body };
+    Some(LiveMessage { submitted: Rc::new(submitted), taken, attempts, verdict })
 }
 
 /// An attempt's number, and the attempt.
-pub fn attempt(payload: &[u8]) -> Option<(usize, Attempt)> {
-    let mut f = Fields(payload);
-    Some((f.short()? as usize, f.attempted(true)?))
+pub fn decode_attempt(payload: &[u8]) -> Option<(usize, Attempt)> {
+    let mut f = FieldReader(payload);
+    Some((f.u32()? as usize, f.attempt_fields(true)?))
 }
 
-pub fn never_ran(payload: &[u8]) -> Option<usize> {
-    Fields(payload).short().map(|n| n as usize)
+pub fn decode_never_ran(payload: &[u8]) -> Option<usize> {
+    FieldReader(payload).u32().map(|n| n as usize)
 }
 
-pub fn verdict(payload: &[u8]) -> Option<Verdict> {
-    Fields(payload).verdict()
+pub fn decode_verdict(payload: &[u8]) -> Option<Verdict> {
+    FieldReader(payload).verdict()
 }
--- a/src/store/frame.rs
+++ b/src/store/frame.rs
@@ -7,9 +7,9 @@
 pub const HEAD: usize = 64;
 pub const HEADS: usize = 2 * HEAD;
 /// A record's head.
-pub const FRAME: usize = 32;
+pub const RECORD_HEADER: usize = 32;
 /// No record is longer; a length over this is none.
-pub const PAYLOAD_MOST: usize = 16 * 1024 * 1024;
+pub const MAX_PAYLOAD: usize = 16 * 1024 * 1024;
 const MAGIC: &[u8; 7] = b"LNGTSEG";
 const RECORD: [u8; 2] = [0xD5, 0x4C];
 /// Where nothing is synced.
@@ -30,11 +30,11 @@
     pub synced: bool,
 }
 
-fn long(bytes: &[u8], at: usize) -> u64 {
+fn read_u64(bytes: &[u8], at: usize) -> u64 {
     bytes[at..at + 8].try_into().map_or(0, u64::from_le_bytes)
 }
 
-fn short(bytes: &[u8], at: usize) -> u32 {
+fn read_u32(bytes: &[u8], at: usize) -> u32 {
     bytes[at..at + 4].try_into().map_or(0, u32::from_le_bytes)
 }
 
@@ -60,26 +60,26 @@
         one
     }
 
-    fn read(one: &[u8]) -> Result<Self, Unread> {
+    fn read(one: &[u8]) -> Result<Self, UnreadableSegment> {
         if one.len() < HEAD
             || !one.starts_with(MAGIC)
-            || crc32fast::hash(&one[..HEAD - 4]) != short(one, HEAD - 4)
+            || crc32fast::hash(&one[..HEAD - 4]) != read_u32(one, HEAD - 4)
         {
-            return Err(Unread::Spoilt);
+            return Err(UnreadableSegment::Spoilt);
         }
         let synced = match one[MAGIC.len()] {
             FORMAT => false,
             FORMAT_SYNCED => true,
-            newer => return Err(Unread::Format(newer)),
+            newer => return Err(UnreadableSegment::Format(newer)),
         };
-        let [number, identity, first, oldest] = [8, 16, 24, 32].map(|at| long(one, at));
+        let [number, identity, first, oldest] = [8, 16, 24, 32].map(|at| read_u64(one, at));
         Ok(Head { number, identity, first, oldest, synced })
     }
 }
 
 /// Why a segment cannot be read at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub enum UnreadableSegment {
     /// Neither head is sound.
     Spoilt,
     /// It is of a format that this program does not know.
@@ -134,7 +134,7 @@
     /// Bytes that it takes in the file.
     pub fn size(&self) -> usize {
         match self {
-            Piece::Record(record) => FRAME + record.payload.len(),
+            Piece::Record(record) => RECORD_HEADER + record.payload.len(),
             Piece::Unknown { bytes } | Piece::Torn { bytes } => bytes.len(),
         }
     }
@@ -145,46 +145,46 @@
 
 /// A record's head, if one stands there: its label, length and the payload's sum.
 fn label(identity: u64, bytes: &[u8]) -> Option<(Label, usize, u32)> {
-    let head = bytes.get(..FRAME)?;
-    if head[..2] != RECORD || sum(identity, &head[..FRAME - 4]) != short(head, FRAME - 4) {
+    let head = bytes.get(..RECORD_HEADER)?;
+    if head[..2] != RECORD || sum(identity, &head[..RECORD_HEADER - 4]) != read_u32(head, RECORD_HEADER - 4) {
         return None;
     }
-    let length = short(head, 4) as usize;
-    let label = Label { kind: head[2], sequence: long(head, 8), message: long(head, 16) };
-    (length <= PAYLOAD_MOST).then_some((label, length, short(head, 24)))
+    let length = read_u32(head, 4) as usize;
+    let label = Label { kind: head[2], sequence: read_u64(head, 8), message: read_u64(head, 16) };
+    (length <= MAX_PAYLOAD).then_some((label, length, read_u32(head, 24)))
 }
 
 /// The head of a segment, by whichever copy is sound.
-pub fn head(bytes: &[u8]) -> Result<Head, Unread> {
+pub fn head(bytes: &[u8]) -> Result<Head, UnreadableSegment> {
     let second = bytes.get(HEAD..).unwrap_or_default();
     Head::read(bytes).or_else(|e| match e {
-        Unread::Spoilt => Head::read(second),
+        UnreadableSegment::Spoilt => Head::read(second),
         newer => Err(newer),
     })
 }
 
 /// Reads a whole segment. Behind what is spoilt the next record is looked for, byte by byte.
-pub fn read(bytes: &[u8]) -> Result<(Head, Vec<Found<'_>>), Unread> {
+pub fn read(bytes: &[u8]) -> Result<(Head, Vec<Found<'_>>), UnreadableSegment> {
     let head = head(bytes)?;
     let mut found: Vec<Found> = Vec::new();
     let mut at = HEADS.min(bytes.len());
     while at < bytes.len() {
         let rest = &bytes[at..];
         if let Some((label, length, check)) = label(head.identity, rest) {
-            let Some(payload) = rest.get(FRAME..FRAME + length) else {
+            let Some(payload) = rest.get(RECORD_HEADER..RECORD_HEADER + length) else {
                 // Its head is whole and its end is not there.
                 found.push((at, Piece::Torn { bytes: rest }));
                 break;
             };
             let sound = sum(head.identity, payload) == check;
             found.push((at, Piece::Record(Record { label, payload, sound })));
-            at += FRAME + length;
+            at += RECORD_HEADER + length;
             continue;
         }
         let next = (1..rest.len())
             .find(|n| rest[*n..].starts_with(&RECORD) && self::label(head.identity, &rest[*n..]).is_some());
         let gap = &rest[..next.unwrap_or(rest.len())];
-        let torn = next.is_none() && (gap.len() < FRAME || gap.iter().all(|b| *b == 0));
+        let torn = next.is_none() && (gap.len() < RECORD_HEADER || gap.iter().all(|b| *b == 0));
         found.push((at, if torn { Piece::Torn { bytes: gap } } else { Piece::Unknown { bytes: gap } }));
         at += gap.len();
     }
@@ -275,9 +275,9 @@
         bytes[7] = 9;
         let check = crc32fast::hash(&bytes[..HEAD - 4]).to_le_bytes();
         bytes[HEAD - 4..HEAD].copy_from_slice(&check);
-        assert_eq!(read(&bytes), Err(Unread::Format(9)));
-        assert_eq!(read(&[0; 300]), Err(Unread::Spoilt));
-        assert_eq!(read(&[]), Err(Unread::Spoilt));
+        assert_eq!(read(&bytes), Err(UnreadableSegment::Format(9)));
+        assert_eq!(read(&[0; 300]), Err(UnreadableSegment::Spoilt));
+        assert_eq!(read(&[]), Err(UnreadableSegment::Spoilt));
     }
 
     /// Any bytes: no panic, and each byte behind the heads in one piece and one only.
--- a/src/store/scan.rs
+++ b/src/store/scan.rs
@@ -1,7 +1,7 @@
 //! Reads a folder of segments, oldest first, after whatever has happened to it. Changes nothing in it.
 
 use super::disk::Disk;
-use super::frame::{self, Found, Head, Label, Piece, Record, Unread};
+use super::frame::{self, Found, Head, Label, Piece, Record, UnreadableSegment};
 use super::safeguard::{Safeguard, holds};
 use std::fmt;
 use std::io;
@@ -52,19 +52,23 @@
     pub length: usize,
     pub what: &'static str,
     /// The bytes are kept in a file of their own.
-    pub aside: bool,
+    pub quarantined: bool,
 }
 
 impl fmt::Display for Damage {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Damage { file, offset, length, what, aside } = self;
-        write!(f, "{file} at {offset}, {length} bytes: {what}{}", if *aside { "; kept aside" } else { "" })
+        let Damage { file, offset, length, what, quarantined } = self;
+        write!(
+            f,
+            "{file} at {offset}, {length} bytes: {what}{}",
+            if *quarantined { "; kept aside" } else { "" }
+        )
     }
 }
 
 /// A segment that is not written to any more.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sealed {
+pub struct SealedSegment {
     pub number: u64,
     pub size: u64,
     /// Sequence numbers of its records, each of which is whole; none where one is known not to be.
@@ -75,7 +79,7 @@
 pub struct Scan {
     pub names: Vec<String>,
     /// Oldest first.
-    pub sealed: Vec<Sealed>,
+    pub sealed: Vec<SealedSegment>,
     pub damage: Vec<Damage>,
     /// The end of the last write, cut short by a loss of power. Nothing had depended on it.
     pub cut: Option<Damage>,
@@ -156,7 +160,7 @@
         for (place, n) in numbers.iter().enumerate() {
             let bytes = disk.read_head(&name(*n), frame::HEADS)?;
             match frame::head(&bytes) {
-                Err(Unread::Format(format)) => {
+                Err(UnreadableSegment::Format(format)) => {
                     let newest = frame::FORMAT_SYNCED;
                     let why = format!("format {format}, this program knows {newest}; nothing was changed");
                     return Err(unusable(&name(*n), &why));
@@ -211,7 +215,7 @@
 
 impl<F: FnMut(Read)> Reader<F> {
     fn damaged(&mut self, n: u64, offset: usize, length: usize, what: &'static str) {
-        self.scan.damage.push(Damage { file: name(n), offset, length, what, aside: false });
+        self.scan.damage.push(Damage { file: name(n), offset, length, what, quarantined: false });
     }
 
     /// One segment whose head can be read.
@@ -263,8 +267,13 @@
             let end = found.last().map_or(offset, |(at, piece)| at + piece.size());
             let torn = matches!(found.last(), Some((at, Piece::Torn { .. })) if *at == offset);
             let what = "the last write was cut short; nothing had depended on it";
-            self.scan.cut =
-                (!torn).then(|| Damage { file: name(n), offset, length: end - offset, what, aside: false });
+            self.scan.cut = (!torn).then(|| Damage {
+                file: name(n),
+                offset,
+                length: end - offset,
+                what,
+                quarantined: false,
+            });
         }
         self.next = Some(next);
         let sealed = &mut self.scan.sealed;
@@ -309,7 +318,7 @@
             Some((_, bytes)) => bytes,
             None => disk.read(&name(n))?,
         };
-        reader.scan.sealed.push(Sealed { number: n, size: bytes.len() as u64, whole: None });
+        reader.scan.sealed.push(SealedSegment { number: n, size: bytes.len() as u64, whole: None });
         (reader.read)(Read::Segment(n));
         match (layout.heads[place], frame::read(&bytes)) {
             (Some(head), Ok((_, found))) => {
--- a/src/store/segments.rs
+++ b/src/store/segments.rs
@@ -4,14 +4,14 @@
 use super::disk::Disk;
 use super::frame::{self, Head, Label};
 use super::safeguard::{Safeguard, holds};
-use super::scan::{self, DROPPED, Damage, Read, SYNCED, Scan, Sealed, name, unnamed, unusable};
+use super::scan::{self, DROPPED, Damage, Read, SYNCED, Scan, SealedSegment, name, unnamed, unusable};
 use std::collections::VecDeque;
 use std::io;
 
 /// Pieces of damaged files are kept under this name, with the file's and the offset.
-const ASIDE: &str = "aside-";
+const QUARANTINE_PREFIX: &str = "aside-";
 /// Room that is kept for the next batch.
-const SPACE_KEPT: usize = 256 * 1024;
+const MAX_KEPT_BUFFER: usize = 256 * 1024;
 
 /// Records on their way to a file: labels with the ends of their payloads.
 #[derive(Default)]
@@ -38,18 +38,18 @@
 
     /// Bytes that it will take.
     pub fn size(&self) -> u64 {
-        (self.payloads.len() + self.records.len() * frame::FRAME) as u64
+        (self.payloads.len() + self.records.len() * frame::RECORD_HEADER) as u64
     }
 
     fn clear(&mut self) {
         self.records.clear();
         self.payloads.clear();
-        self.payloads.shrink_to(SPACE_KEPT);
+        self.payloads.shrink_to(MAX_KEPT_BUFFER);
         self.drops = false;
     }
 }
 
-struct Open<F> {
+struct OpenSegment<F> {
     number: u64,
     identity: u64,
     file: F,
@@ -69,7 +69,7 @@
     /// The oldest segment that is not written to any more.
     pub oldest: Option<u64>,
     /// Segments that were sealed by it.
-    pub sealed: Vec<Sealed>,
+    pub sealed: Vec<SealedSegment>,
     /// Syncs that it took.
     pub syncs: u32,
 }
@@ -82,7 +82,7 @@
     /// Feeds the identities of segments; new with each start.
     pub seed: u64,
     /// Bytes that may be kept aside.
-    pub aside: u64,
+    pub quarantine_room: u64,
     pub durability: Durability,
     /// Damage is an error, and nothing is changed.
     pub refuse_damage: bool,
@@ -92,8 +92,8 @@
     disk: D,
     plan: Plan,
     /// Oldest first.
-    sealed: VecDeque<Sealed>,
-    open: Option<Open<D::File>>,
+    sealed: VecDeque<SealedSegment>,
+    open: Option<OpenSegment<D::File>>,
     /// The number of the open one, or of the next.
     number: u64,
     /// Of the next record that is written.
@@ -105,11 +105,11 @@
     status: Status,
     /// Segments that this process has made.
     made: u64,
-    space: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 /// Scrambles a number: identities of segments have nothing in common. (SplitMix64's finish.)
-fn scramble(n: u64) -> u64 {
+fn mix_bits(n: u64) -> u64 {
     let n = (n ^ (n >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let n = (n ^ (n >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     n ^ (n >> 31)
@@ -133,9 +133,9 @@
             }
             disk.sync_folder()?;
         }
-        scan.room = plan.aside;
+        scan.room = plan.quarantine_room;
         for damage in scan.damage.iter_mut().chain(&mut scan.cut) {
-            keep_aside(&disk, &scan.names, &mut scan.room, damage);
+            quarantine(&disk, &scan.names, &mut scan.room, damage);
         }
         let mut pending = Batch::default();
         for (label, payload) in scan.tail.iter().filter(|_| holds(Safeguard::TailAnew)) {
@@ -152,9 +152,9 @@
             stale: std::mem::take(&mut scan.stale),
             status: Status::default(),
             made: 0,
-            space: Vec::new(),
+            buffer: Vec::new(),
         };
-        segments.tell();
+        segments.update_status();
         Ok((segments, scan))
     }
 
@@ -162,7 +162,7 @@
         self.status.clone()
     }
 
-    fn tell(&mut self) {
+    fn update_status(&mut self) {
         let open = self.open.as_ref().map_or(0, |o| o.size);
         self.status.total = self.sealed.iter().map(|k| k.size).sum::<u64>() + open;
         self.status.waiting = self.pending.size();
@@ -184,7 +184,7 @@
         }
         batch.clear();
         let result = self.flush();
-        self.tell();
+        self.update_status();
         (result, self.status.clone())
     }
 
@@ -202,12 +202,12 @@
                 let number = oldest.number;
                 self.pending.append(DROPPED, number, &[]);
             }
-            let mut space = std::mem::take(&mut self.space);
-            space.clear();
-            let written = self.write(&mut space);
+            let mut buffer = std::mem::take(&mut self.buffer);
+            buffer.clear();
+            let written = self.write(&mut buffer);
             // What one large batch took is not kept for all time.
-            space.shrink_to(SPACE_KEPT);
-            self.space = space;
+            buffer.shrink_to(MAX_KEPT_BUFFER);
+            self.buffer = buffer;
             written?;
             self.sequence += self.pending.records.len() as u64;
             let drops = self.pending.drops;
@@ -227,14 +227,14 @@
     }
 
     /// A new segment; its head is the beginning of what is written next.
-    fn create(&mut self, space: &mut Vec<u8>) -> io::Result<Open<D::File>> {
+    fn create(&mut self, buffer: &mut Vec<u8>) -> io::Result<OpenSegment<D::File>> {
         self.made += 1;
-        let identity = scramble(self.plan.seed ^ scramble(self.number ^ (self.made << 40)));
+        let identity = mix_bits(self.plan.seed ^ mix_bits(self.number ^ (self.made << 40)));
         let identity = if holds(Safeguard::Identity) { identity } else { 0 };
         let oldest = self.sealed.front().map_or(self.number, |k| k.number);
         let synced = self.plan.durability.syncs();
         let head = Head { number: self.number, identity, first: self.sequence, oldest, synced };
-        space.extend_from_slice(&head.bytes());
+        buffer.extend_from_slice(&head.bytes());
         let made = self.disk.create(&if self.names_later() {
             unnamed(self.number, identity)
         } else {
@@ -244,7 +244,7 @@
             // Whatever stands there, it is not this process's.
             self.number += u64::from(e.kind() == io::ErrorKind::AlreadyExists);
         }
-        Ok(Open { number: self.number, identity, file: made?, size: 0, first: self.sequence })
+        Ok(OpenSegment { number: self.number, identity, file: made?, size: 0, first: self.sequence })
     }
 
     /// Where records are synced, a segment gets its name once its first batch is on disk: that takes the place
@@ -255,53 +255,53 @@
 
     /// Nothing more is written to a segment of which nobody knows what it holds. One that holds nothing else
     /// goes, and another takes its number.
-    fn forsake(&mut self, open: Open<D::File>, size: u64) {
+    fn abandon(&mut self, open: OpenSegment<D::File>, size: u64) {
         let gone = |name: String| self.disk.remove(&name).is_ok();
         if open.size == 0 && (gone(unnamed(open.number, open.identity)) || gone(name(open.number))) {
             return;
         }
-        self.close(Sealed { number: open.number, size, whole: None });
+        self.close(SealedSegment { number: open.number, size, whole: None });
     }
 
-    fn write(&mut self, space: &mut Vec<u8>) -> io::Result<()> {
+    fn write(&mut self, buffer: &mut Vec<u8>) -> io::Result<()> {
         let mut open = match self.open.take() {
             Some(open) => open,
-            None => self.create(space)?,
+            None => self.create(buffer)?,
         };
         let mut from = 0;
         for (n, (kind, message, end)) in self.pending.records.iter().enumerate() {
             let label = Label { kind: *kind, sequence: self.sequence + n as u64, message: *message };
-            frame::put(space, open.identity, label, &self.pending.payloads[from..*end]);
+            frame::put(buffer, open.identity, label, &self.pending.payloads[from..*end]);
             from = *end;
         }
-        let size = open.size + space.len() as u64;
-        if let Err(e) = self.disk.write(&mut open.file, space) {
+        let size = open.size + buffer.len() as u64;
+        if let Err(e) = self.disk.write(&mut open.file, buffer) {
             if open.size > 0 && self.disk.cut(&mut open.file, open.size).is_ok() {
                 self.open = Some(open);
             } else {
                 // Part of it may stand there: the records are written anew in the next one.
-                self.forsake(open, size);
+                self.abandon(open, size);
             }
             return Err(e);
         }
         if self.plan.durability.syncs()
-            && let Err(e) = self.bring(&mut open)
+            && let Err(e) = self.sync_segment(&mut open)
         {
             // A sync that failed may succeed the next time though nothing came to the disk.
             if holds(Safeguard::FreshAfterFailedSync) {
-                self.forsake(open, size);
+                self.abandon(open, size);
             } else {
-                self.open = Some(Open { size, ..open });
+                self.open = Some(OpenSegment { size, ..open });
             }
             return Err(e);
         }
         self.status.segment = open.number;
-        self.open = Some(Open { size, ..open });
+        self.open = Some(OpenSegment { size, ..open });
         Ok(())
     }
 
     /// Brings what was written to disk, and with the first of it the segment's name.
-    fn bring(&mut self, open: &mut Open<D::File>) -> io::Result<()> {
+    fn sync_segment(&mut self, open: &mut OpenSegment<D::File>) -> io::Result<()> {
         self.status.syncs += 1;
         self.disk.sync(&mut open.file)?;
         if open.size == 0 {
@@ -319,20 +319,20 @@
     fn mark(&mut self) {
         let Some(mut open) = self.open.take_if(|_| self.plan.durability.syncs()) else { return };
         let label = Label { kind: SYNCED, sequence: self.sequence, message: 0 };
-        let mut space = std::mem::take(&mut self.space);
-        space.clear();
-        frame::put(&mut space, open.identity, label, &[]);
-        let marked = self.disk.write(&mut open.file, &space).is_ok();
-        open.size += space.len() as u64;
+        let mut buffer = std::mem::take(&mut self.buffer);
+        buffer.clear();
+        frame::put(&mut buffer, open.identity, label, &[]);
+        let marked = self.disk.write(&mut open.file, &buffer).is_ok();
+        open.size += buffer.len() as u64;
         self.open = Some(open);
         if !marked {
             // Nothing is written behind a part of a mark.
             self.seal();
         }
-        self.space = space;
+        self.buffer = buffer;
     }
 
-    fn close(&mut self, sealed: Sealed) {
+    fn close(&mut self, sealed: SealedSegment) {
         self.number = sealed.number + 1;
         self.status.sealed.push(sealed.clone());
         self.sealed.push_back(sealed);
@@ -341,22 +341,22 @@
     fn seal(&mut self) {
         if let Some(open) = self.open.take() {
             let whole = Some(open.first..self.sequence);
-            self.close(Sealed { number: open.number, size: open.size, whole });
+            self.close(SealedSegment { number: open.number, size: open.size, whole });
         }
     }
 }
 
 /// Keeps a copy of what is damaged, while there is room.
-pub fn keep_aside(disk: &impl Disk, names: &[String], left: &mut u64, damage: &mut Damage) {
+pub fn quarantine(disk: &impl Disk, names: &[String], left: &mut u64, damage: &mut Damage) {
     let Damage { file, offset, length, .. } = damage;
-    let to = format!("{ASIDE}{file}-{offset}");
+    let to = format!("{QUARANTINE_PREFIX}{file}-{offset}");
     let size = length.next_multiple_of(512) as u64;
     if *length == 0 || size > *left {
         return;
     }
     *left -= size;
     // Found at an earlier start already, it stands there.
-    damage.aside = names.contains(&to)
+    damage.quarantined = names.contains(&to)
         || disk.read(file).is_ok_and(|bytes| {
             let piece = bytes.get(*offset..*offset + *length);
             piece.is_some_and(|p| disk.create(&to).and_then(|mut f| disk.write(&mut f, p)).is_ok())
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -11,11 +11,11 @@
 pub type Done = (io::Result<()>, Status);
 
 pub enum Writer<D: Disk> {
-    Here(Box<Segments<D>>),
-    Apart(Apart),
+    Inline(Box<Segments<D>>),
+    Threaded(WriterThread),
 }
 
-pub struct Apart {
+pub struct WriterThread {
     batches: mpsc::Sender<Batch>,
     done: UnboundedReceiver<Done>,
     busy: bool,
@@ -26,7 +26,7 @@
     D::File: Send,
 {
     /// Gives the segments to a thread of their own.
-    pub fn apart(mut segments: Segments<D>) -> io::Result<Self> {
+    pub fn spawn(mut segments: Segments<D>) -> io::Result<Self> {
         let (batches, coming) = mpsc::channel::<Batch>();
         let (tell, done) = unbounded_channel();
         let write = move || {
@@ -37,17 +37,17 @@
             }
         };
         thread::Builder::new().name("journal".to_owned()).spawn(write)?;
-        Ok(Writer::Apart(Apart { batches, done, busy: false }))
+        Ok(Writer::Threaded(WriterThread { batches, done, busy: false }))
     }
 }
 
 #[cfg(test)]
 impl<D: Disk> Writer<D> {
     /// One whose commits end when the other side says so.
-    pub fn by_hand() -> (Self, mpsc::Receiver<Batch>, tokio::sync::mpsc::UnboundedSender<Done>) {
+    pub fn manual() -> (Self, mpsc::Receiver<Batch>, tokio::sync::mpsc::UnboundedSender<Done>) {
         let (batches, coming) = mpsc::channel();
         let (tell, done) = unbounded_channel();
-        (Writer::Apart(Apart { batches, done, busy: false }), coming, tell)
+        (Writer::Threaded(WriterThread { batches, done, busy: false }), coming, tell)
     }
 }
 
@@ -55,12 +55,12 @@
     /// Commits the batch, which is left empty. None: that is under way, and `done` tells how it ended.
     pub fn commit(&mut self, batch: &mut Batch) -> Option<Done> {
         match self {
-            Writer::Here(segments) => Some(segments.commit(batch)),
-            Writer::Apart(apart) => {
-                if apart.batches.send(std::mem::take(batch)).is_err() {
-                    return Some((Err(gone()), Status::default()));
+            Writer::Inline(segments) => Some(segments.commit(batch)),
+            Writer::Threaded(thread) => {
+                if thread.batches.send(std::mem::take(batch)).is_err() {
+                    return Some((Err(thread_ended()), Status::default()));
                 }
-                apart.busy = true;
+                thread.busy = true;
                 None
             }
         }
@@ -68,22 +68,22 @@
 
     /// A commit is under way.
     pub fn is_busy(&self) -> bool {
-        matches!(self, Writer::Apart(apart) if apart.busy)
+        matches!(self, Writer::Threaded(thread) if thread.busy)
     }
 
     /// The end of the commit that is under way; waits for ever if none is.
     pub async fn done(&mut self) -> Done {
         match self {
-            Writer::Apart(apart) if apart.busy => {
-                let done = apart.done.recv().await;
-                apart.busy = false;
-                done.unwrap_or_else(|| (Err(gone()), Status::default()))
+            Writer::Threaded(thread) if thread.busy => {
+                let done = thread.done.recv().await;
+                thread.busy = false;
+                done.unwrap_or_else(|| (Err(thread_ended()), Status::default()))
             }
             _ => std::future::pending().await,
         }
     }
 }
 
-fn gone() -> io::Error {
+fn thread_ended() -> io::Error {
     io::Error::other("the thread that writes has ended")
 }
