--- a/src/node/channel.rs
+++ b/src/node/channel.rs
@@ -1,5 +1,5 @@
-//! What the process that serves and its successor say to each other: words in frames over a local socket,
-//! each perhaps with an open descriptor.
+//! Handover protocol between the serving process and its successor: length-prefixed messages over a Unix
+//! socket, each with at most one file descriptor.
 
 use super::register::{Change, ChangeError};
 use crate::interface::{EndpointId, Outcome, Report};
@@ -17,12 +17,12 @@
 use tokio::io::Interest;
 use tokio::net::UnixStream;
 
-/// No frame is longer: guards memory against a peer that is none.
+/// Upper bound of a frame: limits memory if the peer is not a courier.
 const FRAME_MOST: usize = 16 * 1024 * 1024;
 const HEAD: usize = 4;
 const PIECE: usize = 64 * 1024;
 
-/// An endpoint as the old process has it.
+/// An endpoint as the old process knows it.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct EndpointState {
     pub id: EndpointId,
@@ -33,7 +33,7 @@
     pub listed: bool,
 }
 
-/// A call that is out, and for how long it has been.
+/// A call in flight, and how long ago it was started.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct InFlightCall {
     pub message: u64,
@@ -42,13 +42,13 @@
     pub age: Duration,
 }
 
-/// All that the journal does not tell.
+/// All state that the journal does not hold.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HandoverState {
-    /// The module, packed by itself: another version may not be able to read it.
+    /// The scheduler, serialised separately: another version may not be able to read it.
     #[serde(rename = "brain")]
     pub scheduler: Vec<u8>,
-    /// What its clock shows, and the Unix time of that moment.
+    /// The scheduler's clock, and the Unix time at which it was read.
     pub clock: Duration,
     #[serde(rename = "at")]
     pub unix_time: Duration,
@@ -56,17 +56,17 @@
     #[serde(rename = "numbered")]
     pub endpoint_ids_assigned: u32,
     pub destinations: Vec<u64>,
-    /// The version of the list, where it is one of discovery's.
+    /// Version of the endpoint list, if it came from discovery.
     #[serde(rename = "list")]
     pub list_version: Option<u64>,
     #[serde(rename = "out")]
     pub in_flight: Vec<InFlightCall>,
-    /// The last number that a message has had.
+    /// The last message number that was assigned.
     #[serde(rename = "last")]
     pub last_message: u64,
 }
 
-/// The end of a call that the old process had out.
+/// The end of a call that the old process had in flight.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct EndedCall {
     pub message: u64,
@@ -75,7 +75,7 @@
     pub outcome: Outcome,
     pub over: bool,
     pub report: Option<(f64, f64)>,
-    /// How long ago it came.
+    /// How long ago the call ended.
     pub age: Duration,
 }
 
@@ -85,50 +85,51 @@
     }
 }
 
-/// A client's connection that comes with the word.
+/// A client connection whose descriptor is passed with the message.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ClientConnection {
-    /// What has come of a request that is not judged.
+    /// Bytes received of a request that has not been accepted or refused yet.
     #[serde(rename = "heard")]
     pub received: Vec<u8>,
-    /// For how long it has stood where it stands.
+    /// How long the connection has been in its current state.
     pub age: Duration,
-    /// It has had an answer before.
+    /// Whether a response was sent on it before.
     pub served: bool,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 pub enum HandoverMessage {
-    /// From the successor, first of all.
+    /// First message, sent by the successor.
     Hello,
     State(Box<HandoverState>),
-    /// The successor has what it needs. Without `whole` it starts from the journal.
+    /// The successor is ready. Without `state_loaded` it starts from the journal.
     Ready {
         #[serde(rename = "whole")]
         state_loaded: bool,
     },
-    /// The lock is free: from here on the successor is the courier.
+    /// The old process has released the lock: from here on the successor is the courier.
     #[serde(rename = "Go")]
     LockReleased,
     Client(ClientConnection),
     Ended(EndedCall),
-    /// To the old process: a call that is to be called off.
+    /// To the old process: cancel the call of this message.
     Cancel(u64),
-    /// An operators' call that reached the old process, and its answer.
+    /// An operator's change that reached the old process, and its result. Both carry the number of the
+    /// request.
     #[serde(rename = "Operate")]
     OperatorChange(u64, Change),
     #[serde(rename = "Operated")]
     OperatorChangeResult(u64, Result<(), ChangeError>),
 }
 
-/// The end that speaks; several tasks may.
+/// Sending end; several tasks may use it.
 #[derive(Clone)]
 pub struct HandoverSender {
     stream: Rc<UnixStream>,
     turn: Rc<tokio::sync::Mutex<()>>,
 }
 
-/// The end that listens.
+/// Receiving end.
 pub struct HandoverReceiver {
     stream: Rc<UnixStream>,
     bytes: Vec<u8>,
@@ -147,7 +148,8 @@
 
 impl HandoverSender {
     pub async fn send(&self, word: &HandoverMessage, with: Option<OwnedFd>) -> io::Result<()> {
-        // Whether a descriptor comes stands in the frame, so that each finds its word.
+        // The frame tells whether a descriptor belongs to it, so that each descriptor is matched to its
+        // message.
         let mut bytes = vec![0; HEAD];
         ciborium::into_writer(&(word, with.is_some()), &mut bytes).map_err(bad)?;
         let length = u32::try_from(bytes.len() - HEAD).map_err(bad)?;
@@ -176,7 +178,7 @@
 }
 
 impl HandoverReceiver {
-    /// The next word and its descriptor. An error is also the end of the other process.
+    /// The next message and its descriptor. An error also means that the other process has ended.
     pub async fn receive(&mut self) -> io::Result<(HandoverMessage, Option<OwnedFd>)> {
         loop {
             if let Some(frame) = self.frame()? {
--- a/src/node/commit.rs
+++ b/src/node/commit.rs
@@ -1,5 +1,6 @@
-//! What waits for the record: a 202, an attempt's first byte and a notice each depend on something that must
-//! outlast this process, or a loss of power. Where nothing is synced the wait is over at once.
+//! Actions that wait for the journal: a 202 response, an attempt's first byte and a notice each depend on a
+//! record that must survive the end of this process or, with `Durability::Power`, a power loss. Without syncs
+//! the wait ends at once.
 
 use super::calls::Call;
 use super::courier::{Courier, never_sent};
@@ -12,19 +13,20 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// When a disk that failed is tried again.
+/// Interval at which a failed disk is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// How long records may wait on which nothing depends, and how many bytes of them, where each commit is synced.
+/// Where each commit is synced: how long records that no action depends on may be delayed, and how many bytes
+/// of them.
 const MAX_DELAY: Duration = Duration::from_millis(100);
 const MAX_DELAYED_BYTES: u64 = 256 * 1024;
-/// When the next of several commits in a row is made.
+/// Interval between the commits that rewrite old segments one after another.
 const REWRITE_INTERVAL: Duration = Duration::from_millis(10);
-/// A call that has waited for less is not cut short by it.
+/// A wait for the commit below this is not deducted from the call's timeout.
 const NEGLIGIBLE_WAIT: Duration = Duration::from_millis(2);
-/// How long the last commit of a process may take.
+/// Time limit for the last commit of a process.
 const FINAL_COMMIT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Something that may be done once the records before it are kept.
+/// An action that may be performed once the records before it are durable.
 pub(super) enum PendingAction {
     Reply {
         message: u64,
@@ -34,18 +36,18 @@
         call: Call,
         cancelled: oneshot::Receiver<()>,
     },
-    /// With the time, Unix time, from which on its message would not be sent again whatever the record says.
+    /// With the Unix time from which on the message would not be sent again, whatever the journal says.
     Notice(Notice, Duration),
 }
 
-/// What is due, and how the record fares.
+/// Pending actions, and the state of the journal's commits.
 #[derive(Default)]
 pub(super) struct PendingActions {
     waiting: Vec<PendingAction>,
-    /// Those that wait for the commit that is under way.
+    /// Actions that wait for the commit in progress.
     committing: Vec<PendingAction>,
     failed: Option<Instant>,
-    /// When the last commit was begun.
+    /// When the last commit was started.
     last: Option<Instant>,
 }
 
@@ -58,12 +60,12 @@
         self.waiting.is_empty() && self.committing.is_empty()
     }
 
-    /// The disk does not take what is to be kept.
+    /// Whether the last commit failed.
     pub(super) fn failed(&self) -> bool {
         self.failed.is_some()
     }
 
-    /// Where the answer will go for a message that is taken on, but whose client may not be told so yet.
+    /// The response channel of a message that is accepted, but whose client may not be told so yet.
     pub(super) fn answer(&mut self, message: u64) -> Option<&mut Answer> {
         self.waiting.iter_mut().chain(&mut self.committing).find_map(|due| match due {
             PendingAction::Reply { message: m, reply } if *m == message => Some(reply),
@@ -73,8 +75,8 @@
 }
 
 impl Courier {
-    /// Brings the records to disk; what is due follows, at once or when that is done. After an error nothing
-    /// more is taken on until it works again.
+    /// Commits pending records; the actions that depend on them follow, at once or when the commit completes.
+    /// After an error no messages are accepted until a commit succeeds again.
     pub(super) fn settle(&mut self) {
         let later = self.journal.is_busy() || (self.journal.syncs() && self.may_delay_commit());
         if !later {
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Nothing depends yet on what is to be recorded.
+    /// Whether no action depends on the pending records yet.
     fn may_delay_commit(&self) -> bool {
         self.dues.waiting.is_empty() && !self.dues.failed() && !self.journal.is_behind() && {
             let lately = self.dues.last.is_some_and(|t| t.elapsed() < MAX_DELAY);
@@ -93,7 +95,7 @@
     fn commit(&mut self) {
         self.dues.committing = std::mem::take(&mut self.dues.waiting);
         let now = Instant::now();
-        // A disk that has just failed is not asked once more for each message.
+        // A disk that has just failed is not retried for each message.
         if self.dues.failed.is_some_and(|t| now < t + RETRY_INTERVAL) {
             return self.release(false);
         }
@@ -103,7 +105,7 @@
         }
     }
 
-    /// A commit has ended.
+    /// Handles the end of a commit.
     pub(super) fn committed(&mut self, result: io::Result<()>) {
         match &result {
             Ok(()) => {
@@ -121,7 +123,7 @@
         self.release(result.is_ok());
     }
 
-    /// Does what was due, or takes it back.
+    /// Performs the actions of the completed commit, or reverts them if it failed.
     fn release(&mut self, kept: bool) {
         for due in std::mem::take(&mut self.dues.committing) {
             match due {
@@ -132,8 +134,8 @@
                     }
                 }
                 PendingAction::Call { call, cancelled } => self.begin_call(call, cancelled, kept),
-                // A crash before the record would have the message sent again that its client was told to
-                // hand in again; not if its time is up.
+                // After a crash before this record is durable, the message would be sent again although its
+                // client was told to resubmit it. That cannot happen once its deadline has passed.
                 PendingAction::Notice(notice, until) if kept || unix() >= until => {
                     self.notices.push_back(notice)
                 }
@@ -143,7 +145,7 @@
     }
 
     fn begin_call(&mut self, mut call: Call, mut cancelled: oneshot::Receiver<()>, kept: bool) {
-        // None: its client has left meanwhile.
+        // None if its client has disconnected meanwhile.
         let waited = self.held.get(&call.message).and_then(|m| Some(m.out.as_ref()?.0.elapsed()));
         if let Some(waited) = waited.filter(|waited| kept && *waited < call.timeout)
             && cancelled.try_recv().is_err()
@@ -162,7 +164,7 @@
         self.events.push(never_sent(call.message, call.endpoint));
     }
 
-    /// When a commit is to be tried though nothing has happened.
+    /// When the next commit is due without an event that triggers one.
     pub(super) fn commit_due(&self) -> Option<Instant> {
         if self.journal.is_busy() {
             return None;
@@ -176,7 +178,8 @@
         behind.into_iter().chain(delayed).min()
     }
 
-    /// Brings all to disk and waits for it, but not for ever. False if it is not known to be there.
+    /// Commits all pending records and waits for that, up to FINAL_COMMIT_TIMEOUT. False if they are not
+    /// known to be durable.
     pub(super) async fn settle_whole(&mut self) -> bool {
         let all = async {
             while self.journal.is_busy() || self.journal.waiting() > 0 || !self.dues.waiting.is_empty() {
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -1,5 +1,5 @@
-//! Replacing the process while it serves. Whoever holds the lock on the folder that lasts is the courier; the
-//! one before keeps only the calls that are out. `docs/design.md` tells the steps and what ends them early.
+//! Replaces the process without downtime. The process that holds the lock on the state folder is the courier;
+//! its predecessor keeps only its calls in flight. `docs/design.md` describes the steps and what aborts them.
 
 use super::calls::{CallEnd, Leave};
 use super::channel::{
@@ -30,30 +30,31 @@
 use tokio::time::{Instant, sleep, timeout};
 
 const SOCKET: &str = "handover";
-/// How long either process waits for the other's next word; clients wait as long.
+/// How long either process waits for the other's next message; clients wait as long.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// When the lock, or the process that holds it, is asked again.
+/// Interval at which the lock, or the process that holds it, is tried again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Calls that were cut off have closed their connections by then: after a last look for their answers.
+/// By then cancelled calls have checked once more for a response and closed their connections.
 const CANCEL_GRACE: Duration = Duration::from_millis(30);
 
-/// The socket's address by way of the open folder: the folder's own path may be longer than an address.
+/// The socket's address through the open folder: the folder's own path may exceed the length limit of a Unix
+/// socket address.
 fn socket(folder: &Path) -> io::Result<(File, PathBuf)> {
     let open = File::open(folder)?;
     let path = PathBuf::from(format!("/proc/self/fd/{}/{SOCKET}", open.as_raw_fd()));
     Ok((open, path))
 }
 
-/// A process that wants to go on in this one's place.
+/// A process that wants to take this one's place.
 pub struct Successor {
     sender: HandoverSender,
     receiver: HandoverReceiver,
 }
 
-/// Hears of successors from now on.
+/// Accepts successors from now on.
 pub fn listen(folder: &Path, news: Sender<News>) -> io::Result<AbortHandle> {
     let (_open, path) = socket(folder)?;
-    // Left by a process that was killed: whoever has the lock may take its place.
+    // Left by a killed process: whoever holds the lock may replace it.
     match fs::remove_file(&path) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
         _ => {}
@@ -80,16 +81,16 @@
     Ok(task.abort_handle())
 }
 
-/// What the process before has left to this one.
+/// The connection to the previous process, and what it has handed over.
 pub struct Predecessor {
-    /// The module as it was, and all that goes with it; none if it cannot be read.
+    /// The scheduler and the rest of the state; None if they could not be read.
     state: Option<(Scheduler, Box<HandoverState>)>,
     sender: HandoverSender,
     receiver: HandoverReceiver,
 }
 
-/// Waits until this process is the courier: at once where no other is, else from the other's go on, or from its
-/// end where the platform has them share no socket.
+/// Waits until this process is the courier: at once if there is no other; else when the other releases the
+/// lock in a handover, or ends where the platform does not share the listening socket.
 pub async fn take_over(
     folder: &Path,
     shared: bool,
@@ -145,7 +146,7 @@
 }
 
 impl Predecessor {
-    /// Lets the courier go on where the other stopped, and hears from now on what that has still to tell.
+    /// Resumes where the predecessor stopped, and from now on processes its messages.
     pub fn resume_into(self, courier: &mut Courier, intake: Rc<Intake>, register: Arc<Register>) {
         let Predecessor { state, sender, receiver } = self;
         let mut out = HashMap::new();
@@ -161,7 +162,7 @@
     }
 }
 
-/// Hears the process before until it ends. The calls that it had out then have broken.
+/// Processes the predecessor's messages until it ends. Calls that it still had in flight then count as reset.
 async fn receive_messages(
     mut receiver: HandoverReceiver,
     sender: HandoverSender,
@@ -206,7 +207,7 @@
 }
 
 impl Courier {
-    /// All that its successor needs beside the journal.
+    /// All state that the successor needs beside the journal.
     fn state(&self) -> Result<HandoverState, String> {
         let zone = |e: &Endpoint| self.config.zones.get(e.zone).cloned().unwrap_or_default();
         let endpoints = self.endpoints.iter().map(|(id, e)| EndpointState {
@@ -235,7 +236,7 @@
         })
     }
 
-    /// Goes on in another's place: with its module, on its clock, under its numbers.
+    /// Takes over the predecessor's scheduler, clock and numbering.
     fn inherit(&mut self, scheduler: Scheduler, state: HandoverState, sender: &HandoverSender) {
         let clock = state.clock + unix().saturating_sub(state.unix_time);
         self.origin = Instant::now().checked_sub(clock).unwrap_or(self.origin);
@@ -281,17 +282,19 @@
                 self.held.insert(message, Held { letter, attempts, out, leave });
             }
         }
-        // What operators set last may be on record and not yet in the module.
+        // The latest operator changes may be recorded and not yet known to the scheduler.
         let set =
             self.endpoints.iter().map(|(endpoint, e)| (*endpoint, self.standing.register.is_out(&e.host)));
         let set = set.map(|(endpoint, out)| Event::Maintenance { endpoint, out });
         let set: Vec<_> = set.collect();
         self.events.extend(set);
-        // The wake-up that the module had asked for has stayed behind; this makes it ask again.
+        // The wake-up that the scheduler had requested stayed in the old process; this makes it request
+        // another.
         self.events.push(Event::Woken { token: 0 });
     }
 
-    /// Offers all to the successor. False if this process is still the courier; after true it never is again.
+    /// Offers the state to the successor. False if this process is still the courier; after true it never is
+    /// again.
     pub async fn hand_over(&mut self, to: &mut Successor, lock: &mut Option<Lock>) -> bool {
         match self.send_state(to).await {
             Ok(()) => {}
@@ -301,7 +304,7 @@
             }
         }
         drop(lock.take());
-        // Nothing that cannot be said here changes what was given up: the lock tells who goes on.
+        // If this message cannot be sent, the lock is released all the same: whoever takes it is the courier.
         if let Err(e) = to.sender.send(&HandoverMessage::LockReleased, None).await {
             say!("handover: the successor is gone: {e}");
         }
@@ -309,7 +312,7 @@
     }
 
     async fn send_state(&mut self, to: &mut Successor) -> io::Result<()> {
-        // A call without its connection does not begin any more.
+        // A call that has no connection yet is not started any more.
         self.held.values().filter_map(|m| m.leave.as_ref()).for_each(|(_, leave)| leave.recall());
         if !self.settle_whole().await {
             return Err(io::Error::other("the journal cannot be written"));
@@ -320,7 +323,7 @@
         match timeout(MESSAGE_TIMEOUT, to.receiver.receive()).await?? {
             (HandoverMessage::Ready { state_loaded: true }, _) => Ok(()),
             (HandoverMessage::Ready { state_loaded: false }, _) => {
-                // It will take these for broken.
+                // The successor will count these calls as reset.
                 self.held.values_mut().for_each(|m| m.cancel());
                 sleep(CANCEL_GRACE).await;
                 Ok(())
@@ -329,7 +332,8 @@
         }
     }
 
-    /// After the go: passes on clients and the ends of calls until it is told to stop and all have ended.
+    /// After the handover: passes client connections and the ends of calls to the successor, until this
+    /// process is told to stop and all of them are done.
     pub async fn drain_after_handover(
         mut self,
         mut to: Successor,
@@ -345,7 +349,7 @@
                 biased;
                 Some(PassedConnection { descriptor, received, age, served }) = clients.recv() => {
                     let client = HandoverMessage::Client(ClientConnection { received, age, served });
-                    // A successor that is gone is heard below.
+                    // If the successor has ended, the receive below reports it.
                     let _ = to.sender.send(&client, Some(descriptor)).await;
                     None
                 }
@@ -389,7 +393,7 @@
         }
     }
 
-    /// News that came after the go.
+    /// Handles events that arrive after the handover.
     fn handle_late_news(&mut self, news: News) -> Option<HandoverMessage> {
         match news {
             News::Called { message, attempt, endpoint, end } => {
--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -1,5 +1,5 @@
-//! The record of what this courier has taken on, in the folder that lasts: which messages live, what was tried
-//! and what was decided. `docs/recovery.md` tells what each kind of damage to it costs.
+//! The courier's journal in the state folder: which accepted messages are still live, which attempts were
+//! made and what was decided. `docs/recovery.md` lists what each kind of damage to it costs.
 
 use super::old_journal;
 use super::record_codec::{self, RecordKind};
@@ -19,35 +19,37 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 pub(super) const NAME: &str = "journal";
-/// What a message may still add after it was taken: attempts with names of hosts and zones, their outcomes,
-/// verdict and end. More would turn messages away that have room.
+/// Bytes reserved for what a message may still append after it was accepted: attempts with host and zone
+/// names, their outcomes, its verdict and its end. A larger reserve would refuse messages that would have
+/// fitted.
 const MESSAGE_RESERVE: u64 = 720;
-/// Shares of the disk: of the messages that live, of all segments, and of what is kept aside. Between the
-/// first two there is always a segment that can be dropped.
+/// Shares of the disk quota for live messages, for all segments, as the hard limit, and for quarantined data.
+/// Between the first two there is always a segment that can be dropped.
 const LIVE_SHARE: f64 = 0.45;
 const SEGMENTS_SHARE: f64 = 0.85;
 const HARD_LIMIT_SHARE: f64 = 0.94;
 const QUARANTINE_SHARE: f64 = 0.06;
-/// So many times what lives may stand in the segments before the oldest is dropped, and so many segments.
+/// The oldest segment is dropped once all segments together exceed this many times the bytes reserved for
+/// live messages, and this many segments of full size.
 const MAX_GARBAGE_RATIO: u64 = 4;
 const MIN_SEGMENTS: u64 = 2;
-/// A segment's part of the disk, and its bounds.
+/// Size of a segment as a share of the disk quota, and its bounds.
 const SEGMENT_SHARE: f64 = 1.0 / 32.0;
 const SEGMENT_SIZE_BOUNDS: (u64, u64) = (64 * 1024, 4 * 1024 * 1024);
 
-/// Attempts in a row of which the records may be lost, and the next one is still believed.
+/// Most consecutive attempts whose records may be missing before the next attempt record is rejected.
 const MAX_LOST_ATTEMPTS: usize = 16;
 
-/// A message as its client handed it in.
+/// A message as its client submitted it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Message {
     pub id: String,
     pub class: String,
-    /// By name, empty where the settings know none.
+    /// Tenant name; empty if the settings define none.
     pub tenant: String,
     pub destination: u64,
     pub key: Option<String>,
-    /// When its time is up, Unix time.
+    /// Deadline, Unix time.
     pub until: Duration,
     pub body: Bytes,
 }
@@ -55,16 +57,16 @@
 /// An attempt, recorded before its first byte goes out.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Attempt {
-    /// Empty where its record is lost.
+    /// Empty if its record is lost.
     pub host: String,
     pub zone: String,
     /// Unix time.
     pub sent: Duration,
-    /// Whether it may have run; true until an outcome proves the contrary.
+    /// Whether it may have run; true until an outcome proves the opposite.
     pub may_have_run: bool,
 }
 
-/// How a message ends that is not delivered.
+/// How an undelivered message ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Dead,
@@ -75,10 +77,10 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LiveMessage {
     pub submitted: Rc<Message>,
-    /// When it was taken on, Unix time.
+    /// When it was accepted, Unix time.
     pub taken: Duration,
     pub attempts: Vec<Attempt>,
-    /// Decided, but the notice is not acknowledged.
+    /// Set once the end is decided; the notice is not acknowledged yet.
     pub verdict: Option<Verdict>,
 }
 
@@ -88,34 +90,34 @@
     }
 }
 
-/// What a message may take of the disk, with all that it may still add.
+/// The most disk space a message can take, including all records it may still append.
 fn reserved_bytes(submitted: &Message) -> u64 {
     (RECORD_HEADER + record_codec::approximate_size(submitted)) as u64 + MESSAGE_RESERVE
 }
 
-/// The time as records tell it.
+/// Unix time, as it is written in records.
 pub fn unix() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// What a start came upon.
+/// What was found when the journal was opened.
 #[derive(Debug, Default)]
 pub struct Recovery {
-    /// The highest number in use.
+    /// The highest message number in use.
     pub last: u64,
     pub damage: Vec<Damage>,
-    /// Messages that count as ones that may have run, as records that may have been theirs are lost.
+    /// Messages counted as possibly run, because records that may belong to them are lost.
     pub assumed_run: usize,
-    /// Messages of which little more than the id is left: they end as dead.
+    /// Messages of which little more than the id could be recovered: they end as dead.
     pub id_only: usize,
     /// Messages of which not even the id could be read.
     pub unreadable: usize,
-    /// The last write, cut short by a loss of power.
+    /// The last write, if a power loss cut it short.
     pub cut: Option<Damage>,
 }
 
 impl Recovery {
-    /// What the damage costs, in one line; none where there is none.
+    /// One line that sums up what the damage costs; None if there is no damage.
     pub fn costs(&self) -> Option<String> {
         let Recovery { damage, assumed_run, id_only, unreadable, .. } = self;
         (!damage.is_empty() || *assumed_run > 0).then(|| {
@@ -128,52 +130,52 @@
     }
 }
 
-/// How the journal is kept.
+/// How the journal is stored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JournalOptions {
-    /// Bytes that it may take of the disk.
+    /// Disk quota in bytes.
     pub room: u64,
     pub durability: Durability,
-    /// A start that comes upon damage is refused.
+    /// Refuse to start if the journal is damaged.
     pub refuse_damage: bool,
 }
 
 pub struct Journal<D: Disk = Folder> {
     writer: Writer<D>,
     disk: D,
-    /// What the next commit brings to disk.
+    /// Records for the next commit.
     batch: Batch,
     live: BTreeMap<u64, Entry>,
-    /// By segment, the messages that were written whole to it.
+    /// For each segment, the messages of which it holds a snapshot.
     by_segment: BTreeMap<u64, Vec<u64>>,
-    /// Those that were written whole by what is not yet committed.
+    /// Messages with a snapshot in the batch that is not committed yet.
     uncommitted: Vec<u64>,
-    /// Of the messages that were written whole by the commit that is under way.
+    /// Messages with a snapshot in the commit that is in progress.
     committing: Vec<u64>,
     reserved_bytes: u64,
     room: u64,
     plan: Plan,
-    /// As the last commit has left it.
+    /// Status after the last commit.
     status: Status,
     sealed: VecDeque<SealedSegment>,
-    /// The segment that was read again last.
+    /// The segment that was scrubbed last.
     scrubbed: u64,
-    /// All segments up to this one are written anew: it has spoilt.
+    /// All segments up to this one are rewritten, because it is corrupt.
     rewrite_up_to: Option<u64>,
-    /// Bytes that may still be kept aside.
+    /// Bytes that may still be quarantined.
     quarantine_room: u64,
     /// Commits and syncs since the start.
     pub commits: u64,
     pub syncs: u64,
 }
 
-/// A message that lives, and the segment in which it was last written whole; none until that is committed.
+/// A live message and the segment with its latest snapshot; None until that snapshot is committed.
 struct Entry {
     live: LiveMessage,
     segment: Option<u64>,
 }
 
-/// A sealed segment that is to be read again.
+/// A sealed segment that is to be re-read and verified.
 pub struct Scrub<D: Disk = Folder> {
     disk: D,
     number: u64,
@@ -181,16 +183,16 @@
     room: u64,
 }
 
-/// What reading it again has shown.
+/// The result of scrubbing a segment.
 #[derive(Debug)]
 pub struct Scrubbed {
     pub number: u64,
-    /// It does not hold any more what it held.
+    /// Set if the segment no longer holds what was written to it.
     pub damage: Option<Damage>,
 }
 
 impl<D: Disk> Scrub<D> {
-    /// Reads the segment; takes as long as the disk does.
+    /// Reads and verifies the segment; blocks on disk I/O.
     pub fn run(mut self) -> Scrubbed {
         let file = scan::name(self.number);
         let (what, length) = match self.disk.read(&file) {
@@ -208,16 +210,16 @@
     }
 }
 
-/// What a folder holds, read without a change to it.
+/// The contents of a journal that was opened read-only.
 pub struct Found {
     pub live: BTreeMap<u64, LiveMessage>,
     pub recovery: Recovery,
     pub segments: usize,
-    /// Bytes in them.
+    /// Size of all segments in bytes.
     pub size: u64,
 }
 
-/// Reads a journal as a start would, and changes nothing.
+/// Reads a journal as a start would, without changing it.
 pub fn read(folder: &Path) -> io::Result<Found> {
     let mut replay = Replay::default();
     let scan = scan::scan(&Folder::at(folder), |read| replay.take(read))?;
@@ -232,7 +234,7 @@
     Ok(Found { live, recovery, segments: scan.sealed.len(), size })
 }
 
-/// Writes a journal anew, in a folder that holds none. It outlasts a loss of power.
+/// Writes a new journal in a folder that holds none. It survives a power loss.
 pub fn write(folder: &Path, live: &BTreeMap<u64, LiveMessage>, seed: u64) -> io::Result<()> {
     let plan = Plan {
         size: SEGMENT_SIZE_BOUNDS.0,
@@ -255,10 +257,10 @@
     journal.flush()
 }
 
-/// For a disk of which nobody has replayed a bound.
+/// Room for a journal without a disk quota.
 const UNLIMITED_ROOM: u64 = 1 << 60;
 
-/// Messages as records tell them, while these are read.
+/// Messages as far as the records that were replayed describe them.
 #[derive(Default)]
 struct Replay {
     live: BTreeMap<u64, ReplayedMessage>,
@@ -267,17 +269,17 @@
     segment: u64,
 }
 
-/// A message as far as it has been read.
+/// A message as far as it has been replayed.
 struct ReplayedMessage {
     live: LiveMessage,
-    /// Records that may have been its own are lost.
+    /// Records that may belong to this message are lost.
     records_lost: bool,
-    /// Where it was last written whole.
+    /// The segment with its latest snapshot.
     segment: u64,
 }
 
 impl ReplayedMessage {
-    /// Counts it as one that may have run, where records that may have been its own are lost.
+    /// Adds an attempt that may have run if records that may belong to this message are lost.
     fn assume_attempt(&mut self) -> bool {
         let assumed = self.records_lost && self.live.verdict.is_none();
         if assumed {
@@ -301,7 +303,7 @@
         }
     }
 
-    /// None if it cannot be read.
+    /// Applies one record; None if it cannot be decoded.
     fn apply(&mut self, kind: u8, message: u64, payload: &[u8]) -> Option<()> {
         let of = self.live.get_mut(&message);
         match RecordKind::of(kind)? {
@@ -312,8 +314,8 @@
             RecordKind::Attempt => {
                 let (number, attempt) = record_codec::decode_attempt(payload)?;
                 let Some(ReplayedMessage { live, .. }) = of else { return Some(()) };
-                // The records of those between are lost. More than a few are claimed only by what was never
-                // written, and must not take room.
+                // The records of the attempts in between are lost. A gap larger than MAX_LOST_ATTEMPTS only
+                // occurs in data that was never written by a journal, and must not cause a large allocation.
                 (number <= live.attempts.len() + MAX_LOST_ATTEMPTS).then_some(())?;
                 let unknown = Attempt { sent: live.taken, may_have_run: true, ..Attempt::default() };
                 if live.attempts.len() <= number {
@@ -344,11 +346,11 @@
         Some(())
     }
 
-    /// Only whose it is and what it was is known.
+    /// Applies a record with a corrupt payload: only its message number and kind are known.
     fn apply_corrupt(&mut self, kind: u8, message: u64, payload: &[u8]) {
         let of = self.live.get_mut(&message);
         match (RecordKind::of(kind), of) {
-            // It was written whole before, and that is still there.
+            // An earlier snapshot of the message is still there.
             (Some(RecordKind::Snapshot), Some(found)) => found.records_lost = true,
             (Some(RecordKind::Snapshot), None) => match record_codec::decode_id(message, payload) {
                 Some(id) => {
@@ -365,24 +367,24 @@
             (Some(RecordKind::Attempt | RecordKind::AssumedAttempt), Some(found)) => {
                 found.records_lost = true
             }
-            // That it was decided is known; what was, is not, and its client may have been replayed.
+            // The message was decided, but the decision is lost; its client may have been notified already.
             (Some(RecordKind::Verdict), Some(found)) => found.live.verdict = Some(Verdict::Dead),
             (Some(RecordKind::Ended), _) => drop(self.live.remove(&message)),
-            // Without that record it may have run.
+            // Without this record the attempt counts as one that may have run.
             (Some(RecordKind::NeverRan), _) | (_, None) => {}
             (None, Some(found)) => found.records_lost = true,
         }
     }
 }
 
-/// An attempt of which nothing is known but that it may have been, at any time since the message came.
+/// Adds an attempt of which only this is known: it may have run at any time since the message was accepted.
 fn add_assumed_attempt(live: &mut LiveMessage) {
     let sent = live.taken;
     live.attempts.push(Attempt { sent, may_have_run: true, ..Attempt::default() });
 }
 
 impl Journal {
-    /// Opens the record in the folder that lasts. `seed` is new with each start.
+    /// Opens the journal in the state folder. `seed` is new with each start.
     pub fn open(folder: &Path, options: JournalOptions, seed: u64) -> io::Result<(Self, Recovery)> {
         old_journal::carry_over(folder, |live, to| fill(to, Plan::of(options, seed), options.room, live))?;
         let path = folder.join(NAME);
@@ -392,7 +394,7 @@
         };
         let (mut journal, recovery) = opened?;
         if options.durability.syncs() {
-            // The name of the journal's own folder.
+            // Makes the directory entry of the journal's own folder durable.
             Folder::at(folder).sync_folder()?;
         }
         journal.writer = match journal.writer {
@@ -439,7 +441,8 @@
         };
         for (message, mut replayed) in live {
             if replayed.assume_attempt() {
-                // On record, so that the next start finds the same and does not doubt once more.
+                // Recorded, so that the next start finds the same state and does not add another assumed
+                // attempt.
                 journal.batch.append(RecordKind::AssumedAttempt as u8, message, &[]);
                 recovery.assumed_run += 1;
             }
@@ -452,7 +455,7 @@
         Ok((journal, recovery))
     }
 
-    /// The next sealed segment that is to be read again; none if there is none that was whole.
+    /// The next sealed segment to scrub; None if there is none that was intact when sealed.
     pub fn scrub(&mut self) -> Option<Scrub<D>> {
         let whole = |s: &&SealedSegment| s.whole.is_some();
         let next = self.sealed.iter().filter(whole).find(|s| s.number > self.scrubbed);
@@ -464,8 +467,8 @@
 }
 
 impl<D: Disk> Journal<D> {
-    /// Takes note of what reading a segment again has shown. True if it has spoilt and still counted: what
-    /// lives of it, and of those before it, is written anew from memory by the next commits.
+    /// Records the result of a scrub. True if the segment is corrupt and was still in use: its live messages,
+    /// and those of all earlier segments, are rewritten from memory by the next commits.
     pub fn scrubbed(&mut self, scrubbed: &Scrubbed) -> bool {
         let Some(damage) = &scrubbed.damage else { return false };
         let Some(sealed) = self.sealed.iter_mut().find(|s| s.number == scrubbed.number) else { return false };
@@ -489,7 +492,7 @@
         self.live.len()
     }
 
-    /// Whether a message would fit, with all that it may still add.
+    /// Whether a message fits, including all records it may still append.
     pub fn fits(&self, submitted: &Message) -> bool {
         self.reserved_bytes + reserved_bytes(submitted) <= (self.room as f64 * LIVE_SHARE) as u64
     }
@@ -498,7 +501,7 @@
         self.write_snapshot(message, LiveMessage { submitted, taken: unix(), ..LiveMessage::default() });
     }
 
-    /// Writes a message whole.
+    /// Appends a snapshot of a message.
     fn write_snapshot(&mut self, message: u64, live: LiveMessage) {
         self.batch.append(
             RecordKind::Snapshot as u8,
@@ -524,7 +527,8 @@
         }
     }
 
-    /// The outcome of an attempt. One that may have run needs no record: that is what is assumed.
+    /// Records that an attempt did not run. An attempt that may have run needs no record: that is the
+    /// default.
     pub fn never_ran(&mut self, message: u64, attempt: u32) {
         let entry = self.live.get_mut(&message);
         if let Some(a) = entry.and_then(|e| e.live.attempts.get_mut(attempt as usize)) {
@@ -556,13 +560,14 @@
         self.plan.durability.syncs()
     }
 
-    /// A commit is under way.
+    /// Whether a commit is in progress.
     pub fn is_busy(&self) -> bool {
         self.writer.is_busy()
     }
 
-    /// Brings all records to disk. After an error they wait and go first the next time. None: that is under
-    /// way, and `done` tells how it ended. Not to be called while one is.
+    /// Writes all pending records to disk. After an error they stay pending and go first in the next commit.
+    /// None means that the commit is in progress on the writer thread and `done` returns its result. Must not
+    /// be called while a commit is in progress.
     pub fn commit(&mut self) -> Option<io::Result<()>> {
         let full = (self.room as f64 * HARD_LIMIT_SHARE) as u64;
         loop {
@@ -585,12 +590,12 @@
         }
     }
 
-    /// A commit before there is a thread that makes it: it has ended when this returns.
+    /// Commits synchronously; only used before the writer thread is started.
     fn flush(&mut self) -> io::Result<()> {
         self.commit().unwrap_or(Ok(()))
     }
 
-    /// The end of the commit that is under way; waits for ever if none is.
+    /// Waits for the commit that is in progress; never returns if there is none.
     pub async fn done(&mut self) -> io::Result<()> {
         let done = self.writer.done().await;
         self.finish_commit(done)
@@ -599,7 +604,7 @@
     fn finish_commit(&mut self, (result, status): Done) -> io::Result<()> {
         self.syncs += u64::from(status.syncs);
         self.sealed.extend(status.sealed.iter().cloned());
-        // Where none is left, the last one was dropped as well.
+        // If no sealed segment is left, the last one was dropped as well.
         let oldest = status.oldest.unwrap_or(u64::MAX);
         while self.sealed.front().is_some_and(|s| s.number < oldest) {
             self.sealed.pop_front();
@@ -615,27 +620,28 @@
         Ok(())
     }
 
-    /// So much has ended that the oldest segment is to be dropped.
+    /// Whether so many messages have ended that the oldest segment is to be dropped.
     fn has_garbage(&self) -> bool {
         let most = (self.reserved_bytes * MAX_GARBAGE_RATIO).max(self.plan.size * MIN_SEGMENTS);
         let most = most.min((self.room as f64 * SEGMENTS_SHARE) as u64);
         self.status.oldest.is_some() && self.status.total > most
     }
 
-    /// The oldest segment is to be dropped because it, or a later one, has spoilt: one with each commit.
+    /// Whether the oldest segment is to be dropped because it, or a later one, is corrupt. Each commit drops
+    /// one segment.
     fn must_rewrite_oldest(&self) -> bool {
         self.status.oldest.is_some() && self.status.oldest <= self.rewrite_up_to
     }
 
-    /// Another commit is needed though nothing waits for one.
+    /// Whether another commit is needed although no records are pending.
     pub fn is_behind(&self) -> bool {
         self.has_garbage() || self.must_rewrite_oldest()
     }
 
-    /// Writes anew what lives of the oldest segment, which is dropped with that.
+    /// Rewrites the live messages of the oldest segment into the batch that drops it.
     fn rewrite_oldest(&mut self) {
         let Some(oldest) = self.status.oldest else { return };
-        // Also what was written to one before that a failed write has cut off.
+        // Includes messages attributed to an earlier segment that a failed write has truncated.
         while let Some(mut entry) = self.by_segment.first_entry().filter(|e| *e.key() <= oldest) {
             let messages = std::mem::take(entry.get_mut());
             let segment = *entry.key();
@@ -659,7 +665,7 @@
 
 #[cfg(test)]
 impl Journal {
-    /// A journal in an empty folder whose commits end when the other side says so.
+    /// A journal in an empty folder whose commits complete when the test says so.
     pub fn manual(folder: &Path) -> io::Result<(Self, std::sync::mpsc::Receiver<Batch>, Tell)> {
         let options = JournalOptions { room: 3_000_000, durability: Durability::Power, refuse_damage: false };
         let (mut journal, _) = Journal::on(Folder::open(folder)?, Plan::of(options, 1), options.room)?;
--- a/src/node/offline.rs
+++ b/src/node/offline.rs
@@ -1,4 +1,5 @@
-//! The journal of a courier that does not run: looked at, shown, mended. `docs/on-call.md` tells when to use which.
+//! Inspects and repairs the journal of a courier that is not running. `docs/on-call.md` tells when to use
+//! which command.
 
 use super::journal::{self, Found, LiveMessage, NAME, Verdict, unix};
 use super::old_journal::{self, IN};
@@ -10,19 +11,19 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// What a command has found.
+/// The result of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finding {
     Sound,
     Damaged,
-    /// It was damaged, and is not any more.
+    /// It was damaged and has been repaired.
     Mended,
 }
 
-/// Why a command could do nothing.
+/// Why a command could not run.
 #[derive(Debug)]
 pub enum Fault {
-    /// A courier runs on that folder.
+    /// A courier is running on this folder.
     InUse(PathBuf),
     NoJournal(PathBuf),
     Io(PathBuf, io::Error),
@@ -42,7 +43,7 @@
 
 impl std::error::Error for Fault {}
 
-/// A folder that nobody else writes to while this is kept.
+/// A state folder that no other process writes to while this value is held.
 struct Idle {
     folder: PathBuf,
     _lock: Option<Lock>,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Reads the journal, in whichever form it is.
+    /// Reads the journal, in its current or its old format.
     fn read(&self) -> Result<Found, Fault> {
         let path = self.folder.join(NAME);
         let at = |e| Fault::Io(path.clone(), e);
@@ -78,7 +79,7 @@
     }
 }
 
-/// Tells what is damaged. Changes nothing.
+/// Reports damage. Changes nothing.
 pub fn check(folder: &Path, to: &mut impl Write) -> Result<Finding, Fault> {
     let found = Idle::take(folder)?.read()?;
     tell(&found, to).map_err(|e| Fault::Io(folder.to_owned(), e))
@@ -105,7 +106,7 @@
     Ok(Finding::Damaged)
 }
 
-/// A message as `show --json` prints it: one object a line.
+/// A message as `show --json` prints it: one object per line.
 #[derive(Serialize)]
 struct Shown<'a> {
     message: u64,
@@ -115,7 +116,7 @@
     destination: u64,
     key: Option<&'a str>,
     bytes: usize,
-    /// Unix time, s.
+    /// Unix time in seconds.
     taken: f64,
     until: f64,
     attempts: Vec<Tried<'a>>,
@@ -158,7 +159,7 @@
     }
 }
 
-/// Prints the messages that live, or the one of that id. Changes nothing.
+/// Prints all live messages, or the one with this id. Changes nothing.
 pub fn show(folder: &Path, id: Option<&str>, json: bool, to: &mut impl Write) -> Result<Finding, Fault> {
     let found = Idle::take(folder)?.read()?;
     let now = unix().as_secs_f64();
@@ -190,8 +191,8 @@
     Ok(if found.recovery.damage.is_empty() { Finding::Sound } else { Finding::Damaged })
 }
 
-/// Writes a damaged journal anew from what can be read of it. The new one is made whole beside it and read again
-/// before it takes its place; the damaged one stays, under another name.
+/// Rewrites a damaged journal from what can be read of it. The new journal is written beside it and verified
+/// before it takes its place; the damaged one is kept under another name.
 pub fn repair(folder: &Path, seed: u64, to: &mut impl Write) -> Result<Finding, Fault> {
     let idle = Idle::take(folder)?;
     let found = idle.read()?;
@@ -210,7 +211,7 @@
         let aside = (1..).map(|n| folder.join(format!("{NAME}.damaged-{n}"))).find(|path| !path.exists());
         let aside = aside.unwrap_or_default();
         fs::rename(&journal, &aside)?;
-        // A start finds the new one under this name too, if this process ends here.
+        // If this process ends here, a start also finds the new journal under the name `journal.2`.
         fs::rename(&new, &journal)?;
         Folder::at(folder).sync_folder()?;
         Ok(aside)
--- a/src/node/old_journal.rs
+++ b/src/node/old_journal.rs
@@ -1,5 +1,5 @@
-//! The journal in the form of before: one file of records, each with its length and checksum. Read once, and
-//! carried over.
+//! The journal's old format: a single file of records, each with its length and checksum. It is read once and
+//! migrated.
 
 use super::journal::{Attempt, LiveMessage, Message, NAME};
 use super::log::say;
@@ -12,7 +12,8 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// The file on its way out, the folder on its way in, and what that form's rewrites may have left.
+/// The old file while it is being replaced, the new folder while it is being written, and the temporary file
+/// of the old format's rewrites.
 const OUT: &str = "journal.1";
 pub const IN: &str = "journal.2";
 const REWRITE: &str = "journal.next";
@@ -30,8 +31,9 @@
     }
 }
 
-/// Carries an old journal over, if there is one: `write` makes the new one in the folder it is given. Killed
-/// anywhere, the next start finds the old one whole or the new one.
+/// Migrates an old journal, if there is one: `write` creates the new journal in the folder it is given. If
+/// the process is killed at any point, the next start finds either the complete old journal or the complete
+/// new one.
 pub fn carry_over(
     folder: &Path,
     write: impl FnOnce(&BTreeMap<u64, LiveMessage>, &Path) -> io::Result<()>,
@@ -52,7 +54,7 @@
     if fs::symlink_metadata(&journal).is_err() && new.is_dir() {
         fs::rename(&new, &journal)?;
     }
-    // From here on the new one is whole.
+    // From here on the new journal is complete.
     if journal.is_dir() {
         remove(&out)?;
     }
@@ -65,7 +67,7 @@
 const VERDICT: u8 = 4;
 const ENDED: u8 = 5;
 
-/// Applies one record; None if it cannot be read.
+/// Applies one record; None if it cannot be decoded.
 fn apply(live: &mut BTreeMap<u64, LiveMessage>, record: &[u8]) -> Option<()> {
     let mut f = FieldReader(record);
     let (kind, message) = (f.u8()?, f.u64()?);
@@ -104,13 +106,13 @@
     Some(())
 }
 
-/// What cannot be read of one that is sound up to there.
+/// Describes the part of an old journal behind its valid prefix.
 pub fn unread(bytes: &[u8], sound: usize) -> Damage {
     let what = "the form of before cannot be read from here on";
     Damage { file: NAME.to_owned(), offset: sound, length: bytes.len() - sound, what, quarantined: false }
 }
 
-/// Replays what is sound: the live messages, and the length of the sound part.
+/// Replays the valid prefix: returns the live messages and the prefix's length.
 pub fn replay(bytes: &[u8]) -> (BTreeMap<u64, LiveMessage>, usize) {
     let (mut live, mut sound) = (BTreeMap::new(), 0);
     let mut f = FieldReader(bytes);
--- a/src/node/outcomes.rs
+++ b/src/node/outcomes.rs
@@ -1,5 +1,5 @@
-//! Notices to the platform: what was taken on and is not delivered ends by one. Sent until it is
-//! acknowledged, however long that takes.
+//! Notices to the platform: each accepted message that is not delivered ends with one. A notice is sent until
+//! it is acknowledged, however long that takes.
 
 use super::journal::Verdict;
 use super::link::Link;
@@ -17,16 +17,17 @@
 use tokio::time::{Instant, sleep};
 
 const CONNECT: Duration = Duration::from_millis(500);
-/// The platform answers at once. A connection on which it does not may be dead, and a notice that goes twice does no
-/// harm, while one that comes 300 ms after its message's time is too late: patience starts short, and doubles.
+/// The platform answers at once. A connection on which it does not may be dead. A notice that is sent twice
+/// does no harm, while one that arrives 300 ms after the message's deadline is too late: the time-out starts
+/// short and doubles.
 const ANSWER_FIRST: Duration = Duration::from_millis(120);
 const ANSWER_MOST: Duration = Duration::from_millis(1000);
 const BACKOFF_FIRST: Duration = Duration::from_millis(20);
 const BACKOFF_MOST: Duration = Duration::from_millis(500);
-/// A kept connection is used again within this time only.
+/// An idle connection is reused within this time only.
 const KEEP: Duration = Duration::from_secs(2);
 
-/// One message that has ended undelivered.
+/// A message that has ended undelivered.
 #[derive(Clone, Debug)]
 pub struct Notice {
     pub message: u64,
@@ -56,9 +57,9 @@
 
 #[derive(Clone)]
 pub struct Platform {
-    /// Shared by all batches on their way: it moves at a reload.
+    /// Shared by all batches in progress; a reload may change it.
     address: Rc<Cell<SocketAddr>>,
-    /// A connection that stands idle, if there is one.
+    /// An idle connection, if there is one.
     kept: Rc<RefCell<Option<(Link, Instant)>>>,
 }
 
@@ -67,13 +68,13 @@
         Platform { address: Rc::new(Cell::new(address)), kept: Rc::default() }
     }
 
-    /// From now on notices go to another address, those that are tried again among them.
+    /// From now on notices go to another address, including those that are being retried.
     pub fn move_to(&self, address: SocketAddr) {
         self.address.set(address);
         self.kept.borrow_mut().take();
     }
 
-    /// Posts a batch until it is acknowledged, then reports it.
+    /// Sends a batch until it is acknowledged, then reports it.
     pub async fn post(self, mut batch: Vec<Notice>, news: Sender<News>) {
         let mut backoff = BACKOFF_FIRST;
         let (mut told, mut most, mut patience) = (Vec::new(), batch.len(), ANSWER_FIRST);
@@ -83,7 +84,7 @@
                 Some(StatusCode::NO_CONTENT | StatusCode::OK) => {
                     told.extend(batch.drain(..part).map(|n| n.message));
                 }
-                // One line that cannot be read must not hold back the others: each by itself.
+                // One line that cannot be read must not hold back the others: send each in its own request.
                 Some(StatusCode::BAD_REQUEST) if part > 1 => most = 1,
                 Some(StatusCode::BAD_REQUEST) => {
                     say!("outcomes: the platform cannot read the notice for {:?}", batch[0].id);
@@ -113,7 +114,7 @@
             .body(Full::new(Bytes::from(text)))
             .ok()?;
         let answer = link.ask(request, Instant::now() + patience).await.ok()?;
-        // After a reload the next batch would go to the old address on it.
+        // After a reload this connection would send the next batch to the old address.
         if answer.reusable && to == self.address.get() {
             *self.kept.borrow_mut() = Some((link, Instant::now()));
         }
--- a/src/node/record_codec.rs
+++ b/src/node/record_codec.rs
@@ -1,22 +1,22 @@
-//! The journal's records as bytes: what a message is, what was tried, what was decided.
+//! Binary encoding of the journal's records: message snapshots, attempts and verdicts.
 
 use super::journal::{Attempt, LiveMessage, Message, Verdict};
 use bytes::{BufMut, Bytes};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Kinds of records; the numbers stand on disk.
+/// Kinds of records; the numbers are part of the format on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordKind {
-    /// A message whole, with all that is known of it. Replaces what was known before.
+    /// A whole message with all that is known of it. Replaces all earlier records of the message.
     Snapshot = 1,
-    /// An attempt, by its number.
+    /// An attempt, with its number.
     Attempt = 2,
     /// An attempt is known not to have run.
     NeverRan = 3,
     Verdict = 4,
     Ended = 5,
-    /// Records that may have been its own are lost: one more attempt may have been.
+    /// Records that may belong to this message are lost: one more attempt is assumed that may have run.
     AssumedAttempt = 6,
 }
 
@@ -39,15 +39,15 @@
     to.put_slice(text);
 }
 
-/// Bytes of a message without attempts, about.
+/// Approximate encoded size of a message without attempts, in bytes.
 pub fn approximate_size(l: &Message) -> usize {
     let texts =
         [l.id.len(), l.class.len(), l.tenant.len(), l.key.as_deref().map_or(0, str::len), l.body.len()];
     texts.iter().map(|t| t + 4).sum::<usize>() + 42
 }
 
-/// The checksum of the id's own field. It knows the message's number: behind the head of another message's record
-/// it does not pass.
+/// Checksum of the id field. It covers the message's number, so that it fails if the payload stands behind
+/// the header of another message's record.
 fn id_check(message: u64, field: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&message.to_le_bytes());
@@ -55,12 +55,12 @@
     hasher.finalize()
 }
 
-/// A message whole.
+/// Encodes a whole message.
 pub fn encode_snapshot(message: u64, live: &LiveMessage) -> Vec<u8> {
     let submitted = &live.submitted;
     let mut to = Vec::with_capacity(approximate_size(submitted) + live.attempts.len() * 64);
     put_text(&mut to, submitted.id.as_bytes());
-    // The id by itself: where the rest is spoilt its client can still be told.
+    // The id has its own checksum: if the rest is corrupt, the client can still be notified.
     to.put_u32_le(id_check(message, &to));
     to.put_u64_le(live.taken.as_micros() as u64);
     to.put_u64_le(submitted.until.as_micros() as u64);
@@ -103,7 +103,7 @@
     to
 }
 
-/// Reads fields; None once something does not fit.
+/// Decodes fields in sequence; None as soon as one does not fit.
 pub struct FieldReader<'a>(pub &'a [u8]);
 
 impl<'a> FieldReader<'a> {
@@ -150,13 +150,13 @@
     }
 }
 
-/// The id, of a record of which the rest may be spoilt.
+/// The id from a snapshot whose other fields may be corrupt.
 pub fn decode_id(message: u64, payload: &[u8]) -> Option<String> {
     let mut f = FieldReader(payload);
     let id = f.text()?;
     let field = &payload[..payload.len() - f.0.len()];
     let check = f.u32()?;
-    // Programs of before did not put the number in.
+    // Earlier versions did not include the message's number in the checksum.
     let sound = check == id_check(message, field) || check == crc32fast::hash(field);
     sound.then_some(id)
 }
--- a/src/node/register.rs
+++ b/src/node/register.rs
@@ -1,5 +1,5 @@
-//! What operators have set: endpoints left out, and whether the courier is out of service. A state, kept in
-//! the folder that lasts. Shared by the operators' thread, which changes it, and the courier, which heeds it.
+//! What operators have set: endpoints taken offline, and whether the courier is out of service. Stored in the
+//! state folder. Shared by the operators' thread, which changes it, and the courier, which applies it.
 
 use crate::store::Durability;
 use crate::store::disk::Folder;
@@ -14,11 +14,12 @@
 use tokio::sync::{OwnedMutexGuard, oneshot};
 
 const NAME: &str = "operators";
-/// The file is no longer. It stands beside its successor while it is written: the journal leaves room for both.
+/// Upper bound of the file's size. While it is replaced, the old and the new file exist side by side: the
+/// journal leaves room for both.
 const FILE_MOST: usize = 4 * 1024;
 pub const DISK_MOST: u64 = 4 * FILE_MOST as u64;
 
-/// What a call changes.
+/// A change that an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     Endpoint { id: String, out: bool },
@@ -36,15 +37,15 @@
     }
 }
 
-/// Why nothing has changed.
+/// Why a change was not made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeError {
-    /// Nobody has an endpoint of this id.
+    /// There is no endpoint with this id.
     #[serde(rename = "Unknown")]
     UnknownEndpoint,
-    /// Another process serves, or none yet.
+    /// Another process is serving, or none yet.
     NotServing,
-    /// The folder that lasts does not take it.
+    /// The change could not be written to the state folder.
     #[serde(rename = "Unrecorded")]
     NotPersisted,
 }
@@ -56,27 +57,27 @@
     out_of_service: bool,
 }
 
-/// A change for the process that serves now, and where its answer goes.
+/// A change for the process that is serving now, and the channel for its result.
 pub type Forward = (Change, oneshot::Sender<Result<(), ChangeError>>);
 
-/// What this process is.
+/// The role of this process.
 #[derive(Default)]
 enum Role {
-    /// It takes no clients yet, or no longer.
+    /// It does not accept clients yet, or no longer does.
     #[default]
     Idle,
     Serves(UnboundedSender<Change>),
-    /// Another has taken its place.
+    /// A successor has taken over.
     Replaced(UnboundedSender<Forward>),
 }
 
 #[derive(Default)]
 struct State {
     page: Page,
-    /// The ids that the courier's list has.
+    /// Ids on the courier's endpoint list.
     known: BTreeSet<String>,
     role: Role,
-    /// It ends, though it still heeds what is set.
+    /// The process is stopping, but still applies changes.
     ends: bool,
 }
 
@@ -84,7 +85,7 @@
     folder: PathBuf,
     durability: Durability,
     state: Mutex<State>,
-    /// One change at a time: each is on record before the next is looked at.
+    /// Serialises changes: each is recorded before the next is examined.
     turn: Arc<tokio::sync::Mutex<()>>,
 }
 
@@ -98,8 +99,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads what was set before this process. A record that cannot be read must not pass for none: calls
-    /// would go to endpoints that are taken apart.
+    /// Reads what earlier processes have recorded. A file that cannot be read must not be treated as absent:
+    /// calls would go to endpoints that operators have taken offline.
     pub fn load(&self) -> io::Result<()> {
         let page: Option<Page> = page::read(&Folder::at(&self.folder), NAME)?;
         self.state().page = page.unwrap_or_default();
@@ -111,26 +112,26 @@
         matches!(state.role, Role::Serves(_)) && !state.ends
     }
 
-    /// From here on this process serves; changes come from the receiver.
+    /// From now on this process serves; changes are sent to the receiver.
     pub fn serve(&self) -> UnboundedReceiver<Change> {
         let (changes, changed) = unbounded_channel();
         self.state().role = Role::Serves(changes);
         changed
     }
 
-    /// This process takes no more clients, and ends.
+    /// This process accepts no more clients and stops.
     pub fn end(&self) {
         self.state().ends = true;
     }
 
-    /// Another process serves from here on; what is asked of this one comes from the receiver.
+    /// Another process serves from now on; changes requested here are sent to the receiver, to be forwarded.
     pub fn forward(&self) -> UnboundedReceiver<Forward> {
         let (forwards, forwarded) = unbounded_channel();
         self.state().role = Role::Replaced(forwards);
         forwarded
     }
 
-    /// Lets nothing change until the guard is dropped.
+    /// Blocks changes until the guard is dropped.
     pub async fn hold(&self) -> OwnedMutexGuard<()> {
         self.turn.clone().lock_owned().await
     }
@@ -143,13 +144,13 @@
         self.state().page.out.contains(id)
     }
 
-    /// The ids on the courier's list, as it stands now.
+    /// Sets the ids on the courier's current endpoint list.
     pub fn know(&self, ids: BTreeSet<String>) {
         self.state().known = ids;
     }
 
-    /// Makes a change: on record, then in force, then told to the courier. One that changes nothing is
-    /// fulfilled already.
+    /// Makes a change: records it, puts it in force, then sends it to the courier. A change that alters
+    /// nothing succeeds at once.
     pub async fn set(self: Arc<Self>, change: Change) -> Result<(), ChangeError> {
         let this = self.clone();
         let task = async move {
@@ -193,7 +194,7 @@
             }
             Ok(())
         };
-        // Goes on though its caller has given up: what is on record must come into force.
+        // Runs to completion even if the caller has given up: what is recorded must be put in force.
         tokio::spawn(task).await.unwrap_or(Err(ChangeError::NotPersisted))
     }
 }
@@ -227,7 +228,7 @@
         }
         assert!(register.is_out("s-1"));
         assert_eq!((changed.try_recv(), changed.try_recv().is_err()), (Ok(endpoint(true)), true));
-        // Off the list, and in another process: it is still out, and one call brings it back.
+        // Off the list and in another process it is still offline, and one call brings it back.
         let register = Register::new(&folder, Durability::Process);
         register.load().expect("read");
         let _changed = register.serve();
@@ -258,7 +259,8 @@
             register.load().map(|()| register.is_out("s-1"))
         };
         assert!(load(b"{\"out\":[\"s-").is_err());
-        // The form of before has no check; one that says something else than what was written fails its own.
+        // Earlier versions wrote no checksum. A file that was altered after it was written fails its
+        // checksum.
         assert!(load(br#"{"out":["s-1"],"out_of_service":false}"#).expect("read"));
         page::replace(&Folder::at(&folder), Durability::Power, (NAME, Page::default()), FILE_MOST)
             .expect("kept");
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -1,4 +1,4 @@
-//! The calls on a folder that the store makes; each may fail.
+//! The file operations that the store needs; each may fail.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -8,29 +8,29 @@
 pub trait Disk {
     type File;
 
-    /// Names of the files, in no order.
+    /// Names of the files, in no particular order.
     fn list(&self) -> io::Result<Vec<String>>;
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// The beginning of a file, so many bytes of it at most.
+    /// The first `most` bytes of a file, or fewer.
     fn read_head(&self, name: &str, most: usize) -> io::Result<Vec<u8>>;
-    /// A new file, empty; an error if there is one of that name.
+    /// Creates an empty file; fails if the name exists.
     fn create(&self, name: &str) -> io::Result<Self::File>;
-    /// Appends all, or fails after part of it.
+    /// Appends all bytes, or fails after writing some of them.
     fn write(&self, file: &mut Self::File, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts a file that is being written back to so many bytes.
+    /// Truncates a file that is open for writing.
     fn cut(&self, file: &mut Self::File, size: u64) -> io::Result<()>;
-    /// What the file holds outlasts a loss of power from here on. After an error nothing is known of what was
-    /// written since the last success, and asking again tells nothing.
+    /// Makes the file's contents durable. After an error nothing is known of what was written since the last
+    /// success, and a later success does not prove that it is on disk.
     fn sync(&self, file: &mut Self::File) -> io::Result<()>;
     /// The same for a file that another process has written.
     fn sync_left(&self, name: &str) -> io::Result<()>;
-    /// The same for what was created, renamed and removed.
+    /// The same for files created, renamed and removed in the folder.
     fn sync_folder(&self) -> io::Result<()>;
-    /// Puts a file in another's place.
+    /// Renames a file, replacing the target.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Removes a file if it is there.
+    /// Removes a file if it exists.
     fn discard(&self, name: &str) -> io::Result<()> {
         match self.remove(name) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
@@ -39,17 +39,17 @@
     }
 }
 
-/// A real folder.
+/// A folder in the file system.
 #[derive(Clone, Debug)]
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// A folder that is there.
+    /// An existing folder.
     pub fn at(path: &Path) -> Self {
         Folder(path.to_owned())
     }
 
-    /// Makes it if it is not there.
+    /// Creates the folder if it does not exist.
     pub fn open(path: &Path) -> io::Result<Self> {
         match fs::create_dir(path) {
             Err(e) if e.kind() != io::ErrorKind::AlreadyExists => Err(e),
@@ -64,7 +64,7 @@
     fn list(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.0)? {
-            // A name that is no text is none of the store's.
+            // The store uses no names that are not valid Unicode.
             names.extend(entry?.file_name().into_string());
         }
         Ok(names)
@@ -81,7 +81,7 @@
     }
 
     fn create(&self, name: &str) -> io::Result<File> {
-        // Appending: after a cut the next bytes go to the new end.
+        // Append mode: after a truncation the next bytes go to the new end.
         OpenOptions::new().append(true).create_new(true).open(self.0.join(name))
     }
 
--- a/src/store/frame.rs
+++ b/src/store/frame.rs
@@ -1,32 +1,35 @@
-//! Segments and records as bytes, and what can still be read of them when some are spoilt. Reading takes time
-//! linear in the bytes, whatever they are, and allocates nothing but the list of what was found.
+//! Binary format of segments and records, and recovery of what is still readable if some of it is corrupt.
+//! Reading takes time linear in the input, whatever it contains, and allocates only the list of what was
+//! found.
 
 use crc32fast::Hasher;
 
-/// A segment's head, of which there are two.
+/// Size of a segment header, which is written twice.
 pub const HEAD: usize = 64;
 pub const HEADS: usize = 2 * HEAD;
-/// A record's head.
+/// Size of a record header.
 pub const RECORD_HEADER: usize = 32;
-/// No record is longer; a length over this is none.
+/// Upper bound of a record's payload; a header with a larger length is invalid.
 pub const MAX_PAYLOAD: usize = 16 * 1024 * 1024;
 const MAGIC: &[u8; 7] = b"LNGTSEG";
 const RECORD: [u8; 2] = [0xD5, 0x4C];
-/// Where nothing is synced.
+/// Format of segments without syncs.
 pub const FORMAT: u8 = 2;
-/// With marks that tell how far all has been synced. Who knows the other form only must not read it.
+/// Format with marks that tell up to where records have been synced. A program that knows only the other
+/// format must not read it.
 pub const FORMAT_SYNCED: u8 = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
     pub number: u64,
-    /// Drawn for each segment: what was left of another file does not pass for a part of this one.
+    /// Random for each segment, and part of its checksums: leftovers of another file are not taken for a part
+    /// of this one.
     pub identity: u64,
-    /// The sequence number of its first record.
+    /// Sequence number of its first record.
     pub first: u64,
-    /// The oldest segment that was needed when it was made.
+    /// The oldest segment that was needed when this one was created.
     pub oldest: u64,
-    /// Its records were synced before anything depended on them, and marks in it tell how far.
+    /// Whether its records were synced before any action depended on them, and marks in it tell up to where.
     pub synced: bool,
 }
 
@@ -46,7 +49,7 @@
 }
 
 impl Head {
-    /// Both copies.
+    /// Encodes both copies.
     pub fn bytes(&self) -> Vec<u8> {
         let mut one = Vec::with_capacity(HEADS);
         one.extend_from_slice(MAGIC);
@@ -80,13 +83,13 @@
 /// Why a segment cannot be read at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnreadableSegment {
-    /// Neither head is sound.
+    /// Both copies of the header are corrupt.
     Spoilt,
-    /// It is of a format that this program does not know.
+    /// A format that this program does not know.
     Format(u8),
 }
 
-/// Whose a record is.
+/// Kind, sequence number and message of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Label {
     pub kind: u8,
@@ -112,26 +115,26 @@
 pub struct Record<'a> {
     pub label: Label,
     pub payload: &'a [u8],
-    /// The payload passes its check; the label always does.
+    /// Whether the payload matches its checksum; the label always does.
     pub sound: bool,
 }
 
-/// What stands at some place of a segment.
+/// What was found at one offset of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Piece<'a> {
     Record(Record<'a>),
-    /// No record: a head is spoilt, or something was written over it.
+    /// Not a record: a header is corrupt, or it was overwritten.
     Unknown {
         bytes: &'a [u8],
     },
-    /// The end of a write that was cut short: part of a record, or room that was never written.
+    /// The end of a write that was cut short: a partial record, or space that was never written.
     Torn {
         bytes: &'a [u8],
     },
 }
 
 impl Piece<'_> {
-    /// Bytes that it takes in the file.
+    /// Size in the file, in bytes.
     pub fn size(&self) -> usize {
         match self {
             Piece::Record(record) => RECORD_HEADER + record.payload.len(),
@@ -143,7 +146,8 @@
 /// A piece and its offset in the file.
 pub type Found<'a> = (usize, Piece<'a>);
 
-/// A record's head, if one stands there: its label, length and the payload's sum.
+/// The record header at the start of `bytes`, if there is a valid one: its label, the payload's length and
+/// checksum.
 fn label(identity: u64, bytes: &[u8]) -> Option<(Label, usize, u32)> {
     let head = bytes.get(..RECORD_HEADER)?;
     if head[..2] != RECORD || sum(identity, &head[..RECORD_HEADER - 4]) != read_u32(head, RECORD_HEADER - 4) {
@@ -154,7 +158,7 @@
     (length <= MAX_PAYLOAD).then_some((label, length, read_u32(head, 24)))
 }
 
-/// The head of a segment, by whichever copy is sound.
+/// Reads the segment header from whichever copy is valid.
 pub fn head(bytes: &[u8]) -> Result<Head, UnreadableSegment> {
     let second = bytes.get(HEAD..).unwrap_or_default();
     Head::read(bytes).or_else(|e| match e {
@@ -163,7 +167,7 @@
     })
 }
 
-/// Reads a whole segment. Behind what is spoilt the next record is looked for, byte by byte.
+/// Reads a whole segment. Behind corrupt data, the next valid record header is searched byte by byte.
 pub fn read(bytes: &[u8]) -> Result<(Head, Vec<Found<'_>>), UnreadableSegment> {
     let head = head(bytes)?;
     let mut found: Vec<Found> = Vec::new();
@@ -172,7 +176,7 @@
         let rest = &bytes[at..];
         if let Some((label, length, check)) = label(head.identity, rest) {
             let Some(payload) = rest.get(RECORD_HEADER..RECORD_HEADER + length) else {
-                // Its head is whole and its end is not there.
+                // The header is complete, the payload is not.
                 found.push((at, Piece::Torn { bytes: rest }));
                 break;
             };
@@ -208,7 +212,7 @@
         (bytes, ends)
     }
 
-    /// Sequence numbers of what is sound.
+    /// Sequence numbers of the valid records.
     fn sound(bytes: &[u8]) -> Vec<u64> {
         let (_, found) = read(bytes).expect("a head is sound");
         let of = |f: &Found| match f.1 {
@@ -280,7 +284,7 @@
         assert_eq!(read(&[]), Err(UnreadableSegment::Spoilt));
     }
 
-    /// Any bytes: no panic, and each byte behind the heads in one piece and one only.
+    /// For any input: no panic, and each byte behind the headers belongs to exactly one piece.
     #[test]
     fn any_bytes_are_read_in_pieces_that_cover_them() {
         let mut rng = SmallRng::seed_from_u64(5);
--- a/src/store/lock.rs
+++ b/src/store/lock.rs
@@ -1,4 +1,4 @@
-//! The lock on a folder that lasts: who holds it is the only one that writes there.
+//! The lock on a state folder: only the process that holds it writes there.
 
 use std::fs::{File, TryLockError};
 use std::io;
@@ -6,7 +6,7 @@
 
 const NAME: &str = "lock";
 
-/// Held until it is dropped, or the process ends, however that ends.
+/// Held until it is dropped or the process ends, however it ends.
 pub struct Lock {
     _file: File,
 }
@@ -25,7 +25,7 @@
         taken(File::options().write(true).create(true).truncate(false).open(folder.join(NAME))?)
     }
 
-    /// The same without leaving a file where there is none: nobody has ever held it then.
+    /// The same, but creates no lock file: if there is none, no process has ever held the lock.
     pub fn look(folder: &Path) -> io::Result<Look> {
         match File::open(folder.join(NAME)) {
             Ok(file) => Ok(taken(file)?.map_or(Look::InUse, |lock| Look::Free(Some(lock)))),
@@ -38,6 +38,6 @@
 /// Whether another process writes to a folder.
 pub enum Look {
     InUse,
-    /// Nobody does, while this is kept.
+    /// No other process writes to it while this value is held.
     Free(Option<Lock>),
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,6 +1,6 @@
-//! What lasts: the one place that writes it. Segments of checked records, pages that are replaced whole, and the
-//! lock, on a disk that may fail at any call and lose or spoil what it held. `docs/recovery.md` tells the form
-//! byte by byte.
+//! Durable storage, and the only code that writes it: segments of checksummed records, pages that are
+//! replaced atomically, and the lock, on a disk on which any call may fail and stored data may be lost or
+//! corrupted. `docs/recovery.md` specifies the format byte by byte.
 
 pub mod disk;
 pub mod frame;
@@ -15,14 +15,14 @@
 
 use serde::Deserialize;
 
-/// What a record outlasts once something depends on it.
+/// What a record survives once an action depends on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Durability {
-    /// The process, however it ends. Nothing is synced.
+    /// The end of the process, however it ends. Nothing is synced.
     #[default]
     Process,
-    /// A loss of power too.
+    /// A power loss as well.
     Power,
 }
 
--- a/src/store/page.rs
+++ b/src/store/page.rs
@@ -1,5 +1,5 @@
-//! A page: a small file that is replaced whole. It carries a checksum of what it says, so that a spoilt one is
-//! told from a valid one that says something else.
+//! A page: a small file that is replaced atomically. It carries a checksum of its contents, so that a corrupt
+//! page is not taken for a valid one with other contents.
 
 use super::Durability;
 use super::disk::Disk;
@@ -11,7 +11,7 @@
 struct Checked<T> {
     #[serde(flatten)]
     page: T,
-    /// CRC-32 of the page written without it. None on pages of before.
+    /// CRC-32 of the page written without this field. None in pages of earlier versions.
     check: Option<u32>,
 }
 
@@ -19,10 +19,10 @@
     Ok(crc32fast::hash(&serde_json::to_vec(page)?))
 }
 
-/// The page under that name; none if there never was one.
+/// Reads the page of that name; None if there never was one.
 ///
 /// # Errors
-/// One that is spoilt is an error: it must not pass for none.
+/// A corrupt page is an error: it must not be treated as absent.
 pub fn read<T: Serialize + DeserializeOwned>(disk: &impl Disk, name: &str) -> io::Result<Option<T>> {
     let bytes = match disk.read(name) {
         Ok(bytes) => bytes,
@@ -35,8 +35,8 @@
     sound.then_some(Some(page)).ok_or_else(spoilt)
 }
 
-/// Puts a page of at most so many bytes in the place of the one before: whoever reads finds either whole, with
-/// `Power` also after a loss of it.
+/// Atomically replaces a page by one of at most `most` bytes: a reader finds either the old or the new page
+/// whole, with `Power` also after a power loss.
 pub fn replace<T: Serialize>(
     disk: &impl Disk,
     durability: Durability,
@@ -53,7 +53,7 @@
     let mut file = disk.create(&next)?;
     disk.write(&mut file, &bytes)?;
     if durability.syncs() {
-        // Before the rename: else the name could be on disk before what it names.
+        // Before the rename: otherwise the name could be on disk before the contents.
         disk.sync(&mut file)?;
     }
     disk.rename(&next, name)?;
--- a/src/store/safeguard.rs
+++ b/src/store/safeguard.rs
@@ -1,23 +1,23 @@
-//! What keeps the store's promises, by name. Tests take them away one by one and must notice.
+//! The rules that make the store safe, by name. Tests disable them one by one and must fail each time.
 
-/// One safeguard.
+/// One rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Safeguard {
-    /// A record knows the segment that it was written to.
+    /// A record's checksums depend on the segment it was written to.
     Identity,
-    /// A segment gets its name once its first batch is on disk.
+    /// A segment gets its final name once its first batch is on disk.
     NamedWhole,
-    /// After a sync that failed all that waits is written to another file.
+    /// After a failed sync, all pending records are written to another file.
     FreshAfterFailedSync,
-    /// What stands in a later segment counts there alone.
+    /// Sequence numbers that a later segment repeats count in the later segment only.
     WrittenAnew,
-    /// Where the last write was cut short, what is behind the cut does not count and is no damage.
+    /// Where the last write was cut short, data behind the cut is ignored and is not reported as damage.
     CutShort,
-    /// A start writes anew what it has read and nobody may have synced.
+    /// A start rewrites records that it has read and that may not have been synced.
     TailAnew,
-    /// A segment counts as dropped only if all that was written with that is there.
+    /// A segment counts as dropped only if the whole batch that dropped it is there.
     DroppedWhole,
-    /// A segment is removed only once what lives of it is kept elsewhere.
+    /// A segment is removed only once its live messages are stored elsewhere.
     DroppedLast,
 }
 
@@ -36,7 +36,7 @@
     AWAY.get() != Some(safeguard)
 }
 
-/// Runs something without a safeguard.
+/// Runs `run` with one rule disabled.
 #[cfg(test)]
 pub(crate) fn without<T>(safeguard: Option<Safeguard>, run: impl FnOnce() -> T) -> T {
     AWAY.set(safeguard);
--- a/src/store/scan.rs
+++ b/src/store/scan.rs
@@ -1,4 +1,4 @@
-//! Reads a folder of segments, oldest first, after whatever has happened to it. Changes nothing in it.
+//! Reads a folder of segments, oldest first, whatever state it is in. Changes nothing in it.
 
 use super::disk::Disk;
 use super::frame::{self, Found, Head, Label, Piece, Record, UnreadableSegment};
@@ -7,18 +7,18 @@
 use std::io;
 use std::ops::Range;
 
-/// A record that tells that the segment with its message's number is needed no more.
+/// Kind of a record that marks a segment as no longer needed; its message field holds the segment's number.
 pub const DROPPED: u8 = 0xF0;
-/// A record that tells that all before it has been synced. It has the sequence number of the record behind it: one
-/// that is lost leaves no gap.
+/// Kind of a record that marks all records before it as synced. It repeats the sequence number of the record
+/// behind it, so that a lost mark leaves no gap.
 pub const SYNCED: u8 = 0xF1;
 
 pub fn name(number: u64) -> String {
     format!("{number:016x}")
 }
 
-/// A segment whose first batch is not on disk yet: nothing depends on it. No other ever has the same name, as a
-/// rename may come to the disk without the removal of the one before.
+/// Name of a segment whose first batch is not on disk yet: no action depends on it. Each such name is used
+/// once only, as a rename may reach the disk without the removal before it.
 pub fn unnamed(number: u64, identity: u64) -> String {
     format!("{number:016x}-{identity:016x}{UNNAMED}")
 }
@@ -34,24 +34,24 @@
     (name.len() == 16).then(|| u64::from_str_radix(name, 16).ok()).flatten()
 }
 
-/// What recovery comes upon, in the order in which it was written.
+/// What a scan reports, in the order in which it was written.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Read<'a> {
-    /// What follows stands in that segment.
+    /// What follows is in this segment.
     Segment(u64),
     Record(Record<'a>),
-    /// Records are missing here; nobody knows whose.
+    /// Records are missing here; it is not known of which messages.
     Missing,
 }
 
-/// Something that is not as it was written.
+/// A part of a file that does not hold what was written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Damage {
     pub file: String,
     pub offset: usize,
     pub length: usize,
     pub what: &'static str,
-    /// The bytes are kept in a file of their own.
+    /// A copy of the bytes was quarantined.
     pub quarantined: bool,
 }
 
@@ -66,33 +66,33 @@
     }
 }
 
-/// A segment that is not written to any more.
+/// A segment that is no longer written to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SealedSegment {
     pub number: u64,
     pub size: u64,
-    /// Sequence numbers of its records, each of which is whole; none where one is known not to be.
+    /// Sequence numbers of its records, all of which are intact; None if one is known not to be.
     pub whole: Option<Range<u64>>,
 }
 
-/// All that a folder holds beside the records.
+/// The result of a scan, besides the records.
 pub struct Scan {
     pub names: Vec<String>,
     /// Oldest first.
     pub sealed: Vec<SealedSegment>,
     pub damage: Vec<Damage>,
-    /// The end of the last write, cut short by a loss of power. Nothing had depended on it.
+    /// The end of the last write, if a power loss cut it short. It had not been acknowledged.
     pub cut: Option<Damage>,
-    /// Segments that were dropped and are still there.
+    /// Segments that were dropped but not removed yet.
     pub stale: Vec<u64>,
-    /// Segments that nobody has synced.
+    /// Segments written without syncs.
     pub unsynced: Vec<u64>,
-    /// Records that may not have been synced, from `next - tail.len()` on.
+    /// Records that may not have been synced, starting at sequence number `next - tail.len()`.
     pub tail: Vec<(Label, Vec<u8>)>,
     /// The number of the next segment, and the sequence number of the next record.
     pub number: u64,
     pub next: u64,
-    /// Bytes that may still be kept aside.
+    /// Bytes that may still be quarantined.
     pub room: u64,
 }
 
@@ -100,16 +100,18 @@
     io::Error::new(io::ErrorKind::InvalidData, format!("journal/{file}: {why}"))
 }
 
-/// How much of one segment counts.
+/// Which records of a segment count.
 struct Extent {
-    /// Sequence numbers from here on stand in a later segment, whatever is left of them here.
+    /// From this sequence number on, records are in a later segment; what this one still holds of them is
+    /// ignored.
     until: u64,
-    /// Before this one all has been synced: what is missing of it was lost, and what is missing from it on
-    /// was never acknowledged. None where nothing was synced: all was acknowledged once it was written.
+    /// All records before this one have been synced: if one is missing, it was lost; records from here on
+    /// that are missing were never acknowledged. None if the segment is not synced: then every record was
+    /// acknowledged once written.
     synced: Option<u64>,
 }
 
-/// What of a segment counts, up to a place where the last write was cut short.
+/// The pieces of a segment that count, and the offset at which the last write was cut short.
 struct Part<'a> {
     pieces: &'a [Found<'a>],
     cut: Option<usize>,
@@ -136,7 +138,7 @@
     }
 }
 
-/// Labels of the store's own records of one kind.
+/// Labels of the valid records of one kind; used for the store's own kinds.
 fn own<'a>(found: &'a [Found<'a>], kind: u8) -> impl Iterator<Item = Label> {
     found.iter().filter_map(move |(_, piece)| match piece {
         Piece::Record(Record { label, sound: true, .. }) if label.kind == kind => Some(*label),
@@ -144,11 +146,11 @@
     })
 }
 
-/// The segments of a folder, by what their heads say.
+/// The segments of a folder, by their headers.
 struct Layout {
     numbers: Vec<u64>,
     heads: Vec<Option<Head>>,
-    /// The place of the newest segment in which a record can stand.
+    /// Index of the newest segment that can hold a record.
     last: Option<usize>,
 }
 
@@ -167,7 +169,7 @@
                 }
                 head => heads.push(head.ok().filter(|head| head.number == *n)),
             }
-            // One whose first write was cut short ends no other.
+            // A segment whose first write was cut short does not end the one before it.
             if bytes.len() >= frame::HEADS || heads[place].is_some() {
                 last = Some(place);
             }
@@ -184,7 +186,8 @@
         Extent { until: until.unwrap_or(u64::MAX), synced: open.then(synced) }
     }
 
-    /// The oldest segment that is still needed, as the newest that can be read tells it; and that one, read.
+    /// The oldest segment that is still needed, according to the newest readable segment; and the contents of
+    /// the latter.
     fn needed(&self, disk: &impl Disk) -> io::Result<Needed> {
         for (place, n) in self.numbers.iter().enumerate().rev() {
             let Some(head) = self.heads[place] else { continue };
@@ -202,13 +205,13 @@
 #[derive(Default)]
 struct Needed {
     from: Option<u64>,
-    /// The number of the newest segment that can be read, and what it holds.
+    /// The number and the contents of the newest readable segment.
     newest: Option<(u64, Vec<u8>)>,
 }
 
 struct Reader<F> {
     scan: Scan,
-    /// The sequence number of the next record, once one is known.
+    /// The sequence number of the next record, once known.
     next: Option<u64>,
     read: F,
 }
@@ -218,11 +221,11 @@
         self.scan.damage.push(Damage { file: name(n), offset, length, what, quarantined: false });
     }
 
-    /// One segment whose head can be read.
+    /// Reads a segment with a valid header.
     fn segment(&mut self, n: u64, head: Head, found: &[Found], extent: &Extent, last: bool) {
         let part = extent.of(head, found);
         let damages = self.scan.damage.len();
-        // The end of the segment before is lost, if this one begins later than that one ended.
+        // If this segment starts later than the previous one ended, the end of the previous one is lost.
         if self.next.is_some_and(|next| head.first > next) {
             (self.read)(Read::Missing);
         }
@@ -231,7 +234,7 @@
             match *piece {
                 Piece::Record(record) => {
                     let Record { label, payload, sound } = record;
-                    // Written once more after a disk that had failed, though it was there.
+                    // Written a second time after a disk error, although the first write had succeeded.
                     if label.sequence < next {
                         continue;
                     }
@@ -255,7 +258,8 @@
                 }
                 Piece::Unknown { bytes } => {
                     self.damaged(n, *at, bytes.len(), "no record");
-                    // Behind it a sequence number tells what is missing; at the very end nothing does.
+                    // Behind a gap, the next sequence number shows whether records are missing; at the very
+                    // end nothing does.
                     if last && place + 1 == found.len() {
                         (self.read)(Read::Missing);
                     }
@@ -283,10 +287,10 @@
     }
 }
 
-/// Reads all that is there, oldest first, and tells what was damaged.
+/// Reads all segments, oldest first, and reports damage.
 pub fn scan(disk: &impl Disk, read: impl FnMut(Read)) -> io::Result<Scan> {
     let names = disk.list()?;
-    // A format that is not known is an error before anything else is done.
+    // An unknown format is an error before anything else is done.
     let layout = Layout::of(disk, &names)?;
     let Needed { from: needed, mut newest } = layout.needed(disk)?;
     let number = layout.numbers.last().map_or(1, |n| n + 1);
@@ -329,11 +333,12 @@
                 }
             }
             (None, Ok(_)) => {
-                // A copy of another: what it holds stands there too.
+                // A copy of another segment, which holds the same records.
                 reader.damaged(n, 0, bytes.len(), "a segment under another's number");
                 (reader.read)(Read::Missing);
             }
-            // Made, and its first write was cut short. If it held more, the sequence numbers tell.
+            // Created, but its first write was cut short. If it held more, gaps in the sequence numbers show
+            // it.
             (_, Err(_)) if bytes.len() < frame::HEADS => {}
             (_, Err(_)) => {
                 reader.damaged(n, 0, bytes.len(), "no head of the segment is sound");
@@ -346,7 +351,7 @@
     Ok(scan)
 }
 
-/// Whether a sealed segment still holds all that it held.
+/// Whether a sealed segment still holds all its records.
 pub fn is_whole(bytes: &[u8], number: u64, whole: &Range<u64>) -> bool {
     let Ok((head, found)) = frame::read(bytes) else { return false };
     let mut next = whole.start;
--- a/src/store/segments.rs
+++ b/src/store/segments.rs
@@ -1,4 +1,4 @@
-//! Numbered segments of records in one folder: written at the end of the newest, dropped oldest first.
+//! A log of numbered segments in one folder: records are appended to the newest, the oldest is dropped first.
 
 use super::Durability;
 use super::disk::Disk;
@@ -8,17 +8,17 @@
 use std::collections::VecDeque;
 use std::io;
 
-/// Pieces of damaged files are kept under this name, with the file's and the offset.
+/// Prefix of quarantine files: copies of damaged parts, named by file and offset.
 const QUARANTINE_PREFIX: &str = "aside-";
-/// Room that is kept for the next batch.
+/// Most buffer capacity that is kept for the next batch.
 const MAX_KEPT_BUFFER: usize = 256 * 1024;
 
-/// Records on their way to a file: labels with the ends of their payloads.
+/// Records to be written together: for each its kind, its message and the end of its payload.
 #[derive(Default)]
 pub struct Batch {
     records: Vec<(u8, u64, usize)>,
     payloads: Vec<u8>,
-    /// The oldest segment is dropped with it: all of it that lives is in the batch.
+    /// The oldest segment is dropped with this batch, which repeats all its live messages.
     drops: bool,
 }
 
@@ -36,7 +36,7 @@
         self.records.is_empty() && !self.drops
     }
 
-    /// Bytes that it will take.
+    /// Bytes that it will take on disk.
     pub fn size(&self) -> u64 {
         (self.payloads.len() + self.records.len() * frame::RECORD_HEADER) as u64
     }
@@ -54,37 +54,37 @@
     identity: u64,
     file: F,
     size: u64,
-    /// The sequence number of its first record.
+    /// Sequence number of its first record.
     first: u64,
 }
 
-/// How things stand after a commit, whether it succeeded or not.
+/// The log's status after a commit, whether that succeeded or not.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// Where the last batch that was committed stands.
+    /// The segment that holds the last committed batch.
     pub segment: u64,
-    /// Bytes in all segments, and of records that a failed commit has left.
+    /// Bytes in all segments; and, in `waiting`, bytes of records that a failed commit has left pending.
     pub total: u64,
     pub waiting: u64,
-    /// The oldest segment that is not written to any more.
+    /// The oldest sealed segment.
     pub oldest: Option<u64>,
-    /// Segments that were sealed by it.
+    /// Segments that the commit has sealed.
     pub sealed: Vec<SealedSegment>,
-    /// Syncs that it took.
+    /// Syncs that the commit took.
     pub syncs: u32,
 }
 
 /// How a folder is opened.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// At this size a segment is sealed.
+    /// A segment is sealed once it reaches this size.
     pub size: u64,
-    /// Feeds the identities of segments; new with each start.
+    /// Seeds the identities of segments; new with each start.
     pub seed: u64,
-    /// Bytes that may be kept aside.
+    /// Bytes that may be quarantined.
     pub quarantine_room: u64,
     pub durability: Durability,
-    /// Damage is an error, and nothing is changed.
+    /// Treat damage as an error and change nothing.
     pub refuse_damage: bool,
 }
 
@@ -94,21 +94,21 @@
     /// Oldest first.
     sealed: VecDeque<SealedSegment>,
     open: Option<OpenSegment<D::File>>,
-    /// The number of the open one, or of the next.
+    /// The number of the open segment, or of the next one.
     number: u64,
-    /// Of the next record that is written.
+    /// Sequence number of the next record.
     sequence: u64,
-    /// Not yet in a file, or not known to be.
+    /// Records that are not in a file, or not known to be.
     pending: Batch,
-    /// Dropped at the start: they go once what is left of them is on disk elsewhere.
+    /// Dropped segments, which are removed once their live messages are on disk elsewhere.
     stale: Vec<u64>,
     status: Status,
-    /// Segments that this process has made.
+    /// Segments created by this process.
     made: u64,
     buffer: Vec<u8>,
 }
 
-/// Scrambles a number: identities of segments have nothing in common. (SplitMix64's finish.)
+/// Mixes the bits of a number, so that identities of segments are unrelated (SplitMix64's finalizer).
 fn mix_bits(n: u64) -> u64 {
     let n = (n ^ (n >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let n = (n ^ (n >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -116,8 +116,8 @@
 }
 
 impl<D: Disk> Segments<D> {
-    /// Reads all that is there, and keeps what is damaged aside. Writing begins in a new segment, with what
-    /// was read and may not have been synced.
+    /// Reads all segments and quarantines what is damaged. Writing starts in a new segment, with the records
+    /// that were read but may not have been synced.
     pub fn open(disk: D, plan: Plan, read: impl FnMut(Read)) -> io::Result<(Self, Scan)> {
         let mut scan = scan::scan(&disk, read)?;
         if let Some(first) = scan.damage.first().filter(|_| plan.refuse_damage) {
@@ -169,8 +169,8 @@
         self.status.oldest = self.sealed.front().map(|k| k.number);
     }
 
-    /// Brings the batch to disk, behind what an earlier commit has failed to. After an error all of it still
-    /// waits here, and goes first the next time. The batch is left empty.
+    /// Writes the batch to disk, behind the records that an earlier commit has failed to write. After an
+    /// error all of them stay pending here and go first in the next commit. The batch is left empty.
     pub fn commit(&mut self, batch: &mut Batch) -> (io::Result<()>, Status) {
         self.status.sealed.clear();
         self.status.syncs = 0;
@@ -205,7 +205,7 @@
             let mut buffer = std::mem::take(&mut self.buffer);
             buffer.clear();
             let written = self.write(&mut buffer);
-            // What one large batch took is not kept for all time.
+            // Releases the memory that one large batch took.
             buffer.shrink_to(MAX_KEPT_BUFFER);
             self.buffer = buffer;
             written?;
@@ -220,13 +220,13 @@
                 self.stale.push(oldest.number);
             }
         }
-        // They are needed no more: that one could not be removed is no failure of the records.
+        // They are no longer needed: a failed removal is not a failed commit.
         let disk = &self.disk;
         self.stale.retain(|n| disk.discard(&name(*n)).is_err());
         Ok(())
     }
 
-    /// A new segment; its head is the beginning of what is written next.
+    /// Creates a segment; its header is the beginning of the next write.
     fn create(&mut self, buffer: &mut Vec<u8>) -> io::Result<OpenSegment<D::File>> {
         self.made += 1;
         let identity = mix_bits(self.plan.seed ^ mix_bits(self.number ^ (self.made << 40)));
@@ -241,20 +241,20 @@
             name(self.number)
         });
         if let Err(e) = &made {
-            // Whatever stands there, it is not this process's.
+            // The existing file does not belong to this process.
             self.number += u64::from(e.kind() == io::ErrorKind::AlreadyExists);
         }
         Ok(OpenSegment { number: self.number, identity, file: made?, size: 0, first: self.sequence })
     }
 
-    /// Where records are synced, a segment gets its name once its first batch is on disk: that takes the place
-    /// of what an earlier segment may hold of it, and must not do so before it is there.
+    /// With syncs, a segment gets its final name once its first batch is on disk: its records supersede the
+    /// same ones in earlier segments, and must not do so before they are durable.
     fn names_later(&self) -> bool {
         self.plan.durability.syncs() && holds(Safeguard::NamedWhole)
     }
 
-    /// Nothing more is written to a segment of which nobody knows what it holds. One that holds nothing else
-    /// goes, and another takes its number.
+    /// Stops writing to a segment whose contents are uncertain. If nothing else was in it, it is removed and
+    /// its number is used again.
     fn abandon(&mut self, open: OpenSegment<D::File>, size: u64) {
         let gone = |name: String| self.disk.remove(&name).is_ok();
         if open.size == 0 && (gone(unnamed(open.number, open.identity)) || gone(name(open.number))) {
@@ -279,7 +279,7 @@
             if open.size > 0 && self.disk.cut(&mut open.file, open.size).is_ok() {
                 self.open = Some(open);
             } else {
-                // Part of it may stand there: the records are written anew in the next one.
+                // Part of the batch may be in the file: the records are rewritten in the next segment.
                 self.abandon(open, size);
             }
             return Err(e);
@@ -287,7 +287,7 @@
         if self.plan.durability.syncs()
             && let Err(e) = self.sync_segment(&mut open)
         {
-            // A sync that failed may succeed the next time though nothing came to the disk.
+            // A sync that is retried after a failure may succeed although the data did not reach the disk.
             if holds(Safeguard::FreshAfterFailedSync) {
                 self.abandon(open, size);
             } else {
@@ -300,7 +300,7 @@
         Ok(())
     }
 
-    /// Brings what was written to disk, and with the first of it the segment's name.
+    /// Syncs what was written and, for the first batch, gives the segment its final name.
     fn sync_segment(&mut self, open: &mut OpenSegment<D::File>) -> io::Result<()> {
         self.status.syncs += 1;
         self.disk.sync(&mut open.file)?;
@@ -314,8 +314,9 @@
         Ok(())
     }
 
-    /// Tells how far all has been synced. Not synced itself: it goes with what is synced next, and where it
-    /// is lost the last write only counts as one that may have been cut short.
+    /// Appends a mark that all records before it are synced. The mark itself is not synced: it becomes
+    /// durable with the next sync. If it is lost, the last write is merely treated as one that may have been
+    /// cut short.
     fn mark(&mut self) {
         let Some(mut open) = self.open.take_if(|_| self.plan.durability.syncs()) else { return };
         let label = Label { kind: SYNCED, sequence: self.sequence, message: 0 };
@@ -326,7 +327,7 @@
         open.size += buffer.len() as u64;
         self.open = Some(open);
         if !marked {
-            // Nothing is written behind a part of a mark.
+            // Nothing may be written behind a partial mark.
             self.seal();
         }
         self.buffer = buffer;
@@ -346,7 +347,7 @@
     }
 }
 
-/// Keeps a copy of what is damaged, while there is room.
+/// Copies a damaged part to a quarantine file, as long as there is room.
 pub fn quarantine(disk: &impl Disk, names: &[String], left: &mut u64, damage: &mut Damage) {
     let Damage { file, offset, length, .. } = damage;
     let to = format!("{QUARANTINE_PREFIX}{file}-{offset}");
@@ -355,7 +356,7 @@
         return;
     }
     *left -= size;
-    // Found at an earlier start already, it stands there.
+    // It may exist already from an earlier start.
     damage.quarantined = names.contains(&to)
         || disk.read(file).is_ok_and(|bytes| {
             let piece = bytes.get(*offset..*offset + *length);
--- a/src/store/simulated.rs
+++ b/src/store/simulated.rs
@@ -1,5 +1,5 @@
-//! A disk in memory that fails, or loses its process or its power, at a call of one's choice. What was not synced
-//! is kept apart: after a loss of power any part of it may be there.
+//! A simulated disk in memory that fails, or loses its process or its power, at a chosen call. Unsynced data
+//! is tracked separately: after a power loss any part of it may be there.
 
 use super::disk::Disk;
 use rand::rngs::SmallRng;
@@ -10,47 +10,48 @@
 use std::io;
 use std::rc::Rc;
 
-/// A disk writes so many bytes whole, or, where it is torn, their beginning.
+/// A sector is written whole or, if the write is torn, only its beginning.
 const SECTOR: usize = 512;
-/// Up to so many things that were not synced, each subset of them is played; beyond it so many are drawn.
+/// Up to ALL_OF unsynced changes, every subset of them is tried; with more, DRAWN random subsets.
 const ALL_OF: usize = 5;
 const DRAWN: usize = 24;
 
-/// What is done at a call, counted from 0.
+/// The fault at a call; calls are counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     None,
-    /// That call fails, after so many bytes of it; later ones work.
+    /// This call fails after so many bytes; later ones work.
     Fails {
         call: usize,
         after: usize,
     },
-    /// That call of those that read fails.
+    /// This read call fails; read calls are counted separately.
     FailsRead {
         call: usize,
     },
-    /// The process ends within that call, after so many bytes of it.
+    /// The process ends within this call, after so many bytes.
     Ends {
         call: usize,
         after: usize,
     },
 }
 
-/// Calls that do nothing, though they say that they did.
+/// Calls that report success without doing anything.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Lies {
     pub(crate) sync: bool,
     pub(crate) sync_folder: bool,
 }
 
-/// A file, whatever its name.
+/// A file, independent of its name.
 #[derive(Clone, Debug, Default)]
 struct Inode {
-    /// As it reads.
+    /// Contents as read by a process.
     data: Vec<u8>,
-    /// As it is on disk.
+    /// Contents on disk.
     synced: Vec<u8>,
-    /// Sectors that a sync would bring to disk, and those that a failed one has given up: nothing does.
+    /// Sectors that the next sync writes, and those that a failed sync has dropped: no later sync writes
+    /// them.
     dirty: BTreeSet<usize>,
     given_up: BTreeSet<usize>,
 }
@@ -100,13 +101,13 @@
     inodes: Vec<Inode>,
     names: BTreeMap<String, usize>,
     synced: BTreeMap<String, usize>,
-    /// What was done to names since the folder was synced.
+    /// Changes to names since the folder was last synced.
     unsynced: Vec<Name>,
     calls: usize,
-    /// Calls that read.
+    /// Number of read calls.
     reads: usize,
     gone: bool,
-    /// Bytes of each call that changes something, 0 of the others.
+    /// Bytes of each call that changes the disk, 0 for the others.
     sizes: Vec<usize>,
 }
 
@@ -118,7 +119,7 @@
         self.inodes.get_mut(inode)
     }
 
-    /// One thing that was not synced and may be there nevertheless.
+    /// All unsynced changes that may or may not survive a power loss.
     fn loose(&self) -> Vec<Loose> {
         let sectors = self.inodes.iter().enumerate().flat_map(|(n, inode)| {
             inode.touched().map(move |sector| Loose::Sector(n, sector)).collect::<Vec<_>>()
@@ -126,7 +127,7 @@
         sectors.chain((0..self.unsynced.len()).map(Loose::Name)).collect()
     }
 
-    /// The disk after a loss of power at which these came through; of one sector only the beginning.
+    /// The disk after a power loss that `came` survived; of the torn sector only the beginning.
     fn left(&self, came: &[Loose], torn: Option<(Loose, usize)>, long: bool) -> Files {
         let mut names = self.synced.clone();
         let mut inodes = self.inodes.clone();
@@ -141,7 +142,7 @@
         }
         let file = |inode: &Inode| {
             let mut bytes = inode.synced.clone();
-            // Its length may have come through without what stands there.
+            // The file's new length may have reached the disk without its data.
             bytes.resize(if long { bytes.len().max(inode.data.len()) } else { bytes.len() }, 0);
             bytes
         };
@@ -157,18 +158,18 @@
 
 type Watch = Box<dyn FnMut()>;
 
-/// Its clones are handles of the same disk.
+/// Clones are handles of the same disk.
 #[derive(Clone, Default)]
 pub(crate) struct Simulated {
     state: Rc<RefCell<State>>,
     fault: Rc<RefCell<Option<Fault>>>,
     lies: Lies,
-    /// Called after each call that has changed something.
+    /// Called after each call that changes the disk.
     watch: Rc<RefCell<Option<Watch>>>,
 }
 
 impl Simulated {
-    /// A disk that holds these, synced.
+    /// A disk that holds these files, synced.
     pub(crate) fn new(files: Files, fault: Fault) -> Self {
         let mut state = State::default();
         for (name, bytes) in files {
@@ -184,7 +185,7 @@
         Simulated { lies, ..self }
     }
 
-    /// From now on `watch` is called after each call that changes something.
+    /// From now on `watch` is called after each call that changes the disk.
     pub(crate) fn watch(&self, watch: impl FnMut() + 'static) {
         *self.watch.borrow_mut() = Some(Box::new(watch));
     }
@@ -193,8 +194,8 @@
         *self.watch.borrow_mut() = None;
     }
 
-    /// The disk as a process finds it that comes after one that was killed now: what was not synced reads as
-    /// written, and is still not synced.
+    /// The disk as the next process finds it if this one is killed now: unsynced data reads as written, and
+    /// is still unsynced.
     pub(crate) fn after_a_kill(&self) -> Simulated {
         let state = State { calls: 0, sizes: Vec::new(), ..self.state.borrow().clone() };
         Simulated { state: Rc::new(RefCell::new(state)), ..Simulated::default() }
@@ -205,7 +206,7 @@
         state.names.iter().map(|(name, n)| (name.clone(), state.inodes[*n].data.clone())).collect()
     }
 
-    /// What may be found after a loss of power now: each once.
+    /// All states that may be found after a power loss now, without duplicates.
     pub(crate) fn after_power_loss(&self, seed: u64) -> BTreeSet<Files> {
         let state = self.state.borrow();
         let (loose, mut rng) = (state.loose(), SmallRng::seed_from_u64(seed));
@@ -235,7 +236,7 @@
         left
     }
 
-    /// Spoils a byte, on disk and as it reads.
+    /// Corrupts a byte, both on disk and as read.
     pub(crate) fn spoil(&self, name: &str, at: usize) {
         if let Some(inode) = self.state.borrow_mut().inode(name) {
             inode.data[at] ^= 1;
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Bytes that each call so far has written.
+    /// Bytes written by each call so far.
     pub(crate) fn sizes(&self) -> Vec<usize> {
         self.state.borrow().sizes.clone()
     }
@@ -252,12 +253,12 @@
         self.state.borrow().gone
     }
 
-    /// Bytes, in whole sectors for each file.
+    /// Size in bytes, with each file rounded up to whole sectors.
     pub(crate) fn size(&self) -> u64 {
         self.files().values().map(|f| f.len().next_multiple_of(SECTOR) as u64).sum()
     }
 
-    /// One call that changes the disk: done whole, or as far as the fault lets it.
+    /// One call that changes the disk: completes, or stops where the fault says.
     fn call(&self, bytes: usize, act: impl FnOnce(&mut State, usize)) -> io::Result<()> {
         let done = {
             let mut state = self.state.borrow_mut();
@@ -313,7 +314,7 @@
             let inode = &mut state.inodes[n];
             let dirty = std::mem::take(&mut inode.dirty);
             if done == 0 {
-                // The pages count as clean from here on, and are not on disk.
+                // These pages count as clean from here on, but are not on disk.
                 inode.given_up.extend(dirty);
             } else {
                 dirty.iter().for_each(|sector| inode.bring(*sector, SECTOR));
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -1,5 +1,6 @@
-//! Who writes: the caller itself, or, where each commit waits for the disk, a thread that owns the segments. Then
-//! one commit is under way at a time, and what comes meanwhile goes with the next: one sync carries all of it.
+//! Runs commits: inline in the caller or, where each commit waits for the disk, on a thread that owns the
+//! segments. Then one commit is in progress at a time and records that arrive meanwhile go with the next
+//! (group commit): one sync covers all of them.
 
 use super::disk::Disk;
 use super::segments::{Batch, Segments, Status};
@@ -25,7 +26,7 @@
 where
     D::File: Send,
 {
-    /// Gives the segments to a thread of their own.
+    /// Starts a thread that owns the segments.
     pub fn spawn(mut segments: Segments<D>) -> io::Result<Self> {
         let (batches, coming) = mpsc::channel::<Batch>();
         let (tell, done) = unbounded_channel();
@@ -43,7 +44,7 @@
 
 #[cfg(test)]
 impl<D: Disk> Writer<D> {
-    /// One whose commits end when the other side says so.
+    /// A writer whose commits complete when the test says so.
     pub fn manual() -> (Self, mpsc::Receiver<Batch>, tokio::sync::mpsc::UnboundedSender<Done>) {
         let (batches, coming) = mpsc::channel();
         let (tell, done) = unbounded_channel();
@@ -52,7 +53,8 @@
 }
 
 impl<D: Disk> Writer<D> {
-    /// Commits the batch, which is left empty. None: that is under way, and `done` tells how it ended.
+    /// Commits the batch, which is left empty. None means that the commit is in progress and `done` returns
+    /// its result.
     pub fn commit(&mut self, batch: &mut Batch) -> Option<Done> {
         match self {
             Writer::Inline(segments) => Some(segments.commit(batch)),
@@ -66,12 +68,12 @@
         }
     }
 
-    /// A commit is under way.
+    /// Whether a commit is in progress.
     pub fn is_busy(&self) -> bool {
         matches!(self, Writer::Threaded(thread) if thread.busy)
     }
 
-    /// The end of the commit that is under way; waits for ever if none is.
+    /// Waits for the commit in progress; never returns if there is none.
     pub async fn done(&mut self) -> Done {
         match self {
             Writer::Threaded(thread) if thread.busy => {
