--- a/src/node/channel.rs
+++ b/src/node/channel.rs
@@ -185,7 +185,7 @@
                 let (word, with): (HandoverMessage, bool) = ciborium::from_reader(&frame[..]).map_err(bad)?;
                 let descriptor = if with { self.descriptors.pop_front() } else { None };
                 if with && descriptor.is_none() {
-                    return Err(bad("a descriptor is missing"));
+                    return Err(bad("a message announces a file descriptor that did not arrive"));
                 }
                 return Ok((word, descriptor));
             }
@@ -203,7 +203,7 @@
         let Some(length) = self.bytes.first_chunk::<HEAD>() else { return Ok(None) };
         let end = HEAD + u32::from_le_bytes(*length) as usize;
         if end > FRAME_MOST {
-            return Err(bad("a frame is too long"));
+            return Err(bad(format!("frame of {end} bytes exceeds the limit of {FRAME_MOST}")));
         }
         if self.bytes.len() < end {
             return Ok(None);
--- a/src/node/commit.rs
+++ b/src/node/commit.rs
@@ -110,7 +110,7 @@
         match &result {
             Ok(()) => {
                 if self.dues.failed.take().is_some() {
-                    say!("journal: works again");
+                    say!("journal: writing works again");
                 }
             }
             Err(e) => {
--- a/src/node/commit_test.rs
+++ b/src/node/commit_test.rs
@@ -1,4 +1,5 @@
-//! A courier whose commits end when the test says so: nothing that depends on one comes before it.
+//! Tests with commits that complete when the test says so: no action is performed before the commit it
+//! depends on.
 
 use super::*;
 use crate::node::calls::Calls;
@@ -21,11 +22,11 @@
 use tokio::sync::mpsc::Sender;
 use tokio::task::{LocalSet, spawn_local, yield_now};
 
-/// Longest wait for a connection. The tests hold commits open between an attempt and its call, on a machine that may
-/// stand still for longer than the second of the usual settings; no test here is about this wait.
+/// Connect timeout. The tests hold commits open between an attempt and its call, on a machine that may stall
+/// for longer than the usual timeout of one second; no test here is about this timeout.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Class of messages that may run once only.
+/// Class of messages that must not run twice.
 const PAYMENT: usize = 2;
 
 struct Bench {
@@ -36,7 +37,7 @@
     done: Tell,
     /// The one endpoint of destination 7.
     endpoint: TcpListener,
-    /// Where notices go.
+    /// Receives notices.
     platform: TcpListener,
 }
 
@@ -98,7 +99,7 @@
         Bench { folder, news, standing, batches, done, endpoint, platform }
     }
 
-    /// Hands a message in; where its answer comes.
+    /// Submits a message; returns the receiver of the response.
     async fn offer(&self, id: &str, class: usize, left: Duration) -> oneshot::Receiver<Reply> {
         let letter = Message {
             id: id.to_owned(),
@@ -114,20 +115,20 @@
         answer
     }
 
-    /// The next commit that is begun.
+    /// Waits until the next commit is started.
     async fn batch(&self) {
         while self.batches.try_recv().is_err() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
 
-    /// Ends the commit that is under way.
+    /// Completes the commit in progress.
     fn end(&self, result: io::Result<()>) {
         self.done.send((result, Status::default())).expect("the courier runs");
     }
 }
 
-/// Lets everything that can go on do so. What must not happen would, long before this is over.
+/// Lets all tasks run. Anything that must not happen would have happened long before this returns.
 async fn pass() {
     for _ in 0..50 {
         yield_now().await;
@@ -143,19 +144,20 @@
 async fn neither_the_202_nor_the_first_byte_comes_before_its_commit() {
     let test = async {
         let bench = Bench::new("order").await;
-        // One that may run once only is waited for until its deadline: a process that stands still for longer than
-        // an attempt that may be repeated would begin another one, whose commit nobody here ends.
+        // A message that must not run twice is waited for until its deadline. One that may be repeated would
+        // be sent again if the process stalls for longer than an attempt, and no one here completes that
+        // commit.
         let mut answer = bench.offer("m1", PAYMENT, Duration::from_secs(20)).await;
         bench.batch().await;
         pass().await;
         assert!(answer.try_recv().is_err(), "not told before it is kept");
-        // The same one, handed in again meanwhile: a 202 would promise what is not kept yet.
+        // The same message, submitted again meanwhile: a 202 would promise what is not durable yet.
         let mut again = bench.offer("m1", PAYMENT, Duration::from_secs(20)).await;
         pass().await;
         assert!(again.try_recv().is_err(), "nor is the other, nor refused: it would be handed in anew");
         bench.end(Ok(()));
         assert_eq!((answer.await, again.await), (Ok(Reply::Taken), Ok(Reply::Taken)));
-        // The attempt, a commit of its own.
+        // The attempt has a commit of its own.
         bench.batch().await;
         pass().await;
         assert!(!connects(&bench.endpoint).await, "not called before the attempt is kept");
@@ -199,7 +201,7 @@
         assert!(!bench.standing.ready.get(), "ready says no");
         let refused = bench.offer("m2", 1, Duration::from_secs(20)).await;
         assert_eq!(refused.await, Ok(Reply::Unavailable));
-        // Tried again by itself, and served again once it works.
+        // The commit is retried without a new event, and messages are accepted again once it succeeds.
         bench.batch().await;
         bench.end(Ok(()));
         while !bench.standing.ready.get() {
@@ -213,14 +215,14 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A folder that stays full: a notice needs no record once its message's time is up.
+/// The disk stays full: a notice needs no record once its message's deadline has passed.
 #[tokio::test]
 async fn a_notice_waits_for_its_record_but_not_beyond_the_time_of_its_message() {
     let test = async {
         let bench = Bench::new("notice").await;
         drop(bench.platform.accept().await.expect("the watch"));
         let left = Duration::from_millis(400);
-        // The message's time ends no sooner than this.
+        // The message's deadline is not before this.
         let until = unix() + left;
         let answer = bench.offer("m1", 2, left).await;
         bench.batch().await;
--- a/src/node/golden_test.rs
+++ b/src/node/golden_test.rs
@@ -1,4 +1,4 @@
-//! The courier's records on disk and its words to its successor, byte for byte.
+//! The courier's records on disk and its handover messages, byte for byte.
 
 use super::channel::{
     ClientConnection, EndedCall, EndpointState, HandoverMessage, HandoverState, InFlightCall,
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -117,7 +117,7 @@
                 }
             }
             Err(e) if !told => {
-                say!("handover: the process that serves does not hand over yet: {e}");
+                say!("handover: the serving process does not hand over yet: {e}");
                 told = true;
             }
             Err(_) => {}
@@ -135,7 +135,7 @@
     };
     let scheduler = Scheduler::unpack(&state.scheduler, set.clone(), seed);
     let scheduler =
-        scheduler.inspect_err(|e| say!("handover: starting from the journal, the state is of no use: {e}"));
+        scheduler.inspect_err(|e| say!("handover: cannot load the state, starting from the journal: {e}"));
     sender.send(&HandoverMessage::Ready { state_loaded: scheduler.is_ok() }, None).await?;
     match timeout(MESSAGE_TIMEOUT, receiver.receive()).await?? {
         (HandoverMessage::LockReleased, _) => {
@@ -177,7 +177,7 @@
             Ok((HandoverMessage::Client(client), Some(descriptor))) => {
                 clients += 1;
                 if let Err(e) = intake.clone().adopt(descriptor, client) {
-                    say!("handover: a client's connection cannot be used: {e}");
+                    say!("handover: cannot take over a client connection: {e}");
                 }
             }
             Ok((HandoverMessage::Ended(ended), _)) => {
@@ -199,7 +199,10 @@
             Err(_) => break,
         }
     }
-    say!("handover: the process before has ended; {clients} clients came from it, {} calls broke", out.len());
+    say!(
+        "handover: the previous process has ended; {clients} client connections came from it, {} calls were lost",
+        out.len()
+    );
     for (message, (attempt, endpoint)) in out {
         let end = CallEnd { outcome: Outcome::Reset, over: false, report: None, at: Instant::now() };
         let _ = news.send(News::Called { message, attempt, endpoint, end }).await;
@@ -299,14 +302,14 @@
         match self.send_state(to).await {
             Ok(()) => {}
             Err(e) => {
-                say!("handover: not taken over: {e}");
+                say!("handover: aborted, this process keeps serving: {e}");
                 return false;
             }
         }
         drop(lock.take());
         // If this message cannot be sent, the lock is released all the same: whoever takes it is the courier.
         if let Err(e) = to.sender.send(&HandoverMessage::LockReleased, None).await {
-            say!("handover: the successor is gone: {e}");
+            say!("handover: cannot reach the successor after releasing the lock: {e}");
         }
         true
     }
@@ -318,7 +321,7 @@
             return Err(io::Error::other("the journal cannot be written"));
         }
         let state = self.state().map_err(io::Error::other)?;
-        say!("handover: to a successor, with {} calls out", state.in_flight.len());
+        say!("handover: sending the state to a successor, with {} calls in flight", state.in_flight.len());
         timeout(MESSAGE_TIMEOUT, to.sender.send(&HandoverMessage::State(Box::new(state)), None)).await??;
         match timeout(MESSAGE_TIMEOUT, to.receiver.receive()).await?? {
             (HandoverMessage::Ready { state_loaded: true }, _) => Ok(()),
@@ -399,7 +402,7 @@
             News::Called { message, attempt, endpoint, end } => {
                 let m = self.held.get_mut(&message)?;
                 m.out.take()?;
-                say!("{} attempt {attempt}: {:?}, told to the successor", m.letter.id, end.outcome);
+                say!("{} attempt {attempt}: {:?}, passed to the successor", m.letter.id, end.outcome);
                 Some(HandoverMessage::Ended(EndedCall {
                     message,
                     attempt,
--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -199,9 +199,9 @@
             Ok(bytes) if scan::is_whole(&bytes, self.number, &self.whole) => {
                 return Scrubbed { number: self.number, damage: None };
             }
-            Ok(bytes) => ("spoilt since it was written", bytes.len()),
+            Ok(bytes) => ("corrupted since it was written", bytes.len()),
             Err(e) if e.kind() == io::ErrorKind::NotFound => ("vanished since it was written", 0),
-            Err(_) => ("cannot be read any more", 0),
+            Err(_) => ("can no longer be read", 0),
         };
         let mut damage = Damage { file, offset: 0, length, what, quarantined: false };
         let names = self.disk.list().unwrap_or_default();
@@ -389,7 +389,9 @@
         old_journal::carry_over(folder, |live, to| fill(to, Plan::of(options, seed), options.room, live))?;
         let path = folder.join(NAME);
         let opened = match fs::symlink_metadata(&path) {
-            Ok(found) if !found.is_dir() => Err(io::Error::other(format!("{} is no folder", path.display()))),
+            Ok(found) if !found.is_dir() => {
+                Err(io::Error::other(format!("{} is not a folder", path.display())))
+            }
             _ => Journal::on(Folder::open(&path)?, Plan::of(options, seed), options.room),
         };
         let (mut journal, recovery) = opened?;
--- a/src/node/journal_test.rs
+++ b/src/node/journal_test.rs
@@ -57,7 +57,7 @@
     Attempt { host: host.to_owned(), zone: "a".to_owned(), sent, may_have_run: true }
 }
 
-/// What is live, without the time at which it was taken on, which is the clock's.
+/// The live messages without the time of acceptance, which comes from the clock.
 pub(super) type State = Vec<(u64, LiveMessage)>;
 
 pub(super) fn state<D: Disk>(journal: &Journal<D>) -> State {
@@ -66,7 +66,7 @@
 
 type Step = fn(&mut Journal<Simulated>, u64);
 
-/// What a message goes through, in some order that can be: one step a flush.
+/// A possible life of a message; each step is followed by a commit.
 const STEPS: [Step; 8] = [
     |j, n| j.accept(n, test_message(&format!("m{n}"), (n % 40) as usize * 9)),
     |j, n| j.attempt(n, attempt("s-1")),
@@ -89,7 +89,7 @@
     Journal::on(disk.clone(), Plan::of(journal_options(room), 7), room)
 }
 
-/// Plays the script for so many messages; after each flush that succeeds `done` is told.
+/// Runs the steps for so many messages; calls `done` after each successful commit.
 fn play(journal: &mut Journal<Simulated>, messages: u64, mut done: impl FnMut(&Journal<Simulated>)) {
     for n in 1..=messages {
         for step in STEPS {
@@ -101,11 +101,11 @@
     }
 }
 
-/// States that may be found where the process ended: the one after the last flush that succeeded, and those
-/// after each record of the flush that was cut short.
+/// States that may be found after the process ended: the one after the last successful commit, and those
+/// after each record of the interrupted commit.
 fn possible(before: &State, after: &State) -> Vec<State> {
     let mut all = vec![before.clone(), after.clone()];
-    // Two records in a flush: a message that was taken on, and its attempt.
+    // Two records in one commit: a new message and its attempt.
     let mut between = after.clone();
     between.iter_mut().for_each(|(n, live)| {
         if !before.iter().any(|(m, _)| m == n) {
@@ -128,11 +128,11 @@
     assert_eq!(recovery.last, 1030);
 }
 
-/// The process ends within every call on the disk, after every so many bytes of it: what was acknowledged is
-/// there, what ended is not, and the next start finds the same.
+/// The process ends within every disk call, after different numbers of bytes: acknowledged messages are
+/// there, ended ones are not, and the next start finds the same state.
 #[test]
 fn every_point_at_which_the_process_may_end_leaves_what_was_acknowledged() {
-    // Small segments, so that some are sealed and dropped on the way.
+    // Small segments, so that some are sealed and dropped during the test.
     let room = 150_000;
     let (messages, mut points) = (60, 0u64);
     let disk = Simulated::default();
@@ -164,7 +164,7 @@
     assert!(points > 5_000, "{points}");
 }
 
-/// Every call fails once, after part of it: nothing is lost, and nothing counts as damaged.
+/// Every disk call fails once, after part of its bytes: nothing is lost and nothing is reported as damage.
 #[test]
 fn a_call_that_fails_costs_nothing_once_the_disk_works_again() {
     let room = 150_000;
@@ -190,7 +190,8 @@
     assert!(points > 900, "{points}");
 }
 
-/// Each call that reads fails at a start: that start is refused, nothing is changed, and the next one finds all.
+/// Each read call fails during a start: that start is refused, nothing is changed, and the next one finds
+/// everything.
 #[test]
 fn a_folder_that_cannot_be_read_refuses_the_start_and_loses_nothing() {
     let disk = full(700);
@@ -208,7 +209,7 @@
     }
 }
 
-/// Where the policy is to refuse, a start on damage tells it and changes nothing.
+/// With `refuse_damage`, a start on a damaged journal reports the damage and changes nothing.
 #[test]
 fn a_start_on_damage_is_refused_where_the_policy_says_so() {
     let refusing = |disk: &Simulated| {
@@ -223,7 +224,7 @@
     assert_eq!(spoilt.files(), before);
 }
 
-/// A sealed segment that spoils while the process runs: found by reading it again, and written anew from memory.
+/// A sealed segment is corrupted while the process runs: scrubbing finds it, and it is rewritten from memory.
 #[test]
 fn what_spoils_while_it_runs_is_written_anew_from_memory() {
     let disk = full(1000);
@@ -248,7 +249,7 @@
     assert_eq!((state(&again), recovery.damage.len(), recovery.assumed_run), (want, 0, 0));
 }
 
-/// The only sealed segment is dropped: there is nothing to read again, and nothing has vanished.
+/// After the only sealed segment is dropped there is nothing to scrub, and nothing is reported as vanished.
 #[test]
 fn a_segment_that_was_dropped_is_not_read_again() {
     let (mut journal, _) = simulated(&Simulated::default(), DISK).expect("opens");
@@ -260,7 +261,7 @@
     assert!(journal.scrub().is_none());
 }
 
-/// Messages that live, each with one attempt that is known not to have run.
+/// Live messages, each with one attempt that is known not to have run.
 fn full(messages: u64) -> Simulated {
     let disk = Simulated::default();
     let (mut journal, _) = simulated(&disk, DISK).expect("opens");
@@ -280,7 +281,7 @@
     Simulated::new(files.into_keys().zip(contents).collect(), Fault::None)
 }
 
-/// What was measured of the form of before: 199 of 2,000 resumed, and no word.
+/// In the old format a flipped bit silently lost everything behind it: 199 of 2,000 messages were resumed.
 #[test]
 fn one_flipped_bit_costs_one_message_at_the_most() {
     let disk = full(1000);
@@ -294,7 +295,7 @@
         assert_eq!(recovery.damage.len(), 1, "{at}: {recovery:?}");
         let kept = recovery.damage[0].quarantined && spoilt.files().len() > disk.files().len();
         assert!(kept, "{at}: {recovery:?}");
-        // It was never cut off: the next start finds the same.
+        // The damaged part is not removed: the next start finds the same.
         let (again, second) = simulated(&spoilt, DISK).expect("opens");
         assert_eq!(state(&again), state(&journal), "{at}");
         assert_eq!(second.damage, recovery.damage, "{at}");
@@ -308,7 +309,7 @@
     let (journal, recovery) = simulated(&spoilt, DISK).expect("opens");
     assert!(journal.count() >= 997, "{} of 1000", journal.count());
     assert!(recovery.damage.len() <= 3, "{recovery:?}");
-    // Whose the attempts in it were nobody knows: those that lived then may have run.
+    // It is not known whose attempts were in it: all messages that were live then may have run.
     assert!(recovery.assumed_run > 10 && recovery.assumed_run < 60, "{recovery:?}");
     let may = |live: &LiveMessage| live.attempts.iter().any(|a| a.may_have_run);
     assert_eq!(journal.live().filter(|(_, live)| may(live)).count(), recovery.assumed_run);
@@ -316,7 +317,7 @@
     assert_eq!((state(&again), second.assumed_run), (state(&journal), 0), "they are doubted once");
 }
 
-/// The spoilt record by its kind: what is known of its message afterwards.
+/// For each kind of record: what is known of its message after the record is corrupted.
 #[test]
 fn a_spoilt_record_counts_against_its_own_message_alone() {
     let disk = Simulated::default();
@@ -336,7 +337,7 @@
         journal.flush().expect("written");
         at.push(end(&disk) - 1);
     }
-    // The last byte of each record is its payload's, where it has one.
+    // The last byte of a record belongs to its payload, if it has one.
     let spoilt = |record: usize, steps: usize| {
         let disk = spoil(&disk, |files| {
             files[0].truncate(at[steps - 1] + 1);
@@ -374,7 +375,7 @@
     assert!(journal.count() > 500 && journal.count() < 1000);
     assert!(recovery.damage.iter().any(|d| d.what.contains("vanished")), "{recovery:?}");
     assert!(recovery.assumed_run > 0);
-    // A copy of one under the number of the next: what it holds is not played again.
+    // A copy of a segment under the next number: its records are not applied again.
     let mut files = disk.files();
     let copy = files[&names[0]].clone();
     files.insert(format!("{:016x}", names.len() + 1), copy);
@@ -446,7 +447,7 @@
 
 #[test]
 fn as_many_usual_messages_fit_as_a_courier_holds() {
-    // Found on a day with a backlog: the room for later records was counted so high that 580 filled the disk.
+    // With too large a reserve for later records, 580 messages of a backlog filled the disk.
     let (mut j, _) = simulated(&Simulated::default(), DISK).expect("opens");
     for n in 1..=1000u64 {
         let new = test_message(&format!("9b1f03aa5c7e{n:04x}"), 480);
@@ -467,7 +468,7 @@
     assert_eq!(segments.len(), 1);
     let (again, recovery) = place.open(2);
     assert_eq!((state(&again), recovery.last), (state(&journal), 1));
-    // Two hundred starts, each of which writes: the old segments go.
+    // Two hundred starts that all write: old segments are dropped.
     for seed in 3..200 {
         let (mut journal, _) = place.open(seed);
         journal.attempt(1, attempt(&"s".repeat(800)));
@@ -478,7 +479,7 @@
     assert_eq!(last.get(1).expect("it lives").attempts.len(), 198);
 }
 
-/// Bytes as the program of before wrote them: a message with an attempt, one judged, one ended.
+/// A journal in the old format: a message with an attempt, one with a verdict, one that has ended.
 fn old_form() -> Vec<u8> {
     let text = |to: &mut Vec<u8>, text: &str| {
         to.extend_from_slice(&(text.len() as u32).to_le_bytes());
@@ -533,7 +534,7 @@
         left.sort();
         assert_eq!(left, [NAME]);
     };
-    // As it was left, with a rewrite that was cut short, with the new one half made, and with both renamed.
+    // With a leftover rewrite and a partial new journal; between the two renames; with only the removal pending.
     let place = Place::new();
     fs::write(place.0.join(NAME), old_form()).expect("written");
     fs::write(place.0.join("journal.next"), b"half a rewrite").expect("written");
@@ -551,7 +552,7 @@
     check(&done);
 }
 
-/// What may happen to a file: a byte changed, a piece zeroed, cut out or doubled, the end lost.
+/// Damage to a file: a byte changed; a part zeroed, removed or duplicated; the end lost.
 #[derive(Clone, Copy, Debug)]
 enum Harm {
     Byte(u8),
@@ -593,24 +594,24 @@
 proptest::proptest! {
     #![proptest_config(proptest::prelude::ProptestConfig { cases: 300, failure_persistence: None, ..Default::default() })]
 
-    /// Whatever happens to the files: nothing is made up, nothing that may have run counts as never run, what
-    /// was told once is told by the next start, and that finds the same.
+    /// Whatever damage a file has: no message is invented, no attempt that may have run counts as not run,
+    /// and the next start reports the same damage and finds the same state.
     #[test]
     fn any_harm_costs_what_it_hit_and_makes_nothing_up(harms in proptest::collection::vec(harm(), 1..6)) {
         costs_what_it_hit(&harms)?;
     }
 }
 
-/// A file's number, a share of its length, and what happens there.
+/// Index of the file, offset as a share of its length, and the damage.
 type Harmed = (usize, f64, Harm);
 
-/// The property: a folder that suffered this is read for what it was.
+/// The property: after this damage the folder still yields only what was written to it.
 fn costs_what_it_hit(harms: &[Harmed]) -> Result<(), proptest::test_runner::TestCaseError> {
     let disk = full(600);
     let mut files = disk.files();
     let names: Vec<String> = files.keys().cloned().collect();
     for (file, share, harm) in harms {
-        // Not to the last one: that its end is gone, nothing tells.
+        // Not the last file: nothing shows that its end is missing.
         let bytes = files.get_mut(&names[file % (names.len() - 1)]).expect("a file");
         let at = (bytes.len() as f64 * share) as usize;
         suffer(bytes, at, *harm);
@@ -619,7 +620,8 @@
     let (journal, recovery) = simulated(&spoilt, DISK).expect("opens");
     for (n, live) in journal.live() {
         proptest::prop_assert_eq!(&live.submitted.id, &format!("m{n}"));
-        // All were tried once, and that never ran: its loss makes them ones that may have.
+        // All were tried once, and that attempt did not run: if that record is lost, the attempt may have
+        // run.
         let may = live.attempts.iter().any(|a| a.may_have_run);
         let known = live.attempts.len() == 1 && !may;
         proptest::prop_assert!(known || may || live.verdict.is_some(), "{:?}", live);
@@ -631,14 +633,14 @@
     Ok(())
 }
 
-/// What the property once found: a piece written twice, so that the payload of one message's record stands behind
-/// the head of the next one's.
+/// Found by the property test: a duplicated part puts the payload of one message's record behind the header
+/// of the next one's.
 #[test]
 fn a_piece_written_twice_gives_no_message_the_id_of_another() {
     costs_what_it_hit(&[(1, 0.1823849507130787, Harm::Twice(498))]).expect("nothing is made up");
 }
 
-/// The same from any record of a message to that of any later one.
+/// The same from any record of a message to any later one.
 #[test]
 fn a_piece_written_twice_between_any_two_messages_makes_nothing_up() {
     let (name, bytes) = full(20).files().into_iter().next().expect("a segment");
@@ -664,7 +666,7 @@
     }
 }
 
-/// A record as the program of before wrote it: its id under a checksum that does not know the message's number.
+/// A record of an earlier version: the checksum of its id does not include the message's number.
 #[test]
 fn an_id_under_the_checksum_of_before_is_still_read() {
     let live = LiveMessage { submitted: test_message("m7", 300), ..LiveMessage::default() };
--- a/src/node/old_journal.rs
+++ b/src/node/old_journal.rs
@@ -47,7 +47,7 @@
         if sound < bytes.len() {
             say!("journal: {}", unread(&bytes, sound));
         }
-        say!("journal: {} messages are carried over from the form of before", live.len());
+        say!("journal: {} messages are migrated from the old format", live.len());
         write(&live, &new)?;
         fs::rename(&journal, &out)?;
     }
@@ -108,7 +108,7 @@
 
 /// Describes the part of an old journal behind its valid prefix.
 pub fn unread(bytes: &[u8], sound: usize) -> Damage {
-    let what = "the form of before cannot be read from here on";
+    let what = "the old format cannot be read from here on";
     Damage { file: NAME.to_owned(), offset: sound, length: bytes.len() - sound, what, quarantined: false }
 }
 
--- a/src/node/power_test.rs
+++ b/src/node/power_test.rs
@@ -1,4 +1,4 @@
-//! Losses of power, at every call on the disk and with every part of what was not synced there or not.
+//! Power losses at every disk call, with every subset of the unsynced changes on disk or not.
 
 use super::tests::{State, attempt, state, test_message};
 use super::*;
@@ -11,17 +11,17 @@
 
 const ROOM: u64 = 12_000;
 
-/// Small segments, so that some are sealed and dropped on the way.
+/// Small segments, so that some are sealed and dropped during the test.
 fn open(disk: &Simulated, seed: u64) -> io::Result<(Journal<Simulated>, Recovery)> {
     let plan =
         Plan { size: 1536, seed, quarantine_room: 4096, durability: Durability::Power, refuse_damage: false };
     Journal::on(disk.clone(), plan, ROOM)
 }
 
-/// What may be found at this moment: the state that was committed last, and those after each record since.
+/// States that may be found at this moment: the one last committed, and those after each record since.
 type Allowed = Rc<RefCell<Vec<State>>>;
 
-/// One step of a message's life, drawn; each writes one record or none.
+/// A random step in a message's life; it writes one record or none.
 fn step(journal: &mut Journal<Simulated>, rng: &mut SmallRng, next: &mut u64) {
     let live: Vec<u64> = journal.live().map(|(n, _)| n).collect();
     let n = if live.is_empty() { 0 } else { live[rng.random_range(0..live.len())] };
@@ -39,7 +39,7 @@
     }
 }
 
-/// Plays so many steps, drawn from the seed, with a commit after one or several.
+/// Plays `steps` random steps, with a commit after one or several of them.
 fn play(journal: &mut Journal<Simulated>, seed: u64, steps: usize, allowed: &Allowed) {
     let (mut rng, mut next) = (SmallRng::seed_from_u64(seed), 0);
     for _ in 0..steps {
@@ -51,7 +51,8 @@
     }
 }
 
-/// A state in few words: message, what may have run of its attempts, whether it is decided.
+/// A short form of a state: message numbers, which attempts may have run (+) or did not (-), and whether it
+/// is decided (!).
 fn brief(state: &State) -> String {
     let one = |(n, m): &(u64, LiveMessage)| {
         let tried: String = m.attempts.iter().map(|a| if a.may_have_run { '+' } else { '-' }).collect();
@@ -64,7 +65,7 @@
     states.iter().map(|s| format!("[{}]", brief(s))).collect::<Vec<_>>().join(" ")
 }
 
-/// What a run has shown: states that were recovered, and the first that was wrong.
+/// The result of a run: how many states were recovered, and the first wrong one.
 #[derive(Default)]
 struct Shown {
     states: u64,
@@ -78,8 +79,8 @@
         }
     }
 
-    /// A disk that a start comes upon. What the start finds must be allowed, the next one must find the same,
-    /// and so must one after a loss of power at any call since.
+    /// Starts on a disk. The state found must be allowed, the next start must find the same, and so must a
+    /// start after a power loss at any call since.
     fn recover(&mut self, disk: &Simulated, allowed: &[State], deep: bool) {
         self.states += 1;
         let within = Rc::new(RefCell::new(Vec::new()));
@@ -102,7 +103,8 @@
             format!("again: {:?}, first [{}]", again.as_ref().map(brief), brief(&found))
         });
         if deep {
-            // While it starts, whatever was allowed before; then what it has found, as others may have heard of it.
+            // During the start any state allowed before may be found; after it only the state it found, as
+            // others may have acted on that.
             for left in within.take() {
                 self.find(left, allowed);
             }
@@ -121,11 +123,11 @@
     }
 }
 
-/// Every so many recoveries, what a loss of power during it would leave is recovered too.
+/// One of this many recoveries is itself interrupted by power losses.
 const DEEP: u64 = 24;
 
-/// One script on one disk: after each call from `from` to `to`, all that a loss of power or the end of the process
-/// could leave is recovered.
+/// Runs one script on one disk: after each call from `from` to `to`, every state that a power loss or the end
+/// of the process could leave is recovered.
 fn run(seed: u64, steps: usize, fault: Fault, lies: Lies, (from, to): (usize, usize)) -> Shown {
     let disk = Simulated::new(Files::new(), fault).lying(lies);
     let allowed: Allowed = Rc::new(RefCell::new(vec![State::new()]));
@@ -153,7 +155,7 @@
 const TRUE: Lies = Lies { sync: false, sync_folder: false };
 const ALL: (usize, usize) = (0, usize::MAX);
 
-/// Runs on several threads; panics with the first that is wrong.
+/// Runs on several threads; panics on the first wrong state.
 fn all(runs: Vec<Box<dyn FnOnce() -> Shown + Send>>) -> u64 {
     let runs = std::sync::Mutex::new(runs);
     let worker = || {
@@ -173,7 +175,7 @@
     })
 }
 
-/// Past the capture of the test's output: the count is part of the record of each run.
+/// Bypasses the capture of test output: the counts belong in the log of each run.
 fn print(text: &str) {
     use std::io::Write;
     let _ = writeln!(io::stderr(), "{text}");
@@ -189,7 +191,8 @@
     assert!(states >= 100_000, "{states}");
 }
 
-/// Each call fails once, whole or after a part of it; then the power goes, at any of the calls that follow.
+/// Each call fails once, at its start or after half of its bytes; then the power is lost at any of the
+/// following calls.
 #[test]
 fn a_loss_of_power_after_a_call_that_failed_leaves_what_was_acknowledged() {
     let calls = |seed| {
@@ -213,7 +216,7 @@
     assert!(faults > 150 && states > 100_000, "{faults} {states}");
 }
 
-/// Each safeguard is needed: without it one of the runs above goes wrong.
+/// Each safeguard is needed: with any one disabled, one of the runs goes wrong.
 #[test]
 fn no_safeguard_can_be_left_out() {
     let wrong = |away: Option<Safeguard>, lies: Lies| {
@@ -239,7 +242,7 @@
     assert!(without(Some(Safeguard::Identity), stale_block_counts), "the segment's identity is needed");
 }
 
-/// A folder that is begun anew, and a block that the one before has left behind the end of its file.
+/// A new folder, in which a block of an earlier file is left behind the end of a file.
 fn stale_block_counts() -> bool {
     let life = |disk: &Simulated, seed| {
         let (mut journal, _) = open(disk, seed).expect("opens");
--- a/src/store/scan.rs
+++ b/src/store/scan.rs
@@ -247,7 +247,7 @@
                     }
                     next += 1;
                     if !sound {
-                        self.damaged(n, *at, payload.len(), "a record fails its check");
+                        self.damaged(n, *at, payload.len(), "a record fails its checksum");
                     }
                     if label.kind != DROPPED {
                         (self.read)(Read::Record(record));
@@ -257,7 +257,7 @@
                     }
                 }
                 Piece::Unknown { bytes } => {
-                    self.damaged(n, *at, bytes.len(), "no record");
+                    self.damaged(n, *at, bytes.len(), "not a valid record");
                     // Behind a gap, the next sequence number shows whether records are missing; at the very
                     // end nothing does.
                     if last && place + 1 == found.len() {
@@ -270,7 +270,7 @@
         if let Some(offset) = part.cut {
             let end = found.last().map_or(offset, |(at, piece)| at + piece.size());
             let torn = matches!(found.last(), Some((at, Piece::Torn { .. })) if *at == offset);
-            let what = "the last write was cut short; nothing had depended on it";
+            let what = "the last write was cut short by a power loss; it had not been acknowledged";
             self.scan.cut = (!torn).then(|| Damage {
                 file: name(n),
                 offset,
@@ -314,7 +314,7 @@
             continue;
         }
         for vanished in expected.map_or(n, |e| e.min(n))..n {
-            reader.damaged(vanished, 0, 0, "the segment has vanished");
+            reader.damaged(vanished, 0, 0, "the segment file has vanished");
             (reader.read)(Read::Missing);
         }
         expected = Some(n + 1);
@@ -334,14 +334,19 @@
             }
             (None, Ok(_)) => {
                 // A copy of another segment, which holds the same records.
-                reader.damaged(n, 0, bytes.len(), "a segment under another's number");
+                reader.damaged(
+                    n,
+                    0,
+                    bytes.len(),
+                    "the file name and the segment number in the header differ",
+                );
                 (reader.read)(Read::Missing);
             }
             // Created, but its first write was cut short. If it held more, gaps in the sequence numbers show
             // it.
             (_, Err(_)) if bytes.len() < frame::HEADS => {}
             (_, Err(_)) => {
-                reader.damaged(n, 0, bytes.len(), "no head of the segment is sound");
+                reader.damaged(n, 0, bytes.len(), "both copies of the segment header are corrupt");
                 (reader.read)(Read::Missing);
             }
         }
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -87,5 +87,5 @@
 }
 
 fn thread_ended() -> io::Error {
-    io::Error::other("the thread that writes has ended")
+    io::Error::other("the journal writer thread has ended")
 }
