--- a/benches/journal.rs
+++ b/benches/journal.rs
@@ -70,7 +70,7 @@
         journal.attempt(n, attempt("s-117"));
         journal.never_ran(n, 0);
         if n % 10 == 0 {
-            journal.judge(n, Verdict::Bounced { wait: None });
+            journal.record_verdict(n, Verdict::Bounced { wait: None });
         }
         if n % 64 == 0 {
             journal.commit().expect("at once").expect("written");
--- a/fuzz/fuzz_targets/journal.rs
+++ b/fuzz/fuzz_targets/journal.rs
@@ -19,7 +19,7 @@
             for (n, piece) in rest.chunks(1 + usize::from(how >> 2)).enumerate() {
                 let (kind, payload) = piece.split_first().map_or((0, piece), |(k, p)| (k % 8, p));
                 let message = u64::from(payload.first().copied().unwrap_or_default() % 4);
-                frame::put(&mut bytes, 9, Label { kind, sequence: n as u64 + 1, message }, payload);
+                frame::append_record(&mut bytes, 9, Label { kind, sequence: n as u64 + 1, message }, payload);
             }
             bytes
         }
--- a/src/bin/courier.rs
+++ b/src/bin/courier.rs
@@ -64,7 +64,7 @@
         Journal::Repair { dir } => offline::repair(&dir, u64::from(std::process::id()), out),
     };
     match done {
-        Ok(Finding::Sound | Finding::Mended) => ExitCode::SUCCESS,
+        Ok(Finding::Undamaged | Finding::Repaired) => ExitCode::SUCCESS,
         Ok(Finding::Damaged) => ExitCode::from(DAMAGED),
         Err(fault) => {
             told(&fault);
--- a/src/node/channel.rs
+++ b/src/node/channel.rs
@@ -18,9 +18,9 @@
 use tokio::net::UnixStream;
 
 /// Upper bound of a frame: limits memory if the peer is not a courier.
-const FRAME_MOST: usize = 16 * 1024 * 1024;
-const HEAD: usize = 4;
-const PIECE: usize = 64 * 1024;
+const MAX_FRAME: usize = 16 * 1024 * 1024;
+const LENGTH_PREFIX: usize = 4;
+const READ_SIZE: usize = 64 * 1024;
 
 /// An endpoint as the old process knows it.
 #[derive(Debug, Serialize, Deserialize)]
@@ -142,18 +142,18 @@
     (sender, HandoverReceiver { stream, bytes: Vec::new(), descriptors: VecDeque::new() })
 }
 
-fn bad(why: impl ToString) -> io::Error {
+fn invalid_data(why: impl ToString) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, why.to_string())
 }
 
 impl HandoverSender {
-    pub async fn send(&self, word: &HandoverMessage, with: Option<OwnedFd>) -> io::Result<()> {
+    pub async fn send(&self, message: &HandoverMessage, with: Option<OwnedFd>) -> io::Result<()> {
         // The frame tells whether a descriptor belongs to it, so that each descriptor is matched to its
         // message.
-        let mut bytes = vec![0; HEAD];
-        ciborium::into_writer(&(word, with.is_some()), &mut bytes).map_err(bad)?;
-        let length = u32::try_from(bytes.len() - HEAD).map_err(bad)?;
-        bytes[..HEAD].copy_from_slice(&length.to_le_bytes());
+        let mut bytes = vec![0; LENGTH_PREFIX];
+        ciborium::into_writer(&(message, with.is_some()), &mut bytes).map_err(invalid_data)?;
+        let length = u32::try_from(bytes.len() - LENGTH_PREFIX).map_err(invalid_data)?;
+        bytes[..LENGTH_PREFIX].copy_from_slice(&length.to_le_bytes());
         let _turn = self.turn.lock().await;
         let mut sent = 0;
         while sent < bytes.len() {
@@ -182,42 +182,43 @@
     pub async fn receive(&mut self) -> io::Result<(HandoverMessage, Option<OwnedFd>)> {
         loop {
             if let Some(frame) = self.frame()? {
-                let (word, with): (HandoverMessage, bool) = ciborium::from_reader(&frame[..]).map_err(bad)?;
+                let (message, with): (HandoverMessage, bool) =
+                    ciborium::from_reader(&frame[..]).map_err(invalid_data)?;
                 let descriptor = if with { self.descriptors.pop_front() } else { None };
                 if with && descriptor.is_none() {
-                    return Err(bad("a message announces a file descriptor that did not arrive"));
+                    return Err(invalid_data("a message announces a file descriptor that did not arrive"));
                 }
-                return Ok((word, descriptor));
+                return Ok((message, descriptor));
             }
-            let mut piece = [0; PIECE];
+            let mut chunk = [0; READ_SIZE];
             let stream = self.stream.clone();
-            let n = stream.async_io(Interest::READABLE, || self.read(&mut piece)).await?;
+            let n = stream.async_io(Interest::READABLE, || self.read(&mut chunk)).await?;
             if n == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            self.bytes.extend_from_slice(&piece[..n]);
+            self.bytes.extend_from_slice(&chunk[..n]);
         }
     }
 
     fn frame(&mut self) -> io::Result<Option<Vec<u8>>> {
-        let Some(length) = self.bytes.first_chunk::<HEAD>() else { return Ok(None) };
-        let end = HEAD + u32::from_le_bytes(*length) as usize;
-        if end > FRAME_MOST {
-            return Err(bad(format!("frame of {end} bytes exceeds the limit of {FRAME_MOST}")));
+        let Some(length) = self.bytes.first_chunk::<LENGTH_PREFIX>() else { return Ok(None) };
+        let end = LENGTH_PREFIX + u32::from_le_bytes(*length) as usize;
+        if end > MAX_FRAME {
+            return Err(invalid_data(format!("frame of {end} bytes exceeds the limit of {MAX_FRAME}")));
         }
         if self.bytes.len() < end {
             return Ok(None);
         }
         let rest = self.bytes.split_off(end);
         let frame = std::mem::replace(&mut self.bytes, rest);
-        Ok(Some(frame[HEAD..].to_vec()))
+        Ok(Some(frame[LENGTH_PREFIX..].to_vec()))
     }
 
-    fn read(&mut self, piece: &mut [u8]) -> io::Result<usize> {
+    fn read(&mut self, chunk: &mut [u8]) -> io::Result<usize> {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(4))];
         let mut ancillary = RecvAncillaryBuffer::new(&mut space);
-        let mut pieces = [IoSliceMut::new(piece)];
-        let got = recvmsg(&*self.stream, &mut pieces, &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
+        let mut chunk = [IoSliceMut::new(chunk)];
+        let got = recvmsg(&*self.stream, &mut chunk, &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
         for message in ancillary.drain() {
             if let RecvAncillaryMessage::ScmRights(descriptors) = message {
                 self.descriptors.extend(descriptors);
@@ -233,12 +234,12 @@
     use std::io::{Read, Write};
 
     #[tokio::test]
-    async fn words_of_any_size_come_whole_and_descriptors_with_their_own() {
+    async fn messages_of_any_size_arrive_whole_and_descriptors_with_their_message() {
         let (here, there) = UnixStream::pair().expect("a pair");
         let ((sender, _open), (_quiet, mut receiver)) = (split(here), split(there));
         let (client, mut far) = std::os::unix::net::UnixStream::pair().expect("a client");
         let received: Vec<u8> = (0..300_000).map(|n| n as u8).collect();
-        let say = async {
+        let send = async {
             let client_of = |received| {
                 HandoverMessage::Client(ClientConnection { received, age: Duration::ZERO, served: true })
             };
@@ -246,19 +247,23 @@
             sender.send(&client_of(received.clone()), Some(client.into())).await.expect("said");
             sender.send(&HandoverMessage::LockReleased, None).await.expect("said");
         };
-        let hear = async {
-            assert!(matches!(receiver.receive().await.expect("a word"), (HandoverMessage::Cancel(7), None)));
-            let (HandoverMessage::Client(got), Some(fd)) = receiver.receive().await.expect("a word") else {
+        let receive = async {
+            assert!(matches!(
+                receiver.receive().await.expect("a message"),
+                (HandoverMessage::Cancel(7), None)
+            ));
+            let (HandoverMessage::Client(got), Some(fd)) = receiver.receive().await.expect("a message")
+            else {
                 panic!("a client")
             };
             assert!(got.received == received && got.served);
             assert!(matches!(
-                receiver.receive().await.expect("a word"),
+                receiver.receive().await.expect("a message"),
                 (HandoverMessage::LockReleased, None)
             ));
             fd
         };
-        let ((), fd) = tokio::join!(say, hear);
+        let ((), fd) = tokio::join!(send, receive);
         std::os::unix::net::UnixStream::from(fd).write_all(b"x").expect("written");
         let mut byte = [0];
         far.read_exact(&mut byte).expect("it is the client's own connection");
--- a/src/node/commit.rs
+++ b/src/node/commit.rs
@@ -77,7 +77,7 @@
 impl Courier {
     /// Commits pending records; the actions that depend on them follow, at once or when the commit completes.
     /// After an error no messages are accepted until a commit succeeds again.
-    pub(super) fn settle(&mut self) {
+    pub(super) fn commit_if_due(&mut self) {
         let later = self.journal.is_busy() || (self.journal.syncs() && self.may_delay_commit());
         if !later {
             self.commit();
@@ -180,7 +180,7 @@
 
     /// Commits all pending records and waits for that, up to FINAL_COMMIT_TIMEOUT. False if they are not
     /// known to be durable.
-    pub(super) async fn settle_whole(&mut self) -> bool {
+    pub(super) async fn commit_all(&mut self) -> bool {
         let all = async {
             while self.journal.is_busy() || self.journal.waiting() > 0 || !self.dues.waiting.is_empty() {
                 if self.journal.is_busy() {
--- a/src/node/courier/attempts.rs
+++ b/src/node/courier/attempts.rs
@@ -25,7 +25,7 @@
             self.attempt(&send, now, late);
         }
         // The attempts are on record before their first byte goes out; the verdicts before their notice.
-        self.settle();
+        self.commit_if_due();
     }
 
     fn attempt(&mut self, send: &Send, now: Instant, late: bool) {
--- a/src/node/courier/endpoints.rs
+++ b/src/node/courier/endpoints.rs
@@ -100,7 +100,7 @@
     /// Tells which ids operators may name.
     pub(in crate::node) fn publish_hosts(&self) {
         let listed = self.endpoints.values().filter(|e| e.listed);
-        self.register().know(listed.map(|e| e.host.clone()).collect());
+        self.register().set_listed(listed.map(|e| e.host.clone()).collect());
     }
 
     /// Operators have set something, which is on record already.
--- a/src/node/courier/event_loop.rs
+++ b/src/node/courier/event_loop.rs
@@ -62,14 +62,14 @@
                 Some(change) = changes.recv() => self.operated(change),
                 done = self.journal.done() => {
                     self.committed(done);
-                    self.settle();
+                    self.commit_if_due();
                     self.post();
                 }
                 news = inbox.recv() => {
                     let Some(news) = news else { return End::Stopped };
                     self.hear(news);
                     self.hear_waiting(inbox);
-                    self.settle();
+                    self.commit_if_due();
                     self.post();
                 }
                 () = timers.first() => self.run_timers(&timers, inbox, &mut last_turn).await,
@@ -106,7 +106,7 @@
     ) {
         let now = Instant::now();
         if is_due(timers.commit, now) {
-            self.settle();
+            self.commit_if_due();
             self.post();
         }
         if is_due(self.scrub, now) {
--- a/src/node/courier/offers.rs
+++ b/src/node/courier/offers.rs
@@ -96,7 +96,7 @@
             self.held.insert(message, Held::new(letter, 0));
             self.dues.push(PendingAction::Reply { message, reply });
         }
-        self.settle();
+        self.commit_if_due();
     }
 
     /// Nobody is owed anything for the message.
--- a/src/node/courier/stopping.rs
+++ b/src/node/courier/stopping.rs
@@ -36,7 +36,7 @@
     /// Brings the last records to disk.
     pub(super) async fn finish(&mut self) {
         self.record_unsent();
-        self.settle_whole().await;
+        self.commit_all().await;
         say!("journal: {} commits, {} syncs in this life", self.journal.commits, self.journal.syncs);
     }
 
--- a/src/node/courier/turn.rs
+++ b/src/node/courier/turn.rs
@@ -75,7 +75,7 @@
         if m.out.is_none() {
             self.held.remove(&message);
         }
-        self.journal.judge(message, verdict);
+        self.journal.record_verdict(message, verdict);
         self.dues.push(PendingAction::Notice(Notice { message, id, verdict }, until));
     }
 }
--- a/src/node/golden_test.rs
+++ b/src/node/golden_test.rs
@@ -117,12 +117,12 @@
             Label { kind: SYNCED, sequence: 12, message: 0 },
         ];
         for label in labels {
-            frame::put(&mut bytes, head.identity, label, b"payload");
+            frame::append_record(&mut bytes, head.identity, label, b"payload");
         }
         let (read, found) = frame::read(&bytes).expect("the head is sound");
         assert_eq!(read, head);
         let sound = |(_, piece): &frame::Found| match piece {
-            Piece::Record(record) if record.sound && record.payload == b"payload" => Some(record.label),
+            Piece::Record(record) if record.valid && record.payload == b"payload" => Some(record.label),
             _ => None,
         };
         assert_eq!(found.iter().filter_map(sound).collect::<Vec<_>>(), labels);
@@ -131,7 +131,7 @@
     lanegate_golden::assert_bytes(env!("CARGO_MANIFEST_DIR"), "journal_segments", forms);
 }
 
-fn words() -> Vec<(&'static str, HandoverMessage)> {
+fn handover_messages() -> Vec<(&'static str, HandoverMessage)> {
     let endpoint = EndpointId(4);
     let age = Duration::new(3, 500);
     let known = |dial: Option<&str>, ready| EndpointState {
@@ -183,15 +183,15 @@
 }
 
 #[test]
-fn words_to_a_successor_match_the_recorded_bytes() {
-    let encode = |word: &HandoverMessage| {
+fn handover_messages_match_the_recorded_bytes() {
+    let encode = |message: &HandoverMessage| {
         let mut bytes = Vec::new();
-        ciborium::into_writer(&(word, true), &mut bytes).expect("a word can be written");
+        ciborium::into_writer(&(message, true), &mut bytes).expect("a message can be written");
         bytes
     };
     let mut forms = Vec::new();
-    for (name, word) in words() {
-        let bytes = encode(&word);
+    for (name, message) in handover_messages() {
+        let bytes = encode(&message);
         let (again, with): (HandoverMessage, bool) =
             ciborium::from_reader(&bytes[..]).expect("it can be read");
         assert!(with && encode(&again) == bytes, "{name}");
@@ -208,7 +208,7 @@
     std::fs::create_dir_all(&folder).expect("a folder");
     let register = Register::new(&folder, Durability::Process);
     let _changed = register.serve();
-    register.know(BTreeSet::from(["s-1".to_owned(), "s-2".to_owned()]));
+    register.set_listed(BTreeSet::from(["s-1".to_owned(), "s-2".to_owned()]));
     for id in ["s-2", "s-1"] {
         let change = Change::Endpoint { id: id.to_owned(), out: true };
         assert_eq!(register.clone().set(change).await, Ok(()));
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -317,7 +317,7 @@
     async fn send_state(&mut self, to: &mut Successor) -> io::Result<()> {
         // A call that has no connection yet is not started any more.
         self.held.values().filter_map(|m| m.leave.as_ref()).for_each(|(_, leave)| leave.recall());
-        if !self.settle_whole().await {
+        if !self.commit_all().await {
             return Err(io::Error::other("the journal cannot be written"));
         }
         let state = self.state().map_err(io::Error::other)?;
@@ -348,7 +348,7 @@
         self.calls.close_all();
         let (mut asked, mut waiting) = (0, HashMap::new());
         loop {
-            let word = tokio::select! {
+            let message = tokio::select! {
                 biased;
                 Some(PassedConnection { descriptor, received, age, served }) = clients.recv() => {
                     let client = HandoverMessage::Client(ClientConnection { received, age, served });
@@ -362,8 +362,8 @@
                     Some(HandoverMessage::OperatorChange(asked, change))
                 }
                 Some(news) = inbox.recv() => self.handle_late_news(news),
-                word = to.receiver.receive() => {
-                    match word {
+                message = to.receiver.receive() => {
+                    match message {
                         Ok((HandoverMessage::Cancel(message), _)) => {
                             self.held.get_mut(&message).into_iter().for_each(Held::cancel);
                         }
@@ -383,8 +383,8 @@
                 }
                 () = sleep(RETRY_INTERVAL) => None,
             };
-            if let Some(word) = word {
-                let _ = to.sender.send(&word, None).await;
+            if let Some(message) = message {
+                let _ = to.sender.send(&message, None).await;
             }
             if let Some(since) = self.stopping.map(|at| at.elapsed()) {
                 let calls = self.held.values().any(|m| m.out.is_some());
--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -118,7 +118,7 @@
 
 impl Recovery {
     /// One line that sums up what the damage costs; None if there is no damage.
-    pub fn costs(&self) -> Option<String> {
+    pub fn summary(&self) -> Option<String> {
         let Recovery { damage, assumed_run, id_only, unreadable, .. } = self;
         (!damage.is_empty() || *assumed_run > 0).then(|| {
             format!(
@@ -179,7 +179,7 @@
 pub struct Scrub<D: Disk = Folder> {
     disk: D,
     number: u64,
-    whole: Range<u64>,
+    intact: Range<u64>,
     room: u64,
 }
 
@@ -196,7 +196,7 @@
     pub fn run(mut self) -> Scrubbed {
         let file = scan::name(self.number);
         let (what, length) = match self.disk.read(&file) {
-            Ok(bytes) if scan::is_whole(&bytes, self.number, &self.whole) => {
+            Ok(bytes) if scan::is_intact(&bytes, self.number, &self.intact) => {
                 return Scrubbed { number: self.number, damage: None };
             }
             Ok(bytes) => ("corrupted since it was written", bytes.len()),
@@ -211,7 +211,7 @@
 }
 
 /// The contents of a journal that was opened read-only.
-pub struct Found {
+pub struct JournalContents {
     pub live: BTreeMap<u64, LiveMessage>,
     pub recovery: Recovery,
     pub segments: usize,
@@ -220,7 +220,7 @@
 }
 
 /// Reads a journal as a start would, without changing it.
-pub fn read(folder: &Path) -> io::Result<Found> {
+pub fn read(folder: &Path) -> io::Result<JournalContents> {
     let mut replay = Replay::default();
     let scan = scan::scan(&Folder::at(folder), |read| replay.take(read))?;
     let mut recovery = replay.recovery;
@@ -231,7 +231,7 @@
         live.insert(message, found.live);
     }
     let size = scan.sealed.iter().map(|s| s.size).sum();
-    Ok(Found { live, recovery, segments: scan.sealed.len(), size })
+    Ok(JournalContents { live, recovery, segments: scan.sealed.len(), size })
 }
 
 /// Writes a new journal in a folder that holds none. It survives a power loss.
@@ -247,7 +247,7 @@
 }
 
 fn fill(folder: &Path, plan: Plan, room: u64, live: &BTreeMap<u64, LiveMessage>) -> io::Result<()> {
-    let (mut journal, _) = Journal::on(Folder::open(folder)?, plan, room)?;
+    let (mut journal, _) = Journal::open_on(Folder::open(folder)?, plan, room)?;
     for (message, live) in live {
         journal.write_snapshot(*message, live.clone());
         if journal.waiting() > plan.size {
@@ -292,9 +292,9 @@
 impl Replay {
     fn take(&mut self, read: Read) {
         match read {
-            Read::Record(Record { label, payload, sound }) => {
+            Read::Record(Record { label, payload, valid }) => {
                 self.recovery.last = self.recovery.last.max(label.message);
-                if !sound || self.apply(label.kind, label.message, payload).is_none() {
+                if !valid || self.apply(label.kind, label.message, payload).is_none() {
                     self.apply_corrupt(label.kind, label.message, payload);
                 }
             }
@@ -386,13 +386,13 @@
 impl Journal {
     /// Opens the journal in the state folder. `seed` is new with each start.
     pub fn open(folder: &Path, options: JournalOptions, seed: u64) -> io::Result<(Self, Recovery)> {
-        old_journal::carry_over(folder, |live, to| fill(to, Plan::of(options, seed), options.room, live))?;
+        old_journal::migrate(folder, |live, to| fill(to, Plan::of(options, seed), options.room, live))?;
         let path = folder.join(NAME);
         let opened = match fs::symlink_metadata(&path) {
             Ok(found) if !found.is_dir() => {
                 Err(io::Error::other(format!("{} is not a folder", path.display())))
             }
-            _ => Journal::on(Folder::open(&path)?, Plan::of(options, seed), options.room),
+            _ => Journal::open_on(Folder::open(&path)?, Plan::of(options, seed), options.room),
         };
         let (mut journal, recovery) = opened?;
         if options.durability.syncs() {
@@ -417,7 +417,7 @@
 }
 
 impl<D: Disk + Clone> Journal<D> {
-    fn on(folder: D, plan: Plan, room: u64) -> io::Result<(Self, Recovery)> {
+    fn open_on(folder: D, plan: Plan, room: u64) -> io::Result<(Self, Recovery)> {
         let mut replay = Replay::default();
         let (segments, scan) = Segments::open(folder.clone(), plan, |read| replay.take(read))?;
         let Replay { live, mut recovery, .. } = replay;
@@ -459,12 +459,12 @@
 
     /// The next sealed segment to scrub; None if there is none that was intact when sealed.
     pub fn scrub(&mut self) -> Option<Scrub<D>> {
-        let whole = |s: &&SealedSegment| s.whole.is_some();
-        let next = self.sealed.iter().filter(whole).find(|s| s.number > self.scrubbed);
-        let next = next.or_else(|| self.sealed.iter().find(whole))?;
+        let intact = |s: &&SealedSegment| s.intact.is_some();
+        let next = self.sealed.iter().filter(intact).find(|s| s.number > self.scrubbed);
+        let next = next.or_else(|| self.sealed.iter().find(intact))?;
         self.scrubbed = next.number;
-        let (number, whole) = (next.number, next.whole.clone()?);
-        Some(Scrub { disk: self.disk.clone(), number, whole, room: self.quarantine_room })
+        let (number, intact) = (next.number, next.intact.clone()?);
+        Some(Scrub { disk: self.disk.clone(), number, intact, room: self.quarantine_room })
     }
 }
 
@@ -474,7 +474,7 @@
     pub fn scrubbed(&mut self, scrubbed: &Scrubbed) -> bool {
         let Some(damage) = &scrubbed.damage else { return false };
         let Some(sealed) = self.sealed.iter_mut().find(|s| s.number == scrubbed.number) else { return false };
-        sealed.whole = None;
+        sealed.intact = None;
         if damage.quarantined {
             self.quarantine_room = self.quarantine_room.saturating_sub(damage.length as u64);
         }
@@ -539,7 +539,7 @@
         }
     }
 
-    pub fn judge(&mut self, message: u64, verdict: Verdict) {
+    pub fn record_verdict(&mut self, message: u64, verdict: Verdict) {
         if let Some(entry) = self.live.get_mut(&message) {
             entry.live.verdict = Some(verdict);
             self.batch.append(RecordKind::Verdict as u8, message, &record_codec::encode_verdict(verdict));
@@ -670,7 +670,7 @@
     /// A journal in an empty folder whose commits complete when the test says so.
     pub fn manual(folder: &Path) -> io::Result<(Self, std::sync::mpsc::Receiver<Batch>, Tell)> {
         let options = JournalOptions { room: 3_000_000, durability: Durability::Power, refuse_damage: false };
-        let (mut journal, _) = Journal::on(Folder::open(folder)?, Plan::of(options, 1), options.room)?;
+        let (mut journal, _) = Journal::open_on(Folder::open(folder)?, Plan::of(options, 1), options.room)?;
         let (writer, batches, tell) = Writer::manual();
         journal.writer = writer;
         Ok((journal, batches, tell))
--- a/src/node/journal_test.rs
+++ b/src/node/journal_test.rs
@@ -76,7 +76,7 @@
         j.accept(n + 1000, test_message(&format!("n{n}"), 5));
         j.attempt(n + 1000, attempt("s-3"));
     },
-    |j, n| j.judge(n, Verdict::Bounced { wait: Some(Duration::from_millis(500)) }),
+    |j, n| j.record_verdict(n, Verdict::Bounced { wait: Some(Duration::from_millis(500)) }),
     |j, n| j.end(n),
     |j, n| {
         if n % 3 > 0 {
@@ -86,7 +86,7 @@
 ];
 
 fn simulated(disk: &Simulated, room: u64) -> io::Result<(Journal<Simulated>, Recovery)> {
-    Journal::on(disk.clone(), Plan::of(journal_options(room), 7), room)
+    Journal::open_on(disk.clone(), Plan::of(journal_options(room), 7), room)
 }
 
 /// Runs the steps for so many messages; calls `done` after each successful commit.
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn what_was_written_is_there_again() {
+fn a_reopened_journal_holds_what_was_written() {
     let disk = Simulated::default();
     let (mut journal, _) = simulated(&disk, DISK).expect("opens");
     play(&mut journal, 30, |_| ());
@@ -148,7 +148,7 @@
             let disk = Simulated::new(Default::default(), Fault::Ends { call, after });
             let Ok((mut journal, _)) = simulated(&disk, room) else { continue };
             play(&mut journal, messages, |_| ());
-            assert!(disk.is_gone());
+            assert!(disk.has_ended());
             let left = Simulated::new(disk.files(), Fault::None);
             let (found, recovery) = simulated(&left, room).expect("opens");
             let done = states.iter().rposition(|(calls, _)| *calls <= call).expect("the first");
@@ -214,19 +214,19 @@
 fn a_start_on_damage_is_refused_where_the_policy_says_so() {
     let refusing = |disk: &Simulated| {
         let plan = Plan::of(JournalOptions { refuse_damage: true, ..journal_options(DISK) }, 7);
-        Journal::on(disk.clone(), plan, DISK).map(|(journal, _)| journal.count())
+        Journal::open_on(disk.clone(), plan, DISK).map(|(journal, _)| journal.count())
     };
     let disk = full(100);
     assert_eq!(refusing(&disk).expect("nothing is damaged"), 100);
-    let spoilt = spoil(&disk, |files| files[0][5000] ^= 4);
-    let (before, why) = (spoilt.files(), refusing(&spoilt).expect_err("refused").to_string());
+    let damaged = corrupt(&disk, |files| files[0][5000] ^= 4);
+    let (before, why) = (damaged.files(), refusing(&damaged).expect_err("refused").to_string());
     assert!(why.contains("0000000000000001 at ") && why.contains("nothing was changed"), "{why}");
-    assert_eq!(spoilt.files(), before);
+    assert_eq!(damaged.files(), before);
 }
 
 /// A sealed segment is corrupted while the process runs: scrubbing finds it, and it is rewritten from memory.
 #[test]
-fn what_spoils_while_it_runs_is_written_anew_from_memory() {
+fn a_segment_corrupted_at_run_time_is_rewritten_from_memory() {
     let disk = full(1000);
     let (mut journal, _) = simulated(&disk, DISK).expect("opens");
     let want = state(&journal);
@@ -235,7 +235,7 @@
         let scrubbed = journal.scrub().expect("a sealed segment").run();
         assert!(scrubbed.damage.is_none(), "{scrubbed:?}");
     }
-    disk.spoil("0000000000000002", 9000);
+    disk.corrupt("0000000000000002", 9000);
     let damaged: Vec<_> = (0..sealed).filter_map(|_| journal.scrub()).map(Scrub::run).collect();
     let damaged: Vec<_> = damaged.into_iter().filter(|s| s.damage.is_some()).collect();
     assert_eq!(damaged.iter().map(|s| s.number).collect::<Vec<_>>(), [2]);
@@ -274,7 +274,7 @@
     disk
 }
 
-fn spoil(disk: &Simulated, act: impl FnOnce(&mut Vec<Vec<u8>>)) -> Simulated {
+fn corrupt(disk: &Simulated, act: impl FnOnce(&mut Vec<Vec<u8>>)) -> Simulated {
     let files = disk.files();
     let mut contents: Vec<_> = files.values().cloned().collect();
     act(&mut contents);
@@ -283,43 +283,43 @@
 
 /// In the old format a flipped bit silently lost everything behind it: 199 of 2,000 messages were resumed.
 #[test]
-fn one_flipped_bit_costs_one_message_at_the_most() {
+fn a_flipped_bit_loses_at_most_one_message() {
     let disk = full(1000);
     let length = disk.files().values().next().expect("a segment").len();
     for n in 0..64 {
         let at = 128 + (length - 129) * n / 64;
-        let spoilt = spoil(&disk, |files| files[0][at] ^= 1 << (n % 8));
-        let (journal, recovery) = simulated(&spoilt, DISK).expect("opens");
+        let damaged = corrupt(&disk, |files| files[0][at] ^= 1 << (n % 8));
+        let (journal, recovery) = simulated(&damaged, DISK).expect("opens");
         let lost = recovery.unreadable + recovery.id_only;
         assert!(journal.count() + recovery.unreadable >= 999 && lost <= 1, "{at}: {recovery:?}");
         assert_eq!(recovery.damage.len(), 1, "{at}: {recovery:?}");
-        let kept = recovery.damage[0].quarantined && spoilt.files().len() > disk.files().len();
+        let kept = recovery.damage[0].quarantined && damaged.files().len() > disk.files().len();
         assert!(kept, "{at}: {recovery:?}");
         // The damaged part is not removed: the next start finds the same.
-        let (again, second) = simulated(&spoilt, DISK).expect("opens");
+        let (again, second) = simulated(&damaged, DISK).expect("opens");
         assert_eq!(state(&again), state(&journal), "{at}");
         assert_eq!(second.damage, recovery.damage, "{at}");
     }
 }
 
 #[test]
-fn zeroed_sectors_cost_what_stood_there() {
+fn zeroed_sectors_lose_only_their_own_records() {
     let disk = full(1000);
-    let spoilt = spoil(&disk, |files| files[0][20_480..20_992].fill(0));
-    let (journal, recovery) = simulated(&spoilt, DISK).expect("opens");
+    let damaged = corrupt(&disk, |files| files[0][20_480..20_992].fill(0));
+    let (journal, recovery) = simulated(&damaged, DISK).expect("opens");
     assert!(journal.count() >= 997, "{} of 1000", journal.count());
     assert!(recovery.damage.len() <= 3, "{recovery:?}");
     // It is not known whose attempts were in it: all messages that were live then may have run.
     assert!(recovery.assumed_run > 10 && recovery.assumed_run < 60, "{recovery:?}");
     let may = |live: &LiveMessage| live.attempts.iter().any(|a| a.may_have_run);
     assert_eq!(journal.live().filter(|(_, live)| may(live)).count(), recovery.assumed_run);
-    let (again, second) = simulated(&spoilt, DISK).expect("opens");
+    let (again, second) = simulated(&damaged, DISK).expect("opens");
     assert_eq!((state(&again), second.assumed_run), (state(&journal), 0), "they are doubted once");
 }
 
 /// For each kind of record: what is known of its message after the record is corrupted.
 #[test]
-fn a_spoilt_record_counts_against_its_own_message_alone() {
+fn a_corrupt_record_affects_only_its_own_message() {
     let disk = Simulated::default();
     let (mut journal, _) = simulated(&disk, DISK).expect("opens");
     let mut at = Vec::new();
@@ -328,7 +328,7 @@
         |j, n| j.accept(n, test_message("mine", 80)),
         |j, n| j.attempt(n, attempt("s-1")),
         |j, n| j.never_ran(n, 0),
-        |j, n| j.judge(n, Verdict::Bounced { wait: None }),
+        |j, n| j.record_verdict(n, Verdict::Bounced { wait: None }),
         |j, _| j.accept(2, test_message("other", 80)),
         |j, n| j.end(n),
     ];
@@ -338,8 +338,8 @@
         at.push(end(&disk) - 1);
     }
     // The last byte of a record belongs to its payload, if it has one.
-    let spoilt = |record: usize, steps: usize| {
-        let disk = spoil(&disk, |files| {
+    let damaged = |record: usize, steps: usize| {
+        let disk = corrupt(&disk, |files| {
             files[0].truncate(at[steps - 1] + 1);
             files[0][at[record]] ^= 1;
         });
@@ -347,25 +347,25 @@
         assert_eq!(recovery.damage.len(), 1);
         (journal.get(1).cloned(), journal.get(2).is_some(), recovery)
     };
-    let (mine, _, recovery) = spoilt(0, 3);
+    let (mine, _, recovery) = damaged(0, 3);
     let mine = mine.expect("its id can be read");
     assert_eq!((mine.submitted.id.as_str(), mine.verdict), ("mine", Some(Verdict::Dead)));
     assert_eq!((recovery.id_only, recovery.assumed_run), (1, 0));
-    let (mine, _, recovery) = spoilt(1, 3);
+    let (mine, _, recovery) = damaged(1, 3);
     assert!(
         mine.expect("it lives").attempts.iter().any(|a| a.may_have_run),
         "the attempt may have been made"
     );
     assert_eq!(recovery.assumed_run, 1);
-    let (mine, _, _) = spoilt(2, 3);
+    let (mine, _, _) = damaged(2, 3);
     assert!(mine.expect("it lives").attempts[0].may_have_run, "nothing proves the contrary any more");
-    let (mine, other, _) = spoilt(3, 5);
+    let (mine, other, _) = damaged(3, 5);
     assert_eq!(mine.expect("it is owed its notice").verdict, Some(Verdict::Dead));
     assert!(other);
 }
 
 #[test]
-fn a_segment_that_vanished_or_stands_under_another_number_is_told() {
+fn a_missing_or_misnumbered_segment_is_reported() {
     let disk = full(1000);
     let mut files = disk.files();
     assert!(files.len() >= 4, "{}", files.len());
@@ -425,7 +425,7 @@
 }
 
 #[test]
-fn what_ended_does_not_fill_the_disk() {
+fn ended_messages_do_not_fill_the_disk() {
     let disk = Simulated::default();
     let (mut j, _) = simulated(&disk, DISK).expect("opens");
     j.accept(1, test_message("old", 100));
@@ -514,7 +514,7 @@
 }
 
 #[test]
-fn a_journal_of_the_form_of_before_is_carried_over_wherever_that_is_cut_short() {
+fn an_old_format_journal_is_migrated_wherever_that_is_interrupted() {
     let check = |place: &Place| {
         let (journal, _) = place.open(9);
         let one = journal.get(1).expect("it lives");
@@ -554,7 +554,7 @@
 
 /// Damage to a file: a byte changed; a part zeroed, removed or duplicated; the end lost.
 #[derive(Clone, Copy, Debug)]
-enum Harm {
+enum FileDamage {
     Byte(u8),
     Zero(usize),
     Out(usize),
@@ -562,32 +562,32 @@
     End,
 }
 
-fn harm() -> impl proptest::strategy::Strategy<Value = Harmed> {
+fn file_damage() -> impl proptest::strategy::Strategy<Value = DamagedFile> {
     use proptest::prelude::*;
     let kind = prop_oneof![
-        (1..=u8::MAX).prop_map(Harm::Byte),
-        (1..2000usize).prop_map(Harm::Zero),
-        (1..2000usize).prop_map(Harm::Out),
-        (1..2000usize).prop_map(Harm::Twice),
-        Just(Harm::End),
+        (1..=u8::MAX).prop_map(FileDamage::Byte),
+        (1..2000usize).prop_map(FileDamage::Zero),
+        (1..2000usize).prop_map(FileDamage::Out),
+        (1..2000usize).prop_map(FileDamage::Twice),
+        Just(FileDamage::End),
     ];
     (0..8usize, 0.0..1.0f64, kind)
 }
 
-fn suffer(bytes: &mut Vec<u8>, at: usize, harm: Harm) {
+fn apply_damage(bytes: &mut Vec<u8>, at: usize, damage: FileDamage) {
     let to = |n: usize| (at + n).min(bytes.len());
-    match harm {
-        Harm::Byte(change) => bytes.iter_mut().skip(at).take(1).for_each(|b| *b ^= change),
-        Harm::Zero(n) => {
+    match damage {
+        FileDamage::Byte(change) => bytes.iter_mut().skip(at).take(1).for_each(|b| *b ^= change),
+        FileDamage::Zero(n) => {
             let to = to(n);
             bytes[at..to].fill(0);
         }
-        Harm::Out(n) => drop(bytes.drain(at..to(n))),
-        Harm::Twice(n) => {
+        FileDamage::Out(n) => drop(bytes.drain(at..to(n))),
+        FileDamage::Twice(n) => {
             let piece = bytes[at..to(n)].to_vec();
             bytes.splice(at..at, piece);
         }
-        Harm::End => bytes.truncate(at),
+        FileDamage::End => bytes.truncate(at),
     }
 }
 
@@ -597,27 +597,27 @@
     /// Whatever damage a file has: no message is invented, no attempt that may have run counts as not run,
     /// and the next start reports the same damage and finds the same state.
     #[test]
-    fn any_harm_costs_what_it_hit_and_makes_nothing_up(harms in proptest::collection::vec(harm(), 1..6)) {
-        costs_what_it_hit(&harms)?;
+    fn any_damage_loses_only_what_it_hit_and_invents_nothing(damages in proptest::collection::vec(file_damage(), 1..6)) {
+        check_damage(&damages)?;
     }
 }
 
 /// Index of the file, offset as a share of its length, and the damage.
-type Harmed = (usize, f64, Harm);
+type DamagedFile = (usize, f64, FileDamage);
 
 /// The property: after this damage the folder still yields only what was written to it.
-fn costs_what_it_hit(harms: &[Harmed]) -> Result<(), proptest::test_runner::TestCaseError> {
+fn check_damage(damages: &[DamagedFile]) -> Result<(), proptest::test_runner::TestCaseError> {
     let disk = full(600);
     let mut files = disk.files();
     let names: Vec<String> = files.keys().cloned().collect();
-    for (file, share, harm) in harms {
+    for (file, share, damage) in damages {
         // Not the last file: nothing shows that its end is missing.
         let bytes = files.get_mut(&names[file % (names.len() - 1)]).expect("a file");
         let at = (bytes.len() as f64 * share) as usize;
-        suffer(bytes, at, *harm);
+        apply_damage(bytes, at, *damage);
     }
-    let spoilt = Simulated::new(files, Fault::None);
-    let (journal, recovery) = simulated(&spoilt, DISK).expect("opens");
+    let damaged = Simulated::new(files, Fault::None);
+    let (journal, recovery) = simulated(&damaged, DISK).expect("opens");
     for (n, live) in journal.live() {
         proptest::prop_assert_eq!(&live.submitted.id, &format!("m{n}"));
         // All were tried once, and that attempt did not run: if that record is lost, the attempt may have
@@ -626,7 +626,7 @@
         let known = live.attempts.len() == 1 && !may;
         proptest::prop_assert!(known || may || live.verdict.is_some(), "{:?}", live);
     }
-    let (again, second) = simulated(&spoilt, DISK).expect("opens");
+    let (again, second) = simulated(&damaged, DISK).expect("opens");
     proptest::prop_assert_eq!(state(&again), state(&journal));
     proptest::prop_assert_eq!(second.damage, recovery.damage);
     proptest::prop_assert_eq!(second.assumed_run, 0);
@@ -636,13 +636,13 @@
 /// Found by the property test: a duplicated part puts the payload of one message's record behind the header
 /// of the next one's.
 #[test]
-fn a_piece_written_twice_gives_no_message_the_id_of_another() {
-    costs_what_it_hit(&[(1, 0.1823849507130787, Harm::Twice(498))]).expect("nothing is made up");
+fn a_duplicated_part_gives_no_message_the_id_of_another() {
+    check_damage(&[(1, 0.1823849507130787, FileDamage::Twice(498))]).expect("nothing is made up");
 }
 
 /// The same from any record of a message to any later one.
 #[test]
-fn a_piece_written_twice_between_any_two_messages_makes_nothing_up() {
+fn a_part_duplicated_between_any_two_messages_invents_nothing() {
     let (name, bytes) = full(20).files().into_iter().next().expect("a segment");
     let (_, found) = frame::read(&bytes).expect("a head is sound");
     let payload = |(at, piece): &frame::Found| match piece {
@@ -656,9 +656,9 @@
     for (n, from) in payloads.iter().enumerate() {
         for to in &payloads[n + 1..] {
             let mut twice = bytes.clone();
-            suffer(&mut twice, *from, Harm::Twice(to - from));
-            let spoilt = Simulated::new([(name.clone(), twice)].into(), Fault::None);
-            let (journal, recovery) = simulated(&spoilt, DISK).expect("opens");
+            apply_damage(&mut twice, *from, FileDamage::Twice(to - from));
+            let damaged = Simulated::new([(name.clone(), twice)].into(), Fault::None);
+            let (journal, recovery) = simulated(&damaged, DISK).expect("opens");
             let ids = journal.live().all(|(n, live)| live.submitted.id == format!("m{n}"));
             assert!(ids, "from {from} to {to}");
             assert_eq!((recovery.id_only, recovery.unreadable), (0, 1), "from {from} to {to}");
@@ -668,7 +668,7 @@
 
 /// A record of an earlier version: the checksum of its id does not include the message's number.
 #[test]
-fn an_id_under_the_checksum_of_before_is_still_read() {
+fn an_id_with_the_old_checksum_is_still_read() {
     let live = LiveMessage { submitted: test_message("m7", 300), ..LiveMessage::default() };
     let mut payload = record_codec::encode_snapshot(7, &live);
     let id_end = size_of::<u32>() + "m7".len();
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -124,8 +124,8 @@
     if let Some(cut) = &recovery.cut {
         say!("journal: {cut}");
     }
-    if let Some(costs) = recovery.costs() {
-        say!("journal: {costs}");
+    if let Some(summary) = recovery.summary() {
+        say!("journal: {summary}");
     }
 }
 
@@ -154,7 +154,7 @@
     register.load().map_err(|e| Fault::Bad("LB_STATE", format!("what operators have set: {e}")))?;
     let store = config.options.store;
     let journal_options = JournalOptions {
-        room: ((config.limits.disk_mb * 1e6) as u64).saturating_sub(register::DISK_MOST),
+        room: ((config.limits.disk_mb * 1e6) as u64).saturating_sub(register::MAX_DISK),
         durability: store.durability,
         refuse_damage: store.on_damage == OnDamage::Refuse,
     };
@@ -208,7 +208,7 @@
             end => return Ok(end),
         };
         // Operators set nothing while it is open who keeps it.
-        let held = register.hold().await;
+        let held = register.block_changes().await;
         if courier.hand_over(&mut successor, &mut tenure).await {
             break (successor, register.forward(), held);
         }
--- a/src/node/offline.rs
+++ b/src/node/offline.rs
@@ -1,10 +1,10 @@
 //! Inspects and repairs the journal of a courier that is not running. `docs/on-call.md` tells when to use
 //! which command.
 
-use super::journal::{self, Found, LiveMessage, NAME, Verdict, unix};
-use super::old_journal::{self, IN};
+use super::journal::{self, JournalContents, LiveMessage, NAME, Verdict, unix};
+use super::old_journal::{self, NEW_FOLDER};
 use crate::store::disk::{Disk, Folder};
-use crate::store::lock::{Lock, Look};
+use crate::store::lock::{Lock, LockState};
 use serde::Serialize;
 use std::fmt;
 use std::fs;
@@ -14,79 +14,81 @@
 /// The result of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finding {
-    Sound,
+    Undamaged,
     Damaged,
     /// It was damaged and has been repaired.
-    Mended,
+    Repaired,
 }
 
 /// Why a command could not run.
 #[derive(Debug)]
-pub enum Fault {
+pub enum CommandError {
     /// A courier is running on this folder.
     InUse(PathBuf),
     NoJournal(PathBuf),
     Io(PathBuf, io::Error),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::InUse(at) => write!(f, "{}: a courier runs on it; stop that first", at.display()),
-            Fault::NoJournal(at) => {
+            CommandError::InUse(at) => write!(f, "{}: a courier runs on it; stop that first", at.display()),
+            CommandError::NoJournal(at) => {
                 write!(f, "{}: holds no journal; the folder that LB_STATE names is meant", at.display())
             }
-            Fault::Io(at, e) => write!(f, "{}: {e}", at.display()),
+            CommandError::Io(at, e) => write!(f, "{}: {e}", at.display()),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for CommandError {}
 
 /// A state folder that no other process writes to while this value is held.
-struct Idle {
+struct LockedFolder {
     folder: PathBuf,
     _lock: Option<Lock>,
 }
 
-impl Idle {
-    fn take(folder: &Path) -> Result<Self, Fault> {
-        let at = |e| Fault::Io(folder.to_owned(), e);
-        match Lock::look(folder).map_err(at)? {
-            Look::InUse => Err(Fault::InUse(folder.to_owned())),
-            Look::Free(_lock) => Ok(Idle { folder: folder.to_owned(), _lock }),
+impl LockedFolder {
+    fn take(folder: &Path) -> Result<Self, CommandError> {
+        let at = |e| CommandError::Io(folder.to_owned(), e);
+        match Lock::probe(folder).map_err(at)? {
+            LockState::InUse => Err(CommandError::InUse(folder.to_owned())),
+            LockState::Free(_lock) => Ok(LockedFolder { folder: folder.to_owned(), _lock }),
         }
     }
 
     /// Reads the journal, in its current or its old format.
-    fn read(&self) -> Result<Found, Fault> {
+    fn read(&self) -> Result<JournalContents, CommandError> {
         let path = self.folder.join(NAME);
-        let at = |e| Fault::Io(path.clone(), e);
+        let at = |e| CommandError::Io(path.clone(), e);
         match fs::metadata(&path) {
             Ok(found) if found.is_file() => {
                 let bytes = fs::read(&path).map_err(at)?;
                 let (live, sound) = old_journal::replay(&bytes);
                 let mut recovery = journal::Recovery::default();
                 if sound < bytes.len() {
-                    recovery.damage.push(old_journal::unread(&bytes, sound));
+                    recovery.damage.push(old_journal::unreadable_rest(&bytes, sound));
                 }
-                Ok(Found { live, recovery, segments: 1, size: bytes.len() as u64 })
+                Ok(JournalContents { live, recovery, segments: 1, size: bytes.len() as u64 })
             }
             Ok(_) => journal::read(&path).map_err(at),
-            Err(e) if e.kind() == io::ErrorKind::NotFound => Err(Fault::NoJournal(self.folder.clone())),
+            Err(e) if e.kind() == io::ErrorKind::NotFound => {
+                Err(CommandError::NoJournal(self.folder.clone()))
+            }
             Err(e) => Err(at(e)),
         }
     }
 }
 
 /// Reports damage. Changes nothing.
-pub fn check(folder: &Path, to: &mut impl Write) -> Result<Finding, Fault> {
-    let found = Idle::take(folder)?.read()?;
-    tell(&found, to).map_err(|e| Fault::Io(folder.to_owned(), e))
+pub fn check(folder: &Path, to: &mut impl Write) -> Result<Finding, CommandError> {
+    let found = LockedFolder::take(folder)?.read()?;
+    report(&found, to).map_err(|e| CommandError::Io(folder.to_owned(), e))
 }
 
-fn tell(found: &Found, to: &mut impl Write) -> io::Result<Finding> {
-    let Found { live, recovery, segments, size } = found;
+fn report(found: &JournalContents, to: &mut impl Write) -> io::Result<Finding> {
+    let JournalContents { live, recovery, segments, size } = found;
     let judged = live.values().filter(|m| m.verdict.is_some()).count();
     writeln!(to, "{segments} segments, {size} bytes")?;
     writeln!(to, "{} messages live, {judged} of them decided and not yet told", live.len())?;
@@ -95,20 +97,20 @@
     }
     if recovery.damage.is_empty() {
         writeln!(to, "sound")?;
-        return Ok(Finding::Sound);
+        return Ok(Finding::Undamaged);
     }
     for damage in &recovery.damage {
         writeln!(to, "damaged: {damage}")?;
     }
-    if let Some(costs) = recovery.costs() {
-        writeln!(to, "{costs}")?;
+    if let Some(summary) = recovery.summary() {
+        writeln!(to, "{summary}")?;
     }
     Ok(Finding::Damaged)
 }
 
 /// A message as `show --json` prints it: one object per line.
 #[derive(Serialize)]
-struct Shown<'a> {
+struct MessageRow<'a> {
     message: u64,
     id: &'a str,
     class: &'a str,
@@ -119,28 +121,28 @@
     /// Unix time in seconds.
     taken: f64,
     until: f64,
-    attempts: Vec<Tried<'a>>,
+    attempts: Vec<AttemptRow<'a>>,
     verdict: Option<&'static str>,
 }
 
 #[derive(Serialize)]
-struct Tried<'a> {
+struct AttemptRow<'a> {
     host: &'a str,
     zone: &'a str,
     sent: f64,
     may_have_run: bool,
 }
 
-impl<'a> Shown<'a> {
+impl<'a> MessageRow<'a> {
     fn of(message: u64, live: &'a LiveMessage) -> Self {
-        let tried = |a: &'a journal::Attempt| Tried {
+        let tried = |a: &'a journal::Attempt| AttemptRow {
             host: &a.host,
             zone: &a.zone,
             sent: a.sent.as_secs_f64(),
             may_have_run: a.may_have_run,
         };
         let submitted = &live.submitted;
-        Shown {
+        MessageRow {
             message,
             id: &submitted.id,
             class: &submitted.class,
@@ -160,18 +162,23 @@
 }
 
 /// Prints all live messages, or the one with this id. Changes nothing.
-pub fn show(folder: &Path, id: Option<&str>, json: bool, to: &mut impl Write) -> Result<Finding, Fault> {
-    let found = Idle::take(folder)?.read()?;
+pub fn show(
+    folder: &Path,
+    id: Option<&str>,
+    json: bool,
+    to: &mut impl Write,
+) -> Result<Finding, CommandError> {
+    let found = LockedFolder::take(folder)?.read()?;
     let now = unix().as_secs_f64();
     let mut print = || -> io::Result<()> {
         let of = |live: &&LiveMessage| id.is_none_or(|id| live.submitted.id == id);
         for (message, live) in found.live.iter().filter(|(_, live)| of(live)) {
-            let shown = Shown::of(*message, live);
+            let shown = MessageRow::of(*message, live);
             if json {
                 writeln!(to, "{}", serde_json::to_string(&shown)?)?;
                 continue;
             }
-            let Shown { id, class, destination, until, attempts, verdict, .. } = &shown;
+            let MessageRow { id, class, destination, until, attempts, verdict, .. } = &shown;
             let ran = attempts.iter().filter(|a| a.may_have_run).count();
             let state = verdict.unwrap_or(if *until > now { "waits" } else { "out of time" });
             let (tried, left) = (attempts.len(), until - now);
@@ -187,21 +194,21 @@
         }
         Ok(())
     };
-    print().map_err(|e| Fault::Io(folder.to_owned(), e))?;
-    Ok(if found.recovery.damage.is_empty() { Finding::Sound } else { Finding::Damaged })
+    print().map_err(|e| CommandError::Io(folder.to_owned(), e))?;
+    Ok(if found.recovery.damage.is_empty() { Finding::Undamaged } else { Finding::Damaged })
 }
 
 /// Rewrites a damaged journal from what can be read of it. The new journal is written beside it and verified
 /// before it takes its place; the damaged one is kept under another name.
-pub fn repair(folder: &Path, seed: u64, to: &mut impl Write) -> Result<Finding, Fault> {
-    let idle = Idle::take(folder)?;
-    let found = idle.read()?;
-    let at = |e| Fault::Io(folder.to_owned(), e);
-    if tell(&found, to).map_err(at)? == Finding::Sound {
-        return Ok(Finding::Sound);
+pub fn repair(folder: &Path, seed: u64, to: &mut impl Write) -> Result<Finding, CommandError> {
+    let locked = LockedFolder::take(folder)?;
+    let found = locked.read()?;
+    let at = |e| CommandError::Io(folder.to_owned(), e);
+    if report(&found, to).map_err(at)? == Finding::Undamaged {
+        return Ok(Finding::Undamaged);
     }
-    let (journal, new) = (folder.join(NAME), folder.join(IN));
-    let mend = || -> io::Result<PathBuf> {
+    let (journal, new) = (folder.join(NAME), folder.join(NEW_FOLDER));
+    let rewrite = || -> io::Result<PathBuf> {
         old_journal::remove(&new)?;
         journal::write(&new, &found.live, seed)?;
         let written = journal::read(&new)?;
@@ -216,7 +223,7 @@
         Folder::at(folder).sync_folder()?;
         Ok(aside)
     };
-    let aside = mend().map_err(at)?;
+    let aside = rewrite().map_err(at)?;
     writeln!(
         to,
         "mended: {} messages live; the damaged journal is kept in {}",
@@ -224,5 +231,5 @@
         aside.display()
     )
     .map_err(at)?;
-    Ok(Finding::Mended)
+    Ok(Finding::Repaired)
 }
--- a/src/node/old_journal.rs
+++ b/src/node/old_journal.rs
@@ -14,10 +14,10 @@
 
 /// The old file while it is being replaced, the new folder while it is being written, and the temporary file
 /// of the old format's rewrites.
-const OUT: &str = "journal.1";
-pub const IN: &str = "journal.2";
-const REWRITE: &str = "journal.next";
-const RECORD_MOST: usize = 128 * 1024;
+const OLD_FILE: &str = "journal.1";
+pub const NEW_FOLDER: &str = "journal.2";
+const OLD_REWRITE: &str = "journal.next";
+const MAX_RECORD: usize = 128 * 1024;
 
 pub fn remove(path: &Path) -> io::Result<()> {
     let gone = match fs::symlink_metadata(path) {
@@ -34,29 +34,29 @@
 /// Migrates an old journal, if there is one: `write` creates the new journal in the folder it is given. If
 /// the process is killed at any point, the next start finds either the complete old journal or the complete
 /// new one.
-pub fn carry_over(
+pub fn migrate(
     folder: &Path,
     write: impl FnOnce(&BTreeMap<u64, LiveMessage>, &Path) -> io::Result<()>,
 ) -> io::Result<()> {
-    let [journal, out, new] = [NAME, OUT, IN].map(|name| folder.join(name));
+    let [journal, old, new] = [NAME, OLD_FILE, NEW_FOLDER].map(|name| folder.join(name));
     if fs::symlink_metadata(&journal).is_ok_and(|found| found.is_file()) {
-        remove(&folder.join(REWRITE))?;
+        remove(&folder.join(OLD_REWRITE))?;
         remove(&new)?;
         let bytes = fs::read(&journal)?;
         let (live, sound) = replay(&bytes);
         if sound < bytes.len() {
-            say!("journal: {}", unread(&bytes, sound));
+            say!("journal: {}", unreadable_rest(&bytes, sound));
         }
         say!("journal: {} messages are migrated from the old format", live.len());
         write(&live, &new)?;
-        fs::rename(&journal, &out)?;
+        fs::rename(&journal, &old)?;
     }
     if fs::symlink_metadata(&journal).is_err() && new.is_dir() {
         fs::rename(&new, &journal)?;
     }
     // From here on the new journal is complete.
     if journal.is_dir() {
-        remove(&out)?;
+        remove(&old)?;
     }
     Ok(())
 }
@@ -107,7 +107,7 @@
 }
 
 /// Describes the part of an old journal behind its valid prefix.
-pub fn unread(bytes: &[u8], sound: usize) -> Damage {
+pub fn unreadable_rest(bytes: &[u8], sound: usize) -> Damage {
     let what = "the old format cannot be read from here on";
     Damage { file: NAME.to_owned(), offset: sound, length: bytes.len() - sound, what, quarantined: false }
 }
@@ -117,7 +117,7 @@
     let (mut live, mut sound) = (BTreeMap::new(), 0);
     let mut f = FieldReader(bytes);
     while let (Some(len), Some(sum)) = (f.u32(), f.u32()) {
-        let record = f.take(len as usize).filter(|r| r.len() <= RECORD_MOST && crc32fast::hash(r) == sum);
+        let record = f.take(len as usize).filter(|r| r.len() <= MAX_RECORD && crc32fast::hash(r) == sum);
         if record.and_then(|r| apply(&mut live, r)).is_none() {
             break;
         }
--- a/src/node/outcomes.rs
+++ b/src/node/outcomes.rs
@@ -16,16 +16,16 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::{Instant, sleep};
 
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The platform answers at once. A connection on which it does not may be dead. A notice that is sent twice
 /// does no harm, while one that arrives 300 ms after the message's deadline is too late: the time-out starts
 /// short and doubles.
-const ANSWER_FIRST: Duration = Duration::from_millis(120);
-const ANSWER_MOST: Duration = Duration::from_millis(1000);
-const BACKOFF_FIRST: Duration = Duration::from_millis(20);
-const BACKOFF_MOST: Duration = Duration::from_millis(500);
+const FIRST_ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
+const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(1000);
+const FIRST_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 /// An idle connection is reused within this time only.
-const KEEP: Duration = Duration::from_secs(2);
+const MAX_IDLE: Duration = Duration::from_secs(2);
 
 /// A message that has ended undelivered.
 #[derive(Clone, Debug)]
@@ -60,52 +60,53 @@
     /// Shared by all batches in progress; a reload may change it.
     address: Rc<Cell<SocketAddr>>,
     /// An idle connection, if there is one.
-    kept: Rc<RefCell<Option<(Link, Instant)>>>,
+    idle: Rc<RefCell<Option<(Link, Instant)>>>,
 }
 
 impl Platform {
     pub fn new(address: SocketAddr) -> Self {
-        Platform { address: Rc::new(Cell::new(address)), kept: Rc::default() }
+        Platform { address: Rc::new(Cell::new(address)), idle: Rc::default() }
     }
 
     /// From now on notices go to another address, including those that are being retried.
     pub fn move_to(&self, address: SocketAddr) {
         self.address.set(address);
-        self.kept.borrow_mut().take();
+        self.idle.borrow_mut().take();
     }
 
     /// Sends a batch until it is acknowledged, then reports it.
     pub async fn post(self, mut batch: Vec<Notice>, news: Sender<News>) {
-        let mut backoff = BACKOFF_FIRST;
-        let (mut told, mut most, mut patience) = (Vec::new(), batch.len(), ANSWER_FIRST);
+        let mut backoff = FIRST_BACKOFF;
+        let (mut acknowledged, mut most, mut answer_timeout) =
+            (Vec::new(), batch.len(), FIRST_ANSWER_TIMEOUT);
         while !batch.is_empty() {
             let part = most.min(batch.len());
-            match self.once(&batch[..part], patience).await {
+            match self.send_once(&batch[..part], answer_timeout).await {
                 Some(StatusCode::NO_CONTENT | StatusCode::OK) => {
-                    told.extend(batch.drain(..part).map(|n| n.message));
+                    acknowledged.extend(batch.drain(..part).map(|n| n.message));
                 }
                 // One line that cannot be read must not hold back the others: send each in its own request.
                 Some(StatusCode::BAD_REQUEST) if part > 1 => most = 1,
                 Some(StatusCode::BAD_REQUEST) => {
                     say!("outcomes: the platform cannot read the notice for {:?}", batch[0].id);
-                    told.extend(batch.drain(..part).map(|n| n.message));
+                    acknowledged.extend(batch.drain(..part).map(|n| n.message));
                 }
                 _ => {
-                    patience = (patience * 2).min(ANSWER_MOST);
+                    answer_timeout = (answer_timeout * 2).min(MAX_ANSWER_TIMEOUT);
                     sleep(backoff).await;
-                    backoff = (backoff * 2).min(BACKOFF_MOST);
+                    backoff = (backoff * 2).min(MAX_BACKOFF);
                 }
             }
         }
-        let _ = news.send(News::Told(told)).await;
+        let _ = news.send(News::Told(acknowledged)).await;
     }
 
-    async fn once(&self, batch: &[Notice], patience: Duration) -> Option<StatusCode> {
+    async fn send_once(&self, batch: &[Notice], answer_timeout: Duration) -> Option<StatusCode> {
         let to = self.address.get();
-        let kept = self.kept.borrow_mut().take().filter(|(_, at)| at.elapsed() < KEEP);
+        let kept = self.idle.borrow_mut().take().filter(|(_, at)| at.elapsed() < MAX_IDLE);
         let mut link = match kept.and_then(|(mut link, _)| link.sound().then_some(link)) {
             Some(link) => link,
-            None => Link::open(to, CONNECT, None).await?,
+            None => Link::open(to, CONNECT_TIMEOUT, None).await?,
         };
         let text: String = batch.iter().map(Notice::line).collect();
         let request = Request::post("/v1/outcomes")
@@ -113,10 +114,10 @@
             .header(header::CONTENT_TYPE, "application/x-ndjson")
             .body(Full::new(Bytes::from(text)))
             .ok()?;
-        let answer = link.ask(request, Instant::now() + patience).await.ok()?;
+        let answer = link.ask(request, Instant::now() + answer_timeout).await.ok()?;
         // After a reload this connection would send the next batch to the old address.
         if answer.reusable && to == self.address.get() {
-            *self.kept.borrow_mut() = Some((link, Instant::now()));
+            *self.idle.borrow_mut() = Some((link, Instant::now()));
         }
         Some(answer.status)
     }
--- a/src/node/power_test.rs
+++ b/src/node/power_test.rs
@@ -2,8 +2,8 @@
 
 use super::tests::{State, attempt, state, test_message};
 use super::*;
-use crate::store::safeguard::{Safeguard, without};
-use crate::store::simulated::{Fault, Files, Lies, Simulated};
+use crate::store::safeguard::{Safeguard, with_disabled};
+use crate::store::simulated::{Fault, Files, IgnoredCalls, Simulated};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cell::RefCell;
@@ -15,7 +15,7 @@
 fn open(disk: &Simulated, seed: u64) -> io::Result<(Journal<Simulated>, Recovery)> {
     let plan =
         Plan { size: 1536, seed, quarantine_room: 4096, durability: Durability::Power, refuse_damage: false };
-    Journal::on(disk.clone(), plan, ROOM)
+    Journal::open_on(disk.clone(), plan, ROOM)
 }
 
 /// States that may be found at this moment: the one last committed, and those after each record since.
@@ -33,7 +33,7 @@
         }
         3..6 if tried < 4 => journal.attempt(n, attempt("s-1")),
         6 if tried > 0 => journal.never_ran(n, tried - 1),
-        7 => journal.judge(n, Verdict::Bounced { wait: None }),
+        7 => journal.record_verdict(n, Verdict::Bounced { wait: None }),
         8.. => journal.end(n),
         _ => {}
     }
@@ -128,8 +128,8 @@
 
 /// Runs one script on one disk: after each call from `from` to `to`, every state that a power loss or the end
 /// of the process could leave is recovered.
-fn run(seed: u64, steps: usize, fault: Fault, lies: Lies, (from, to): (usize, usize)) -> Shown {
-    let disk = Simulated::new(Files::new(), fault).lying(lies);
+fn run(seed: u64, steps: usize, fault: Fault, ignored: IgnoredCalls, (from, to): (usize, usize)) -> Shown {
+    let disk = Simulated::new(Files::new(), fault).ignoring(ignored);
     let allowed: Allowed = Rc::new(RefCell::new(vec![State::new()]));
     let shown = Rc::new(RefCell::new(Shown::default()));
     let (of, may, tells) = (disk.clone(), allowed.clone(), shown.clone());
@@ -152,8 +152,8 @@
     shown.take()
 }
 
-const TRUE: Lies = Lies { sync: false, sync_folder: false };
-const ALL: (usize, usize) = (0, usize::MAX);
+const NONE_IGNORED: IgnoredCalls = IgnoredCalls { sync: false, sync_folder: false };
+const ALL_CALLS: (usize, usize) = (0, usize::MAX);
 
 /// Runs on several threads; panics on the first wrong state.
 fn all(runs: Vec<Box<dyn FnOnce() -> Shown + Send>>) -> u64 {
@@ -184,7 +184,7 @@
 #[test]
 fn every_loss_of_power_leaves_what_was_acknowledged() {
     let script = |seed| -> Box<dyn FnOnce() -> Shown + Send> {
-        Box::new(move || run(seed, 120, Fault::None, TRUE, ALL))
+        Box::new(move || run(seed, 120, Fault::None, NONE_IGNORED, ALL_CALLS))
     };
     let states = all((1..=4).map(script).collect());
     print(&format!("power: {states} states after a loss of power were recovered"));
@@ -206,7 +206,7 @@
         for (call, size) in calls(seed).into_iter().enumerate() {
             for after in std::collections::BTreeSet::from([0, size / 2]) {
                 let fault = Fault::Fails { call, after };
-                runs.push(Box::new(move || run(seed, 60, fault, TRUE, (call, call + 8))));
+                runs.push(Box::new(move || run(seed, 60, fault, NONE_IGNORED, (call, call + 8))));
             }
         }
     }
@@ -219,27 +219,32 @@
 /// Each safeguard is needed: with any one disabled, one of the runs goes wrong.
 #[test]
 fn no_safeguard_can_be_left_out() {
-    let wrong = |away: Option<Safeguard>, lies: Lies| {
-        let clean = || run(3, 120, Fault::None, lies, ALL);
-        let failing = |call| run(20, 40, Fault::Fails { call, after: 0 }, lies, (call, call + 8));
-        without(away, || clean().wrong.is_some() || (0..90).any(|call| failing(call).wrong.is_some()))
+    let wrong = |disabled: Option<Safeguard>, ignored: IgnoredCalls| {
+        let clean = || run(3, 120, Fault::None, ignored, ALL_CALLS);
+        let failing = |call| run(20, 40, Fault::Fails { call, after: 0 }, ignored, (call, call + 8));
+        with_disabled(disabled, || {
+            clean().wrong.is_some() || (0..90).any(|call| failing(call).wrong.is_some())
+        })
     };
-    assert!(!wrong(None, TRUE), "with all of them nothing goes wrong");
-    assert!(wrong(None, Lies { sync: true, ..TRUE }), "files are synced");
-    assert!(wrong(None, Lies { sync_folder: true, ..TRUE }), "the folder is synced");
-    for away in [
-        Safeguard::NamedWhole,
-        Safeguard::FreshAfterFailedSync,
-        Safeguard::WrittenAnew,
-        Safeguard::CutShort,
-        Safeguard::TailAnew,
-        Safeguard::DroppedWhole,
-        Safeguard::DroppedLast,
+    assert!(!wrong(None, NONE_IGNORED), "with all of them nothing goes wrong");
+    assert!(wrong(None, IgnoredCalls { sync: true, ..NONE_IGNORED }), "files are synced");
+    assert!(wrong(None, IgnoredCalls { sync_folder: true, ..NONE_IGNORED }), "the folder is synced");
+    for disabled in [
+        Safeguard::RenameAfterFirstSync,
+        Safeguard::NewFileAfterFailedSync,
+        Safeguard::LaterSegmentWins,
+        Safeguard::IgnoreBehindCut,
+        Safeguard::RewriteUnsyncedTail,
+        Safeguard::DropWithWholeBatch,
+        Safeguard::RemoveAfterCommit,
     ] {
-        assert!(wrong(Some(away), TRUE), "{away:?} is needed");
+        assert!(wrong(Some(disabled), NONE_IGNORED), "{disabled:?} is needed");
     }
     assert!(!stale_block_counts(), "a block of another file is no record");
-    assert!(without(Some(Safeguard::Identity), stale_block_counts), "the segment's identity is needed");
+    assert!(
+        with_disabled(Some(Safeguard::ChecksumWithIdentity), stale_block_counts),
+        "the segment's identity is needed"
+    );
 }
 
 /// A new folder, in which a block of an earlier file is left behind the end of a file.
--- a/src/node/register.rs
+++ b/src/node/register.rs
@@ -16,8 +16,8 @@
 const NAME: &str = "operators";
 /// Upper bound of the file's size. While it is replaced, the old and the new file exist side by side: the
 /// journal leaves room for both.
-const FILE_MOST: usize = 4 * 1024;
-pub const DISK_MOST: u64 = 4 * FILE_MOST as u64;
+const MAX_FILE: usize = 4 * 1024;
+pub const MAX_DISK: u64 = 4 * MAX_FILE as u64;
 
 /// A change that an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -75,10 +75,10 @@
 struct State {
     page: Page,
     /// Ids on the courier's endpoint list.
-    known: BTreeSet<String>,
+    listed: BTreeSet<String>,
     role: Role,
     /// The process is stopping, but still applies changes.
-    ends: bool,
+    stopping: bool,
 }
 
 pub struct Register {
@@ -109,7 +109,7 @@
 
     pub fn serves(&self) -> bool {
         let state = self.state();
-        matches!(state.role, Role::Serves(_)) && !state.ends
+        matches!(state.role, Role::Serves(_)) && !state.stopping
     }
 
     /// From now on this process serves; changes are sent to the receiver.
@@ -121,7 +121,7 @@
 
     /// This process accepts no more clients and stops.
     pub fn end(&self) {
-        self.state().ends = true;
+        self.state().stopping = true;
     }
 
     /// Another process serves from now on; changes requested here are sent to the receiver, to be forwarded.
@@ -132,7 +132,7 @@
     }
 
     /// Blocks changes until the guard is dropped.
-    pub async fn hold(&self) -> OwnedMutexGuard<()> {
+    pub async fn block_changes(&self) -> OwnedMutexGuard<()> {
         self.turn.clone().lock_owned().await
     }
 
@@ -145,8 +145,8 @@
     }
 
     /// Sets the ids on the courier's current endpoint list.
-    pub fn know(&self, ids: BTreeSet<String>) {
-        self.state().known = ids;
+    pub fn set_listed(&self, ids: BTreeSet<String>) {
+        self.state().listed = ids;
     }
 
     /// Makes a change: records it, puts it in force, then sends it to the courier. A change that alters
@@ -170,7 +170,7 @@
                 let mut page = state.page.clone();
                 match &change {
                     Change::Service { out } => page.out_of_service = *out,
-                    Change::Endpoint { id, .. } if !state.known.contains(id) && !page.out.contains(id) => {
+                    Change::Endpoint { id, .. } if !state.listed.contains(id) && !page.out.contains(id) => {
                         return Err(ChangeError::UnknownEndpoint);
                     }
                     Change::Endpoint { id, out: true } => _ = page.out.insert(id.clone()),
@@ -182,7 +182,7 @@
                 page
             };
             let (folder, kept, durability) = (Folder::at(&this.folder), page.clone(), this.durability);
-            let record = move || page::replace(&folder, durability, (NAME, kept), FILE_MOST);
+            let record = move || page::replace(&folder, durability, (NAME, kept), MAX_FILE);
             let kept = tokio::task::spawn_blocking(record).await;
             if !matches!(kept, Ok(Ok(()))) {
                 return Err(ChangeError::NotPersisted);
@@ -222,7 +222,7 @@
         assert_eq!(register.clone().set(endpoint(true)).await, Err(ChangeError::NotServing));
         let mut changed = register.serve();
         assert_eq!(register.clone().set(endpoint(true)).await, Err(ChangeError::UnknownEndpoint));
-        register.know(BTreeSet::from(["s-1".to_owned()]));
+        register.set_listed(BTreeSet::from(["s-1".to_owned()]));
         for _ in 0..2 {
             assert_eq!(register.clone().set(endpoint(true)).await, Ok(()));
         }
@@ -262,7 +262,7 @@
         // Earlier versions wrote no checksum. A file that was altered after it was written fails its
         // checksum.
         assert!(load(br#"{"out":["s-1"],"out_of_service":false}"#).expect("read"));
-        page::replace(&Folder::at(&folder), Durability::Power, (NAME, Page::default()), FILE_MOST)
+        page::replace(&Folder::at(&folder), Durability::Power, (NAME, Page::default()), MAX_FILE)
             .expect("kept");
         let kept = fs::read_to_string(folder.join(NAME)).expect("read");
         assert!(!load(kept.as_bytes()).expect("read"));
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -18,12 +18,12 @@
     /// Appends all bytes, or fails after writing some of them.
     fn write(&self, file: &mut Self::File, bytes: &[u8]) -> io::Result<()>;
     /// Truncates a file that is open for writing.
-    fn cut(&self, file: &mut Self::File, size: u64) -> io::Result<()>;
+    fn truncate(&self, file: &mut Self::File, size: u64) -> io::Result<()>;
     /// Makes the file's contents durable. After an error nothing is known of what was written since the last
     /// success, and a later success does not prove that it is on disk.
     fn sync(&self, file: &mut Self::File) -> io::Result<()>;
     /// The same for a file that another process has written.
-    fn sync_left(&self, name: &str) -> io::Result<()>;
+    fn sync_existing(&self, name: &str) -> io::Result<()>;
     /// The same for files created, renamed and removed in the folder.
     fn sync_folder(&self) -> io::Result<()>;
     /// Renames a file, replacing the target.
@@ -89,7 +89,7 @@
         file.write_all(bytes)
     }
 
-    fn cut(&self, file: &mut File, size: u64) -> io::Result<()> {
+    fn truncate(&self, file: &mut File, size: u64) -> io::Result<()> {
         file.set_len(size)
     }
 
@@ -97,7 +97,7 @@
         file.sync_data()
     }
 
-    fn sync_left(&self, name: &str) -> io::Result<()> {
+    fn sync_existing(&self, name: &str) -> io::Result<()> {
         File::open(self.0.join(name))?.sync_all()
     }
 
--- a/src/store/frame.rs
+++ b/src/store/frame.rs
@@ -98,7 +98,7 @@
 }
 
 /// Appends a record.
-pub fn put(to: &mut Vec<u8>, identity: u64, label: Label, payload: &[u8]) {
+pub fn append_record(to: &mut Vec<u8>, identity: u64, label: Label, payload: &[u8]) {
     let at = to.len();
     to.extend_from_slice(&RECORD);
     to.extend_from_slice(&[label.kind, 0]);
@@ -116,7 +116,7 @@
     pub label: Label,
     pub payload: &'a [u8],
     /// Whether the payload matches its checksum; the label always does.
-    pub sound: bool,
+    pub valid: bool,
 }
 
 /// What was found at one offset of a segment.
@@ -180,8 +180,8 @@
                 found.push((at, Piece::Torn { bytes: rest }));
                 break;
             };
-            let sound = sum(head.identity, payload) == check;
-            found.push((at, Piece::Record(Record { label, payload, sound })));
+            let valid = sum(head.identity, payload) == check;
+            found.push((at, Piece::Record(Record { label, payload, valid })));
             at += RECORD_HEADER + length;
             continue;
         }
@@ -206,7 +206,7 @@
         let mut ends = Vec::new();
         for n in 0..records {
             let label = Label { kind: 1, sequence: 10 + n as u64, message: n as u64 };
-            put(&mut bytes, 77, label, &vec![n as u8; n * 7 % 50]);
+            append_record(&mut bytes, 77, label, &vec![n as u8; n * 7 % 50]);
             ends.push(bytes.len());
         }
         (bytes, ends)
@@ -216,7 +216,7 @@
     fn sound(bytes: &[u8]) -> Vec<u64> {
         let (_, found) = read(bytes).expect("a head is sound");
         let of = |f: &Found| match f.1 {
-            Piece::Record(record) if record.sound => Some(record.label.sequence),
+            Piece::Record(record) if record.valid => Some(record.label.sequence),
             _ => None,
         };
         found.iter().filter_map(of).collect()
@@ -253,7 +253,7 @@
             let (_, found) = read(&bytes[..cut]).expect("the heads are sound");
             assert_eq!(sound(&bytes[..cut]).len(), whole, "{cut}");
             let spoilt = |piece: &Piece| match piece {
-                Piece::Record(record) => !record.sound,
+                Piece::Record(record) => !record.valid,
                 Piece::Unknown { .. } => true,
                 Piece::Torn { .. } => false,
             };
@@ -266,7 +266,7 @@
     fn a_block_of_another_segment_is_no_record() {
         let (mut bytes, ends) = segment(4);
         let mut stale = Vec::new();
-        put(&mut stale, 78, Label { kind: 1, sequence: 12, message: 9 }, b"left from before");
+        append_record(&mut stale, 78, Label { kind: 1, sequence: 12, message: 9 }, b"left from before");
         bytes.splice(ends[1]..ends[1], stale);
         assert_eq!(sound(&bytes), [10, 11, 12, 13]);
         let (_, found) = read(&bytes).expect("read");
--- a/src/store/lock.rs
+++ b/src/store/lock.rs
@@ -11,7 +11,7 @@
     _file: File,
 }
 
-fn taken(file: File) -> io::Result<Option<Lock>> {
+fn try_lock(file: File) -> io::Result<Option<Lock>> {
     match file.try_lock() {
         Ok(()) => Ok(Some(Lock { _file: file })),
         Err(TryLockError::WouldBlock) => Ok(None),
@@ -22,21 +22,21 @@
 impl Lock {
     /// None if another process holds it.
     pub fn take(folder: &Path) -> io::Result<Option<Self>> {
-        taken(File::options().write(true).create(true).truncate(false).open(folder.join(NAME))?)
+        try_lock(File::options().write(true).create(true).truncate(false).open(folder.join(NAME))?)
     }
 
     /// The same, but creates no lock file: if there is none, no process has ever held the lock.
-    pub fn look(folder: &Path) -> io::Result<Look> {
+    pub fn probe(folder: &Path) -> io::Result<LockState> {
         match File::open(folder.join(NAME)) {
-            Ok(file) => Ok(taken(file)?.map_or(Look::InUse, |lock| Look::Free(Some(lock)))),
-            Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(Look::Free(None)),
+            Ok(file) => Ok(try_lock(file)?.map_or(LockState::InUse, |lock| LockState::Free(Some(lock)))),
+            Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(LockState::Free(None)),
             Err(e) => Err(e),
         }
     }
 }
 
 /// Whether another process writes to a folder.
-pub enum Look {
+pub enum LockState {
     InUse,
     /// No other process writes to it while this value is held.
     Free(Option<Lock>),
--- a/src/store/scan.rs
+++ b/src/store/scan.rs
@@ -2,7 +2,7 @@
 
 use super::disk::Disk;
 use super::frame::{self, Found, Head, Label, Piece, Record, UnreadableSegment};
-use super::safeguard::{Safeguard, holds};
+use super::safeguard::{Safeguard, is_enabled};
 use std::fmt;
 use std::io;
 use std::ops::Range;
@@ -72,7 +72,7 @@
     pub number: u64,
     pub size: u64,
     /// Sequence numbers of its records, all of which are intact; None if one is known not to be.
-    pub whole: Option<Range<u64>>,
+    pub intact: Option<Range<u64>>,
 }
 
 /// The result of a scan, besides the records.
@@ -127,7 +127,7 @@
             }
             let open = self.synced.is_some_and(|synced| next >= synced);
             match piece {
-                Piece::Record(Record { label, sound, .. }) if !open || (*sound && label.sequence <= next) => {
+                Piece::Record(Record { label, valid, .. }) if !open || (*valid && label.sequence <= next) => {
                     next = next.max(label.sequence + u64::from(label.kind != SYNCED));
                 }
                 _ if open => return part(Some(*at)),
@@ -141,7 +141,7 @@
 /// Labels of the valid records of one kind; used for the store's own kinds.
 fn own<'a>(found: &'a [Found<'a>], kind: u8) -> impl Iterator<Item = Label> {
     found.iter().filter_map(move |(_, piece)| match piece {
-        Piece::Record(Record { label, sound: true, .. }) if label.kind == kind => Some(*label),
+        Piece::Record(Record { label, valid: true, .. }) if label.kind == kind => Some(*label),
         _ => None,
     })
 }
@@ -181,8 +181,8 @@
         let later = self.heads[place + 1..].iter().flatten().map(|h| h.first);
         let marks = own(found, SYNCED).map(|label| label.sequence);
         let synced = || marks.max().unwrap_or(0).max(head.first);
-        let open = head.synced && self.last == Some(place) && holds(Safeguard::CutShort);
-        let until = later.min().filter(|_| holds(Safeguard::WrittenAnew));
+        let open = head.synced && self.last == Some(place) && is_enabled(Safeguard::IgnoreBehindCut);
+        let until = later.min().filter(|_| is_enabled(Safeguard::LaterSegmentWins));
         Extent { until: until.unwrap_or(u64::MAX), synced: open.then(synced) }
     }
 
@@ -194,7 +194,7 @@
             let bytes = disk.read(&name(*n))?;
             let Ok((_, found)) = frame::read(&bytes) else { continue };
             let part = self.extent(place, head, &found).of(head, &found);
-            let pieces = if holds(Safeguard::DroppedWhole) { part.pieces } else { &found };
+            let pieces = if is_enabled(Safeguard::DropWithWholeBatch) { part.pieces } else { &found };
             let dropped = own(pieces, DROPPED).map(|label| label.message + 1);
             return Ok(Needed { from: dropped.chain([head.oldest]).max(), newest: Some((*n, bytes)) });
         }
@@ -233,7 +233,7 @@
         for (place, (at, piece)) in part.pieces.iter().enumerate() {
             match *piece {
                 Piece::Record(record) => {
-                    let Record { label, payload, sound } = record;
+                    let Record { label, payload, valid } = record;
                     // Written a second time after a disk error, although the first write had succeeded.
                     if label.sequence < next {
                         continue;
@@ -246,13 +246,13 @@
                         continue;
                     }
                     next += 1;
-                    if !sound {
+                    if !valid {
                         self.damaged(n, *at, payload.len(), "a record fails its checksum");
                     }
                     if label.kind != DROPPED {
                         (self.read)(Read::Record(record));
                     }
-                    if sound && extent.synced.is_some_and(|synced| label.sequence >= synced) {
+                    if valid && extent.synced.is_some_and(|synced| label.sequence >= synced) {
                         self.scan.tail.push((label, payload.to_vec()));
                     }
                 }
@@ -282,7 +282,7 @@
         self.next = Some(next);
         let sealed = &mut self.scan.sealed;
         if let Some(sealed) = sealed.last_mut().filter(|_| self.scan.damage.len() == damages) {
-            sealed.whole = Some(head.first..next);
+            sealed.intact = Some(head.first..next);
         }
     }
 }
@@ -322,7 +322,7 @@
             Some((_, bytes)) => bytes,
             None => disk.read(&name(n))?,
         };
-        reader.scan.sealed.push(SealedSegment { number: n, size: bytes.len() as u64, whole: None });
+        reader.scan.sealed.push(SealedSegment { number: n, size: bytes.len() as u64, intact: None });
         (reader.read)(Read::Segment(n));
         match (layout.heads[place], frame::read(&bytes)) {
             (Some(head), Ok((_, found))) => {
@@ -357,12 +357,12 @@
 }
 
 /// Whether a sealed segment still holds all its records.
-pub fn is_whole(bytes: &[u8], number: u64, whole: &Range<u64>) -> bool {
+pub fn is_intact(bytes: &[u8], number: u64, whole: &Range<u64>) -> bool {
     let Ok((head, found)) = frame::read(bytes) else { return false };
     let mut next = whole.start;
     for (_, piece) in found {
         match piece {
-            Piece::Record(Record { label, sound: true, .. })
+            Piece::Record(Record { label, valid: true, .. })
                 if label.kind != SYNCED && label.sequence == next =>
             {
                 next += 1;
--- a/src/store/segments.rs
+++ b/src/store/segments.rs
@@ -3,7 +3,7 @@
 use super::Durability;
 use super::disk::Disk;
 use super::frame::{self, Head, Label};
-use super::safeguard::{Safeguard, holds};
+use super::safeguard::{Safeguard, is_enabled};
 use super::scan::{self, DROPPED, Damage, Read, SYNCED, Scan, SealedSegment, name, unnamed, unusable};
 use std::collections::VecDeque;
 use std::io;
@@ -129,7 +129,7 @@
         }
         if plan.durability.syncs() {
             for n in &scan.unsynced {
-                disk.sync_left(&name(*n))?;
+                disk.sync_existing(&name(*n))?;
             }
             disk.sync_folder()?;
         }
@@ -138,7 +138,7 @@
             quarantine(&disk, &scan.names, &mut scan.room, damage);
         }
         let mut pending = Batch::default();
-        for (label, payload) in scan.tail.iter().filter(|_| holds(Safeguard::TailAnew)) {
+        for (label, payload) in scan.tail.iter().filter(|_| is_enabled(Safeguard::RewriteUnsyncedTail)) {
             pending.append(label.kind, label.message, payload);
         }
         let mut segments = Segments {
@@ -189,7 +189,7 @@
     }
 
     fn flush(&mut self) -> io::Result<()> {
-        if !holds(Safeguard::DroppedLast)
+        if !is_enabled(Safeguard::RemoveAfterCommit)
             && let Some(oldest) = self.sealed.front().filter(|_| self.pending.drops)
         {
             let _ = self.disk.remove(&name(oldest.number));
@@ -230,7 +230,7 @@
     fn create(&mut self, buffer: &mut Vec<u8>) -> io::Result<OpenSegment<D::File>> {
         self.made += 1;
         let identity = mix_bits(self.plan.seed ^ mix_bits(self.number ^ (self.made << 40)));
-        let identity = if holds(Safeguard::Identity) { identity } else { 0 };
+        let identity = if is_enabled(Safeguard::ChecksumWithIdentity) { identity } else { 0 };
         let oldest = self.sealed.front().map_or(self.number, |k| k.number);
         let synced = self.plan.durability.syncs();
         let head = Head { number: self.number, identity, first: self.sequence, oldest, synced };
@@ -250,7 +250,7 @@
     /// With syncs, a segment gets its final name once its first batch is on disk: its records supersede the
     /// same ones in earlier segments, and must not do so before they are durable.
     fn names_later(&self) -> bool {
-        self.plan.durability.syncs() && holds(Safeguard::NamedWhole)
+        self.plan.durability.syncs() && is_enabled(Safeguard::RenameAfterFirstSync)
     }
 
     /// Stops writing to a segment whose contents are uncertain. If nothing else was in it, it is removed and
@@ -260,7 +260,7 @@
         if open.size == 0 && (gone(unnamed(open.number, open.identity)) || gone(name(open.number))) {
             return;
         }
-        self.close(SealedSegment { number: open.number, size, whole: None });
+        self.close(SealedSegment { number: open.number, size, intact: None });
     }
 
     fn write(&mut self, buffer: &mut Vec<u8>) -> io::Result<()> {
@@ -271,12 +271,12 @@
         let mut from = 0;
         for (n, (kind, message, end)) in self.pending.records.iter().enumerate() {
             let label = Label { kind: *kind, sequence: self.sequence + n as u64, message: *message };
-            frame::put(buffer, open.identity, label, &self.pending.payloads[from..*end]);
+            frame::append_record(buffer, open.identity, label, &self.pending.payloads[from..*end]);
             from = *end;
         }
         let size = open.size + buffer.len() as u64;
         if let Err(e) = self.disk.write(&mut open.file, buffer) {
-            if open.size > 0 && self.disk.cut(&mut open.file, open.size).is_ok() {
+            if open.size > 0 && self.disk.truncate(&mut open.file, open.size).is_ok() {
                 self.open = Some(open);
             } else {
                 // Part of the batch may be in the file: the records are rewritten in the next segment.
@@ -288,7 +288,7 @@
             && let Err(e) = self.sync_segment(&mut open)
         {
             // A sync that is retried after a failure may succeed although the data did not reach the disk.
-            if holds(Safeguard::FreshAfterFailedSync) {
+            if is_enabled(Safeguard::NewFileAfterFailedSync) {
                 self.abandon(open, size);
             } else {
                 self.open = Some(OpenSegment { size, ..open });
@@ -322,7 +322,7 @@
         let label = Label { kind: SYNCED, sequence: self.sequence, message: 0 };
         let mut buffer = std::mem::take(&mut self.buffer);
         buffer.clear();
-        frame::put(&mut buffer, open.identity, label, &[]);
+        frame::append_record(&mut buffer, open.identity, label, &[]);
         let marked = self.disk.write(&mut open.file, &buffer).is_ok();
         open.size += buffer.len() as u64;
         self.open = Some(open);
@@ -341,8 +341,8 @@
 
     fn seal(&mut self) {
         if let Some(open) = self.open.take() {
-            let whole = Some(open.first..self.sequence);
-            self.close(SealedSegment { number: open.number, size: open.size, whole });
+            let intact = Some(open.first..self.sequence);
+            self.close(SealedSegment { number: open.number, size: open.size, intact });
         }
     }
 }
--- a/src/store/simulated.rs
+++ b/src/store/simulated.rs
@@ -38,7 +38,7 @@
 
 /// Calls that report success without doing anything.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Lies {
+pub(crate) struct IgnoredCalls {
     pub(crate) sync: bool,
     pub(crate) sync_folder: bool,
 }
@@ -53,19 +53,19 @@
     /// Sectors that the next sync writes, and those that a failed sync has dropped: no later sync writes
     /// them.
     dirty: BTreeSet<usize>,
-    given_up: BTreeSet<usize>,
+    dropped: BTreeSet<usize>,
 }
 
 impl Inode {
     fn touched(&self) -> impl Iterator<Item = usize> {
-        self.dirty.union(&self.given_up).copied()
+        self.dirty.union(&self.dropped).copied()
     }
 
     fn touch(&mut self, from: usize, to: usize) {
         self.dirty.extend(from / SECTOR..to.div_ceil(SECTOR));
     }
 
-    fn bring(&mut self, sector: usize, bytes: usize) {
+    fn write_through(&mut self, sector: usize, bytes: usize) {
         let from = sector * SECTOR;
         let to = (from + bytes).min(self.data.len());
         if to > from {
@@ -76,18 +76,18 @@
 }
 
 #[derive(Clone, Debug)]
-enum Name {
-    Is(String, usize),
-    Moved(String, String),
-    Gone(String),
+enum NameChange {
+    Created(String, usize),
+    Renamed(String, String),
+    Removed(String),
 }
 
-impl Name {
+impl NameChange {
     fn apply(&self, names: &mut BTreeMap<String, usize>) {
         match self {
-            Name::Is(name, inode) => _ = names.insert(name.clone(), *inode),
-            Name::Gone(name) => _ = names.remove(name),
-            Name::Moved(from, to) => {
+            NameChange::Created(name, inode) => _ = names.insert(name.clone(), *inode),
+            NameChange::Removed(name) => _ = names.remove(name),
+            NameChange::Renamed(from, to) => {
                 if let Some(inode) = names.remove(from) {
                     names.insert(to.clone(), inode);
                 }
@@ -102,11 +102,11 @@
     names: BTreeMap<String, usize>,
     synced: BTreeMap<String, usize>,
     /// Changes to names since the folder was last synced.
-    unsynced: Vec<Name>,
+    unsynced: Vec<NameChange>,
     calls: usize,
     /// Number of read calls.
     reads: usize,
-    gone: bool,
+    ended: bool,
     /// Bytes of each call that changes the disk, 0 for the others.
     sizes: Vec<usize>,
 }
@@ -120,24 +120,25 @@
     }
 
     /// All unsynced changes that may or may not survive a power loss.
-    fn loose(&self) -> Vec<Loose> {
+    fn unsynced_changes(&self) -> Vec<UnsyncedChange> {
         let sectors = self.inodes.iter().enumerate().flat_map(|(n, inode)| {
-            inode.touched().map(move |sector| Loose::Sector(n, sector)).collect::<Vec<_>>()
+            inode.touched().map(move |sector| UnsyncedChange::Sector(n, sector)).collect::<Vec<_>>()
         });
-        sectors.chain((0..self.unsynced.len()).map(Loose::Name)).collect()
+        sectors.chain((0..self.unsynced.len()).map(UnsyncedChange::Name)).collect()
     }
 
-    /// The disk after a power loss that `came` survived; of the torn sector only the beginning.
-    fn left(&self, came: &[Loose], torn: Option<(Loose, usize)>, long: bool) -> Files {
+    /// The disk after a power loss that `survived` survived; of the torn sector only the beginning.
+    fn left(&self, survived: &[UnsyncedChange], torn: Option<(UnsyncedChange, usize)>, long: bool) -> Files {
         let mut names = self.synced.clone();
         let mut inodes = self.inodes.clone();
-        let came = came.iter().filter(|l| Some(**l) != torn.map(|t| t.0)).map(|l| (*l, SECTOR)).chain(torn);
-        let mut came: Vec<_> = came.collect();
-        came.sort();
-        for (loose, bytes) in came {
-            match loose {
-                Loose::Sector(n, sector) => inodes[n].bring(sector, bytes),
-                Loose::Name(n) => self.unsynced[n].apply(&mut names),
+        let survived =
+            survived.iter().filter(|l| Some(**l) != torn.map(|t| t.0)).map(|l| (*l, SECTOR)).chain(torn);
+        let mut survived: Vec<_> = survived.collect();
+        survived.sort();
+        for (unsynced, bytes) in survived {
+            match unsynced {
+                UnsyncedChange::Sector(n, sector) => inodes[n].write_through(sector, bytes),
+                UnsyncedChange::Name(n) => self.unsynced[n].apply(&mut names),
             }
         }
         let file = |inode: &Inode| {
@@ -151,7 +152,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Loose {
+enum UnsyncedChange {
     Name(usize),
     Sector(usize, usize),
 }
@@ -163,7 +164,7 @@
 pub(crate) struct Simulated {
     state: Rc<RefCell<State>>,
     fault: Rc<RefCell<Option<Fault>>>,
-    lies: Lies,
+    ignored: IgnoredCalls,
     /// Called after each call that changes the disk.
     watch: Rc<RefCell<Option<Watch>>>,
 }
@@ -181,8 +182,8 @@
         Simulated { state, fault: Rc::new(RefCell::new(Some(fault))), ..Simulated::default() }
     }
 
-    pub(crate) fn lying(self, lies: Lies) -> Self {
-        Simulated { lies, ..self }
+    pub(crate) fn ignoring(self, ignored: IgnoredCalls) -> Self {
+        Simulated { ignored, ..self }
     }
 
     /// From now on `watch` is called after each call that changes the disk.
@@ -209,35 +210,36 @@
     /// All states that may be found after a power loss now, without duplicates.
     pub(crate) fn after_power_loss(&self, seed: u64) -> BTreeSet<Files> {
         let state = self.state.borrow();
-        let (loose, mut rng) = (state.loose(), SmallRng::seed_from_u64(seed));
-        let sets: Vec<Vec<Loose>> = if loose.len() <= ALL_OF {
-            let of = |set: usize| (0..loose.len()).filter(move |n| set & (1 << n) != 0);
-            (0..1 << loose.len()).map(|set| of(set).map(|n| loose[n]).collect()).collect()
+        let (unsynced, mut rng) = (state.unsynced_changes(), SmallRng::seed_from_u64(seed));
+        let sets: Vec<Vec<UnsyncedChange>> = if unsynced.len() <= ALL_OF {
+            let of = |set: usize| (0..unsynced.len()).filter(move |n| set & (1 << n) != 0);
+            (0..1 << unsynced.len()).map(|set| of(set).map(|n| unsynced[n]).collect()).collect()
         } else {
             let drawn = (0..DRAWN).map(|_| {
-                let mut some = loose.clone();
+                let mut some = unsynced.clone();
                 some.shuffle(&mut rng);
-                some.truncate(rng.random_range(0..=loose.len()));
+                some.truncate(rng.random_range(0..=unsynced.len()));
                 some
             });
-            drawn.chain([Vec::new(), loose.clone()]).collect()
+            drawn.chain([Vec::new(), unsynced.clone()]).collect()
         };
         let mut left = BTreeSet::new();
-        for came in sets {
-            let sectors: Vec<_> = came.iter().filter(|l| matches!(l, Loose::Sector(..))).copied().collect();
-            left.insert(state.left(&came, None, false));
-            left.insert(state.left(&came, None, true));
+        for survived in sets {
+            let sectors: Vec<_> =
+                survived.iter().filter(|l| matches!(l, UnsyncedChange::Sector(..))).copied().collect();
+            left.insert(state.left(&survived, None, false));
+            left.insert(state.left(&survived, None, true));
             if !sectors.is_empty() {
                 let torn = (sectors[rng.random_range(0..sectors.len())], rng.random_range(1..SECTOR));
-                left.insert(state.left(&came, Some(torn), false));
-                left.insert(state.left(&came, Some(torn), true));
+                left.insert(state.left(&survived, Some(torn), false));
+                left.insert(state.left(&survived, Some(torn), true));
             }
         }
         left
     }
 
     /// Corrupts a byte, both on disk and as read.
-    pub(crate) fn spoil(&self, name: &str, at: usize) {
+    pub(crate) fn corrupt(&self, name: &str, at: usize) {
         if let Some(inode) = self.state.borrow_mut().inode(name) {
             inode.data[at] ^= 1;
             inode.synced = inode.data.clone();
@@ -249,8 +251,8 @@
         self.state.borrow().sizes.clone()
     }
 
-    pub(crate) fn is_gone(&self) -> bool {
-        self.state.borrow().gone
+    pub(crate) fn has_ended(&self) -> bool {
+        self.state.borrow().ended
     }
 
     /// Size in bytes, with each file rounded up to whole sectors.
@@ -262,7 +264,7 @@
     fn call(&self, bytes: usize, act: impl FnOnce(&mut State, usize)) -> io::Result<()> {
         let done = {
             let mut state = self.state.borrow_mut();
-            if state.gone {
+            if state.ended {
                 return Err(io::ErrorKind::BrokenPipe.into());
             }
             let call = state.calls;
@@ -275,7 +277,7 @@
                 }
                 Fault::Ends { call: at, after } if at == call => {
                     act(&mut state, after.min(bytes));
-                    state.gone = true;
+                    state.ended = true;
                     Err(io::ErrorKind::BrokenPipe.into())
                 }
                 _ => {
@@ -306,7 +308,7 @@
     }
 
     fn sync_inode(&self, of: impl Fn(&State) -> Option<usize>) -> io::Result<()> {
-        if self.lies.sync {
+        if self.ignored.sync {
             return Ok(());
         }
         self.call(1, |state, done| {
@@ -315,9 +317,9 @@
             let dirty = std::mem::take(&mut inode.dirty);
             if done == 0 {
                 // These pages count as clean from here on, but are not on disk.
-                inode.given_up.extend(dirty);
+                inode.dropped.extend(dirty);
             } else {
-                dirty.iter().for_each(|sector| inode.bring(*sector, SECTOR));
+                dirty.iter().for_each(|sector| inode.write_through(*sector, SECTOR));
                 let length = inode.data.len();
                 inode.synced.truncate(length);
             }
@@ -355,7 +357,7 @@
                 made = state.inodes.len();
                 state.inodes.push(Inode::default());
                 state.names.insert(name.to_owned(), made);
-                state.unsynced.push(Name::Is(name.to_owned(), made));
+                state.unsynced.push(NameChange::Created(name.to_owned(), made));
             }
         })?;
         Ok(made)
@@ -370,7 +372,7 @@
         })
     }
 
-    fn cut(&self, file: &mut usize, size: u64) -> io::Result<()> {
+    fn truncate(&self, file: &mut usize, size: u64) -> io::Result<()> {
         self.call(1, |state, done| {
             if done > 0 {
                 let inode = &mut state.inodes[*file];
@@ -385,12 +387,12 @@
         self.sync_inode(|_| Some(*file))
     }
 
-    fn sync_left(&self, name: &str) -> io::Result<()> {
+    fn sync_existing(&self, name: &str) -> io::Result<()> {
         self.sync_inode(|state| state.names.get(name).copied())
     }
 
     fn sync_folder(&self) -> io::Result<()> {
-        if self.lies.sync_folder {
+        if self.ignored.sync_folder {
             return Ok(());
         }
         self.call(1, |state, done| {
@@ -404,7 +406,7 @@
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         self.call(1, |state, done| {
             if done > 0 {
-                let moved = Name::Moved(from.to_owned(), to.to_owned());
+                let moved = NameChange::Renamed(from.to_owned(), to.to_owned());
                 moved.apply(&mut state.names);
                 state.unsynced.push(moved);
             }
@@ -417,9 +419,9 @@
         }
         self.call(1, |state, done| {
             if done > 0 {
-                let gone = Name::Gone(name.to_owned());
-                gone.apply(&mut state.names);
-                state.unsynced.push(gone);
+                let removed = NameChange::Removed(name.to_owned());
+                removed.apply(&mut state.names);
+                state.unsynced.push(removed);
             }
         })
     }
