--- a/src/node/commit.rs
+++ b/src/node/commit.rs
@@ -124,19 +124,19 @@
     }
 
     /// Performs the actions of the completed commit, or reverts them if it failed.
-    fn release(&mut self, kept: bool) {
+    fn release(&mut self, durable: bool) {
         for due in std::mem::take(&mut self.dues.committing) {
             match due {
                 PendingAction::Reply { message, reply } => {
-                    let told = if kept { Reply::Taken } else { Reply::Unavailable };
-                    if !reply.send(told) || !kept {
+                    let response = if durable { Reply::Taken } else { Reply::Unavailable };
+                    if !reply.send(response) || !durable {
                         self.withdraw(message);
                     }
                 }
-                PendingAction::Call { call, cancelled } => self.begin_call(call, cancelled, kept),
+                PendingAction::Call { call, cancelled } => self.begin_call(call, cancelled, durable),
                 // After a crash before this record is durable, the message would be sent again although its
                 // client was told to resubmit it. That cannot happen once its deadline has passed.
-                PendingAction::Notice(notice, until) if kept || unix() >= until => {
+                PendingAction::Notice(notice, until) if durable || unix() >= until => {
                     self.notices.push_back(notice)
                 }
                 notice => self.dues.waiting.push(notice),
@@ -144,10 +144,10 @@
         }
     }
 
-    fn begin_call(&mut self, mut call: Call, mut cancelled: oneshot::Receiver<()>, kept: bool) {
+    fn begin_call(&mut self, mut call: Call, mut cancelled: oneshot::Receiver<()>, durable: bool) {
         // None if its client has disconnected meanwhile.
         let waited = self.held.get(&call.message).and_then(|m| Some(m.out.as_ref()?.0.elapsed()));
-        if let Some(waited) = waited.filter(|waited| kept && *waited < call.timeout)
+        if let Some(waited) = waited.filter(|waited| durable && *waited < call.timeout)
             && cancelled.try_recv().is_err()
         {
             if waited >= NEGLIGIBLE_WAIT {
--- a/src/node/commit_test.rs
+++ b/src/node/commit_test.rs
@@ -6,7 +6,7 @@
 use crate::node::config::{Config, Limits};
 use crate::node::discovery::{Health, Host, List};
 use crate::node::intake::{Answer, Offer, Standing};
-use crate::node::journal::{Journal, Message, Tell};
+use crate::node::journal::{CommitResults, Journal, Message};
 use crate::node::news::News;
 use crate::node::options::Options;
 use crate::node::register::Register;
@@ -34,7 +34,7 @@
     news: Sender<News>,
     standing: Rc<Standing>,
     batches: Receiver<Batch>,
-    done: Tell,
+    done: CommitResults,
     /// The one endpoint of destination 7.
     endpoint: TcpListener,
     /// Receives notices.
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -97,7 +97,7 @@
     set: &Settings,
     seed: u64,
 ) -> io::Result<(Lock, Option<Predecessor>)> {
-    let mut told = false;
+    let mut reported = false;
     loop {
         if let Some(lock) = Lock::take(folder)? {
             return Ok((lock, None));
@@ -116,9 +116,9 @@
                     sleep(RETRY_INTERVAL / 10).await;
                 }
             }
-            Err(e) if !told => {
+            Err(e) if !reported => {
                 say!("handover: the serving process does not hand over yet: {e}");
-                told = true;
+                reported = true;
             }
             Err(_) => {}
         }
--- a/src/node/journal.rs
+++ b/src/node/journal.rs
@@ -668,17 +668,17 @@
 #[cfg(test)]
 impl Journal {
     /// A journal in an empty folder whose commits complete when the test says so.
-    pub fn manual(folder: &Path) -> io::Result<(Self, std::sync::mpsc::Receiver<Batch>, Tell)> {
+    pub fn manual(folder: &Path) -> io::Result<(Self, std::sync::mpsc::Receiver<Batch>, CommitResults)> {
         let options = JournalOptions { room: 3_000_000, durability: Durability::Power, refuse_damage: false };
         let (mut journal, _) = Journal::open_on(Folder::open(folder)?, Plan::of(options, 1), options.room)?;
-        let (writer, batches, tell) = Writer::manual();
+        let (writer, batches, results) = Writer::manual();
         journal.writer = writer;
-        Ok((journal, batches, tell))
+        Ok((journal, batches, results))
     }
 }
 
 #[cfg(test)]
-pub type Tell = tokio::sync::mpsc::UnboundedSender<Done>;
+pub type CommitResults = tokio::sync::mpsc::UnboundedSender<Done>;
 
 #[cfg(test)]
 #[path = "journal_test.rs"]
--- a/src/node/offline.rs
+++ b/src/node/offline.rs
@@ -65,10 +65,10 @@
         match fs::metadata(&path) {
             Ok(found) if found.is_file() => {
                 let bytes = fs::read(&path).map_err(at)?;
-                let (live, sound) = old_journal::replay(&bytes);
+                let (live, valid_length) = old_journal::replay(&bytes);
                 let mut recovery = journal::Recovery::default();
-                if sound < bytes.len() {
-                    recovery.damage.push(old_journal::unreadable_rest(&bytes, sound));
+                if valid_length < bytes.len() {
+                    recovery.damage.push(old_journal::unreadable_rest(&bytes, valid_length));
                 }
                 Ok(JournalContents { live, recovery, segments: 1, size: bytes.len() as u64 })
             }
@@ -89,9 +89,9 @@
 
 fn report(found: &JournalContents, to: &mut impl Write) -> io::Result<Finding> {
     let JournalContents { live, recovery, segments, size } = found;
-    let judged = live.values().filter(|m| m.verdict.is_some()).count();
+    let decided = live.values().filter(|m| m.verdict.is_some()).count();
     writeln!(to, "{segments} segments, {size} bytes")?;
-    writeln!(to, "{} messages live, {judged} of them decided and not yet told", live.len())?;
+    writeln!(to, "{} messages live, {decided} of them decided and not yet told", live.len())?;
     if let Some(cut) = &recovery.cut {
         writeln!(to, "{cut}")?;
     }
@@ -215,20 +215,21 @@
         if written.live != found.live || !written.recovery.damage.is_empty() {
             return Err(io::Error::other("what was written does not read as it should; nothing was changed"));
         }
-        let aside = (1..).map(|n| folder.join(format!("{NAME}.damaged-{n}"))).find(|path| !path.exists());
-        let aside = aside.unwrap_or_default();
-        fs::rename(&journal, &aside)?;
+        let quarantined =
+            (1..).map(|n| folder.join(format!("{NAME}.damaged-{n}"))).find(|path| !path.exists());
+        let quarantined = quarantined.unwrap_or_default();
+        fs::rename(&journal, &quarantined)?;
         // If this process ends here, a start also finds the new journal under the name `journal.2`.
         fs::rename(&new, &journal)?;
         Folder::at(folder).sync_folder()?;
-        Ok(aside)
+        Ok(quarantined)
     };
-    let aside = rewrite().map_err(at)?;
+    let quarantined = rewrite().map_err(at)?;
     writeln!(
         to,
         "mended: {} messages live; the damaged journal is kept in {}",
         found.live.len(),
-        aside.display()
+        quarantined.display()
     )
     .map_err(at)?;
     Ok(Finding::Repaired)
--- a/src/node/old_journal.rs
+++ b/src/node/old_journal.rs
@@ -43,9 +43,9 @@
         remove(&folder.join(OLD_REWRITE))?;
         remove(&new)?;
         let bytes = fs::read(&journal)?;
-        let (live, sound) = replay(&bytes);
-        if sound < bytes.len() {
-            say!("journal: {}", unreadable_rest(&bytes, sound));
+        let (live, valid_length) = replay(&bytes);
+        if valid_length < bytes.len() {
+            say!("journal: {}", unreadable_rest(&bytes, valid_length));
         }
         say!("journal: {} messages are migrated from the old format", live.len());
         write(&live, &new)?;
@@ -107,21 +107,27 @@
 }
 
 /// Describes the part of an old journal behind its valid prefix.
-pub fn unreadable_rest(bytes: &[u8], sound: usize) -> Damage {
+pub fn unreadable_rest(bytes: &[u8], valid_length: usize) -> Damage {
     let what = "the old format cannot be read from here on";
-    Damage { file: NAME.to_owned(), offset: sound, length: bytes.len() - sound, what, quarantined: false }
+    Damage {
+        file: NAME.to_owned(),
+        offset: valid_length,
+        length: bytes.len() - valid_length,
+        what,
+        quarantined: false,
+    }
 }
 
 /// Replays the valid prefix: returns the live messages and the prefix's length.
 pub fn replay(bytes: &[u8]) -> (BTreeMap<u64, LiveMessage>, usize) {
-    let (mut live, mut sound) = (BTreeMap::new(), 0);
+    let (mut live, mut valid_length) = (BTreeMap::new(), 0);
     let mut f = FieldReader(bytes);
     while let (Some(len), Some(sum)) = (f.u32(), f.u32()) {
         let record = f.take(len as usize).filter(|r| r.len() <= MAX_RECORD && crc32fast::hash(r) == sum);
         if record.and_then(|r| apply(&mut live, r)).is_none() {
             break;
         }
-        sound = bytes.len() - f.0.len();
+        valid_length = bytes.len() - f.0.len();
     }
-    (live, sound)
+    (live, valid_length)
 }
--- a/src/node/register.rs
+++ b/src/node/register.rs
@@ -181,10 +181,10 @@
                 }
                 page
             };
-            let (folder, kept, durability) = (Folder::at(&this.folder), page.clone(), this.durability);
-            let record = move || page::replace(&folder, durability, (NAME, kept), MAX_FILE);
-            let kept = tokio::task::spawn_blocking(record).await;
-            if !matches!(kept, Ok(Ok(()))) {
+            let (folder, new_page, durability) = (Folder::at(&this.folder), page.clone(), this.durability);
+            let record = move || page::replace(&folder, durability, (NAME, new_page), MAX_FILE);
+            let written = tokio::task::spawn_blocking(record).await;
+            if !matches!(written, Ok(Ok(()))) {
                 return Err(ChangeError::NotPersisted);
             }
             let mut state = this.state();
@@ -216,7 +216,7 @@
     }
 
     #[tokio::test]
-    async fn what_is_set_is_a_state_and_outlasts_the_process() {
+    async fn changes_are_idempotent_and_survive_the_process() {
         let folder = folder("state");
         let register = Register::new(&folder, Durability::Process);
         assert_eq!(register.clone().set(endpoint(true)).await, Err(ChangeError::NotServing));
@@ -241,7 +241,7 @@
     }
 
     #[tokio::test]
-    async fn what_cannot_be_recorded_does_not_come_into_force() {
+    async fn a_change_that_cannot_be_recorded_is_not_applied() {
         let folder = folder("gone");
         let register = Register::new(&folder, Durability::Process);
         let _changed = register.serve();
@@ -251,8 +251,8 @@
     }
 
     #[test]
-    fn a_spoilt_record_is_not_taken_for_none() {
-        let folder = folder("spoilt");
+    fn a_corrupt_record_is_not_taken_for_none() {
+        let folder = folder("corrupt");
         let load = |bytes: &[u8]| {
             fs::write(folder.join(NAME), bytes).expect("written");
             let register = Register::new(&folder, Durability::Process);
--- a/src/store/frame.rs
+++ b/src/store/frame.rs
@@ -68,7 +68,7 @@
             || !one.starts_with(MAGIC)
             || crc32fast::hash(&one[..HEAD - 4]) != read_u32(one, HEAD - 4)
         {
-            return Err(UnreadableSegment::Spoilt);
+            return Err(UnreadableSegment::Corrupt);
         }
         let synced = match one[MAGIC.len()] {
             FORMAT => false,
@@ -84,7 +84,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnreadableSegment {
     /// Both copies of the header are corrupt.
-    Spoilt,
+    Corrupt,
     /// A format that this program does not know.
     Format(u8),
 }
@@ -162,7 +162,7 @@
 pub fn head(bytes: &[u8]) -> Result<Head, UnreadableSegment> {
     let second = bytes.get(HEAD..).unwrap_or_default();
     Head::read(bytes).or_else(|e| match e {
-        UnreadableSegment::Spoilt => Head::read(second),
+        UnreadableSegment::Corrupt => Head::read(second),
         newer => Err(newer),
     })
 }
@@ -237,9 +237,9 @@
         let (bytes, _) = segment(12);
         for at in 0..bytes.len() {
             for bit in 0..8 {
-                let mut spoilt = bytes.clone();
-                spoilt[at] ^= 1 << bit;
-                let left = sound(&spoilt).len();
+                let mut corrupt = bytes.clone();
+                corrupt[at] ^= 1 << bit;
+                let left = sound(&corrupt).len();
                 assert!(left == 12 || (at >= HEADS && left == 11), "byte {at} bit {bit}: {left}");
             }
         }
@@ -252,12 +252,12 @@
             let whole = ends.iter().filter(|e| **e <= cut).count();
             let (_, found) = read(&bytes[..cut]).expect("the heads are sound");
             assert_eq!(sound(&bytes[..cut]).len(), whole, "{cut}");
-            let spoilt = |piece: &Piece| match piece {
+            let is_corrupt = |piece: &Piece| match piece {
                 Piece::Record(record) => !record.valid,
                 Piece::Unknown { .. } => true,
                 Piece::Torn { .. } => false,
             };
-            let unknown = found.iter().any(|f| spoilt(&f.1));
+            let unknown = found.iter().any(|f| is_corrupt(&f.1));
             assert!(!unknown, "a torn tail is no damage: {cut}");
         }
     }
@@ -280,8 +280,8 @@
         let check = crc32fast::hash(&bytes[..HEAD - 4]).to_le_bytes();
         bytes[HEAD - 4..HEAD].copy_from_slice(&check);
         assert_eq!(read(&bytes), Err(UnreadableSegment::Format(9)));
-        assert_eq!(read(&[0; 300]), Err(UnreadableSegment::Spoilt));
-        assert_eq!(read(&[]), Err(UnreadableSegment::Spoilt));
+        assert_eq!(read(&[0; 300]), Err(UnreadableSegment::Corrupt));
+        assert_eq!(read(&[]), Err(UnreadableSegment::Corrupt));
     }
 
     /// For any input: no panic, and each byte behind the headers belongs to exactly one piece.
--- a/src/store/page.rs
+++ b/src/store/page.rs
@@ -31,8 +31,8 @@
     };
     let Checked { page, check } = serde_json::from_slice::<Checked<T>>(&bytes)?;
     let sound = check.is_none_or(|check| sum(&page).is_ok_and(|of| of == check));
-    let spoilt = || io::Error::new(io::ErrorKind::InvalidData, format!("{name}: checksum mismatch"));
-    sound.then_some(Some(page)).ok_or_else(spoilt)
+    let corrupt = || io::Error::new(io::ErrorKind::InvalidData, format!("{name}: checksum mismatch"));
+    sound.then_some(Some(page)).ok_or_else(corrupt)
 }
 
 /// Atomically replaces a page by one of at most `most` bytes: a reader finds either the old or the new page
--- a/src/store/simulated.rs
+++ b/src/store/simulated.rs
@@ -127,7 +127,7 @@
         sectors.chain((0..self.unsynced.len()).map(UnsyncedChange::Name)).collect()
     }
 
-    /// The disk after a power loss that `survived` survived; of the torn sector only the beginning.
+    /// The disk after a power loss if only these changes reached it; of the torn sector only the beginning.
     fn left(&self, survived: &[UnsyncedChange], torn: Option<(UnsyncedChange, usize)>, long: bool) -> Files {
         let mut names = self.synced.clone();
         let mut inodes = self.inodes.clone();
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -28,11 +28,11 @@
 {
     /// Starts a thread that owns the segments.
     pub fn spawn(mut segments: Segments<D>) -> io::Result<Self> {
-        let (batches, coming) = mpsc::channel::<Batch>();
-        let (tell, done) = unbounded_channel();
+        let (batches, received) = mpsc::channel::<Batch>();
+        let (results, done) = unbounded_channel();
         let write = move || {
-            for mut batch in coming {
-                if tell.send(segments.commit(&mut batch)).is_err() {
+            for mut batch in received {
+                if results.send(segments.commit(&mut batch)).is_err() {
                     return;
                 }
             }
@@ -46,9 +46,9 @@
 impl<D: Disk> Writer<D> {
     /// A writer whose commits complete when the test says so.
     pub fn manual() -> (Self, mpsc::Receiver<Batch>, tokio::sync::mpsc::UnboundedSender<Done>) {
-        let (batches, coming) = mpsc::channel();
-        let (tell, done) = unbounded_channel();
-        (Writer::Threaded(WriterThread { batches, done, busy: false }), coming, tell)
+        let (batches, received) = mpsc::channel();
+        let (results, done) = unbounded_channel();
+        (Writer::Threaded(WriterThread { batches, done, busy: false }), received, results)
     }
 }
 
