--- a/src/node/offline.rs
+++ b/src/node/offline.rs
@@ -213,7 +213,7 @@
         journal::write(&new, &found.live, seed)?;
         let written = journal::read(&new)?;
         if written.live != found.live || !written.recovery.damage.is_empty() {
-            return Err(io::Error::other("what was written does not read as it should; nothing was changed"));
+            return Err(io::Error::other("verification of the new journal failed; nothing was changed"));
         }
         let quarantined =
             (1..).map(|n| folder.join(format!("{NAME}.damaged-{n}"))).find(|path| !path.exists());
@@ -227,7 +227,7 @@
     let quarantined = rewrite().map_err(at)?;
     writeln!(
         to,
-        "mended: {} messages live; the damaged journal is kept in {}",
+        "repaired: {} messages live; the damaged journal is kept in {}",
         found.live.len(),
         quarantined.display()
     )
--- a/src/store/scan.rs
+++ b/src/store/scan.rs
@@ -61,7 +61,7 @@
         write!(
             f,
             "{file} at {offset}, {length} bytes: {what}{}",
-            if *quarantined { "; kept aside" } else { "" }
+            if *quarantined { "; copy quarantined" } else { "" }
         )
     }
 }
