--- a/fuzz/fuzz_targets/journal.rs
+++ b/fuzz/fuzz_targets/journal.rs
@@ -19,7 +19,7 @@
             for (n, piece) in rest.chunks(1 + usize::from(how >> 2)).enumerate() {
                 let (kind, payload) = piece.split_first().map_or((0, piece), |(k, p)| (k % 8, p));
                 let message = u64::from(payload.first().copied().unwrap_or_default() % 4);
-                frame::put(&mut bytes, 9, Label { kind, sequence: n as u64 + 1, message }, payload);
+                frame::append_record(&mut bytes, 9, Label { kind, sequence: n as u64 + 1, message }, payload);
             }
             bytes
         }
@@ -43,7 +43,7 @@
         if let Ok(found) = journal::read(&folder(&bytes)) {
             // No more is held than was there: each attempt that is not written down was preceded by one that is.
             let attempts: usize = found.live.values().map(|live| live.attempts.len()).sum();
-            assert!(attempts <= 17 * bytes.len() / frame::FRAME + found.live.len());
+            assert!(attempts <= 17 * bytes.len() / frame::RECORD_HEADER + found.live.len());
         }
     }
 });
--- a/src/node/channel.rs
+++ b/src/node/channel.rs
@@ -1,7 +1,7 @@
-//! What the process that serves and its successor say to each other: words in frames over a local socket,
-//! each perhaps with an open descriptor.
+//! Handover protocol between the serving process and its successor: length-prefixed messages over a Unix
+//! socket, each with at most one file descriptor.
 
-use super::register::{Change, Unset};
+use super::register::{Change, ChangeError};
 use crate::interface::{EndpointId, Outcome, Report};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
@@ -17,14 +17,14 @@
 use tokio::io::Interest;
 use tokio::net::UnixStream;
 
-/// No frame is longer: guards memory against a peer that is none.
-const FRAME_MOST: usize = 16 * 1024 * 1024;
-const HEAD: usize = 4;
-const PIECE: usize = 64 * 1024;
+/// Upper bound of a frame: limits memory if the peer is not a courier.
+const MAX_FRAME: usize = 16 * 1024 * 1024;
+const LENGTH_PREFIX: usize = 4;
+const READ_SIZE: usize = 64 * 1024;
 
-/// An endpoint as the old process has it.
+/// An endpoint as the old process knows it.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Known {
+pub struct EndpointState {
     pub id: EndpointId,
     pub host: String,
     pub dial: Option<String>,
@@ -33,115 +33,127 @@
     pub listed: bool,
 }
 
-/// A call that is out, and for how long it has been.
+/// A call in flight, and how long ago it was started.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Out {
+pub struct InFlightCall {
     pub message: u64,
     pub endpoint: EndpointId,
     pub attempt: u32,
     pub age: Duration,
 }
 
-/// All that the journal does not tell.
+/// All state that the journal does not hold.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct State {
-    /// The module, packed by itself: another version may not be able to read it.
+pub struct HandoverState {
+    /// The scheduler, serialised separately: another version may not be able to read it.
     #[serde(rename = "brain")]
     pub scheduler: Vec<u8>,
-    /// What its clock shows, and the Unix time of that moment.
+    /// The scheduler's clock, and the Unix time at which it was read.
     pub clock: Duration,
-    pub at: Duration,
-    pub endpoints: Vec<Known>,
-    pub numbered: u32,
+    #[serde(rename = "at")]
+    pub unix_time: Duration,
+    pub endpoints: Vec<EndpointState>,
+    #[serde(rename = "numbered")]
+    pub endpoint_ids_assigned: u32,
     pub destinations: Vec<u64>,
-    /// The version of the list, where it is one of discovery's.
-    pub list: Option<u64>,
-    pub out: Vec<Out>,
-    /// The last number that a message has had.
-    pub last: u64,
+    /// Version of the endpoint list, if it came from discovery.
+    #[serde(rename = "list")]
+    pub list_version: Option<u64>,
+    #[serde(rename = "out")]
+    pub in_flight: Vec<InFlightCall>,
+    /// The last message number that was assigned.
+    #[serde(rename = "last")]
+    pub last_message: u64,
 }
 
-/// The end of a call that the old process had out.
+/// The end of a call that the old process had in flight.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Ended {
+pub struct EndedCall {
     pub message: u64,
     pub attempt: u32,
     pub endpoint: EndpointId,
     pub outcome: Outcome,
     pub over: bool,
     pub report: Option<(f64, f64)>,
-    /// How long ago it came.
+    /// How long ago the call ended.
     pub age: Duration,
 }
 
-impl Ended {
+impl EndedCall {
     pub fn report(&self) -> Option<Report> {
         self.report.map(|(left, limit)| Report { left, limit })
     }
 }
 
-/// A client's connection that comes with the word.
+/// A client connection whose descriptor is passed with the message.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Client {
-    /// What has come of a request that is not judged.
-    pub heard: Vec<u8>,
-    /// For how long it has stood where it stands.
+pub struct ClientConnection {
+    /// Bytes received of a request that has not been accepted or refused yet.
+    #[serde(rename = "heard")]
+    pub received: Vec<u8>,
+    /// How long the connection has been in its current state.
     pub age: Duration,
-    /// It has had an answer before.
+    /// Whether a response was sent on it before.
     pub served: bool,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Word {
-    /// From the successor, first of all.
+pub enum HandoverMessage {
+    /// First message, sent by the successor.
     Hello,
-    State(Box<State>),
-    /// The successor has what it needs. Without `whole` it starts from the journal.
+    State(Box<HandoverState>),
+    /// The successor is ready. Without `state_loaded` it starts from the journal.
     Ready {
-        whole: bool,
+        #[serde(rename = "whole")]
+        state_loaded: bool,
     },
-    /// The lock is free: from here on the successor is the courier.
-    Go,
-    Client(Client),
-    Ended(Ended),
-    /// To the old process: a call that is to be called off.
+    /// The old process has released the lock: from here on the successor is the courier.
+    #[serde(rename = "Go")]
+    LockReleased,
+    Client(ClientConnection),
+    Ended(EndedCall),
+    /// To the old process: cancel the call of this message.
     Cancel(u64),
-    /// An operators' call that reached the old process, and its answer.
-    Operate(u64, Change),
-    Operated(u64, Result<(), Unset>),
+    /// An operator's change that reached the old process, and its result. Both carry the number of the
+    /// request.
+    #[serde(rename = "Operate")]
+    OperatorChange(u64, Change),
+    #[serde(rename = "Operated")]
+    OperatorChangeResult(u64, Result<(), ChangeError>),
 }
 
-/// The end that speaks; several tasks may.
+/// Sending end; several tasks may use it.
 #[derive(Clone)]
-pub struct Mouth {
+pub struct HandoverSender {
     stream: Rc<UnixStream>,
     turn: Rc<tokio::sync::Mutex<()>>,
 }
 
-/// The end that listens.
-pub struct Ear {
+/// Receiving end.
+pub struct HandoverReceiver {
     stream: Rc<UnixStream>,
     bytes: Vec<u8>,
     descriptors: VecDeque<OwnedFd>,
 }
 
-pub fn split(stream: UnixStream) -> (Mouth, Ear) {
+pub fn split(stream: UnixStream) -> (HandoverSender, HandoverReceiver) {
     let stream = Rc::new(stream);
-    let mouth = Mouth { stream: stream.clone(), turn: Rc::default() };
-    (mouth, Ear { stream, bytes: Vec::new(), descriptors: VecDeque::new() })
+    let sender = HandoverSender { stream: stream.clone(), turn: Rc::default() };
+    (sender, HandoverReceiver { stream, bytes: Vec::new(), descriptors: VecDeque::new() })
 }
 
-fn bad(why: impl ToString) -> io::Error {
+fn invalid_data(why: impl ToString) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, why.to_string())
 }
 
-impl Mouth {
-    pub async fn say(&self, word: &Word, with: Option<OwnedFd>) -> io::Result<()> {
-        // Whether a descriptor comes stands in the frame, so that each finds its word.
-        let mut bytes = vec![0; HEAD];
-        ciborium::into_writer(&(word, with.is_some()), &mut bytes).map_err(bad)?;
-        let length = u32::try_from(bytes.len() - HEAD).map_err(bad)?;
-        bytes[..HEAD].copy_from_slice(&length.to_le_bytes());
+impl HandoverSender {
+    pub async fn send(&self, message: &HandoverMessage, with: Option<OwnedFd>) -> io::Result<()> {
+        // The frame tells whether a descriptor belongs to it, so that each descriptor is matched to its
+        // message.
+        let mut bytes = vec![0; LENGTH_PREFIX];
+        ciborium::into_writer(&(message, with.is_some()), &mut bytes).map_err(invalid_data)?;
+        let length = u32::try_from(bytes.len() - LENGTH_PREFIX).map_err(invalid_data)?;
+        bytes[..LENGTH_PREFIX].copy_from_slice(&length.to_le_bytes());
         let _turn = self.turn.lock().await;
         let mut sent = 0;
         while sent < bytes.len() {
@@ -165,47 +177,48 @@
     Ok(sendmsg(stream, &[IoSlice::new(bytes)], &mut ancillary, SendFlags::NOSIGNAL)?)
 }
 
-impl Ear {
-    /// The next word and its descriptor. An error is also the end of the other process.
-    pub async fn hear(&mut self) -> io::Result<(Word, Option<OwnedFd>)> {
+impl HandoverReceiver {
+    /// The next message and its descriptor. An error also means that the other process has ended.
+    pub async fn receive(&mut self) -> io::Result<(HandoverMessage, Option<OwnedFd>)> {
         loop {
             if let Some(frame) = self.frame()? {
-                let (word, with): (Word, bool) = ciborium::from_reader(&frame[..]).map_err(bad)?;
+                let (message, with): (HandoverMessage, bool) =
+                    ciborium::from_reader(&frame[..]).map_err(invalid_data)?;
                 let descriptor = if with { self.descriptors.pop_front() } else { None };
                 if with && descriptor.is_none() {
-                    return Err(bad("a descriptor is missing"));
+                    return Err(invalid_data("a message announces a file descriptor that did not arrive"));
                 }
-                return Ok((word, descriptor));
+                return Ok((message, descriptor));
             }
-            let mut piece = [0; PIECE];
+            let mut chunk = [0; READ_SIZE];
             let stream = self.stream.clone();
-            let n = stream.async_io(Interest::READABLE, || self.read(&mut piece)).await?;
+            let n = stream.async_io(Interest::READABLE, || self.read(&mut chunk)).await?;
             if n == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            self.bytes.extend_from_slice(&piece[..n]);
+            self.bytes.extend_from_slice(&chunk[..n]);
         }
     }
 
     fn frame(&mut self) -> io::Result<Option<Vec<u8>>> {
-        let Some(length) = self.bytes.first_chunk::<HEAD>() else { return Ok(None) };
-        let end = HEAD + u32::from_le_bytes(*length) as usize;
-        if end > FRAME_MOST {
-            return Err(bad("a frame is too long"));
+        let Some(length) = self.bytes.first_chunk::<LENGTH_PREFIX>() else { return Ok(None) };
+        let end = LENGTH_PREFIX + u32::from_le_bytes(*length) as usize;
+        if end > MAX_FRAME {
+            return Err(invalid_data(format!("frame of {end} bytes exceeds the limit of {MAX_FRAME}")));
         }
         if self.bytes.len() < end {
             return Ok(None);
         }
         let rest = self.bytes.split_off(end);
         let frame = std::mem::replace(&mut self.bytes, rest);
-        Ok(Some(frame[HEAD..].to_vec()))
+        Ok(Some(frame[LENGTH_PREFIX..].to_vec()))
     }
 
-    fn read(&mut self, piece: &mut [u8]) -> io::Result<usize> {
+    fn read(&mut self, chunk: &mut [u8]) -> io::Result<usize> {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(4))];
         let mut ancillary = RecvAncillaryBuffer::new(&mut space);
-        let mut pieces = [IoSliceMut::new(piece)];
-        let got = recvmsg(&*self.stream, &mut pieces, &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
+        let mut chunk = [IoSliceMut::new(chunk)];
+        let got = recvmsg(&*self.stream, &mut chunk, &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
         for message in ancillary.drain() {
             if let RecvAncillaryMessage::ScmRights(descriptors) = message {
                 self.descriptors.extend(descriptors);
@@ -221,29 +234,40 @@
     use std::io::{Read, Write};
 
     #[tokio::test]
-    async fn words_of_any_size_come_whole_and_descriptors_with_their_own() {
+    async fn messages_of_any_size_arrive_whole_and_descriptors_with_their_message() {
         let (here, there) = UnixStream::pair().expect("a pair");
-        let ((mouth, _open), (_quiet, mut ear)) = (split(here), split(there));
+        let ((sender, _open), (_quiet, mut receiver)) = (split(here), split(there));
         let (client, mut far) = std::os::unix::net::UnixStream::pair().expect("a client");
-        let heard: Vec<u8> = (0..300_000).map(|n| n as u8).collect();
-        let say = async {
-            let client_of = |heard| Word::Client(Client { heard, age: Duration::ZERO, served: true });
-            mouth.say(&Word::Cancel(7), None).await.expect("said");
-            mouth.say(&client_of(heard.clone()), Some(client.into())).await.expect("said");
-            mouth.say(&Word::Go, None).await.expect("said");
+        let received: Vec<u8> = (0..300_000).map(|n| n as u8).collect();
+        let send = async {
+            let client_of = |received| {
+                HandoverMessage::Client(ClientConnection { received, age: Duration::ZERO, served: true })
+            };
+            sender.send(&HandoverMessage::Cancel(7), None).await.expect("said");
+            sender.send(&client_of(received.clone()), Some(client.into())).await.expect("said");
+            sender.send(&HandoverMessage::LockReleased, None).await.expect("said");
         };
-        let hear = async {
-            assert!(matches!(ear.hear().await.expect("a word"), (Word::Cancel(7), None)));
-            let (Word::Client(got), Some(fd)) = ear.hear().await.expect("a word") else { panic!("a client") };
-            assert!(got.heard == heard && got.served);
-            assert!(matches!(ear.hear().await.expect("a word"), (Word::Go, None)));
+        let receive = async {
+            assert!(matches!(
+                receiver.receive().await.expect("a message"),
+                (HandoverMessage::Cancel(7), None)
+            ));
+            let (HandoverMessage::Client(got), Some(fd)) = receiver.receive().await.expect("a message")
+            else {
+                panic!("a client")
+            };
+            assert!(got.received == received && got.served);
+            assert!(matches!(
+                receiver.receive().await.expect("a message"),
+                (HandoverMessage::LockReleased, None)
+            ));
             fd
         };
-        let ((), fd) = tokio::join!(say, hear);
+        let ((), fd) = tokio::join!(send, receive);
         std::os::unix::net::UnixStream::from(fd).write_all(b"x").expect("written");
         let mut byte = [0];
         far.read_exact(&mut byte).expect("it is the client's own connection");
-        drop((mouth, _open));
-        assert!(ear.hear().await.is_err(), "the end of the other process is heard");
+        drop((sender, _open));
+        assert!(receiver.receive().await.is_err(), "the end of the other process is received");
     }
 }
--- a/src/node/commit.rs
+++ b/src/node/commit.rs
@@ -1,5 +1,6 @@
-//! What waits for the record: a 202, an attempt's first byte and a notice each depend on something that must
-//! outlast this process, or a loss of power. Where nothing is synced the wait is over at once.
+//! Actions that wait for the journal: a 202 response, an attempt's first byte and a notice each depend on a
+//! record that must survive the end of this process or, with `Durability::Power`, a power loss. Without syncs
+//! the wait ends at once.
 
 use super::calls::Call;
 use super::courier::{Courier, never_sent};
@@ -12,20 +13,21 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// When a disk that failed is tried again.
-const RETRY: Duration = Duration::from_millis(200);
-/// How long records may wait on which nothing depends, and how many bytes of them, where each commit is synced.
-const LAZY: Duration = Duration::from_millis(100);
-const LAZY_MOST: u64 = 256 * 1024;
-/// When the next of several commits in a row is made.
-const NEXT: Duration = Duration::from_millis(10);
-/// A call that has waited for less is not cut short by it.
-const AT_ONCE: Duration = Duration::from_millis(2);
-/// How long the last commit of a process may take.
-const LAST: Duration = Duration::from_millis(300);
-
-/// Something that may be done once the records before it are kept.
-pub(super) enum Due {
+/// Interval at which a failed disk is retried.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Where each commit is synced: how long records that no action depends on may be delayed, and how many bytes
+/// of them.
+const MAX_DELAY: Duration = Duration::from_millis(100);
+const MAX_DELAYED_BYTES: u64 = 256 * 1024;
+/// Interval between the commits that rewrite old segments one after another.
+const REWRITE_INTERVAL: Duration = Duration::from_millis(10);
+/// A wait for the commit below this is not deducted from the call's timeout.
+const NEGLIGIBLE_WAIT: Duration = Duration::from_millis(2);
+/// Time limit for the last commit of a process.
+const FINAL_COMMIT_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// An action that may be performed once the records before it are durable.
+pub(super) enum PendingAction {
     Reply {
         message: u64,
         reply: Answer,
@@ -34,23 +36,23 @@
         call: Call,
         cancelled: oneshot::Receiver<()>,
     },
-    /// With the time, Unix time, from which on its message would not be sent again whatever the record says.
+    /// With the Unix time from which on the message would not be sent again, whatever the journal says.
     Notice(Notice, Duration),
 }
 
-/// What is due, and how the record fares.
+/// Pending actions, and the state of the journal's commits.
 #[derive(Default)]
-pub(super) struct Dues {
-    waiting: Vec<Due>,
-    /// Those that wait for the commit that is under way.
-    committing: Vec<Due>,
+pub(super) struct PendingActions {
+    waiting: Vec<PendingAction>,
+    /// Actions that wait for the commit in progress.
+    committing: Vec<PendingAction>,
     failed: Option<Instant>,
-    /// When the last commit was begun.
+    /// When the last commit was started.
     last: Option<Instant>,
 }
 
-impl Dues {
-    pub(super) fn push(&mut self, due: Due) {
+impl PendingActions {
+    pub(super) fn push(&mut self, due: PendingAction) {
         self.waiting.push(due);
     }
 
@@ -58,43 +60,43 @@
         self.waiting.is_empty() && self.committing.is_empty()
     }
 
-    /// The disk does not take what is to be kept.
+    /// Whether the last commit failed.
     pub(super) fn failed(&self) -> bool {
         self.failed.is_some()
     }
 
-    /// Where the answer will go for a message that is taken on, but whose client may not be told so yet.
+    /// The response channel of a message that is accepted, but whose client may not be told so yet.
     pub(super) fn answer(&mut self, message: u64) -> Option<&mut Answer> {
         self.waiting.iter_mut().chain(&mut self.committing).find_map(|due| match due {
-            Due::Reply { message: m, reply } if *m == message => Some(reply),
+            PendingAction::Reply { message: m, reply } if *m == message => Some(reply),
             _ => None,
         })
     }
 }
 
 impl Courier {
-    /// Brings the records to disk; what is due follows, at once or when that is done. After an error nothing
-    /// more is taken on until it works again.
-    pub(super) fn settle(&mut self) {
-        let later = self.journal.is_busy() || (self.journal.syncs() && self.may_wait());
+    /// Commits pending records; the actions that depend on them follow, at once or when the commit completes.
+    /// After an error no messages are accepted until a commit succeeds again.
+    pub(super) fn commit_if_due(&mut self) {
+        let later = self.journal.is_busy() || (self.journal.syncs() && self.may_delay_commit());
         if !later {
             self.commit();
         }
     }
 
-    /// Nothing depends yet on what is to be recorded.
-    fn may_wait(&self) -> bool {
+    /// Whether no action depends on the pending records yet.
+    fn may_delay_commit(&self) -> bool {
         self.dues.waiting.is_empty() && !self.dues.failed() && !self.journal.is_behind() && {
-            let lately = self.dues.last.is_some_and(|t| t.elapsed() < LAZY);
-            self.journal.waiting() == 0 || (lately && self.journal.waiting() < LAZY_MOST)
+            let lately = self.dues.last.is_some_and(|t| t.elapsed() < MAX_DELAY);
+            self.journal.waiting() == 0 || (lately && self.journal.waiting() < MAX_DELAYED_BYTES)
         }
     }
 
     fn commit(&mut self) {
         self.dues.committing = std::mem::take(&mut self.dues.waiting);
         let now = Instant::now();
-        // A disk that has just failed is not asked once more for each message.
-        if self.dues.failed.is_some_and(|t| now < t + RETRY) {
+        // A disk that has just failed is not retried for each message.
+        if self.dues.failed.is_some_and(|t| now < t + RETRY_INTERVAL) {
             return self.release(false);
         }
         self.dues.last = Some(now);
@@ -103,12 +105,12 @@
         }
     }
 
-    /// A commit has ended.
+    /// Handles the end of a commit.
     pub(super) fn committed(&mut self, result: io::Result<()>) {
         match &result {
             Ok(()) => {
                 if self.dues.failed.take().is_some() {
-                    say!("journal: works again");
+                    say!("journal: writing works again");
                 }
             }
             Err(e) => {
@@ -121,32 +123,34 @@
         self.release(result.is_ok());
     }
 
-    /// Does what was due, or takes it back.
-    fn release(&mut self, kept: bool) {
+    /// Performs the actions of the completed commit, or reverts them if it failed.
+    fn release(&mut self, durable: bool) {
         for due in std::mem::take(&mut self.dues.committing) {
             match due {
-                Due::Reply { message, reply } => {
-                    let told = if kept { Reply::Taken } else { Reply::Unavailable };
-                    if !reply.send(told) || !kept {
+                PendingAction::Reply { message, reply } => {
+                    let response = if durable { Reply::Taken } else { Reply::Unavailable };
+                    if !reply.send(response) || !durable {
                         self.withdraw(message);
                     }
                 }
-                Due::Call { call, cancelled } => self.begin_call(call, cancelled, kept),
-                // A crash before the record would have the message sent again that its client was told to
-                // hand in again; not if its time is up.
-                Due::Notice(notice, until) if kept || unix() >= until => self.notices.push_back(notice),
+                PendingAction::Call { call, cancelled } => self.begin_call(call, cancelled, durable),
+                // After a crash before this record is durable, the message would be sent again although its
+                // client was told to resubmit it. That cannot happen once its deadline has passed.
+                PendingAction::Notice(notice, until) if durable || unix() >= until => {
+                    self.notices.push_back(notice)
+                }
                 notice => self.dues.waiting.push(notice),
             }
         }
     }
 
-    fn begin_call(&mut self, mut call: Call, mut cancelled: oneshot::Receiver<()>, kept: bool) {
-        // None: its client has left meanwhile.
+    fn begin_call(&mut self, mut call: Call, mut cancelled: oneshot::Receiver<()>, durable: bool) {
+        // None if its client has disconnected meanwhile.
         let waited = self.held.get(&call.message).and_then(|m| Some(m.out.as_ref()?.0.elapsed()));
-        if let Some(waited) = waited.filter(|waited| kept && *waited < call.timeout)
+        if let Some(waited) = waited.filter(|waited| durable && *waited < call.timeout)
             && cancelled.try_recv().is_err()
         {
-            if waited >= AT_ONCE {
+            if waited >= NEGLIGIBLE_WAIT {
                 call.timeout -= waited;
             }
             let calls = self.calls.clone();
@@ -160,22 +164,23 @@
         self.events.push(never_sent(call.message, call.endpoint));
     }
 
-    /// When a commit is to be tried though nothing has happened.
+    /// When the next commit is due without an event that triggers one.
     pub(super) fn commit_due(&self) -> Option<Instant> {
         if self.journal.is_busy() {
             return None;
         }
         if let Some(failed) = self.dues.failed {
-            return Some(failed + RETRY);
+            return Some(failed + RETRY_INTERVAL);
         }
         let last = self.dues.last?;
-        let behind = self.journal.is_behind().then(|| last + NEXT);
-        let lazy = (self.journal.syncs() && self.journal.waiting() > 0).then(|| last + LAZY);
-        behind.into_iter().chain(lazy).min()
+        let behind = self.journal.is_behind().then(|| last + REWRITE_INTERVAL);
+        let delayed = (self.journal.syncs() && self.journal.waiting() > 0).then(|| last + MAX_DELAY);
+        behind.into_iter().chain(delayed).min()
     }
 
-    /// Brings all to disk and waits for it, but not for ever. False if it is not known to be there.
-    pub(super) async fn settle_whole(&mut self) -> bool {
+    /// Commits all pending records and waits for that, up to FINAL_COMMIT_TIMEOUT. False if they are not
+    /// known to be durable.
+    pub(super) async fn commit_all(&mut self) -> bool {
         let all = async {
             while self.journal.is_busy() || self.journal.waiting() > 0 || !self.dues.waiting.is_empty() {
                 if self.journal.is_busy() {
@@ -189,7 +194,7 @@
                 }
             }
         };
-        tokio::time::timeout(LAST, all).await.is_ok() && !self.dues.failed()
+        tokio::time::timeout(FINAL_COMMIT_TIMEOUT, all).await.is_ok() && !self.dues.failed()
     }
 }
 
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -1,8 +1,11 @@
-//! Replacing the process while it serves. Whoever holds the lock on the folder that lasts is the courier; the
-//! one before keeps only the calls that are out. `docs/design.md` tells the steps and what ends them early.
+//! Replaces the process without downtime. The process that holds the lock on the state folder is the courier;
+//! its predecessor keeps only its calls in flight. `docs/design.md` describes the steps and what aborts them.
 
 use super::calls::{CallEnd, Leave};
-use super::channel::{self, Client, Ear, Ended, Known, Mouth, Out, State, Word};
+use super::channel::{
+    self, ClientConnection, EndedCall, EndpointState, HandoverMessage, HandoverReceiver, HandoverSender,
+    HandoverState, InFlightCall,
+};
 use super::courier::{Courier, End, Endpoint, Held, STOP_ALL, STOP_LISTENING};
 use super::intake::{Intake, PassedConnection, Reply};
 use super::journal::unix;
@@ -27,30 +30,31 @@
 use tokio::time::{Instant, sleep, timeout};
 
 const SOCKET: &str = "handover";
-/// How long either process waits for the other's next word; clients wait as long.
-const WORD_TIME: Duration = Duration::from_millis(1500);
-/// When the lock, or the process that holds it, is asked again.
-const AGAIN: Duration = Duration::from_millis(20);
-/// Calls that were cut off have closed their connections by then: after a last look for their answers.
-const CUT: Duration = Duration::from_millis(30);
+/// How long either process waits for the other's next message; clients wait as long.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Interval at which the lock, or the process that holds it, is tried again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// By then cancelled calls have checked once more for a response and closed their connections.
+const CANCEL_GRACE: Duration = Duration::from_millis(30);
 
-/// The socket's address by way of the open folder: the folder's own path may be longer than an address.
+/// The socket's address through the open folder: the folder's own path may exceed the length limit of a Unix
+/// socket address.
 fn socket(folder: &Path) -> io::Result<(File, PathBuf)> {
     let open = File::open(folder)?;
     let path = PathBuf::from(format!("/proc/self/fd/{}/{SOCKET}", open.as_raw_fd()));
     Ok((open, path))
 }
 
-/// A process that wants to go on in this one's place.
+/// A process that wants to take this one's place.
 pub struct Successor {
-    mouth: Mouth,
-    ear: Ear,
+    sender: HandoverSender,
+    receiver: HandoverReceiver,
 }
 
-/// Hears of successors from now on.
+/// Accepts successors from now on.
 pub fn listen(folder: &Path, news: Sender<News>) -> io::Result<AbortHandle> {
     let (_open, path) = socket(folder)?;
-    // Left by a process that was killed: whoever has the lock may take its place.
+    // Left by a killed process: whoever holds the lock may replace it.
     match fs::remove_file(&path) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
         _ => {}
@@ -60,14 +64,16 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let (mouth, mut ear) = channel::split(stream);
-                    if let Ok(Ok((Word::Hello, _))) = timeout(WORD_TIME, ear.hear()).await {
-                        let _ = news.send(News::Successor(Successor { mouth, ear })).await;
+                    let (sender, mut receiver) = channel::split(stream);
+                    if let Ok(Ok((HandoverMessage::Hello, _))) =
+                        timeout(MESSAGE_TIMEOUT, receiver.receive()).await
+                    {
+                        let _ = news.send(News::Successor(Successor { sender, receiver })).await;
                     }
                 }
                 Err(e) => {
                     say!("handover: cannot accept: {e}");
-                    sleep(AGAIN).await;
+                    sleep(RETRY_INTERVAL).await;
                 }
             }
         }
@@ -75,89 +81,91 @@
     Ok(task.abort_handle())
 }
 
-/// What the process before has left to this one.
-pub struct Estate {
-    /// The module as it was, and all that goes with it; none if it cannot be read.
-    state: Option<(Scheduler, Box<State>)>,
-    mouth: Mouth,
-    ear: Ear,
+/// The connection to the previous process, and what it has handed over.
+pub struct Predecessor {
+    /// The scheduler and the rest of the state; None if they could not be read.
+    state: Option<(Scheduler, Box<HandoverState>)>,
+    sender: HandoverSender,
+    receiver: HandoverReceiver,
 }
 
-/// Waits until this process is the courier: at once where no other is, else from the other's go on, or from its
-/// end where the platform has them share no socket.
+/// Waits until this process is the courier: at once if there is no other; else when the other releases the
+/// lock in a handover, or ends where the platform does not share the listening socket.
 pub async fn take_over(
     folder: &Path,
     shared: bool,
     set: &Settings,
     seed: u64,
-) -> io::Result<(Lock, Option<Estate>)> {
-    let mut told = false;
+) -> io::Result<(Lock, Option<Predecessor>)> {
+    let mut reported = false;
     loop {
-        if let Some(tenure) = Lock::take(folder)? {
-            return Ok((tenure, None));
+        if let Some(lock) = Lock::take(folder)? {
+            return Ok((lock, None));
         }
         if !shared {
-            sleep(AGAIN).await;
+            sleep(RETRY_INTERVAL).await;
             continue;
         }
-        match ask(folder, set, seed).await {
-            Ok(estate) => {
+        match request_handover(folder, set, seed).await {
+            Ok(predecessor) => {
                 let since = Instant::now();
-                while since.elapsed() < WORD_TIME {
-                    if let Some(tenure) = Lock::take(folder)? {
-                        return Ok((tenure, Some(estate)));
+                while since.elapsed() < MESSAGE_TIMEOUT {
+                    if let Some(lock) = Lock::take(folder)? {
+                        return Ok((lock, Some(predecessor)));
                     }
-                    sleep(AGAIN / 10).await;
+                    sleep(RETRY_INTERVAL / 10).await;
                 }
             }
-            Err(e) if !told => {
-                say!("handover: the process that serves does not hand over yet: {e}");
-                told = true;
+            Err(e) if !reported => {
+                say!("handover: the serving process does not hand over yet: {e}");
+                reported = true;
             }
             Err(_) => {}
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
-async fn ask(folder: &Path, set: &Settings, seed: u64) -> io::Result<Estate> {
+async fn request_handover(folder: &Path, set: &Settings, seed: u64) -> io::Result<Predecessor> {
     let (_open, path) = socket(folder)?;
-    let (mouth, mut ear) = channel::split(UnixStream::connect(path).await?);
-    mouth.say(&Word::Hello, None).await?;
-    let (Word::State(state), _) = timeout(WORD_TIME, ear.hear()).await?? else {
+    let (sender, mut receiver) = channel::split(UnixStream::connect(path).await?);
+    sender.send(&HandoverMessage::Hello, None).await?;
+    let (HandoverMessage::State(state), _) = timeout(MESSAGE_TIMEOUT, receiver.receive()).await?? else {
         return Err(io::ErrorKind::InvalidData.into());
     };
     let scheduler = Scheduler::unpack(&state.scheduler, set.clone(), seed);
     let scheduler =
-        scheduler.inspect_err(|e| say!("handover: starting from the journal, the state is of no use: {e}"));
-    mouth.say(&Word::Ready { whole: scheduler.is_ok() }, None).await?;
-    match timeout(WORD_TIME, ear.hear()).await?? {
-        (Word::Go, _) => Ok(Estate { state: scheduler.ok().map(|b| (b, state)), mouth, ear }),
+        scheduler.inspect_err(|e| say!("handover: cannot load the state, starting from the journal: {e}"));
+    sender.send(&HandoverMessage::Ready { state_loaded: scheduler.is_ok() }, None).await?;
+    match timeout(MESSAGE_TIMEOUT, receiver.receive()).await?? {
+        (HandoverMessage::LockReleased, _) => {
+            Ok(Predecessor { state: scheduler.ok().map(|b| (b, state)), sender, receiver })
+        }
         _ => Err(io::ErrorKind::InvalidData.into()),
     }
 }
 
-impl Estate {
-    /// Lets the courier go on where the other stopped, and hears from now on what that has still to tell.
-    pub fn enter(self, courier: &mut Courier, intake: Rc<Intake>, register: Arc<Register>) {
-        let Estate { state, mouth, ear } = self;
+impl Predecessor {
+    /// Resumes where the predecessor stopped, and from now on processes its messages.
+    pub fn resume_into(self, courier: &mut Courier, intake: Rc<Intake>, register: Arc<Register>) {
+        let Predecessor { state, sender, receiver } = self;
         let mut out = HashMap::new();
         match state {
             Some((scheduler, state)) => {
-                out.extend(state.out.iter().map(|o| (o.message, (o.attempt, o.endpoint))));
-                courier.inherit(scheduler, *state, &mouth);
+                out.extend(state.in_flight.iter().map(|o| (o.message, (o.attempt, o.endpoint))));
+                courier.inherit(scheduler, *state, &sender);
             }
             None => courier.begin(),
         }
         let news = courier.news.clone();
-        tokio::task::spawn_local(hear(ear, mouth, out, news, intake, register));
+        tokio::task::spawn_local(receive_messages(receiver, sender, out, news, intake, register));
     }
 }
 
-/// Hears the process before until it ends. The calls that it had out then have broken.
-async fn hear(
-    mut ear: Ear,
-    mouth: Mouth,
+/// Processes the predecessor's messages until it ends. Calls that it still had in flight then count as reset.
+async fn receive_messages(
+    mut receiver: HandoverReceiver,
+    sender: HandoverSender,
     mut out: HashMap<u64, (u32, EndpointId)>,
     news: Sender<News>,
     intake: Rc<Intake>,
@@ -165,33 +173,36 @@
 ) {
     let mut clients = 0;
     loop {
-        match ear.hear().await {
-            Ok((Word::Client(client), Some(descriptor))) => {
+        match receiver.receive().await {
+            Ok((HandoverMessage::Client(client), Some(descriptor))) => {
                 clients += 1;
                 if let Err(e) = intake.clone().adopt(descriptor, client) {
-                    say!("handover: a client's connection cannot be used: {e}");
+                    say!("handover: cannot take over a client connection: {e}");
                 }
             }
-            Ok((Word::Ended(ended), _)) => {
+            Ok((HandoverMessage::Ended(ended), _)) => {
                 out.remove(&ended.message);
                 let (report, at) = (ended.report(), Instant::now());
                 let at = at.checked_sub(ended.age).unwrap_or(at);
                 let end = CallEnd { outcome: ended.outcome, over: ended.over, report, at };
-                let Ended { message, attempt, endpoint, .. } = ended;
+                let EndedCall { message, attempt, endpoint, .. } = ended;
                 let _ = news.send(News::Called { message, attempt, endpoint, end }).await;
             }
-            Ok((Word::Operate(number, change), _)) => {
-                let (register, mouth) = (register.clone(), mouth.clone());
+            Ok((HandoverMessage::OperatorChange(number, change), _)) => {
+                let (register, sender) = (register.clone(), sender.clone());
                 tokio::task::spawn_local(async move {
                     let set = register.set(change).await;
-                    let _ = mouth.say(&Word::Operated(number, set), None).await;
+                    let _ = sender.send(&HandoverMessage::OperatorChangeResult(number, set), None).await;
                 });
             }
             Ok(_) => {}
             Err(_) => break,
         }
     }
-    say!("handover: the process before has ended; {clients} clients came from it, {} calls broke", out.len());
+    say!(
+        "handover: the previous process has ended; {clients} client connections came from it, {} calls were lost",
+        out.len()
+    );
     for (message, (attempt, endpoint)) in out {
         let end = CallEnd { outcome: Outcome::Reset, over: false, report: None, at: Instant::now() };
         let _ = news.send(News::Called { message, attempt, endpoint, end }).await;
@@ -199,10 +210,10 @@
 }
 
 impl Courier {
-    /// All that its successor needs beside the journal.
-    fn state(&self) -> Result<State, String> {
+    /// All state that the successor needs beside the journal.
+    fn state(&self) -> Result<HandoverState, String> {
         let zone = |e: &Endpoint| self.config.zones.get(e.zone).cloned().unwrap_or_default();
-        let endpoints = self.endpoints.iter().map(|(id, e)| Known {
+        let endpoints = self.endpoints.iter().map(|(id, e)| EndpointState {
             id: *id,
             host: e.host.clone(),
             dial: e.address.map(|a| a.to_string()),
@@ -210,119 +221,123 @@
             ready: e.ready,
             listed: e.listed,
         });
-        let out = self.held.iter().filter_map(|(message, m)| {
+        let in_flight = self.held.iter().filter_map(|(message, m)| {
             let (sent, _) = m.out.as_ref()?;
             let (endpoint, attempt) = (m.leave.as_ref()?.0, m.attempts.checked_sub(1)?);
-            Some(Out { message: *message, endpoint, attempt, age: sent.elapsed() })
+            Some(InFlightCall { message: *message, endpoint, attempt, age: sent.elapsed() })
         });
-        Ok(State {
+        Ok(HandoverState {
             scheduler: self.scheduler.pack()?,
             clock: self.origin.elapsed(),
-            at: unix(),
+            unix_time: unix(),
             endpoints: endpoints.collect(),
-            numbered: self.numbered,
+            endpoint_ids_assigned: self.numbered,
             destinations: self.destinations.iter().copied().collect(),
-            list: self.seq,
-            out: out.collect(),
-            last: self.next - 1,
+            list_version: self.seq,
+            in_flight: in_flight.collect(),
+            last_message: self.next - 1,
         })
     }
 
-    /// Goes on in another's place: with its module, on its clock, under its numbers.
-    fn inherit(&mut self, scheduler: Scheduler, state: State, mouth: &Mouth) {
-        let clock = state.clock + unix().saturating_sub(state.at);
+    /// Takes over the predecessor's scheduler, clock and numbering.
+    fn inherit(&mut self, scheduler: Scheduler, state: HandoverState, sender: &HandoverSender) {
+        let clock = state.clock + unix().saturating_sub(state.unix_time);
         self.origin = Instant::now().checked_sub(clock).unwrap_or(self.origin);
         self.scheduler = scheduler;
         for known in state.endpoints {
             let (zone, address) = (self.zone(&known.zone), known.dial.and_then(|d| d.parse().ok()));
-            let Known { id, host, ready, listed, .. } = known;
+            let EndpointState { id, host, ready, listed, .. } = known;
             self.numbers.insert(host.clone(), id);
             self.endpoints.insert(id, Endpoint { host, address, zone, ready, listed });
         }
-        self.numbered = state.numbered;
+        self.numbered = state.endpoint_ids_assigned;
         self.destinations = state.destinations.into_iter().collect();
-        (self.seq, self.listed) = (state.list, state.list.is_some());
-        self.next = self.next.max(state.last + 1);
+        (self.seq, self.listed) = (state.list_version, state.list_version.is_some());
+        self.next = self.next.max(state.last_message + 1);
         self.publish_hosts();
         let now = Instant::now();
-        let mut out: HashMap<u64, Out> = state.out.into_iter().map(|o| (o.message, o)).collect();
+        let mut out: HashMap<u64, InFlightCall> =
+            state.in_flight.into_iter().map(|o| (o.message, o)).collect();
         let live: Vec<_> = self.journal.live().map(|(n, m)| (n, m.clone())).collect();
         for (message, m) in live {
             if !self.scheduler.knows(MessageId(message)) {
                 self.resume(message);
                 continue;
             }
-            self.ids.insert(m.letter.id.clone(), message);
+            self.ids.insert(m.submitted.id.clone(), message);
             if let Some(verdict) = m.verdict {
-                self.tell(message, m.letter.id.clone(), verdict);
+                self.tell(message, m.submitted.id.clone(), verdict);
             }
             let out = out.remove(&message);
             let leave = out.as_ref().map(|o| (o.endpoint, Leave::default()));
             let out = out.map(|o| {
                 let (cancel, cancelled) = oneshot::channel();
-                let mouth = mouth.clone();
+                let sender = sender.clone();
                 tokio::task::spawn_local(async move {
                     if cancelled.await.is_ok() {
-                        let _ = mouth.say(&Word::Cancel(message), None).await;
+                        let _ = sender.send(&HandoverMessage::Cancel(message), None).await;
                     }
                 });
                 (now.checked_sub(o.age).unwrap_or(now), Some(cancel))
             });
             if m.verdict.is_none() || out.is_some() {
-                let (letter, attempts) = (m.letter, m.attempts.len() as u32);
+                let (letter, attempts) = (m.submitted, m.attempts.len() as u32);
                 self.held.insert(message, Held { letter, attempts, out, leave });
             }
         }
-        // What operators set last may be on record and not yet in the module.
+        // The latest operator changes may be recorded and not yet known to the scheduler.
         let set =
             self.endpoints.iter().map(|(endpoint, e)| (*endpoint, self.standing.register.is_out(&e.host)));
         let set = set.map(|(endpoint, out)| Event::Maintenance { endpoint, out });
         let set: Vec<_> = set.collect();
         self.events.extend(set);
-        // The wake-up that the module had asked for has stayed behind; this makes it ask again.
+        // The wake-up that the scheduler had requested stayed in the old process; this makes it request
+        // another.
         self.events.push(Event::Woken { token: 0 });
     }
 
-    /// Offers all to the successor. False if this process is still the courier; after true it never is again.
-    pub async fn hand_over(&mut self, to: &mut Successor, tenure: &mut Option<Lock>) -> bool {
-        match self.offer(to).await {
+    /// Offers the state to the successor. False if this process is still the courier; after true it never is
+    /// again.
+    pub async fn hand_over(&mut self, to: &mut Successor, lock: &mut Option<Lock>) -> bool {
+        match self.send_state(to).await {
             Ok(()) => {}
             Err(e) => {
-                say!("handover: not taken over: {e}");
+                say!("handover: aborted, this process keeps serving: {e}");
                 return false;
             }
         }
-        drop(tenure.take());
-        // Nothing that cannot be said here changes what was given up: the lock tells who goes on.
-        if let Err(e) = to.mouth.say(&Word::Go, None).await {
-            say!("handover: the successor is gone: {e}");
+        drop(lock.take());
+        // If this message cannot be sent, the lock is released all the same: whoever takes it is the courier.
+        if let Err(e) = to.sender.send(&HandoverMessage::LockReleased, None).await {
+            say!("handover: cannot reach the successor after releasing the lock: {e}");
         }
         true
     }
 
-    async fn offer(&mut self, to: &mut Successor) -> io::Result<()> {
-        // A call without its connection does not begin any more.
+    async fn send_state(&mut self, to: &mut Successor) -> io::Result<()> {
+        // A call that has no connection yet is not started any more.
         self.held.values().filter_map(|m| m.leave.as_ref()).for_each(|(_, leave)| leave.recall());
-        if !self.settle_whole().await {
+        if !self.commit_all().await {
             return Err(io::Error::other("the journal cannot be written"));
         }
         let state = self.state().map_err(io::Error::other)?;
-        say!("handover: to a successor, with {} calls out", state.out.len());
-        timeout(WORD_TIME, to.mouth.say(&Word::State(Box::new(state)), None)).await??;
-        match timeout(WORD_TIME, to.ear.hear()).await?? {
-            (Word::Ready { whole: true }, _) => Ok(()),
-            (Word::Ready { whole: false }, _) => {
-                // It will take these for broken.
+        say!("handover: sending the state to a successor, with {} calls in flight", state.in_flight.len());
+        timeout(MESSAGE_TIMEOUT, to.sender.send(&HandoverMessage::State(Box::new(state)), None)).await??;
+        match timeout(MESSAGE_TIMEOUT, to.receiver.receive()).await?? {
+            (HandoverMessage::Ready { state_loaded: true }, _) => Ok(()),
+            (HandoverMessage::Ready { state_loaded: false }, _) => {
+                // The successor will count these calls as reset.
                 self.held.values_mut().for_each(|m| m.cancel());
-                sleep(CUT).await;
+                sleep(CANCEL_GRACE).await;
                 Ok(())
             }
             _ => Err(io::ErrorKind::InvalidData.into()),
         }
     }
 
-    /// After the go: passes on clients and the ends of calls until it is told to stop and all have ended.
-    pub async fn linger(
+    /// After the handover: passes client connections and the ends of calls to the successor, until this
+    /// process is told to stop and all of them are done.
+    pub async fn drain_after_handover(
         mut self,
         mut to: Successor,
         mut inbox: Receiver<News>,
@@ -333,26 +348,26 @@
         self.calls.close_all();
         let (mut asked, mut waiting) = (0, HashMap::new());
         loop {
-            let word = tokio::select! {
+            let message = tokio::select! {
                 biased;
                 Some(PassedConnection { descriptor, received, age, served }) = clients.recv() => {
-                    let client = Word::Client(Client { heard: received, age, served });
-                    // A successor that is gone is heard below.
-                    let _ = to.mouth.say(&client, Some(descriptor)).await;
+                    let client = HandoverMessage::Client(ClientConnection { received, age, served });
+                    // If the successor has ended, the receive below reports it.
+                    let _ = to.sender.send(&client, Some(descriptor)).await;
                     None
                 }
                 Some((change, reply)) = forwards.recv() => {
                     asked += 1;
                     waiting.insert(asked, reply);
-                    Some(Word::Operate(asked, change))
+                    Some(HandoverMessage::OperatorChange(asked, change))
                 }
-                Some(news) = inbox.recv() => self.late(news),
-                word = to.ear.hear() => {
-                    match word {
-                        Ok((Word::Cancel(message), _)) => {
+                Some(news) = inbox.recv() => self.handle_late_news(news),
+                message = to.receiver.receive() => {
+                    match message {
+                        Ok((HandoverMessage::Cancel(message), _)) => {
                             self.held.get_mut(&message).into_iter().for_each(Held::cancel);
                         }
-                        Ok((Word::Operated(number, set), _)) => {
+                        Ok((HandoverMessage::OperatorChangeResult(number, set), _)) => {
                             if let Some(reply) = waiting.remove(&number) {
                                 let _ = reply.send(set);
                             }
@@ -366,10 +381,10 @@
                     }
                     None
                 }
-                () = sleep(AGAIN) => None,
+                () = sleep(RETRY_INTERVAL) => None,
             };
-            if let Some(word) = word {
-                let _ = to.mouth.say(&word, None).await;
+            if let Some(message) = message {
+                let _ = to.sender.send(&message, None).await;
             }
             if let Some(since) = self.stopping.map(|at| at.elapsed()) {
                 let calls = self.held.values().any(|m| m.out.is_some());
@@ -381,14 +396,14 @@
         }
     }
 
-    /// News that came after the go.
-    fn late(&mut self, news: News) -> Option<Word> {
+    /// Handles events that arrive after the handover.
+    fn handle_late_news(&mut self, news: News) -> Option<HandoverMessage> {
         match news {
             News::Called { message, attempt, endpoint, end } => {
                 let m = self.held.get_mut(&message)?;
                 m.out.take()?;
-                say!("{} attempt {attempt}: {:?}, told to the successor", m.letter.id, end.outcome);
-                Some(Word::Ended(Ended {
+                say!("{} attempt {attempt}: {:?}, passed to the successor", m.letter.id, end.outcome);
+                Some(HandoverMessage::Ended(EndedCall {
                     message,
                     attempt,
                     endpoint,
--- a/src/node/journal_test.rs
+++ b/src/node/journal_test.rs
@@ -6,8 +6,8 @@
 
 const DISK: u64 = 3_000_000;
 
-fn keeping(room: u64) -> Keeping {
-    Keeping { room, durability: Durability::Process, refuse_damage: false }
+fn journal_options(room: u64) -> JournalOptions {
+    JournalOptions { room, durability: Durability::Process, refuse_damage: false }
 }
 
 struct Place(std::path::PathBuf);
@@ -22,7 +22,7 @@
     }
 
     fn open(&self, seed: u64) -> (Journal, Recovery) {
-        Journal::open(&self.0, keeping(DISK), seed).expect("opens")
+        Journal::open(&self.0, journal_options(DISK), seed).expect("opens")
     }
 
     /// The segments, oldest first.
@@ -40,8 +40,8 @@
     }
 }
 
-pub(super) fn letter(id: &str, body: usize) -> Rc<Letter> {
-    Rc::new(Letter {
+pub(super) fn test_message(id: &str, body: usize) -> Rc<Message> {
+    Rc::new(Message {
         id: id.to_owned(),
         class: "notice".to_owned(),
         tenant: "acme".to_owned(),
@@ -57,26 +57,26 @@
     Attempt { host: host.to_owned(), zone: "a".to_owned(), sent, may_have_run: true }
 }
 
-/// What is live, without the time at which it was taken on, which is the clock's.
-pub(super) type State = Vec<(u64, Live)>;
+/// The live messages without the time of acceptance, which comes from the clock.
+pub(super) type State = Vec<(u64, LiveMessage)>;
 
 pub(super) fn state<D: Disk>(journal: &Journal<D>) -> State {
-    journal.live().map(|(n, live)| (n, Live { taken: Duration::ZERO, ..live.clone() })).collect()
+    journal.live().map(|(n, live)| (n, LiveMessage { taken: Duration::ZERO, ..live.clone() })).collect()
 }
 
 type Step = fn(&mut Journal<Simulated>, u64);
 
-/// What a message goes through, in some order that can be: one step a flush.
+/// A possible life of a message; each step is followed by a commit.
 const STEPS: [Step; 8] = [
-    |j, n| j.accept(n, letter(&format!("m{n}"), (n % 40) as usize * 9)),
+    |j, n| j.accept(n, test_message(&format!("m{n}"), (n % 40) as usize * 9)),
     |j, n| j.attempt(n, attempt("s-1")),
     |j, n| j.never_ran(n, 0),
     |j, n| j.attempt(n, attempt("s-2")),
     |j, n| {
-        j.accept(n + 1000, letter(&format!("n{n}"), 5));
+        j.accept(n + 1000, test_message(&format!("n{n}"), 5));
         j.attempt(n + 1000, attempt("s-3"));
     },
-    |j, n| j.judge(n, Verdict::Bounced { wait: Some(Duration::from_millis(500)) }),
+    |j, n| j.record_verdict(n, Verdict::Bounced { wait: Some(Duration::from_millis(500)) }),
     |j, n| j.end(n),
     |j, n| {
         if n % 3 > 0 {
@@ -86,10 +86,10 @@
 ];
 
 fn simulated(disk: &Simulated, room: u64) -> io::Result<(Journal<Simulated>, Recovery)> {
-    Journal::on(disk.clone(), Plan::of(keeping(room), 7), room)
+    Journal::open_on(disk.clone(), Plan::of(journal_options(room), 7), room)
 }
 
-/// Plays the script for so many messages; after each flush that succeeds `done` is told.
+/// Runs the steps for so many messages; calls `done` after each successful commit.
 fn play(journal: &mut Journal<Simulated>, messages: u64, mut done: impl FnMut(&Journal<Simulated>)) {
     for n in 1..=messages {
         for step in STEPS {
@@ -101,11 +101,11 @@
     }
 }
 
-/// States that may be found where the process ended: the one after the last flush that succeeded, and those
-/// after each record of the flush that was cut short.
+/// States that may be found after the process ended: the one after the last successful commit, and those
+/// after each record of the interrupted commit.
 fn possible(before: &State, after: &State) -> Vec<State> {
     let mut all = vec![before.clone(), after.clone()];
-    // Two records in a flush: a message that was taken on, and its attempt.
+    // Two records in one commit: a new message and its attempt.
     let mut between = after.clone();
     between.iter_mut().for_each(|(n, live)| {
         if !before.iter().any(|(m, _)| m == n) {
@@ -117,22 +117,22 @@
 }
 
 #[test]
-fn what_was_written_is_there_again() {
+fn a_reopened_journal_holds_what_was_written() {
     let disk = Simulated::default();
     let (mut journal, _) = simulated(&disk, DISK).expect("opens");
     play(&mut journal, 30, |_| ());
     let (again, recovery) = simulated(&disk, DISK).expect("opens");
     assert_eq!(state(&again), state(&journal));
     assert_eq!(again.count(), 10, "every third one of the other kind lives");
-    assert!(recovery.damage.is_empty() && recovery.doubted == 0, "{recovery:?}");
+    assert!(recovery.damage.is_empty() && recovery.assumed_run == 0, "{recovery:?}");
     assert_eq!(recovery.last, 1030);
 }
 
-/// The process ends within every call on the disk, after every so many bytes of it: what was acknowledged is
-/// there, what ended is not, and the next start finds the same.
+/// The process ends within every disk call, after different numbers of bytes: acknowledged messages are
+/// there, ended ones are not, and the next start finds the same state.
 #[test]
 fn every_point_at_which_the_process_may_end_leaves_what_was_acknowledged() {
-    // Small segments, so that some are sealed and dropped on the way.
+    // Small segments, so that some are sealed and dropped during the test.
     let room = 150_000;
     let (messages, mut points) = (60, 0u64);
     let disk = Simulated::default();
@@ -148,14 +148,14 @@
             let disk = Simulated::new(Default::default(), Fault::Ends { call, after });
             let Ok((mut journal, _)) = simulated(&disk, room) else { continue };
             play(&mut journal, messages, |_| ());
-            assert!(disk.is_gone());
+            assert!(disk.has_ended());
             let left = Simulated::new(disk.files(), Fault::None);
             let (found, recovery) = simulated(&left, room).expect("opens");
             let done = states.iter().rposition(|(calls, _)| *calls <= call).expect("the first");
             let (before, next) = (&states[done].1, &states[(done + 1).min(states.len() - 1)].1);
             let found = state(&found);
             assert!(possible(before, next).contains(&found), "call {call} after {after}: {found:?}");
-            assert!(recovery.damage.is_empty() && recovery.doubted == 0, "{call} {after}: {recovery:?}");
+            assert!(recovery.damage.is_empty() && recovery.assumed_run == 0, "{call} {after}: {recovery:?}");
             let (again, _) = simulated(&left, room).expect("opens");
             assert_eq!(state(&again), found, "the next start finds the same");
         }
@@ -164,7 +164,7 @@
     assert!(points > 5_000, "{points}");
 }
 
-/// Every call fails once, after part of it: nothing is lost, and nothing counts as damaged.
+/// Every disk call fails once, after part of its bytes: nothing is lost and nothing is reported as damage.
 #[test]
 fn a_call_that_fails_costs_nothing_once_the_disk_works_again() {
     let room = 150_000;
@@ -183,14 +183,15 @@
             assert_eq!(state(&journal), want);
             let (again, recovery) = simulated(&disk, room).expect("opens");
             assert_eq!(state(&again), want, "call {call} after {after}");
-            assert!(recovery.damage.is_empty() && recovery.doubted == 0, "{call} {after}: {recovery:?}");
+            assert!(recovery.damage.is_empty() && recovery.assumed_run == 0, "{call} {after}: {recovery:?}");
         }
     }
     println!("{points} calls that failed");
     assert!(points > 900, "{points}");
 }
 
-/// Each call that reads fails at a start: that start is refused, nothing is changed, and the next one finds all.
+/// Each read call fails during a start: that start is refused, nothing is changed, and the next one finds
+/// everything.
 #[test]
 fn a_folder_that_cannot_be_read_refuses_the_start_and_loses_nothing() {
     let disk = full(700);
@@ -208,24 +209,24 @@
     }
 }
 
-/// Where the policy is to refuse, a start on damage tells it and changes nothing.
+/// With `refuse_damage`, a start on a damaged journal reports the damage and changes nothing.
 #[test]
 fn a_start_on_damage_is_refused_where_the_policy_says_so() {
     let refusing = |disk: &Simulated| {
-        let plan = Plan::of(Keeping { refuse_damage: true, ..keeping(DISK) }, 7);
-        Journal::on(disk.clone(), plan, DISK).map(|(journal, _)| journal.count())
+        let plan = Plan::of(JournalOptions { refuse_damage: true, ..journal_options(DISK) }, 7);
+        Journal::open_on(disk.clone(), plan, DISK).map(|(journal, _)| journal.count())
     };
     let disk = full(100);
     assert_eq!(refusing(&disk).expect("nothing is damaged"), 100);
-    let spoilt = spoil(&disk, |files| files[0][5000] ^= 4);
-    let (before, why) = (spoilt.files(), refusing(&spoilt).expect_err("refused").to_string());
+    let damaged = corrupt(&disk, |files| files[0][5000] ^= 4);
+    let (before, why) = (damaged.files(), refusing(&damaged).expect_err("refused").to_string());
     assert!(why.contains("0000000000000001 at ") && why.contains("nothing was changed"), "{why}");
-    assert_eq!(spoilt.files(), before);
+    assert_eq!(damaged.files(), before);
 }
 
-/// A sealed segment that spoils while the process runs: found by reading it again, and written anew from memory.
+/// A sealed segment is corrupted while the process runs: scrubbing finds it, and it is rewritten from memory.
 #[test]
-fn what_spoils_while_it_runs_is_written_anew_from_memory() {
+fn a_segment_corrupted_at_run_time_is_rewritten_from_memory() {
     let disk = full(1000);
     let (mut journal, _) = simulated(&disk, DISK).expect("opens");
     let want = state(&journal);
@@ -234,7 +235,7 @@
         let scrubbed = journal.scrub().expect("a sealed segment").run();
         assert!(scrubbed.damage.is_none(), "{scrubbed:?}");
     }
-    disk.spoil("0000000000000002", 9000);
+    disk.corrupt("0000000000000002", 9000);
     let damaged: Vec<_> = (0..sealed).filter_map(|_| journal.scrub()).map(Scrub::run).collect();
     let damaged: Vec<_> = damaged.into_iter().filter(|s| s.damage.is_some()).collect();
     assert_eq!(damaged.iter().map(|s| s.number).collect::<Vec<_>>(), [2]);
@@ -245,14 +246,14 @@
     assert!(!disk.files().contains_key("0000000000000002"), "it is dropped");
     assert!(disk.files().keys().any(|name| name.starts_with("aside-0000000000000002")), "and kept aside");
     let (again, recovery) = simulated(&disk, DISK).expect("opens");
-    assert_eq!((state(&again), recovery.damage.len(), recovery.doubted), (want, 0, 0));
+    assert_eq!((state(&again), recovery.damage.len(), recovery.assumed_run), (want, 0, 0));
 }
 
-/// The only sealed segment is dropped: there is nothing to read again, and nothing has vanished.
+/// After the only sealed segment is dropped there is nothing to scrub, and nothing is reported as vanished.
 #[test]
 fn a_segment_that_was_dropped_is_not_read_again() {
     let (mut journal, _) = simulated(&Simulated::default(), DISK).expect("opens");
-    (1..=300).for_each(|n| journal.accept(n, letter(&format!("m{n}"), 900)));
+    (1..=300).for_each(|n| journal.accept(n, test_message(&format!("m{n}"), 900)));
     journal.flush().expect("written");
     assert!(journal.scrub().is_some_and(|scrub| scrub.run().damage.is_none()), "one is sealed");
     (1..=300).for_each(|n| journal.end(n));
@@ -260,12 +261,12 @@
     assert!(journal.scrub().is_none());
 }
 
-/// Messages that live, each with one attempt that is known not to have run.
+/// Live messages, each with one attempt that is known not to have run.
 fn full(messages: u64) -> Simulated {
     let disk = Simulated::default();
     let (mut journal, _) = simulated(&disk, DISK).expect("opens");
     for n in 1..=messages {
-        journal.accept(n, letter(&format!("m{n}"), 300));
+        journal.accept(n, test_message(&format!("m{n}"), 300));
         journal.attempt(n, attempt("s-1"));
         journal.never_ran(n, 0);
         journal.flush().expect("written");
@@ -273,62 +274,62 @@
     disk
 }
 
-fn spoil(disk: &Simulated, act: impl FnOnce(&mut Vec<Vec<u8>>)) -> Simulated {
+fn corrupt(disk: &Simulated, act: impl FnOnce(&mut Vec<Vec<u8>>)) -> Simulated {
     let files = disk.files();
     let mut contents: Vec<_> = files.values().cloned().collect();
     act(&mut contents);
     Simulated::new(files.into_keys().zip(contents).collect(), Fault::None)
 }
 
-/// What was measured of the form of before: 199 of 2,000 resumed, and no word.
+/// In the old format a flipped bit silently lost everything behind it: 199 of 2,000 messages were resumed.
 #[test]
-fn one_flipped_bit_costs_one_message_at_the_most() {
+fn a_flipped_bit_loses_at_most_one_message() {
     let disk = full(1000);
     let length = disk.files().values().next().expect("a segment").len();
     for n in 0..64 {
         let at = 128 + (length - 129) * n / 64;
-        let spoilt = spoil(&disk, |files| files[0][at] ^= 1 << (n % 8));
-        let (journal, recovery) = simulated(&spoilt, DISK).expect("opens");
-        let lost = recovery.unreadable + recovery.ghosts;
+        let damaged = corrupt(&disk, |files| files[0][at] ^= 1 << (n % 8));
+        let (journal, recovery) = simulated(&damaged, DISK).expect("opens");
+        let lost = recovery.unreadable + recovery.id_only;
         assert!(journal.count() + recovery.unreadable >= 999 && lost <= 1, "{at}: {recovery:?}");
         assert_eq!(recovery.damage.len(), 1, "{at}: {recovery:?}");
-        let kept = recovery.damage[0].aside && spoilt.files().len() > disk.files().len();
+        let kept = recovery.damage[0].quarantined && damaged.files().len() > disk.files().len();
         assert!(kept, "{at}: {recovery:?}");
-        // It was never cut off: the next start finds the same.
-        let (again, second) = simulated(&spoilt, DISK).expect("opens");
+        // The damaged part is not removed: the next start finds the same.
+        let (again, second) = simulated(&damaged, DISK).expect("opens");
         assert_eq!(state(&again), state(&journal), "{at}");
         assert_eq!(second.damage, recovery.damage, "{at}");
     }
 }
 
 #[test]
-fn zeroed_sectors_cost_what_stood_there() {
+fn zeroed_sectors_lose_only_their_own_records() {
     let disk = full(1000);
-    let spoilt = spoil(&disk, |files| files[0][20_480..20_992].fill(0));
-    let (journal, recovery) = simulated(&spoilt, DISK).expect("opens");
+    let damaged = corrupt(&disk, |files| files[0][20_480..20_992].fill(0));
+    let (journal, recovery) = simulated(&damaged, DISK).expect("opens");
     assert!(journal.count() >= 997, "{} of 1000", journal.count());
     assert!(recovery.damage.len() <= 3, "{recovery:?}");
-    // Whose the attempts in it were nobody knows: those that lived then may have run.
-    assert!(recovery.doubted > 10 && recovery.doubted < 60, "{recovery:?}");
-    let may = |live: &Live| live.attempts.iter().any(|a| a.may_have_run);
-    assert_eq!(journal.live().filter(|(_, live)| may(live)).count(), recovery.doubted);
-    let (again, second) = simulated(&spoilt, DISK).expect("opens");
-    assert_eq!((state(&again), second.doubted), (state(&journal), 0), "they are doubted once");
+    // It is not known whose attempts were in it: all messages that were live then may have run.
+    assert!(recovery.assumed_run > 10 && recovery.assumed_run < 60, "{recovery:?}");
+    let may = |live: &LiveMessage| live.attempts.iter().any(|a| a.may_have_run);
+    assert_eq!(journal.live().filter(|(_, live)| may(live)).count(), recovery.assumed_run);
+    let (again, second) = simulated(&damaged, DISK).expect("opens");
+    assert_eq!((state(&again), second.assumed_run), (state(&journal), 0), "they are doubted once");
 }
 
-/// The spoilt record by its kind: what is known of its message afterwards.
+/// For each kind of record: what is known of its message after the record is corrupted.
 #[test]
-fn a_spoilt_record_counts_against_its_own_message_alone() {
+fn a_corrupt_record_affects_only_its_own_message() {
     let disk = Simulated::default();
     let (mut journal, _) = simulated(&disk, DISK).expect("opens");
     let mut at = Vec::new();
     let end = |disk: &Simulated| disk.files().values().next().map_or(0, Vec::len);
     let steps: [Step; 6] = [
-        |j, n| j.accept(n, letter("mine", 80)),
+        |j, n| j.accept(n, test_message("mine", 80)),
         |j, n| j.attempt(n, attempt("s-1")),
         |j, n| j.never_ran(n, 0),
-        |j, n| j.judge(n, Verdict::Bounced { wait: None }),
-        |j, _| j.accept(2, letter("other", 80)),
+        |j, n| j.record_verdict(n, Verdict::Bounced { wait: None }),
+        |j, _| j.accept(2, test_message("other", 80)),
         |j, n| j.end(n),
     ];
     for step in steps {
@@ -336,9 +337,9 @@
         journal.flush().expect("written");
         at.push(end(&disk) - 1);
     }
-    // The last byte of each record is its payload's, where it has one.
-    let spoilt = |record: usize, steps: usize| {
-        let disk = spoil(&disk, |files| {
+    // The last byte of a record belongs to its payload, if it has one.
+    let damaged = |record: usize, steps: usize| {
+        let disk = corrupt(&disk, |files| {
             files[0].truncate(at[steps - 1] + 1);
             files[0][at[record]] ^= 1;
         });
@@ -346,25 +347,25 @@
         assert_eq!(recovery.damage.len(), 1);
         (journal.get(1).cloned(), journal.get(2).is_some(), recovery)
     };
-    let (mine, _, recovery) = spoilt(0, 3);
+    let (mine, _, recovery) = damaged(0, 3);
     let mine = mine.expect("its id can be read");
-    assert_eq!((mine.letter.id.as_str(), mine.verdict), ("mine", Some(Verdict::Dead)));
-    assert_eq!((recovery.ghosts, recovery.doubted), (1, 0));
-    let (mine, _, recovery) = spoilt(1, 3);
+    assert_eq!((mine.submitted.id.as_str(), mine.verdict), ("mine", Some(Verdict::Dead)));
+    assert_eq!((recovery.id_only, recovery.assumed_run), (1, 0));
+    let (mine, _, recovery) = damaged(1, 3);
     assert!(
         mine.expect("it lives").attempts.iter().any(|a| a.may_have_run),
         "the attempt may have been made"
     );
-    assert_eq!(recovery.doubted, 1);
-    let (mine, _, _) = spoilt(2, 3);
+    assert_eq!(recovery.assumed_run, 1);
+    let (mine, _, _) = damaged(2, 3);
     assert!(mine.expect("it lives").attempts[0].may_have_run, "nothing proves the contrary any more");
-    let (mine, other, _) = spoilt(3, 5);
+    let (mine, other, _) = damaged(3, 5);
     assert_eq!(mine.expect("it is owed its notice").verdict, Some(Verdict::Dead));
     assert!(other);
 }
 
 #[test]
-fn a_segment_that_vanished_or_stands_under_another_number_is_told() {
+fn a_missing_or_misnumbered_segment_is_reported() {
     let disk = full(1000);
     let mut files = disk.files();
     assert!(files.len() >= 4, "{}", files.len());
@@ -373,8 +374,8 @@
     let (journal, recovery) = simulated(&Simulated::new(files.clone(), Fault::None), DISK).expect("opens");
     assert!(journal.count() > 500 && journal.count() < 1000);
     assert!(recovery.damage.iter().any(|d| d.what.contains("vanished")), "{recovery:?}");
-    assert!(recovery.doubted > 0);
-    // A copy of one under the number of the next: what it holds is not played again.
+    assert!(recovery.assumed_run > 0);
+    // A copy of a segment under the next number: its records are not applied again.
     let mut files = disk.files();
     let copy = files[&names[0]].clone();
     files.insert(format!("{:016x}", names.len() + 1), copy);
@@ -403,7 +404,7 @@
     let (mut j, _) = simulated(&disk, room).expect("opens");
     let (mut refused, mut live) = (0, std::collections::VecDeque::new());
     for n in 1..3000u64 {
-        let new = letter(&format!("m{n}"), (n as usize * 37) % 9000);
+        let new = test_message(&format!("m{n}"), (n as usize * 37) % 9000);
         if j.fits(&new) {
             j.accept(n, new);
             for a in 0..4 {
@@ -424,15 +425,15 @@
 }
 
 #[test]
-fn what_ended_does_not_fill_the_disk() {
+fn ended_messages_do_not_fill_the_disk() {
     let disk = Simulated::default();
     let (mut j, _) = simulated(&disk, DISK).expect("opens");
-    j.accept(1, letter("old", 100));
+    j.accept(1, test_message("old", 100));
     j.attempt(1, attempt("s-1"));
     j.attempt(1, attempt("s-2"));
     j.never_ran(1, 0);
     for n in 2..3000 {
-        j.accept(n, letter("new", 300));
+        j.accept(n, test_message("new", 300));
         j.flush().expect("written");
         j.end(n);
         j.flush().expect("written");
@@ -446,10 +447,10 @@
 
 #[test]
 fn as_many_usual_messages_fit_as_a_courier_holds() {
-    // Found on a day with a backlog: the room for later records was counted so high that 580 filled the disk.
+    // With too large a reserve for later records, 580 messages of a backlog filled the disk.
     let (mut j, _) = simulated(&Simulated::default(), DISK).expect("opens");
     for n in 1..=1000u64 {
-        let new = letter(&format!("9b1f03aa5c7e{n:04x}"), 480);
+        let new = test_message(&format!("9b1f03aa5c7e{n:04x}"), 480);
         assert!(j.fits(&new), "{n}");
         j.accept(n, new);
         j.flush().expect("written");
@@ -460,14 +461,14 @@
 fn it_works_on_a_real_folder() {
     let place = Place::new();
     let (mut journal, _) = place.open(1);
-    journal.accept(1, letter("a", 10));
+    journal.accept(1, test_message("a", 10));
     journal.attempt(1, attempt("s-1"));
     journal.flush().expect("written");
     let segments = place.segments();
     assert_eq!(segments.len(), 1);
     let (again, recovery) = place.open(2);
     assert_eq!((state(&again), recovery.last), (state(&journal), 1));
-    // Two hundred starts, each of which writes: the old segments go.
+    // Two hundred starts that all write: old segments are dropped.
     for seed in 3..200 {
         let (mut journal, _) = place.open(seed);
         journal.attempt(1, attempt(&"s".repeat(800)));
@@ -478,7 +479,7 @@
     assert_eq!(last.get(1).expect("it lives").attempts.len(), 198);
 }
 
-/// Bytes as the program of before wrote them: a message with an attempt, one judged, one ended.
+/// A journal in the old format: a message with an attempt, one with a verdict, one that has ended.
 fn old_form() -> Vec<u8> {
     let text = |to: &mut Vec<u8>, text: &str| {
         to.extend_from_slice(&(text.len() as u32).to_le_bytes());
@@ -513,11 +514,14 @@
 }
 
 #[test]
-fn a_journal_of_the_form_of_before_is_carried_over_wherever_that_is_cut_short() {
+fn an_old_format_journal_is_migrated_wherever_that_is_interrupted() {
     let check = |place: &Place| {
         let (journal, _) = place.open(9);
         let one = journal.get(1).expect("it lives");
-        assert_eq!((one.letter.as_ref(), &one.attempts[..]), (&*letter("m1", 2), &[attempt("s-1")][..]));
+        assert_eq!(
+            (one.submitted.as_ref(), &one.attempts[..]),
+            (&*test_message("m1", 2), &[attempt("s-1")][..])
+        );
         assert_eq!(
             journal.get(2).expect("its notice is owed").verdict,
             Some(Verdict::Bounced { wait: None })
@@ -530,7 +534,7 @@
         left.sort();
         assert_eq!(left, [NAME]);
     };
-    // As it was left, with a rewrite that was cut short, with the new one half made, and with both renamed.
+    // With a leftover rewrite and a partial new journal; between the two renames; with only the removal pending.
     let place = Place::new();
     fs::write(place.0.join(NAME), old_form()).expect("written");
     fs::write(place.0.join("journal.next"), b"half a rewrite").expect("written");
@@ -548,9 +552,9 @@
     check(&done);
 }
 
-/// What may happen to a file: a byte changed, a piece zeroed, cut out or doubled, the end lost.
+/// Damage to a file: a byte changed; a part zeroed, removed or duplicated; the end lost.
 #[derive(Clone, Copy, Debug)]
-enum Harm {
+enum FileDamage {
     Byte(u8),
     Zero(usize),
     Out(usize),
@@ -558,90 +562,93 @@
     End,
 }
 
-fn harm() -> impl proptest::strategy::Strategy<Value = Harmed> {
+fn file_damage() -> impl proptest::strategy::Strategy<Value = DamagedFile> {
     use proptest::prelude::*;
     let kind = prop_oneof![
-        (1..=u8::MAX).prop_map(Harm::Byte),
-        (1..2000usize).prop_map(Harm::Zero),
-        (1..2000usize).prop_map(Harm::Out),
-        (1..2000usize).prop_map(Harm::Twice),
-        Just(Harm::End),
+        (1..=u8::MAX).prop_map(FileDamage::Byte),
+        (1..2000usize).prop_map(FileDamage::Zero),
+        (1..2000usize).prop_map(FileDamage::Out),
+        (1..2000usize).prop_map(FileDamage::Twice),
+        Just(FileDamage::End),
     ];
     (0..8usize, 0.0..1.0f64, kind)
 }
 
-fn suffer(bytes: &mut Vec<u8>, at: usize, harm: Harm) {
+fn apply_damage(bytes: &mut Vec<u8>, at: usize, damage: FileDamage) {
     let to = |n: usize| (at + n).min(bytes.len());
-    match harm {
-        Harm::Byte(change) => bytes.iter_mut().skip(at).take(1).for_each(|b| *b ^= change),
-        Harm::Zero(n) => {
+    match damage {
+        FileDamage::Byte(change) => bytes.iter_mut().skip(at).take(1).for_each(|b| *b ^= change),
+        FileDamage::Zero(n) => {
             let to = to(n);
             bytes[at..to].fill(0);
         }
-        Harm::Out(n) => drop(bytes.drain(at..to(n))),
-        Harm::Twice(n) => {
+        FileDamage::Out(n) => drop(bytes.drain(at..to(n))),
+        FileDamage::Twice(n) => {
             let piece = bytes[at..to(n)].to_vec();
             bytes.splice(at..at, piece);
         }
-        Harm::End => bytes.truncate(at),
+        FileDamage::End => bytes.truncate(at),
     }
 }
 
 proptest::proptest! {
     #![proptest_config(proptest::prelude::ProptestConfig { cases: 300, failure_persistence: None, ..Default::default() })]
 
-    /// Whatever happens to the files: nothing is made up, nothing that may have run counts as never run, what
-    /// was told once is told by the next start, and that finds the same.
+    /// Whatever damage a file has: no message is invented, no attempt that may have run counts as not run,
+    /// and the next start reports the same damage and finds the same state.
     #[test]
-    fn any_harm_costs_what_it_hit_and_makes_nothing_up(harms in proptest::collection::vec(harm(), 1..6)) {
-        costs_what_it_hit(&harms)?;
+    fn any_damage_loses_only_what_it_hit_and_invents_nothing(damages in proptest::collection::vec(file_damage(), 1..6)) {
+        check_damage(&damages)?;
     }
 }
 
-/// A file's number, a share of its length, and what happens there.
-type Harmed = (usize, f64, Harm);
+/// Index of the file, offset as a share of its length, and the damage.
+type DamagedFile = (usize, f64, FileDamage);
 
-/// The property: a folder that suffered this is read for what it was.
-fn costs_what_it_hit(harms: &[Harmed]) -> Result<(), proptest::test_runner::TestCaseError> {
+/// The property: after this damage the folder still yields only what was written to it.
+fn check_damage(damages: &[DamagedFile]) -> Result<(), proptest::test_runner::TestCaseError> {
     let disk = full(600);
     let mut files = disk.files();
     let names: Vec<String> = files.keys().cloned().collect();
-    for (file, share, harm) in harms {
-        // Not to the last one: that its end is gone, nothing tells.
+    for (file, share, damage) in damages {
+        // Not the last file: nothing shows that its end is missing.
         let bytes = files.get_mut(&names[file % (names.len() - 1)]).expect("a file");
         let at = (bytes.len() as f64 * share) as usize;
-        suffer(bytes, at, *harm);
+        apply_damage(bytes, at, *damage);
     }
-    let spoilt = Simulated::new(files, Fault::None);
-    let (journal, recovery) = simulated(&spoilt, DISK).expect("opens");
+    let damaged = Simulated::new(files, Fault::None);
+    let (journal, recovery) = simulated(&damaged, DISK).expect("opens");
     for (n, live) in journal.live() {
-        proptest::prop_assert_eq!(&live.letter.id, &format!("m{n}"));
-        // All were tried once, and that never ran: its loss makes them ones that may have.
+        proptest::prop_assert_eq!(&live.submitted.id, &format!("m{n}"));
+        // All were tried once, and that attempt did not run: if that record is lost, the attempt may have
+        // run.
         let may = live.attempts.iter().any(|a| a.may_have_run);
         let known = live.attempts.len() == 1 && !may;
         proptest::prop_assert!(known || may || live.verdict.is_some(), "{:?}", live);
     }
-    let (again, second) = simulated(&spoilt, DISK).expect("opens");
+    let (again, second) = simulated(&damaged, DISK).expect("opens");
     proptest::prop_assert_eq!(state(&again), state(&journal));
     proptest::prop_assert_eq!(second.damage, recovery.damage);
-    proptest::prop_assert_eq!(second.doubted, 0);
+    proptest::prop_assert_eq!(second.assumed_run, 0);
     Ok(())
 }
 
-/// What the property once found: a piece written twice, so that the payload of one message's record stands behind
-/// the head of the next one's.
+/// Found by the property test: a duplicated part puts the payload of one message's record behind the header
+/// of the next one's.
 #[test]
-fn a_piece_written_twice_gives_no_message_the_id_of_another() {
-    costs_what_it_hit(&[(1, 0.1823849507130787, Harm::Twice(498))]).expect("nothing is made up");
+fn a_duplicated_part_gives_no_message_the_id_of_another() {
+    check_damage(&[(1, 0.1823849507130787, FileDamage::Twice(498))]).expect("nothing is made up");
 }
 
-/// The same from any record of a message to that of any later one.
+/// The same from any record of a message to any later one.
 #[test]
-fn a_piece_written_twice_between_any_two_messages_makes_nothing_up() {
+fn a_part_duplicated_between_any_two_messages_invents_nothing() {
     let (name, bytes) = full(20).files().into_iter().next().expect("a segment");
     let (_, found) = frame::read(&bytes).expect("a head is sound");
     let payload = |(at, piece): &frame::Found| match piece {
-        frame::Piece::Record(record) if record.label.kind == Kind::Live as u8 => Some(at + FRAME),
+        frame::Piece::Record(record) if record.label.kind == RecordKind::Snapshot as u8 => {
+            Some(at + RECORD_HEADER)
+        }
         _ => None,
     };
     let payloads: Vec<usize> = found.iter().filter_map(payload).collect();
@@ -649,26 +656,26 @@
     for (n, from) in payloads.iter().enumerate() {
         for to in &payloads[n + 1..] {
             let mut twice = bytes.clone();
-            suffer(&mut twice, *from, Harm::Twice(to - from));
-            let spoilt = Simulated::new([(name.clone(), twice)].into(), Fault::None);
-            let (journal, recovery) = simulated(&spoilt, DISK).expect("opens");
-            let ids = journal.live().all(|(n, live)| live.letter.id == format!("m{n}"));
+            apply_damage(&mut twice, *from, FileDamage::Twice(to - from));
+            let damaged = Simulated::new([(name.clone(), twice)].into(), Fault::None);
+            let (journal, recovery) = simulated(&damaged, DISK).expect("opens");
+            let ids = journal.live().all(|(n, live)| live.submitted.id == format!("m{n}"));
             assert!(ids, "from {from} to {to}");
-            assert_eq!((recovery.ghosts, recovery.unreadable), (0, 1), "from {from} to {to}");
+            assert_eq!((recovery.id_only, recovery.unreadable), (0, 1), "from {from} to {to}");
         }
     }
 }
 
-/// A record as the program of before wrote it: its id under a checksum that does not know the message's number.
+/// A record of an earlier version: the checksum of its id does not include the message's number.
 #[test]
-fn an_id_under_the_checksum_of_before_is_still_read() {
-    let live = Live { letter: letter("m7", 300), ..Live::default() };
-    let mut payload = ledger::put_live(7, &live);
+fn an_id_with_the_old_checksum_is_still_read() {
+    let live = LiveMessage { submitted: test_message("m7", 300), ..LiveMessage::default() };
+    let mut payload = record_codec::encode_snapshot(7, &live);
     let id_end = size_of::<u32>() + "m7".len();
     let check = crc32fast::hash(&payload[..id_end]).to_le_bytes();
     payload[id_end..id_end + check.len()].copy_from_slice(&check);
-    assert_eq!(ledger::id(7, &payload).as_deref(), Some("m7"));
-    assert_eq!(ledger::live(&payload), Some(live));
+    assert_eq!(record_codec::decode_id(7, &payload).as_deref(), Some("m7"));
+    assert_eq!(record_codec::decode_snapshot(&payload), Some(live));
     payload[id_end - 1] ^= 1;
-    assert_eq!(ledger::id(7, &payload), None);
+    assert_eq!(record_codec::decode_id(7, &payload), None);
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -12,7 +12,6 @@
 mod handover;
 mod intake;
 pub mod journal;
-mod ledger;
 mod link;
 mod log;
 mod news;
@@ -21,6 +20,7 @@
 mod operators;
 mod options;
 mod outcomes;
+mod record_codec;
 mod register;
 
 use crate::scheduler::Scheduler;
@@ -28,7 +28,7 @@
 use config::{Config, Fault};
 use courier::{Courier, End, STOP_CLOSING, STOP_LISTENING};
 use intake::{Intake, Standing};
-use journal::{Journal, Keeping, Recovery};
+use journal::{Journal, JournalOptions, Recovery};
 use log::say;
 use news::News;
 use options::OnDamage;
@@ -124,8 +124,8 @@
     if let Some(cut) = &recovery.cut {
         say!("journal: {cut}");
     }
-    if let Some(costs) = recovery.costs() {
-        say!("journal: {costs}");
+    if let Some(summary) = recovery.summary() {
+        say!("journal: {summary}");
     }
 }
 
@@ -145,7 +145,7 @@
     let state = |e: io::Error| Fault::Bad("LB_STATE", e.to_string());
     // Another process comes only where the platform hands the listening socket down.
     let shared = config.listener.is_some();
-    let (tenure, estate) = tokio::select! {
+    let (tenure, predecessor) = tokio::select! {
         taken = handover::take_over(&config.state, shared, &config.settings, config.seed) => {
             taken.map_err(state)?
         }
@@ -153,12 +153,12 @@
     };
     register.load().map_err(|e| Fault::Bad("LB_STATE", format!("what operators have set: {e}")))?;
     let store = config.options.store;
-    let keeping = Keeping {
-        room: ((config.limits.disk_mb * 1e6) as u64).saturating_sub(register::DISK_MOST),
+    let journal_options = JournalOptions {
+        room: ((config.limits.disk_mb * 1e6) as u64).saturating_sub(register::MAX_DISK),
         durability: store.durability,
         refuse_damage: store.on_damage == OnDamage::Refuse,
     };
-    let (journal, recovery) = Journal::open(&config.state, keeping, config.seed).map_err(state)?;
+    let (journal, recovery) = Journal::open(&config.state, journal_options, config.seed).map_err(state)?;
     tell(&recovery);
     let (news, mut inbox) = mpsc::channel(INBOX);
     let for_calls = (config.limits.sockets / 3).max(16);
@@ -179,8 +179,8 @@
     tokio::task::spawn_local(reload(hangup, config.file.clone(), news.clone()));
     let mut courier =
         Courier::new(config, scheduler, journal, recovery.last, calls, standing.clone(), news.clone());
-    match estate {
-        Some(estate) => estate.enter(&mut courier, intake.clone(), register.clone()),
+    match predecessor {
+        Some(predecessor) => predecessor.resume_into(&mut courier, intake.clone(), register.clone()),
         None => courier.begin(),
     }
     let mut changes = register.serve();
@@ -208,7 +208,7 @@
             end => return Ok(end),
         };
         // Operators set nothing while it is open who keeps it.
-        let held = register.hold().await;
+        let held = register.block_changes().await;
         if courier.hand_over(&mut successor, &mut tenure).await {
             break (successor, register.forward(), held);
         }
@@ -220,5 +220,5 @@
     accepting.abort();
     let (pass, clients) = mpsc::unbounded_channel();
     standing.pass_on(pass);
-    Ok(courier.linger(successor, inbox, clients, forwards).await)
+    Ok(courier.drain_after_handover(successor, inbox, clients, forwards).await)
 }
--- a/src/node/old_journal.rs
+++ b/src/node/old_journal.rs
@@ -1,9 +1,9 @@
-//! The journal in the form of before: one file of records, each with its length and checksum. Read once, and
-//! carried over.
+//! The journal's old format: a single file of records, each with its length and checksum. It is read once and
+//! migrated.
 
-use super::journal::{Attempt, Letter, Live, NAME};
-use super::ledger::Fields;
+use super::journal::{Attempt, LiveMessage, Message, NAME};
 use super::log::say;
+use super::record_codec::FieldReader;
 use crate::store::scan::Damage;
 use bytes::Bytes;
 use std::collections::BTreeMap;
@@ -12,11 +12,12 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// The file on its way out, the folder on its way in, and what that form's rewrites may have left.
-const OUT: &str = "journal.1";
-pub const IN: &str = "journal.2";
-const REWRITE: &str = "journal.next";
-const RECORD_MOST: usize = 128 * 1024;
+/// The old file while it is being replaced, the new folder while it is being written, and the temporary file
+/// of the old format's rewrites.
+const OLD_FILE: &str = "journal.1";
+pub const NEW_FOLDER: &str = "journal.2";
+const OLD_REWRITE: &str = "journal.next";
+const MAX_RECORD: usize = 128 * 1024;
 
 pub fn remove(path: &Path) -> io::Result<()> {
     let gone = match fs::symlink_metadata(path) {
@@ -30,31 +31,32 @@
     }
 }
 
-/// Carries an old journal over, if there is one: `write` makes the new one in the folder it is given. Killed
-/// anywhere, the next start finds the old one whole or the new one.
-pub fn carry_over(
+/// Migrates an old journal, if there is one: `write` creates the new journal in the folder it is given. If
+/// the process is killed at any point, the next start finds either the complete old journal or the complete
+/// new one.
+pub fn migrate(
     folder: &Path,
-    write: impl FnOnce(&BTreeMap<u64, Live>, &Path) -> io::Result<()>,
+    write: impl FnOnce(&BTreeMap<u64, LiveMessage>, &Path) -> io::Result<()>,
 ) -> io::Result<()> {
-    let [journal, out, new] = [NAME, OUT, IN].map(|name| folder.join(name));
+    let [journal, old, new] = [NAME, OLD_FILE, NEW_FOLDER].map(|name| folder.join(name));
     if fs::symlink_metadata(&journal).is_ok_and(|found| found.is_file()) {
-        remove(&folder.join(REWRITE))?;
+        remove(&folder.join(OLD_REWRITE))?;
         remove(&new)?;
         let bytes = fs::read(&journal)?;
-        let (live, sound) = replay(&bytes);
-        if sound < bytes.len() {
-            say!("journal: {}", unread(&bytes, sound));
+        let (live, valid_length) = replay(&bytes);
+        if valid_length < bytes.len() {
+            say!("journal: {}", unreadable_rest(&bytes, valid_length));
         }
-        say!("journal: {} messages are carried over from the form of before", live.len());
+        say!("journal: {} messages are migrated from the old format", live.len());
         write(&live, &new)?;
-        fs::rename(&journal, &out)?;
+        fs::rename(&journal, &old)?;
     }
     if fs::symlink_metadata(&journal).is_err() && new.is_dir() {
         fs::rename(&new, &journal)?;
     }
-    // From here on the new one is whole.
+    // From here on the new journal is complete.
     if journal.is_dir() {
-        remove(&out)?;
+        remove(&old)?;
     }
     Ok(())
 }
@@ -65,19 +67,20 @@
 const VERDICT: u8 = 4;
 const ENDED: u8 = 5;
 
-/// Applies one record; None if it cannot be read.
-fn apply(live: &mut BTreeMap<u64, Live>, record: &[u8]) -> Option<()> {
-    let mut f = Fields(record);
-    let (kind, message) = (f.byte()?, f.long()?);
+/// Applies one record; None if it cannot be decoded.
+fn apply(live: &mut BTreeMap<u64, LiveMessage>, record: &[u8]) -> Option<()> {
+    let mut f = FieldReader(record);
+    let (kind, message) = (f.u8()?, f.u64()?);
     match kind {
         ACCEPTED => {
-            let (until, destination) = (f.time()?, f.long()?);
-            let (id, class, keyed, key) = (f.text()?, f.text()?, f.byte()? == 1, f.text()?);
+            let (until, destination) = (f.time()?, f.u64()?);
+            let (id, class, keyed, key) = (f.text()?, f.text()?, f.u8()? == 1, f.text()?);
             let body = Bytes::copy_from_slice(f.bytes()?);
             // Records of the earliest versions end here.
             let tenant = if f.0.is_empty() { String::new() } else { f.text()? };
-            let letter = Letter { id, class, tenant, destination, key: keyed.then_some(key), until, body };
-            live.insert(message, Live { letter: Rc::new(letter), ..Live::default() });
+            let submitted =
+                Message { id, class, tenant, destination, key: keyed.then_some(key), until, body };
+            live.insert(message, LiveMessage { submitted: Rc::new(submitted), ..LiveMessage::default() });
         }
         ATTEMPT => {
             let (sent, host, zone) = (f.time()?, f.text()?, f.text()?);
@@ -86,7 +89,7 @@
             }
         }
         OUTCOME => {
-            let attempt = f.short()? as usize;
+            let attempt = f.u32()? as usize;
             if let Some(a) = live.get_mut(&message).and_then(|m| m.attempts.get_mut(attempt)) {
                 a.may_have_run = false;
             }
@@ -103,22 +106,28 @@
     Some(())
 }
 
-/// What cannot be read of one that is sound up to there.
-pub fn unread(bytes: &[u8], sound: usize) -> Damage {
-    let what = "the form of before cannot be read from here on";
-    Damage { file: NAME.to_owned(), offset: sound, length: bytes.len() - sound, what, aside: false }
+/// Describes the part of an old journal behind its valid prefix.
+pub fn unreadable_rest(bytes: &[u8], valid_length: usize) -> Damage {
+    let what = "the old format cannot be read from here on";
+    Damage {
+        file: NAME.to_owned(),
+        offset: valid_length,
+        length: bytes.len() - valid_length,
+        what,
+        quarantined: false,
+    }
 }
 
-/// Replays what is sound: the live messages, and the length of the sound part.
-pub fn replay(bytes: &[u8]) -> (BTreeMap<u64, Live>, usize) {
-    let (mut live, mut sound) = (BTreeMap::new(), 0);
-    let mut f = Fields(bytes);
-    while let (Some(len), Some(sum)) = (f.short(), f.short()) {
-        let record = f.take(len as usize).filter(|r| r.len() <= RECORD_MOST && crc32fast::hash(r) == sum);
+/// Replays the valid prefix: returns the live messages and the prefix's length.
+pub fn replay(bytes: &[u8]) -> (BTreeMap<u64, LiveMessage>, usize) {
+    let (mut live, mut valid_length) = (BTreeMap::new(), 0);
+    let mut f = FieldReader(bytes);
+    while let (Some(len), Some(sum)) = (f.u32(), f.u32()) {
+        let record = f.take(len as usize).filter(|r| r.len() <= MAX_RECORD && crc32fast::hash(r) == sum);
         if record.and_then(|r| apply(&mut live, r)).is_none() {
             break;
         }
-        sound = bytes.len() - f.0.len();
+        valid_length = bytes.len() - f.0.len();
     }
-    (live, sound)
+    (live, valid_length)
 }
--- a/src/node/power_test.rs
+++ b/src/node/power_test.rs
@@ -1,9 +1,9 @@
-//! Losses of power, at every call on the disk and with every part of what was not synced there or not.
+//! Power losses at every disk call, with every subset of the unsynced changes on disk or not.
 
-use super::tests::{State, attempt, letter, state};
+use super::tests::{State, attempt, state, test_message};
 use super::*;
-use crate::store::safeguard::{Safeguard, without};
-use crate::store::simulated::{Fault, Files, Lies, Simulated};
+use crate::store::safeguard::{Safeguard, with_disabled};
+use crate::store::simulated::{Fault, Files, IgnoredCalls, Simulated};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cell::RefCell;
@@ -11,16 +11,17 @@
 
 const ROOM: u64 = 12_000;
 
-/// Small segments, so that some are sealed and dropped on the way.
+/// Small segments, so that some are sealed and dropped during the test.
 fn open(disk: &Simulated, seed: u64) -> io::Result<(Journal<Simulated>, Recovery)> {
-    let plan = Plan { size: 1536, seed, aside: 4096, durability: Durability::Power, refuse_damage: false };
-    Journal::on(disk.clone(), plan, ROOM)
+    let plan =
+        Plan { size: 1536, seed, quarantine_room: 4096, durability: Durability::Power, refuse_damage: false };
+    Journal::open_on(disk.clone(), plan, ROOM)
 }
 
-/// What may be found at this moment: the state that was committed last, and those after each record since.
+/// States that may be found at this moment: the one last committed, and those after each record since.
 type Allowed = Rc<RefCell<Vec<State>>>;
 
-/// One step of a message's life, drawn; each writes one record or none.
+/// A random step in a message's life; it writes one record or none.
 fn step(journal: &mut Journal<Simulated>, rng: &mut SmallRng, next: &mut u64) {
     let live: Vec<u64> = journal.live().map(|(n, _)| n).collect();
     let n = if live.is_empty() { 0 } else { live[rng.random_range(0..live.len())] };
@@ -28,17 +29,17 @@
     match rng.random_range(0..10) {
         0..3 if live.len() < 8 => {
             *next += 1;
-            journal.accept(*next, letter(&format!("m{next}"), rng.random_range(0..700)));
+            journal.accept(*next, test_message(&format!("m{next}"), rng.random_range(0..700)));
         }
         3..6 if tried < 4 => journal.attempt(n, attempt("s-1")),
         6 if tried > 0 => journal.never_ran(n, tried - 1),
-        7 => journal.judge(n, Verdict::Bounced { wait: None }),
+        7 => journal.record_verdict(n, Verdict::Bounced { wait: None }),
         8.. => journal.end(n),
         _ => {}
     }
 }
 
-/// Plays so many steps, drawn from the seed, with a commit after one or several.
+/// Plays `steps` random steps, with a commit after one or several of them.
 fn play(journal: &mut Journal<Simulated>, seed: u64, steps: usize, allowed: &Allowed) {
     let (mut rng, mut next) = (SmallRng::seed_from_u64(seed), 0);
     for _ in 0..steps {
@@ -50,9 +51,10 @@
     }
 }
 
-/// A state in few words: message, what may have run of its attempts, whether it is decided.
+/// A short form of a state: message numbers, which attempts may have run (+) or did not (-), and whether it
+/// is decided (!).
 fn brief(state: &State) -> String {
-    let one = |(n, m): &(u64, Live)| {
+    let one = |(n, m): &(u64, LiveMessage)| {
         let tried: String = m.attempts.iter().map(|a| if a.may_have_run { '+' } else { '-' }).collect();
         format!("{n}{tried}{}", if m.verdict.is_some() { "!" } else { "" })
     };
@@ -63,7 +65,7 @@
     states.iter().map(|s| format!("[{}]", brief(s))).collect::<Vec<_>>().join(" ")
 }
 
-/// What a run has shown: states that were recovered, and the first that was wrong.
+/// The result of a run: how many states were recovered, and the first wrong one.
 #[derive(Default)]
 struct Shown {
     states: u64,
@@ -77,8 +79,8 @@
         }
     }
 
-    /// A disk that a start comes upon. What the start finds must be allowed, the next one must find the same,
-    /// and so must one after a loss of power at any call since.
+    /// Starts on a disk. The state found must be allowed, the next start must find the same, and so must a
+    /// start after a power loss at any call since.
     fn recover(&mut self, disk: &Simulated, allowed: &[State], deep: bool) {
         self.states += 1;
         let within = Rc::new(RefCell::new(Vec::new()));
@@ -94,14 +96,15 @@
         self.expect(allowed.contains(&found), || {
             format!("found [{}], allowed {}", brief(&found), briefs(allowed))
         });
-        let harmed = !recovery.damage.is_empty() || recovery.doubted > 0;
+        let harmed = !recovery.damage.is_empty() || recovery.assumed_run > 0;
         self.expect(!harmed, || format!("a loss of power is no damage: {recovery:?}"));
         let again = open(disk, 2000 + self.states).map(|(journal, _)| state(&journal));
         self.expect(again.as_ref().is_ok_and(|s| *s == found), || {
             format!("again: {:?}, first [{}]", again.as_ref().map(brief), brief(&found))
         });
         if deep {
-            // While it starts, whatever was allowed before; then what it has found, as others may have heard of it.
+            // During the start any state allowed before may be found; after it only the state it found, as
+            // others may have acted on that.
             for left in within.take() {
                 self.find(left, allowed);
             }
@@ -120,13 +123,13 @@
     }
 }
 
-/// Every so many recoveries, what a loss of power during it would leave is recovered too.
+/// One of this many recoveries is itself interrupted by power losses.
 const DEEP: u64 = 24;
 
-/// One script on one disk: after each call from `from` to `to`, all that a loss of power or the end of the process
-/// could leave is recovered.
-fn run(seed: u64, steps: usize, fault: Fault, lies: Lies, (from, to): (usize, usize)) -> Shown {
-    let disk = Simulated::new(Files::new(), fault).lying(lies);
+/// Runs one script on one disk: after each call from `from` to `to`, every state that a power loss or the end
+/// of the process could leave is recovered.
+fn run(seed: u64, steps: usize, fault: Fault, ignored: IgnoredCalls, (from, to): (usize, usize)) -> Shown {
+    let disk = Simulated::new(Files::new(), fault).ignoring(ignored);
     let allowed: Allowed = Rc::new(RefCell::new(vec![State::new()]));
     let shown = Rc::new(RefCell::new(Shown::default()));
     let (of, may, tells) = (disk.clone(), allowed.clone(), shown.clone());
@@ -149,10 +152,10 @@
     shown.take()
 }
 
-const TRUE: Lies = Lies { sync: false, sync_folder: false };
-const ALL: (usize, usize) = (0, usize::MAX);
+const NONE_IGNORED: IgnoredCalls = IgnoredCalls { sync: false, sync_folder: false };
+const ALL_CALLS: (usize, usize) = (0, usize::MAX);
 
-/// Runs on several threads; panics with the first that is wrong.
+/// Runs on several threads; panics on the first wrong state.
 fn all(runs: Vec<Box<dyn FnOnce() -> Shown + Send>>) -> u64 {
     let runs = std::sync::Mutex::new(runs);
     let worker = || {
@@ -172,7 +175,7 @@
     })
 }
 
-/// Past the capture of the test's output: the count is part of the record of each run.
+/// Bypasses the capture of test output: the counts belong in the log of each run.
 fn print(text: &str) {
     use std::io::Write;
     let _ = writeln!(io::stderr(), "{text}");
@@ -181,14 +184,15 @@
 #[test]
 fn every_loss_of_power_leaves_what_was_acknowledged() {
     let script = |seed| -> Box<dyn FnOnce() -> Shown + Send> {
-        Box::new(move || run(seed, 120, Fault::None, TRUE, ALL))
+        Box::new(move || run(seed, 120, Fault::None, NONE_IGNORED, ALL_CALLS))
     };
     let states = all((1..=4).map(script).collect());
     print(&format!("power: {states} states after a loss of power were recovered"));
     assert!(states >= 100_000, "{states}");
 }
 
-/// Each call fails once, whole or after a part of it; then the power goes, at any of the calls that follow.
+/// Each call fails once, at its start or after half of its bytes; then the power is lost at any of the
+/// following calls.
 #[test]
 fn a_loss_of_power_after_a_call_that_failed_leaves_what_was_acknowledged() {
     let calls = |seed| {
@@ -202,7 +206,7 @@
         for (call, size) in calls(seed).into_iter().enumerate() {
             for after in std::collections::BTreeSet::from([0, size / 2]) {
                 let fault = Fault::Fails { call, after };
-                runs.push(Box::new(move || run(seed, 60, fault, TRUE, (call, call + 8))));
+                runs.push(Box::new(move || run(seed, 60, fault, NONE_IGNORED, (call, call + 8))));
             }
         }
     }
@@ -212,37 +216,42 @@
     assert!(faults > 150 && states > 100_000, "{faults} {states}");
 }
 
-/// Each safeguard is needed: without it one of the runs above goes wrong.
+/// Each safeguard is needed: with any one disabled, one of the runs goes wrong.
 #[test]
 fn no_safeguard_can_be_left_out() {
-    let wrong = |away: Option<Safeguard>, lies: Lies| {
-        let clean = || run(3, 120, Fault::None, lies, ALL);
-        let failing = |call| run(20, 40, Fault::Fails { call, after: 0 }, lies, (call, call + 8));
-        without(away, || clean().wrong.is_some() || (0..90).any(|call| failing(call).wrong.is_some()))
+    let wrong = |disabled: Option<Safeguard>, ignored: IgnoredCalls| {
+        let clean = || run(3, 120, Fault::None, ignored, ALL_CALLS);
+        let failing = |call| run(20, 40, Fault::Fails { call, after: 0 }, ignored, (call, call + 8));
+        with_disabled(disabled, || {
+            clean().wrong.is_some() || (0..90).any(|call| failing(call).wrong.is_some())
+        })
     };
-    assert!(!wrong(None, TRUE), "with all of them nothing goes wrong");
-    assert!(wrong(None, Lies { sync: true, ..TRUE }), "files are synced");
-    assert!(wrong(None, Lies { sync_folder: true, ..TRUE }), "the folder is synced");
-    for away in [
-        Safeguard::NamedWhole,
-        Safeguard::FreshAfterFailedSync,
-        Safeguard::WrittenAnew,
-        Safeguard::CutShort,
-        Safeguard::TailAnew,
-        Safeguard::DroppedWhole,
-        Safeguard::DroppedLast,
+    assert!(!wrong(None, NONE_IGNORED), "with all of them nothing goes wrong");
+    assert!(wrong(None, IgnoredCalls { sync: true, ..NONE_IGNORED }), "files are synced");
+    assert!(wrong(None, IgnoredCalls { sync_folder: true, ..NONE_IGNORED }), "the folder is synced");
+    for disabled in [
+        Safeguard::RenameAfterFirstSync,
+        Safeguard::NewFileAfterFailedSync,
+        Safeguard::LaterSegmentWins,
+        Safeguard::IgnoreBehindCut,
+        Safeguard::RewriteUnsyncedTail,
+        Safeguard::DropWithWholeBatch,
+        Safeguard::RemoveAfterCommit,
     ] {
-        assert!(wrong(Some(away), TRUE), "{away:?} is needed");
+        assert!(wrong(Some(disabled), NONE_IGNORED), "{disabled:?} is needed");
     }
     assert!(!stale_block_counts(), "a block of another file is no record");
-    assert!(without(Some(Safeguard::Identity), stale_block_counts), "the segment's identity is needed");
+    assert!(
+        with_disabled(Some(Safeguard::ChecksumWithIdentity), stale_block_counts),
+        "the segment's identity is needed"
+    );
 }
 
-/// A folder that is begun anew, and a block that the one before has left behind the end of its file.
+/// A new folder, in which a block of an earlier file is left behind the end of a file.
 fn stale_block_counts() -> bool {
     let life = |disk: &Simulated, seed| {
         let (mut journal, _) = open(disk, seed).expect("opens");
-        journal.accept(1, letter("m1", 40));
+        journal.accept(1, test_message("m1", 40));
         journal.flush().expect("written");
         journal
     };
--- a/src/node/register.rs
+++ b/src/node/register.rs
@@ -1,5 +1,5 @@
-//! What operators have set: endpoints left out, and whether the courier is out of service. A state, kept in
-//! the folder that lasts. Shared by the operators' thread, which changes it, and the courier, which heeds it.
+//! What operators have set: endpoints taken offline, and whether the courier is out of service. Stored in the
+//! state folder. Shared by the operators' thread, which changes it, and the courier, which applies it.
 
 use crate::store::Durability;
 use crate::store::disk::Folder;
@@ -14,11 +14,12 @@
 use tokio::sync::{OwnedMutexGuard, oneshot};
 
 const NAME: &str = "operators";
-/// The file is no longer. It stands beside its successor while it is written: the journal leaves room for both.
-const FILE_MOST: usize = 4 * 1024;
-pub const DISK_MOST: u64 = 4 * FILE_MOST as u64;
+/// Upper bound of the file's size. While it is replaced, the old and the new file exist side by side: the
+/// journal leaves room for both.
+const MAX_FILE: usize = 4 * 1024;
+pub const MAX_DISK: u64 = 4 * MAX_FILE as u64;
 
-/// What a call changes.
+/// A change that an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
     Endpoint { id: String, out: bool },
@@ -36,15 +37,17 @@
     }
 }
 
-/// Why nothing has changed.
+/// Why a change was not made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Unset {
-    /// Nobody has an endpoint of this id.
-    Unknown,
-    /// Another process serves, or none yet.
+pub enum ChangeError {
+    /// There is no endpoint with this id.
+    #[serde(rename = "Unknown")]
+    UnknownEndpoint,
+    /// Another process is serving, or none yet.
     NotServing,
-    /// The folder that lasts does not take it.
-    Unrecorded,
+    /// The change could not be written to the state folder.
+    #[serde(rename = "Unrecorded")]
+    NotPersisted,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -54,35 +57,35 @@
     out_of_service: bool,
 }
 
-/// A change for the process that serves now, and where its answer goes.
-pub type Forward = (Change, oneshot::Sender<Result<(), Unset>>);
+/// A change for the process that is serving now, and the channel for its result.
+pub type Forward = (Change, oneshot::Sender<Result<(), ChangeError>>);
 
-/// What this process is.
+/// The role of this process.
 #[derive(Default)]
 enum Role {
-    /// It takes no clients yet, or no longer.
+    /// It does not accept clients yet, or no longer does.
     #[default]
     Idle,
     Serves(UnboundedSender<Change>),
-    /// Another has taken its place.
+    /// A successor has taken over.
     Replaced(UnboundedSender<Forward>),
 }
 
 #[derive(Default)]
 struct State {
     page: Page,
-    /// The ids that the courier's list has.
-    known: BTreeSet<String>,
+    /// Ids on the courier's endpoint list.
+    listed: BTreeSet<String>,
     role: Role,
-    /// It ends, though it still heeds what is set.
-    ends: bool,
+    /// The process is stopping, but still applies changes.
+    stopping: bool,
 }
 
 pub struct Register {
     folder: PathBuf,
     durability: Durability,
     state: Mutex<State>,
-    /// One change at a time: each is on record before the next is looked at.
+    /// Serialises changes: each is recorded before the next is examined.
     turn: Arc<tokio::sync::Mutex<()>>,
 }
 
@@ -96,8 +99,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads what was set before this process. A record that cannot be read must not pass for none: calls
-    /// would go to endpoints that are taken apart.
+    /// Reads what earlier processes have recorded. A file that cannot be read must not be treated as absent:
+    /// calls would go to endpoints that operators have taken offline.
     pub fn load(&self) -> io::Result<()> {
         let page: Option<Page> = page::read(&Folder::at(&self.folder), NAME)?;
         self.state().page = page.unwrap_or_default();
@@ -106,30 +109,30 @@
 
     pub fn serves(&self) -> bool {
         let state = self.state();
-        matches!(state.role, Role::Serves(_)) && !state.ends
+        matches!(state.role, Role::Serves(_)) && !state.stopping
     }
 
-    /// From here on this process serves; changes come from the receiver.
+    /// From now on this process serves; changes are sent to the receiver.
     pub fn serve(&self) -> UnboundedReceiver<Change> {
         let (changes, changed) = unbounded_channel();
         self.state().role = Role::Serves(changes);
         changed
     }
 
-    /// This process takes no more clients, and ends.
+    /// This process accepts no more clients and stops.
     pub fn end(&self) {
-        self.state().ends = true;
+        self.state().stopping = true;
     }
 
-    /// Another process serves from here on; what is asked of this one comes from the receiver.
+    /// Another process serves from now on; changes requested here are sent to the receiver, to be forwarded.
     pub fn forward(&self) -> UnboundedReceiver<Forward> {
         let (forwards, forwarded) = unbounded_channel();
         self.state().role = Role::Replaced(forwards);
         forwarded
     }
 
-    /// Lets nothing change until the guard is dropped.
-    pub async fn hold(&self) -> OwnedMutexGuard<()> {
+    /// Blocks changes until the guard is dropped.
+    pub async fn block_changes(&self) -> OwnedMutexGuard<()> {
         self.turn.clone().lock_owned().await
     }
 
@@ -141,34 +144,34 @@
         self.state().page.out.contains(id)
     }
 
-    /// The ids on the courier's list, as it stands now.
-    pub fn know(&self, ids: BTreeSet<String>) {
-        self.state().known = ids;
+    /// Sets the ids on the courier's current endpoint list.
+    pub fn set_listed(&self, ids: BTreeSet<String>) {
+        self.state().listed = ids;
     }
 
-    /// Makes a change: on record, then in force, then told to the courier. One that changes nothing is
-    /// fulfilled already.
-    pub async fn set(self: Arc<Self>, change: Change) -> Result<(), Unset> {
+    /// Makes a change: records it, puts it in force, then sends it to the courier. A change that alters
+    /// nothing succeeds at once.
+    pub async fn set(self: Arc<Self>, change: Change) -> Result<(), ChangeError> {
         let this = self.clone();
         let task = async move {
             let _turn = this.turn.lock().await;
             let forwards = match &this.state().role {
-                Role::Idle => return Err(Unset::NotServing),
+                Role::Idle => return Err(ChangeError::NotServing),
                 Role::Serves(_) => None,
                 Role::Replaced(forwards) => Some(forwards.clone()),
             };
             if let Some(forwards) = forwards {
                 let (reply, answer) = oneshot::channel();
                 let _ = forwards.send((change, reply));
-                return answer.await.unwrap_or(Err(Unset::NotServing));
+                return answer.await.unwrap_or(Err(ChangeError::NotServing));
             }
             let page = {
                 let state = this.state();
                 let mut page = state.page.clone();
                 match &change {
                     Change::Service { out } => page.out_of_service = *out,
-                    Change::Endpoint { id, .. } if !state.known.contains(id) && !page.out.contains(id) => {
-                        return Err(Unset::Unknown);
+                    Change::Endpoint { id, .. } if !state.listed.contains(id) && !page.out.contains(id) => {
+                        return Err(ChangeError::UnknownEndpoint);
                     }
                     Change::Endpoint { id, out: true } => _ = page.out.insert(id.clone()),
                     Change::Endpoint { id, out: false } => _ = page.out.remove(id),
@@ -178,11 +181,11 @@
                 }
                 page
             };
-            let (folder, kept, durability) = (Folder::at(&this.folder), page.clone(), this.durability);
-            let record = move || page::replace(&folder, durability, (NAME, kept), FILE_MOST);
-            let kept = tokio::task::spawn_blocking(record).await;
-            if !matches!(kept, Ok(Ok(()))) {
-                return Err(Unset::Unrecorded);
+            let (folder, new_page, durability) = (Folder::at(&this.folder), page.clone(), this.durability);
+            let record = move || page::replace(&folder, durability, (NAME, new_page), MAX_FILE);
+            let written = tokio::task::spawn_blocking(record).await;
+            if !matches!(written, Ok(Ok(()))) {
+                return Err(ChangeError::NotPersisted);
             }
             let mut state = this.state();
             state.page = page;
@@ -191,8 +194,8 @@
             }
             Ok(())
         };
-        // Goes on though its caller has given up: what is on record must come into force.
-        tokio::spawn(task).await.unwrap_or(Err(Unset::Unrecorded))
+        // Runs to completion even if the caller has given up: what is recorded must be put in force.
+        tokio::spawn(task).await.unwrap_or(Err(ChangeError::NotPersisted))
     }
 }
 
@@ -213,19 +216,19 @@
     }
 
     #[tokio::test]
-    async fn what_is_set_is_a_state_and_outlasts_the_process() {
+    async fn changes_are_idempotent_and_survive_the_process() {
         let folder = folder("state");
         let register = Register::new(&folder, Durability::Process);
-        assert_eq!(register.clone().set(endpoint(true)).await, Err(Unset::NotServing));
+        assert_eq!(register.clone().set(endpoint(true)).await, Err(ChangeError::NotServing));
         let mut changed = register.serve();
-        assert_eq!(register.clone().set(endpoint(true)).await, Err(Unset::Unknown));
-        register.know(BTreeSet::from(["s-1".to_owned()]));
+        assert_eq!(register.clone().set(endpoint(true)).await, Err(ChangeError::UnknownEndpoint));
+        register.set_listed(BTreeSet::from(["s-1".to_owned()]));
         for _ in 0..2 {
             assert_eq!(register.clone().set(endpoint(true)).await, Ok(()));
         }
         assert!(register.is_out("s-1"));
         assert_eq!((changed.try_recv(), changed.try_recv().is_err()), (Ok(endpoint(true)), true));
-        // Off the list, and in another process: it is still out, and one call brings it back.
+        // Off the list and in another process it is still offline, and one call brings it back.
         let register = Register::new(&folder, Durability::Process);
         register.load().expect("read");
         let _changed = register.serve();
@@ -233,32 +236,33 @@
         assert_eq!(register.clone().set(Change::Service { out: true }).await, Ok(()));
         assert_eq!(register.clone().set(endpoint(false)).await, Ok(()));
         assert!(!register.is_out("s-1") && register.out_of_service());
-        assert_eq!(register.clone().set(endpoint(false)).await, Err(Unset::Unknown));
+        assert_eq!(register.clone().set(endpoint(false)).await, Err(ChangeError::UnknownEndpoint));
         let _ = fs::remove_dir_all(folder);
     }
 
     #[tokio::test]
-    async fn what_cannot_be_recorded_does_not_come_into_force() {
+    async fn a_change_that_cannot_be_recorded_is_not_applied() {
         let folder = folder("gone");
         let register = Register::new(&folder, Durability::Process);
         let _changed = register.serve();
         fs::remove_dir_all(&folder).expect("removed");
-        assert_eq!(register.clone().set(Change::Service { out: true }).await, Err(Unset::Unrecorded));
+        assert_eq!(register.clone().set(Change::Service { out: true }).await, Err(ChangeError::NotPersisted));
         assert!(!register.out_of_service());
     }
 
     #[test]
-    fn a_spoilt_record_is_not_taken_for_none() {
-        let folder = folder("spoilt");
+    fn a_corrupt_record_is_not_taken_for_none() {
+        let folder = folder("corrupt");
         let load = |bytes: &[u8]| {
             fs::write(folder.join(NAME), bytes).expect("written");
             let register = Register::new(&folder, Durability::Process);
             register.load().map(|()| register.is_out("s-1"))
         };
         assert!(load(b"{\"out\":[\"s-").is_err());
-        // The form of before has no check; one that says something else than what was written fails its own.
+        // Earlier versions wrote no checksum. A file that was altered after it was written fails its
+        // checksum.
         assert!(load(br#"{"out":["s-1"],"out_of_service":false}"#).expect("read"));
-        page::replace(&Folder::at(&folder), Durability::Power, (NAME, Page::default()), FILE_MOST)
+        page::replace(&Folder::at(&folder), Durability::Power, (NAME, Page::default()), MAX_FILE)
             .expect("kept");
         let kept = fs::read_to_string(folder.join(NAME)).expect("read");
         assert!(!load(kept.as_bytes()).expect("read"));
--- a/src/store/frame.rs
+++ b/src/store/frame.rs
@@ -1,40 +1,43 @@
-//! Segments and records as bytes, and what can still be read of them when some are spoilt. Reading takes time
-//! linear in the bytes, whatever they are, and allocates nothing but the list of what was found.
+//! Binary format of segments and records, and recovery of what is still readable if some of it is corrupt.
+//! Reading takes time linear in the input, whatever it contains, and allocates only the list of what was
+//! found.
 
 use crc32fast::Hasher;
 
-/// A segment's head, of which there are two.
+/// Size of a segment header, which is written twice.
 pub const HEAD: usize = 64;
 pub const HEADS: usize = 2 * HEAD;
-/// A record's head.
-pub const FRAME: usize = 32;
-/// No record is longer; a length over this is none.
-pub const PAYLOAD_MOST: usize = 16 * 1024 * 1024;
+/// Size of a record header.
+pub const RECORD_HEADER: usize = 32;
+/// Upper bound of a record's payload; a header with a larger length is invalid.
+pub const MAX_PAYLOAD: usize = 16 * 1024 * 1024;
 const MAGIC: &[u8; 7] = b"LNGTSEG";
 const RECORD: [u8; 2] = [0xD5, 0x4C];
-/// Where nothing is synced.
+/// Format of segments without syncs.
 pub const FORMAT: u8 = 2;
-/// With marks that tell how far all has been synced. Who knows the other form only must not read it.
+/// Format with marks that tell up to where records have been synced. A program that knows only the other
+/// format must not read it.
 pub const FORMAT_SYNCED: u8 = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
     pub number: u64,
-    /// Drawn for each segment: what was left of another file does not pass for a part of this one.
+    /// Random for each segment, and part of its checksums: leftovers of another file are not taken for a part
+    /// of this one.
     pub identity: u64,
-    /// The sequence number of its first record.
+    /// Sequence number of its first record.
     pub first: u64,
-    /// The oldest segment that was needed when it was made.
+    /// The oldest segment that was needed when this one was created.
     pub oldest: u64,
-    /// Its records were synced before anything depended on them, and marks in it tell how far.
+    /// Whether its records were synced before any action depended on them, and marks in it tell up to where.
     pub synced: bool,
 }
 
-fn long(bytes: &[u8], at: usize) -> u64 {
+fn read_u64(bytes: &[u8], at: usize) -> u64 {
     bytes[at..at + 8].try_into().map_or(0, u64::from_le_bytes)
 }
 
-fn short(bytes: &[u8], at: usize) -> u32 {
+fn read_u32(bytes: &[u8], at: usize) -> u32 {
     bytes[at..at + 4].try_into().map_or(0, u32::from_le_bytes)
 }
 
@@ -46,7 +49,7 @@
 }
 
 impl Head {
-    /// Both copies.
+    /// Encodes both copies.
     pub fn bytes(&self) -> Vec<u8> {
         let mut one = Vec::with_capacity(HEADS);
         one.extend_from_slice(MAGIC);
@@ -60,33 +63,33 @@
         one
     }
 
-    fn read(one: &[u8]) -> Result<Self, Unread> {
+    fn read(one: &[u8]) -> Result<Self, UnreadableSegment> {
         if one.len() < HEAD
             || !one.starts_with(MAGIC)
-            || crc32fast::hash(&one[..HEAD - 4]) != short(one, HEAD - 4)
+            || crc32fast::hash(&one[..HEAD - 4]) != read_u32(one, HEAD - 4)
         {
-            return Err(Unread::Spoilt);
+            return Err(UnreadableSegment::Corrupt);
         }
         let synced = match one[MAGIC.len()] {
             FORMAT => false,
             FORMAT_SYNCED => true,
-            newer => return Err(Unread::Format(newer)),
+            newer => return Err(UnreadableSegment::Format(newer)),
         };
-        let [number, identity, first, oldest] = [8, 16, 24, 32].map(|at| long(one, at));
+        let [number, identity, first, oldest] = [8, 16, 24, 32].map(|at| read_u64(one, at));
         Ok(Head { number, identity, first, oldest, synced })
     }
 }
 
 /// Why a segment cannot be read at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
-    /// Neither head is sound.
-    Spoilt,
-    /// It is of a format that this program does not know.
+pub enum UnreadableSegment {
+    /// Both copies of the header are corrupt.
+    Corrupt,
+    /// A format that this program does not know.
     Format(u8),
 }
 
-/// Whose a record is.
+/// Kind, sequence number and message of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Label {
     pub kind: u8,
@@ -95,7 +98,7 @@
 }
 
 /// Appends a record.
-pub fn put(to: &mut Vec<u8>, identity: u64, label: Label, payload: &[u8]) {
+pub fn append_record(to: &mut Vec<u8>, identity: u64, label: Label, payload: &[u8]) {
     let at = to.len();
     to.extend_from_slice(&RECORD);
     to.extend_from_slice(&[label.kind, 0]);
@@ -112,29 +115,29 @@
 pub struct Record<'a> {
     pub label: Label,
     pub payload: &'a [u8],
-    /// The payload passes its check; the label always does.
-    pub sound: bool,
+    /// Whether the payload matches its checksum; the label always does.
+    pub valid: bool,
 }
 
-/// What stands at some place of a segment.
+/// What was found at one offset of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Piece<'a> {
     Record(Record<'a>),
-    /// No record: a head is spoilt, or something was written over it.
+    /// Not a record: a header is corrupt, or it was overwritten.
     Unknown {
         bytes: &'a [u8],
     },
-    /// The end of a write that was cut short: part of a record, or room that was never written.
+    /// The end of a write that was cut short: a partial record, or space that was never written.
     Torn {
         bytes: &'a [u8],
     },
 }
 
 impl Piece<'_> {
-    /// Bytes that it takes in the file.
+    /// Size in the file, in bytes.
     pub fn size(&self) -> usize {
         match self {
-            Piece::Record(record) => FRAME + record.payload.len(),
+            Piece::Record(record) => RECORD_HEADER + record.payload.len(),
             Piece::Unknown { bytes } | Piece::Torn { bytes } => bytes.len(),
         }
     }
@@ -143,48 +146,49 @@
 /// A piece and its offset in the file.
 pub type Found<'a> = (usize, Piece<'a>);
 
-/// A record's head, if one stands there: its label, length and the payload's sum.
+/// The record header at the start of `bytes`, if there is a valid one: its label, the payload's length and
+/// checksum.
 fn label(identity: u64, bytes: &[u8]) -> Option<(Label, usize, u32)> {
-    let head = bytes.get(..FRAME)?;
-    if head[..2] != RECORD || sum(identity, &head[..FRAME - 4]) != short(head, FRAME - 4) {
+    let head = bytes.get(..RECORD_HEADER)?;
+    if head[..2] != RECORD || sum(identity, &head[..RECORD_HEADER - 4]) != read_u32(head, RECORD_HEADER - 4) {
         return None;
     }
-    let length = short(head, 4) as usize;
-    let label = Label { kind: head[2], sequence: long(head, 8), message: long(head, 16) };
-    (length <= PAYLOAD_MOST).then_some((label, length, short(head, 24)))
+    let length = read_u32(head, 4) as usize;
+    let label = Label { kind: head[2], sequence: read_u64(head, 8), message: read_u64(head, 16) };
+    (length <= MAX_PAYLOAD).then_some((label, length, read_u32(head, 24)))
 }
 
-/// The head of a segment, by whichever copy is sound.
-pub fn head(bytes: &[u8]) -> Result<Head, Unread> {
+/// Reads the segment header from whichever copy is valid.
+pub fn head(bytes: &[u8]) -> Result<Head, UnreadableSegment> {
     let second = bytes.get(HEAD..).unwrap_or_default();
     Head::read(bytes).or_else(|e| match e {
-        Unread::Spoilt => Head::read(second),
+        UnreadableSegment::Corrupt => Head::read(second),
         newer => Err(newer),
     })
 }
 
-/// Reads a whole segment. Behind what is spoilt the next record is looked for, byte by byte.
-pub fn read(bytes: &[u8]) -> Result<(Head, Vec<Found<'_>>), Unread> {
+/// Reads a whole segment. Behind corrupt data, the next valid record header is searched byte by byte.
+pub fn read(bytes: &[u8]) -> Result<(Head, Vec<Found<'_>>), UnreadableSegment> {
     let head = head(bytes)?;
     let mut found: Vec<Found> = Vec::new();
     let mut at = HEADS.min(bytes.len());
     while at < bytes.len() {
         let rest = &bytes[at..];
         if let Some((label, length, check)) = label(head.identity, rest) {
-            let Some(payload) = rest.get(FRAME..FRAME + length) else {
-                // Its head is whole and its end is not there.
+            let Some(payload) = rest.get(RECORD_HEADER..RECORD_HEADER + length) else {
+                // The header is complete, the payload is not.
                 found.push((at, Piece::Torn { bytes: rest }));
                 break;
             };
-            let sound = sum(head.identity, payload) == check;
-            found.push((at, Piece::Record(Record { label, payload, sound })));
-            at += FRAME + length;
+            let valid = sum(head.identity, payload) == check;
+            found.push((at, Piece::Record(Record { label, payload, valid })));
+            at += RECORD_HEADER + length;
             continue;
         }
         let next = (1..rest.len())
             .find(|n| rest[*n..].starts_with(&RECORD) && self::label(head.identity, &rest[*n..]).is_some());
         let gap = &rest[..next.unwrap_or(rest.len())];
-        let torn = next.is_none() && (gap.len() < FRAME || gap.iter().all(|b| *b == 0));
+        let torn = next.is_none() && (gap.len() < RECORD_HEADER || gap.iter().all(|b| *b == 0));
         found.push((at, if torn { Piece::Torn { bytes: gap } } else { Piece::Unknown { bytes: gap } }));
         at += gap.len();
     }
@@ -202,17 +206,17 @@
         let mut ends = Vec::new();
         for n in 0..records {
             let label = Label { kind: 1, sequence: 10 + n as u64, message: n as u64 };
-            put(&mut bytes, 77, label, &vec![n as u8; n * 7 % 50]);
+            append_record(&mut bytes, 77, label, &vec![n as u8; n * 7 % 50]);
             ends.push(bytes.len());
         }
         (bytes, ends)
     }
 
-    /// Sequence numbers of what is sound.
+    /// Sequence numbers of the valid records.
     fn sound(bytes: &[u8]) -> Vec<u64> {
         let (_, found) = read(bytes).expect("a head is sound");
         let of = |f: &Found| match f.1 {
-            Piece::Record(record) if record.sound => Some(record.label.sequence),
+            Piece::Record(record) if record.valid => Some(record.label.sequence),
             _ => None,
         };
         found.iter().filter_map(of).collect()
@@ -233,9 +237,9 @@
         let (bytes, _) = segment(12);
         for at in 0..bytes.len() {
             for bit in 0..8 {
-                let mut spoilt = bytes.clone();
-                spoilt[at] ^= 1 << bit;
-                let left = sound(&spoilt).len();
+                let mut corrupt = bytes.clone();
+                corrupt[at] ^= 1 << bit;
+                let left = sound(&corrupt).len();
                 assert!(left == 12 || (at >= HEADS && left == 11), "byte {at} bit {bit}: {left}");
             }
         }
@@ -248,12 +252,12 @@
             let whole = ends.iter().filter(|e| **e <= cut).count();
             let (_, found) = read(&bytes[..cut]).expect("the heads are sound");
             assert_eq!(sound(&bytes[..cut]).len(), whole, "{cut}");
-            let spoilt = |piece: &Piece| match piece {
-                Piece::Record(record) => !record.sound,
+            let is_corrupt = |piece: &Piece| match piece {
+                Piece::Record(record) => !record.valid,
                 Piece::Unknown { .. } => true,
                 Piece::Torn { .. } => false,
             };
-            let unknown = found.iter().any(|f| spoilt(&f.1));
+            let unknown = found.iter().any(|f| is_corrupt(&f.1));
             assert!(!unknown, "a torn tail is no damage: {cut}");
         }
     }
@@ -262,7 +266,7 @@
     fn a_block_of_another_segment_is_no_record() {
         let (mut bytes, ends) = segment(4);
         let mut stale = Vec::new();
-        put(&mut stale, 78, Label { kind: 1, sequence: 12, message: 9 }, b"left from before");
+        append_record(&mut stale, 78, Label { kind: 1, sequence: 12, message: 9 }, b"left from before");
         bytes.splice(ends[1]..ends[1], stale);
         assert_eq!(sound(&bytes), [10, 11, 12, 13]);
         let (_, found) = read(&bytes).expect("read");
@@ -275,12 +279,12 @@
         bytes[7] = 9;
         let check = crc32fast::hash(&bytes[..HEAD - 4]).to_le_bytes();
         bytes[HEAD - 4..HEAD].copy_from_slice(&check);
-        assert_eq!(read(&bytes), Err(Unread::Format(9)));
-        assert_eq!(read(&[0; 300]), Err(Unread::Spoilt));
-        assert_eq!(read(&[]), Err(Unread::Spoilt));
+        assert_eq!(read(&bytes), Err(UnreadableSegment::Format(9)));
+        assert_eq!(read(&[0; 300]), Err(UnreadableSegment::Corrupt));
+        assert_eq!(read(&[]), Err(UnreadableSegment::Corrupt));
     }
 
-    /// Any bytes: no panic, and each byte behind the heads in one piece and one only.
+    /// For any input: no panic, and each byte behind the headers belongs to exactly one piece.
     #[test]
     fn any_bytes_are_read_in_pieces_that_cover_them() {
         let mut rng = SmallRng::seed_from_u64(5);
--- a/src/store/safeguard.rs
+++ b/src/store/safeguard.rs
@@ -1,46 +1,46 @@
-//! What keeps the store's promises, by name. Tests take them away one by one and must notice.
+//! The rules that make the store safe, by name. Tests disable them one by one and must fail each time.
 
-/// One safeguard.
+/// One rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Safeguard {
-    /// A record knows the segment that it was written to.
-    Identity,
-    /// A segment gets its name once its first batch is on disk.
-    NamedWhole,
-    /// After a sync that failed all that waits is written to another file.
-    FreshAfterFailedSync,
-    /// What stands in a later segment counts there alone.
-    WrittenAnew,
-    /// Where the last write was cut short, what is behind the cut does not count and is no damage.
-    CutShort,
-    /// A start writes anew what it has read and nobody may have synced.
-    TailAnew,
-    /// A segment counts as dropped only if all that was written with that is there.
-    DroppedWhole,
-    /// A segment is removed only once what lives of it is kept elsewhere.
-    DroppedLast,
+    /// A record's checksums depend on the segment it was written to.
+    ChecksumWithIdentity,
+    /// A segment gets its final name once its first batch is on disk.
+    RenameAfterFirstSync,
+    /// After a failed sync, all pending records are written to another file.
+    NewFileAfterFailedSync,
+    /// Sequence numbers that a later segment repeats count in the later segment only.
+    LaterSegmentWins,
+    /// Where the last write was cut short, data behind the cut is ignored and is not reported as damage.
+    IgnoreBehindCut,
+    /// A start rewrites records that it has read and that may not have been synced.
+    RewriteUnsyncedTail,
+    /// A segment counts as dropped only if the whole batch that dropped it is there.
+    DropWithWholeBatch,
+    /// A segment is removed only once its live messages are stored elsewhere.
+    RemoveAfterCommit,
 }
 
 #[cfg(not(test))]
-pub(crate) const fn holds(_: Safeguard) -> bool {
+pub(crate) const fn is_enabled(_: Safeguard) -> bool {
     true
 }
 
 #[cfg(test)]
 thread_local! {
-    static AWAY: std::cell::Cell<Option<Safeguard>> = const { std::cell::Cell::new(None) };
+    static DISABLED: std::cell::Cell<Option<Safeguard>> = const { std::cell::Cell::new(None) };
 }
 
 #[cfg(test)]
-pub(crate) fn holds(safeguard: Safeguard) -> bool {
-    AWAY.get() != Some(safeguard)
+pub(crate) fn is_enabled(safeguard: Safeguard) -> bool {
+    DISABLED.get() != Some(safeguard)
 }
 
-/// Runs something without a safeguard.
+/// Runs `run` with one rule disabled.
 #[cfg(test)]
-pub(crate) fn without<T>(safeguard: Option<Safeguard>, run: impl FnOnce() -> T) -> T {
-    AWAY.set(safeguard);
+pub(crate) fn with_disabled<T>(safeguard: Option<Safeguard>, run: impl FnOnce() -> T) -> T {
+    DISABLED.set(safeguard);
     let done = run();
-    AWAY.set(None);
+    DISABLED.set(None);
     done
 }
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -1,5 +1,6 @@
-//! Who writes: the caller itself, or, where each commit waits for the disk, a thread that owns the segments. Then
-//! one commit is under way at a time, and what comes meanwhile goes with the next: one sync carries all of it.
+//! Runs commits: inline in the caller or, where each commit waits for the disk, on a thread that owns the
+//! segments. Then one commit is in progress at a time and records that arrive meanwhile go with the next
+//! (group commit): one sync covers all of them.
 
 use super::disk::Disk;
 use super::segments::{Batch, Segments, Status};
@@ -11,11 +12,11 @@
 pub type Done = (io::Result<()>, Status);
 
 pub enum Writer<D: Disk> {
-    Here(Box<Segments<D>>),
-    Apart(Apart),
+    Inline(Box<Segments<D>>),
+    Threaded(WriterThread),
 }
 
-pub struct Apart {
+pub struct WriterThread {
     batches: mpsc::Sender<Batch>,
     done: UnboundedReceiver<Done>,
     busy: bool,
@@ -25,65 +26,66 @@
 where
     D::File: Send,
 {
-    /// Gives the segments to a thread of their own.
-    pub fn apart(mut segments: Segments<D>) -> io::Result<Self> {
-        let (batches, coming) = mpsc::channel::<Batch>();
-        let (tell, done) = unbounded_channel();
+    /// Starts a thread that owns the segments.
+    pub fn spawn(mut segments: Segments<D>) -> io::Result<Self> {
+        let (batches, received) = mpsc::channel::<Batch>();
+        let (results, done) = unbounded_channel();
         let write = move || {
-            for mut batch in coming {
-                if tell.send(segments.commit(&mut batch)).is_err() {
+            for mut batch in received {
+                if results.send(segments.commit(&mut batch)).is_err() {
                     return;
                 }
             }
         };
         thread::Builder::new().name("journal".to_owned()).spawn(write)?;
-        Ok(Writer::Apart(Apart { batches, done, busy: false }))
+        Ok(Writer::Threaded(WriterThread { batches, done, busy: false }))
     }
 }
 
 #[cfg(test)]
 impl<D: Disk> Writer<D> {
-    /// One whose commits end when the other side says so.
-    pub fn by_hand() -> (Self, mpsc::Receiver<Batch>, tokio::sync::mpsc::UnboundedSender<Done>) {
-        let (batches, coming) = mpsc::channel();
-        let (tell, done) = unbounded_channel();
-        (Writer::Apart(Apart { batches, done, busy: false }), coming, tell)
+    /// A writer whose commits complete when the test says so.
+    pub fn manual() -> (Self, mpsc::Receiver<Batch>, tokio::sync::mpsc::UnboundedSender<Done>) {
+        let (batches, received) = mpsc::channel();
+        let (results, done) = unbounded_channel();
+        (Writer::Threaded(WriterThread { batches, done, busy: false }), received, results)
     }
 }
 
 impl<D: Disk> Writer<D> {
-    /// Commits the batch, which is left empty. None: that is under way, and `done` tells how it ended.
+    /// Commits the batch, which is left empty. None means that the commit is in progress and `done` returns
+    /// its result.
     pub fn commit(&mut self, batch: &mut Batch) -> Option<Done> {
         match self {
-            Writer::Here(segments) => Some(segments.commit(batch)),
-            Writer::Apart(apart) => {
-                if apart.batches.send(std::mem::take(batch)).is_err() {
-                    return Some((Err(gone()), Status::default()));
+            Writer::Inline(segments) => Some(segments.commit(batch)),
+            Writer::Threaded(thread) => {
+                if thread.batches.send(std::mem::take(batch)).is_err() {
+                    return Some((Err(thread_ended()), Status::default()));
                 }
-                apart.busy = true;
+                thread.busy = true;
                 None
             }
         }
     }
 
-    /// A commit is under way.
+    /// Whether a commit is in progress.
     pub fn is_busy(&self) -> bool {
-        matches!(self, Writer::Apart(apart) if apart.busy)
+        matches!(self, Writer::Threaded(thread) if thread.busy)
     }
 
-    /// The end of the commit that is under way; waits for ever if none is.
+    /// Waits for the commit in progress; never returns if there is none.
     pub async fn done(&mut self) -> Done {
         match self {
-            Writer::Apart(apart) if apart.busy => {
-                let done = apart.done.recv().await;
-                apart.busy = false;
-                done.unwrap_or_else(|| (Err(gone()), Status::default()))
+            Writer::Threaded(thread) if thread.busy => {
+                let done = thread.done.recv().await;
+                thread.busy = false;
+                done.unwrap_or_else(|| (Err(thread_ended()), Status::default()))
             }
             _ => std::future::pending().await,
         }
     }
 }
 
-fn gone() -> io::Error {
-    io::Error::other("the thread that writes has ended")
+fn thread_ended() -> io::Error {
+    io::Error::other("the journal writer thread has ended")
 }
