--- a/crates/controller/src/controller/placement/placers.rs
+++ b/crates/controller/src/controller/placement/placers.rs
@@ -94,7 +94,7 @@
                 demand.reports().iter().for_each(|(at, report)| placer.restore_demand(*at, report));
             }
             for registered in instances.clone().filter(|r| r.instance.backend == backend.name) {
-                placer.instance(now, &registered.instance);
+                placer.register(now, &registered.instance);
             }
             self.placers.insert(backend.name.clone(), placer);
         }
@@ -116,7 +116,7 @@
     /// A registration was added or changed.
     pub(crate) fn update_instance(&mut self, now: Duration, registered: &Registered) {
         if let Some(placer) = self.placers.get_mut(&registered.instance.backend) {
-            placer.instance(now, &registered.instance);
+            placer.register(now, &registered.instance);
         }
     }
 
@@ -128,12 +128,12 @@
 
     /// An incarnation was removed.
     pub(crate) fn removed(&mut self, now: Duration, id: &str) {
-        self.placers.values_mut().for_each(|placer| placer.removed(now, id));
+        self.placers.values_mut().for_each(|placer| placer.remove_endpoint(now, id));
     }
 
     /// A router reported its demand.
     pub(crate) fn demand(&mut self, now: Duration, router: &str, report: &DemandReport) {
-        self.placers.values_mut().for_each(|placer| placer.demand(now, router, report));
+        self.placers.values_mut().for_each(|placer| placer.add_demand(now, router, report));
     }
 
     /// An order was answered, or not.
@@ -146,7 +146,7 @@
     /// An endpoint reported on itself.
     pub(crate) fn reported(&mut self, now: Duration, service: &str, instance: &str, report: &EndpointReport) {
         if let Some(placer) = self.placers.get_mut(service) {
-            placer.report(now, instance, report);
+            placer.apply_report(now, instance, report);
         }
     }
 
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -49,7 +49,7 @@
     /// When a stall of the process was last detected.
     last_stall: Duration,
     /// When all answers have to be complete because the process shuts down, once that was requested.
-    end: Option<Duration>,
+    shutdown_end: Option<Duration>,
     violations: Violations,
 }
 
@@ -66,16 +66,16 @@
             decisions: Vec::new(),
             synchronized: false,
             last_stall: Duration::ZERO,
-            end: None,
+            shutdown_end: None,
             violations: Violations::default(),
         }
     }
 
     /// Starts the shutdown. Requests that may not be answered completely by `end` are refused unless they may have run. No
     /// stream is started from now on, because nothing bounds its duration.
-    pub fn end_by(&mut self, now: Duration, end: Duration) {
+    pub fn begin_shutdown(&mut self, now: Duration, end: Duration) {
         self.detect_stall(now);
-        self.end = Some(end);
+        self.shutdown_end = Some(end);
         for backend in self.admission.backends() {
             self.reassign_queued(now, &backend);
         }
--- a/crates/dispatch/src/dispatcher/admission_control.rs
+++ b/crates/dispatch/src/dispatcher/admission_control.rs
@@ -17,8 +17,11 @@
         while let Some(overdue) = self.admission.overdue(endpoint, nanoseconds(now)) {
             let overdue: Vec<Overdue> =
                 overdue.into_iter().filter_map(|entry| self.overdue_entry(entry)).collect();
-            let candidates =
-                overdue.iter().filter(|entry| self.can_yield(now, entry)).cloned().collect::<Vec<_>>();
+            let candidates = overdue
+                .iter()
+                .filter(|entry| self.can_refuse_or_postpone(now, entry))
+                .cloned()
+                .collect::<Vec<_>>();
             let by_class = self.fleet.uses(Mechanism::MissRatioVictim);
             let Some(victim) = self.admission.victim(&candidates, by_class).cloned() else {
                 return;
@@ -38,7 +41,7 @@
     }
 
     /// Whether a request on an overdue timeline can be refused or postponed.
-    fn can_yield(&self, now: Duration, entry: &Overdue) -> bool {
+    fn can_refuse_or_postpone(&self, now: Duration, entry: &Overdue) -> bool {
         self.may_refuse_early(now, entry.request) || entry.due < self.postponed_due(entry)
     }
 
@@ -49,7 +52,7 @@
         let unsent = pending.attempts == 0 && now <= pending.early_refusal_end();
         self.fleet.uses(Mechanism::EarlyRefusal)
             && unsent
-            && self.fleet.is_crowded(now, &pending.request.backend)
+            && self.fleet.is_near_capacity(now, &pending.request.backend)
     }
 
     fn refuse_overdue(&mut self, now: Duration, endpoint: EndpointKey, id: RequestId) {
--- a/crates/dispatch/src/dispatcher/answer_deadline.rs
+++ b/crates/dispatch/src/dispatcher/answer_deadline.rs
@@ -36,7 +36,7 @@
     /// The latest time at which a request can be sent and still be answered completely before the shutdown. `None` without a
     /// shutdown, and for a request that may have run, which cannot be refused. Zero if its duration is unbounded.
     fn latest_start(&self, pending: &PendingRequest, first_byte: Duration) -> Option<Duration> {
-        let end = self.end.filter(|_| !pending.may_have_run)?;
+        let end = self.shutdown_end.filter(|_| !pending.may_have_run)?;
         if pending.has_unbounded_duration() {
             return Some(Duration::ZERO);
         }
--- a/crates/dispatch/src/dispatcher/attempt_end.rs
+++ b/crates/dispatch/src/dispatcher/attempt_end.rs
@@ -48,7 +48,7 @@
                 self.on_not_sent(now, id, attempt);
                 self.assign(now, id);
             }
-            AttemptEnd::Broken | AttemptEnd::Garbled => {
+            AttemptEnd::Broken | AttemptEnd::InvalidResponse => {
                 self.detach_from_endpoint(id, attempt);
                 self.on_broken(now, id, attempt, false);
             }
@@ -89,7 +89,7 @@
         let Some(load) = self.fleet.load_mut(key) else {
             return;
         };
-        match artifact.filter(|_| rejection.has_places()) {
+        match artifact.filter(|_| rejection.has_free_slots()) {
             Some(artifact) => load.rejected_artifact = Some((artifact, now + REJECTED_ARTIFACT_BACKOFF)),
             None => load.backoff_until = load.backoff_until.max(now + full_backoff),
         }
@@ -143,7 +143,7 @@
 
 impl Rejection {
     /// Whether the endpoint reported free slots all the same.
-    fn has_places(&self) -> bool {
+    fn has_free_slots(&self) -> bool {
         self.load.is_some_and(|load| load.running < load.slots && load.waiting == 0)
     }
 }
--- a/crates/dispatch/src/dispatcher/observations.rs
+++ b/crates/dispatch/src/dispatcher/observations.rs
@@ -97,7 +97,10 @@
                 self.cancel_trial(attempt);
             }
             AttemptEnd::Cancelled => {}
-            AttemptEnd::NotSent | AttemptEnd::Broken | AttemptEnd::BrokenMidway | AttemptEnd::Garbled => {
+            AttemptEnd::NotSent
+            | AttemptEnd::Broken
+            | AttemptEnd::BrokenMidway
+            | AttemptEnd::InvalidResponse => {
                 let usual_s = self.fleet.service(&self.requests[&id].request.backend).service_time.seconds();
                 if let Some(load) = self.fleet.load_mut(attempt.endpoint) {
                     load.recent.record(false, 0.0, usual_s);
@@ -167,6 +170,6 @@
     }
     let prefilled =
         (measured_s - service.first_byte.base_s()) / per_token_s - attempt.queued_prefill_tokens as f64;
-    let surely_prefilled = prompt - expected_cached;
-    Some(1.0 - (prefilled - surely_prefilled) / expected_cached)
+    let always_prefilled = prompt - expected_cached;
+    Some(1.0 - (prefilled - always_prefilled) / expected_cached)
 }
--- a/crates/dispatch/src/endpoints.rs
+++ b/crates/dispatch/src/endpoints.rs
@@ -105,7 +105,7 @@
             let change = if is_older { TableChange::Unchanged } else { known.update(now, instance) };
             return (key, change);
         }
-        (self.add(endpoint_of(now, instance)), TableChange::Added)
+        (self.add(endpoint_from(now, instance)), TableChange::Added)
     }
 
     fn add(&mut self, endpoint: Endpoint) -> EndpointKey {
@@ -171,7 +171,7 @@
     }
 }
 
-fn endpoint_of(now: Duration, instance: &Instance) -> Endpoint {
+fn endpoint_from(now: Duration, instance: &Instance) -> Endpoint {
     Endpoint {
         id: instance.id.as_str().into(),
         hash: stable_hash(&instance.id),
--- a/crates/dispatch/src/fleet.rs
+++ b/crates/dispatch/src/fleet.rs
@@ -32,8 +32,8 @@
     pub live_routers: Option<u32>,
     loads: HashMap<EndpointKey, EndpointLoad>,
     services: BTreeMap<Arc<str>, Service>,
-    unknown: Service,
-    idle: EndpointLoad,
+    default_service: Service,
+    idle_load: EndpointLoad,
     rng: SmallRng,
 }
 
@@ -47,8 +47,8 @@
             live_routers: None,
             loads: HashMap::new(),
             services: BTreeMap::new(),
-            unknown: Service::default(),
-            idle: EndpointLoad::default(),
+            default_service: Service::default(),
+            idle_load: EndpointLoad::default(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
@@ -129,7 +129,7 @@
 
     /// The load of an endpoint; an idle one if it is unknown.
     pub fn load(&self, key: EndpointKey) -> &EndpointLoad {
-        self.loads.get(&key).unwrap_or(&self.idle)
+        self.loads.get(&key).unwrap_or(&self.idle_load)
     }
 
     /// The load of a known endpoint, mutable.
@@ -139,7 +139,7 @@
 
     /// The state of a service; the default state if it is unknown.
     pub fn service(&self, backend: &str) -> &Service {
-        self.services.get(backend).unwrap_or(&self.unknown)
+        self.services.get(backend).unwrap_or(&self.default_service)
     }
 
     /// The state of a service, mutable; created if needed.
@@ -160,11 +160,11 @@
     }
 
     /// Records a failure of an endpoint. It is ejected for a while, unless too many others of its service are ejected.
-    pub fn record_failure(&mut self, now: Duration, key: EndpointKey, fault: Failure) {
+    pub fn record_failure(&mut self, now: Duration, key: EndpointKey, failure: Failure) {
         let may_eject = self.uses(Mechanism::Ejection) && self.may_eject(key);
         let jitter = 1.0 + JITTER * (2.0 * self.rng.random::<f64>() - 1.0);
         if let Some(load) = self.loads.get_mut(&key) {
-            load.health.record_failure(now, fault, may_eject, jitter);
+            load.health.record_failure(now, failure, may_eject, jitter);
         }
     }
 
@@ -174,12 +174,12 @@
             return false;
         };
         let mut ready = 0;
-        let mut out = 0;
+        let mut ejected = 0;
         for (other, _) in self.table.ready(&endpoint.backend) {
             ready += 1;
-            out += usize::from(other != key && self.load(other).health.is_ejected());
+            ejected += usize::from(other != key && self.load(other).health.is_ejected());
         }
-        (out + 1) * 2 <= ready
+        (ejected + 1) * 2 <= ready
     }
 
     /// Known endpoints by their health.
@@ -207,7 +207,7 @@
     }
 
     /// Whether at least half of the slots of a service are taken, or requests queue at one of its endpoints.
-    pub fn is_crowded(&self, now: Duration, backend: &str) -> bool {
+    pub fn is_near_capacity(&self, now: Duration, backend: &str) -> bool {
         let mut slots = 0.0;
         let mut taken = 0.0;
         for (key, endpoint) in self.table.ready(backend) {
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -144,9 +144,9 @@
 
     /// Records a failure. If `may_eject`, the endpoint is ejected for a backoff that is multiplied by `jitter` (around 1),
     /// so that routers do not return at the same time.
-    pub fn record_failure(&mut self, now: Duration, fault: Failure, may_eject: bool, jitter: f64) {
+    pub fn record_failure(&mut self, now: Duration, failure: Failure, may_eject: bool, jitter: f64) {
         self.consecutive_failures += 1;
-        if fault == Failure::ErrorResponse
+        if failure == Failure::ErrorResponse
             && self.consecutive_failures < EJECTION_ERROR_RESPONSES
             && !self.is_ejected()
         {
@@ -155,9 +155,9 @@
         if !may_eject && !self.is_ejected() {
             return;
         }
-        let first = if fault == Failure::Timeout { TIMEOUT_BACKOFF } else { FAILURE_BACKOFF };
+        let first = if failure == Failure::Timeout { TIMEOUT_BACKOFF } else { FAILURE_BACKOFF };
         self.backoff = self.backoff.mul_f64(BACKOFF_FACTOR).max(first).min(MAX_BACKOFF);
         let until = now + self.backoff.mul_f64(jitter);
-        self.state = State::Ejected { until, timed_out: fault == Failure::Timeout, trial: false };
+        self.state = State::Ejected { until, timed_out: failure == Failure::Timeout, trial: false };
     }
 }
--- a/crates/dispatch/src/interface.rs
+++ b/crates/dispatch/src/interface.rs
@@ -157,7 +157,7 @@
     /// The answer broke off after some of it was forwarded to the client.
     BrokenMidway,
     /// An invalid response, or the response to another request.
-    Garbled,
+    InvalidResponse,
     /// The client disconnected, or the I/O code abandoned the request.
     Cancelled,
 }
--- a/crates/dispatch/src/scoring.rs
+++ b/crates/dispatch/src/scoring.rs
@@ -176,9 +176,9 @@
     /// while the endpoint has free slots.
     fn has_free_slot(&self, endpoint: &Endpoint, load: &EndpointLoad) -> bool {
         let cap = load.recent.cap(endpoint.capacity as usize) as u32;
-        let even = cap.div_ceil(self.fleet.routers());
+        let fair_share = cap.div_ceil(self.fleet.routers());
         let has_free_slot = load.occupancy(self.now) + 1.0 <= f64::from(endpoint.capacity);
-        load.in_flight < even || (load.in_flight < cap && has_free_slot)
+        load.in_flight < fair_share || (load.in_flight < cap && has_free_slot)
     }
 
     fn has_memory(&self, load: &EndpointLoad) -> bool {
--- a/crates/dispatch/src/service.rs
+++ b/crates/dispatch/src/service.rs
@@ -87,7 +87,7 @@
     pub service_time: Smoothed,
     kv_cache_tokens: Smoothed,
     first_byte_wait: Smoothed,
-    read_tokens: Smoothed,
+    prefill_tokens: Smoothed,
     /// Hit rate where this router sent the prefix before.
     pub cache_hit_rate: HitRate,
     /// Hit rate at the owner of the prefix, where this router did not send it.
@@ -106,7 +106,7 @@
             service_time: SERVICE_TIME.start(),
             kv_cache_tokens: KV_CACHE_TOKENS.start(),
             first_byte_wait: SERVICE_TIME.start(),
-            read_tokens: PREFILL_TOKENS.start(),
+            prefill_tokens: PREFILL_TOKENS.start(),
             cache_hit_rate: HitRate::new(INITIAL_CACHE_HIT_RATE),
             owner_hit_rate: HitRate::new(INITIAL_OWNER_HIT_RATE),
             missing: BTreeMap::new(),
@@ -144,14 +144,15 @@
     /// Records the time to a first byte in s, and the tokens that were expected to be prefilled for it.
     pub fn sample_first_byte(&mut self, measured_s: f64, tokens: u64) {
         self.first_byte_wait.sample(&SERVICE_TIME, measured_s);
-        self.read_tokens.sample(&PREFILL_TOKENS, tokens as f64);
+        self.prefill_tokens.sample(&PREFILL_TOKENS, tokens as f64);
     }
 
     /// Tokens of a request that are still to be prefilled, as a mean over its duration: half of its tokens during the
     /// prefill, none after.
     pub fn mean_pending_prefill_tokens(&self) -> f64 {
-        let reading = (self.first_byte_wait.seconds() / self.service_time.seconds().max(1e-3)).min(1.0);
-        reading * self.read_tokens.seconds() / 2.0
+        let prefill_fraction =
+            (self.first_byte_wait.seconds() / self.service_time.seconds().max(1e-3)).min(1.0);
+        prefill_fraction * self.prefill_tokens.seconds() / 2.0
     }
 
     /// Records the time from the send of a request to the end of its answer.
--- a/crates/dispatch/tests/digests.rs
+++ b/crates/dispatch/tests/digests.rs
@@ -41,7 +41,7 @@
         routers: 1 + (seed % 5) as usize,
         engines,
         models,
-        subjects: 1 + seed % 8,
+        prefixes: 1 + seed % 8,
         seconds: 8,
         classes: vec![DRAFT, PAID, CHAT],
         faults,
@@ -99,7 +99,7 @@
         world.digest.add_summary(&summary);
         world.digest.add_wake(world.dispatcher.next_wake());
         if event == EVENTS - 20 && seed.is_multiple_of(5) {
-            world.end_by(world.now + ms(700));
+            world.begin_shutdown(world.now + ms(700));
         }
     }
     let demand = world.dispatcher.demand_report(world.now);
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -13,7 +13,7 @@
         routers: 9,
         engines: 12,
         models: 24,
-        subjects: 8,
+        prefixes: 8,
         seconds: 60,
         classes: CLASSES.to_vec(),
         faults: Vec::new(),
@@ -109,7 +109,7 @@
 #[test]
 fn a_popular_prompt_does_not_overload_one_engine() {
     let popular = RequestClass { rate: 40.0, ..DRAFT };
-    let of = |policy| simulate(FleetRun { models: 4, subjects: 1, classes: vec![popular], ..run(policy) });
+    let of = |policy| simulate(FleetRun { models: 4, prefixes: 1, classes: vec![popular], ..run(policy) });
     let (dispatched, random) = (of(Policy::Dispatched), of(Policy::Random));
     print_outcome("popular", &dispatched);
     print_outcome("popular, by chance", &random);
--- a/crates/dispatch/tests/prefix.rs
+++ b/crates/dispatch/tests/prefix.rs
@@ -7,12 +7,12 @@
 use lanegate_dispatch::rendezvous::{rank, stable_hash};
 use support::generation;
 
-fn wanted(model: &str, parts: &[(u64, u32)]) -> Generation {
+fn generation_of(model: &str, parts: &[(u64, u32)]) -> Generation {
     generation(1, 0, model, parts).generation.expect("a generation")
 }
 
 fn chain(model: &str, parts: &[(u64, u32)]) -> PromptChain {
-    PromptChain::of(&wanted(model, parts))
+    PromptChain::of(&generation_of(model, parts))
 }
 
 #[test]
@@ -22,7 +22,7 @@
     assert_eq!(cache.cached_tokens(&chain("m", &[(1, 800), (2, 400), (9, 200)])), 1_200);
     assert_eq!(cache.cached_tokens(&chain("m", &[(2, 400), (3, 200)])), 0);
     assert_eq!(cache.cached_tokens(&chain("other", &[(1, 800)])), 0);
-    let adapted = Generation { adapter: Some("a1".into()), ..wanted("m", &[(1, 800)]) };
+    let adapted = Generation { adapter: Some("a1".into()), ..generation_of("m", &[(1, 800)]) };
     assert_eq!(cache.cached_tokens(&PromptChain::of(&adapted)), 0);
 }
 
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_prompt_larger_than_its_parts_counts_completely() {
-    let larger = Generation { prompt_tokens: 5_000, ..wanted("m", &[(1, 800)]) };
+    let larger = Generation { prompt_tokens: 5_000, ..generation_of("m", &[(1, 800)]) };
     assert_eq!(PromptChain::of(&larger).prompt_tokens, 5_000);
 }
 
--- a/crates/dispatch/tests/shutdown.rs
+++ b/crates/dispatch/tests/shutdown.rs
@@ -34,9 +34,9 @@
 /// A stream with 15 s for an answer of `output_tokens`.
 fn stream(id: u64, arrived: u64, output_tokens: u32) -> Request {
     let request = generation(id, arrived, "m1", &[(id, 100)]);
-    let wanted = request.generation.as_ref().expect("what it asks of an engine").clone();
+    let requested = request.generation.as_ref().expect("what it asks of an engine").clone();
     let deadline = ms(arrived + 15_000);
-    Request { deadline, generation: Some(Generation { output_tokens, ..wanted }), ..request }
+    Request { deadline, generation: Some(Generation { output_tokens, ..requested }), ..request }
 }
 
 /// Submits a request; returns whether it was sent.
@@ -57,7 +57,7 @@
 }
 
 /// A request without a stream, with 1.5 s for its answer.
-fn fetch(id: u64, arrived: u64) -> Request {
+fn unstreamed_request(id: u64, arrived: u64) -> Request {
     request(id, arrived)
 }
 
@@ -71,7 +71,7 @@
         assert!(is_sent(&mut dispatcher, arrived, stream(id, arrived, 100)));
         answer(&mut dispatcher, id, arrived, 120);
     }
-    dispatcher.end_by(ms(600_000), ms(607_800));
+    dispatcher.begin_shutdown(ms(600_000), ms(607_800));
     for (place, tokens) in [0, 1, 5, 100, 1_000, u32::MAX].into_iter().enumerate() {
         let request = stream(100 + place as u64, 600_100, tokens);
         assert!(!is_sent(&mut dispatcher, 600_100, request), "a stream of {tokens} tokens was begun");
@@ -83,13 +83,14 @@
 fn no_stream_of_a_service_without_engines_is_started_either() {
     for answered in [0, 1, 50] {
         let mut dispatcher = dispatcher();
-        let plain = |id, arrived| Request { route_type: RouteType::Streaming, ..fetch(id, arrived) };
+        let plain =
+            |id, arrived| Request { route_type: RouteType::Streaming, ..unstreamed_request(id, arrived) };
         for id in 0..answered {
             let arrived = id * 1_000;
             assert!(is_sent(&mut dispatcher, arrived, plain(id, arrived)));
             answer(&mut dispatcher, id, arrived, 5);
         }
-        dispatcher.end_by(ms(100_000), ms(107_800));
+        dispatcher.begin_shutdown(ms(100_000), ms(107_800));
         assert!(!is_sent(&mut dispatcher, 100_100, plain(100, 100_100)));
     }
 }
@@ -100,13 +101,16 @@
     let mut dispatcher = dispatcher();
     for id in 0..100 {
         let arrived = id * 2_000;
-        assert!(is_sent(&mut dispatcher, arrived, fetch(id, arrived)));
+        assert!(is_sent(&mut dispatcher, arrived, unstreamed_request(id, arrived)));
         answer(&mut dispatcher, id, arrived, 500);
     }
-    dispatcher.end_by(ms(300_000), ms(307_800));
-    assert!(is_sent(&mut dispatcher, 304_000, fetch(200, 304_000)), "0.5 s fit into 3.8 s");
+    dispatcher.begin_shutdown(ms(300_000), ms(307_800));
+    assert!(is_sent(&mut dispatcher, 304_000, unstreamed_request(200, 304_000)), "0.5 s fit into 3.8 s");
     answer(&mut dispatcher, 200, 304_000, 500);
-    assert!(!is_sent(&mut dispatcher, 306_700, fetch(201, 306_700)), "0.5 s hardly fit into 1.1 s");
+    assert!(
+        !is_sent(&mut dispatcher, 306_700, unstreamed_request(201, 306_700)),
+        "0.5 s hardly fit into 1.1 s"
+    );
 }
 
 /// Queued requests are not kept until their clients time out.
@@ -116,7 +120,7 @@
     let mut waiting = stream(1, 1_000, 100);
     waiting.generation.as_mut().expect("what it asks of an engine").adapter = Some("a1".into());
     assert!(!is_sent(&mut dispatcher, 1_000, waiting));
-    dispatcher.end_by(ms(1_100), ms(8_900));
+    dispatcher.begin_shutdown(ms(1_100), ms(8_900));
     let decisions = dispatcher.take_decisions();
     assert!(matches!(decisions[..], [Decision::Refuse { request: RequestId(1), .. }]), "{decisions:?}");
 }
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -114,7 +114,7 @@
     pub routers: usize,
     pub engines: usize,
     pub models: usize,
-    pub subjects: u64,
+    pub prefixes: u64,
     pub seconds: u64,
     pub classes: Vec<RequestClass>,
     pub faults: Vec<Fault>,
@@ -172,11 +172,11 @@
 #[derive(Debug, Clone)]
 struct Client {
     class: RequestClass,
-    wanted: Generation,
+    requested: Generation,
     router: usize,
     first_arrived: Duration,
     arrived: Duration,
-    tries: u32,
+    submissions: u32,
     sent: Option<(usize, u32)>,
     first_event: Option<Duration>,
 }
@@ -190,10 +190,10 @@
     dispatchers: Vec<Dispatcher>,
     engines: Vec<SimulatedEngine>,
     alive: Vec<bool>,
-    holds: Vec<Vec<usize>>,
+    models_by_engine: Vec<Vec<usize>>,
     sequence: u64,
     clients: BTreeMap<u64, Client>,
-    returning: Vec<(Duration, Client)>,
+    pending_retries: Vec<(Duration, Client)>,
     removals: Vec<(Duration, usize)>,
     next: u64,
     outcome: Outcome,
@@ -217,7 +217,7 @@
 
 impl Fleet {
     fn new(run: FleetRun) -> Self {
-        let holds = place_models(run.engines, run.models, run.missing_model);
+        let models_by_engine = place_models(run.engines, run.models, run.missing_model);
         let mut fleet = Fleet {
             arrivals: SmallRng::seed_from_u64(run.seed),
             rng: SmallRng::seed_from_u64(run.seed + 1),
@@ -225,10 +225,10 @@
             dispatchers: (0..run.routers).map(|router| dispatcher(router, &run)).collect(),
             engines: (0..run.engines).map(|_| SimulatedEngine::new(ENGINE_SPEED)).collect(),
             alive: vec![true; run.engines],
-            holds,
+            models_by_engine,
             sequence: 0,
             clients: BTreeMap::new(),
-            returning: Vec::new(),
+            pending_retries: Vec::new(),
             removals: Vec::new(),
             next: 0,
             outcome: Outcome::default(),
@@ -243,7 +243,8 @@
 
     fn announce(&mut self, number: usize) {
         self.sequence += 1;
-        let models: Vec<String> = self.holds[number].iter().map(|model| format!("m{model}")).collect();
+        let models: Vec<String> =
+            self.models_by_engine[number].iter().map(|model| format!("m{model}")).collect();
         let models: Vec<&str> = models.iter().map(String::as_str).collect();
         let mut registered = engine(&format!("e{number}"), &models);
         registered.zone = ["a", "b", "c"][number % 3].to_owned();
@@ -282,7 +283,7 @@
             match fault {
                 Fault::Crash { at, engine } if is_due(at) => self.crash(engine),
                 Fault::LoadModel { at, engine, model } if is_due(at) => {
-                    self.holds[engine].push(model);
+                    self.models_by_engine[engine].push(model);
                     self.announce(engine);
                 }
                 _ => {}
@@ -337,8 +338,8 @@
         }
         let now = self.now;
         let (back, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.returning).into_iter().partition(|(at, _)| *at <= now);
-        self.returning = later;
+            std::mem::take(&mut self.pending_retries).into_iter().partition(|(at, _)| *at <= now);
+        self.pending_retries = later;
         for (_, client) in back {
             let router = self.rng.random_range(0..self.run.routers);
             self.submit(Client { router, arrived: now, ..client });
@@ -348,13 +349,13 @@
     /// A few models get most requests, and so do a few prefixes of each model.
     fn client(&mut self, class: RequestClass) -> Client {
         let model = skewed(&mut self.arrivals, self.run.models as u64);
-        let subject = skewed(&mut self.arrivals, self.run.subjects);
+        let prefix = skewed(&mut self.arrivals, self.run.prefixes);
         let own = self.arrivals.random::<u64>();
         let shared = PromptPart {
-            id: 1_000 * model + subject + u64::from(class.priority) * 1_000_000,
+            id: 1_000 * model + prefix + u64::from(class.priority) * 1_000_000,
             tokens: class.shared_tokens,
         };
-        let wanted = Generation {
+        let requested = Generation {
             model: format!("m{model}").as_str().into(),
             adapter: None,
             prompt_tokens: class.shared_tokens + class.own_tokens,
@@ -366,11 +367,11 @@
         let now = self.now;
         Client {
             class,
-            wanted,
+            requested,
             router,
             first_arrived: now,
             arrived: now,
-            tries: 1,
+            submissions: 1,
             sent: None,
             first_event: None,
         }
@@ -393,7 +394,7 @@
             target: self.now + ms(class.target_ms),
             deadline: client.first_arrived + ms(class.deadline_ms),
             body_bytes: 0,
-            generation: Some(client.wanted.clone()),
+            generation: Some(client.requested.clone()),
         };
         let router = client.router;
         self.clients.insert(id, client);
@@ -408,13 +409,14 @@
 
     fn send_at_random(&mut self, id: u64) {
         let client = &self.clients[&id];
-        let model: usize = client.wanted.model[1..].parse().expect("a model");
-        let able: Vec<usize> =
-            (0..self.run.engines).filter(|&e| self.alive[e] && self.holds[e].contains(&model)).collect();
-        if able.is_empty() {
+        let model: usize = client.requested.model[1..].parse().expect("a model");
+        let eligible: Vec<usize> = (0..self.run.engines)
+            .filter(|&e| self.alive[e] && self.models_by_engine[e].contains(&model))
+            .collect();
+        if eligible.is_empty() {
             return self.refuse(id, ms(300));
         }
-        let engine = able[self.rng.random_range(0..able.len())];
+        let engine = eligible[self.rng.random_range(0..eligible.len())];
         self.deliver(id, 1, engine, 5);
     }
 
@@ -426,7 +428,7 @@
             request: id,
             attempt,
             urgency,
-            chain: PromptChain::of(&client.wanted),
+            chain: PromptChain::of(&client.requested),
             output_tokens: client.class.output_tokens,
         };
         let router = client.router;
@@ -485,12 +487,12 @@
     fn refuse(&mut self, id: u64, retry_after: Duration) {
         let Some(client) = self.clients.remove(&id) else { return };
         let deadline = client.first_arrived + ms(client.class.deadline_ms);
-        if client.tries > 1 || self.now + retry_after >= deadline {
+        if client.submissions > 1 || self.now + retry_after >= deadline {
             self.outcome.classes.entry(client.class.name).or_default().refused += 1;
             return;
         }
         let at = self.now + retry_after;
-        self.returning.push((at, Client { tries: client.tries + 1, sent: None, ..client }));
+        self.pending_retries.push((at, Client { submissions: client.submissions + 1, sent: None, ..client }));
     }
 
     fn fail(&mut self, id: u64) {
@@ -607,12 +609,12 @@
 
 /// Places every model on one engine, and fills the other slots by demand.
 fn place_models(engines: usize, models: usize, absent: Option<usize>) -> Vec<Vec<usize>> {
-    let mut holds = vec![Vec::new(); engines];
+    let mut models_by_engine = vec![Vec::new(); engines];
     let mut copies = vec![0usize; models];
     let present: Vec<usize> = (0..models).filter(|&model| Some(model) != absent).collect();
     for &model in present.iter().rev() {
-        let engine = least_loaded(&holds, model).expect("room");
-        holds[engine].push(model);
+        let engine = least_loaded(&models_by_engine, model).expect("room");
+        models_by_engine[engine].push(model);
         copies[model] = 1;
     }
     // Demand of a model under the skewed distribution.
@@ -621,20 +623,21 @@
     for _ in 0..engines * MODEL_SLOTS - present.len() {
         let neediest = present.iter().copied().filter(|&model| copies[model] < engines);
         let model = neediest.max_by(|&a, &b| need(a, &copies).total_cmp(&need(b, &copies))).expect("a model");
-        let Some(engine) = least_loaded(&holds, model) else { break };
-        holds[engine].push(model);
+        let Some(engine) = least_loaded(&models_by_engine, model) else { break };
+        models_by_engine[engine].push(model);
         copies[model] += 1;
     }
-    holds
+    models_by_engine
 }
 
 /// Models that fit on one engine.
 const MODEL_SLOTS: usize = 4;
 
-fn least_loaded(holds: &[Vec<usize>], model: usize) -> Option<usize> {
-    let able = (0..holds.len())
-        .filter(|&engine| holds[engine].len() < MODEL_SLOTS && !holds[engine].contains(&model));
-    able.min_by_key(|&engine| holds[engine].len())
+fn least_loaded(models_by_engine: &[Vec<usize>], model: usize) -> Option<usize> {
+    let eligible = (0..models_by_engine.len()).filter(|&engine| {
+        models_by_engine[engine].len() < MODEL_SLOTS && !models_by_engine[engine].contains(&model)
+    });
+    eligible.min_by_key(|&engine| models_by_engine[engine].len())
 }
 
 fn dispatcher(router: usize, run: &FleetRun) -> Dispatcher {
--- a/crates/dispatch/tests/support/history.rs
+++ b/crates/dispatch/tests/support/history.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const LIVE: u32 = 2;
+const LIVE_ROUTERS: u32 = 2;
 const WINDOW: Duration = Duration::from_secs(10);
 pub(crate) const ENDPOINTS: usize = 5;
 
@@ -32,7 +32,7 @@
 pub(crate) struct ObservedRequest {
     request: Request,
     attempts: u32,
-    under_way: Option<String>,
+    in_flight_at: Option<String>,
     attempted_endpoints: Vec<String>,
     may_have_run: bool,
     deliveries: u32,
@@ -83,7 +83,7 @@
         settings.bounds.retry_ratio = budget.ratio;
         settings.bounds.retry_window_s = WINDOW.as_secs_f64();
         let mut dispatcher = Dispatcher::new(settings, 7);
-        dispatcher.apply(Duration::ZERO, &FeedEvent::Routers { live: LIVE });
+        dispatcher.apply(Duration::ZERO, &FeedEvent::Routers { live: LIVE_ROUTERS });
         dispatcher.apply(Duration::ZERO, &FeedEvent::Synchronized);
         RandomHistory {
             budget,
@@ -138,8 +138,8 @@
     }
 
     /// Starts the shutdown.
-    pub(crate) fn end_by(&mut self, end: Duration) {
-        self.dispatcher.end_by(self.now, end);
+    pub(crate) fn begin_shutdown(&mut self, end: Duration) {
+        self.dispatcher.begin_shutdown(self.now, end);
         self.check_decisions();
     }
 
@@ -178,7 +178,7 @@
         self.next += 1;
         let (id, now) = (self.next, self.now.as_millis() as u64);
         let model = format!("m{model}");
-        let made = match class {
+        let request = match class {
             0 => request(id, now),
             1 => Request { route_type: RouteType::Idempotent, route: "read".into(), ..request(id, now) },
             2 => generation(id, now, &model, &[(1, 3_000), (id + 100, 500)]),
@@ -187,32 +187,32 @@
             }
             _ => Request { priority: 0, ..generation(id, now, &model, &[]) },
         };
-        let made = Request { max_attempts: attempts, arrived: self.now, ..made };
+        let request = Request { max_attempts: attempts, arrived: self.now, ..request };
         let observed = ObservedRequest {
-            request: made.clone(),
+            request: request.clone(),
             attempts: 0,
-            under_way: None,
+            in_flight_at: None,
             attempted_endpoints: Vec::new(),
             may_have_run: false,
             deliveries: 0,
         };
-        self.arrived.entry(made.backend.to_string()).or_default().push(self.now);
-        self.open.insert(made.id, observed);
-        self.dispatcher.submit(self.now, made);
+        self.arrived.entry(request.backend.to_string()).or_default().push(self.now);
+        self.open.insert(request.id, observed);
+        self.dispatcher.submit(self.now, request);
     }
 
-    fn under_way(&self, request: usize) -> Option<RequestId> {
-        let under_way = self.open.iter().filter(|(_, observed)| observed.under_way.is_some());
-        under_way.map(|(&id, _)| id).nth(request)
+    fn nth_in_flight(&self, request: usize) -> Option<RequestId> {
+        let in_flight = self.open.iter().filter(|(_, observed)| observed.in_flight_at.is_some());
+        in_flight.map(|(&id, _)| id).nth(request)
     }
 
     fn report(&mut self, request: usize, progress: Progress) {
-        let Some(id) = self.under_way(request) else { return };
+        let Some(id) = self.nth_in_flight(request) else { return };
         self.dispatcher.progress(self.now, id, self.open[&id].attempts, progress);
     }
 
     fn end(&mut self, request: usize, how: usize) {
-        let Some(id) = self.under_way(request) else { return };
+        let Some(id) = self.nth_in_flight(request) else { return };
         let load = Some(InstanceLoad { running: 6, waiting: 2, slots: 6 });
         let end = match how {
             0 => AttemptEnd::NotSent,
@@ -220,20 +220,20 @@
             2 => AttemptEnd::NotExecuted { status: 421, load: None, wrong_instance: false },
             3 => AttemptEnd::Broken,
             4 => AttemptEnd::BrokenMidway,
-            5 => AttemptEnd::Garbled,
+            5 => AttemptEnd::InvalidResponse,
             6 => AttemptEnd::Answered { success: false, load },
             7 => AttemptEnd::Cancelled,
             _ => AttemptEnd::Answered { success: true, load: None },
         };
         let observed = self.open.get_mut(&id).expect("an open request");
-        observed.under_way = None;
+        observed.in_flight_at = None;
         let attempt = observed.attempts;
         match end {
             AttemptEnd::NotSent => {
                 observed.deliveries -= 1;
                 observed.attempted_endpoints.pop();
             }
-            AttemptEnd::Broken | AttemptEnd::BrokenMidway | AttemptEnd::Garbled => {
+            AttemptEnd::Broken | AttemptEnd::BrokenMidway | AttemptEnd::InvalidResponse => {
                 observed.may_have_run = true
             }
             AttemptEnd::Answered { .. } | AttemptEnd::Cancelled => {
@@ -261,7 +261,7 @@
                 Decision::Refuse { request, .. } => {
                     let observed = self.open.remove(&request).expect("refused once, while open");
                     assert!(
-                        !observed.may_have_run && observed.under_way.is_none(),
+                        !observed.may_have_run && observed.in_flight_at.is_none(),
                         "refused, but may have run"
                     );
                     self.ended.push(request);
@@ -279,13 +279,13 @@
         let observed = self.open.get_mut(&id).expect("sent while open");
         assert_eq!(attempt, observed.attempts + 1);
         let resident = self.usable.get(instance).expect("sent to an endpoint in use");
-        if let Some(wanted) = &observed.request.generation {
-            assert!(resident.iter().any(|model| *model == *wanted.model), "sent where the model isn't");
+        if let Some(requested) = &observed.request.generation {
+            assert!(resident.iter().any(|model| *model == *requested.model), "sent where the model isn't");
         }
-        observed.may_have_run |= observed.under_way.is_some();
+        observed.may_have_run |= observed.in_flight_at.is_some();
         assert!(!observed.may_have_run || observed.is_retryable(), "sent twice though it may run once");
         observed.attempts = attempt;
-        observed.under_way = Some(instance.to_owned());
+        observed.in_flight_at = Some(instance.to_owned());
         observed.attempted_endpoints.push(instance.to_owned());
         let mut distinct = observed.attempted_endpoints.clone();
         distinct.sort();
@@ -304,7 +304,8 @@
             let times = times.get(backend).into_iter().flatten();
             times.filter(|&&at| at + WINDOW > self.now).count() as f64
         };
-        let allowed = self.budget.ratio * recent(&self.arrived) + self.budget.slack / f64::from(2 * LIVE);
+        let allowed =
+            self.budget.ratio * recent(&self.arrived) + self.budget.slack / f64::from(2 * LIVE_ROUTERS);
         assert!(recent(&self.retries) <= allowed, "more repeats than the budget allows");
     }
 }
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -82,7 +82,7 @@
 /// A stream of `llm` for a model, with a target of 800 ms and a deadline of 5 s.
 pub(crate) fn generation(id: u64, arrived: u64, model: &str, parts: &[(u64, u32)]) -> Request {
     let prefix: Vec<PromptPart> = parts.iter().map(|&(id, tokens)| PromptPart { id, tokens }).collect();
-    let wanted = Generation {
+    let requested = Generation {
         model: model.into(),
         adapter: None,
         prompt_tokens: prefix.iter().map(|part| part.tokens).sum(),
@@ -95,7 +95,7 @@
         route_type: RouteType::Streaming,
         target: ms(arrived + 800),
         deadline: ms(arrived + 5_000),
-        generation: Some(wanted),
+        generation: Some(requested),
         ..request(id, arrived)
     }
 }
--- a/crates/dispatch/tests/support/scenario.rs
+++ b/crates/dispatch/tests/support/scenario.rs
@@ -59,10 +59,14 @@
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
-        let place = format!("{name}:{}: {line}", number + 1);
-        runner.step(&place, line);
+        let location = format!("{name}:{}: {line}", number + 1);
+        runner.step(&location, line);
     }
-    assert!(runner.made.is_empty(), "{name}: decisions that no line expects: {}", describe(&runner.made));
+    assert!(
+        runner.decisions.is_empty(),
+        "{name}: decisions that no line expects: {}",
+        describe(&runner.decisions)
+    );
 }
 
 struct Runner {
@@ -72,7 +76,7 @@
     services: Vec<String>,
     templates: BTreeMap<String, Request>,
     instances: BTreeMap<String, Instance>,
-    made: Vec<TimedDecision>,
+    decisions: Vec<TimedDecision>,
     now: Duration,
 }
 
@@ -90,14 +94,14 @@
             services: Vec::new(),
             templates: BTreeMap::new(),
             instances: BTreeMap::new(),
-            made: Vec::new(),
+            decisions: Vec::new(),
             now: Duration::ZERO,
         }
     }
 
-    fn step(&mut self, place: &str, line: &str) {
+    fn step(&mut self, location: &str, line: &str) {
         if let Some(expected) = line.strip_prefix("->") {
-            return self.expect(place, &ScenarioLine::of(expected));
+            return self.expect(location, &ScenarioLine::of(expected));
         }
         let parsed = ScenarioLine::of(line);
         match parsed.positional[0] {
@@ -106,9 +110,9 @@
             "service" => self.service(&parsed),
             "sleep" => self.sleep(ms(parsed.positional[1].parse().expect("a time"))),
             at => {
-                let at = at.parse().unwrap_or_else(|_| panic!("{place}: no time"));
+                let at = at.parse().unwrap_or_else(|_| panic!("{location}: no time"));
                 self.advance(ms(at));
-                self.act(place, &parsed);
+                self.act(location, &parsed);
             }
         }
     }
@@ -198,10 +202,10 @@
     fn collect(&mut self) {
         let at = self.now;
         let decisions = self.dispatcher().take_decisions();
-        self.made.extend(decisions.into_iter().map(|decision| TimedDecision { at, decision }));
+        self.decisions.extend(decisions.into_iter().map(|decision| TimedDecision { at, decision }));
     }
 
-    fn act(&mut self, place: &str, parsed: &ScenarioLine) {
+    fn act(&mut self, location: &str, parsed: &ScenarioLine) {
         let now = self.now;
         let name = parsed.positional.get(2).copied().unwrap_or_default();
         match parsed.positional[1] {
@@ -230,13 +234,13 @@
             }
             "end_by" => {
                 let end = ms(name.parse().expect("a time"));
-                self.dispatcher().end_by(now, end);
+                self.dispatcher().begin_shutdown(now, end);
             }
             "ended" => {
-                let end = end_of(place, parsed);
+                let end = end_of(location, parsed);
                 self.dispatcher().ended(now, id_of(name), attempt_of(parsed), end);
             }
-            other => panic!("{place}: no action {other}"),
+            other => panic!("{location}: no action {other}"),
         }
         self.collect();
     }
@@ -268,45 +272,52 @@
     fn request(&self, parsed: &ScenarioLine) -> Request {
         let number = parsed.positional[2].parse().expect("a number");
         let template = &self.templates[parsed.text("route").expect("a route")];
-        let wanted = parsed.text("model").map(|text| {
+        let requested = parsed.text("model").map(|text| {
             let (model, adapter) =
                 text.split_once('/').map_or((text, None), |(model, name)| (model, Some(name)));
             let parts: Vec<(u64, u32)> =
                 parsed.text("parts").unwrap_or("1:100").split(',').map(part_of).collect();
-            let mut wanted = generation(0, 0, model, &parts).generation.expect("a generation");
-            wanted.adapter = adapter.map(Into::into);
-            wanted.output_tokens =
-                parsed.integer("output").map_or(wanted.output_tokens, |tokens| tokens as u32);
-            wanted
+            let mut requested = generation(0, 0, model, &parts).generation.expect("a generation");
+            requested.adapter = adapter.map(Into::into);
+            requested.output_tokens =
+                parsed.integer("output").map_or(requested.output_tokens, |tokens| tokens as u32);
+            requested
         });
         Request {
             id: RequestId(number),
             arrived: self.now,
             target: self.now + template.target,
             deadline: self.now + template.deadline,
-            generation: wanted,
+            generation: requested,
             ..template.clone()
         }
     }
 
-    fn expect(&mut self, place: &str, parsed: &ScenarioLine) {
+    fn expect(&mut self, location: &str, parsed: &ScenarioLine) {
         self.collect();
         match parsed.positional[0] {
-            "any" => return self.made.clear(),
-            "nothing" => return assert!(self.made.is_empty(), "{place}: but {}", describe(&self.made)),
+            "any" => return self.decisions.clear(),
+            "nothing" => {
+                return assert!(self.decisions.is_empty(), "{location}: but {}", describe(&self.decisions));
+            }
             _ => {}
         }
-        assert!(!self.made.is_empty(), "{place}: but nothing was decided");
-        let made = self.made.remove(0);
-        let met = matches_expectation(&made, parsed);
-        assert!(met, "{place}: but {} (and {})", describe(std::slice::from_ref(&made)), describe(&self.made));
+        assert!(!self.decisions.is_empty(), "{location}: but nothing was decided");
+        let next = self.decisions.remove(0);
+        let met = matches_expectation(&next, parsed);
+        assert!(
+            met,
+            "{location}: but {} (and {})",
+            describe(std::slice::from_ref(&next)),
+            describe(&self.decisions)
+        );
     }
 }
 
-fn matches_expectation(made: &TimedDecision, parsed: &ScenarioLine) -> bool {
+fn matches_expectation(timed: &TimedDecision, parsed: &ScenarioLine) -> bool {
     let id = id_of(parsed.positional[1]);
-    let in_time = parsed.text("at").is_none_or(|range| within(range, made.at));
-    let as_told = match (parsed.positional[0], &made.decision) {
+    let in_time = parsed.text("at").is_none_or(|range| within(range, timed.at));
+    let as_expected = match (parsed.positional[0], &timed.decision) {
         ("send", Decision::Send { request, attempt, instance, engine_priority, resume, .. }) => {
             let instance_fits =
                 parsed.positional.get(2).is_none_or(|&name| name == "*" || name == &**instance);
@@ -325,7 +336,7 @@
         }
         _ => false,
     };
-    in_time && as_told
+    in_time && as_expected
 }
 
 fn within(range: &str, value: Duration) -> bool {
@@ -359,7 +370,7 @@
     Some(InstanceLoad { running: next(), waiting: next(), slots: next() })
 }
 
-fn end_of(place: &str, parsed: &ScenarioLine) -> AttemptEnd {
+fn end_of(location: &str, parsed: &ScenarioLine) -> AttemptEnd {
     let load = load_of(parsed);
     match parsed.positional[3] {
         "answered" => AttemptEnd::Answered { success: true, load },
@@ -370,13 +381,14 @@
         "unsent" => AttemptEnd::NotSent,
         "broken" => AttemptEnd::Broken,
         "midway" => AttemptEnd::BrokenMidway,
-        "garbled" => AttemptEnd::Garbled,
+        "garbled" => AttemptEnd::InvalidResponse,
         "cancelled" => AttemptEnd::Cancelled,
-        other => panic!("{place}: no end {other}"),
+        other => panic!("{location}: no end {other}"),
     }
 }
 
-fn describe(made: &[TimedDecision]) -> String {
-    let lines: Vec<String> = made.iter().map(|made| format!("{:?} {:?}", made.at, made.decision)).collect();
+fn describe(decisions: &[TimedDecision]) -> String {
+    let lines: Vec<String> =
+        decisions.iter().map(|timed| format!("{:?} {:?}", timed.at, timed.decision)).collect();
     lines.join("; ")
 }
--- a/crates/fair-edf/src/timeline.rs
+++ b/crates/fair-edf/src/timeline.rs
@@ -75,8 +75,8 @@
     /// any one of them, and repeating that until none is overdue, removes the fewest requests.
     pub fn overdue(&mut self, now: Ns) -> Option<Vec<K>> {
         self.start().filter(|start| *start < now)?;
-        let unmet = |(n, queued): (usize, &(Ns, K))| now + self.sigma * (n as Ns + 1) > queued.0;
-        let first_unmet = self.queued.iter().enumerate().position(unmet)?;
+        let is_unmet = |(n, queued): (usize, &(Ns, K))| now + self.sigma * (n as Ns + 1) > queued.0;
+        let first_unmet = self.queued.iter().enumerate().position(is_unmet)?;
         Some(self.queued.iter().take(first_unmet + 1).map(|queued| queued.1).collect())
     }
 
--- a/crates/placement/src/adapter_placement.rs
+++ b/crates/placement/src/adapter_placement.rs
@@ -163,7 +163,7 @@
     }
 
     /// No longer counts a replica that is about to be evicted.
-    pub(crate) fn evicted(&mut self, victim: Option<&Item>) {
+    pub(crate) fn record_eviction(&mut self, victim: Option<&Item>) {
         let Some(replicas) = victim.and_then(|victim| self.replicas.get_mut(victim)) else { return };
         replicas.all = replicas.all.saturating_sub(1);
         replicas.serving = replicas.serving.saturating_sub(1);
@@ -229,8 +229,8 @@
             let spare = serving >= 2 && desired.priority == AdapterPriority::First;
             return (surplus || spare).then_some(if surplus { 0.0 } else { each });
         }
-        let pays =
+        let is_worthwhile =
             desired.priority == AdapterPriority::First || all >= 2 || each * REPLACE_RATIO < desired.weight;
-        pays.then_some(each)
+        is_worthwhile.then_some(each)
     }
 }
--- a/crates/placement/src/desired_replica.rs
+++ b/crates/placement/src/desired_replica.rs
@@ -10,7 +10,7 @@
 pub(crate) const MISS_COST: f64 = 1.4;
 
 /// Cost of evicting a further replica, for each request/s that the others take over.
-pub(crate) const SPARE_COST: f64 = 0.3;
+pub(crate) const REDISTRIBUTION_COST: f64 = 0.3;
 
 /// Lowest rate that is assumed for a model that requests wait for, requests/s.
 const MIN_RATE: f64 = 0.25;
@@ -105,7 +105,7 @@
             Priority::Underprovisioned => {
                 MISS_COST * status.served_by_next_replica(status.replicas).max(MIN_RATE)
             }
-            Priority::Additional => SPARE_COST * status.relief(status.replicas),
+            Priority::Additional => REDISTRIBUTION_COST * status.relief(status.replicas),
         }
     }
 }
--- a/crates/placement/src/drain_time_test.rs
+++ b/crates/placement/src/drain_time_test.rs
@@ -12,9 +12,9 @@
 #[test]
 fn estimate_follows_evictions_of_busy_models_only() {
     let mut drain = DrainTimeEstimate::default();
-    let untaught = drain.expected_s(10.0);
+    let initial = drain.expected_s(10.0);
     drain.observe(0.2, Duration::from_millis(300));
-    assert_eq!(drain.expected_s(10.0), untaught);
+    assert_eq!(drain.expected_s(10.0), initial);
     for _ in 0..30 {
         drain.observe(5.0, Duration::from_secs(6));
     }
--- a/crates/placement/src/endpoint.rs
+++ b/crates/placement/src/endpoint.rs
@@ -116,7 +116,7 @@
         self.ready = ready;
         if !self.advertised.matches_listing(&instance.models) {
             self.advertised = Contents::from_listing(&instance.models, catalog);
-            self.record_disk();
+            self.record_models_on_disk();
             changed = true;
         }
         changed | self.assume_contents(now, instance, catalog)
@@ -149,7 +149,7 @@
         self.advertised.retain_common(&contents);
         self.contents = contents;
         self.changed = now;
-        self.record_disk();
+        self.record_models_on_disk();
     }
 
     /// The endpoint accepted the order in flight. Its effect on the contents is applied when it is done.
@@ -173,7 +173,7 @@
             }
         }
         self.changed = now;
-        self.record_disk();
+        self.record_models_on_disk();
         Some(order)
     }
 
@@ -182,7 +182,7 @@
         self.verification = Verification::Unverified { not_before };
     }
 
-    fn record_disk(&mut self) {
+    fn record_models_on_disk(&mut self) {
         let models = self.advertised.models().chain(self.contents.models()).map(|resident| &resident.model);
         for model in models.filter(|model| !self.on_disk.contains(*model)).cloned().collect::<Vec<_>>() {
             self.on_disk.insert(model);
--- a/crates/placement/src/eviction.rs
+++ b/crates/placement/src/eviction.rs
@@ -2,7 +2,7 @@
 
 use crate::catalog::Catalog;
 use crate::contents::Resident;
-use crate::desired_replica::{DesiredReplica, MISS_COST, Priority, SPARE_COST};
+use crate::desired_replica::{DesiredReplica, MISS_COST, Priority, REDISTRIBUTION_COST};
 use crate::endpoint::Endpoint;
 use crate::interface::Item;
 use crate::planning_view::{ModelStatus, PlanningView};
@@ -94,12 +94,12 @@
             } else {
                 0.0
             };
-            let cost = SPARE_COST * other.relief(remaining) + MISS_COST * missed;
+            let cost = REDISTRIBUTION_COST * other.relief(remaining) + MISS_COST * missed;
             return (other.replicas >= 2 && self.priority.urgent() && cost <= self.gain()).then_some(cost);
         }
         let cost = MISS_COST * other.expected_rate;
-        let pays = self.priority.urgent()
-            || cost * REPLACE_RATIO < SPARE_COST * self.status.relief(self.status.replicas);
-        pays.then_some(cost)
+        let is_worthwhile = self.priority.urgent()
+            || cost * REPLACE_RATIO < REDISTRIBUTION_COST * self.status.relief(self.status.replicas);
+        is_worthwhile.then_some(cost)
     }
 }
--- a/crates/placement/src/guard_test.rs
+++ b/crates/placement/src/guard_test.rs
@@ -9,7 +9,7 @@
 
 const SENT: Duration = Duration::from_secs(10);
 /// From then on a report proves that an order sent at [`SENT`] never arrived.
-const REFUTED: Duration = Duration::from_millis(12_500);
+const KNOWN_LOST_AT: Duration = Duration::from_millis(12_500);
 
 fn catalog() -> Catalog {
     let model = |number: u32| Model {
@@ -152,15 +152,15 @@
     for operation in [Operation::Load, Operation::Evict] {
         let mut fixture = Fixture::with_report(&[("m1", &[])], 0);
         assert_eq!(fixture.load("m2", 0), Ok(()));
-        let unsettled = Err(Violation::OrderPending(OrderId(1)));
+        let pending = Err(Violation::OrderPending(OrderId(1)));
         fixture.answer(OrderAnswer::Unknown);
-        assert_eq!(fixture.order(operation, "m1", None, 0), unsettled);
+        assert_eq!(fixture.order(operation, "m1", None, 0), pending);
         // It may be older than the order's arrival.
-        fixture.report(REFUTED - Duration::from_millis(1), &report(&[("m1", &[])], false, 0));
-        assert_eq!(fixture.order(operation, "m1", None, 0), unsettled);
-        fixture.report(REFUTED, &report(&[("m1", &[])], true, 1));
-        assert_eq!(fixture.order(operation, "m1", None, 1), unsettled);
-        fixture.report(REFUTED, &report(&[("m1", &[])], false, 0));
+        fixture.report(KNOWN_LOST_AT - Duration::from_millis(1), &report(&[("m1", &[])], false, 0));
+        assert_eq!(fixture.order(operation, "m1", None, 0), pending);
+        fixture.report(KNOWN_LOST_AT, &report(&[("m1", &[])], true, 1));
+        assert_eq!(fixture.order(operation, "m1", None, 1), pending);
+        fixture.report(KNOWN_LOST_AT, &report(&[("m1", &[])], false, 0));
         assert_eq!(fixture.order(operation, "m1", None, 0), Ok(()));
         assert_eq!(fixture.guard.violations().order_pending(), 3);
     }
@@ -171,7 +171,7 @@
     let mut fixture = Fixture::with_report(&[("m1", &[]), ("m2", &[])], 7);
     assert_eq!(fixture.load("m3", 7), Ok(()));
     fixture.answer(OrderAnswer::Accepted);
-    fixture.report(REFUTED, &report(&[("m1", &[]), ("m2", &[])], false, 7));
+    fixture.report(KNOWN_LOST_AT, &report(&[("m1", &[]), ("m2", &[])], false, 7));
     assert!(matches!(fixture.load("m4", 8), Err(Violation::ExceedsCapacity { .. })));
 }
 
--- a/crates/placement/src/load_limiter.rs
+++ b/crates/placement/src/load_limiter.rs
@@ -97,9 +97,9 @@
     pub(crate) fn next_free(&self, now: Duration) -> Option<Duration> {
         let oldest = self.loads.iter().filter_map(|load| load.accepted_at).min();
         let assumed = (now < self.assumed_until).then_some(self.assumed_until);
-        let window_frees = oldest.map(|accepted_at| accepted_at + self.window);
-        let load_ends = self.active.iter().map(|load| load.until).min();
-        [assumed, window_frees, load_ends].into_iter().flatten().filter(|at| *at > now).min()
+        let window_free_at = oldest.map(|accepted_at| accepted_at + self.window);
+        let load_ends_at = self.active.iter().map(|load| load.until).min();
+        [assumed, window_free_at, load_ends_at].into_iter().flatten().filter(|at| *at > now).min()
     }
 
     /// A load was ordered that should be done at `until`.
@@ -143,8 +143,8 @@
         if now >= self.assumed_until {
             return permitted.max(1.0) as usize;
         }
-        let hard = self.loads_per_s * self.window.as_secs_f64() * self.overshoot.max(1.0);
-        ((hard + BURST_ALLOWANCE - permitted) / TAKEOVERS).floor().min(permitted.max(1.0)) as usize
+        let hard_limit = self.loads_per_s * self.window.as_secs_f64() * self.overshoot.max(1.0);
+        ((hard_limit + BURST_ALLOWANCE - permitted) / TAKEOVERS).floor().min(permitted.max(1.0)) as usize
     }
 
     fn expire(&mut self, now: Duration) {
--- a/crates/placement/src/order_completion.rs
+++ b/crates/placement/src/order_completion.rs
@@ -20,7 +20,7 @@
 
 /// What a report tells about the contents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ReportVerdict {
+enum ReportKind {
     /// Nothing yet: it may be older than the order in flight, or that one is not done.
     Inconclusive,
     /// Older than an accepted order.
@@ -62,16 +62,16 @@
     }
 
     /// Applies a report of an endpoint.
-    pub fn report(&mut self, now: Duration, id: &str, report: &EndpointReport) {
+    pub fn apply_report(&mut self, now: Duration, id: &str, report: &EndpointReport) {
         self.set_now(now);
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         let id = endpoint.id.clone();
         order_log::reported(now, &id, report);
         self.guard.reported(now, &id, report, &self.catalog);
-        match endpoint.judge(now, report) {
-            ReportVerdict::Inconclusive => {}
-            ReportVerdict::Outdated | ReportVerdict::Busy => endpoint.request_again(now, report),
-            ReportVerdict::Idle => {
+        match endpoint.classify_report(now, report) {
+            ReportKind::Inconclusive => {}
+            ReportKind::Outdated | ReportKind::Busy => endpoint.request_again(now, report),
+            ReportKind::Idle => {
                 let contents = Contents::from_listing(&report.models, &self.catalog);
                 let order = endpoint.order.take();
                 endpoint.verify(now, contents, report.sequence);
@@ -147,24 +147,22 @@
 
 impl Endpoint {
     /// Judges a report, which may be older than orders that were accepted since.
-    fn judge(&self, now: Duration, report: &EndpointReport) -> ReportVerdict {
+    fn classify_report(&self, now: Duration, report: &EndpointReport) -> ReportKind {
         if report.sequence < self.min_revision {
-            return ReportVerdict::Outdated;
+            return ReportKind::Outdated;
         }
         let Some(order) = self.order.as_ref() else {
-            return if report.busy { ReportVerdict::Busy } else { ReportVerdict::Idle };
+            return if report.busy { ReportKind::Busy } else { ReportKind::Idle };
         };
         let is_counted = report.sequence > order.revision;
         match order.stage {
-            OrderStage::Unacknowledged if is_counted && report.busy => ReportVerdict::Busy,
+            OrderStage::Unacknowledged if is_counted && report.busy => ReportKind::Busy,
             OrderStage::Accepted | OrderStage::Unacknowledged if is_counted && !report.busy => {
-                ReportVerdict::Idle
+                ReportKind::Idle
             }
             // It was not accepted, and cannot arrive any more.
-            OrderStage::Unacknowledged if !report.busy && now >= order.known_lost_at() => ReportVerdict::Idle,
-            OrderStage::Sent | OrderStage::Accepted | OrderStage::Unacknowledged => {
-                ReportVerdict::Inconclusive
-            }
+            OrderStage::Unacknowledged if !report.busy && now >= order.known_lost_at() => ReportKind::Idle,
+            OrderStage::Sent | OrderStage::Accepted | OrderStage::Unacknowledged => ReportKind::Inconclusive,
         }
     }
 
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -107,7 +107,7 @@
     }
 
     /// Applies the newest registration of an endpoint.
-    pub fn instance(&mut self, now: Duration, instance: &Instance) {
+    pub fn register(&mut self, now: Duration, instance: &Instance) {
         self.now = now;
         if *instance.backend != *self.backend {
             return;
@@ -141,7 +141,7 @@
     }
 
     /// Removes an endpoint that is gone.
-    pub fn removed(&mut self, now: Duration, id: &str) {
+    pub fn remove_endpoint(&mut self, now: Duration, id: &str) {
         self.now = now;
         if self.forget_endpoint(now, id) {
             self.plan_soon(now);
@@ -160,7 +160,7 @@
     }
 
     /// Adds the demand that a router saw since its last report.
-    pub fn demand(&mut self, now: Duration, _router: &str, report: &DemandReport) {
+    pub fn add_demand(&mut self, now: Duration, _router: &str, report: &DemandReport) {
         self.now = now;
         let catalog = &self.catalog;
         let name = |model: &str, adapter: Option<&str>| known_name(catalog, model, adapter);
--- a/crates/placement/src/planning.rs
+++ b/crates/placement/src/planning.rs
@@ -187,7 +187,7 @@
         for desired in adapters.desired() {
             let excluded: Vec<&Arc<str>> = chosen.iter().map(|(_, site)| &site.endpoint).collect();
             if let Some(site) = adapters.site(&desired, &excluded) {
-                adapters.evicted(site.victim.as_ref());
+                adapters.record_eviction(site.victim.as_ref());
                 chosen.push((desired, site));
             }
         }
--- a/crates/placement/tests/delayed_reports.rs
+++ b/crates/placement/tests/delayed_reports.rs
@@ -134,7 +134,7 @@
     }
 
     fn deliver_heartbeat(&mut self, heartbeat: &Instance) {
-        self.placer.instance(self.now(), heartbeat);
+        self.placer.register(self.now(), heartbeat);
         self.act();
     }
 
@@ -148,7 +148,7 @@
             unplaced: 20 * u32::from(!self.endpoint.is_resident(model, adapter.as_deref())),
         };
         let models = self.demanded.iter().map(demand).collect();
-        self.placer.demand(self.now(), "r", &DemandReport { period_ms: 500, models });
+        self.placer.add_demand(self.now(), "r", &DemandReport { period_ms: 500, models });
     }
 
     /// Executes the placer's actions.
@@ -158,7 +158,7 @@
                 Action::Order(order) => self.order(&order),
                 Action::RequestReport { .. } if self.orders_arrive => {
                     let report = self.history.front().cloned().unwrap_or_else(|| self.endpoint.report());
-                    self.placer.report(self.now(), &self.endpoint.id(), &report);
+                    self.placer.apply_report(self.now(), &self.endpoint.id(), &report);
                 }
                 Action::RequestReport { .. } => {}
             }
@@ -227,7 +227,7 @@
 #[test]
 fn load_accepted_before_endpoint_was_removed_is_counted() {
     let (mut fixture, late) = partitioned_while_loading();
-    fixture.placer.removed(fixture.now(), &fixture.endpoint.id());
+    fixture.placer.remove_endpoint(fixture.now(), &fixture.endpoint.id());
     fixture.demanded = vec![("m4", None)];
     fixture.run_for(1_000);
     (fixture.heartbeats_arrive, fixture.orders_arrive) = (true, true);
--- a/crates/placement/tests/digests.rs
+++ b/crates/placement/tests/digests.rs
@@ -47,7 +47,7 @@
     one.into_iter().collect()
 }
 
-fn play(seed: u64) -> u64 {
+fn run_seed(seed: u64) -> u64 {
     let mut random = Random::new(seed ^ 0xD16E_5700);
     let endpoints = 3 + random.below(8);
     let size_mb = 40_000.0 + random.below(50_000) as f64;
@@ -72,5 +72,5 @@
 
 #[test]
 fn decisions_match_the_recorded_digests() {
-    assert_digests(env!("CARGO_MANIFEST_DIR"), "decisions", (0..SEEDS).map(|seed| (seed, play(seed))));
+    assert_digests(env!("CARGO_MANIFEST_DIR"), "decisions", (0..SEEDS).map(|seed| (seed, run_seed(seed))));
 }
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -83,7 +83,7 @@
             sequence: self.heartbeats,
             remaining_ms: None,
         };
-        self.placer.instance(self.now(), &instance);
+        self.placer.register(self.now(), &instance);
     }
 
     /// Demand for a model that is resident nowhere.
@@ -96,7 +96,7 @@
             tokens: 20_000,
             unplaced: 20,
         };
-        self.placer.demand(self.now(), "r", &DemandReport { period_ms: 500, models: vec![demand] });
+        self.placer.add_demand(self.now(), "r", &DemandReport { period_ms: 500, models: vec![demand] });
     }
 
     /// Runs with demand for both models; returns the orders that were sent.
@@ -128,7 +128,7 @@
             self.add_demand("m4");
             let mut orders = self.run_until(self.now_ms + 100);
             if std::mem::take(&mut self.report_requests) > 0 {
-                self.placer.report(self.now(), "i-1", &report(&["m1", "m2", "m3"], false, 0));
+                self.placer.apply_report(self.now(), "i-1", &report(&["m1", "m2", "m3"], false, 0));
             }
             if let Some(order) = orders.pop() {
                 assert_eq!(order.operation, Operation::Evict);
@@ -149,7 +149,7 @@
             );
         }
         assert_eq!(std::mem::take(&mut self.report_requests), 1, "the endpoint is demanded once");
-        self.placer.report(self.now(), "i-1", &report(&[], false, 0));
+        self.placer.apply_report(self.now(), "i-1", &report(&[], false, 0));
         loop {
             assert!(self.now_ms < 1_000, "no order is sent");
             let mut orders = self.run_until(self.now_ms + 10);
@@ -173,11 +173,11 @@
     let resolved_ms = sent_ms + IN_FLIGHT_MS + REPORT_LAG_MS;
     for at_ms in (fixture.now_ms..resolved_ms).step_by(100) {
         assert!(fixture.run_until(at_ms).is_empty(), "an order was sent at {at_ms} ms");
-        fixture.placer.report(fixture.now(), "i-1", &report(&[], false, 0));
+        fixture.placer.apply_report(fixture.now(), "i-1", &report(&[], false, 0));
     }
     assert!(fixture.run_until(resolved_ms).is_empty());
     assert!(fixture.report_requests > 0, "nobody demanded what became of the order");
-    fixture.placer.report(fixture.now(), "i-1", &report(&[], false, 0));
+    fixture.placer.apply_report(fixture.now(), "i-1", &report(&[], false, 0));
     let orders = fixture.run_until(resolved_ms + 500);
     assert_eq!(orders.first().map(|order| order.if_revision), Some(0), "{orders:?}");
 }
@@ -190,9 +190,9 @@
     fixture.placer.order_answered(fixture.now(), lost.id, OrderAnswer::Unknown);
     for at_ms in (1_500..9_000).step_by(500) {
         assert!(fixture.run_until(at_ms).is_empty(), "an order was sent at {at_ms} ms");
-        fixture.placer.report(fixture.now(), "i-1", &report(&[], true, 1));
+        fixture.placer.apply_report(fixture.now(), "i-1", &report(&[], true, 1));
     }
-    fixture.placer.report(fixture.now(), "i-1", &report(&[&lost.model], false, 1));
+    fixture.placer.apply_report(fixture.now(), "i-1", &report(&[&lost.model], false, 1));
     let orders = fixture.run_until(10_000);
     assert!(orders.iter().all(|order| order.model != lost.model), "{orders:?}");
     assert!(!orders.is_empty());
@@ -211,14 +211,14 @@
         "Id": "i-2", "Backend": BACKEND, "Address": "10.0.0.1:80", "Zone": "z1", "Capacity": 64,
         "State": "ready", "Sequence": 1,
     });
-    fixture.placer.instance(fixture.now(), &serde_json::from_value(json).unwrap());
+    fixture.placer.register(fixture.now(), &serde_json::from_value(json).unwrap());
     assert!(fixture.run_until(2_000).iter().all(|order| &*order.instance == "i-1"));
-    fixture.placer.report(fixture.now(), "i-2", &report(&[], false, 0));
+    fixture.placer.apply_report(fixture.now(), "i-2", &report(&[], false, 0));
     let orders = fixture.run_until(3_000);
     assert!(!orders.is_empty());
     assert!(orders.iter().all(|order| &*order.instance == "i-2" && order.if_revision == 0));
     // A late report of the previous incarnation does not apply to the new one.
-    fixture.placer.report(fixture.now(), "i-1", &report(&[&first.model], false, 9));
+    fixture.placer.apply_report(fixture.now(), "i-1", &report(&[&first.model], false, 9));
     assert!(fixture.run_until(3_100).iter().all(|order| order.if_revision < 9));
 }
 
@@ -228,18 +228,18 @@
     let mut fixture = Fixture::new();
     let first = fixture.first_order();
     fixture.placer.order_answered(fixture.now(), first.id, OrderAnswer::Accepted);
-    fixture.placer.removed(fixture.now(), "i-1");
+    fixture.placer.remove_endpoint(fixture.now(), "i-1");
     let json = serde_json::json!({
         "Id": "i-2", "Backend": BACKEND, "Address": "10.0.0.1:80", "Zone": "z1", "Capacity": 64,
         "State": "ready", "Sequence": 1,
     });
     let new: Instance = serde_json::from_value(json).unwrap();
-    fixture.placer.instance(fixture.now(), &new);
+    fixture.placer.register(fixture.now(), &new);
     fixture.register(&[]);
-    fixture.placer.instance(fixture.now(), &Instance { sequence: 2, ..new });
-    fixture.placer.removed(fixture.now(), "i-1");
+    fixture.placer.register(fixture.now(), &Instance { sequence: 2, ..new });
+    fixture.placer.remove_endpoint(fixture.now(), "i-1");
     fixture.run_until(1_000);
-    fixture.placer.report(fixture.now(), "i-2", &report(&[], false, 0));
+    fixture.placer.apply_report(fixture.now(), "i-2", &report(&[], false, 0));
     let orders = fixture.run_until(3_000);
     assert!(orders.iter().any(|order| &*order.instance == "i-2"), "{orders:?}");
 }
--- a/crates/placement/tests/support/check.rs
+++ b/crates/placement/tests/support/check.rs
@@ -23,7 +23,7 @@
     pub open: BTreeMap<String, u64>,
     pub last_requested: BTreeMap<String, u64>,
     pub violations: Vec<String>,
-    pub most_at_once: usize,
+    pub max_concurrent_loads: usize,
     /// Endpoints that have registered as draining.
     pub known_draining: BTreeSet<String>,
     /// When a fault last occurred that the placer cannot know of at once.
@@ -43,17 +43,17 @@
             self.violations.push(format!("{now_ms}: order to the draining endpoint {}", order.instance));
         }
         if order.operation == Operation::Evict && order.adapter.is_none() {
-            self.last_copy(now_ms, order, endpoints);
+            self.check_last_replica(now_ms, order, endpoints);
         }
     }
 
-    fn last_copy(&mut self, now_ms: u64, order: &Order, endpoints: &[Endpoint]) {
-        let wanted = self.last_requested.get(&*order.model).is_some_and(|at| now_ms < at + IN_DEMAND_MS);
+    fn check_last_replica(&mut self, now_ms: u64, order: &Order, endpoints: &[Endpoint]) {
+        let in_demand = self.last_requested.get(&*order.model).is_some_and(|at| now_ms < at + IN_DEMAND_MS);
         let others = endpoints.iter().filter(|endpoint| endpoint.up && endpoint.ready);
         let others = others.filter(|endpoint| endpoint.id() != *order.instance);
-        let kept = others.filter(|endpoint| endpoint.will_be_resident(&order.model, None)).count();
-        let calm = now_ms > self.last_fault_ms + FAULT_RECOVERY_MS;
-        if calm && wanted && kept == 0 {
+        let remaining = others.filter(|endpoint| endpoint.will_be_resident(&order.model, None)).count();
+        let is_undisturbed = now_ms > self.last_fault_ms + FAULT_RECOVERY_MS;
+        if is_undisturbed && in_demand && remaining == 0 {
             self.violations.push(format!(
                 "{now_ms}: last replica in demand of {} is evicted from {}",
                 order.model, order.instance
@@ -81,11 +81,11 @@
             self.violations.push(format!("{now_ms}: {adapters} adapters at {}", order.instance));
         }
         if order.adapter.is_none() && !endpoint.disk.contains(&*order.model) {
-            self.store_load(now_ms, runtime);
+            self.record_store_load(now_ms, runtime);
         }
     }
 
-    fn store_load(&mut self, now_ms: u64, runtime: &Runtime) {
+    fn record_store_load(&mut self, now_ms: u64, runtime: &Runtime) {
         self.store_loads.push(now_ms);
         let window = self.store_loads.iter().filter(|at| **at + WINDOW_MS > now_ms).count() as f64;
         let permitted = runtime.loads_per_s * WINDOW_MS as f64 / 1_000.0;
@@ -108,7 +108,7 @@
         }
     }
 
-    pub(crate) fn loading(&mut self, endpoints: &[Endpoint]) {
+    pub(crate) fn record_concurrent_loads(&mut self, endpoints: &[Endpoint]) {
         let loading = endpoints.iter().filter(|endpoint| {
             endpoint.work.as_ref().is_some_and(|work| {
                 work.operation == Operation::Load
@@ -116,6 +116,6 @@
                     && !endpoint.disk.contains(&work.model)
             })
         });
-        self.most_at_once = self.most_at_once.max(loading.count());
+        self.max_concurrent_loads = self.max_concurrent_loads.max(loading.count());
     }
 }
--- a/crates/placement/tests/support/fleet.rs
+++ b/crates/placement/tests/support/fleet.rs
@@ -67,13 +67,13 @@
         }
     }
 
-    fn held(&self) -> Vec<ResidentModel> {
-        let held = |(name, adapters): (&String, &BTreeSet<String>)| ResidentModel {
+    fn resident_models(&self) -> Vec<ResidentModel> {
+        let resident_models = |(name, adapters): (&String, &BTreeSet<String>)| ResidentModel {
             name: name.clone(),
             version: 1,
             adapters: adapters.iter().cloned().collect(),
         };
-        self.models.iter().map(held).collect()
+        self.models.iter().map(resident_models).collect()
     }
 
     pub(crate) fn instance(&self, backend: &str) -> Instance {
@@ -87,7 +87,7 @@
             state: if self.ready { InstanceState::Ready } else { InstanceState::Draining },
             warmup_remaining_ms: 0.0,
             phase: None,
-            models: self.held(),
+            models: self.resident_models(),
             sequence: self.heartbeats,
             remaining_ms: self.remaining_ms,
         }
@@ -96,7 +96,7 @@
     pub(crate) fn report(&self) -> EndpointReport {
         EndpointReport {
             phase: None,
-            models: self.held(),
+            models: self.resident_models(),
             busy: self.work.is_some(),
             sequence: self.revision,
             queued: 0,
--- a/crates/placement/tests/support/simulation/faults.rs
+++ b/crates/placement/tests/support/simulation/faults.rs
@@ -80,7 +80,7 @@
         self.placer = Placer::new(now, BACKEND, seed, &settings(Start::Takeover, self.switched_off));
         self.placer.configure(now, &self.runtime);
         for registration in self.registry.values() {
-            self.placer.instance(now, &registration.instance);
+            self.placer.register(now, &registration.instance);
         }
     }
 }
--- a/crates/placement/tests/support/simulation/mod.rs
+++ b/crates/placement/tests/support/simulation/mod.rs
@@ -165,7 +165,7 @@
         }
         self.heartbeats();
         self.end_partitions();
-        self.remove_silent();
+        self.remove_unresponsive_endpoints();
         self.deliver();
         if now_ms.is_multiple_of(100) {
             self.record_reports();
@@ -183,7 +183,7 @@
             &self.placer,
             self.endpoints.iter().map(|endpoint| (&*endpoint.name, endpoint.id())),
         );
-        self.checks.loading(&self.endpoints);
+        self.checks.record_concurrent_loads(&self.endpoints);
         self.checks.check_blocked_orders(now_ms, self.placer.violations());
     }
 
@@ -251,7 +251,7 @@
             });
         }
         let report = DemandReport { period_ms: DEMAND_MS as u32, models };
-        self.placer.demand(self.now(), &format!("router-{router}"), &report);
+        self.placer.add_demand(self.now(), &format!("router-{router}"), &report);
         self.process_actions();
     }
 
--- a/crates/placement/tests/support/simulation/network.rs
+++ b/crates/placement/tests/support/simulation/network.rs
@@ -78,9 +78,9 @@
             Message::Removed(id) => {
                 self.checks.open.remove(&id);
                 self.registry.remove(&id);
-                self.placer.removed(now, &id);
+                self.placer.remove_endpoint(now, &id);
             }
-            Message::Report(id, report) if current => self.placer.report(now, &id, &report),
+            Message::Report(id, report) if current => self.placer.apply_report(now, &id, &report),
             Message::ReportRequest(address, id) => self.report_request_arrives(address, &id),
             Message::Answer(..) | Message::Report(..) => {}
         }
@@ -96,11 +96,11 @@
             let registration = Registration { instance: instance.clone(), last_heartbeat_ms: self.now_ms };
             self.registry.insert(instance.id.clone(), registration);
         }
-        self.placer.instance(self.now(), instance);
+        self.placer.register(self.now(), instance);
     }
 
     /// Removes endpoints without a heartbeat for too long, running or not.
-    pub(super) fn remove_silent(&mut self) {
+    pub(super) fn remove_unresponsive_endpoints(&mut self) {
         let now_ms = self.now_ms;
         let silent = self
             .registry
--- a/crates/router/src/endpoint/attempt.rs
+++ b/crates/router/src/endpoint/attempt.rs
@@ -39,7 +39,7 @@
     let result = exchange(state, request, destination, last_event, sent).await;
     if let Err(end) = &result {
         state.counters.failed_attempts.increment();
-        if *end == AttemptEnd::Garbled {
+        if *end == AttemptEnd::InvalidResponse {
             state.pool.quarantine(&destination.instance);
         }
         log::debug!(
@@ -82,7 +82,7 @@
                     return Err(AttemptEnd::NotSent);
                 }
             }
-            Err(ExchangeError::Garbled(_)) => return Err(AttemptEnd::Garbled),
+            Err(ExchangeError::Garbled(_)) => return Err(AttemptEnd::InvalidResponse),
             Err(ExchangeError::Broken(_)) => {
                 if !(used_before && state.has_fault(RouterFault::RepeatAfterReset)) {
                     return Err(AttemptEnd::Broken);
--- a/crates/router/src/endpoint/verify.rs
+++ b/crates/router/src/endpoint/verify.rs
@@ -29,7 +29,7 @@
     let headers = answer.headers();
     let matches_request = headers.get(&ATTEMPT_ID) == expected.attempt_id;
     if !matches_request && expected.fault != Some(RouterFault::AnyAttemptId) {
-        return Err(AttemptEnd::Garbled);
+        return Err(AttemptEnd::InvalidResponse);
     }
     let status = answer.status();
     if status == StatusCode::MISDIRECTED_REQUEST || headers.contains_key(&NOT_EXECUTED) {
@@ -38,10 +38,10 @@
         return Err(AttemptEnd::NotExecuted { status: status.as_u16(), load, wrong_instance });
     }
     if headers.contains_key(CONTENT_ENCODING) || status.is_informational() {
-        return Err(AttemptEnd::Garbled);
+        return Err(AttemptEnd::InvalidResponse);
     }
     if status.is_success() && !headers.contains_key(&SERVER_SIGNATURE) {
-        return Err(AttemptEnd::Garbled);
+        return Err(AttemptEnd::InvalidResponse);
     }
     if implies_not_executed(status) {
         if expected.fault == Some(RouterFault::TrustStatus) {
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -179,7 +179,7 @@
     pub fn begin_drain(&self, end: Duration) {
         self.draining_since.set(Some(Instant::now()));
         self.configuration_wait.wake();
-        self.with_dispatcher(|dispatcher, now| dispatcher.end_by(now, end));
+        self.with_dispatcher(|dispatcher, now| dispatcher.begin_shutdown(now, end));
     }
 
     /// Time since the beginning of the shutdown.
