--- a/crates/placement/src/adapter_placement.rs
+++ b/crates/placement/src/adapter_placement.rs
@@ -1,7 +1,7 @@
 //! Chooses the endpoints on which an adapter is loaded, and what is evicted for it.
 //!
 //! An adapter can only be loaded where its model is resident. Adapters load in milliseconds and are small, so a
-//! replica goes where a slot is free and only then refree_slots another adapter.
+//! replica is placed where a slot is free if possible, and replaces another adapter otherwise.
 
 use crate::catalog::Catalog;
 use crate::demand_rate::DemandRates;
@@ -18,7 +18,8 @@
 /// Cost of an eviction before a load, apart from what the evicted adapter served.
 const EVICTION_COST: f64 = 0.01;
 
-/// An additional replica replaces a last one only if it serves this many times as many requests.
+/// An additional replica replaces the last replica of another adapter only if it serves this many times as many
+/// requests.
 const REPLACE_RATIO: f64 = 5.0;
 
 /// An adapter that should get one more replica, on an endpoint that has its model resident.
@@ -36,7 +37,7 @@
     First,
     /// Has fewer replicas than its demand needs.
     Additional,
-    /// Was requested before and is on no endpoint; it comes back only where a slot is free.
+    /// Was requested before and is on no endpoint; it is loaded only where a slot is free.
     Restore,
 }
 
--- a/crates/placement/src/catalog.rs
+++ b/crates/placement/src/catalog.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Catalog {
     models: BTreeMap<Arc<str>, ModelSpec>,
-    /// Sizes that are counted, including those of models that an earlier configuration had.
+    /// Sizes that used memory is calculated with, including those of models of earlier configurations.
     sizes: BTreeMap<Arc<str>, Sizes>,
     largest_model_mb: f64,
     largest_adapter_mb: f64,
@@ -38,8 +38,8 @@
 }
 
 impl Catalog {
-    /// Reads the runtime of a service. Where `before` has a larger size, that one is counted: the item may still be
-    /// resident in its earlier form.
+    /// Reads the runtime of a service. If `before` has a larger size for an item, that size is used: the item may still
+    /// be resident with it.
     pub(crate) fn new(runtime: &Runtime, before: &Catalog) -> Catalog {
         let models: BTreeMap<Arc<str>, ModelSpec> = runtime
             .models
@@ -93,12 +93,12 @@
         number.is_some_and(|number| (1..=spec.adapters).contains(&number))
     }
 
-    /// The shared string of a model's name.
+    /// The interned name of a model.
     pub(crate) fn intern(&self, name: &str) -> Arc<str> {
         self.models.get(name).map_or_else(|| Arc::from(name), |spec| spec.name.clone())
     }
 
-    /// Memory that an item takes, MB. A model that was never configured may take all of an endpoint's.
+    /// Memory that an item takes, MB. A model that was never configured is assumed to fill an endpoint.
     pub(crate) fn size_mb(&self, item: &Item) -> f64 {
         let sizes = self.sizes.get(&item.model);
         match item.adapter {
--- a/crates/placement/src/demand_rate.rs
+++ b/crates/placement/src/demand_rate.rs
@@ -10,25 +10,27 @@
 /// Time constant of the long-term rate, s: long compared with a load.
 const LONG_TERM_S: f64 = 60.0;
 
-/// An item without a request for this long is no longer in demand: a few reports of each router.
+/// An item without a request for this long is no longer in demand, unless its rate is steady. Spans a few reports of
+/// each router.
 const DEMAND_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// From this long-term rate on, requests/s, a gap is judged by how unlikely it is.
+/// From this long-term rate on, requests/s, an item is steady: a gap ends its demand only if it is unlikely to be
+/// chance.
 const STEADY_RATE: f64 = 0.3;
 
-/// A gap in which so many requests were expected is not chance: the demand has ended.
+/// Number of requests expected within a gap from which on the gap is not chance: the demand has ended.
 const MAX_MISSED_REQUESTS: f64 = 8.0;
 
 /// Longest gap of a steady item that is still in demand, s.
 const MAX_GAP_S: f64 = 8.0;
 
-/// An item is urgent for this long after a request that found no endpoint.
+/// An item is urgent for this long after a request for which no endpoint had it loaded.
 const URGENT_FOR: Duration = Duration::from_secs(4);
 
 /// Work added for each request, tokens, so that requests of unknown size count.
 const REQUEST_WORK: f64 = 500.0;
 
-/// At most this many requests are expected in a time as long as the gap since the last one.
+/// Upper bound of the requests that are expected in a time as long as the gap since the last request.
 const GAP_REQUESTS: f64 = 2.0;
 
 /// The interval in which a rate lies, requests/s.
@@ -85,7 +87,7 @@
 
     fn decayed(&self, now: Duration, value: f64, constant: f64) -> f64 {
         let age = now.saturating_sub(self.updated).as_secs_f64();
-        // A count that began a short while ago has not reached its mean yet.
+        // Corrects the bias of a decayed count that began recently and has not reached its mean yet.
         let observed = now.saturating_sub(self.observed_since).as_secs_f64().max(1.0);
         value * (-age / constant).exp() / (1.0 - (-observed / constant).exp())
     }
@@ -115,7 +117,7 @@
     pub(crate) fn estimate(&self, now: Duration) -> RateInterval {
         let recent_rate = self.recent_rate(now);
         let long_term_rate = self.long_term_rate(now);
-        // The long-term rate does not hold up the lower bound of a rate that has fallen.
+        // After the rate has fallen, the long-term rate must not keep the lower bound above the recent rate.
         let low = lower(recent_rate, RECENT_S).max(lower(long_term_rate, LONG_TERM_S).min(recent_rate));
         RateInterval { low, high: upper(recent_rate, RECENT_S) }
     }
@@ -141,7 +143,7 @@
     }
 }
 
-/// Number of requests on which a smoothed rate rests.
+/// Number of requests on which a smoothed rate is based.
 fn sample_size(rate: f64, constant: f64) -> f64 {
     rate * 2.0 * constant
 }
--- a/crates/placement/src/demand_table.rs
+++ b/crates/placement/src/demand_table.rs
@@ -9,7 +9,7 @@
 /// An item without a request for this long is removed from the table.
 const EXPIRY: Duration = Duration::from_secs(180);
 
-/// Demand that has been observed for this long is complete: two reports of each router.
+/// Demand is complete once it has been observed for this long, which spans two reports of each router.
 const ESTABLISHED_AFTER: Duration = Duration::from_millis(2_500);
 
 /// Rates of a model and of its requested adapters.
@@ -35,7 +35,7 @@
     }
 }
 
-/// Rates of everything that was requested lately.
+/// Rates of all models and adapters that were requested recently.
 #[derive(Debug, Default)]
 pub(crate) struct DemandTable {
     observed_since: Option<Duration>,
@@ -43,7 +43,7 @@
 }
 
 impl DemandTable {
-    /// Adds a report. `name` gives the shared string of a model's name, or `None` for an unknown model or adapter.
+    /// Adds a report. `name` returns the interned name of a model, or `None` for an unknown model or adapter.
     /// Returns whether a request found no endpoint.
     pub(crate) fn add(
         &mut self,
--- a/crates/placement/src/desired_replica.rs
+++ b/crates/placement/src/desired_replica.rs
@@ -1,6 +1,6 @@
-//! The models that should get a replica, and what each replica gains.
+//! The models that should get a replica, and the gain of each replica.
 //!
-//! Costs and gains are in requests/s, weighted by what a miss of one costs.
+//! Costs and gains are in requests/s, weighted by the cost of a request whose model is not loaded.
 
 use crate::planning_view::{ModelStatus, PlanningView};
 use lanegate_config::mechanism::Mechanism;
@@ -9,7 +9,7 @@
 /// Cost of evicting a model's last replica, for each request/s: a load and a late answer.
 pub(crate) const MISS_COST: f64 = 1.4;
 
-/// Cost of evicting a further replica, for each request/s that the others take over.
+/// Cost of evicting a replica that is not the last one, for each request/s that the others take over.
 pub(crate) const REDISTRIBUTION_COST: f64 = 0.3;
 
 /// Lowest rate that is assumed for a model that requests wait for, requests/s.
@@ -29,7 +29,7 @@
 /// How urgently a replica is desired, the most urgent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Priority {
-    /// Requests find no endpoint.
+    /// Requests arrive while no endpoint has the model.
     Unplaced,
     /// On no endpoint, and in demand.
     First,
--- a/crates/placement/src/drain_time.rs
+++ b/crates/placement/src/drain_time.rs
@@ -1,7 +1,7 @@
 //! Estimates how long an endpoint takes to evict a model.
 //!
 //! An idle model is evicted at once. A busy one is refused to new requests from the order on, and its memory stays
-//! taken until its last running request has ended. Whatever is to be loaded there waits for that.
+//! taken until its last running request has ended. A load that needs this memory has to wait for that.
 
 use std::time::Duration;
 
--- a/crates/placement/src/endpoint.rs
+++ b/crates/placement/src/endpoint.rs
@@ -1,10 +1,10 @@
 //! One incarnation of an endpoint: its contents, what it advertises, and its order in flight.
 //!
-//! A registration may be older than orders that were executed since, by any time, because a heartbeat can be delayed
-//! on its way. Memory is therefore not counted from registrations. It is counted from a report of the idle endpoint,
-//! with the number of orders that the endpoint had accepted by then (its revision), and from this placer's own orders
-//! since. Every order names the revision it relies on. The endpoint refuses it at any other, so an order that the
-//! placer does not know of cannot take memory that the placer counts as free.
+//! A heartbeat can be delayed for any time, so a registration may predate orders that the endpoint has executed. Used
+//! memory is therefore not calculated from registrations. It is calculated from a report of the idle endpoint, with
+//! the number of orders that the endpoint had accepted by then (its revision), and from this placer's own orders
+//! since. Every order names the revision it relies on, and the endpoint refuses it at any other revision. So an order
+//! that the placer does not know of cannot take memory that the placer considers free.
 
 use crate::catalog::Catalog;
 use crate::contents::Contents;
@@ -35,12 +35,12 @@
     pub until: Duration,
 }
 
-/// Whether the contents are known. Only an endpoint with verified contents is given an order.
+/// Whether the contents are known. Orders are sent only to endpoints with verified contents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Verification {
     /// The contents are those after `revision` accepted orders, the one in flight included.
     Verified { revision: u64 },
-    /// A report is requested when there is an order to give, not before this time.
+    /// A report is requested before the next order is sent, but not before this time.
     Unverified { not_before: Duration },
     /// A report was requested and has not arrived.
     Requested { at: Duration },
@@ -56,9 +56,9 @@
     pub registered: Duration,
     /// Moving average of the time between registrations.
     pub heartbeat_interval: Duration,
-    /// Contents by the newest registration: routers send requests for these.
+    /// Contents by the newest registration. Routers send requests according to these.
     pub advertised: Contents,
-    /// Contents that are counted. Until they are verified, those of the newest registration.
+    /// Contents that planning relies on. Until they are verified, those of the newest registration.
     pub contents: Contents,
     pub verification: Verification,
     /// Lower bound of the orders that the endpoint has accepted: a report with fewer is outdated.
@@ -127,7 +127,8 @@
         self.sequence.unwrap_or(0)
     }
 
-    /// Assumes the contents of a registration where nothing better is known. Returns whether that changed them.
+    /// Adopts the contents of a registration if the known ones are not verified, or if it still contradicts them
+    /// [`CONTRADICTION_TIMEOUT`] after their last change. Returns whether the contents changed.
     fn assume_contents(&mut self, now: Duration, instance: &Instance, catalog: &Catalog) -> bool {
         if self.order.is_some() || self.contents.matches_listing(&instance.models) {
             return false;
@@ -162,7 +163,7 @@
         self.verification = Verification::Verified { revision: self.min_revision };
     }
 
-    /// The order in flight is done: applies its effect.
+    /// Ends the order in flight as done, and applies its effect.
     pub(crate) fn finish_order(&mut self, now: Duration) -> Option<InFlightOrder> {
         let order = self.order.take()?;
         match order.operation {
@@ -177,7 +178,7 @@
         Some(order)
     }
 
-    /// The contents are no longer known; a report is requested before the next order, not before `not_before`.
+    /// Marks the contents as unknown. A report is requested before the next order, but not before `not_before`.
     pub(crate) fn invalidate(&mut self, not_before: Duration) {
         self.verification = Verification::Unverified { not_before };
     }
@@ -209,12 +210,12 @@
         Some(&order.item)
     }
 
-    /// Whether the item takes memory: resident, loading, or perhaps loading.
+    /// Whether the item takes memory: it is resident, or an order to load it is in flight, accepted or not.
     pub(crate) fn occupies(&self, item: &Item) -> bool {
         self.contents.contains(item) || self.loading() == Some(item)
     }
 
-    /// Whether requests for the model are served here and will be.
+    /// Whether the model is advertised here and is not being evicted.
     pub(crate) fn advertises_model(&self, model: &Arc<str>) -> bool {
         self.advertises(&Item::model(model.clone()))
     }
@@ -224,7 +225,7 @@
         self.occupies(item) && !self.is_evicting(item)
     }
 
-    /// Whether requests for the item are served here and will be.
+    /// Whether the item is advertised here and is not being evicted.
     pub(crate) fn advertises(&self, item: &Item) -> bool {
         self.advertised.contains(item) && self.contents.contains(item) && !self.is_evicting(item)
     }
@@ -254,7 +255,7 @@
         self.items().filter(|item| !item.is_model()).count()
     }
 
-    /// Whether an order may be given now, apart from verification.
+    /// Whether an order may be sent now; verification is checked separately.
     pub(crate) fn accepts_orders(&self, now: Duration) -> bool {
         self.ready && self.order.is_none() && now >= self.not_before
     }
--- a/crates/placement/src/eviction.rs
+++ b/crates/placement/src/eviction.rs
@@ -9,10 +9,10 @@
 use lanegate_config::mechanism::Mechanism;
 use std::sync::Arc;
 
-/// Cost of evicting a surplus replica, and for each request/s that it served.
+/// Cost of evicting a surplus replica, and the additional cost for each request/s that it served.
 const SURPLUS_COST: f64 = 0.02;
 
-/// An additional replica replaces a last one only if it gains this many times as much.
+/// An additional replica replaces the last replica of another model only if its gain is this many times the cost.
 const REPLACE_RATIO: f64 = 3.0;
 
 /// A replica that may be evicted.
@@ -70,7 +70,8 @@
         Some(Victim { model: resident.model.clone(), cost, freed_mb })
     }
 
-    /// Cost of waiting until the victim's running requests have ended: until then requests for this model miss.
+    /// Cost of waiting until the victim's running requests have ended: until then the desired replica serves
+    /// no requests.
     fn drain_cost(&self, view: &PlanningView, resident: &Resident) -> f64 {
         if !view.switched_off.leaves(Mechanism::DrainCost) {
             return 0.0;
--- a/crates/placement/src/guard.rs
+++ b/crates/placement/src/guard.rs
@@ -1,4 +1,4 @@
-//! The last check before an order is sent: whatever the planner believes, no order may exceed a limit of its endpoint.
+//! The last check before an order is sent: no order may exceed a limit of its endpoint, even if the planner has a bug.
 //!
 //! The guard keeps its own record of each endpoint, from reports, orders and answers alone. A record begins with a
 //! report of the idle endpoint and continues with the orders that it accepted. The endpoint executes one order at a
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Whether a report tells the contents, and what became of an unanswered order.
+    /// Whether a report shows the contents and the outcome of an unanswered order.
     fn is_resolved_by(&self, now: Duration, report: &EndpointReport) -> bool {
         let revision = self.known.as_ref().map_or(0, |known| known.revision);
         if report.busy || report.sequence < revision {
--- a/crates/placement/src/guard_test.rs
+++ b/crates/placement/src/guard_test.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const SENT: Duration = Duration::from_secs(10);
-/// From then on a report proves that an order sent at [`SENT`] never arrived.
+/// From this time on, a report proves that an order sent at [`SENT`] never arrived.
 const KNOWN_LOST_AT: Duration = Duration::from_millis(12_500);
 
 fn catalog() -> Catalog {
@@ -155,7 +155,7 @@
         let pending = Err(Violation::OrderPending(OrderId(1)));
         fixture.answer(OrderAnswer::Unknown);
         assert_eq!(fixture.order(operation, "m1", None, 0), pending);
-        // It may be older than the order's arrival.
+        // This report may be older than the arrival of the order.
         fixture.report(KNOWN_LOST_AT - Duration::from_millis(1), &report(&[("m1", &[])], false, 0));
         assert_eq!(fixture.order(operation, "m1", None, 0), pending);
         fixture.report(KNOWN_LOST_AT, &report(&[("m1", &[])], true, 1));
@@ -222,6 +222,6 @@
     let third = Catalog::new(&runtime(vec![model("m2", 40_000.0)]), &second);
     let size = |model: &str| third.size_mb(&crate::interface::Item::model(Arc::from(model)));
     assert_eq!((size("m1"), size("m2"), size("m3")), (90_000.0, 60_000.0, 10.0));
-    // It was never configured: it may fill the endpoint.
+    // `m4` was never configured, so it is assumed to fill the endpoint.
     assert_eq!(size("m4"), 220_000.0);
 }
--- a/crates/placement/src/in_flight.rs
+++ b/crates/placement/src/in_flight.rs
@@ -1,7 +1,7 @@
 //! An order that was sent to an endpoint and is not known to be done.
 //!
-//! An answer, a registration, a report or time ends it. Where none of the first two comes, the endpoint is polled for
-//! a report, with exponential backoff.
+//! An order ends by an answer, a registration, a report or a time-out. While neither an answer nor a registration ends
+//! it, the endpoint is polled for a report, with exponential backoff.
 
 use crate::interface::{Item, Operation, Order, OrderId};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 /// Delay from any other eviction to the first poll; longer than a heartbeat interval.
 const EVICT_TIMEOUT: Duration = Duration::from_millis(2_600);
 
-/// Delay beyond twice the expected time of a load to the first poll; longer than a heartbeat interval.
+/// A load is first polled for this long after twice its expected time; longer than a heartbeat interval.
 const LOAD_GRACE: Duration = Duration::from_millis(2_600);
 
 /// Time after which an unanswered order can no longer reach its endpoint: its connection is reset a second after it
@@ -51,7 +51,7 @@
     pub stage: OrderStage,
     /// Whether the load counts against the rate limit of the weight store.
     pub uses_store: bool,
-    /// Whether requests wait for what the order makes possible.
+    /// Whether requests wait for this load, or for the load that this eviction makes room for.
     pub urgent: bool,
     /// Rate of the item at the endpoint when the order was sent, requests/s.
     pub request_rate: f64,
@@ -113,7 +113,7 @@
         self.poll_at = Some(now.max(self.sent + IN_FLIGHT));
     }
 
-    /// Polls the endpoint at that time.
+    /// Schedules the next poll of the endpoint.
     pub(crate) fn poll_at(&mut self, at: Duration) {
         self.poll_at = Some(at);
     }
@@ -143,7 +143,7 @@
             && now >= self.sent + ADAPTER_LOAD_TIME
     }
 
-    /// When the order next needs attention.
+    /// When the order next has to be polled for or presumed done.
     pub(crate) fn next_wake(&self) -> Option<Duration> {
         let quick =
             self.stage == OrderStage::Accepted && self.operation == Operation::Load && !self.item.is_model();
--- a/crates/placement/src/interface.rs
+++ b/crates/placement/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes in and out of the placer: orders, answers and reports.
+//! The input and output types of the placer: orders, answers and reports.
 
 use lanegate_config::instance::ResidentModel;
 use serde::{Deserialize, Serialize};
@@ -73,7 +73,7 @@
     }
 }
 
-/// What the caller has to do.
+/// An action that the caller has to execute.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send this order, and pass its answer to `order_answered`.
@@ -124,7 +124,7 @@
     }
 }
 
-/// What an endpoint reports of itself when requested; it shows the endpoint some hundred ms earlier.
+/// The state of an endpoint, which it reports on request. The report is some hundred ms old when it arrives.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct EndpointReport {
@@ -157,13 +157,13 @@
     pub handles: u32,
 }
 
-/// A load that an endpoint has accepted, or may have accepted, and does not advertise yet.
+/// A load that an endpoint has or may have accepted, and that its registration does not list yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PendingLoad {
     /// Id of the incarnation.
     pub instance: Arc<str>,
-    /// What is loaded.
+    /// The model or adapter that is loaded.
     pub item: Item,
-    /// When the load should be done.
+    /// When the load is expected to be done.
     pub expected: Duration,
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,27 +1,33 @@
 //! Decides which endpoint of a service has which model and adapter resident.
 //!
 //! One [`Placer`] places the models of one service. It runs in the controller that holds the lease of the service's
-//! shard. The crate does no I/O: time and seed are passed in, and what is to be done comes out as [`Action`]s. The same
-//! inputs give the same actions, which `tests/digests.rs` pins for 240 random runs.
+//! shard. The crate does no I/O: the caller passes the time and a seed, and executes the [`Action`]s that the placer
+//! returns. The same inputs give the same actions; `tests/digests.rs` checks this for 240 random runs.
 //!
 //! # Invariants
 //!
 //! - An endpoint has at most one order in flight, and no order is sent to one that drains.
-//! - An order never exceeds the memory or the adapter limit of its endpoint, whatever is not known at that moment
-//!   (`endpoint`). The guard checks this once more, with records of its own, before an order is sent (`guard`).
+//! - No order exceeds the memory or the adapter limit of its endpoint, even while registrations or reports are delayed
+//!   (`endpoint`). Before an order is sent, `guard` checks this again from its own records.
 //! - Loads from the weight store stay below the rate limit, also over takeovers (`load_limiter`).
 //! - The last replica of a model that is in demand is not evicted.
 //!
 //! # Where to begin
 //!
-//! `placer` takes the inputs. `planning` turns demand and contents into orders: `planning_view` is what a round works
-//! on, `demand_table` and `replica_target` say how many replicas an item should have, `desired_replica` which models need
-//! one, `model_placement`, `eviction` and `adapter_placement` on which endpoint and in whose place. `order_completion` and `in_flight` follow an order to its end.
+//! `placer` takes the inputs. `planning` turns demand and contents into orders. Its parts are
+//!
+//! - `planning_view`: the state of the service in one planning round;
+//! - `demand_table` and `replica_target`: how many replicas an item should have;
+//! - `desired_replica`: which models need another replica;
+//! - `model_placement` and `adapter_placement`: the endpoint of a replica;
+//! - `eviction`: which models are evicted to free memory for it.
+//!
+//! `in_flight` tracks an order after it is sent, and `order_completion` ends it.
 //!
 //! # Tests
 //!
 //! `tests/any_order.rs` checks the invariants under random demand and faults, `tests/scenarios` holds scenarios as text
-//! files, and `tests/orders.rs` and `tests/delayed_reports.rs` play orders whose outcome is unknown.
+//! files, and `tests/orders.rs` and `tests/delayed_reports.rs` test orders whose outcome is unknown.
 
 mod adapter_placement;
 mod catalog;
--- a/crates/placement/src/load_limiter.rs
+++ b/crates/placement/src/load_limiter.rs
@@ -6,7 +6,7 @@
 /// Loads that the rate limit allows beyond the permitted rate with its overshoot.
 const BURST_ALLOWANCE: f64 = 3.0;
 
-/// Takeovers within one window that together stay below the rate limit.
+/// Number of takeovers within one window whose loads together stay below the rate limit.
 const TAKEOVERS: f64 = 2.0;
 
 /// Lowest concurrency limit.
@@ -22,7 +22,7 @@
     accepted_at: Option<Duration>,
 }
 
-/// A load that is probably still fetching.
+/// A load that is probably still reading from the weight store.
 #[derive(Debug)]
 struct ActiveLoad {
     order: OrderId,
@@ -63,7 +63,7 @@
         self.assumed_until
     }
 
-    /// Sets until when that is assumed.
+    /// Sets until when the loads of a predecessor are assumed to fill the window.
     pub(crate) fn assume_until(&mut self, until: Duration) {
         self.assumed_until = until;
     }
@@ -75,8 +75,8 @@
         self.concurrency = self.max_concurrency;
     }
 
-    /// Loads that may start now, leaving `reserve` of the window's for more urgent ones, and allowing `extra` beyond
-    /// the concurrency limit.
+    /// Number of loads that may start now. `reserve` loads of the window are kept for more urgent ones, and `extra`
+    /// loads may exceed the concurrency limit.
     pub(crate) fn available(&mut self, now: Duration, reserve: usize, extra: usize) -> usize {
         self.expire(now);
         let window = self.limit(now).saturating_sub(self.loads.len() + reserve);
@@ -93,7 +93,7 @@
         self.loads.len() as f64 / self.limit(now).max(1) as f64
     }
 
-    /// When the next load may start, if only time is needed for that.
+    /// When a load may next become possible without any other input.
     pub(crate) fn next_free(&self, now: Duration) -> Option<Duration> {
         let oldest = self.loads.iter().filter_map(|load| load.accepted_at).min();
         let assumed = (now < self.assumed_until).then_some(self.assumed_until);
@@ -102,13 +102,13 @@
         [assumed, window_free_at, load_ends_at].into_iter().flatten().filter(|at| *at > now).min()
     }
 
-    /// A load was ordered that should be done at `until`.
+    /// Records an ordered load that is expected to be done at `until`.
     pub(crate) fn start(&mut self, order: OrderId, until: Duration) {
         self.loads.push(WindowedLoad { order, accepted_at: None });
         self.active.push(ActiveLoad { order, until });
     }
 
-    /// The load was accepted no later than now.
+    /// Records that the load was accepted, at `now` at the latest.
     pub(crate) fn accepted(&mut self, order: OrderId, now: Duration) {
         if let Some(load) =
             self.loads.iter_mut().find(|load| load.order == order && load.accepted_at.is_none())
@@ -117,19 +117,19 @@
         }
     }
 
-    /// The load was not accepted and never will be.
+    /// Removes a load that was not accepted and never will be.
     pub(crate) fn cancel(&mut self, order: OrderId) {
         self.loads.retain(|load| load.order != order);
         self.active.retain(|load| load.order != order);
     }
 
-    /// The load is done, or its endpoint is gone.
+    /// Records that the load is done, or that its endpoint was removed.
     pub(crate) fn finish(&mut self, order: OrderId, now: Duration) {
         self.accepted(order, now);
         self.active.retain(|load| load.order != order);
     }
 
-    /// Adapts the concurrency limit: a load took at least `least`, where `expected` was expected.
+    /// Adapts the concurrency limit to a load that took at least `least` and usually takes `expected`.
     pub(crate) fn observe(&mut self, least: Duration, expected: Duration) {
         if least.as_secs_f64() > expected.as_secs_f64() * SLOW_LOAD {
             self.concurrency = (self.concurrency - 1.0).max(MIN_CONCURRENCY);
--- a/crates/placement/src/model_placement.rs
+++ b/crates/placement/src/model_placement.rs
@@ -9,10 +9,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Cost of an eviction before a load: an order and some time.
+/// Cost of an eviction before a load, which takes one more order and delays the load.
 const EVICTION_COST: f64 = 0.15;
 
-/// Cost of a load from the weight store beyond one from the endpoint's disk.
+/// Additional cost of a load from the weight store, compared with one from the endpoint's disk.
 const STORE_COST: f64 = 0.2;
 
 /// Cost of having all replicas in one zone.
@@ -80,7 +80,7 @@
     }
 }
 
-/// Expected time of a load, with an allowance for requests that run on the endpoint.
+/// Expected time of a load, with a margin for the slowdown by requests that run on the endpoint.
 pub(crate) fn expected_load_time(catalog: &Catalog, model: &str) -> Duration {
     catalog.load_time(model).mul_f64(1.2) + Duration::from_millis(100)
 }
--- a/crates/placement/src/order_completion.rs
+++ b/crates/placement/src/order_completion.rs
@@ -1,4 +1,4 @@
-//! How orders end: by an answer, a registration, a report, or time.
+//! How orders end: by an answer, a registration, a report, or a time-out.
 
 use crate::contents::Contents;
 use crate::endpoint::{Endpoint, Verification};
@@ -18,12 +18,12 @@
 /// Delay before a busy endpoint, or one whose report was outdated, is polled again.
 pub(crate) const REPORT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What a report tells about the contents.
+/// What a report shows about the contents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReportKind {
-    /// Nothing yet: it may be older than the order in flight, or that one is not done.
+    /// Nothing yet: the report may be older than the order in flight, or that order is not done.
     Inconclusive,
-    /// Older than an accepted order.
+    /// The report is older than an accepted order.
     Outdated,
     /// An order is being executed: the unanswered one, one that was presumed done, or one of another placer.
     Busy,
@@ -92,7 +92,7 @@
         };
         let Some(order) = endpoint.order.as_mut() else { return };
         if order.stage == OrderStage::Unacknowledged {
-            // Either the order was accepted or the registration is older. The revision in a report tells which.
+            // Either the order was accepted, or the registration predates it. The revision in a report shows which.
             order.poll_at(now);
             return;
         }
@@ -103,7 +103,7 @@
         self.complete_order(id, now);
     }
 
-    /// The order of an endpoint was executed.
+    /// Ends the order of an endpoint that was executed.
     pub(crate) fn complete_order(&mut self, id: &Arc<str>, now: Duration) {
         let order = self.endpoints.get_mut(id).and_then(|endpoint| endpoint.finish_order(now));
         if let Some(order) = order {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The order of an endpoint has ended, whatever came of it.
+    /// Updates the records after the order of an endpoint has ended, whatever its outcome.
     fn close_order(&mut self, id: &Arc<str>, order: &InFlightOrder, now: Duration) {
         order_log::closed(now, id, order);
         self.orders.remove(&order.id);
@@ -146,7 +146,7 @@
 }
 
 impl Endpoint {
-    /// Judges a report, which may be older than orders that were accepted since.
+    /// Classifies a report, which may predate orders that were accepted since.
     fn classify_report(&self, now: Duration, report: &EndpointReport) -> ReportKind {
         if report.sequence < self.min_revision {
             return ReportKind::Outdated;
@@ -160,13 +160,13 @@
             OrderStage::Accepted | OrderStage::Unacknowledged if is_counted && !report.busy => {
                 ReportKind::Idle
             }
-            // It was not accepted, and cannot arrive any more.
+            // The order was not accepted, and can no longer arrive.
             OrderStage::Unacknowledged if !report.busy && now >= order.known_lost_at() => ReportKind::Idle,
             OrderStage::Sent | OrderStage::Accepted | OrderStage::Unacknowledged => ReportKind::Inconclusive,
         }
     }
 
-    /// A report did not tell the contents: requests another if they have to be known.
+    /// Requests another report after one that did not show the contents, if these have to be known.
     fn request_again(&mut self, now: Duration, report: &EndpointReport) {
         if let Some(order) = self.order.as_mut() {
             if order.stage == OrderStage::Unacknowledged {
--- a/crates/placement/src/order_log.rs
+++ b/crates/placement/src/order_log.rs
@@ -1,4 +1,4 @@
-//! Log lines about orders: what was known of the endpoint when each was sent, and what became of it.
+//! Log lines about orders: the known state of the endpoint when each was sent, and the outcome.
 
 use crate::catalog::Catalog;
 use crate::contents::Resident;
@@ -18,7 +18,7 @@
     }
 }
 
-/// Memory and adapters that are counted at an endpoint, for the log.
+/// Used memory, adapters and contents of an endpoint as the placer knows them, for the log.
 pub(crate) struct EndpointState<'a> {
     pub endpoint: &'a Endpoint,
     pub catalog: &'a Catalog,
@@ -71,7 +71,7 @@
     Ok(())
 }
 
-/// An order is sent.
+/// Logs that an order is sent.
 pub(crate) fn sent(now: Duration, order: &Order, state: &EndpointState) {
     log::info!(
         "order sent time={:.3} order={} instance={} operation={:?} item={} if_revision={} {state}",
@@ -84,13 +84,13 @@
     );
 }
 
-/// An order was answered.
+/// Logs the answer to an order.
 pub(crate) fn answered(now: Duration, id: OrderId, instance: &str, answer: OrderAnswer) {
     let time = now.as_secs_f64();
     log::info!("order answered time={time:.3} order={} instance={instance} answer={answer:?}", id.0);
 }
 
-/// An order has ended.
+/// Logs the end of an order.
 pub(crate) fn closed(now: Duration, instance: &str, order: &InFlightOrder) {
     log::info!(
         "order closed time={:.3} order={} instance={instance} operation={:?} item={} stage={:?} sent={:.3}",
@@ -103,7 +103,7 @@
     );
 }
 
-/// An endpoint reported.
+/// Logs the report of an endpoint.
 pub(crate) fn reported(now: Duration, instance: &str, report: &EndpointReport) {
     log::info!(
         "report received time={:.3} instance={instance} busy={} revision={} models=[{}]",
@@ -114,7 +114,7 @@
     );
 }
 
-/// A registration changed what is known.
+/// Logs a registration that changed the known state of its endpoint.
 pub(crate) fn registered(now: Duration, instance: &Instance) {
     log::info!(
         "registration applied time={:.3} sequence={} instance={} address={} state={:?} models=[{}]",
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -92,8 +92,8 @@
         }
     }
 
-    /// The predecessor sent no orders for `idle` before this placer began: that much of the rate limit's window has
-    /// passed.
+    /// Shortens the time for which a predecessor's loads are assumed to fill the window of the rate limit: the
+    /// predecessor sent no orders for `idle` before this placer began.
     pub fn predecessor_idle(&mut self, idle: Duration) {
         self.load_limiter.assume_until(self.load_limiter.assumed_until().saturating_sub(idle));
     }
@@ -115,8 +115,8 @@
         if !self.endpoints.contains_key(instance.id.as_str()) {
             match self.removed_incarnations.sequence(&instance.id) {
                 Some(sequence) if instance.sequence <= sequence => return,
-                // It is still running, or this heartbeat was delayed: it is not known which incarnation has the
-                // address.
+                // This incarnation is still running, or its heartbeat was delayed. It is unknown which incarnation has
+                // the address, so the other one stays.
                 Some(_) => {}
                 None => self.replace(now, instance),
             }
@@ -133,14 +133,14 @@
         }
     }
 
-    /// A new incarnation at an address ends the previous one.
+    /// Removes the previous incarnation at the address of a new one.
     fn replace(&mut self, now: Duration, instance: &Instance) {
         let before = self.endpoints.values().find(|endpoint| endpoint.address == instance.address);
         let Some(id) = before.map(|endpoint| endpoint.id.clone()) else { return };
         self.forget_endpoint(now, &id);
     }
 
-    /// Removes an endpoint that is gone.
+    /// Removes an endpoint that is no longer registered.
     pub fn remove_endpoint(&mut self, now: Duration, id: &str) {
         self.now = now;
         if self.forget_endpoint(now, id) {
@@ -176,7 +176,7 @@
         self.demand.add(at, report, &self.backend, name);
     }
 
-    /// Plans at once, or as soon as the last round is long enough ago.
+    /// Plans now, or once [`MIN_PLAN_INTERVAL`] has passed since the last round.
     pub(crate) fn plan_soon(&mut self, now: Duration) {
         self.plan_after(now, MIN_PLAN_INTERVAL);
     }
@@ -251,23 +251,23 @@
         [order, backoff, verification].into_iter().flatten().filter(|at| *at > self.now).min()
     }
 
-    /// The item that an endpoint was ordered to evict and may still list: it refuses requests for it, and lists it
-    /// until its running requests have ended.
+    /// The item that an endpoint was ordered to evict. The endpoint refuses new requests for it, but lists it until the
+    /// running requests have ended.
     pub fn evicting(&self, instance: &str) -> Option<&Item> {
         self.endpoints.get(instance)?.evicting()
     }
 
-    /// Whether an endpoint has seen a higher fencing token: this placer sends no more orders.
+    /// Whether an endpoint has seen a higher fencing token. If so, this placer sends no more orders.
     pub fn fenced(&self) -> bool {
         self.fenced
     }
 
-    /// Orders that the guard blocked; none unless the planner is wrong.
+    /// Orders that the guard blocked; none unless the planner has a bug.
     pub fn violations(&self) -> InvariantViolations {
         self.guard.violations()
     }
 
-    /// Loads that were ordered and that no registration advertises yet.
+    /// Loads that were ordered and that no registration lists yet.
     pub fn pending_loads(&self) -> impl Iterator<Item = PendingLoad> + '_ {
         self.endpoints.values().filter_map(|endpoint| {
             let order = endpoint.order.as_ref().filter(|order| order.operation == Operation::Load)?;
@@ -277,7 +277,7 @@
     }
 }
 
-/// The shared string of a model's name, if the catalog has the model and the adapter.
+/// The interned name of a model, if the catalog has the model and the adapter.
 fn known_name(catalog: &Catalog, model: &str, adapter: Option<&str>) -> Option<Arc<str>> {
     let spec = catalog.get(model)?;
     let known = adapter.is_none_or(|adapter| catalog.has_adapter(model, adapter));
--- a/crates/placement/src/planning.rs
+++ b/crates/placement/src/planning.rs
@@ -1,4 +1,4 @@
-//! One planning round: from demand and contents to orders.
+//! One planning round: derives orders from demand and from the contents of the endpoints.
 
 use crate::adapter_placement::{AdapterPlanner, AdapterPriority, AdapterSite, DesiredAdapter};
 use crate::desired_replica::{DesiredReplica, Priority, desired_replica, desired_replicas};
@@ -19,7 +19,8 @@
 /// Urgent loads may exceed the concurrency limit by this many.
 const URGENT_EXTRA_LOADS: usize = 1;
 
-/// Models that may be requested again are loaded up to this fraction of the window.
+/// Models that are not in demand but may be requested again are loaded only while less than this fraction of the
+/// window is used.
 const RESTORE_FRACTION: f64 = 0.5;
 
 /// Expected time of an adapter load.
@@ -30,7 +31,7 @@
 struct Assignment {
     operation: Operation,
     item: Item,
-    /// Whether requests wait for what the order makes possible.
+    /// Whether requests wait for this load, or for the load that this eviction makes room for.
     urgent: bool,
     /// Rate of the item at the endpoint, requests/s; only for evictions of models.
     request_rate: f64,
@@ -43,7 +44,7 @@
 }
 
 impl Placer {
-    /// Plans all models and adapters, and sends the orders that follow.
+    /// Plans all models and adapters, and sends the resulting orders.
     pub(crate) fn plan(&mut self, now: Duration) {
         self.last_plan = Some(now);
         self.next_plan = None;
@@ -60,7 +61,7 @@
         self.place_adapters(&view);
     }
 
-    /// Continues where memory is being freed: loads once there is enough, evicts more until then.
+    /// Continues the reservations: loads the reserved model once enough memory is free, and evicts more until then.
     fn continue_reservations(&mut self, view: &mut PlanningView) {
         let now = view.now;
         let reservations: Vec<(Arc<str>, Arc<str>)> = self
--- a/crates/placement/src/planning_view.rs
+++ b/crates/placement/src/planning_view.rs
@@ -1,4 +1,5 @@
-//! What one planning round works on: demand, replicas and target of each model, and the endpoints that accept orders.
+//! The state that a planning round works on: demand, replicas and target of each model, and the endpoints that accept
+//! orders.
 
 use crate::catalog::Catalog;
 use crate::demand_table::DemandTable;
@@ -26,7 +27,7 @@
     pub replicas: usize,
     /// Endpoints that advertise it, so that requests are served there.
     pub serving: usize,
-    /// Of `replicas`, those in each zone.
+    /// Number of `replicas` in each zone.
     pub zones: BTreeMap<Arc<str>, usize>,
     /// Rate that is still expected, requests/s.
     pub expected_rate: f64,
@@ -77,7 +78,7 @@
     pub drain: DrainTimeEstimate,
     /// Mechanisms that are switched off.
     pub switched_off: SwitchedOff,
-    /// Whether demand was observed long enough to tell what is not in demand.
+    /// Whether demand was observed long enough to conclude that a model without requests is not in demand.
     pub demand_established: bool,
     pub models: BTreeMap<Arc<str>, ModelStatus>,
     /// Endpoints that accept orders at the start of the round.
@@ -89,7 +90,7 @@
 pub(crate) struct AvailableEndpoint {
     pub endpoint: Arc<str>,
     pub free_mb: f64,
-    /// Its work, as a multiple of an even share.
+    /// Its share of the work, as a multiple of an even share.
     pub load: f64,
 }
 
@@ -195,7 +196,7 @@
         }
     }
 
-    /// The status of a model; one that was not requested has no demand.
+    /// The status of a model; one without demand if it was not requested.
     pub(crate) fn status(&self, model: &str) -> ModelStatus {
         self.models.get(model).cloned().unwrap_or_default()
     }
--- a/crates/placement/src/planning_view_test.rs
+++ b/crates/placement/src/planning_view_test.rs
@@ -1,6 +1,6 @@
 use crate::planning_view::ModelStatus;
 
-/// A model with 20 requests a second, whose work would fill `endpoints_needed` endpoints.
+/// A model with 20 requests/s whose work fills `endpoints_needed` endpoints.
 fn status(endpoints_needed: f64) -> ModelStatus {
     ModelStatus { endpoints_needed, recent_rate: 20.0, ..ModelStatus::default() }
 }
--- a/crates/placement/src/removed_incarnations.rs
+++ b/crates/placement/src/removed_incarnations.rs
@@ -1,4 +1,4 @@
-//! Incarnations that were removed, so that a delayed heartbeat does not bring one back.
+//! Remembers the removed incarnations, so that a delayed heartbeat does not register one of them again.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
--- a/crates/placement/src/rendezvous.rs
+++ b/crates/placement/src/rendezvous.rs
@@ -2,7 +2,7 @@
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Largest cost that breaks a tie.
+/// Largest cost that is added to break a tie.
 const MAX_TIE_BREAKER: f64 = 0.01;
 
 /// A small cost that breaks ties, the same in every round.
--- a/crates/placement/src/replica_target.rs
+++ b/crates/placement/src/replica_target.rs
@@ -1,4 +1,4 @@
-//! Number of replicas that an item should have, from its part of the work.
+//! Number of replicas that an item should have, from its share of the work.
 
 use crate::demand_rate::{DemandRates, RateInterval};
 use std::time::Duration;
--- a/crates/placement/src/replica_target_test.rs
+++ b/crates/placement/src/replica_target_test.rs
@@ -110,7 +110,7 @@
     assert!(table.models.is_empty());
 }
 
-/// The report of the request itself may have been lost.
+/// The report that counted the request may have been lost; later reports only say that it still waits.
 #[test]
 fn waiting_requests_alone_make_a_model_urgent() {
     let now = Duration::from_secs(5);
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -4,12 +4,12 @@
 use lanegate_config::settings::Settings;
 use std::time::Duration;
 
-/// Whether another placer may have sent orders just before.
+/// Whether another placer may have sent orders shortly before this one starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Start {
     /// No orders were sent within the last window of the rate limit.
     First,
-    /// A predecessor may have used up the rate limit, and orders of it may be in flight.
+    /// A predecessor may have used up the rate limit, and its orders may still be in flight.
     Takeover,
 }
 
--- a/crates/placement/src/violation.rs
+++ b/crates/placement/src/violation.rs
@@ -1,4 +1,4 @@
-//! Limits that orders would have exceeded, and counters of them.
+//! The limits that blocked orders would have exceeded, with a counter of each.
 
 use crate::interface::OrderId;
 use std::ops::AddAssign;
@@ -7,7 +7,7 @@
 /// A limit that an order would have exceeded.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum Violation {
-    /// No report has told the contents, or they are no longer known.
+    /// No report has shown the contents yet, or they have become unknown.
     #[error("the contents of the endpoint are unknown")]
     UnknownContents,
     /// An earlier order may have been accepted, and no report has resolved it.
@@ -39,7 +39,7 @@
     },
 }
 
-/// Orders that were blocked, by what they would have exceeded. All are zero unless the planner is wrong.
+/// Counts of blocked orders by the limit that they would have exceeded. All are zero unless the planner has a bug.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct InvariantViolations {
     unknown_contents: u64,
@@ -75,7 +75,7 @@
         self.exceeds_adapter_limit
     }
 
-    /// All of them.
+    /// Blocked orders of all kinds.
     pub fn total(&self) -> u64 {
         self.unknown_contents
             + self.order_pending
