--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -1,5 +1,5 @@
-//! Fair-EDF admission control: the queued requests, one timeline for each endpoint, and which request yields when a
-//! timeline is overdue.
+//! Fair-EDF admission control: the queued requests, one timeline for each endpoint, and which request is refused or
+//! postponed when a timeline is overdue.
 
 use crate::endpoints::EndpointKey;
 use crate::interface::RequestId;
@@ -99,8 +99,8 @@
         class.map_or_else(|| MissRatios::new(1).ratio(0), |ratios| ratios.ratio(0))
     }
 
-    /// The request that yields: of the class with the lowest miss ratio the one with the longest occupancy; ties go to the
-    /// latest due time.
+    /// The request to refuse or postpone: the one with the longest occupancy in the class with the lowest miss ratio. Ties
+    /// go to the latest due time. Without `by_class`, all requests are compared as one class.
     pub fn victim<'a>(&self, overdue: &'a [Overdue], by_class: bool) -> Option<&'a Overdue> {
         let ratio = |queued: &Overdue| if by_class { self.miss_ratio(&queued.route) } else { 0.0 };
         overdue.iter().min_by(|one, other| {
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget. All routers share it without communicating: each one keeps to its part.
+//! The retry budget. All routers share it without communicating: each one uses only its own share.
 //!
 //! The bound over all routers is a ratio of the requests of a window plus a slack. A router retries no more than the
 //! ratio of its own requests, plus an equal part of half of the slack. The other half covers routers that were
@@ -8,16 +8,17 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Part of the ratio that a router uses. The rest is a margin: windows of routers and of an observer are not aligned.
+/// Fraction of the ratio that a router uses. The rest is a margin, as the windows of routers and of an observer are not
+/// aligned.
 const RATIO_SAFETY_FACTOR: f64 = 0.75;
 
-/// Part of the slack that is divided among the routers.
+/// Fraction of the slack that is divided among the routers.
 const SLACK_FRACTION: f64 = 0.5;
 
 /// The configured bounds of the budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetBounds {
-    /// Retries of all routers as a part of the requests of a window.
+    /// Retries of all routers as a fraction of the requests of a window.
     pub ratio: f64,
     /// Length of the sliding window.
     pub window: Duration,
--- a/crates/dispatch/src/client_timeout.rs
+++ b/crates/dispatch/src/client_timeout.rs
@@ -11,8 +11,8 @@
 const LATENCY_TARGET_FACTOR: u32 = 4;
 const EVENT_GAP_FACTOR: u32 = 8;
 
-/// An answer is due this long before the time-out of the client: the client sent the request before the router received
-/// it, and the answer still has to travel back.
+/// An answer is due this long before the time-out of the client, to allow for the transmission of the request and of the
+/// answer.
 const ANSWER_MARGIN: Duration = Duration::from_millis(50);
 
 /// The largest allowed gap between events, for each route that configures one.
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Starts the shutdown. Requests that may not be answered completely by `end` are refused unless they may have run. No
-    /// stream is started from now on, because nothing bounds its duration.
+    /// Starts the shutdown. Requests that might not be answered completely by `end` are refused, unless they may have
+    /// run. No stream is started from now on, because its duration is unbounded.
     pub fn begin_shutdown(&mut self, now: Duration, end: Duration) {
         self.detect_stall(now);
         self.shutdown_end = Some(end);
@@ -91,7 +91,7 @@
         self.fleet.uses(mechanism)
     }
 
-    /// The figures at `now`. Takes time proportional to the number of requests and endpoints.
+    /// The metrics at `now`. Takes time proportional to the number of requests and endpoints.
     pub fn summary(&self, now: Duration) -> DispatchSummary {
         let queued = self.requests.values().filter(|pending| pending.queue_entry().is_some());
         DispatchSummary {
--- a/crates/dispatch/src/dispatcher/admission_control.rs
+++ b/crates/dispatch/src/dispatcher/admission_control.rs
@@ -1,4 +1,4 @@
-//! Admission control: which request yields when the timeline of an endpoint is overdue.
+//! Admission control: which request is refused or postponed when the timeline of an endpoint is overdue.
 
 use super::Dispatcher;
 use crate::admission::Overdue;
@@ -45,8 +45,8 @@
         self.may_refuse_early(now, entry.request) || entry.due < self.postponed_due(entry)
     }
 
-    /// Whether a request may be refused early: soon after its arrival, before its first attempt, and while the service has
-    /// no slots to spare.
+    /// Whether a request may be refused early: soon after its arrival, before its first attempt, and while the service is
+    /// near its capacity.
     fn may_refuse_early(&self, now: Duration, id: RequestId) -> bool {
         let pending = &self.requests[&id];
         let unsent = pending.attempts == 0 && now <= pending.early_refusal_end();
--- a/crates/dispatch/src/dispatcher/answer_deadline.rs
+++ b/crates/dispatch/src/dispatcher/answer_deadline.rs
@@ -10,7 +10,7 @@
 /// Shortest margin before the deadline at which a request that cannot be served is answered.
 const MIN_ANSWER_MARGIN: Duration = Duration::from_millis(5);
 
-/// The margin is at most this part of the time that the request has.
+/// The margin is at most the time from the arrival of the request to its end, divided by this.
 const ANSWER_MARGIN_DIVISOR: u32 = 4;
 
 /// During shutdown an answer is assumed to take this factor times its expected duration, plus a margin.
--- a/crates/dispatch/src/dispatcher/assignment.rs
+++ b/crates/dispatch/src/dispatcher/assignment.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Queued requests that are examined when a slot becomes free.
+/// Maximum number of queued requests that are examined when a slot becomes free.
 const MAX_SCANNED: usize = 64;
 
 /// The examination ends after this many requests that stay queued: one slot takes one request.
@@ -148,8 +148,9 @@
         }
     }
 
-    /// Whether no endpoint will serve it: it was sent to as many as its route allows, and none of these can serve it now. A
-    /// model that one of them has evicted is loaded elsewhere, if at all.
+    /// Whether no endpoint can serve the request any more: it was sent to as many as its route allows, and none of these
+    /// can serve it now. An endpoint that has evicted the model counts as one that cannot, because the model is likely to
+    /// be loaded on another one, if at all.
     fn has_exhausted_attempts(&self, id: RequestId) -> bool {
         let pending = &self.requests[&id];
         let ends_early = self.fleet.uses(Mechanism::ExhaustedAttempt);
@@ -164,7 +165,7 @@
     }
 
     /// When the client should send a new request, which may go to any endpoint: at once if one has loaded what it needs,
-    /// otherwise after the load that this requests.
+    /// otherwise after the load that this call requests.
     fn client_retry_delay(&mut self, now: Duration, id: RequestId) -> Duration {
         let pending = &self.requests[&id];
         let Some(artifact) =
--- a/crates/dispatch/src/dispatcher/attempt_end.rs
+++ b/crates/dispatch/src/dispatcher/attempt_end.rs
@@ -6,14 +6,14 @@
 use crate::pending_request::{Attempt, Phase, QueueEntry};
 use std::time::Duration;
 
-/// A full endpoint gets no requests for the time in which a slot becomes free, within these bounds.
+/// Bounds of the backoff after an endpoint was full, which is the expected time until a slot becomes free.
 const MIN_FULL_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_FULL_BACKOFF: Duration = Duration::from_millis(250);
 
 /// Backoff after a connection failed.
 const CONNECT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Backoff for one model at an endpoint that rejects it although it has free slots: an order is in progress there.
+/// Backoff for one model at an endpoint that rejects it although it has free slots: a load or an eviction is in progress.
 const REJECTED_ARTIFACT_BACKOFF: Duration = Duration::from_millis(300);
 
 /// Status of an answer by another instance, or by an engine that has not loaded the model.
@@ -142,7 +142,7 @@
 }
 
 impl Rejection {
-    /// Whether the endpoint reported free slots all the same.
+    /// Whether the endpoint reported free slots although it rejected the request.
     fn has_free_slots(&self) -> bool {
         self.load.is_some_and(|load| load.running < load.slots && load.waiting == 0)
     }
--- a/crates/dispatch/src/dispatcher/request_end.rs
+++ b/crates/dispatch/src/dispatcher/request_end.rs
@@ -6,7 +6,7 @@
 use crate::units::nanoseconds;
 use std::time::Duration;
 
-/// `Retry-After` is at most this part of the time until the deadline.
+/// `Retry-After` is at most the time until the deadline, divided by this.
 const RETRY_AFTER_DIVISOR: u32 = 3;
 
 /// Shortest `Retry-After`.
--- a/crates/dispatch/src/dispatcher/stall.rs
+++ b/crates/dispatch/src/dispatcher/stall.rs
@@ -1,4 +1,4 @@
-//! Stalls of the process, after which measured times mean nothing and input has queued up.
+//! Stalls of the process. After a stall, measured times are invalid and input has queued up.
 
 use super::Dispatcher;
 use crate::pending_request::Attempt;
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Whether the process was stalled during an attempt, so that its times mean nothing.
+    /// Whether the process was stalled during an attempt, so that its measured times are invalid.
     pub(super) fn spans_stall(&self, attempt: &Attempt) -> bool {
         attempt.sent < self.last_stall
     }
--- a/crates/dispatch/src/dispatcher/timers.rs
+++ b/crates/dispatch/src/dispatcher/timers.rs
@@ -1,4 +1,5 @@
-//! Timers: the end of the queueing time, the last attempt in time, the response time-out and the deadline.
+//! Timers: the end of the queueing time, the latest attempt that can meet the latency target, the response time-out and
+//! the deadline.
 
 use super::Dispatcher;
 use crate::candidate::Candidate;
@@ -8,11 +9,11 @@
 use lanegate_config::mechanism::Mechanism;
 use std::time::Duration;
 
-/// The load by other routers changes unnoticed unless a request of this router is in flight there: interval of the
-/// checks in that case.
+/// Interval at which a queued request is examined while this router has no request in flight at its endpoint. Only
+/// answers report the load by other routers, so a change of that load would go unnoticed.
 const IDLE_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The last attempt in time leaves at least this part of the latency target for the answer.
+/// The latest attempt leaves at least the latency target, divided by this, for the answer.
 const ANSWER_RESERVE_DIVISOR: u32 = 10;
 
 impl Dispatcher {
--- a/crates/dispatch/src/endpoint_selection.rs
+++ b/crates/dispatch/src/endpoint_selection.rs
@@ -1,4 +1,4 @@
-//! Endpoint selection: the eligible endpoints in order of their cost, and what happens to a request given these.
+//! Endpoint selection: orders the eligible endpoints by cost, and decides whether a request is sent or queued.
 
 use crate::candidate::Candidate;
 use crate::endpoints::{Endpoint, EndpointKey};
@@ -11,8 +11,9 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// Costs that differ by less than this (relative to the lowest cost, and at least in s) are tied. Ties go to the
-/// highest rendezvous rank, and without a rank to the endpoint that was used least recently.
+/// Candidates tie if their cost exceeds the lowest cost by at most the larger of these: a fraction of the lowest cost,
+/// and a time in s. Ties go to the highest rendezvous rank, and without a rank to the endpoint that was used least
+/// recently.
 const TIE_RELATIVE_TOLERANCE: f64 = 0.1;
 const TIE_ABSOLUTE_TOLERANCE_S: f64 = 0.001;
 
--- a/crates/dispatch/src/engine_priority.rs
+++ b/crates/dispatch/src/engine_priority.rs
@@ -1,8 +1,9 @@
 //! The priority that an engine gets with a request: prompts with a short prefill go first.
 //!
-//! An engine prefills prompts in the order of their priority. A short prompt behind a long one of another router waits
-//! for most of a second; ahead of it, it delays the long one by some ms. So the number (0 first) grows with the ratio of
-//! the prefill time to the time until the latency target. Within a level the priority of the route decides.
+//! An engine prefills prompts in the order of their priority. A short prompt that is prefilled after a long one of
+//! another router waits for most of a second; prefilled before it, it delays the long one by some ms only. The priority
+//! number (0 first) therefore grows with the ratio of the prefill time to the time until the latency target. Requests
+//! of the same level are ordered by the priority of their routes.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 /// Bounds between the levels: prefill time as a part of the time until the target.
 const URGENCY_BOUNDS: [f64; 4] = [1.0 / 16.0, 1.0 / 8.0, 1.0 / 4.0, 1.0 / 2.0];
 
-/// Priorities within a level: the highest route first, then all others.
+/// Priorities within a level: routes with the highest priority first, then all others.
 const PRIORITIES_PER_LEVEL: u8 = 2;
 
 /// The priority (0 first, 9 last) of a request by its route alone.
--- a/crates/dispatch/src/estimate.rs
+++ b/crates/dispatch/src/estimate.rs
@@ -122,7 +122,7 @@
 }
 
 impl LatencyRatio {
-    /// Weight of a new sample: a few answers are enough.
+    /// Weight of a new sample, so that the mean follows a change within a few answers.
     const GAIN: f64 = 0.2;
     /// Range of a sample, so that a single outlier does not keep all requests away.
     const RANGE: (f64, f64) = (0.25, 6.0);
--- a/crates/dispatch/src/fleet.rs
+++ b/crates/dispatch/src/fleet.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Relative jitter of the ejection backoff, so that routers do not return at the same time.
+/// Relative jitter of the ejection backoff, so that routers do not send their trials at the same time.
 const JITTER: f64 = 0.2;
 
 /// The endpoints and services, and what was learned about them.
--- a/crates/dispatch/src/health.rs
+++ b/crates/dispatch/src/health.rs
@@ -5,7 +5,7 @@
 
 /// Backoff after the first time-out. Longer than a short outage, because a trial during the outage may be lost.
 const TIMEOUT_BACKOFF: Duration = Duration::from_millis(2_500);
-/// Backoff after a first failure that shows at once; most of these are transient.
+/// Backoff after a first failure that is detected at once, unlike a time-out; most of these are transient.
 const FAILURE_BACKOFF: Duration = Duration::from_millis(300);
 /// Longest backoff between two trials.
 const MAX_BACKOFF: Duration = Duration::from_secs(8);
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Records that the endpoint sent something, which ends a time-out. After a first time-out the endpoint was only slow
-    /// and is healthy again; later it returns with a slow start.
+    /// Records that the endpoint sent something, which ends a time-out. After a single time-out the endpoint was only
+    /// slow and is healthy again; after several failures it returns with a slow start.
     pub fn record_activity(&mut self, now: Duration) {
         self.last_activity = now;
         if let State::Ejected { timed_out: true, .. } = self.state {
@@ -143,7 +143,7 @@
     }
 
     /// Records a failure. If `may_eject`, the endpoint is ejected for a backoff that is multiplied by `jitter` (around 1),
-    /// so that routers do not return at the same time.
+    /// so that routers do not send their trials at the same time.
     pub fn record_failure(&mut self, now: Duration, failure: Failure, may_eject: bool, jitter: f64) {
         self.consecutive_failures += 1;
         if failure == Failure::ErrorResponse
--- a/crates/dispatch/src/interface.rs
+++ b/crates/dispatch/src/interface.rs
@@ -1,4 +1,4 @@
-//! The types between the dispatcher and the I/O code. Times are on the monotonic clock of the process, as the
+//! The types that the dispatcher and the I/O code exchange. Times are on the monotonic clock of the process, as the
 //! duration since its start.
 
 use lanegate_config::configuration::RouteType;
@@ -54,7 +54,7 @@
     pub prefix: Vec<PromptPart>,
 }
 
-/// A part of a prompt. Requests may share it.
+/// A part of a prompt, which other prompts may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
     /// Id of the content.
@@ -63,14 +63,14 @@
     pub tokens: u32,
 }
 
-/// What the I/O code has to do.
+/// A decision that the I/O code has to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
     /// Send the request to this endpoint, with `Expect-Instance` and, for engines, `Priority`.
     Send {
         /// The request.
         request: RequestId,
-        /// Number of the attempt, from 1. Reports repeat it, so that late reports are recognised.
+        /// Number of the attempt, from 1. Reports repeat it, so that late reports about earlier attempts are recognised.
         attempt: u32,
         /// Id of the endpoint.
         instance: Arc<str>,
@@ -136,7 +136,7 @@
 pub enum AttemptEnd {
     /// The complete answer was forwarded, with any status that means that the request ran.
     Answered {
-        /// Whether the status is one of success.
+        /// Whether the status indicates success.
         success: bool,
         /// The load that the answer reports.
         load: Option<InstanceLoad>,
--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -38,7 +38,8 @@
     pub health: Health,
     /// Nothing is sent before this time: the endpoint was full, or a connection failed.
     pub backoff_until: Duration,
-    /// A model or adapter that the endpoint rejects although it has free slots, and until when: an order is in progress.
+    /// A model or adapter that the endpoint rejects although it has free slots, and until when: a load or an eviction is in
+    /// progress.
     pub rejected_artifact: Option<(Artifact, Duration)>,
     /// When the first byte is expected, for each request in flight that has none yet.
     expected_first_byte: Vec<Duration>,
--- a/crates/dispatch/src/pending_request.rs
+++ b/crates/dispatch/src/pending_request.rs
@@ -10,8 +10,8 @@
 use lanegate_config::configuration::RouteType;
 use std::time::Duration;
 
-/// A refusal within this part of the latency target is early: the client can still be served elsewhere in time. A later
-/// one only adds to the delay.
+/// A refusal is early within the latency target divided by this: the client can still be served elsewhere in time. A
+/// later refusal only adds to the delay.
 const EARLY_REFUSAL_DIVISOR: u32 = 4;
 
 /// A request that has not ended.
@@ -29,7 +29,7 @@
     pub attempted_endpoints: Vec<EndpointKey>,
     /// Endpoints to which it is not sent again.
     pub excluded_endpoints: Vec<EndpointKey>,
-    /// Attempts of which the endpoint may have received something.
+    /// Attempts whose endpoint may have received part of the request.
     pub deliveries: u32,
     /// Whether an earlier attempt may have run.
     pub may_have_run: bool,
--- a/crates/dispatch/src/scoring.rs
+++ b/crates/dispatch/src/scoring.rs
@@ -34,7 +34,7 @@
 /// Part of the KV cache of an engine that requests may fill; the rest is for the growth of their outputs.
 const USABLE_MEMORY_FRACTION: f64 = 0.9;
 
-/// What the costs of the candidates of one request depend on.
+/// The inputs from which the costs of the candidates of one request are calculated.
 pub(crate) struct ScoringContext<'a> {
     pub(crate) fleet: &'a Fleet,
     pub(crate) service: &'a Service,
@@ -131,7 +131,7 @@
         excess * self.service.service_time.seconds() / slots
     }
 
-    /// What the requests that already run there add, s.
+    /// Cost of the requests that already run there, which slow the answer down, s.
     fn batch_cost_s(&self, endpoint: &Endpoint, load: &EndpointLoad) -> f64 {
         if !self.fleet.uses(Mechanism::BatchCost) {
             return 0.0;
@@ -141,7 +141,7 @@
         weight * utilization * self.service.service_time.seconds()
     }
 
-    /// What the running streams lose while the engine prefills the prompt between their tokens, s.
+    /// Cost of the delay of the running streams while the engine prefills the prompt between their tokens, s.
     fn stall_cost_s(&self, load: &EndpointLoad, prefill_tokens: u64) -> f64 {
         match self.service.engine {
             Some(_) if self.fleet.uses(Mechanism::StallCost) => {
@@ -172,8 +172,8 @@
         by_health && self.has_free_slot(endpoint, load) && self.has_memory(load)
     }
 
-    /// Whether the concurrency limit leaves a slot. An equal part of the limit is always open to this router, the rest
-    /// while the endpoint has free slots.
+    /// Whether the concurrency limit leaves a slot. This router may always use an equal share of the limit, and the
+    /// rest while the endpoint has free slots.
     fn has_free_slot(&self, endpoint: &Endpoint, load: &EndpointLoad) -> bool {
         let cap = load.recent.cap(endpoint.capacity as usize) as u32;
         let fair_share = cap.div_ceil(self.fleet.routers());
--- a/crates/dispatch/src/service.rs
+++ b/crates/dispatch/src/service.rs
@@ -1,4 +1,5 @@
-//! The state of one service: its engines, its service times, its retry budget and the models that are not loaded.
+//! The state of one service: its engines, its service times, its retry budget and the requested models that no endpoint
+//! has loaded.
 
 use crate::budget::RetryBudget;
 use crate::estimate::{FirstByteRegression, HitRate};
@@ -18,14 +19,14 @@
 /// Prefilled tokens of a request, as a mean over requests.
 const PREFILL_TOKENS: Smoothing = Smoothing { initial: 0.0, gain: 0.05 };
 
-/// Time from the first request for a missing model to the start of its load: a guess that is used until the first
-/// load has been observed.
+/// Estimated time from the first request for a missing model to the start of its load, used until the first load has
+/// been observed.
 const LOAD_REACTION_TIME: Duration = Duration::from_millis(1_000);
 
-/// Weight of an observed wait for a model.
+/// Wait for a missing model until it is loaded, as a mean over observed loads, s.
 const LOAD_WAIT: Smoothing = Smoothing { initial: 0.0, gain: 0.3 };
 
-/// A missing model that was not requested for this long is no longer expected.
+/// A missing model that was not requested for this long is no longer expected to be loaded.
 const MISSING_EXPIRY: Duration = Duration::from_secs(10);
 
 /// Number of missing models and adapters at which expired ones are removed.
@@ -197,7 +198,7 @@
     }
 }
 
-/// Whether it was not requested for so long that a load now says nothing about the duration of loads.
+/// Whether the last request is so long ago that a load now is no sample of the wait for a model.
 fn is_expired(missing: &MissingArtifact, now: Duration) -> bool {
     now.saturating_sub(missing.last) > MISSING_EXPIRY
 }
--- a/crates/dispatch/src/summary.rs
+++ b/crates/dispatch/src/summary.rs
@@ -1,6 +1,6 @@
-//! Figures of the dispatcher for operators.
+//! Metrics of the dispatcher for operators.
 
-/// The figures at one point in time.
+/// The metrics at one point in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DispatchSummary {
     /// Requests without an attempt in flight.
--- a/crates/fair-edf/src/concurrency_limit.rs
+++ b/crates/fair-edf/src/concurrency_limit.rs
@@ -5,7 +5,7 @@
 /// Fraction of the slots that one caller takes, and the fraction while the endpoint is degraded.
 const FRACTION: f64 = 0.75;
 const DEGRADED_FRACTION: f64 = 0.5;
-/// Most and fewest recent calls that decide about degradation: more than are likely to fail by chance.
+/// Most and fewest recent calls that show a degradation: more than are likely to fail by chance.
 const MAX_RECENT_CALLS: usize = 12;
 const MIN_RECENT_CALLS: usize = MAX_RECENT_CALLS / 3;
 /// A call is slow if it takes more than this factor times the usual time.
--- a/crates/fair-edf/src/miss_ratio.rs
+++ b/crates/fair-edf/src/miss_ratio.rs
@@ -1,4 +1,4 @@
-//! The miss ratio of each class, with exponential decay. The class with the lowest ratio yields.
+//! Miss ratios by class, with exponential decay. On overload the class with the lowest ratio loses a request.
 
 use crate::Ns;
 
--- a/crates/fair-edf/tests/timeline.rs
+++ b/crates/fair-edf/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The timelines against exhaustive search: all orders, all subsets.
+//! Compares the timelines with an exhaustive search over all orders and all subsets of requests.
 
 use fair_edf::{Timeline, VariableTimeline};
 use proptest::collection::vec;
@@ -34,7 +34,7 @@
         .unwrap_or(0)
 }
 
-/// The segments by definition: from the last deadline back, each request starts as late as possible.
+/// The segments by their definition: from the last due time back, each request starts as late as possible.
 fn latest_segments(requests: &[Request]) -> Vec<(i64, i64)> {
     let mut by_deadline = requests.to_vec();
     by_deadline.sort_unstable();
@@ -221,7 +221,7 @@
         assert_eq!(dues.len() - dropped, most_served(&uniform(&dues), 0), "{dues:?}");
         infeasible += usize::from(dropped > 0);
     }
-    assert!(infeasible > 100, "only {infeasible} of the charts were infeasible");
+    assert!(infeasible > 100, "only {infeasible} of the timelines were infeasible");
 }
 
 #[test]
