--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -67,9 +67,9 @@
     }
 
     /// At most `most` queued requests of a service, in order of their due time.
-    pub fn by_deadline(&self, backend: &str, most: usize) -> Vec<RequestId> {
+    pub fn by_deadline(&self, backend: &str, limit: usize) -> Vec<RequestId> {
         let queued = self.queued.get(backend).into_iter().flatten();
-        queued.take(most).map(|&(_, request)| request).collect()
+        queued.take(limit).map(|&(_, request)| request).collect()
     }
 
     /// Time until the last slot on the timeline of an endpoint ends, ns.
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -67,9 +67,9 @@
     /// Retries that the window that ends now may contain.
     fn allowance(&self, now: Duration, bounds: &BudgetBounds, live: Option<u32>) -> f64 {
         let requests = count_within(&self.requests, now, bounds.window);
-        let of_ratio = bounds.ratio * RATIO_SAFETY_FACTOR * requests as f64;
-        let of_slack = live.map_or(0.0, |live| bounds.slack * SLACK_FRACTION / f64::from(live.max(1)));
-        of_ratio + of_slack
+        let ratio_allowance = bounds.ratio * RATIO_SAFETY_FACTOR * requests as f64;
+        let slack_allowance = live.map_or(0.0, |live| bounds.slack * SLACK_FRACTION / f64::from(live.max(1)));
+        ratio_allowance + slack_allowance
     }
 
     /// Retries since the start of the process.
@@ -87,7 +87,7 @@
     /// When the oldest retry leaves the window; `None` if the window contains no retry.
     pub fn next_expiry(&self, now: Duration, bounds: &BudgetBounds) -> Option<Duration> {
         let counted = self.retries.iter().map(|&at| at + bounds.window);
-        counted.into_iter().find(|&leaves| leaves > now)
+        counted.into_iter().find(|&expiry| expiry > now)
     }
 }
 
@@ -96,6 +96,6 @@
 }
 
 fn expire_before(times: &mut VecDeque<Duration>, now: Duration, window: Duration) {
-    let old = times.partition_point(|&at| at + window <= now);
-    times.drain(..old);
+    let expired = times.partition_point(|&at| at + window <= now);
+    times.drain(..expired);
 }
--- a/crates/dispatch/src/client_timeout.rs
+++ b/crates/dispatch/src/client_timeout.rs
@@ -38,9 +38,9 @@
             return request.deadline;
         }
         let event_gap = self.event_gaps.get(request.route.as_ref()).copied().unwrap_or_default();
-        let waits = MIN_TIMEOUT
+        let timeout = MIN_TIMEOUT
             .max(pending.latency_target() * LATENCY_TARGET_FACTOR)
             .max(event_gap * EVENT_GAP_FACTOR);
-        request.deadline.min((request.arrived + waits).saturating_sub(ANSWER_MARGIN))
+        request.deadline.min((request.arrived + timeout).saturating_sub(ANSWER_MARGIN))
     }
 }
--- a/crates/dispatch/src/endpoint_selection.rs
+++ b/crates/dispatch/src/endpoint_selection.rs
@@ -55,9 +55,9 @@
     let Some(least) = candidates.first().map(|first| first.cost_s) else {
         return;
     };
-    let equal_s = (least * TIE_RELATIVE_TOLERANCE).max(TIE_ABSOLUTE_TOLERANCE_S);
-    let equals = candidates.partition_point(|candidate| candidate.cost_s <= least + equal_s);
-    candidates[..equals].sort_by(compare_ties);
+    let tolerance_s = (least * TIE_RELATIVE_TOLERANCE).max(TIE_ABSOLUTE_TOLERANCE_S);
+    let tied = candidates.partition_point(|candidate| candidate.cost_s <= least + tolerance_s);
+    candidates[..tied].sort_by(compare_ties);
 }
 
 fn compare_ties(one: &Candidate, other: &Candidate) -> Ordering {
--- a/crates/dispatch/src/endpoints.rs
+++ b/crates/dispatch/src/endpoints.rs
@@ -56,17 +56,18 @@
 
     /// Applies a newer registration of the same incarnation. An endpoint that drains never becomes ready again.
     fn update(&mut self, now: Duration, instance: &Instance) -> TableChange {
-        let drains = self.state == InstanceState::Draining || instance.state == InstanceState::Draining;
-        let state = if drains { InstanceState::Draining } else { InstanceState::Ready };
+        let is_draining = self.state == InstanceState::Draining || instance.state == InstanceState::Draining;
+        let state = if is_draining { InstanceState::Draining } else { InstanceState::Ready };
         let was_replaced = self.replaced_at;
         self.replaced_at = was_replaced.filter(|&at| instance.sequence < at + REVIVAL_HEARTBEATS);
-        let same = self.state == state && self.models == instance.models && self.replaced_at == was_replaced;
+        let is_unchanged =
+            self.state == state && self.models == instance.models && self.replaced_at == was_replaced;
         self.sequence = instance.sequence;
         self.state = state;
         self.address = instance.address;
         self.capacity = instance.capacity.max(1);
         self.warm_at = now + milliseconds(instance.warmup_remaining_ms);
-        if same {
+        if is_unchanged {
             return TableChange::Unchanged;
         }
         self.models.clone_from(&instance.models);
--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -75,13 +75,13 @@
     /// excess of the most overdue request.
     pub fn excess_delay_s(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.excess_delay.at).as_secs_f64();
-        let of_past = self.excess_delay.seconds * (-age / REPORT_DECAY_S).exp();
+        let past_excess_s = self.excess_delay.seconds * (-age / REPORT_DECAY_S).exp();
         let overdue = self
             .expected_first_byte
             .iter()
             .min()
             .map_or(Duration::ZERO, |&expected| now.saturating_sub(expected));
-        of_past.max(overdue.as_secs_f64())
+        past_excess_s.max(overdue.as_secs_f64())
     }
 
     /// Estimated requests of other routers there.
@@ -101,8 +101,8 @@
 
     /// Until when the endpoint rejects the model or adapter, if it does.
     pub fn rejects_until(&self, artifact: Option<&Artifact>) -> Option<Duration> {
-        let (refused, until) = self.rejected_artifact.as_ref()?;
-        (Some(refused) == artifact).then_some(*until)
+        let (rejected, until) = self.rejected_artifact.as_ref()?;
+        (Some(rejected) == artifact).then_some(*until)
     }
 
     fn decay(&self, now: Duration) -> f64 {
--- a/crates/dispatch/src/pending_request.rs
+++ b/crates/dispatch/src/pending_request.rs
@@ -160,9 +160,9 @@
 
     /// Whether the attempt limit and earlier failures allow an attempt at this endpoint.
     pub fn may_attempt_on(&self, key: EndpointKey) -> bool {
-        let known = self.attempted_endpoints.contains(&key);
+        let was_attempted = self.attempted_endpoints.contains(&key);
         let is_below_limit = self.attempted_endpoints.len() < self.max_attempts();
-        (known || is_below_limit) && !self.excluded_endpoints.contains(&key)
+        (was_attempted || is_below_limit) && !self.excluded_endpoints.contains(&key)
     }
 
     /// Whether the next attempt is a retry, which the retry budget has to allow.
--- a/crates/dispatch/src/service.rs
+++ b/crates/dispatch/src/service.rs
@@ -187,12 +187,12 @@
     pub fn expected_load_wait(&self, now: Duration, artifact: &Artifact) -> Duration {
         let since = self.missing.get(artifact).map_or(now, |missing| missing.since);
         let load_time = self.engine.as_ref().and_then(|engine| engine.models.get(&artifact.model));
-        let guess = load_time.copied().unwrap_or_default() + LOAD_REACTION_TIME;
+        let default_wait = load_time.copied().unwrap_or_default() + LOAD_REACTION_TIME;
         let load_wait = match self.load_wait.seconds() {
             waited if waited > 0.0 => {
                 milliseconds(waited * 1_000.0).max(load_time.copied().unwrap_or_default())
             }
-            _ => guess,
+            _ => default_wait,
         };
         (since + load_wait).saturating_sub(now)
     }
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -261,11 +261,11 @@
         self.wake();
         self.work();
         self.expire_clients();
-        self.observe();
+        self.record_reports();
     }
 
     /// Adds the reports of the routers to the digest, once a second.
-    fn observe(&mut self) {
+    fn record_reports(&mut self) {
         if !self.now.as_millis().is_multiple_of(1_000) {
             return;
         }
@@ -522,12 +522,12 @@
             for event in self.engines[number].work(TICK) {
                 self.on_engine_event(number, event);
             }
-            self.check_runs(number);
+            self.check_single_execution(number);
         }
     }
 
     /// Checks that requests that must not run twice are started once.
-    fn check_runs(&mut self, number: usize) {
+    fn check_single_execution(&mut self, number: usize) {
         for (_, request) in std::mem::take(&mut self.engines[number].started) {
             let Some(client) = self.clients.get(&request).filter(|client| !client.class.resumable) else {
                 continue;
@@ -586,13 +586,13 @@
     /// Clients abandon a stream after their time-out.
     fn expire_clients(&mut self) {
         let now = self.now;
-        let gone = |client: &Client| {
-            let patience = ms(2_000).max(ms(client.class.target_ms * 4));
+        let has_given_up = |client: &Client| {
+            let client_timeout = ms(2_000).max(ms(client.class.target_ms * 4));
             let deadline = client.first_arrived + ms(client.class.deadline_ms);
-            client.first_event.is_none() && now > client.arrived + patience || now > deadline
+            client.first_event.is_none() && now > client.arrived + client_timeout || now > deadline
         };
         let left: Vec<u64> =
-            self.clients.iter().filter(|(_, client)| gone(client)).map(|(&id, _)| id).collect();
+            self.clients.iter().filter(|(_, client)| has_given_up(client)).map(|(&id, _)| id).collect();
         for id in left {
             let router = self.clients[&id].router;
             self.fail(id);
@@ -602,30 +602,31 @@
     }
 }
 
-fn skewed(rng: &mut SmallRng, many: u64) -> u64 {
+fn skewed(rng: &mut SmallRng, count: u64) -> u64 {
     let chance = rng.random::<f64>();
-    ((chance * chance * chance) * many as f64) as u64
+    ((chance * chance * chance) * count as f64) as u64
 }
 
 /// Places every model on one engine, and fills the other slots by demand.
-fn place_models(engines: usize, models: usize, absent: Option<usize>) -> Vec<Vec<usize>> {
+fn place_models(engines: usize, models: usize, missing_model: Option<usize>) -> Vec<Vec<usize>> {
     let mut models_by_engine = vec![Vec::new(); engines];
-    let mut copies = vec![0usize; models];
-    let present: Vec<usize> = (0..models).filter(|&model| Some(model) != absent).collect();
+    let mut replicas = vec![0usize; models];
+    let present: Vec<usize> = (0..models).filter(|&model| Some(model) != missing_model).collect();
     for &model in present.iter().rev() {
         let engine = least_loaded(&models_by_engine, model).expect("room");
         models_by_engine[engine].push(model);
-        copies[model] = 1;
+        replicas[model] = 1;
     }
     // Demand of a model under the skewed distribution.
     let part = |at: usize| (at as f64 / models as f64).cbrt();
-    let need = |model: usize, copies: &[usize]| (part(model + 1) - part(model)) / copies[model] as f64;
+    let need = |model: usize, replicas: &[usize]| (part(model + 1) - part(model)) / replicas[model] as f64;
     for _ in 0..engines * MODEL_SLOTS - present.len() {
-        let neediest = present.iter().copied().filter(|&model| copies[model] < engines);
-        let model = neediest.max_by(|&a, &b| need(a, &copies).total_cmp(&need(b, &copies))).expect("a model");
+        let neediest = present.iter().copied().filter(|&model| replicas[model] < engines);
+        let model =
+            neediest.max_by(|&a, &b| need(a, &replicas).total_cmp(&need(b, &replicas))).expect("a model");
         let Some(engine) = least_loaded(&models_by_engine, model) else { break };
         models_by_engine[engine].push(model);
-        copies[model] += 1;
+        replicas[model] += 1;
     }
     models_by_engine
 }
--- a/crates/placement/src/adapter_placement.rs
+++ b/crates/placement/src/adapter_placement.rs
@@ -69,7 +69,7 @@
 struct Hosts<'a> {
     all: usize,
     /// Those that accept an order now.
-    free: Vec<Host<'a>>,
+    available: Vec<Host<'a>>,
 }
 
 /// An endpoint that accepts an order, with its free capacity.
@@ -124,7 +124,7 @@
             } else if item.is_model() && advertised {
                 let hosts = self.hosts.entry(item.model).or_default();
                 hosts.all += 1;
-                hosts.free.extend(host);
+                hosts.available.extend(host);
             }
         }
     }
@@ -133,7 +133,7 @@
     pub(crate) fn desired(&self) -> Vec<DesiredAdapter> {
         let mut desired = Vec::new();
         for (model, rates) in &self.demand.models {
-            let Some(hosts) = self.hosts.get(model).filter(|hosts| !hosts.free.is_empty()) else {
+            let Some(hosts) = self.hosts.get(model).filter(|hosts| !hosts.available.is_empty()) else {
                 continue;
             };
             for (adapter, rates) in &rates.adapters {
@@ -179,7 +179,7 @@
     /// highest rendezvous hash.
     pub(crate) fn site(&self, desired: &DesiredAdapter, excluded: &[&Arc<str>]) -> Option<AdapterSite> {
         let hosts = self.hosts.get(&desired.item.model)?;
-        let open = hosts.free.iter().filter(|host| !excluded.contains(&&host.endpoint.id));
+        let open = hosts.available.iter().filter(|host| !excluded.contains(&&host.endpoint.id));
         let scored = open.filter_map(|host| self.score_site(desired, *host));
         let best = scored.min_by(|a, b| a.cost.total_cmp(&b.cost).then(b.hash.cmp(&a.hash)));
         best.map(|scored| scored.site)
@@ -226,9 +226,9 @@
         };
         let each = rates.expected_rate(self.now) / all.max(1) as f64;
         if rates.in_demand(self.now) {
-            let surplus = serving >= 2 && all > self.target(victim, rates).maximum.max(1);
-            let spare = serving >= 2 && desired.priority == AdapterPriority::First;
-            return (surplus || spare).then_some(if surplus { 0.0 } else { each });
+            let is_surplus = serving >= 2 && all > self.target(victim, rates).maximum.max(1);
+            let is_redundant = serving >= 2 && desired.priority == AdapterPriority::First;
+            return (is_surplus || is_redundant).then_some(if is_surplus { 0.0 } else { each });
         }
         let is_worthwhile =
             desired.priority == AdapterPriority::First || all >= 2 || each * REPLACE_RATIO < desired.weight;
--- a/crates/placement/src/load_limiter.rs
+++ b/crates/placement/src/load_limiter.rs
@@ -130,8 +130,8 @@
     }
 
     /// Adapts the concurrency limit to a load that took at least `least` and usually takes `expected`.
-    pub(crate) fn observe(&mut self, least: Duration, expected: Duration) {
-        if least.as_secs_f64() > expected.as_secs_f64() * SLOW_LOAD {
+    pub(crate) fn observe(&mut self, min_duration: Duration, usual: Duration) {
+        if min_duration.as_secs_f64() > usual.as_secs_f64() * SLOW_LOAD {
             self.concurrency = (self.concurrency - 1.0).max(MIN_CONCURRENCY);
         } else {
             self.concurrency = (self.concurrency + 0.5).min(self.max_concurrency);
--- a/crates/placement/src/model_placement.rs
+++ b/crates/placement/src/model_placement.rs
@@ -43,11 +43,11 @@
         catalog: &Catalog,
         seed: u64,
     ) -> Option<Site> {
-        let open = view
+        let candidates = view
             .available
             .iter()
             .filter_map(|available| Some((available, endpoints.get(&available.endpoint)?)));
-        let scored = open
+        let scored = candidates
             .filter_map(|(available, endpoint)| self.score_site(view, available, endpoint, catalog, seed));
         scored.min_by(|a, b| a.cost.total_cmp(&b.cost)).map(|scored| scored.site)
     }
@@ -61,9 +61,9 @@
         seed: u64,
     ) -> Option<ScoredSite> {
         let item = Item::model(self.model.clone());
-        let open =
+        let is_available =
             endpoint.accepts_orders(view.now) && endpoint.accepts_load(self.priority.urgent(), view.now);
-        if !open || endpoint.occupies(&item) {
+        if !is_available || endpoint.occupies(&item) {
             return None;
         }
         let missing = catalog.size_mb(&item) - available.free_mb;
--- a/crates/placement/src/planning_view.rs
+++ b/crates/placement/src/planning_view.rs
@@ -121,8 +121,8 @@
         for endpoint in endpoints.values().filter(|endpoint| endpoint.ready) {
             view.add_resident_replicas(endpoint);
         }
-        let free = endpoints.values().filter(|endpoint| endpoint.accepts_orders(now));
-        view.available = free.map(|endpoint| view.available_endpoint(endpoint, catalog)).collect();
+        let available = endpoints.values().filter(|endpoint| endpoint.accepts_orders(now));
+        view.available = available.map(|endpoint| view.available_endpoint(endpoint, catalog)).collect();
         view
     }
 
--- a/crates/placement/tests/any_order.rs
+++ b/crates/placement/tests/any_order.rs
@@ -18,7 +18,7 @@
     /// Some endpoints are partitioned for so long, ms.
     Outage(Vec<usize>, Partition, u64),
     Loss(f64),
-    Lateness(u64),
+    MaxHeartbeatDelay(u64),
     Nothing,
 }
 
@@ -60,7 +60,7 @@
         1 => Just(Event::Takeover),
         4 => outage(),
         1 => prop_oneof![Just(0.0), 0.0..0.3].prop_map(Event::Loss),
-        1 => prop_oneof![Just(100u64), Just(1_000), Just(2_500)].prop_map(Event::Lateness),
+        1 => prop_oneof![Just(100u64), Just(1_000), Just(2_500)].prop_map(Event::MaxHeartbeatDelay),
         1 => Just(Event::Nothing),
     ]
 }
@@ -87,7 +87,9 @@
             simulation.loss = *loss;
             simulation.checks.last_fault_ms = if *loss > 0.0 { u64::MAX / 2 } else { simulation.now_ms };
         }
-        Event::Lateness(lateness_ms) => simulation.lateness_ms = *lateness_ms,
+        Event::MaxHeartbeatDelay(max_heartbeat_delay_ms) => {
+            simulation.max_heartbeat_delay_ms = *max_heartbeat_delay_ms
+        }
         Event::Nothing => {}
     }
 }
@@ -139,7 +141,7 @@
             simulation.run_until(until);
         }
         simulation.loss = 0.0;
-        simulation.lateness_ms = 100;
+        simulation.max_heartbeat_delay_ms = 100;
         simulation.end_all_partitions();
         for number in 0..ENDPOINTS / 2 {
             simulation.restart(&format!("e{}", number + 1));
--- a/crates/placement/tests/delayed_reports.rs
+++ b/crates/placement/tests/delayed_reports.rs
@@ -36,7 +36,7 @@
     /// Whether orders and report requests arrive.
     orders_arrive: bool,
     history: VecDeque<EndpointReport>,
-    given: Vec<Order>,
+    sent_orders: Vec<Order>,
     violations: Vec<String>,
 }
 
@@ -82,7 +82,7 @@
             heartbeats_arrive: true,
             orders_arrive: true,
             history: VecDeque::new(),
-            given: Vec::new(),
+            sent_orders: Vec::new(),
             violations: Vec::new(),
         }
     }
@@ -122,7 +122,7 @@
             work.operation == Operation::Load && work.model == model && work.adapter.as_deref() == adapter
         };
         while !self.endpoint.work.as_ref().is_some_and(loads) {
-            assert!(self.now_ms < until_ms, "{model} is not ordered: {:?}", self.given);
+            assert!(self.now_ms < until_ms, "{model} is not ordered: {:?}", self.sent_orders);
             self.run_for(STEP_MS);
         }
     }
@@ -167,12 +167,12 @@
 
     fn order(&mut self, order: &Order) {
         let answer = if self.orders_arrive { self.accept_order(order) } else { OrderAnswer::Unavailable };
-        self.given.push(order.clone());
+        self.sent_orders.push(order.clone());
         self.placer.order_answered(self.now(), order.id, answer);
     }
 
     fn accept_order(&mut self, order: &Order) -> OrderAnswer {
-        if let Some(status) = self.endpoint.status_without_work(order) {
+        if let Some(status) = self.endpoint.immediate_status(order) {
             return OrderAnswer::from_status(status);
         }
         self.check_capacity(order);
@@ -189,11 +189,11 @@
     }
 
     /// Finally the endpoint has `model` resident, and its capacity was never exceeded.
-    fn expect_in_the_end(&mut self, model: &str) {
+    fn expect_eventually_resident(&mut self, model: &str) {
         self.run_for(15_000);
         assert!(self.violations.is_empty(), "{:?}", self.violations);
         assert_eq!(self.placer.violations().total(), 0);
-        assert!(self.endpoint.is_resident(model, None), "{:?}", self.given);
+        assert!(self.endpoint.is_resident(model, None), "{:?}", self.sent_orders);
     }
 
     fn check_capacity(&mut self, order: &Order) {
@@ -205,8 +205,8 @@
         let used_mb = self.endpoint.used_mb(&runtime) + size(&runtime, &order.model, is_adapter);
         let adapters = self.endpoint.adapters() + usize::from(is_adapter);
         if used_mb > runtime.weights_mb || adapters > runtime.max_adapters as usize {
-            let held: BTreeMap<_, _> = self.endpoint.models.clone();
-            self.violations.push(format!("{}: {order:?} beside {held:?}", self.now_ms));
+            let resident: BTreeMap<_, _> = self.endpoint.models.clone();
+            self.violations.push(format!("{}: {order:?} beside {resident:?}", self.now_ms));
         }
     }
 }
@@ -216,35 +216,35 @@
     let mut fixture = Fixture::new(&["m1", "m2"]);
     fixture.demanded = vec![("m3", None)];
     fixture.run_until_loading("m3", None);
-    let late = fixture.heartbeat();
+    let delayed = fixture.heartbeat();
     (fixture.heartbeats_arrive, fixture.orders_arrive) = (false, false);
     fixture.run_for(HEARTBEAT_TIMEOUT_MS);
-    (fixture, late)
+    (fixture, delayed)
 }
 
 /// The endpoint is partitioned while it loads, is removed, and comes back with a heartbeat from before the end of the
 /// load.
 #[test]
 fn load_accepted_before_endpoint_was_removed_is_counted() {
-    let (mut fixture, late) = partitioned_while_loading();
+    let (mut fixture, delayed) = partitioned_while_loading();
     fixture.placer.remove_endpoint(fixture.now(), &fixture.endpoint.id());
     fixture.demanded = vec![("m4", None)];
     fixture.run_for(1_000);
     (fixture.heartbeats_arrive, fixture.orders_arrive) = (true, true);
-    fixture.deliver_heartbeat(&late);
-    fixture.expect_in_the_end("m4");
+    fixture.deliver_heartbeat(&delayed);
+    fixture.expect_eventually_resident("m4");
 }
 
 /// A new lease holder receives its first heartbeat of the endpoint late, and the heartbeat is from before the load.
 #[test]
 fn load_of_previous_tenure_is_counted_when_endpoint_returns() {
-    let (mut fixture, late) = partitioned_while_loading();
+    let (mut fixture, delayed) = partitioned_while_loading();
     fixture.placer = placer(fixture.now_ms, Start::Takeover);
     fixture.demanded = vec![("m4", None)];
     fixture.run_for(6_000);
     (fixture.heartbeats_arrive, fixture.orders_arrive) = (true, true);
-    fixture.deliver_heartbeat(&late);
-    fixture.expect_in_the_end("m4");
+    fixture.deliver_heartbeat(&delayed);
+    fixture.expect_eventually_resident("m4");
 }
 
 /// Heartbeats are delayed while orders arrive; then one from before the first order arrives.
@@ -253,7 +253,7 @@
     let mut fixture = Fixture::new(&["m1"]);
     fixture.demanded = vec![("m1", None)];
     fixture.run_for(3_000);
-    let late = fixture.heartbeat();
+    let delayed = fixture.heartbeat();
     fixture.heartbeats_arrive = false;
     fixture.demanded = vec![("m1", None), ("m2", None), ("m3", None)];
     fixture.run_until_loading("m2", None);
@@ -261,7 +261,7 @@
     fixture.run_for(9_000);
     fixture.demanded = vec![("m1", None), ("m4", None)];
     fixture.run_for(1_000);
-    fixture.deliver_heartbeat(&late);
+    fixture.deliver_heartbeat(&delayed);
     fixture.heartbeats_arrive = true;
-    fixture.expect_in_the_end("m4");
+    fixture.expect_eventually_resident("m4");
 }
--- a/crates/placement/tests/digests.rs
+++ b/crates/placement/tests/digests.rs
@@ -36,7 +36,7 @@
         12 | 13 => simulation.partition(&name, Partition::All, 1_000 + random.below(8_000)),
         14 | 15 => simulation.partition(&name, Partition::Heartbeats, 1_000 + random.below(8_000)),
         16 => simulation.loss = if random.below(2) == 0 { 0.0 } else { 0.3 * random.unit() },
-        _ => simulation.lateness_ms = [100, 1_000, 2_500][random.below(3) as usize],
+        _ => simulation.max_heartbeat_delay_ms = [100, 1_000, 2_500][random.below(3) as usize],
     }
 }
 
--- a/crates/placement/tests/support/fleet.rs
+++ b/crates/placement/tests/support/fleet.rs
@@ -144,7 +144,7 @@
     }
 
     /// The status of an order that is not executed: rejected, or already in effect.
-    pub(crate) fn status_without_work(&self, order: &Order) -> Option<u16> {
+    pub(crate) fn immediate_status(&self, order: &Order) -> Option<u16> {
         if self.id() != *order.instance {
             return Some(421);
         }
--- a/crates/placement/tests/support/simulation/faults.rs
+++ b/crates/placement/tests/support/simulation/faults.rs
@@ -2,7 +2,7 @@
 
 use super::super::fleet::Partition;
 use super::network::Message;
-use super::{ARRIVE_LATE, BACKEND, HEARTBEAT_TIMEOUT_MS, Simulation, settings};
+use super::{BACKEND, HEARTBEAT_TIMEOUT_MS, LATE_ARRIVAL_PROBABILITY, Simulation, settings};
 use lanegate_placement::{Placer, Start};
 
 impl Simulation {
@@ -62,7 +62,7 @@
             }
             endpoint.partition = None;
             let delayed_heartbeat = endpoint.delayed_heartbeat.take();
-            let arrives = self.random.unit() < ARRIVE_LATE;
+            let arrives = self.random.unit() < LATE_ARRIVAL_PROBABILITY;
             if let Some(instance) = delayed_heartbeat.filter(|_| arrives) {
                 let delay = self.delay();
                 self.send(delay, Message::DelayedInstance(Box::new(instance)));
--- a/crates/placement/tests/support/simulation/mod.rs
+++ b/crates/placement/tests/support/simulation/mod.rs
@@ -26,7 +26,7 @@
 const REMOVAL_TIMEOUT_MS: u64 = 4_200;
 const ANSWER_TIMEOUT_MS: u64 = 1_000;
 /// Fraction of the unanswered orders that arrive.
-const ARRIVE_LATE: f64 = 0.5;
+const LATE_ARRIVAL_PROBABILITY: f64 = 0.5;
 /// Time after its sending until which an unanswered order may arrive.
 const LATEST_ARRIVAL_MS: u64 = 1_400;
 
@@ -63,7 +63,7 @@
     pub requests: u64,
     pub loss: f64,
     /// Largest delay of a registration, ms.
-    pub lateness_ms: u64,
+    pub max_heartbeat_delay_ms: u64,
     pub routers: usize,
     pub random: Random,
     pub generation: u32,
@@ -135,7 +135,7 @@
             unplaced: Vec::new(),
             requests: 0,
             loss: 0.0,
-            lateness_ms: 100,
+            max_heartbeat_delay_ms: 100,
             routers: 3,
             random,
             generation: 0,
@@ -219,7 +219,7 @@
             endpoint.next_heartbeat_ms = self.now_ms + HEARTBEAT_MS;
             endpoint.heartbeats += 1;
             let instance = endpoint.instance(BACKEND);
-            let delay = 10 + self.random.below(self.lateness_ms / 10) * 10;
+            let delay = 10 + self.random.below(self.max_heartbeat_delay_ms / 10) * 10;
             if self.random.unit() >= self.loss {
                 self.send(delay, Message::Instance(Box::new(instance)));
             }
--- a/crates/placement/tests/support/simulation/network.rs
+++ b/crates/placement/tests/support/simulation/network.rs
@@ -1,7 +1,9 @@
 //! Messages in flight in the simulated service, and their arrival.
 
 use super::super::fleet::{Partition, Work};
-use super::{ANSWER_TIMEOUT_MS, ARRIVE_LATE, LATEST_ARRIVAL_MS, REMOVAL_TIMEOUT_MS, REPORT_LAG_MS};
+use super::{
+    ANSWER_TIMEOUT_MS, LATE_ARRIVAL_PROBABILITY, LATEST_ARRIVAL_MS, REMOVAL_TIMEOUT_MS, REPORT_LAG_MS,
+};
 use super::{Registration, Simulation};
 use lanegate_config::instance::{Instance, InstanceState};
 use lanegate_placement::{EndpointReport, Operation, Order, OrderAnswer, OrderId};
@@ -36,7 +38,7 @@
         if self.random.unit() < self.loss {
             let answer = Message::Answer(order.id, order.instance.to_string(), OrderAnswer::Unknown);
             self.send(ANSWER_TIMEOUT_MS, answer);
-            if self.random.unit() < ARRIVE_LATE {
+            if self.random.unit() < LATE_ARRIVAL_PROBABILITY {
                 let delay = 500 + self.random.below(LATEST_ARRIVAL_MS - 500);
                 self.send(delay, Message::LateOrder(order));
             }
@@ -102,12 +104,12 @@
     /// Removes endpoints without a heartbeat for too long, running or not.
     pub(super) fn remove_unresponsive_endpoints(&mut self) {
         let now_ms = self.now_ms;
-        let silent = self
+        let unresponsive = self
             .registry
             .iter()
             .filter(|(_, registration)| registration.last_heartbeat_ms + REMOVAL_TIMEOUT_MS < now_ms);
-        let silent: Vec<String> = silent.map(|(id, _)| id.clone()).collect();
-        for id in silent {
+        let unresponsive: Vec<String> = unresponsive.map(|(id, _)| id.clone()).collect();
+        for id in unresponsive {
             self.registry.remove(&id);
             self.send(0, Message::Removed(id));
         }
@@ -132,7 +134,7 @@
             self.send(ANSWER_TIMEOUT_MS, answer);
             return;
         };
-        let status = self.endpoints[index].status_without_work(&order).unwrap_or(202);
+        let status = self.endpoints[index].immediate_status(&order).unwrap_or(202);
         if status == 202 {
             self.checks.order_executed(now_ms, &order, &self.endpoints[index], &self.runtime);
             self.accept_order(index, &order);
@@ -158,7 +160,7 @@
         let found =
             self.endpoints.iter().position(|endpoint| endpoint.up && endpoint.address == order.address);
         let Some(index) = found else { return };
-        if self.endpoints[index].status_without_work(order).is_none() {
+        if self.endpoints[index].immediate_status(order).is_none() {
             self.checks.order_executed(self.now_ms, order, &self.endpoints[index], &self.runtime);
             self.accept_order(index, order);
         }
@@ -170,7 +172,7 @@
         let spec = self.runtime.models.iter().find(|model| *model.name == *order.model);
         let load_ms = spec.map_or(1_000.0, |model| model.load_time_s * 1_000.0);
         let disk = if endpoint.disk.contains(&*order.model) { 0.4 } else { 1.0 };
-        let lasts = match (order.operation, order.adapter.is_some()) {
+        let duration_ms = match (order.operation, order.adapter.is_some()) {
             (Operation::Load, false) => load_ms * disk * (1.0 + 0.5 * chance),
             (Operation::Load, true) => 20.0 + 60.0 * chance,
             // Sometimes long requests have to finish first.
@@ -182,16 +184,16 @@
             operation: order.operation,
             model: order.model.to_string(),
             adapter: order.adapter.as_ref().map(|adapter| adapter.to_string()),
-            until_ms: self.now_ms + lasts as u64,
+            until_ms: self.now_ms + duration_ms as u64,
         });
     }
 
     fn report_request_arrives(&mut self, address: SocketAddr, id: &str) {
         let lost = self.random.unit() < self.loss || self.is_partitioned(address);
-        let there = self.endpoints.iter().any(|e| e.up && e.address == address && e.id() == id);
+        let is_running = self.endpoints.iter().any(|e| e.up && e.address == address && e.id() == id);
         let as_of = self.now_ms.saturating_sub(REPORT_LAG_MS) / 100 * 100;
         let report = self.past_reports.get(&(as_of, id.to_string())).cloned();
-        if let Some(report) = report.filter(|_| there && !lost) {
+        if let Some(report) = report.filter(|_| is_running && !lost) {
             let delay = self.delay();
             self.send(delay, Message::Report(id.to_string(), report));
         }
