--- a/crates/controller/src/controller/placement/placement_control.rs
+++ b/crates/controller/src/controller/placement/placement_control.rs
@@ -11,7 +11,7 @@
 use lanegate_coordination::lease::Output;
 use lanegate_coordination::register::Input;
 use lanegate_invariants::Invariant;
-use lanegate_placement::{Action, Operation, Order, OrderAnswer, Start};
+use lanegate_placement::{Action, Operation, Order, OrderAnswer, StartMode};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -78,7 +78,7 @@
     pub(crate) fn configure_placements(&mut self, epoch: u64) {
         let Some(configuration) = self.configuration.clone() else { return };
         let first = self.first_start && epoch == FIRST_EPOCH;
-        let start = if first { Start::First } else { Start::Takeover };
+        let start = if first { StartMode::First } else { StartMode::Takeover };
         let now = self.now();
         let instances = self.endpoints.live().map(|(_, registered)| registered);
         let demand = &self.recent_demand;
--- a/crates/controller/src/controller/placement/placers.rs
+++ b/crates/controller/src/controller/placement/placers.rs
@@ -10,7 +10,8 @@
 use lanegate_config::mechanism::Mechanism;
 use lanegate_config::settings::Settings;
 use lanegate_placement::{
-    Action, EndpointReport, InvariantViolations, Item, OrderAnswer, OrderId, Placer, PlacerSettings, Start,
+    Action, EndpointReport, InvariantViolations, Item, OrderAnswer, OrderId, Placer, PlacerSettings,
+    StartMode,
 };
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -68,7 +69,7 @@
         now: Duration,
         configuration: &Configuration,
         settings: &Settings,
-        start: Start,
+        start: StartMode,
         instances: impl Iterator<Item = &'a Registered> + Clone,
         demand: &RecentDemand,
     ) {
@@ -86,8 +87,10 @@
             }
             let placer_settings = PlacerSettings::new(settings, start);
             let mut placer = Placer::new(now, &backend.name, *epoch, &placer_settings);
-            if start == Start::Takeover {
-                placer.predecessor_idle(Duration::from_secs_f64(settings.bounds.lease_ms.max(0.0) / 1e3));
+            if start == StartMode::Takeover {
+                placer.credit_predecessor_idle_time(Duration::from_secs_f64(
+                    settings.bounds.lease_ms.max(0.0) / 1e3,
+                ));
             }
             placer.configure(now, runtime);
             if settings.switched_off.leaves(Mechanism::DemandRecall) {
--- a/crates/dispatch/src/demand.rs
+++ b/crates/dispatch/src/demand.rs
@@ -63,7 +63,7 @@
     }
 
     /// Returns the report of the period that ends now, and starts a new period.
-    pub fn take(&mut self, now: Duration) -> DemandReport {
+    pub fn take_report(&mut self, now: Duration) -> DemandReport {
         let period = now.saturating_sub(std::mem::replace(&mut self.period_start, now));
         let counts = std::mem::take(&mut self.counts);
         DemandReport {
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -87,8 +87,8 @@
     }
 
     /// Whether a mechanism is switched on.
-    pub fn uses(&self, mechanism: Mechanism) -> bool {
-        self.fleet.uses(mechanism)
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
+        self.fleet.is_enabled(mechanism)
     }
 
     /// The metrics at `now`. Takes time proportional to the number of requests and endpoints.
@@ -221,6 +221,6 @@
     /// The demand since the last report, and the older requests that still wait.
     pub fn demand_report(&mut self, now: Duration) -> DemandReport {
         self.count_waiting();
-        self.demand.take(now)
+        self.demand.take_report(now)
     }
 }
--- a/crates/dispatch/src/dispatcher/admission_control.rs
+++ b/crates/dispatch/src/dispatcher/admission_control.rs
@@ -22,7 +22,7 @@
                 .filter(|entry| self.can_refuse_or_postpone(now, entry))
                 .cloned()
                 .collect::<Vec<_>>();
-            let by_class = self.fleet.uses(Mechanism::MissRatioVictim);
+            let by_class = self.fleet.is_enabled(Mechanism::MissRatioVictim);
             let Some(victim) = self.admission.victim(&candidates, by_class).cloned() else {
                 return;
             };
@@ -50,7 +50,7 @@
     fn may_refuse_early(&self, now: Duration, id: RequestId) -> bool {
         let pending = &self.requests[&id];
         let unsent = pending.attempts == 0 && now <= pending.early_refusal_end();
-        self.fleet.uses(Mechanism::EarlyRefusal)
+        self.fleet.is_enabled(Mechanism::EarlyRefusal)
             && unsent
             && self.fleet.is_near_capacity(now, &pending.request.backend)
     }
--- a/crates/dispatch/src/dispatcher/answer_deadline.rs
+++ b/crates/dispatch/src/dispatcher/answer_deadline.rs
@@ -21,7 +21,7 @@
     /// When a queued request is answered at the latest: while there is time for a first byte and, during shutdown, for a
     /// complete answer.
     pub(super) fn answer_by(&self, pending: &PendingRequest, candidates: &[Candidate]) -> Duration {
-        let expires_at = if self.fleet.uses(Mechanism::ClientTimeout) {
+        let expires_at = if self.fleet.is_enabled(Mechanism::ClientTimeout) {
             self.client_timeouts.expires_at(pending)
         } else {
             pending.request.deadline
--- a/crates/dispatch/src/dispatcher/assignment.rs
+++ b/crates/dispatch/src/dispatcher/assignment.rs
@@ -125,7 +125,7 @@
             return self.refuse_or_fail(now, id, FailReason::Attempts, NO_ENDPOINT_RETRY_AFTER);
         }
         match pending.artifact() {
-            Some(artifact) if self.fleet.uses(Mechanism::LoadWait) => {
+            Some(artifact) if self.fleet.is_enabled(Mechanism::LoadWait) => {
                 self.enqueue_for_load(now, id, artifact)
             }
             Some(_) => self.refuse_or_fail(now, id, FailReason::Attempts, NO_ENDPOINT_RETRY_AFTER),
@@ -153,7 +153,7 @@
     /// be loaded on another one, if at all.
     fn has_exhausted_attempts(&self, id: RequestId) -> bool {
         let pending = &self.requests[&id];
-        let ends_early = self.fleet.uses(Mechanism::ExhaustedAttempt);
+        let ends_early = self.fleet.is_enabled(Mechanism::ExhaustedAttempt);
         let takes = |endpoint: &Endpoint| {
             endpoint.takes_requests() && (!ends_early || pending.can_be_served_by(endpoint))
         };
--- a/crates/dispatch/src/dispatcher/response_timeout.rs
+++ b/crates/dispatch/src/dispatcher/response_timeout.rs
@@ -39,7 +39,7 @@
     /// Abandons a timed-out attempt for another endpoint, if the attempt limit, the retry budget and the load allow it.
     fn retry_elsewhere(&mut self, now: Duration, id: RequestId, attempt: Attempt) -> bool {
         let pending = &self.requests[&id];
-        let may_retry = self.fleet.uses(Mechanism::ResponseTimeoutRetry) && pending.is_retryable();
+        let may_retry = self.fleet.is_enabled(Mechanism::ResponseTimeoutRetry) && pending.is_retryable();
         if !may_retry || !self.is_within_retry_budget(now, id) {
             return false;
         }
--- a/crates/dispatch/src/dispatcher/sending.rs
+++ b/crates/dispatch/src/dispatcher/sending.rs
@@ -45,7 +45,7 @@
 
     /// The priority that the engine gets with the request.
     fn engine_priority(&self, pending: &PendingRequest, candidate: &Candidate) -> u8 {
-        if !self.fleet.uses(Mechanism::EngineUrgency) {
+        if !self.fleet.is_enabled(Mechanism::EngineUrgency) {
             return route_priority(pending.request.priority);
         }
         let per_token_s = self.fleet.service(&pending.request.backend).first_byte.per_token_s();
--- a/crates/dispatch/src/dispatcher/timers.rs
+++ b/crates/dispatch/src/dispatcher/timers.rs
@@ -71,7 +71,7 @@
     pub(super) fn must_attempt_now(&self, now: Duration, id: RequestId, candidate: &Candidate) -> bool {
         let pending = &self.requests[&id];
         let latest = last_attempt_time(pending, candidate.expected);
-        let is_enabled = self.fleet.uses(Mechanism::LastOffer);
+        let is_enabled = self.fleet.is_enabled(Mechanism::LastOffer);
         is_enabled && pending.attempts == 0 && now >= latest && now < pending.request.target
     }
 }
--- a/crates/dispatch/src/endpoint_selection.rs
+++ b/crates/dispatch/src/endpoint_selection.rs
@@ -23,7 +23,7 @@
     let service = fleet.service(backend);
     let eligible = fleet.table.ready(backend).filter(|(_, endpoint)| pending.can_be_served_by(endpoint));
     let eligible: Vec<_> = eligible.filter(|(key, _)| pending.may_attempt_on(*key)).collect();
-    let affinity = pending.chain.affinity().filter(|_| fleet.uses(Mechanism::PrefixOwner));
+    let affinity = pending.chain.affinity().filter(|_| fleet.is_enabled(Mechanism::PrefixOwner));
     let owner = affinity.and_then(|affinity| owner(fleet, &eligible, affinity));
     let context =
         ScoringContext { fleet, service, pending, now, affinity, owner, artifact: pending.artifact() };
--- a/crates/dispatch/src/fleet.rs
+++ b/crates/dispatch/src/fleet.rs
@@ -54,7 +54,7 @@
     }
 
     /// Whether a mechanism is switched on.
-    pub fn uses(&self, mechanism: Mechanism) -> bool {
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
         self.settings.switched_off.leaves(mechanism)
     }
 
@@ -161,7 +161,7 @@
 
     /// Records a failure of an endpoint. It is ejected for a while, unless too many others of its service are ejected.
     pub fn record_failure(&mut self, now: Duration, key: EndpointKey, failure: Failure) {
-        let may_eject = self.uses(Mechanism::Ejection) && self.may_eject(key);
+        let may_eject = self.is_enabled(Mechanism::Ejection) && self.may_eject(key);
         let jitter = 1.0 + JITTER * (2.0 * self.rng.random::<f64>() - 1.0);
         if let Some(load) = self.loads.get_mut(&key) {
             load.health.record_failure(now, failure, may_eject, jitter);
--- a/crates/dispatch/src/scoring.rs
+++ b/crates/dispatch/src/scoring.rs
@@ -85,7 +85,7 @@
     fn expected_prefill(&self, key: EndpointKey, load: &EndpointLoad) -> (PrefixExpectation, u64) {
         let chain = &self.pending.chain;
         let cached =
-            if self.fleet.uses(Mechanism::PrefixCache) { load.cache.cached_tokens(chain) } else { 0 };
+            if self.fleet.is_enabled(Mechanism::PrefixCache) { load.cache.cached_tokens(chain) } else { 0 };
         let (prefix, cached_tokens) = match cached {
             0 if self.owner == Some(key) => (
                 PrefixExpectation::Owned,
@@ -109,7 +109,7 @@
 
     /// How much later than expected the next first byte is likely to come, s.
     fn excess_delay_s(&self, load: &EndpointLoad) -> f64 {
-        if self.fleet.uses(Mechanism::ExcessDelay) { load.excess_delay_s(self.now) } else { 0.0 }
+        if self.fleet.is_enabled(Mechanism::ExcessDelay) { load.excess_delay_s(self.now) } else { 0.0 }
     }
 
     /// Tokens that an engine prefills before those of a new request: those of requests of this router, and an estimate for
@@ -133,7 +133,7 @@
 
     /// Cost of the requests that already run there, which slow the answer down, s.
     fn batch_cost_s(&self, endpoint: &Endpoint, load: &EndpointLoad) -> f64 {
-        if !self.fleet.uses(Mechanism::BatchCost) {
+        if !self.fleet.is_enabled(Mechanism::BatchCost) {
             return 0.0;
         }
         let utilization = load.occupancy(self.now) / f64::from(endpoint.capacity);
@@ -144,7 +144,7 @@
     /// Cost of the delay of the running streams while the engine prefills the prompt between their tokens, s.
     fn stall_cost_s(&self, load: &EndpointLoad, prefill_tokens: u64) -> f64 {
         match self.service.engine {
-            Some(_) if self.fleet.uses(Mechanism::StallCost) => {
+            Some(_) if self.fleet.is_enabled(Mechanism::StallCost) => {
                 let prefill_s = self.service.first_byte.per_token_s() * prefill_tokens as f64;
                 STALL_COST_WEIGHT * load.occupancy(self.now) * prefill_s
             }
--- a/crates/fair-edf/src/timeline.rs
+++ b/crates/fair-edf/src/timeline.rs
@@ -50,7 +50,7 @@
     }
 
     /// Sets the slot time of all requests.
-    pub fn resize(&mut self, sigma: Ns) {
+    pub fn set_sigma(&mut self, sigma: Ns) {
         self.stale |= std::mem::replace(&mut self.sigma, sigma) != sigma;
     }
 
--- a/crates/fair-edf/tests/timeline.rs
+++ b/crates/fair-edf/tests/timeline.rs
@@ -124,7 +124,7 @@
             prop_assert!(timeline.remove(due, key));
             prop_assert!(!timeline.remove(due, key));
             if sigma % 3 == 0 {
-                timeline.resize(*sigma);
+                timeline.set_sigma(*sigma);
             }
             let requests: Vec<_> = queued.iter().map(|(due, _)| (*due, timeline.sigma())).collect();
             prop_assert_eq!(timeline.segments(), latest_segments(&requests));
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -66,5 +66,5 @@
 
 pub use interface::{Action, EndpointReport, Item, Operation, Order, OrderAnswer, OrderId, PendingLoad};
 pub use placer::Placer;
-pub use settings::{PlacerSettings, Start};
+pub use settings::{PlacerSettings, StartMode};
 pub use violation::{InvariantViolations, Violation};
--- a/crates/placement/src/placer.rs
+++ b/crates/placement/src/placer.rs
@@ -10,7 +10,7 @@
 use crate::order_log;
 use crate::planning_view::Endpoints;
 use crate::removed_incarnations::RemovedIncarnations;
-use crate::settings::{PlacerSettings, Start};
+use crate::settings::{PlacerSettings, StartMode};
 use crate::violation::InvariantViolations;
 use lanegate_config::configuration::Runtime;
 use lanegate_config::demand::DemandReport;
@@ -63,8 +63,8 @@
     /// A placer for the service `backend` that knows no endpoint, model or demand.
     pub fn new(now: Duration, backend: &str, seed: u64, settings: &PlacerSettings) -> Placer {
         let assumed_until = match settings.start {
-            Start::First => now,
-            Start::Takeover => now + settings.rate_limit_window,
+            StartMode::First => now,
+            StartMode::Takeover => now + settings.rate_limit_window,
         };
         Placer {
             backend: Arc::from(backend),
@@ -94,7 +94,7 @@
 
     /// Shortens the time for which a predecessor's loads are assumed to fill the window of the rate limit: the
     /// predecessor sent no orders for `idle` before this placer began.
-    pub fn predecessor_idle(&mut self, idle: Duration) {
+    pub fn credit_predecessor_idle_time(&mut self, idle: Duration) {
         self.load_limiter.assume_until(self.load_limiter.assumed_until().saturating_sub(idle));
     }
 
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -6,7 +6,7 @@
 
 /// Whether another placer may have sent orders shortly before this one starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Start {
+pub enum StartMode {
     /// No orders were sent within the last window of the rate limit.
     First,
     /// A predecessor may have used up the rate limit, and its orders may still be in flight.
@@ -21,14 +21,14 @@
     /// Factor by which the loads of a window may exceed the permitted rate.
     pub rate_limit_overshoot: f64,
     /// How this placer starts.
-    pub start: Start,
+    pub start: StartMode,
     /// Mechanisms that are switched off.
     pub switched_off: SwitchedOff,
 }
 
 impl PlacerSettings {
     /// Takes the values from the settings of the process.
-    pub fn new(settings: &Settings, start: Start) -> PlacerSettings {
+    pub fn new(settings: &Settings, start: StartMode) -> PlacerSettings {
         let bounds = &settings.bounds;
         PlacerSettings {
             rate_limit_window: Duration::from_secs_f64(bounds.rate_limit_window_s.max(0.0)),
--- a/crates/placement/tests/any_order.rs
+++ b/crates/placement/tests/any_order.rs
@@ -96,13 +96,13 @@
 
 /// The same cases in every run, unless `PROPTEST_RNG_SEED` and `PROPTEST_CASES` ask for others.
 fn config() -> ProptestConfig {
-    let given = ProptestConfig::default();
-    let rng_seed = match given.rng_seed {
+    let default = ProptestConfig::default();
+    let rng_seed = match default.rng_seed {
         RngSeed::Random => RngSeed::Fixed(SEED),
         fixed => fixed,
     };
-    let cases = if std::env::var_os("PROPTEST_CASES").is_some() { given.cases } else { CASES };
-    ProptestConfig { cases, rng_seed, failure_persistence: None, ..given }
+    let cases = if std::env::var_os("PROPTEST_CASES").is_some() { default.cases } else { CASES };
+    ProptestConfig { cases, rng_seed, failure_persistence: None, ..default }
 }
 
 proptest! {
@@ -131,7 +131,7 @@
         seed in any::<u64>(),
         load_s in 0.3..3.0f64,
         events in prop::collection::vec((event(), delay_until_next_event()), 0..12),
-        wanted in prop::collection::btree_set(1..=MODELS, 1..9),
+        demanded_models in prop::collection::btree_set(1..=MODELS, 1..9),
     ) {
         let runtime = runtime(MODELS, 70_000.0, load_s, ADAPTERS, 66.0);
         let mut simulation = Simulation::new(runtime, ENDPOINTS, 3, seed);
@@ -146,11 +146,11 @@
         for number in 0..ENDPOINTS / 2 {
             simulation.restart(&format!("e{}", number + 1));
         }
-        let demanded = wanted.iter().map(|model| ItemDemand { model: format!("m{model}"), adapter: None, rate: 1.5 });
+        let demanded = demanded_models.iter().map(|model| ItemDemand { model: format!("m{model}"), adapter: None, rate: 1.5 });
         simulation.demand = demanded.collect();
         let until = simulation.now_ms + 60_000;
         simulation.run_until(until);
-        for model in &wanted {
+        for model in &demanded_models {
             let model = format!("m{model}");
             prop_assert!(simulation.replicas(&model, None) >= 1, "{model} is resident nowhere");
         }
--- a/crates/placement/tests/delayed_reports.rs
+++ b/crates/placement/tests/delayed_reports.rs
@@ -6,7 +6,7 @@
 use lanegate_config::instance::Instance;
 use lanegate_config::mechanism::SwitchedOff;
 use lanegate_placement::{
-    Action, EndpointReport, Operation, Order, OrderAnswer, Placer, PlacerSettings, Start,
+    Action, EndpointReport, Operation, Order, OrderAnswer, Placer, PlacerSettings, StartMode,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -40,7 +40,7 @@
     violations: Vec<String>,
 }
 
-fn placer(now_ms: u64, start: Start) -> Placer {
+fn placer(now_ms: u64, start: StartMode) -> Placer {
     let settings = PlacerSettings {
         rate_limit_window: Duration::from_secs(5),
         rate_limit_overshoot: 1.1,
@@ -75,7 +75,7 @@
             delayed_heartbeat: None,
         };
         Fixture {
-            placer: placer(0, Start::First),
+            placer: placer(0, StartMode::First),
             endpoint,
             now_ms: 0,
             demanded: Vec::new(),
@@ -239,7 +239,7 @@
 #[test]
 fn load_of_previous_tenure_is_counted_when_endpoint_returns() {
     let (mut fixture, delayed) = partitioned_while_loading();
-    fixture.placer = placer(fixture.now_ms, Start::Takeover);
+    fixture.placer = placer(fixture.now_ms, StartMode::Takeover);
     fixture.demanded = vec![("m4", None)];
     fixture.run_for(6_000);
     (fixture.heartbeats_arrive, fixture.orders_arrive) = (true, true);
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -5,7 +5,7 @@
 use lanegate_config::instance::{Instance, InstanceState, ResidentModel};
 use lanegate_config::mechanism::SwitchedOff;
 use lanegate_placement::{
-    Action, EndpointReport, Operation, Order, OrderAnswer, Placer, PlacerSettings, Start,
+    Action, EndpointReport, Operation, Order, OrderAnswer, Placer, PlacerSettings, StartMode,
 };
 use std::time::Duration;
 
@@ -55,7 +55,7 @@
         let settings = PlacerSettings {
             rate_limit_window: Duration::from_secs(5),
             rate_limit_overshoot: 1.1,
-            start: Start::First,
+            start: StartMode::First,
             switched_off: SwitchedOff::default(),
         };
         let mut placer = Placer::new(Duration::ZERO, BACKEND, 1, &settings);
--- a/crates/placement/tests/scenarios.rs
+++ b/crates/placement/tests/scenarios.rs
@@ -153,13 +153,13 @@
         "zones" => line.compare(5, simulation.zones(line.word(4)) as f64),
         "orders" => {
             let from = since(line.number(4));
-            let late = simulation.orders.iter().filter(|(at, _)| *at > from);
-            line.compare(5, late.count() as f64);
+            let recent = simulation.orders.iter().filter(|(at, _)| *at > from);
+            line.compare(5, recent.count() as f64);
         }
         "unplaced" => {
             let from = since(line.number(4));
-            let late = simulation.unplaced.iter().filter(|(at, _, _)| *at > from);
-            line.compare(5, late.map(|(_, _, requests)| f64::from(*requests)).sum());
+            let recent = simulation.unplaced.iter().filter(|(at, _, _)| *at > from);
+            line.compare(5, recent.map(|(_, _, requests)| f64::from(*requests)).sum());
         }
         "not_resident" => {
             let missing = simulation.demand.iter();
@@ -169,8 +169,8 @@
         }
         "loads" => {
             let from = since(line.number(4));
-            let late = simulation.orders.iter().filter(|(at, order)| *at > from && order.adapter.is_none());
-            let loads = late.filter(|(_, order)| order.operation == Operation::Load);
+            let recent = simulation.orders.iter().filter(|(at, order)| *at > from && order.adapter.is_none());
+            let loads = recent.filter(|(_, order)| order.operation == Operation::Load);
             line.compare(5, loads.count() as f64);
         }
         "first_report_requests" => line.compare(4, simulation.first_report_requests.len() as f64),
--- a/crates/placement/tests/support/simulation/faults.rs
+++ b/crates/placement/tests/support/simulation/faults.rs
@@ -3,7 +3,7 @@
 use super::super::fleet::Partition;
 use super::network::Message;
 use super::{BACKEND, HEARTBEAT_TIMEOUT_MS, LATE_ARRIVAL_PROBABILITY, Simulation, settings};
-use lanegate_placement::{Placer, Start};
+use lanegate_placement::{Placer, StartMode};
 
 impl Simulation {
     pub(crate) fn crash(&mut self, name: &str) {
@@ -77,7 +77,7 @@
         self.checks.open.clear();
         let now = self.now();
         let seed = self.random.next();
-        self.placer = Placer::new(now, BACKEND, seed, &settings(Start::Takeover, self.switched_off));
+        self.placer = Placer::new(now, BACKEND, seed, &settings(StartMode::Takeover, self.switched_off));
         self.placer.configure(now, &self.runtime);
         for registration in self.registry.values() {
             self.placer.register(now, &registration.instance);
--- a/crates/placement/tests/support/simulation/mod.rs
+++ b/crates/placement/tests/support/simulation/mod.rs
@@ -11,7 +11,7 @@
 use lanegate_config::demand::{DemandReport, ModelDemand};
 use lanegate_config::instance::Instance;
 use lanegate_config::mechanism::SwitchedOff;
-use lanegate_placement::{Action, EndpointReport, Order, Placer, PlacerSettings, Start};
+use lanegate_placement::{Action, EndpointReport, Order, Placer, PlacerSettings, StartMode};
 use network::Message;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -94,7 +94,7 @@
     }
 }
 
-fn settings(start: Start, switched_off: SwitchedOff) -> PlacerSettings {
+fn settings(start: StartMode, switched_off: SwitchedOff) -> PlacerSettings {
     PlacerSettings {
         rate_limit_window: Duration::from_millis(WINDOW_MS),
         rate_limit_overshoot: OVERSHOOT,
@@ -116,7 +116,8 @@
         zones: usize,
         seed: u64,
     ) -> Simulation {
-        let mut placer = Placer::new(Duration::ZERO, BACKEND, seed, &settings(Start::First, switched_off));
+        let mut placer =
+            Placer::new(Duration::ZERO, BACKEND, seed, &settings(StartMode::First, switched_off));
         placer.configure(Duration::ZERO, &runtime);
         let mut random = Random::new(seed);
         let endpoints = (0..endpoints).map(|number| endpoint(number, zones, &mut random)).collect();
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -151,7 +151,7 @@
         client_time: Option<Duration>,
         body_bytes: usize,
     ) {
-        let waits = self.dispatcher.borrow().uses(Mechanism::ConfigurationWait);
+        let waits = self.dispatcher.borrow().is_enabled(Mechanism::ConfigurationWait);
         if !waits || self.is_draining() {
             return;
         }
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -56,7 +56,7 @@
         while self.messages[&id].due < soonest && self.postpone(id) {}
         let (due, sigma) = (self.messages[&id].due, self.sigma(dest));
         let chart = &mut self.destination(dest).chart;
-        chart.resize(sigma);
+        chart.set_sigma(sigma);
         chart.insert(due, id);
         self.make_feasible(dest, out);
     }
@@ -138,7 +138,7 @@
             self.give_up(id, out);
         }
         let sigma = self.sigma(dest);
-        self.destination(dest).chart.resize(sigma);
+        self.destination(dest).chart.set_sigma(sigma);
         self.make_feasible(dest, out);
     }
 
