--- a/crates/dispatch/tests/admission.rs
+++ b/crates/dispatch/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which request yields on an overdue timeline.
+//! Which request of an overdue timeline is refused or postponed.
 
 use lanegate_dispatch::admission::{Admission, Overdue};
 use lanegate_dispatch::endpoints::EndpointKey;
--- a/crates/dispatch/tests/budget.rs
+++ b/crates/dispatch/tests/budget.rs
@@ -75,8 +75,8 @@
     }
 }
 
-/// The bound as an observer checks it: by the requests of the window, of the previous one, or of the one half a window
-/// earlier.
+/// Checks the bound as an external observer would: against the requests of this window, of the one half a window
+/// earlier or of the previous one, whichever has the most.
 fn check(now: Duration, requests: &[Duration], retries: &[Duration]) -> Result<(), TestCaseError> {
     let window = BOUNDS.window;
     let within = |times: &[Duration], end: Duration| {
--- a/crates/dispatch/tests/demand.rs
+++ b/crates/dispatch/tests/demand.rs
@@ -27,10 +27,10 @@
     assert_eq!(next.period_ms, 1_000);
     let reported: Vec<_> =
         next.models.iter().map(|model| (model.adapter.as_deref(), model.requests, model.unplaced)).collect();
-    assert_eq!(reported, [(Some("a1"), 0, 1)], "only what still waits");
+    assert_eq!(reported, [(Some("a1"), 0, 1)], "only the request that still waits");
 }
 
-/// The previous report may have been lost with the agent or its connection.
+/// The previous report may have been lost when the agent or the connection to it failed.
 #[test]
 fn requests_that_wait_for_a_model_are_in_each_report_until_it_is_loaded() {
     let mut dispatcher = Dispatcher::new(DispatchSettings::default(), 1);
@@ -43,7 +43,7 @@
     };
     assert_eq!(reported(&mut dispatcher, 20), [("m2".to_owned(), 1, 1)]);
     assert_eq!(reported(&mut dispatcher, 1_020), [("m2".to_owned(), 0, 1)]);
-    assert!(!dispatcher.has_unplaced_demand(), "a report of what waits asks for no further one at once");
+    assert!(!dispatcher.has_unplaced_demand(), "waiting requests of earlier reports need no immediate one");
     let loaded = Instance { sequence: 2, ..engine("e1", &["m1", "m2"]) };
     dispatcher.apply(ms(1_100), &FeedEvent::Instance(loaded));
     assert_eq!(reported(&mut dispatcher, 2_020), []);
--- a/crates/dispatch/tests/engine_priority.rs
+++ b/crates/dispatch/tests/engine_priority.rs
@@ -1,4 +1,4 @@
-//! Priorities for engines: short prompts first, then the priority of the route.
+//! Priorities for engines: ordered by prefill time, then by the priority of the route.
 
 use lanegate_dispatch::engine_priority::engine_priority;
 use proptest::prelude::*;
--- a/crates/dispatch/tests/exhausted_attempts.rs
+++ b/crates/dispatch/tests/exhausted_attempts.rs
@@ -27,7 +27,8 @@
     let mut dispatcher = synchronized(&[engine("e1", &["m1"]), engine("e2", &["m2"])]);
     dispatcher.submit(ms(10), once(1, 10, "m1"));
     dispatcher.ended(ms(20), RequestId(1), 1, MISDIRECTED);
-    let wait = refused(&mut dispatcher).expect("it has not run, and no endpoint may take it");
+    let wait =
+        refused(&mut dispatcher).expect("a refusal: the request has not run, and no endpoint may serve it");
     assert!(wait > ms(500), "the model has to be loaded first: {wait:?}");
 }
 
@@ -37,7 +38,7 @@
     dispatcher.submit(ms(10), once(1, 10, "m1"));
     dispatcher.apply(ms(15), &FeedEvent::Instance(engine("e2", &["m1"])));
     dispatcher.ended(ms(20), RequestId(1), 1, MISDIRECTED);
-    let wait = refused(&mut dispatcher).expect("the other endpoint is for another try");
+    let wait = refused(&mut dispatcher).expect("a refusal: another endpoint can serve a new request");
     assert!(wait <= ms(50), "{wait:?}");
 }
 
@@ -59,5 +60,5 @@
     let mut dispatcher = synchronized(&[engine("e1", &["m1"])]);
     dispatcher.submit(ms(10), generation(1, 10, "m1", &[(1, 100)]));
     dispatcher.ended(ms(20), RequestId(1), 1, MISDIRECTED);
-    assert_eq!(refused(&mut dispatcher), None, "the model may be loaded in time");
+    assert_eq!(refused(&mut dispatcher), None, "the model may still be loaded in time");
 }
--- a/crates/dispatch/tests/fleet.rs
+++ b/crates/dispatch/tests/fleet.rs
@@ -26,7 +26,7 @@
     let of = |policy| simulate(FleetRun { faults: faults.to_vec(), ..run(policy) });
     let (dispatched, random) = (of(Policy::Dispatched), of(Policy::Random));
     print_outcome(name, &dispatched);
-    print_outcome(&format!("{name}, by chance"), &random);
+    print_outcome(&format!("{name}, random selection"), &random);
     (dispatched, random)
 }
 
@@ -44,7 +44,7 @@
 
 #[test]
 fn without_faults_all_targets_are_met_with_less_prefill_than_random_selection() {
-    let (dispatched, random) = run_both("quiet", &[]);
+    let (dispatched, random) = run_both("no faults", &[]);
     for class in CLASSES {
         assert!(dispatched.class(&class).in_time_fraction() >= 0.99, "{}", class.name);
     }
@@ -64,7 +64,7 @@
 #[test]
 fn an_overload_costs_less_than_random_selection_and_spares_paid_requests() {
     let burst = Fault::Burst { from: 20_000, to: 24_000, class: "draft", times: 6.0 };
-    let (dispatched, random) = run_both("great burst", &[burst]);
+    let (dispatched, random) = run_both("large burst", &[burst]);
     assert!(dispatched.class(&DRAFT).in_time_fraction() >= random.class(&DRAFT).in_time_fraction());
     assert!(dispatched.class(&PAID).in_time_fraction() >= 0.95);
     assert!(dispatched.class(&DRAFT).served_fraction() >= 0.99);
@@ -96,7 +96,7 @@
     let loads = [Fault::LoadModel { at: 20_000, engine: 5, model: 12 }];
     let outcome =
         simulate(FleetRun { faults: loads.to_vec(), missing_model: Some(12), ..run(Policy::Dispatched) });
-    print_outcome("absent model", &outcome);
+    print_outcome("missing model", &outcome);
     // Before the load no request can be served; those whose deadline is just after it fail at the engine.
     let (refused, failed) = CLASSES
         .iter()
@@ -112,7 +112,7 @@
     let of = |policy| simulate(FleetRun { models: 4, prefixes: 1, classes: vec![popular], ..run(policy) });
     let (dispatched, random) = (of(Policy::Dispatched), of(Policy::Random));
     print_outcome("popular", &dispatched);
-    print_outcome("popular, by chance", &random);
+    print_outcome("popular, random selection", &random);
     assert!(dispatched.class(&popular).in_time_fraction() >= 0.97);
     assert!(dispatched.prefilled_tokens <= random.prefilled_tokens);
 }
--- a/crates/dispatch/tests/shutdown.rs
+++ b/crates/dispatch/tests/shutdown.rs
@@ -34,7 +34,7 @@
 /// A stream with 15 s for an answer of `output_tokens`.
 fn stream(id: u64, arrived: u64, output_tokens: u32) -> Request {
     let request = generation(id, arrived, "m1", &[(id, 100)]);
-    let requested = request.generation.as_ref().expect("what it asks of an engine").clone();
+    let requested = request.generation.as_ref().expect("a generation").clone();
     let deadline = ms(arrived + 15_000);
     Request { deadline, generation: Some(Generation { output_tokens, ..requested }), ..request }
 }
@@ -45,7 +45,7 @@
     dispatcher.take_decisions().iter().any(|decision| matches!(decision, Decision::Send { .. }))
 }
 
-/// Answers the only attempt of a request after `served` ms.
+/// Completes the only attempt of a request `served` ms after it was sent.
 fn answer(dispatcher: &mut Dispatcher, id: u64, sent: u64, served: u64) {
     let (id, end) = (RequestId(id), ms(sent + served));
     while let Some(at) = dispatcher.next_wake().filter(|at| *at <= end) {
@@ -61,8 +61,8 @@
     request(id, arrived)
 }
 
-/// Its engine may become overloaded after the send. Found by run
-/// `sccx-lanegate-planned-work-131`, where a stream of 1.5 s took more than 6 s.
+/// The engine may become overloaded after it received the request: in the run `sccx-lanegate-planned-work-131`, a
+/// stream with an expected duration of 1.5 s took more than 6 s.
 #[test]
 fn no_stream_is_started_during_shutdown() {
     let mut dispatcher = dispatcher();
@@ -74,11 +74,11 @@
     dispatcher.begin_shutdown(ms(600_000), ms(607_800));
     for (place, tokens) in [0, 1, 5, 100, 1_000, u32::MAX].into_iter().enumerate() {
         let request = stream(100 + place as u64, 600_100, tokens);
-        assert!(!is_sent(&mut dispatcher, 600_100, request), "a stream of {tokens} tokens was begun");
+        assert!(!is_sent(&mut dispatcher, 600_100, request), "a stream of {tokens} tokens was sent");
     }
 }
 
-/// With or without engines, and whatever has been answered before.
+/// The duration of a stream is unbounded even if all earlier streams of the service were short.
 #[test]
 fn no_stream_of_a_service_without_engines_is_started_either() {
     for answered in [0, 1, 50] {
@@ -109,16 +109,16 @@
     answer(&mut dispatcher, 200, 304_000, 500);
     assert!(
         !is_sent(&mut dispatcher, 306_700, unstreamed_request(201, 306_700)),
-        "0.5 s hardly fit into 1.1 s"
+        "0.5 s and the margins do not fit into 1.1 s"
     );
 }
 
-/// Queued requests are not kept until their clients time out.
+/// They must not stay queued until their clients time out.
 #[test]
 fn queued_streams_are_refused_at_the_start_of_the_shutdown() {
     let mut dispatcher = dispatcher();
     let mut waiting = stream(1, 1_000, 100);
-    waiting.generation.as_mut().expect("what it asks of an engine").adapter = Some("a1".into());
+    waiting.generation.as_mut().expect("a generation").adapter = Some("a1".into());
     assert!(!is_sent(&mut dispatcher, 1_000, waiting));
     dispatcher.begin_shutdown(ms(1_100), ms(8_900));
     let decisions = dispatcher.take_decisions();
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -127,7 +127,7 @@
 pub(crate) struct Tally {
     pub submitted: u32,
     pub in_time: u32,
-    /// In time with the second request, after a refusal.
+    /// Answered in time on the second submission, after a refusal.
     pub in_time_on_retry: u32,
     pub late: u32,
     pub refused: u32,
@@ -135,7 +135,8 @@
 }
 
 impl Tally {
-    /// Their value: 1 in time, `late` for a late answer, and the mean of both for a second request.
+    /// Mean value of a request: 1 if answered in time, `late` if answered late, and the mean of both if answered in
+    /// time on the second submission.
     pub(crate) fn value(&self, late: f64) -> f64 {
         let in_time_on_retry = (1.0 + late) / 2.0 * f64::from(self.in_time_on_retry);
         (f64::from(self.in_time) + in_time_on_retry + late * f64::from(self.late))
@@ -159,7 +160,7 @@
     pub retries: u32,
     pub rejections: u32,
     pub decisions: u64,
-    /// Of all decisions, and of the reports of the routers each second.
+    /// Digest of all decisions, and of the reports of the routers each second.
     pub digest: DecisionDigest,
 }
 
@@ -183,7 +184,7 @@
 
 struct Fleet {
     run: FleetRun,
-    /// Random numbers of the arrivals, and of everything else, so that all policies see the same requests.
+    /// Random numbers for the arrivals only; `rng` is for everything else, so that all policies get the same requests.
     arrivals: SmallRng,
     rng: SmallRng,
     now: Duration,
@@ -545,7 +546,7 @@
         let most = ends.iter().map(|&end| within(&self.submitted_at, end)).fold(0.0, f64::max);
         assert!(
             within(&self.retried_at, self.now) <= RETRY_RATIO * most + RETRY_SLACK,
-            "over budget at {:?}",
+            "retry budget exceeded at {:?}",
             self.now
         );
     }
@@ -613,7 +614,7 @@
     let mut replicas = vec![0usize; models];
     let present: Vec<usize> = (0..models).filter(|&model| Some(model) != missing_model).collect();
     for &model in present.iter().rev() {
-        let engine = least_loaded(&models_by_engine, model).expect("room");
+        let engine = least_loaded(&models_by_engine, model).expect("a free model slot");
         models_by_engine[engine].push(model);
         replicas[model] = 1;
     }
--- a/crates/dispatch/tests/support/history.rs
+++ b/crates/dispatch/tests/support/history.rs
@@ -71,7 +71,7 @@
     /// Times of requests and of retries by service.
     arrived: BTreeMap<String, Vec<Duration>>,
     retries: BTreeMap<String, Vec<Duration>>,
-    /// Of all decisions.
+    /// Digest of all decisions.
     pub digest: DecisionDigest,
 }
 
@@ -112,7 +112,7 @@
             self.dispatcher.wake(self.now);
             self.check_decisions();
             let next = self.dispatcher.next_wake();
-            assert!(next.is_none_or(|next| next > self.now), "a wake asks for another at once");
+            assert!(next.is_none_or(|next| next > self.now), "a wake-up requests another one immediately");
         }
         self.now = to;
     }
@@ -262,7 +262,7 @@
                     let observed = self.open.remove(&request).expect("refused once, while open");
                     assert!(
                         !observed.may_have_run && observed.in_flight_at.is_none(),
-                        "refused, but may have run"
+                        "refused although it may have run"
                     );
                     self.ended.push(request);
                 }
@@ -280,10 +280,16 @@
         assert_eq!(attempt, observed.attempts + 1);
         let resident = self.usable.get(instance).expect("sent to an endpoint in use");
         if let Some(requested) = &observed.request.generation {
-            assert!(resident.iter().any(|model| *model == *requested.model), "sent where the model isn't");
+            assert!(
+                resident.iter().any(|model| *model == *requested.model),
+                "sent to an endpoint without the model"
+            );
         }
         observed.may_have_run |= observed.in_flight_at.is_some();
-        assert!(!observed.may_have_run || observed.is_retryable(), "sent twice though it may run once");
+        assert!(
+            !observed.may_have_run || observed.is_retryable(),
+            "sent again although it must not run twice"
+        );
         observed.attempts = attempt;
         observed.in_flight_at = Some(instance.to_owned());
         observed.attempted_endpoints.push(instance.to_owned());
@@ -306,6 +312,6 @@
         };
         let allowed =
             self.budget.ratio * recent(&self.arrived) + self.budget.slack / f64::from(2 * LIVE_ROUTERS);
-        assert!(recent(&self.retries) <= allowed, "more repeats than the budget allows");
+        assert!(recent(&self.retries) <= allowed, "more retries than the budget allows");
     }
 }
--- a/crates/dispatch/tests/support/scenario.rs
+++ b/crates/dispatch/tests/support/scenario.rs
@@ -43,7 +43,8 @@
     }
 
     fn number(&self, name: &str) -> Option<f64> {
-        self.text(name).map(|value| value.parse().unwrap_or_else(|_| panic!("{name}={value} is no number")))
+        self.text(name)
+            .map(|value| value.parse().unwrap_or_else(|_| panic!("{name}={value} is not a number")))
     }
 
     fn integer(&self, name: &str) -> Option<u64> {
@@ -110,7 +111,7 @@
             "service" => self.service(&parsed),
             "sleep" => self.sleep(ms(parsed.positional[1].parse().expect("a time"))),
             at => {
-                let at = at.parse().unwrap_or_else(|_| panic!("{location}: no time"));
+                let at = at.parse().unwrap_or_else(|_| panic!("{location}: the time in ms is missing"));
                 self.advance(ms(at));
                 self.act(location, &parsed);
             }
@@ -178,7 +179,7 @@
         })
     }
 
-    /// Advances the time, and wakes the dispatcher whenever it asks for that.
+    /// Advances the time, and wakes the dispatcher at the times that it requests.
     fn advance(&mut self, to: Duration) {
         assert!(to >= self.now, "time goes back to {to:?}");
         while let Some(at) = self.dispatcher().next_wake().filter(|&at| at <= to) {
@@ -187,12 +188,15 @@
             self.dispatcher().wake(at);
             self.collect();
             let next = self.dispatcher().next_wake();
-            assert!(next.is_none_or(|next| next > at), "a wake at {at:?} asks for one at {next:?}");
+            assert!(
+                next.is_none_or(|next| next > at),
+                "a wake-up at {at:?} requests the next one at {next:?}"
+            );
         }
         self.now = to;
     }
 
-    /// The process is stalled until then and wakes too late.
+    /// Simulates a stall of the process until `to`: timers fire late.
     fn sleep(&mut self, to: Duration) {
         self.now = to;
         self.dispatcher().wake(to);
@@ -240,12 +244,12 @@
                 let end = end_of(location, parsed);
                 self.dispatcher().ended(now, id_of(name), attempt_of(parsed), end);
             }
-            other => panic!("{location}: no action {other}"),
+            other => panic!("{location}: unknown action {other}"),
         }
         self.collect();
     }
 
-    /// A registration; values that the line does not name are those of the previous one of that instance.
+    /// Builds a registration. Values that the line does not set are taken from the previous one of the instance.
     fn instance(&mut self, id: &str, parsed: &ScenarioLine) -> Instance {
         let is_engine = parsed.named.contains_key("models");
         let fresh = || if is_engine { engine(id, &[]) } else { instance(id) };
@@ -298,16 +302,20 @@
         match parsed.positional[0] {
             "any" => return self.decisions.clear(),
             "nothing" => {
-                return assert!(self.decisions.is_empty(), "{location}: but {}", describe(&self.decisions));
+                return assert!(
+                    self.decisions.is_empty(),
+                    "{location}: expected no decision, got {}",
+                    describe(&self.decisions)
+                );
             }
             _ => {}
         }
-        assert!(!self.decisions.is_empty(), "{location}: but nothing was decided");
+        assert!(!self.decisions.is_empty(), "{location}: no decision was made");
         let next = self.decisions.remove(0);
         let met = matches_expectation(&next, parsed);
         assert!(
             met,
-            "{location}: but {} (and {})",
+            "{location}: got {} (remaining: {})",
             describe(std::slice::from_ref(&next)),
             describe(&self.decisions)
         );
@@ -383,7 +391,7 @@
         "midway" => AttemptEnd::BrokenMidway,
         "garbled" => AttemptEnd::InvalidResponse,
         "cancelled" => AttemptEnd::Cancelled,
-        other => panic!("{location}: no end {other}"),
+        other => panic!("{location}: unknown end {other}"),
     }
 }
 
--- a/crates/placement/tests/any_order.rs
+++ b/crates/placement/tests/any_order.rs
@@ -7,7 +7,7 @@
 use support::fleet::Partition;
 use support::simulation::{ItemDemand, Simulation, runtime};
 
-/// One thing that happens.
+/// One event of a random run.
 #[derive(Debug, Clone)]
 enum Event {
     Demand(Vec<(usize, Option<u32>, f64)>),
@@ -15,17 +15,17 @@
     Restart(usize),
     Drain(usize),
     Takeover,
-    /// Some endpoints are partitioned for so long, ms.
+    /// Some endpoints are partitioned; the number is the duration, ms.
     Outage(Vec<usize>, Partition, u64),
     Loss(f64),
     MaxHeartbeatDelay(u64),
     Nothing,
 }
 
-/// Cases of an ordinary run.
+/// Number of cases unless `PROPTEST_CASES` is set.
 const CASES: u32 = 96;
 
-/// Seed of an ordinary run.
+/// Seed unless `PROPTEST_RNG_SEED` is set.
 const SEED: u64 = 20;
 
 const MODELS: usize = 20;
@@ -38,7 +38,7 @@
     prop::collection::vec(item, 0..25).prop_map(Event::Demand)
 }
 
-/// Some are long enough that the endpoint is removed, some are not.
+/// Partitions, some of which last long enough that the endpoint is removed.
 fn outage() -> impl Strategy<Value = Event> {
     let endpoints = prop::sample::subsequence((0..ENDPOINTS).collect::<Vec<_>>(), 1..=ENDPOINTS / 2);
     let partition = prop_oneof![Just(Partition::All), Just(Partition::Heartbeats)];
@@ -46,7 +46,7 @@
         .prop_map(|(endpoints, partition, duration_ms)| Event::Outage(endpoints, partition, duration_ms))
 }
 
-/// Delay until the next event, ms; often loads of the one before are in flight.
+/// Delay until the next event, ms; short enough in half of the cases that loads of the previous event are in flight.
 fn delay_until_next_event() -> impl Strategy<Value = u64> {
     prop_oneof![1 => 200..2_000u64, 1 => 3_000..9_000u64]
 }
@@ -94,7 +94,7 @@
     }
 }
 
-/// The same cases in every run, unless `PROPTEST_RNG_SEED` and `PROPTEST_CASES` ask for others.
+/// The same cases in every run, unless `PROPTEST_RNG_SEED` or `PROPTEST_CASES` is set.
 fn config() -> ProptestConfig {
     let default = ProptestConfig::default();
     let rng_seed = match default.rng_seed {
--- a/crates/placement/tests/delayed_reports.rs
+++ b/crates/placement/tests/delayed_reports.rs
@@ -188,7 +188,7 @@
         OrderAnswer::Accepted
     }
 
-    /// Finally the endpoint has `model` resident, and its capacity was never exceeded.
+    /// Checks that the endpoint has `model` resident after a while, and that its capacity was never exceeded.
     fn expect_eventually_resident(&mut self, model: &str) {
         self.run_for(15_000);
         assert!(self.violations.is_empty(), "{:?}", self.violations);
--- a/crates/placement/tests/digests.rs
+++ b/crates/placement/tests/digests.rs
@@ -1,4 +1,5 @@
-//! The placer's orders and their times under random demand and faults, pinned by a digest for each seed.
+//! The placer's orders and their times under random demand and faults, compared with a recorded digest
+//! for each seed.
 
 mod support;
 
@@ -40,7 +41,7 @@
     }
 }
 
-/// Of every three seeds the last has one mechanism switched off.
+/// Every third seed has one mechanism switched off.
 fn switched_off(seed: u64) -> SwitchedOff {
     let all: Vec<Mechanism> = Mechanism::all().collect();
     let one = (seed % 3 == 2).then(|| all[(seed / 3) as usize % all.len()]);
--- a/crates/placement/tests/orders.rs
+++ b/crates/placement/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Unanswered orders: the endpoint gets no other until a report resolves them.
+//! Unanswered orders: an endpoint gets no further order until a report resolves the unanswered one.
 
 use lanegate_config::configuration::{Model, Runtime};
 use lanegate_config::demand::{DemandReport, ModelDemand};
@@ -86,7 +86,7 @@
         self.placer.register(self.now(), &instance);
     }
 
-    /// Demand for a model that is resident nowhere.
+    /// Adds demand for a model that is resident on no endpoint.
     fn add_demand(&mut self, model: &str) {
         let demand = ModelDemand {
             backend: BACKEND.into(),
@@ -148,7 +148,7 @@
                 "an order was sent before the endpoint reported"
             );
         }
-        assert_eq!(std::mem::take(&mut self.report_requests), 1, "the endpoint is demanded once");
+        assert_eq!(std::mem::take(&mut self.report_requests), 1, "one report is requested");
         self.placer.apply_report(self.now(), "i-1", &report(&[], false, 0));
         loop {
             assert!(self.now_ms < 1_000, "no order is sent");
@@ -176,7 +176,7 @@
         fixture.placer.apply_report(fixture.now(), "i-1", &report(&[], false, 0));
     }
     assert!(fixture.run_until(resolved_ms).is_empty());
-    assert!(fixture.report_requests > 0, "nobody demanded what became of the order");
+    assert!(fixture.report_requests > 0, "no report was requested to resolve the order");
     fixture.placer.apply_report(fixture.now(), "i-1", &report(&[], false, 0));
     let orders = fixture.run_until(resolved_ms + 500);
     assert_eq!(orders.first().map(|order| order.if_revision), Some(0), "{orders:?}");
@@ -262,7 +262,7 @@
     assert_eq!(fixture.placer.evicting("i-1"), None);
     let order = fixture.evict();
     let evicting = fixture.placer.evicting("i-1").cloned();
-    assert_eq!(evicting, Some(order.item()), "from the order on");
+    assert_eq!(evicting, Some(order.item()), "evicting as soon as it is ordered");
     fixture.placer.order_answered(fixture.now(), order.id, OrderAnswer::Accepted);
     for _ in 0..4 {
         fixture.run_until(fixture.now_ms + 1_000);
--- a/crates/placement/tests/scenarios.rs
+++ b/crates/placement/tests/scenarios.rs
@@ -31,7 +31,7 @@
             ">=" => measured >= bound,
             "<=" => measured <= bound,
             "=" => measured == bound,
-            other => panic!("{}: {other} is no comparison", self.location),
+            other => panic!("{}: {other} is not a comparison operator", self.location),
         };
         assert!(holds, "{}: measured {measured}, expected {operator} {bound}", self.location);
     }
@@ -43,7 +43,7 @@
         .map(|pair| {
             let (model, adapter) = split(pair[0]);
             let rate =
-                pair[1].parse().unwrap_or_else(|_| panic!("{}: {} is no rate", line.location, pair[1]));
+                pair[1].parse().unwrap_or_else(|_| panic!("{}: {} is not a rate", line.location, pair[1]));
             ItemDemand { model: model.into(), adapter: adapter.map(str::to_string), rate }
         })
         .collect()
@@ -136,13 +136,13 @@
         "loss" => simulation.loss = line.number(3),
         "end" => {}
         "expect" => expect(simulation, line),
-        other => panic!("{}: {other} is no command", line.location),
+        other => panic!("{}: unknown command {other}", line.location),
     }
 }
 
 /// `replicas ITEM`, `zones MODEL`, `orders SECONDS`, `loads SECONDS` (of models) and `unplaced SECONDS` (each of the
-/// last seconds), `not_resident` (items in demand without a replica), `first_report_requests` (incarnations asked by
-/// a placer), `report_requests` (all beyond these), `conflicts`.
+/// last seconds), `not_resident` (items in demand without a replica), `first_report_requests` (incarnations from which
+/// a placer requested a report), `report_requests` (all beyond these), `conflicts`.
 fn expect(simulation: &Simulation, line: &Line) {
     let since = |seconds: f64| simulation.now_ms.saturating_sub((seconds * 1_000.0) as u64);
     match line.word(3) {
@@ -176,7 +176,7 @@
         "first_report_requests" => line.compare(4, simulation.first_report_requests.len() as f64),
         "report_requests" => line.compare(4, simulation.report_requests as f64),
         "conflicts" => line.compare(4, simulation.conflicts as f64),
-        other => panic!("{}: {other} can't be measured", line.location),
+        other => panic!("{}: unknown measurement {other}", line.location),
     }
 }
 
--- a/crates/placement/tests/support/check.rs
+++ b/crates/placement/tests/support/check.rs
@@ -14,7 +14,7 @@
 /// A model requested within this time may not lose its last replica, ms; a report is up to a second late.
 const IN_DEMAND_MS: u64 = 2_500;
 
-/// For this long after a fault the placer may be wrong about what serves, ms.
+/// For this long after a fault the placer may not know which endpoints serve a model, ms.
 const FAULT_RECOVERY_MS: u64 = 6_000;
 
 #[derive(Default)]
@@ -26,7 +26,7 @@
     pub max_concurrent_loads: usize,
     /// Endpoints that have registered as draining.
     pub known_draining: BTreeSet<String>,
-    /// When a fault last occurred that the placer cannot know of at once.
+    /// When the last fault occurred that the placer cannot detect immediately.
     pub last_fault_ms: u64,
 }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// An order is about to be executed.
+    /// Checks an order that is about to be executed.
     pub(crate) fn order_executed(
         &mut self,
         now_ms: u64,
@@ -94,14 +94,14 @@
         }
     }
 
-    /// The guard blocked orders: the planner was wrong.
+    /// Checks that the guard has blocked no order, which would show a bug of the planner.
     pub(crate) fn check_blocked_orders(&mut self, now_ms: u64, violations: InvariantViolations) {
         if violations.total() > 0 {
             self.violations.push(format!("{now_ms}: {violations:?}"));
         }
     }
 
-    /// An order was answered: the endpoint may get another.
+    /// Records that an order was answered, so that the endpoint may get another one.
     pub(crate) fn order_closed(&mut self, instance: &str, order: u64) {
         if self.open.get(instance) == Some(&order) {
             self.open.remove(instance);
--- a/crates/placement/tests/support/fleet.rs
+++ b/crates/placement/tests/support/fleet.rs
@@ -14,7 +14,7 @@
     pub until_ms: u64,
 }
 
-/// What a partition stops between an endpoint and the controllers.
+/// The messages between an endpoint and the controllers that a partition stops.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Partition {
     /// Heartbeats, which are delayed.
@@ -40,8 +40,7 @@
     pub partition: Option<Partition>,
     /// When the partition ends.
     pub partition_ends_ms: u64,
-    /// The delayed heartbeat. The endpoint drops each later one before it is sent, as its connection does not come
-    /// up.
+    /// The delayed heartbeat. Each later one is dropped before it is sent, because the endpoint cannot connect.
     pub delayed_heartbeat: Option<Instance>,
 }
 
@@ -119,7 +118,7 @@
         self.models.values().map(BTreeSet::len).sum()
     }
 
-    /// Completes work whose time has come.
+    /// Completes the order in execution once its time has passed.
     pub(crate) fn advance(&mut self, now_ms: u64) {
         let Some(work) = self.work.take_if(|work| work.until_ms <= now_ms) else { return };
         match (work.operation, work.adapter) {
@@ -143,7 +142,7 @@
         }
     }
 
-    /// The status of an order that is not executed: rejected, or already in effect.
+    /// The status of an order that is rejected or already in effect, and therefore not executed.
     pub(crate) fn immediate_status(&self, order: &Order) -> Option<u16> {
         if self.id() != *order.instance {
             return Some(421);
--- a/crates/placement/tests/support/mod.rs
+++ b/crates/placement/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated service: endpoints that obey orders, routers that report demand, a network that loses messages, and
+//! A simulated service: endpoints that execute orders, routers that report demand, a network that loses messages, and
 //! checks of every limit at every step.
 #![allow(dead_code)]
 
--- a/crates/placement/tests/support/simulation/mod.rs
+++ b/crates/placement/tests/support/simulation/mod.rs
@@ -25,7 +25,7 @@
 /// Time without a heartbeat after which an endpoint that is not known to have crashed is removed.
 const REMOVAL_TIMEOUT_MS: u64 = 4_200;
 const ANSWER_TIMEOUT_MS: u64 = 1_000;
-/// Fraction of the unanswered orders that arrive.
+/// Probability that an unanswered order, or a delayed heartbeat, still arrives.
 const LATE_ARRIVAL_PROBABILITY: f64 = 0.5;
 /// Time after its sending until which an unanswered order may arrive.
 const LATEST_ARRIVAL_MS: u64 = 1_400;
@@ -108,7 +108,7 @@
         Simulation::without(SwitchedOff::default(), runtime, endpoints, zones, seed)
     }
 
-    /// With some mechanisms switched off.
+    /// A simulation with some mechanisms switched off.
     pub(crate) fn without(
         switched_off: SwitchedOff,
         runtime: Runtime,
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Fills the endpoints as they begin: the models in demand on many, the rest on one each.
+    /// Places models on the endpoints at the start: those in demand on many endpoints, the others on one each.
     pub(crate) fn fill(&mut self) {
         let mut models: Vec<ItemDemand> =
             self.demand.iter().filter(|demanded| demanded.adapter.is_none()).cloned().collect();
--- a/crates/placement/tests/support/simulation/network.rs
+++ b/crates/placement/tests/support/simulation/network.rs
@@ -101,7 +101,7 @@
         self.placer.register(self.now(), instance);
     }
 
-    /// Removes endpoints without a heartbeat for too long, running or not.
+    /// Removes endpoints without a heartbeat for [`REMOVAL_TIMEOUT_MS`], whether they are running or not.
     pub(super) fn remove_unresponsive_endpoints(&mut self) {
         let now_ms = self.now_ms;
         let unresponsive = self
@@ -152,7 +152,7 @@
             .any(|endpoint| endpoint.address == address && endpoint.partition == Some(Partition::All))
     }
 
-    /// An order arrives whose sender does not wait for the answer any more.
+    /// Handles an order whose sender no longer waits for the answer.
     fn late_order_arrives(&mut self, order: &Order) {
         if self.is_partitioned(order.address) {
             return;
@@ -175,7 +175,7 @@
         let duration_ms = match (order.operation, order.adapter.is_some()) {
             (Operation::Load, false) => load_ms * disk * (1.0 + 0.5 * chance),
             (Operation::Load, true) => 20.0 + 60.0 * chance,
-            // Sometimes long requests have to finish first.
+            // In a tenth of the cases, long requests have to end first.
             (Operation::Evict, _) if chance > 0.9 => 3_000.0 * chance,
             (Operation::Evict, _) => 10.0 + 400.0 * chance,
         };
