--- a/crates/dispatch/tests/engine_priority.rs
+++ b/crates/dispatch/tests/engine_priority.rs
@@ -10,9 +10,9 @@
 
 #[test]
 fn a_short_prompt_has_priority_over_a_long_one() {
-    let question = engine_priority(2, ms(15), ms(500));
-    let document = engine_priority(1, ms(500), ms(800));
-    assert!(question < document);
+    let short = engine_priority(2, ms(15), ms(500));
+    let long = engine_priority(1, ms(500), ms(800));
+    assert!(short < long);
 }
 
 #[test]
@@ -31,11 +31,11 @@
     fn priorities_are_in_range_and_monotonic_in_the_prefill_time(
         priority in any::<u8>(),
         prefill_time in 0u64..10_000,
-        more in 0u64..10_000,
-        left in 1u64..20_000,
+        additional in 0u64..10_000,
+        time_to_target in 1u64..20_000,
     ) {
-        let one = engine_priority(priority, ms(prefill_time), ms(left));
-        let other = engine_priority(priority, ms(prefill_time + more), ms(left));
+        let one = engine_priority(priority, ms(prefill_time), ms(time_to_target));
+        let other = engine_priority(priority, ms(prefill_time + additional), ms(time_to_target));
         prop_assert!(one <= other);
         prop_assert!(other <= 9);
     }
--- a/crates/dispatch/tests/support/engine.rs
+++ b/crates/dispatch/tests/support/engine.rs
@@ -126,16 +126,16 @@
 
     fn prefill(&mut self, ms: f64) {
         let mut budget = ms * self.speed.prefill_per_ms;
-        let room = self.speed.memory_tokens.saturating_sub(self.used_tokens());
+        let free_tokens = self.speed.memory_tokens.saturating_sub(self.used_tokens());
         for run in &mut self.running {
             if run.prefill_left <= 0.0 {
                 continue;
             }
-            let read = run.prefill_left.min(budget);
-            run.prefill_left -= read;
-            budget -= read;
+            let prefilled = run.prefill_left.min(budget);
+            run.prefill_left -= prefilled;
+            budget -= prefilled;
             if run.prefill_left <= 0.0 {
-                self.cache.insert(&run.job.chain, room);
+                self.cache.insert(&run.job.chain, free_tokens);
             }
         }
     }
--- a/crates/dispatch/tests/support/fleet.rs
+++ b/crates/dispatch/tests/support/fleet.rs
@@ -338,10 +338,10 @@
             }
         }
         let now = self.now;
-        let (back, later): (Vec<_>, Vec<_>) =
+        let (due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.pending_retries).into_iter().partition(|(at, _)| *at <= now);
         self.pending_retries = later;
-        for (_, client) in back {
+        for (_, client) in due {
             let router = self.rng.random_range(0..self.run.routers);
             self.submit(Client { router, arrived: now, ..client });
         }
--- a/crates/placement/tests/any_order.rs
+++ b/crates/placement/tests/any_order.rs
@@ -146,8 +146,8 @@
         for number in 0..ENDPOINTS / 2 {
             simulation.restart(&format!("e{}", number + 1));
         }
-        let demanded = demanded_models.iter().map(|model| ItemDemand { model: format!("m{model}"), adapter: None, rate: 1.5 });
-        simulation.demand = demanded.collect();
+        let demand = |model| ItemDemand { model: format!("m{model}"), adapter: None, rate: 1.5 };
+        simulation.demand = demanded_models.iter().map(demand).collect();
         let until = simulation.now_ms + 60_000;
         simulation.run_until(until);
         for model in &demanded_models {
--- a/crates/placement/tests/endpoint_report.rs
+++ b/crates/placement/tests/endpoint_report.rs
@@ -23,8 +23,8 @@
     };
     assert_eq!(serde_json::to_string(&report).unwrap(), TEXT);
     assert_eq!(serde_json::from_str::<EndpointReport>(TEXT).unwrap(), report);
-    let least: EndpointReport = serde_json::from_str("{}").unwrap();
-    assert_eq!((least.models.len(), least.busy, least.sequence, least.phase), (0, false, 0, None));
+    let empty: EndpointReport = serde_json::from_str("{}").unwrap();
+    assert_eq!((empty.models.len(), empty.busy, empty.sequence, empty.phase), (0, false, 0, None));
 }
 
 #[test]
--- a/crates/placement/tests/support/simulation/mod.rs
+++ b/crates/placement/tests/support/simulation/mod.rs
@@ -286,22 +286,22 @@
             self.demand.iter().filter(|demanded| demanded.adapter.is_none()).cloned().collect();
         models.sort_by(|a, b| b.rate.total_cmp(&a.rate));
         let total: f64 = models.iter().map(|demanded| demanded.rate).sum();
-        for copy in 1..=self.endpoints.len() {
+        for replica in 1..=self.endpoints.len() {
             for demanded in &models {
-                let wanted = (demanded.rate / total * self.endpoints.len() as f64).ceil();
-                if copy as f64 <= wanted {
-                    self.fill_one(&demanded.model);
+                let target_replicas = (demanded.rate / total * self.endpoints.len() as f64).ceil();
+                if replica as f64 <= target_replicas {
+                    self.place_on_emptiest(&demanded.model);
                 }
             }
         }
     }
 
-    fn fill_one(&mut self, model: &str) {
+    fn place_on_emptiest(&mut self, model: &str) {
         let size = size(&self.runtime, model, false);
-        let room = self.runtime.weights_mb;
+        let capacity_mb = self.runtime.weights_mb;
         let runtime = &self.runtime;
         let fitting = self.endpoints.iter_mut().filter(|endpoint| {
-            !endpoint.models.contains_key(model) && endpoint.used_mb(runtime) + size <= room
+            !endpoint.models.contains_key(model) && endpoint.used_mb(runtime) + size <= capacity_mb
         });
         if let Some(endpoint) = fitting.min_by_key(|endpoint| endpoint.models.len()) {
             endpoint.models.insert(model.into(), BTreeSet::new());
