--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -1,7 +1,7 @@
 //! The retry budget. All routers share it without communicating: each one uses only its own share.
 //!
 //! The bound over all routers is a ratio of the requests of a window plus a slack. A router retries no more than the
-//! ratio of its own requests, plus an equal part of half of the slack. The other half covers routers that were
+//! ratio of its own requests, plus an equal share of half of the slack. The other half covers routers that were
 //! restarted, and routers that learn late of each other.
 
 use lanegate_config::settings::Bounds;
--- a/crates/dispatch/src/candidate.rs
+++ b/crates/dispatch/src/candidate.rs
@@ -19,7 +19,7 @@
     pub cost_s: f64,
     /// Expected time to the first byte.
     pub expected: Duration,
-    /// What the request would take there.
+    /// Resources that the request would take there.
     pub requirement: ResourceRequirement,
     /// Tokens that the engine has to prefill before the prompt of this request.
     pub queued_prefill_tokens: u64,
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -48,7 +48,7 @@
     synchronized: bool,
     /// When a stall of the process was last detected.
     last_stall: Duration,
-    /// When all answers have to be complete because the process shuts down, once that was requested.
+    /// When all answers have to be complete because the process shuts down; `None` before a shutdown is requested.
     shutdown_end: Option<Duration>,
     violations: Violations,
 }
--- a/crates/dispatch/src/dispatcher/observations.rs
+++ b/crates/dispatch/src/dispatcher/observations.rs
@@ -1,4 +1,4 @@
-//! What is learned from attempts: times, loads, health and the contents of prefix caches.
+//! Updates the estimates from attempts: times, loads, health and the contents of prefix caches.
 
 use super::Dispatcher;
 use crate::endpoints::EndpointKey;
--- a/crates/dispatch/src/endpoint_selection.rs
+++ b/crates/dispatch/src/endpoint_selection.rs
@@ -68,7 +68,7 @@
         .then(one.key.cmp(&other.key))
 }
 
-/// What happens to a request, given its candidates.
+/// The result of selecting among the candidates of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Selection {
     /// It is sent to this endpoint now.
--- a/crates/dispatch/src/engine_priority.rs
+++ b/crates/dispatch/src/engine_priority.rs
@@ -10,7 +10,7 @@
 /// Number of the lowest priority.
 const LOWEST_PRIORITY: u8 = 9;
 
-/// Bounds between the levels: prefill time as a part of the time until the target.
+/// Bounds between the levels, as ratios of the prefill time to the time until the target.
 const URGENCY_BOUNDS: [f64; 4] = [1.0 / 16.0, 1.0 / 8.0, 1.0 / 4.0, 1.0 / 2.0];
 
 /// Priorities within a level: routes with the highest priority first, then all others.
--- a/crates/dispatch/src/interface.rs
+++ b/crates/dispatch/src/interface.rs
@@ -39,7 +39,7 @@
     pub generation: Option<Generation>,
 }
 
-/// What a request asks of an inference engine.
+/// The generation that a request asks an inference engine for.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Generation {
     /// Name of the model.
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -2,7 +2,7 @@
 //! refused.
 //!
 //! The crate does no I/O and reads no clock. The caller passes the time to each call, carries out the
-//! [`Decision`](interface::Decision)s and reports what became of them. Randomness comes from a seed. The same calls
+//! [`Decision`](interface::Decision)s and reports their results. Randomness comes from a seed. The same calls
 //! therefore lead to the same decisions.
 //!
 //! # Invariants
--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -89,7 +89,7 @@
         (self.reported.running + self.reported.waiting) * self.decay(now)
     }
 
-    /// Of these, the ones that wait for a slot.
+    /// Estimated requests of other routers there that wait for a slot.
     pub fn other_waiting_requests(&self, now: Duration) -> f64 {
         self.reported.waiting * self.decay(now)
     }
@@ -111,7 +111,7 @@
     }
 }
 
-/// What a request takes of an endpoint while it is in flight.
+/// The resources of an endpoint that a request takes while it is in flight.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ResourceRequirement {
     /// Tokens to prefill before the first byte.
--- a/crates/dispatch/src/pending_request.rs
+++ b/crates/dispatch/src/pending_request.rs
@@ -66,7 +66,7 @@
     pub endpoint: EndpointKey,
     /// When it was sent.
     pub sent: Duration,
-    /// What it takes of the endpoint.
+    /// The resources of the endpoint that it takes.
     pub requirement: ResourceRequirement,
     /// Expected time to the first byte.
     pub expected: Duration,
--- a/crates/dispatch/src/scoring.rs
+++ b/crates/dispatch/src/scoring.rs
@@ -25,13 +25,14 @@
 /// Factor by which an endpoint is slower while it warms up.
 const WARM_UP_FACTOR: f64 = 2.0;
 
-/// Part of the usual service time that a full batch adds to an answer.
+/// Fraction of the usual service time that a full batch adds to an answer.
 const BATCH_COST_WEIGHT: f64 = 0.1;
 
-/// Cost of stalling the streams of an engine during a prefill, as a part of the stall for each stream.
+/// Cost of stalling the streams of an engine during a prefill, as a fraction of the duration of the stall for each
+/// stream.
 const STALL_COST_WEIGHT: f64 = 0.08;
 
-/// Part of the KV cache of an engine that requests may fill; the rest is for the growth of their outputs.
+/// Fraction of the KV cache of an engine that requests may fill; the rest is for the growth of their outputs.
 const USABLE_MEMORY_FRACTION: f64 = 0.9;
 
 /// The inputs from which the costs of the candidates of one request are calculated.
--- a/crates/dispatch/tests/prefix.rs
+++ b/crates/dispatch/tests/prefix.rs
@@ -56,7 +56,7 @@
     assert_eq!(PromptChain::of(&larger).prompt_tokens, 5_000);
 }
 
-/// Routers of different versions must agree: these values never change.
+/// Routers of different versions must agree on the hashes, so these values must never change.
 #[test]
 fn the_hash_is_the_same_everywhere() {
     assert_eq!(stable_hash("i-7f3a91c2"), HASH_OF_AN_ID);
--- a/crates/dispatch/tests/shutdown.rs
+++ b/crates/dispatch/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! What is still accepted during shutdown.
+//! Requests that are still accepted during shutdown, and those that are refused.
 
 mod support;
 
--- a/crates/placement/src/contents.rs
+++ b/crates/placement/src/contents.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// What is resident on an endpoint, each item once.
+/// The models and adapters resident on an endpoint, each listed once.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Contents {
     resident: Vec<Resident>,
--- a/crates/placement/src/demand_rate.rs
+++ b/crates/placement/src/demand_rate.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Adds requests that a router reported: `requests` with `tokens` in all. `unplaced` tells whether one found no
+    /// Adds requests that a router reported: `requests` with `tokens` in all. `unplaced` states whether one found no
     /// endpoint.
     pub(crate) fn record(&mut self, now: Duration, requests: f64, tokens: f64, unplaced: bool) {
         self.add(now, requests, tokens + requests * REQUEST_WORK);
--- a/crates/placement/src/drain_time.rs
+++ b/crates/placement/src/drain_time.rs
@@ -1,7 +1,8 @@
 //! Estimates how long an endpoint takes to evict a model.
 //!
-//! An idle model is evicted at once. A busy one is refused to new requests from the order on, and its memory stays
-//! taken until its last running request has ended. A load that needs this memory has to wait for that.
+//! An idle model is evicted immediately. For a busy one, the endpoint refuses new requests as soon as it has accepted
+//! the order, and the memory is freed when the last running request has ended. A load that needs this memory has to
+//! wait for that.
 
 use std::time::Duration;
 
--- a/crates/placement/src/eviction.rs
+++ b/crates/placement/src/eviction.rs
@@ -26,7 +26,7 @@
 }
 
 impl DesiredReplica {
-    /// What to evict from an endpoint to free `missing` MB, the cheapest first; `None` if that is not possible.
+    /// The models to evict from an endpoint to free `missing` MB, the cheapest first; `None` if that is not possible.
     pub(crate) fn victims(
         &self,
         view: &PlanningView,
--- a/crates/placement/src/guard.rs
+++ b/crates/placement/src/guard.rs
@@ -29,7 +29,7 @@
     contents: Contents,
 }
 
-/// What one incarnation of an endpoint may have resident.
+/// The contents that one incarnation of an endpoint may have, and its unresolved order.
 #[derive(Debug, Default)]
 struct EndpointRecord {
     known: Option<KnownContents>,
--- a/crates/placement/src/interface.rs
+++ b/crates/placement/src/interface.rs
@@ -146,7 +146,7 @@
     /// Requests that run.
     #[serde(default)]
     pub active: u32,
-    /// Used part of the KV cache, tokens.
+    /// Tokens in the KV cache.
     #[serde(default)]
     pub kv_used: f64,
     /// Size of the KV cache, tokens.
--- a/crates/placement/src/planning_view.rs
+++ b/crates/placement/src/planning_view.rs
@@ -57,12 +57,12 @@
         self.recent_rate * (1.0 - replicas as f64 / needed).max(0.0)
     }
 
-    /// Requests/s that one more replica than `replicas` serves and that would otherwise wait too long.
+    /// Requests/s that would wait too long with `replicas` replicas and that one more replica serves.
     pub(crate) fn served_by_next_replica(&self, replicas: usize) -> f64 {
         self.unserved(replicas) - self.unserved(replicas + 1)
     }
 
-    /// Requests/s that one more replica than `replicas` takes from each of the others.
+    /// Requests/s that each of `replicas` replicas is relieved of by one more replica.
     pub(crate) fn relief(&self, replicas: usize) -> f64 {
         let replicas = replicas.max(1) as f64;
         self.recent_rate / (replicas * (replicas + 1.0))
--- a/crates/placement/src/replica_target.rs
+++ b/crates/placement/src/replica_target.rs
@@ -3,7 +3,7 @@
 use crate::demand_rate::{DemandRates, RateInterval};
 use std::time::Duration;
 
-/// Another replica is ordered once the endpoints needed exceed the replicas by this.
+/// Another replica is ordered when the number of endpoints needed exceeds the number of replicas by this.
 const SCALE_UP_MARGIN: f64 = 0.25;
 
 /// From this rate on, requests/s, an item gets a second replica, so that the loss of one endpoint does not remove it.
--- a/crates/placement/tests/scenarios.rs
+++ b/crates/placement/tests/scenarios.rs
@@ -142,7 +142,7 @@
 
 /// `replicas ITEM`, `zones MODEL`, `orders SECONDS`, `loads SECONDS` (of models) and `unplaced SECONDS` (each of the
 /// last seconds), `not_resident` (items in demand without a replica), `first_report_requests` (incarnations from which
-/// a placer requested a report), `report_requests` (all beyond these), `conflicts`.
+/// a placer requested a report), `report_requests` (all further ones), `conflicts`.
 fn expect(simulation: &Simulation, line: &Line) {
     let since = |seconds: f64| simulation.now_ms.saturating_sub((seconds * 1_000.0) as u64);
     match line.word(3) {
