--- a/crates/controller/src/controller/placement/placers.rs
+++ b/crates/controller/src/controller/placement/placers.rs
@@ -9,7 +9,8 @@
 use lanegate_config::mechanism::Mechanism;
 use lanegate_config::settings::Settings;
 use lanegate_placement::{
-    Action, EndpointReport, InvariantViolations, Item, OrderAnswer, OrderId, Placer, PlacerSettings, Start,
+    Action, EndpointReport, InvariantViolations, Item, OrderAnswer, OrderId, Placer, PlacerSettings,
+    StartMode,
 };
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -67,7 +68,7 @@
         now: Duration,
         configuration: &Configuration,
         settings: &Settings,
-        start: Start,
+        start: StartMode,
         instances: impl Iterator<Item = &'a Registered> + Clone,
         demand: &RecentDemand,
     ) {
@@ -85,15 +86,17 @@
             }
             let placer_settings = PlacerSettings::new(settings, start);
             let mut placer = Placer::new(now, &backend.name, *epoch, &placer_settings);
-            if start == Start::Takeover {
-                placer.predecessor_idle(Duration::from_secs_f64(settings.bounds.lease_ms.max(0.0) / 1e3));
+            if start == StartMode::Takeover {
+                placer.credit_predecessor_idle_time(Duration::from_secs_f64(
+                    settings.bounds.lease_ms.max(0.0) / 1e3,
+                ));
             }
             placer.configure(now, runtime);
             if settings.switched_off.leaves(Mechanism::DemandRecall) {
                 demand.reports().iter().for_each(|(at, report)| placer.restore_demand(*at, report));
             }
             for registered in instances.clone().filter(|r| r.instance.backend == backend.name) {
-                placer.instance(now, &registered.instance);
+                placer.register(now, &registered.instance);
             }
             self.placers.insert(backend.name.clone(), placer);
         }
@@ -115,7 +118,7 @@
     /// A registration was added or changed.
     pub(crate) fn update_instance(&mut self, now: Duration, registered: &Registered) {
         if let Some(placer) = self.placers.get_mut(&registered.instance.backend) {
-            placer.instance(now, &registered.instance);
+            placer.register(now, &registered.instance);
         }
     }
 
@@ -127,12 +130,12 @@
 
     /// An incarnation was removed.
     pub(crate) fn removed(&mut self, now: Duration, id: &str) {
-        self.placers.values_mut().for_each(|placer| placer.removed(now, id));
+        self.placers.values_mut().for_each(|placer| placer.remove_endpoint(now, id));
     }
 
     /// A router reported its demand.
     pub(crate) fn demand(&mut self, now: Duration, router: &str, report: &DemandReport) {
-        self.placers.values_mut().for_each(|placer| placer.demand(now, router, report));
+        self.placers.values_mut().for_each(|placer| placer.add_demand(now, router, report));
     }
 
     /// An order has completed, with an answer or a time-out.
@@ -145,7 +148,7 @@
     /// An endpoint answered a report request.
     pub(crate) fn reported(&mut self, now: Duration, service: &str, instance: &str, report: &EndpointReport) {
         if let Some(placer) = self.placers.get_mut(service) {
-            placer.report(now, instance, report);
+            placer.apply_report(now, instance, report);
         }
     }
 
--- a/crates/dispatch/src/budget.rs
+++ b/crates/dispatch/src/budget.rs
@@ -1,23 +1,24 @@
-//! The retry budget. All routers share it without communicating: each one keeps to its part.
+//! The retry budget. All routers share it without communicating: each one uses only its own share.
 //!
 //! The bound over all routers is a ratio of the requests of a window plus a slack. A router retries no more than the
-//! ratio of its own requests, plus an equal part of half of the slack. The other half covers routers that were
+//! ratio of its own requests, plus an equal share of half of the slack. The other half covers routers that were
 //! restarted, and routers that learn late of each other.
 
 use lanegate_config::settings::Bounds;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Part of the ratio that a router uses. The rest is a margin: windows of routers and of an observer are not aligned.
+/// Fraction of the ratio that a router uses. The rest is a margin, as the windows of routers and of an observer are not
+/// aligned.
 const RATIO_SAFETY_FACTOR: f64 = 0.75;
 
-/// Part of the slack that is divided among the routers.
+/// Fraction of the slack that is divided among the routers.
 const SLACK_FRACTION: f64 = 0.5;
 
 /// The configured bounds of the budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetBounds {
-    /// Retries of all routers as a part of the requests of a window.
+    /// Retries of all routers as a fraction of the requests of a window.
     pub ratio: f64,
     /// Length of the sliding window.
     pub window: Duration,
@@ -66,9 +67,9 @@
     /// Retries that the window that ends now may contain.
     fn allowance(&self, now: Duration, bounds: &BudgetBounds, live: Option<u32>) -> f64 {
         let requests = count_within(&self.requests, now, bounds.window);
-        let of_ratio = bounds.ratio * RATIO_SAFETY_FACTOR * requests as f64;
-        let of_slack = live.map_or(0.0, |live| bounds.slack * SLACK_FRACTION / f64::from(live.max(1)));
-        of_ratio + of_slack
+        let ratio_allowance = bounds.ratio * RATIO_SAFETY_FACTOR * requests as f64;
+        let slack_allowance = live.map_or(0.0, |live| bounds.slack * SLACK_FRACTION / f64::from(live.max(1)));
+        ratio_allowance + slack_allowance
     }
 
     /// Retries since the start of the process.
@@ -86,7 +87,7 @@
     /// When the oldest retry leaves the window; `None` if the window contains no retry.
     pub fn next_expiry(&self, now: Duration, bounds: &BudgetBounds) -> Option<Duration> {
         let counted = self.retries.iter().map(|&at| at + bounds.window);
-        counted.into_iter().find(|&leaves| leaves > now)
+        counted.into_iter().find(|&expiry| expiry > now)
     }
 }
 
@@ -95,6 +96,6 @@
 }
 
 fn expire_before(times: &mut VecDeque<Duration>, now: Duration, window: Duration) {
-    let old = times.partition_point(|&at| at + window <= now);
-    times.drain(..old);
+    let expired = times.partition_point(|&at| at + window <= now);
+    times.drain(..expired);
 }
--- a/crates/dispatch/src/client_timeout.rs
+++ b/crates/dispatch/src/client_timeout.rs
@@ -11,8 +11,8 @@
 const LATENCY_TARGET_FACTOR: u32 = 4;
 const EVENT_GAP_FACTOR: u32 = 8;
 
-/// An answer is due this long before the time-out of the client: the client sent the request before the router received
-/// it, and the answer still has to travel back.
+/// An answer is due this long before the time-out of the client, to allow for the transmission of the request and of the
+/// answer.
 const ANSWER_MARGIN: Duration = Duration::from_millis(50);
 
 /// The largest allowed gap between events, for each route that configures one.
@@ -38,9 +38,9 @@
             return request.deadline;
         }
         let event_gap = self.event_gaps.get(request.route.as_ref()).copied().unwrap_or_default();
-        let waits = MIN_TIMEOUT
+        let timeout = MIN_TIMEOUT
             .max(pending.latency_target() * LATENCY_TARGET_FACTOR)
             .max(event_gap * EVENT_GAP_FACTOR);
-        request.deadline.min((request.arrived + waits).saturating_sub(ANSWER_MARGIN))
+        request.deadline.min((request.arrived + timeout).saturating_sub(ANSWER_MARGIN))
     }
 }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -48,8 +48,8 @@
     synchronized: bool,
     /// When a stall of the process was last detected.
     last_stall: Duration,
-    /// When all answers have to be complete because the process shuts down, once that was requested.
-    end: Option<Duration>,
+    /// When all answers have to be complete because the process shuts down; `None` before a shutdown is requested.
+    shutdown_end: Option<Duration>,
     violations: Violations,
 }
 
@@ -66,16 +66,16 @@
             decisions: Vec::new(),
             synchronized: false,
             last_stall: Duration::ZERO,
-            end: None,
+            shutdown_end: None,
             violations: Violations::default(),
         }
     }
 
-    /// Starts the shutdown. Requests that may not be answered completely by `end` are refused unless they may have run. No
-    /// stream is started from now on, because nothing bounds its duration.
-    pub fn end_by(&mut self, now: Duration, end: Duration) {
+    /// Starts the shutdown. Requests that might not be answered completely by `end` are refused, unless they may have
+    /// run. No stream is started from now on, because its duration is unbounded.
+    pub fn begin_shutdown(&mut self, now: Duration, end: Duration) {
         self.detect_stall(now);
-        self.end = Some(end);
+        self.shutdown_end = Some(end);
         for backend in self.admission.backends() {
             self.reassign_queued(now, &backend);
         }
@@ -87,11 +87,11 @@
     }
 
     /// Whether a mechanism is switched on.
-    pub fn uses(&self, mechanism: Mechanism) -> bool {
-        self.fleet.uses(mechanism)
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
+        self.fleet.is_enabled(mechanism)
     }
 
-    /// The figures at `now`. Takes time proportional to the number of requests and endpoints.
+    /// The metrics at `now`. Takes time proportional to the number of requests and endpoints.
     pub fn summary(&self, now: Duration) -> DispatchSummary {
         let queued = self.requests.values().filter(|pending| pending.queue_entry().is_some());
         DispatchSummary {
@@ -221,6 +221,6 @@
     /// The demand since the last report, and the older requests that still wait.
     pub fn demand_report(&mut self, now: Duration) -> DemandReport {
         self.count_waiting();
-        self.demand.take(now)
+        self.demand.take_report(now)
     }
 }
--- a/crates/dispatch/src/dispatcher/admission_control.rs
+++ b/crates/dispatch/src/dispatcher/admission_control.rs
@@ -1,4 +1,4 @@
-//! Admission control: which request yields when the timeline of an endpoint is overdue.
+//! Admission control: which request is refused or postponed when the timeline of an endpoint is overdue.
 
 use super::Dispatcher;
 use crate::admission::Overdue;
@@ -17,9 +17,12 @@
         while let Some(overdue) = self.admission.overdue(endpoint, nanoseconds(now)) {
             let overdue: Vec<Overdue> =
                 overdue.into_iter().filter_map(|entry| self.overdue_entry(entry)).collect();
-            let candidates =
-                overdue.iter().filter(|entry| self.can_yield(now, entry)).cloned().collect::<Vec<_>>();
-            let by_class = self.fleet.uses(Mechanism::MissRatioVictim);
+            let candidates = overdue
+                .iter()
+                .filter(|entry| self.can_refuse_or_postpone(now, entry))
+                .cloned()
+                .collect::<Vec<_>>();
+            let by_class = self.fleet.is_enabled(Mechanism::MissRatioVictim);
             let Some(victim) = self.admission.victim(&candidates, by_class).cloned() else {
                 return;
             };
@@ -38,18 +41,18 @@
     }
 
     /// Whether a request on an overdue timeline can be refused or postponed.
-    fn can_yield(&self, now: Duration, entry: &Overdue) -> bool {
+    fn can_refuse_or_postpone(&self, now: Duration, entry: &Overdue) -> bool {
         self.may_refuse_early(now, entry.request) || entry.due < self.postponed_due(entry)
     }
 
-    /// Whether a request may be refused early: soon after its arrival, before its first attempt, and while the service has
-    /// no slots to spare.
+    /// Whether a request may be refused early: soon after its arrival, before its first attempt, and while the service is
+    /// near its capacity.
     fn may_refuse_early(&self, now: Duration, id: RequestId) -> bool {
         let pending = &self.requests[&id];
         let unsent = pending.attempts == 0 && now <= pending.early_refusal_end();
-        self.fleet.uses(Mechanism::EarlyRefusal)
+        self.fleet.is_enabled(Mechanism::EarlyRefusal)
             && unsent
-            && self.fleet.is_crowded(now, &pending.request.backend)
+            && self.fleet.is_near_capacity(now, &pending.request.backend)
     }
 
     fn refuse_overdue(&mut self, now: Duration, endpoint: EndpointKey, id: RequestId) {
--- a/crates/dispatch/src/dispatcher/answer_deadline.rs
+++ b/crates/dispatch/src/dispatcher/answer_deadline.rs
@@ -10,7 +10,7 @@
 /// Shortest margin before the deadline at which a request that cannot be served is answered.
 const MIN_ANSWER_MARGIN: Duration = Duration::from_millis(5);
 
-/// The margin is at most this part of the time that the request has.
+/// The margin is at most the time from the arrival of the request to its end, divided by this.
 const ANSWER_MARGIN_DIVISOR: u32 = 4;
 
 /// During shutdown an answer is assumed to take this factor times its expected duration, plus a margin.
@@ -21,7 +21,7 @@
     /// When a queued request is answered at the latest: while there is time for a first byte and, during shutdown, for a
     /// complete answer.
     pub(super) fn answer_by(&self, pending: &PendingRequest, candidates: &[Candidate]) -> Duration {
-        let expires_at = if self.fleet.uses(Mechanism::ClientTimeout) {
+        let expires_at = if self.fleet.is_enabled(Mechanism::ClientTimeout) {
             self.client_timeouts.expires_at(pending)
         } else {
             pending.request.deadline
@@ -36,7 +36,7 @@
     /// The latest time at which a request can be sent and still be answered completely before the shutdown. `None` without a
     /// shutdown, and for a request that may have run, which cannot be refused. Zero if its duration is unbounded.
     fn latest_start(&self, pending: &PendingRequest, first_byte: Duration) -> Option<Duration> {
-        let end = self.end.filter(|_| !pending.may_have_run)?;
+        let end = self.shutdown_end.filter(|_| !pending.may_have_run)?;
         if pending.has_unbounded_duration() {
             return Some(Duration::ZERO);
         }
--- a/crates/dispatch/src/dispatcher/attempt_end.rs
+++ b/crates/dispatch/src/dispatcher/attempt_end.rs
@@ -6,14 +6,14 @@
 use crate::pending_request::{Attempt, Phase, QueueEntry};
 use std::time::Duration;
 
-/// A full endpoint gets no requests for the time in which a slot becomes free, within these bounds.
+/// Bounds of the backoff after an endpoint was full, which is the expected time until a slot becomes free.
 const MIN_FULL_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_FULL_BACKOFF: Duration = Duration::from_millis(250);
 
 /// Backoff after a connection failed.
 const CONNECT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Backoff for one model at an endpoint that rejects it although it has free slots: an order is in progress there.
+/// Backoff for one model at an endpoint that rejects it although it has free slots: a load or an eviction is in progress.
 const REJECTED_ARTIFACT_BACKOFF: Duration = Duration::from_millis(300);
 
 /// Status of an answer by another instance, or by an engine that has not loaded the model.
@@ -48,7 +48,7 @@
                 self.on_not_sent(now, id, attempt);
                 self.assign(now, id);
             }
-            AttemptEnd::Broken | AttemptEnd::Garbled => {
+            AttemptEnd::Broken | AttemptEnd::InvalidResponse => {
                 self.detach_from_endpoint(id, attempt);
                 self.on_broken(now, id, attempt, false);
             }
@@ -89,7 +89,7 @@
         let Some(load) = self.fleet.load_mut(key) else {
             return;
         };
-        match artifact.filter(|_| rejection.has_places()) {
+        match artifact.filter(|_| rejection.has_free_slots()) {
             Some(artifact) => load.rejected_artifact = Some((artifact, now + REJECTED_ARTIFACT_BACKOFF)),
             None => load.backoff_until = load.backoff_until.max(now + full_backoff),
         }
@@ -142,8 +142,8 @@
 }
 
 impl Rejection {
-    /// Whether the endpoint reported free slots all the same.
-    fn has_places(&self) -> bool {
+    /// Whether the endpoint reported free slots although it rejected the request.
+    fn has_free_slots(&self) -> bool {
         self.load.is_some_and(|load| load.running < load.slots && load.waiting == 0)
     }
 }
--- a/crates/dispatch/src/endpoint_selection.rs
+++ b/crates/dispatch/src/endpoint_selection.rs
@@ -1,4 +1,4 @@
-//! Endpoint selection: the eligible endpoints in order of their cost, and what happens to a request given these.
+//! Endpoint selection: orders the eligible endpoints by cost, and decides whether a request is sent or queued.
 
 use crate::candidate::Candidate;
 use crate::endpoints::{Endpoint, EndpointKey};
@@ -11,8 +11,9 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-/// Costs that differ by less than this (relative to the lowest cost, and at least in s) are tied. Ties go to the
-/// highest rendezvous rank, and without a rank to the endpoint that was used least recently.
+/// Candidates tie if their cost exceeds the lowest cost by at most the larger of these: a fraction of the lowest cost,
+/// and a time in s. Ties go to the highest rendezvous rank, and without a rank to the endpoint that was used least
+/// recently.
 const TIE_RELATIVE_TOLERANCE: f64 = 0.1;
 const TIE_ABSOLUTE_TOLERANCE_S: f64 = 0.001;
 
@@ -22,7 +23,7 @@
     let service = fleet.service(backend);
     let eligible = fleet.table.ready(backend).filter(|(_, endpoint)| pending.can_be_served_by(endpoint));
     let eligible: Vec<_> = eligible.filter(|(key, _)| pending.may_attempt_on(*key)).collect();
-    let affinity = pending.chain.affinity().filter(|_| fleet.uses(Mechanism::PrefixOwner));
+    let affinity = pending.chain.affinity().filter(|_| fleet.is_enabled(Mechanism::PrefixOwner));
     let owner = affinity.and_then(|affinity| owner(fleet, &eligible, affinity));
     let context =
         ScoringContext { fleet, service, pending, now, affinity, owner, artifact: pending.artifact() };
@@ -54,9 +55,9 @@
     let Some(least) = candidates.first().map(|first| first.cost_s) else {
         return;
     };
-    let equal_s = (least * TIE_RELATIVE_TOLERANCE).max(TIE_ABSOLUTE_TOLERANCE_S);
-    let equals = candidates.partition_point(|candidate| candidate.cost_s <= least + equal_s);
-    candidates[..equals].sort_by(compare_ties);
+    let tolerance_s = (least * TIE_RELATIVE_TOLERANCE).max(TIE_ABSOLUTE_TOLERANCE_S);
+    let tied = candidates.partition_point(|candidate| candidate.cost_s <= least + tolerance_s);
+    candidates[..tied].sort_by(compare_ties);
 }
 
 fn compare_ties(one: &Candidate, other: &Candidate) -> Ordering {
@@ -67,7 +68,7 @@
         .then(one.key.cmp(&other.key))
 }
 
-/// What happens to a request, given its candidates.
+/// The result of selecting among the candidates of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Selection {
     /// It is sent to this endpoint now.
--- a/crates/dispatch/src/load.rs
+++ b/crates/dispatch/src/load.rs
@@ -38,7 +38,8 @@
     pub health: Health,
     /// Nothing is sent before this time: the endpoint was full, or a connection failed.
     pub backoff_until: Duration,
-    /// A model or adapter that the endpoint rejects although it has free slots, and until when: an order is in progress.
+    /// A model or adapter that the endpoint rejects although it has free slots, and until when: a load or an eviction is in
+    /// progress.
     pub rejected_artifact: Option<(Artifact, Duration)>,
     /// When the first byte is expected, for each request in flight that has none yet.
     expected_first_byte: Vec<Duration>,
@@ -74,13 +75,13 @@
     /// excess of the most overdue request.
     pub fn excess_delay_s(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.excess_delay.at).as_secs_f64();
-        let of_past = self.excess_delay.seconds * (-age / REPORT_DECAY_S).exp();
+        let past_excess_s = self.excess_delay.seconds * (-age / REPORT_DECAY_S).exp();
         let overdue = self
             .expected_first_byte
             .iter()
             .min()
             .map_or(Duration::ZERO, |&expected| now.saturating_sub(expected));
-        of_past.max(overdue.as_secs_f64())
+        past_excess_s.max(overdue.as_secs_f64())
     }
 
     /// Estimated requests of other routers there.
@@ -88,7 +89,7 @@
         (self.reported.running + self.reported.waiting) * self.decay(now)
     }
 
-    /// Of these, the ones that wait for a slot.
+    /// Estimated requests of other routers there that wait for a slot.
     pub fn other_waiting_requests(&self, now: Duration) -> f64 {
         self.reported.waiting * self.decay(now)
     }
@@ -100,8 +101,8 @@
 
     /// Until when the endpoint rejects the model or adapter, if it does.
     pub fn rejects_until(&self, artifact: Option<&Artifact>) -> Option<Duration> {
-        let (refused, until) = self.rejected_artifact.as_ref()?;
-        (Some(refused) == artifact).then_some(*until)
+        let (rejected, until) = self.rejected_artifact.as_ref()?;
+        (Some(rejected) == artifact).then_some(*until)
     }
 
     fn decay(&self, now: Duration) -> f64 {
@@ -110,7 +111,7 @@
     }
 }
 
-/// What a request takes of an endpoint while it is in flight.
+/// The resources of an endpoint that a request takes while it is in flight.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ResourceRequirement {
     /// Tokens to prefill before the first byte.
--- a/crates/dispatch/src/pending_request.rs
+++ b/crates/dispatch/src/pending_request.rs
@@ -10,8 +10,8 @@
 use lanegate_config::configuration::RouteType;
 use std::time::Duration;
 
-/// A refusal within this part of the latency target is early: the client can still be served elsewhere in time. A later
-/// one only adds to the delay.
+/// A refusal is early within the latency target divided by this: the client can still be served elsewhere in time. A
+/// later refusal only adds to the delay.
 const EARLY_REFUSAL_DIVISOR: u32 = 4;
 
 /// A request that has not ended.
@@ -29,7 +29,7 @@
     pub attempted_endpoints: Vec<EndpointKey>,
     /// Endpoints to which it is not sent again.
     pub excluded_endpoints: Vec<EndpointKey>,
-    /// Attempts of which the endpoint may have received something.
+    /// Attempts whose endpoint may have received part of the request.
     pub deliveries: u32,
     /// Whether an earlier attempt may have run.
     pub may_have_run: bool,
@@ -66,7 +66,7 @@
     pub endpoint: EndpointKey,
     /// When it was sent.
     pub sent: Duration,
-    /// What it takes of the endpoint.
+    /// The resources of the endpoint that it takes.
     pub requirement: ResourceRequirement,
     /// Expected time to the first byte.
     pub expected: Duration,
@@ -160,9 +160,9 @@
 
     /// Whether the attempt limit and earlier failures allow an attempt at this endpoint.
     pub fn may_attempt_on(&self, key: EndpointKey) -> bool {
-        let known = self.attempted_endpoints.contains(&key);
+        let was_attempted = self.attempted_endpoints.contains(&key);
         let is_below_limit = self.attempted_endpoints.len() < self.max_attempts();
-        (known || is_below_limit) && !self.excluded_endpoints.contains(&key)
+        (was_attempted || is_below_limit) && !self.excluded_endpoints.contains(&key)
     }
 
     /// Whether the next attempt is a retry, which the retry budget has to allow.
--- a/crates/dispatch/src/scoring.rs
+++ b/crates/dispatch/src/scoring.rs
@@ -25,16 +25,17 @@
 /// Factor by which an endpoint is slower while it warms up.
 const WARM_UP_FACTOR: f64 = 2.0;
 
-/// Part of the usual service time that a full batch adds to an answer.
+/// Fraction of the usual service time that a full batch adds to an answer.
 const BATCH_COST_WEIGHT: f64 = 0.1;
 
-/// Cost of stalling the streams of an engine during a prefill, as a part of the stall for each stream.
+/// Cost of stalling the streams of an engine during a prefill, as a fraction of the duration of the stall for each
+/// stream.
 const STALL_COST_WEIGHT: f64 = 0.08;
 
-/// Part of the KV cache of an engine that requests may fill; the rest is for the growth of their outputs.
+/// Fraction of the KV cache of an engine that requests may fill; the rest is for the growth of their outputs.
 const USABLE_MEMORY_FRACTION: f64 = 0.9;
 
-/// What the costs of the candidates of one request depend on.
+/// The inputs from which the costs of the candidates of one request are calculated.
 pub(crate) struct ScoringContext<'a> {
     pub(crate) fleet: &'a Fleet,
     pub(crate) service: &'a Service,
@@ -85,7 +86,7 @@
     fn expected_prefill(&self, key: EndpointKey, load: &EndpointLoad) -> (PrefixExpectation, u64) {
         let chain = &self.pending.chain;
         let cached =
-            if self.fleet.uses(Mechanism::PrefixCache) { load.cache.cached_tokens(chain) } else { 0 };
+            if self.fleet.is_enabled(Mechanism::PrefixCache) { load.cache.cached_tokens(chain) } else { 0 };
         let (prefix, cached_tokens) = match cached {
             0 if self.owner == Some(key) => (
                 PrefixExpectation::Owned,
@@ -109,7 +110,7 @@
 
     /// How much later than expected the next first byte is likely to come, s.
     fn excess_delay_s(&self, load: &EndpointLoad) -> f64 {
-        if self.fleet.uses(Mechanism::ExcessDelay) { load.excess_delay_s(self.now) } else { 0.0 }
+        if self.fleet.is_enabled(Mechanism::ExcessDelay) { load.excess_delay_s(self.now) } else { 0.0 }
     }
 
     /// Tokens that an engine prefills before those of a new request: those of requests of this router, and an estimate for
@@ -131,9 +132,9 @@
         excess * self.service.service_time.seconds() / slots
     }
 
-    /// What the requests that already run there add, s.
+    /// Cost of the requests that already run there, which slow the answer down, s.
     fn batch_cost_s(&self, endpoint: &Endpoint, load: &EndpointLoad) -> f64 {
-        if !self.fleet.uses(Mechanism::BatchCost) {
+        if !self.fleet.is_enabled(Mechanism::BatchCost) {
             return 0.0;
         }
         let utilization = load.occupancy(self.now) / f64::from(endpoint.capacity);
@@ -141,10 +142,10 @@
         weight * utilization * self.service.service_time.seconds()
     }
 
-    /// What the running streams lose while the engine prefills the prompt between their tokens, s.
+    /// Cost of the delay of the running streams while the engine prefills the prompt between their tokens, s.
     fn stall_cost_s(&self, load: &EndpointLoad, prefill_tokens: u64) -> f64 {
         match self.service.engine {
-            Some(_) if self.fleet.uses(Mechanism::StallCost) => {
+            Some(_) if self.fleet.is_enabled(Mechanism::StallCost) => {
                 let prefill_s = self.service.first_byte.per_token_s() * prefill_tokens as f64;
                 STALL_COST_WEIGHT * load.occupancy(self.now) * prefill_s
             }
@@ -172,13 +173,13 @@
         by_health && self.has_free_slot(endpoint, load) && self.has_memory(load)
     }
 
-    /// Whether the concurrency limit leaves a slot. An equal part of the limit is always open to this router, the rest
-    /// while the endpoint has free slots.
+    /// Whether the concurrency limit leaves a slot. This router may always use an equal share of the limit, and the
+    /// rest while the endpoint has free slots.
     fn has_free_slot(&self, endpoint: &Endpoint, load: &EndpointLoad) -> bool {
         let cap = load.recent.cap(endpoint.capacity as usize) as u32;
-        let even = cap.div_ceil(self.fleet.routers());
+        let fair_share = cap.div_ceil(self.fleet.routers());
         let has_free_slot = load.occupancy(self.now) + 1.0 <= f64::from(endpoint.capacity);
-        load.in_flight < even || (load.in_flight < cap && has_free_slot)
+        load.in_flight < fair_share || (load.in_flight < cap && has_free_slot)
     }
 
     fn has_memory(&self, load: &EndpointLoad) -> bool {
--- a/crates/dispatch/src/service.rs
+++ b/crates/dispatch/src/service.rs
@@ -1,4 +1,5 @@
-//! The state of one service: its engines, its service times, its retry budget and the models that are not loaded.
+//! The state of one service: its engines, its service times, its retry budget and the requested models that no endpoint
+//! has loaded.
 
 use crate::budget::RetryBudget;
 use crate::estimate::{FirstByteRegression, HitRate};
@@ -18,14 +19,14 @@
 /// Prefilled tokens of a request, as a mean over requests.
 const PREFILL_TOKENS: Smoothing = Smoothing { initial: 0.0, gain: 0.05 };
 
-/// Time from the first request for a missing model to the start of its load: a guess that is used until the first
-/// load has been observed.
+/// Estimated time from the first request for a missing model to the start of its load, used until the first load has
+/// been observed.
 const LOAD_REACTION_TIME: Duration = Duration::from_millis(1_000);
 
-/// Weight of an observed wait for a model.
+/// Wait for a missing model until it is loaded, as a mean over observed loads, s.
 const LOAD_WAIT: Smoothing = Smoothing { initial: 0.0, gain: 0.3 };
 
-/// A missing model that was not requested for this long is no longer expected.
+/// A missing model that was not requested for this long is no longer expected to be loaded.
 const MISSING_EXPIRY: Duration = Duration::from_secs(10);
 
 /// Number of missing models and adapters at which expired ones are removed.
@@ -87,7 +88,7 @@
     pub service_time: Smoothed,
     kv_cache_tokens: Smoothed,
     first_byte_wait: Smoothed,
-    read_tokens: Smoothed,
+    prefill_tokens: Smoothed,
     /// Hit rate where this router sent the prefix before.
     pub cache_hit_rate: HitRate,
     /// Hit rate at the owner of the prefix, where this router did not send it.
@@ -106,7 +107,7 @@
             service_time: SERVICE_TIME.start(),
             kv_cache_tokens: KV_CACHE_TOKENS.start(),
             first_byte_wait: SERVICE_TIME.start(),
-            read_tokens: PREFILL_TOKENS.start(),
+            prefill_tokens: PREFILL_TOKENS.start(),
             cache_hit_rate: HitRate::new(INITIAL_CACHE_HIT_RATE),
             owner_hit_rate: HitRate::new(INITIAL_OWNER_HIT_RATE),
             missing: BTreeMap::new(),
@@ -144,14 +145,15 @@
     /// Records the time to a first byte in s, and the tokens that were expected to be prefilled for it.
     pub fn sample_first_byte(&mut self, measured_s: f64, tokens: u64) {
         self.first_byte_wait.sample(&SERVICE_TIME, measured_s);
-        self.read_tokens.sample(&PREFILL_TOKENS, tokens as f64);
+        self.prefill_tokens.sample(&PREFILL_TOKENS, tokens as f64);
     }
 
     /// Tokens of a request that are still to be prefilled, as a mean over its duration: half of its tokens during the
     /// prefill, none after.
     pub fn mean_pending_prefill_tokens(&self) -> f64 {
-        let reading = (self.first_byte_wait.seconds() / self.service_time.seconds().max(1e-3)).min(1.0);
-        reading * self.read_tokens.seconds() / 2.0
+        let prefill_fraction =
+            (self.first_byte_wait.seconds() / self.service_time.seconds().max(1e-3)).min(1.0);
+        prefill_fraction * self.prefill_tokens.seconds() / 2.0
     }
 
     /// Records the time from the send of a request to the end of its answer.
@@ -185,18 +187,18 @@
     pub fn expected_load_wait(&self, now: Duration, artifact: &Artifact) -> Duration {
         let since = self.missing.get(artifact).map_or(now, |missing| missing.since);
         let load_time = self.engine.as_ref().and_then(|engine| engine.models.get(&artifact.model));
-        let guess = load_time.copied().unwrap_or_default() + LOAD_REACTION_TIME;
+        let default_wait = load_time.copied().unwrap_or_default() + LOAD_REACTION_TIME;
         let load_wait = match self.load_wait.seconds() {
             waited if waited > 0.0 => {
                 milliseconds(waited * 1_000.0).max(load_time.copied().unwrap_or_default())
             }
-            _ => guess,
+            _ => default_wait,
         };
         (since + load_wait).saturating_sub(now)
     }
 }
 
-/// Whether it was not requested for so long that a load now says nothing about the duration of loads.
+/// Whether the last request is so long ago that a load now is no sample of the wait for a model.
 fn is_expired(missing: &MissingArtifact, now: Duration) -> bool {
     now.saturating_sub(missing.last) > MISSING_EXPIRY
 }
--- a/crates/placement/src/adapter_placement.rs
+++ b/crates/placement/src/adapter_placement.rs
@@ -1,7 +1,7 @@
 //! Chooses the endpoints on which an adapter is loaded, and what is evicted for it.
 //!
 //! An adapter can only be loaded where its model is resident. Adapters load in milliseconds and are small, so a
-//! replica goes where a slot is free and only then refree_slots another adapter.
+//! replica is placed where a slot is free if possible, and replaces another adapter otherwise.
 
 use crate::catalog::Catalog;
 use crate::demand_rate::DemandRates;
@@ -18,7 +18,8 @@
 /// Cost of an eviction before a load, apart from what the evicted adapter served.
 const EVICTION_COST: f64 = 0.01;
 
-/// An additional replica replaces a last one only if it serves this many times as many requests.
+/// An additional replica replaces the last replica of another adapter only if it serves this many times as many
+/// requests.
 const REPLACE_RATIO: f64 = 5.0;
 
 /// An adapter that should get one more replica, on an endpoint that has its model resident.
@@ -36,7 +37,7 @@
     First,
     /// Has fewer replicas than its demand needs.
     Additional,
-    /// Was requested before and is on no endpoint; it comes back only where a slot is free.
+    /// Was requested before and is on no endpoint; it is loaded only where a slot is free.
     Restore,
 }
 
@@ -68,7 +69,7 @@
 struct Hosts<'a> {
     all: usize,
     /// Those that accept an order now.
-    free: Vec<Host<'a>>,
+    available: Vec<Host<'a>>,
 }
 
 /// An endpoint that accepts an order, with its free capacity.
@@ -123,7 +124,7 @@
             } else if item.is_model() && advertised {
                 let hosts = self.hosts.entry(item.model).or_default();
                 hosts.all += 1;
-                hosts.free.extend(host);
+                hosts.available.extend(host);
             }
         }
     }
@@ -132,7 +133,7 @@
     pub(crate) fn desired(&self) -> Vec<DesiredAdapter> {
         let mut desired = Vec::new();
         for (model, rates) in &self.demand.models {
-            let Some(hosts) = self.hosts.get(model).filter(|hosts| !hosts.free.is_empty()) else {
+            let Some(hosts) = self.hosts.get(model).filter(|hosts| !hosts.available.is_empty()) else {
                 continue;
             };
             for (adapter, rates) in &rates.adapters {
@@ -163,7 +164,7 @@
     }
 
     /// No longer counts a replica that is about to be evicted.
-    pub(crate) fn evicted(&mut self, victim: Option<&Item>) {
+    pub(crate) fn record_eviction(&mut self, victim: Option<&Item>) {
         let Some(replicas) = victim.and_then(|victim| self.replicas.get_mut(victim)) else { return };
         replicas.all = replicas.all.saturating_sub(1);
         replicas.serving = replicas.serving.saturating_sub(1);
@@ -178,7 +179,7 @@
     /// highest rendezvous hash.
     pub(crate) fn site(&self, desired: &DesiredAdapter, excluded: &[&Arc<str>]) -> Option<AdapterSite> {
         let hosts = self.hosts.get(&desired.item.model)?;
-        let open = hosts.free.iter().filter(|host| !excluded.contains(&&host.endpoint.id));
+        let open = hosts.available.iter().filter(|host| !excluded.contains(&&host.endpoint.id));
         let scored = open.filter_map(|host| self.score_site(desired, *host));
         let best = scored.min_by(|a, b| a.cost.total_cmp(&b.cost).then(b.hash.cmp(&a.hash)));
         best.map(|scored| scored.site)
@@ -225,12 +226,12 @@
         };
         let each = rates.expected_rate(self.now) / all.max(1) as f64;
         if rates.in_demand(self.now) {
-            let surplus = serving >= 2 && all > self.target(victim, rates).maximum.max(1);
-            let spare = serving >= 2 && desired.priority == AdapterPriority::First;
-            return (surplus || spare).then_some(if surplus { 0.0 } else { each });
+            let is_surplus = serving >= 2 && all > self.target(victim, rates).maximum.max(1);
+            let is_redundant = serving >= 2 && desired.priority == AdapterPriority::First;
+            return (is_surplus || is_redundant).then_some(if is_surplus { 0.0 } else { each });
         }
-        let pays =
+        let is_worthwhile =
             desired.priority == AdapterPriority::First || all >= 2 || each * REPLACE_RATIO < desired.weight;
-        pays.then_some(each)
+        is_worthwhile.then_some(each)
     }
 }
--- a/crates/placement/src/eviction.rs
+++ b/crates/placement/src/eviction.rs
@@ -2,17 +2,17 @@
 
 use crate::catalog::Catalog;
 use crate::contents::Resident;
-use crate::desired_replica::{DesiredReplica, MISS_COST, Priority, SPARE_COST};
+use crate::desired_replica::{DesiredReplica, MISS_COST, Priority, REDISTRIBUTION_COST};
 use crate::endpoint::Endpoint;
 use crate::interface::Item;
 use crate::planning_view::{ModelStatus, PlanningView};
 use lanegate_config::mechanism::Mechanism;
 use std::sync::Arc;
 
-/// Cost of evicting a surplus replica, and for each request/s that it served.
+/// Cost of evicting a surplus replica, and the additional cost for each request/s that it served.
 const SURPLUS_COST: f64 = 0.02;
 
-/// An additional replica replaces a last one only if it gains this many times as much.
+/// An additional replica replaces the last replica of another model only if its gain is this many times the cost.
 const REPLACE_RATIO: f64 = 3.0;
 
 /// A replica that may be evicted.
@@ -26,7 +26,7 @@
 }
 
 impl DesiredReplica {
-    /// What to evict from an endpoint to free `missing` MB, the cheapest first; `None` if that is not possible.
+    /// The models to evict from an endpoint to free `missing` MB, the cheapest first; `None` if that is not possible.
     pub(crate) fn victims(
         &self,
         view: &PlanningView,
@@ -70,7 +70,8 @@
         Some(Victim { model: resident.model.clone(), cost, freed_mb })
     }
 
-    /// Cost of waiting until the victim's running requests have ended: until then requests for this model miss.
+    /// Cost of waiting until the victim's running requests have ended: until then the desired replica serves
+    /// no requests.
     fn drain_cost(&self, view: &PlanningView, resident: &Resident) -> f64 {
         if !view.switched_off.leaves(Mechanism::DrainCost) {
             return 0.0;
@@ -94,12 +95,12 @@
             } else {
                 0.0
             };
-            let cost = SPARE_COST * other.relief(remaining) + MISS_COST * missed;
+            let cost = REDISTRIBUTION_COST * other.relief(remaining) + MISS_COST * missed;
             return (other.replicas >= 2 && self.priority.urgent() && cost <= self.gain()).then_some(cost);
         }
         let cost = MISS_COST * other.expected_rate;
-        let pays = self.priority.urgent()
-            || cost * REPLACE_RATIO < SPARE_COST * self.status.relief(self.status.replicas);
-        pays.then_some(cost)
+        let is_worthwhile = self.priority.urgent()
+            || cost * REPLACE_RATIO < REDISTRIBUTION_COST * self.status.relief(self.status.replicas);
+        is_worthwhile.then_some(cost)
     }
 }
--- a/crates/placement/src/guard_test.rs
+++ b/crates/placement/src/guard_test.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 const SENT: Duration = Duration::from_secs(10);
-/// From then on a report proves that an order sent at [`SENT`] never arrived.
-const REFUTED: Duration = Duration::from_millis(12_500);
+/// From this time on, a report proves that an order sent at [`SENT`] never arrived.
+const KNOWN_LOST_AT: Duration = Duration::from_millis(12_500);
 
 fn catalog() -> Catalog {
     let model = |number: u32| Model {
@@ -152,15 +152,15 @@
     for operation in [Operation::Load, Operation::Evict] {
         let mut fixture = Fixture::with_report(&[("m1", &[])], 0);
         assert_eq!(fixture.load("m2", 0), Ok(()));
-        let unsettled = Err(Violation::OrderPending(OrderId(1)));
+        let pending = Err(Violation::OrderPending(OrderId(1)));
         fixture.answer(OrderAnswer::Unknown);
-        assert_eq!(fixture.order(operation, "m1", None, 0), unsettled);
-        // It may be older than the order's arrival.
-        fixture.report(REFUTED - Duration::from_millis(1), &report(&[("m1", &[])], false, 0));
-        assert_eq!(fixture.order(operation, "m1", None, 0), unsettled);
-        fixture.report(REFUTED, &report(&[("m1", &[])], true, 1));
-        assert_eq!(fixture.order(operation, "m1", None, 1), unsettled);
-        fixture.report(REFUTED, &report(&[("m1", &[])], false, 0));
+        assert_eq!(fixture.order(operation, "m1", None, 0), pending);
+        // This report may be older than the arrival of the order.
+        fixture.report(KNOWN_LOST_AT - Duration::from_millis(1), &report(&[("m1", &[])], false, 0));
+        assert_eq!(fixture.order(operation, "m1", None, 0), pending);
+        fixture.report(KNOWN_LOST_AT, &report(&[("m1", &[])], true, 1));
+        assert_eq!(fixture.order(operation, "m1", None, 1), pending);
+        fixture.report(KNOWN_LOST_AT, &report(&[("m1", &[])], false, 0));
         assert_eq!(fixture.order(operation, "m1", None, 0), Ok(()));
         assert_eq!(fixture.guard.violations().order_pending(), 3);
     }
@@ -171,7 +171,7 @@
     let mut fixture = Fixture::with_report(&[("m1", &[]), ("m2", &[])], 7);
     assert_eq!(fixture.load("m3", 7), Ok(()));
     fixture.answer(OrderAnswer::Accepted);
-    fixture.report(REFUTED, &report(&[("m1", &[]), ("m2", &[])], false, 7));
+    fixture.report(KNOWN_LOST_AT, &report(&[("m1", &[]), ("m2", &[])], false, 7));
     assert!(matches!(fixture.load("m4", 8), Err(Violation::ExceedsCapacity { .. })));
 }
 
@@ -222,6 +222,6 @@
     let third = Catalog::new(&runtime(vec![model("m2", 40_000.0)]), &second);
     let size = |model: &str| third.size_mb(&crate::interface::Item::model(Arc::from(model)));
     assert_eq!((size("m1"), size("m2"), size("m3")), (90_000.0, 60_000.0, 10.0));
-    // It was never configured: it may fill the endpoint.
+    // `m4` was never configured, so it is assumed to fill the endpoint.
     assert_eq!(size("m4"), 220_000.0);
 }
--- a/crates/placement/src/model_placement.rs
+++ b/crates/placement/src/model_placement.rs
@@ -9,10 +9,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Cost of an eviction before a load: an order and some time.
+/// Cost of an eviction before a load, which takes one more order and delays the load.
 const EVICTION_COST: f64 = 0.15;
 
-/// Cost of a load from the weight store beyond one from the endpoint's disk.
+/// Additional cost of a load from the weight store, compared with one from the endpoint's disk.
 const STORE_COST: f64 = 0.2;
 
 /// Cost of having all replicas in one zone.
@@ -43,11 +43,11 @@
         catalog: &Catalog,
         seed: u64,
     ) -> Option<Site> {
-        let open = view
+        let candidates = view
             .available
             .iter()
             .filter_map(|available| Some((available, endpoints.get(&available.endpoint)?)));
-        let scored = open
+        let scored = candidates
             .filter_map(|(available, endpoint)| self.score_site(view, available, endpoint, catalog, seed));
         scored.min_by(|a, b| a.cost.total_cmp(&b.cost)).map(|scored| scored.site)
     }
@@ -61,9 +61,9 @@
         seed: u64,
     ) -> Option<ScoredSite> {
         let item = Item::model(self.model.clone());
-        let open =
+        let is_available =
             endpoint.accepts_orders(view.now) && endpoint.accepts_load(self.priority.urgent(), view.now);
-        if !open || endpoint.occupies(&item) {
+        if !is_available || endpoint.occupies(&item) {
             return None;
         }
         let missing = catalog.size_mb(&item) - available.free_mb;
@@ -80,7 +80,7 @@
     }
 }
 
-/// Expected time of a load, with an allowance for requests that run on the endpoint.
+/// Expected time of a load, with a margin for the slowdown by requests that run on the endpoint.
 pub(crate) fn expected_load_time(catalog: &Catalog, model: &str) -> Duration {
     catalog.load_time(model).mul_f64(1.2) + Duration::from_millis(100)
 }
--- a/crates/placement/src/order_completion.rs
+++ b/crates/placement/src/order_completion.rs
@@ -1,4 +1,4 @@
-//! How orders end: by an answer, a registration, a report, or time.
+//! How orders end: by an answer, a registration, a report, or a time-out.
 
 use crate::contents::Contents;
 use crate::endpoint::{Endpoint, Verification};
@@ -18,12 +18,12 @@
 /// Delay before a busy endpoint, or one whose report was outdated, is polled again.
 pub(crate) const REPORT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What a report tells about the contents.
+/// What a report shows about the contents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ReportVerdict {
-    /// Nothing yet: it may be older than the order in flight, or that one is not done.
+enum ReportKind {
+    /// Nothing yet: the report may be older than the order in flight, or that order is not done.
     Inconclusive,
-    /// Older than an accepted order.
+    /// The report is older than an accepted order.
     Outdated,
     /// An order is being executed: the unanswered one, one that was presumed done, or one of another placer.
     Busy,
@@ -62,16 +62,16 @@
     }
 
     /// Applies a report of an endpoint.
-    pub fn report(&mut self, now: Duration, id: &str, report: &EndpointReport) {
+    pub fn apply_report(&mut self, now: Duration, id: &str, report: &EndpointReport) {
         self.set_now(now);
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         let id = endpoint.id.clone();
         order_log::reported(now, &id, report);
         self.guard.reported(now, &id, report, &self.catalog);
-        match endpoint.judge(now, report) {
-            ReportVerdict::Inconclusive => {}
-            ReportVerdict::Outdated | ReportVerdict::Busy => endpoint.request_again(now, report),
-            ReportVerdict::Idle => {
+        match endpoint.classify_report(now, report) {
+            ReportKind::Inconclusive => {}
+            ReportKind::Outdated | ReportKind::Busy => endpoint.request_again(now, report),
+            ReportKind::Idle => {
                 let contents = Contents::from_listing(&report.models, &self.catalog);
                 let order = endpoint.order.take();
                 endpoint.verify(now, contents, report.sequence);
@@ -92,7 +92,7 @@
         };
         let Some(order) = endpoint.order.as_mut() else { return };
         if order.stage == OrderStage::Unacknowledged {
-            // Either the order was accepted or the registration is older. The revision in a report tells which.
+            // Either the order was accepted, or the registration predates it. The revision in a report shows which.
             order.poll_at(now);
             return;
         }
@@ -103,7 +103,7 @@
         self.complete_order(id, now);
     }
 
-    /// The order of an endpoint was executed.
+    /// Ends the order of an endpoint that was executed.
     pub(crate) fn complete_order(&mut self, id: &Arc<str>, now: Duration) {
         let order = self.endpoints.get_mut(id).and_then(|endpoint| endpoint.finish_order(now));
         if let Some(order) = order {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The order of an endpoint has ended, whatever came of it.
+    /// Updates the records after the order of an endpoint has ended, whatever its outcome.
     fn close_order(&mut self, id: &Arc<str>, order: &InFlightOrder, now: Duration) {
         order_log::closed(now, id, order);
         self.orders.remove(&order.id);
@@ -146,29 +146,27 @@
 }
 
 impl Endpoint {
-    /// Judges a report, which may be older than orders that were accepted since.
-    fn judge(&self, now: Duration, report: &EndpointReport) -> ReportVerdict {
+    /// Classifies a report, which may predate orders that were accepted since.
+    fn classify_report(&self, now: Duration, report: &EndpointReport) -> ReportKind {
         if report.sequence < self.min_revision {
-            return ReportVerdict::Outdated;
+            return ReportKind::Outdated;
         }
         let Some(order) = self.order.as_ref() else {
-            return if report.busy { ReportVerdict::Busy } else { ReportVerdict::Idle };
+            return if report.busy { ReportKind::Busy } else { ReportKind::Idle };
         };
         let is_counted = report.sequence > order.revision;
         match order.stage {
-            OrderStage::Unacknowledged if is_counted && report.busy => ReportVerdict::Busy,
+            OrderStage::Unacknowledged if is_counted && report.busy => ReportKind::Busy,
             OrderStage::Accepted | OrderStage::Unacknowledged if is_counted && !report.busy => {
-                ReportVerdict::Idle
-            }
-            // It was not accepted, and cannot arrive any more.
-            OrderStage::Unacknowledged if !report.busy && now >= order.known_lost_at() => ReportVerdict::Idle,
-            OrderStage::Sent | OrderStage::Accepted | OrderStage::Unacknowledged => {
-                ReportVerdict::Inconclusive
+                ReportKind::Idle
             }
+            // The order was not accepted, and can no longer arrive.
+            OrderStage::Unacknowledged if !report.busy && now >= order.known_lost_at() => ReportKind::Idle,
+            OrderStage::Sent | OrderStage::Accepted | OrderStage::Unacknowledged => ReportKind::Inconclusive,
         }
     }
 
-    /// A report did not tell the contents: requests another if they have to be known.
+    /// Requests another report after one that did not show the contents, if these have to be known.
     fn request_again(&mut self, now: Duration, report: &EndpointReport) {
         if let Some(order) = self.order.as_mut() {
             if order.stage == OrderStage::Unacknowledged {
--- a/crates/placement/tests/any_order.rs
+++ b/crates/placement/tests/any_order.rs
@@ -7,7 +7,7 @@
 use support::fleet::Partition;
 use support::simulation::{ItemDemand, Simulation, runtime};
 
-/// One thing that happens.
+/// One event of a random run.
 #[derive(Debug, Clone)]
 enum Event {
     Demand(Vec<(usize, Option<u32>, f64)>),
@@ -15,17 +15,17 @@
     Restart(usize),
     Drain(usize),
     Takeover,
-    /// Some endpoints are partitioned for so long, ms.
+    /// Some endpoints are partitioned; the number is the duration, ms.
     Outage(Vec<usize>, Partition, u64),
     Loss(f64),
-    Lateness(u64),
+    MaxHeartbeatDelay(u64),
     Nothing,
 }
 
-/// Cases of an ordinary run.
+/// Number of cases unless `PROPTEST_CASES` is set.
 const CASES: u32 = 96;
 
-/// Seed of an ordinary run.
+/// Seed unless `PROPTEST_RNG_SEED` is set.
 const SEED: u64 = 20;
 
 const MODELS: usize = 20;
@@ -38,7 +38,7 @@
     prop::collection::vec(item, 0..25).prop_map(Event::Demand)
 }
 
-/// Some are long enough that the endpoint is removed, some are not.
+/// Partitions, some of which last long enough that the endpoint is removed.
 fn outage() -> impl Strategy<Value = Event> {
     let endpoints = prop::sample::subsequence((0..ENDPOINTS).collect::<Vec<_>>(), 1..=ENDPOINTS / 2);
     let partition = prop_oneof![Just(Partition::All), Just(Partition::Heartbeats)];
@@ -46,7 +46,7 @@
         .prop_map(|(endpoints, partition, duration_ms)| Event::Outage(endpoints, partition, duration_ms))
 }
 
-/// Delay until the next event, ms; often loads of the one before are in flight.
+/// Delay until the next event, ms; short enough in half of the cases that loads of the previous event are in flight.
 fn delay_until_next_event() -> impl Strategy<Value = u64> {
     prop_oneof![1 => 200..2_000u64, 1 => 3_000..9_000u64]
 }
@@ -60,7 +60,7 @@
         1 => Just(Event::Takeover),
         4 => outage(),
         1 => prop_oneof![Just(0.0), 0.0..0.3].prop_map(Event::Loss),
-        1 => prop_oneof![Just(100u64), Just(1_000), Just(2_500)].prop_map(Event::Lateness),
+        1 => prop_oneof![Just(100u64), Just(1_000), Just(2_500)].prop_map(Event::MaxHeartbeatDelay),
         1 => Just(Event::Nothing),
     ]
 }
@@ -87,20 +87,22 @@
             simulation.loss = *loss;
             simulation.checks.last_fault_ms = if *loss > 0.0 { u64::MAX / 2 } else { simulation.now_ms };
         }
-        Event::Lateness(lateness_ms) => simulation.lateness_ms = *lateness_ms,
+        Event::MaxHeartbeatDelay(max_heartbeat_delay_ms) => {
+            simulation.max_heartbeat_delay_ms = *max_heartbeat_delay_ms
+        }
         Event::Nothing => {}
     }
 }
 
-/// The same cases in every run, unless `PROPTEST_RNG_SEED` and `PROPTEST_CASES` ask for others.
+/// The same cases in every run, unless `PROPTEST_RNG_SEED` or `PROPTEST_CASES` is set.
 fn config() -> ProptestConfig {
-    let given = ProptestConfig::default();
-    let rng_seed = match given.rng_seed {
+    let default = ProptestConfig::default();
+    let rng_seed = match default.rng_seed {
         RngSeed::Random => RngSeed::Fixed(SEED),
         fixed => fixed,
     };
-    let cases = if std::env::var_os("PROPTEST_CASES").is_some() { given.cases } else { CASES };
-    ProptestConfig { cases, rng_seed, failure_persistence: None, ..given }
+    let cases = if std::env::var_os("PROPTEST_CASES").is_some() { default.cases } else { CASES };
+    ProptestConfig { cases, rng_seed, failure_persistence: None, ..default }
 }
 
 proptest! {
@@ -129,7 +131,7 @@
         seed in any::<u64>(),
         load_s in 0.3..3.0f64,
         events in prop::collection::vec((event(), delay_until_next_event()), 0..12),
-        wanted in prop::collection::btree_set(1..=MODELS, 1..9),
+        demanded_models in prop::collection::btree_set(1..=MODELS, 1..9),
     ) {
         let runtime = runtime(MODELS, 70_000.0, load_s, ADAPTERS, 66.0);
         let mut simulation = Simulation::new(runtime, ENDPOINTS, 3, seed);
@@ -139,16 +141,16 @@
             simulation.run_until(until);
         }
         simulation.loss = 0.0;
-        simulation.lateness_ms = 100;
+        simulation.max_heartbeat_delay_ms = 100;
         simulation.end_all_partitions();
         for number in 0..ENDPOINTS / 2 {
             simulation.restart(&format!("e{}", number + 1));
         }
-        let demanded = wanted.iter().map(|model| ItemDemand { model: format!("m{model}"), adapter: None, rate: 1.5 });
-        simulation.demand = demanded.collect();
+        let demand = |model| ItemDemand { model: format!("m{model}"), adapter: None, rate: 1.5 };
+        simulation.demand = demanded_models.iter().map(demand).collect();
         let until = simulation.now_ms + 60_000;
         simulation.run_until(until);
-        for model in &wanted {
+        for model in &demanded_models {
             let model = format!("m{model}");
             prop_assert!(simulation.replicas(&model, None) >= 1, "{model} is resident nowhere");
         }
--- a/crates/placement/tests/digests.rs
+++ b/crates/placement/tests/digests.rs
@@ -1,4 +1,5 @@
-//! The placer's orders and their times under random demand and faults, pinned by a digest for each seed.
+//! The placer's orders and their times under random demand and faults, compared with a recorded digest
+//! for each seed.
 
 mod support;
 
@@ -36,18 +37,18 @@
         12 | 13 => simulation.partition(&name, Partition::All, 1_000 + random.below(8_000)),
         14 | 15 => simulation.partition(&name, Partition::Heartbeats, 1_000 + random.below(8_000)),
         16 => simulation.loss = if random.below(2) == 0 { 0.0 } else { 0.3 * random.unit() },
-        _ => simulation.lateness_ms = [100, 1_000, 2_500][random.below(3) as usize],
+        _ => simulation.max_heartbeat_delay_ms = [100, 1_000, 2_500][random.below(3) as usize],
     }
 }
 
-/// Of every three seeds the last has one mechanism switched off.
+/// Every third seed has one mechanism switched off.
 fn switched_off(seed: u64) -> SwitchedOff {
     let all: Vec<Mechanism> = Mechanism::all().collect();
     let one = (seed % 3 == 2).then(|| all[(seed / 3) as usize % all.len()]);
     one.into_iter().collect()
 }
 
-fn play(seed: u64) -> u64 {
+fn run_seed(seed: u64) -> u64 {
     let mut random = Random::new(seed ^ 0xD16E_5700);
     let endpoints = 3 + random.below(8);
     let size_mb = 40_000.0 + random.below(50_000) as f64;
@@ -72,5 +73,5 @@
 
 #[test]
 fn decisions_match_the_recorded_digests() {
-    assert_digests(env!("CARGO_MANIFEST_DIR"), "decisions", (0..SEEDS).map(|seed| (seed, play(seed))));
+    assert_digests(env!("CARGO_MANIFEST_DIR"), "decisions", (0..SEEDS).map(|seed| (seed, run_seed(seed))));
 }
--- a/crates/placement/tests/support/fleet.rs
+++ b/crates/placement/tests/support/fleet.rs
@@ -14,7 +14,7 @@
     pub until_ms: u64,
 }
 
-/// What a partition stops between an endpoint and the controllers.
+/// The messages between an endpoint and the controllers that a partition stops.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Partition {
     /// Heartbeats, which are delayed.
@@ -40,8 +40,7 @@
     pub partition: Option<Partition>,
     /// When the partition ends.
     pub partition_ends_ms: u64,
-    /// The delayed heartbeat. The endpoint drops each later one before it is sent, as its connection does not come
-    /// up.
+    /// The delayed heartbeat. Each later one is dropped before it is sent, because the endpoint cannot connect.
     pub delayed_heartbeat: Option<Instance>,
 }
 
@@ -67,13 +66,13 @@
         }
     }
 
-    fn held(&self) -> Vec<ResidentModel> {
-        let held = |(name, adapters): (&String, &BTreeSet<String>)| ResidentModel {
+    fn resident_models(&self) -> Vec<ResidentModel> {
+        let resident_models = |(name, adapters): (&String, &BTreeSet<String>)| ResidentModel {
             name: name.clone(),
             version: 1,
             adapters: adapters.iter().cloned().collect(),
         };
-        self.models.iter().map(held).collect()
+        self.models.iter().map(resident_models).collect()
     }
 
     pub(crate) fn instance(&self, backend: &str) -> Instance {
@@ -87,7 +86,7 @@
             state: if self.ready { InstanceState::Ready } else { InstanceState::Draining },
             warmup_remaining_ms: 0.0,
             phase: None,
-            models: self.held(),
+            models: self.resident_models(),
             sequence: self.heartbeats,
             remaining_ms: self.remaining_ms,
         }
@@ -96,7 +95,7 @@
     pub(crate) fn report(&self) -> EndpointReport {
         EndpointReport {
             phase: None,
-            models: self.held(),
+            models: self.resident_models(),
             busy: self.work.is_some(),
             sequence: self.revision,
             queued: 0,
@@ -119,7 +118,7 @@
         self.models.values().map(BTreeSet::len).sum()
     }
 
-    /// Completes work whose time has come.
+    /// Completes the order in execution once its time has passed.
     pub(crate) fn advance(&mut self, now_ms: u64) {
         let Some(work) = self.work.take_if(|work| work.until_ms <= now_ms) else { return };
         match (work.operation, work.adapter) {
@@ -143,8 +142,8 @@
         }
     }
 
-    /// The status of an order that is not executed: rejected, or already in effect.
-    pub(crate) fn status_without_work(&self, order: &Order) -> Option<u16> {
+    /// The status of an order that is rejected or already in effect, and therefore not executed.
+    pub(crate) fn immediate_status(&self, order: &Order) -> Option<u16> {
         if self.id() != *order.instance {
             return Some(421);
         }
--- a/crates/placement/tests/support/simulation/faults.rs
+++ b/crates/placement/tests/support/simulation/faults.rs
@@ -2,8 +2,8 @@
 
 use super::super::fleet::Partition;
 use super::network::Message;
-use super::{ARRIVE_LATE, BACKEND, HEARTBEAT_TIMEOUT_MS, Simulation, settings};
-use lanegate_placement::{Placer, Start};
+use super::{BACKEND, HEARTBEAT_TIMEOUT_MS, LATE_ARRIVAL_PROBABILITY, Simulation, settings};
+use lanegate_placement::{Placer, StartMode};
 
 impl Simulation {
     pub(crate) fn crash(&mut self, name: &str) {
@@ -62,7 +62,7 @@
             }
             endpoint.partition = None;
             let delayed_heartbeat = endpoint.delayed_heartbeat.take();
-            let arrives = self.random.unit() < ARRIVE_LATE;
+            let arrives = self.random.unit() < LATE_ARRIVAL_PROBABILITY;
             if let Some(instance) = delayed_heartbeat.filter(|_| arrives) {
                 let delay = self.delay();
                 self.send(delay, Message::DelayedInstance(Box::new(instance)));
@@ -77,10 +77,10 @@
         self.checks.open.clear();
         let now = self.now();
         let seed = self.random.next();
-        self.placer = Placer::new(now, BACKEND, seed, &settings(Start::Takeover, self.switched_off));
+        self.placer = Placer::new(now, BACKEND, seed, &settings(StartMode::Takeover, self.switched_off));
         self.placer.configure(now, &self.runtime);
         for registration in self.registry.values() {
-            self.placer.instance(now, &registration.instance);
+            self.placer.register(now, &registration.instance);
         }
     }
 }
--- a/crates/placement/tests/support/simulation/mod.rs
+++ b/crates/placement/tests/support/simulation/mod.rs
@@ -11,7 +11,7 @@
 use lanegate_config::demand::{DemandReport, ModelDemand};
 use lanegate_config::instance::Instance;
 use lanegate_config::mechanism::SwitchedOff;
-use lanegate_placement::{Action, EndpointReport, Order, Placer, PlacerSettings, Start};
+use lanegate_placement::{Action, EndpointReport, Order, Placer, PlacerSettings, StartMode};
 use network::Message;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -25,8 +25,8 @@
 /// Time without a heartbeat after which an endpoint that is not known to have crashed is removed.
 const REMOVAL_TIMEOUT_MS: u64 = 4_200;
 const ANSWER_TIMEOUT_MS: u64 = 1_000;
-/// Fraction of the unanswered orders that arrive.
-const ARRIVE_LATE: f64 = 0.5;
+/// Probability that an unanswered order, or a delayed heartbeat, still arrives.
+const LATE_ARRIVAL_PROBABILITY: f64 = 0.5;
 /// Time after its sending until which an unanswered order may arrive.
 const LATEST_ARRIVAL_MS: u64 = 1_400;
 
@@ -63,7 +63,7 @@
     pub requests: u64,
     pub loss: f64,
     /// Largest delay of a registration, ms.
-    pub lateness_ms: u64,
+    pub max_heartbeat_delay_ms: u64,
     pub routers: usize,
     pub random: Random,
     pub generation: u32,
@@ -94,7 +94,7 @@
     }
 }
 
-fn settings(start: Start, switched_off: SwitchedOff) -> PlacerSettings {
+fn settings(start: StartMode, switched_off: SwitchedOff) -> PlacerSettings {
     PlacerSettings {
         rate_limit_window: Duration::from_millis(WINDOW_MS),
         rate_limit_overshoot: OVERSHOOT,
@@ -108,7 +108,7 @@
         Simulation::without(SwitchedOff::default(), runtime, endpoints, zones, seed)
     }
 
-    /// With some mechanisms switched off.
+    /// A simulation with some mechanisms switched off.
     pub(crate) fn without(
         switched_off: SwitchedOff,
         runtime: Runtime,
@@ -116,7 +116,8 @@
         zones: usize,
         seed: u64,
     ) -> Simulation {
-        let mut placer = Placer::new(Duration::ZERO, BACKEND, seed, &settings(Start::First, switched_off));
+        let mut placer =
+            Placer::new(Duration::ZERO, BACKEND, seed, &settings(StartMode::First, switched_off));
         placer.configure(Duration::ZERO, &runtime);
         let mut random = Random::new(seed);
         let endpoints = (0..endpoints).map(|number| endpoint(number, zones, &mut random)).collect();
@@ -135,7 +136,7 @@
             unplaced: Vec::new(),
             requests: 0,
             loss: 0.0,
-            lateness_ms: 100,
+            max_heartbeat_delay_ms: 100,
             routers: 3,
             random,
             generation: 0,
@@ -165,7 +166,7 @@
         }
         self.heartbeats();
         self.end_partitions();
-        self.remove_silent();
+        self.remove_unresponsive_endpoints();
         self.deliver();
         if now_ms.is_multiple_of(100) {
             self.record_reports();
@@ -183,7 +184,7 @@
             &self.placer,
             self.endpoints.iter().map(|endpoint| (&*endpoint.name, endpoint.id())),
         );
-        self.checks.loading(&self.endpoints);
+        self.checks.record_concurrent_loads(&self.endpoints);
         self.checks.check_blocked_orders(now_ms, self.placer.violations());
     }
 
@@ -219,7 +220,7 @@
             endpoint.next_heartbeat_ms = self.now_ms + HEARTBEAT_MS;
             endpoint.heartbeats += 1;
             let instance = endpoint.instance(BACKEND);
-            let delay = 10 + self.random.below(self.lateness_ms / 10) * 10;
+            let delay = 10 + self.random.below(self.max_heartbeat_delay_ms / 10) * 10;
             if self.random.unit() >= self.loss {
                 self.send(delay, Message::Instance(Box::new(instance)));
             }
@@ -251,7 +252,7 @@
             });
         }
         let report = DemandReport { period_ms: DEMAND_MS as u32, models };
-        self.placer.demand(self.now(), &format!("router-{router}"), &report);
+        self.placer.add_demand(self.now(), &format!("router-{router}"), &report);
         self.process_actions();
     }
 
@@ -279,28 +280,28 @@
         }
     }
 
-    /// Fills the endpoints as they begin: the models in demand on many, the rest on one each.
+    /// Places models on the endpoints at the start: those in demand on many endpoints, the others on one each.
     pub(crate) fn fill(&mut self) {
         let mut models: Vec<ItemDemand> =
             self.demand.iter().filter(|demanded| demanded.adapter.is_none()).cloned().collect();
         models.sort_by(|a, b| b.rate.total_cmp(&a.rate));
         let total: f64 = models.iter().map(|demanded| demanded.rate).sum();
-        for copy in 1..=self.endpoints.len() {
+        for replica in 1..=self.endpoints.len() {
             for demanded in &models {
-                let wanted = (demanded.rate / total * self.endpoints.len() as f64).ceil();
-                if copy as f64 <= wanted {
-                    self.fill_one(&demanded.model);
+                let target_replicas = (demanded.rate / total * self.endpoints.len() as f64).ceil();
+                if replica as f64 <= target_replicas {
+                    self.place_on_emptiest(&demanded.model);
                 }
             }
         }
     }
 
-    fn fill_one(&mut self, model: &str) {
+    fn place_on_emptiest(&mut self, model: &str) {
         let size = size(&self.runtime, model, false);
-        let room = self.runtime.weights_mb;
+        let capacity_mb = self.runtime.weights_mb;
         let runtime = &self.runtime;
         let fitting = self.endpoints.iter_mut().filter(|endpoint| {
-            !endpoint.models.contains_key(model) && endpoint.used_mb(runtime) + size <= room
+            !endpoint.models.contains_key(model) && endpoint.used_mb(runtime) + size <= capacity_mb
         });
         if let Some(endpoint) = fitting.min_by_key(|endpoint| endpoint.models.len()) {
             endpoint.models.insert(model.into(), BTreeSet::new());
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -151,7 +151,7 @@
         client_time: Option<Duration>,
         body_bytes: usize,
     ) {
-        let waits = self.dispatcher.borrow().uses(Mechanism::ConfigurationWait);
+        let waits = self.dispatcher.borrow().is_enabled(Mechanism::ConfigurationWait);
         if !waits || self.is_draining() {
             return;
         }
@@ -179,7 +179,7 @@
     pub fn begin_drain(&self, end: Duration) {
         self.draining_since.set(Some(Instant::now()));
         self.configuration_wait.wake();
-        self.with_dispatcher(|dispatcher, now| dispatcher.end_by(now, end));
+        self.with_dispatcher(|dispatcher, now| dispatcher.begin_shutdown(now, end));
     }
 
     /// Time since the beginning of the shutdown.
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -55,7 +55,7 @@
         while self.messages[&id].due < soonest && self.postpone(id) {}
         let (due, sigma) = (self.messages[&id].due, self.sigma(dest));
         let timeline = &mut self.destination(dest).timeline;
-        timeline.resize(sigma);
+        timeline.set_sigma(sigma);
         timeline.insert(due, id);
         self.make_feasible(dest, out);
     }
@@ -139,7 +139,7 @@
             self.give_up(id, out);
         }
         let sigma = self.sigma(dest);
-        self.destination(dest).timeline.resize(sigma);
+        self.destination(dest).timeline.set_sigma(sigma);
         self.make_feasible(dest, out);
     }
 
