--- a/crates/router/src/client/body.rs
+++ b/crates/router/src/client/body.rs
@@ -32,7 +32,7 @@
     }
 
     /// Keeps the connection of the client marked as busy until the body is handed over.
-    pub fn guarded(self, guard: BusyGuard) -> Self {
+    pub fn with_busy_guard(self, guard: BusyGuard) -> Self {
         RouterBody { _guard: Some(guard), ..self }
     }
 }
--- a/crates/router/src/client/frontend.rs
+++ b/crates/router/src/client/frontend.rs
@@ -8,7 +8,7 @@
 use crate::request::forward::forward;
 use crate::request::handle::RequestHandle;
 use crate::request::outcome::Outcome;
-use crate::routing::table::{Resolved, host};
+use crate::routing::table::{ResolvedRoute, host};
 use crate::state::RouterState;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -42,13 +42,13 @@
     activity: Rc<Activity>,
     request: Request<Incoming>,
 ) -> Result<Response<RouterBody>, Infallible> {
-    let began = state.time_of(activity.on_head_complete(Instant::now()));
+    let arrived = state.time_of(activity.on_head_complete(Instant::now()));
     state.counters.requests.increment();
     if request.version() == Version::HTTP_10 {
         activity.mark_close_delimited();
     }
-    let answer = answer(&state, &activity, request, began).await;
-    let mut answer = answer.map(|body| body.guarded(BusyGuard::new(activity)));
+    let answer = answer(&state, &activity, request, arrived).await;
+    let mut answer = answer.map(|body| body.with_busy_guard(BusyGuard::new(activity)));
     if state.is_draining() {
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -59,7 +59,7 @@
     state: &Rc<RouterState>,
     activity: &Rc<Activity>,
     request: Request<Incoming>,
-    began: Duration,
+    arrived: Duration,
 ) -> Response<RouterBody> {
     let limits = state.routing().map(|routing| routing.limits().clone()).unwrap_or_default();
     let (head, incoming) = request.into_parts();
@@ -73,9 +73,9 @@
     };
     let _guard = BusyGuard::new(activity.clone());
     if state.routing().is_none() {
-        state.await_configuration(began, client_deadline(&head.headers), body.len()).await;
+        state.await_configuration(arrived, client_deadline(&head.headers), body.len()).await;
     }
-    let (request, outbound) = match prepare(state, head, body, began) {
+    let (request, outbound) = match prepare(state, head, body, arrived) {
         Ok(prepared) => prepared,
         Err(answer) => return answer.into(),
     };
@@ -86,7 +86,7 @@
 
 /// The reply to any request while there is no configuration.
 fn unconfigured(state: &RouterState) -> LocalReply {
-    state.counters.outcomes.count(Outcome::RefusedUnconfigured);
+    state.counters.outcomes.count(Outcome::RefusedNoConfiguration);
     LocalReply::Refusal { retry_after: UNCONFIGURED_RETRY_AFTER }
 }
 
@@ -122,7 +122,7 @@
     state: &RouterState,
     head: Parts,
     body: Bytes,
-    began: Duration,
+    arrived: Duration,
 ) -> Result<(interface::Request, Outbound), LocalReply> {
     let Some(routing) = state.routing() else {
         return Err(unconfigured(state));
@@ -132,15 +132,15 @@
         return Err(LocalReply::Failure(StatusCode::BAD_REQUEST));
     };
     let Some(resolved) = routing.resolve(host, head.uri.path(), |route| state.split_position(route)) else {
-        if state.is_behind() {
+        if state.is_configuration_behind() {
             // A newer configuration may have the route.
-            state.counters.outcomes.count(Outcome::RefusedBehind);
+            state.counters.outcomes.count(Outcome::RefusedConfigurationBehind);
             return Err(LocalReply::Refusal { retry_after: UNCONFIGURED_RETRY_AFTER });
         }
-        state.counters.outcomes.count(Outcome::RejectedUnrouted);
+        state.counters.outcomes.count(Outcome::RejectedNoRoute);
         return Err(LocalReply::Failure(StatusCode::NOT_FOUND));
     };
-    let request = describe(state, resolved, &head, body.len() as u64, began);
+    let request = describe(state, resolved, &head, body.len() as u64, arrived);
     let outbound = outbound(resolved, head, body, request.deadline);
     Ok((request, outbound))
 }
@@ -148,14 +148,14 @@
 /// The request as the dispatcher gets it.
 fn describe(
     state: &RouterState,
-    resolved: Resolved<'_>,
+    resolved: ResolvedRoute<'_>,
     head: &Parts,
     body_bytes: u64,
-    began: Duration,
+    arrived: Duration,
 ) -> interface::Request {
     let route = resolved.route;
     let allowed = milliseconds(route.timeout_ms);
-    let time = client_deadline(&head.headers).map_or(allowed, |told| told.min(allowed));
+    let time = client_deadline(&head.headers).map_or(allowed, |requested| requested.min(allowed));
     let margin = ANSWER_MARGIN.min(time / ANSWER_MARGIN_DIVISOR);
     interface::Request {
         id: state.requests.new_id(),
@@ -165,15 +165,15 @@
         resumable: route.resumable,
         max_attempts: route.max_attempts,
         priority: route.priority,
-        arrived: began,
-        target: began + milliseconds(route.target_ms),
-        deadline: began + time - margin,
+        arrived,
+        target: arrived + milliseconds(route.target_ms),
+        deadline: arrived + time - margin,
         body_bytes,
         generation: resolved.engine.then(|| generation(&head.headers)).flatten(),
     }
 }
 
-fn outbound(resolved: Resolved<'_>, head: Parts, body: Bytes, deadline: Duration) -> Outbound {
+fn outbound(resolved: ResolvedRoute<'_>, head: Parts, body: Bytes, deadline: Duration) -> Outbound {
     let route = resolved.route;
     let resumable = route.route_type == RouteType::Streaming && route.resumable;
     let mut headers = head.headers;
--- a/crates/router/src/client/listener.rs
+++ b/crates/router/src/client/listener.rs
@@ -139,7 +139,12 @@
     }
 }
 
-async fn serve(stream: TcpStream, state: Rc<RouterState>, activity: Rc<Activity>, _presence: Registration) {
+async fn serve(
+    stream: TcpStream,
+    state: Rc<RouterState>,
+    activity: Rc<Activity>,
+    _registration: Registration,
+) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("client disconnected error={error}");
         return;
@@ -147,7 +152,7 @@
     let io = TokioIo::new(ClientStream::new(stream, activity.clone()));
     let service = service_fn(|request| frontend::handle(state.clone(), activity.clone(), request));
     let mut connection = pin!(builder(&state).serve_connection(io, service));
-    let mut finishing = false;
+    let mut is_closing = false;
     poll_fn(|cx| {
         let close_mode = activity.close_mode(cx);
         if close_mode == CloseMode::Abort {
@@ -156,11 +161,11 @@
         let mut polled = connection.as_mut().poll(cx);
         // A request that has arrived, also in part, is read and answered before the connection is closed.
         if close_mode == CloseMode::Graceful
-            && !finishing
+            && !is_closing
             && polled.is_pending()
             && activity.phase() != Phase::Head
         {
-            finishing = true;
+            is_closing = true;
             connection.as_mut().graceful_shutdown();
             polled = connection.as_mut().poll(cx);
         }
--- a/crates/router/src/endpoint/answer.rs
+++ b/crates/router/src/endpoint/answer.rs
@@ -43,7 +43,7 @@
             return Poll::Ready(None);
         };
         let mut next = ready!(connection.poll_body(&mut self.incoming, cx));
-        if self.state.has_fault(RouterFault::ResetIsEnd) {
+        if self.state.has_fault(RouterFault::ResetCompletesBody) {
             next = next.filter(Result::is_ok);
         }
         match &next {
--- a/crates/router/src/endpoint/attempt.rs
+++ b/crates/router/src/endpoint/attempt.rs
@@ -60,20 +60,20 @@
 ) -> Result<EndpointAnswer, AttemptEnd> {
     loop {
         let (mut connection, used_before) = connect(state, request, destination).await?;
-        let late_before = connection.late_responses();
+        let discarded_before = connection.discarded_responses();
         let remaining = remaining_time(state, request).ok_or(AttemptEnd::NotSent)?;
         if state.pool.availability(&destination.instance) == Availability::Unavailable {
             return Err(AttemptEnd::NotSent);
         }
         sent.set(true);
         request.used_connections.borrow_mut().push(connection.lease().number());
-        if state.has_fault(RouterFault::PassStaleAnswers) {
+        if state.has_fault(RouterFault::ForwardLateResponses) {
             connection.forward_late_responses();
         }
         let message = compose(state, request, destination, &last_event, remaining);
         match connection.exchange(message).await {
             Ok(answer) => {
-                state.counters.late_responses.add(connection.late_responses() - late_before);
+                state.counters.late_responses.add(connection.discarded_responses() - discarded_before);
                 return receive(state, request, destination, connection, answer).await;
             }
             Err(ExchangeError::NotSent) => {
@@ -82,9 +82,9 @@
                     return Err(AttemptEnd::NotSent);
                 }
             }
-            Err(ExchangeError::Garbled(_)) => return Err(AttemptEnd::Garbled),
+            Err(ExchangeError::InvalidResponse(_)) => return Err(AttemptEnd::Garbled),
             Err(ExchangeError::Broken(_)) => {
-                if !(used_before && state.has_fault(RouterFault::RepeatAfterReset)) {
+                if !(used_before && state.has_fault(RouterFault::RetryAfterReset)) {
                     return Err(AttemptEnd::Broken);
                 }
             }
@@ -171,7 +171,7 @@
     destination: &Destination,
 ) -> Option<EndpointConnection> {
     request.attempt_id.as_ref()?;
-    let used_connections = if state.has_fault(RouterFault::ReuseCarrier) {
+    let used_connections = if state.has_fault(RouterFault::RetryOnSameConnection) {
         Vec::new()
     } else {
         request.used_connections.borrow().clone()
@@ -194,7 +194,7 @@
     *message.method_mut() = request.method.clone();
     *message.uri_mut() = request.target.clone();
     let mut headers = request.headers.clone();
-    if !state.has_fault(RouterFault::KeepDeadline) || !headers.contains_key(DEADLINE_MS) {
+    if !state.has_fault(RouterFault::SendOriginalDeadline) || !headers.contains_key(DEADLINE_MS) {
         headers.insert(DEADLINE_MS, milliseconds(remaining));
     }
     if let Ok(instance) = HeaderValue::from_str(&destination.instance) {
--- a/crates/router/src/endpoint/connection.rs
+++ b/crates/router/src/endpoint/connection.rs
@@ -41,18 +41,18 @@
     Broken(hyper::Error),
     /// The received bytes are not a valid response.
     #[error("the response is invalid: {0}")]
-    Garbled(hyper::Error),
+    InvalidResponse(hyper::Error),
 }
 
 /// A connection to an endpoint, for one request at a time.
 pub struct EndpointConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: Pin<Box<Connection<TokioIo<EndpointStream>, Full<Bytes>>>>,
-    progress: Progress,
+    connection_state: ConnectionState,
     shared: Rc<SharedStream>,
     lease: Lease,
     /// When the connection expires for reuse.
-    usable_until: Instant,
+    reusable_until: Instant,
 }
 
 impl EndpointConnection {
@@ -71,10 +71,10 @@
         Ok(EndpointConnection {
             sender,
             driver,
-            progress: Progress::Open,
+            connection_state: ConnectionState::Open,
             shared,
             lease,
-            usable_until: Instant::now(),
+            reusable_until: Instant::now(),
         })
     }
 
@@ -84,13 +84,13 @@
     }
 
     /// Sets how long the connection may be reused while it is idle.
-    pub fn usable_for(&mut self, idle: Duration) {
-        self.usable_until = Instant::now() + idle;
+    pub fn set_reuse_period(&mut self, idle: Duration) {
+        self.reusable_until = Instant::now() + idle;
     }
 
     /// Whether the connection has not expired at `now`.
     pub fn is_unexpired(&self, now: Instant) -> bool {
-        now < self.usable_until
+        now < self.reusable_until
     }
 
     /// Sends the request and waits for the head of the answer.
@@ -106,16 +106,16 @@
         self.shared.late_responses().expect(request.headers().get(&ATTEMPT_ID), request.method());
         let mut answer = pin!(self.sender.try_send_request(request));
         let driver = &mut self.driver;
-        let progress = &mut self.progress;
+        let connection_state = &mut self.connection_state;
         let result = poll_fn(|cx| {
-            drive(driver, progress, cx);
+            drive(driver, connection_state, cx);
             answer.as_mut().poll(cx)
         });
         result.await.map_err(|mut failed| match failed.take_message() {
             Some(_) => ExchangeError::NotSent,
             None if self.shared.written_bytes() == written_before => ExchangeError::NotSent,
             None => match failed.into_error() {
-                error if error.is_parse() => ExchangeError::Garbled(error),
+                error if error.is_parse() => ExchangeError::InvalidResponse(error),
                 error => ExchangeError::Broken(error),
             },
         })
@@ -128,7 +128,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<hyper::Result<Bytes>>> {
         loop {
-            drive(&mut self.driver, &mut self.progress, cx);
+            drive(&mut self.driver, &mut self.connection_state, cx);
             match ready!(Pin::new(&mut *body).poll_frame(cx)) {
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) if !data.is_empty() => return Poll::Ready(Some(Ok(data))),
@@ -143,8 +143,8 @@
     /// Whether another request may be sent: the last request was sent and answered completely, and since then no bytes arrived
     /// and the endpoint did not close.
     pub fn is_reusable(&mut self) -> bool {
-        drive(&mut self.driver, &mut self.progress, &mut Context::from_waker(Waker::noop()));
-        self.progress == Progress::Open && self.sender.is_ready() && !self.shared.is_blocked()
+        drive(&mut self.driver, &mut self.connection_state, &mut Context::from_waker(Waker::noop()));
+        self.connection_state == ConnectionState::Open && self.sender.is_ready() && !self.shared.is_blocked()
     }
 
     /// Discards no late responses any more, for tests.
@@ -154,13 +154,13 @@
     }
 
     /// Number of late responses to earlier requests that were discarded.
-    pub fn late_responses(&self) -> u64 {
+    pub fn discarded_responses(&self) -> u64 {
         self.shared.late_responses().discarded()
     }
 
     /// Whether bytes arrived that belong to no request, or the connection broke.
-    pub fn is_tainted(&self) -> bool {
-        self.progress == Progress::Failed
+    pub fn has_failed(&self) -> bool {
+        self.connection_state == ConnectionState::Failed
     }
 
     /// Asks the kernel what the peer has done. The runtime may not have been notified yet.
@@ -187,7 +187,7 @@
 
 /// The state of a connection in the HTTP library.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Progress {
+enum ConnectionState {
     Open,
     Closed,
     Failed,
@@ -196,16 +196,16 @@
 /// Polls the connection. Its errors reach the caller that waits for an answer.
 fn drive(
     driver: &mut Pin<Box<Connection<TokioIo<EndpointStream>, Full<Bytes>>>>,
-    progress: &mut Progress,
+    connection_state: &mut ConnectionState,
     cx: &mut Context<'_>,
 ) {
-    if *progress != Progress::Open {
+    if *connection_state != ConnectionState::Open {
         return;
     }
-    *progress = match driver.as_mut().poll(cx) {
-        Poll::Pending => Progress::Open,
-        Poll::Ready(Ok(())) => Progress::Closed,
-        Poll::Ready(Err(_)) => Progress::Failed,
+    *connection_state = match driver.as_mut().poll(cx) {
+        Poll::Pending => ConnectionState::Open,
+        Poll::Ready(Ok(())) => ConnectionState::Closed,
+        Poll::Ready(Err(_)) => ConnectionState::Failed,
     };
 }
 
--- a/crates/router/src/endpoint/pool.rs
+++ b/crates/router/src/endpoint/pool.rs
@@ -131,7 +131,7 @@
         }
         let reusable = connection.is_reusable();
         let peer = connection.peer_state();
-        if connection.is_tainted() || peer == PeerState::Sending {
+        if connection.has_failed() || peer == PeerState::Sending {
             self.quarantine(now);
         }
         (reusable && peer == PeerState::Idle).then_some(candidate.connection)
@@ -197,7 +197,7 @@
         let now = Instant::now();
         let mut endpoints = self.endpoints.borrow_mut();
         let endpoint = endpoints.get_mut(instance).filter(|endpoint| endpoint.address == address)?;
-        if self.fault == Some(RouterFault::IgnoreUnread) {
+        if self.fault == Some(RouterFault::SkipConnectionCheck) {
             return endpoint.take_unchecked(excluded);
         }
         if endpoint.is_quarantined(now) {
@@ -241,18 +241,19 @@
 
     /// Returns a connection to the pool after a complete answer.
     pub fn release(&self, mut connection: EndpointConnection, idle_timeout: Option<Duration>) {
-        let reusable = connection.is_reusable() || self.fault == Some(RouterFault::IgnoreUnread);
+        let reusable = connection.is_reusable() || self.fault == Some(RouterFault::SkipConnectionCheck);
         let now = Instant::now();
         let mut endpoints = self.endpoints.borrow_mut();
         let Some(endpoint) = endpoints.get_mut(connection.lease().instance()) else {
             return;
         };
-        if connection.is_tainted() {
+        if connection.has_failed() {
             endpoint.quarantine(now);
         }
         if reusable && endpoint.serving && endpoint.address == connection.lease().address() {
-            connection.usable_for(
-                idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, |told| told.mul_f64(IDLE_TIMEOUT_FRACTION)),
+            connection.set_reuse_period(
+                idle_timeout
+                    .map_or(DEFAULT_IDLE_TIMEOUT, |advertised| advertised.mul_f64(IDLE_TIMEOUT_FRACTION)),
             );
             endpoint.idle.push(IdleConnection { connection, since: now });
         }
--- a/crates/router/src/endpoint/verify.rs
+++ b/crates/router/src/endpoint/verify.rs
@@ -28,7 +28,7 @@
 pub fn check(expected: Expected<'_>, answer: &Response<Incoming>) -> Result<(), AttemptEnd> {
     let headers = answer.headers();
     let matches_request = headers.get(&ATTEMPT_ID) == expected.attempt_id;
-    if !matches_request && expected.fault != Some(RouterFault::AnyAttemptId) {
+    if !matches_request && expected.fault != Some(RouterFault::AcceptAnyAttemptId) {
         return Err(AttemptEnd::Garbled);
     }
     let status = answer.status();
@@ -44,7 +44,7 @@
         return Err(AttemptEnd::Garbled);
     }
     if implies_not_executed(status) {
-        if expected.fault == Some(RouterFault::TrustStatus) {
+        if expected.fault == Some(RouterFault::TrustStatusAlone) {
             return Err(AttemptEnd::NotExecuted {
                 status: status.as_u16(),
                 load: None,
--- a/crates/router/src/fault.rs
+++ b/crates/router/src/fault.rs
@@ -5,25 +5,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouterFault {
     /// Any answer is accepted as the answer to the last request.
-    AnyAttemptId,
+    AcceptAnyAttemptId,
     /// A connection is reused whatever has arrived on it.
-    IgnoreUnread,
+    SkipConnectionCheck,
     /// A request is retried after a reset if its connection had been used before.
-    RepeatAfterReset,
+    RetryAfterReset,
     /// Every attempt sends the full time of the client in place of the remaining time.
-    KeepDeadline,
+    SendOriginalDeadline,
     /// Late responses to earlier requests are not discarded.
-    PassStaleAnswers,
+    ForwardLateResponses,
     /// A request is retried on a connection on which it was sent before.
-    ReuseCarrier,
+    RetryOnSameConnection,
     /// A body that is reset counts as complete.
-    ResetIsEnd,
+    ResetCompletesBody,
     /// A truncated answer looks complete.
-    EndCut,
+    HideTruncation,
     /// A 503 without `Not-Executed` counts as proof that the request did not run.
-    TrustStatus,
+    TrustStatusAlone,
     /// The part of a traffic split is drawn independently for each request.
-    DrawSplits,
+    DrawSplitsIndependently,
     /// Connections are checked by the current time, also directly after a stall of the process.
-    SweepByPresentTime,
+    CheckAtCurrentTime,
 }
--- a/crates/router/src/process/counters.rs
+++ b/crates/router/src/process/counters.rs
@@ -62,7 +62,7 @@
             self.outcomes.get(Outcome::Answered),
             self.outcomes.of_kind("refused"),
             self.outcomes.of_kind("failed") + self.outcomes.get(Outcome::AnsweredWithError),
-            self.outcomes.get(Outcome::RejectedUnrouted),
+            self.outcomes.get(Outcome::RejectedNoRoute),
             self.attempts.get(),
             self.failed_attempts.get(),
             self.resumed.get(),
--- a/crates/router/src/process/maintenance.rs
+++ b/crates/router/src/process/maintenance.rs
@@ -35,14 +35,14 @@
     loop {
         let now = tokio::select! {
             now = ticks.tick() => now,
-            () = state.unplaced.notified() => {
+            () = state.unplaced_demand.notified() => {
                 report_demand(&state, &demand);
                 sleep(URGENT_REPORT_INTERVAL).await;
                 continue;
             }
         };
         let limits = state.routing().map(|routing| routing.limits().clone()).unwrap_or_default();
-        let checked_at = if state.has_fault(RouterFault::SweepByPresentTime) { Instant::now() } else { now };
+        let checked_at = if state.has_fault(RouterFault::CheckAtCurrentTime) { Instant::now() } else { now };
         clients.for_each(|activity| close_if_stalled(activity, &limits, checked_at));
         state.pool.close_expired(now);
         report_demand(&state, &demand);
@@ -86,12 +86,12 @@
 pub async fn run_dispatcher_timer(state: Rc<RouterState>) {
     loop {
         let Some(wake) = state.timer_at() else {
-            state.rearm.notified().await;
+            state.timer_changed.notified().await;
             continue;
         };
         tokio::select! {
             () = sleep_until(state.instant_of(wake)) => state.wake_dispatcher(),
-            () = state.rearm.notified() => {}
+            () = state.timer_changed.notified() => {}
         }
     }
 }
--- a/crates/router/src/process/metrics.rs
+++ b/crates/router/src/process/metrics.rs
@@ -34,11 +34,11 @@
     "lanegate_router_streams_resumed_total",
     "Streams that were taken up at another endpoint inside the same answer",
 );
-const STALE_ANSWERS: Metric = Metric::counter(
+const LATE_RESPONSES: Metric = Metric::counter(
     "lanegate_router_stale_answers_total",
     "Answers of endpoints to requests that had an answer already; they are dropped",
 );
-const BYTES_PASSED: Metric =
+const FORWARDED_BYTES: Metric =
     Metric::counter("lanegate_router_answer_bytes_total", "Bytes of bodies that endpoints answered");
 const CLIENTS_ACCEPTED: Metric =
     Metric::counter("lanegate_router_client_connections_accepted_total", "Connections of clients accepted");
@@ -111,8 +111,8 @@
         exposition.set(&RETRY_BUDGET_REMAINING, left);
     }
     exposition.set(&STREAMS_RESUMED, counters.resumed.get());
-    exposition.set(&STALE_ANSWERS, counters.late_responses.get());
-    exposition.set(&BYTES_PASSED, counters.forwarded_bytes.get());
+    exposition.set(&LATE_RESPONSES, counters.late_responses.get());
+    exposition.set(&FORWARDED_BYTES, counters.forwarded_bytes.get());
     let endpoints = dispatch.endpoints;
     for (standing, count) in
         [("serving", endpoints.serving), ("ejected", endpoints.ejected), ("leaving", endpoints.draining)]
@@ -136,6 +136,6 @@
     exposition.set(&DRAINING_TIME, state.draining_time().unwrap_or_default());
     exposition.set(&CONFIGURATION_VERSION, state.routing().map_or(0, |routing| routing.version()));
     exposition.set(&CONFIGURATION_AGE, state.configuration_age().unwrap_or_default());
-    exposition.set(&CONFIGURATION_BEHIND, state.is_behind());
+    exposition.set(&CONFIGURATION_BEHIND, state.is_configuration_behind());
     exposition.set(&AGENT_LINK_UP, state.is_agent_linked());
 }
--- a/crates/router/src/request/event_splitter.rs
+++ b/crates/router/src/request/event_splitter.rs
@@ -48,14 +48,14 @@
     }
 
     /// Drops the incomplete event: the next bytes are from another attempt.
-    pub fn begin_resumed_run(&mut self) {
+    pub fn begin_resumed_stream(&mut self) {
         self.partial.clear();
         self.already_forwarded = self.last_id.as_deref().and_then(number);
     }
 
     /// Drops events of a resumed stream that were forwarded before.
     fn drop_duplicates(&mut self, events: Bytes) -> Bytes {
-        let Some(passed) = self.already_forwarded else {
+        let Some(last_forwarded) = self.already_forwarded else {
             return events;
         };
         let mut rest = events;
@@ -63,7 +63,7 @@
         while !rest.is_empty() {
             let event = rest.split_to(first_event_end(&rest));
             match last_id(&event).as_deref().and_then(number) {
-                Some(id) if id <= passed => {}
+                Some(id) if id <= last_forwarded => {}
                 Some(_) => {
                     self.already_forwarded = None;
                     new.extend_from_slice(&event);
--- a/crates/router/src/request/forward.rs
+++ b/crates/router/src/request/forward.rs
@@ -13,7 +13,7 @@
 use crate::request::handle::RequestHandle;
 use crate::request::mailbox::Instruction;
 use crate::request::outcome::Outcome;
-use crate::request::stream::{AnswerKind, AnswerStream, Opened};
+use crate::request::stream::{AnswerKind, AnswerStream, StreamStart};
 use bytes::{Bytes, BytesMut};
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode, Version};
@@ -45,13 +45,13 @@
         };
         let sent = Cell::new(false);
         instruction = match attempt_once(&handle, &request, &destination, &sent).await {
-            Step::Answer(answer) => return answer,
-            Step::Ended(end) => {
+            AttemptResult::Answer(answer) => return answer,
+            AttemptResult::Ended(end) => {
                 may_have_run |= !proves_not_executed(end);
                 handle.ended(destination.attempt, end);
                 handle.next().await
             }
-            Step::Superseded(instruction) => {
+            AttemptResult::Superseded(instruction) => {
                 may_have_run |= sent.get();
                 instruction
             }
@@ -120,7 +120,7 @@
     }
 }
 
-enum Step {
+enum AttemptResult {
     Answer(Response<RouterBody>),
     Ended(AttemptEnd),
     /// The dispatcher abandoned the attempt.
@@ -132,16 +132,16 @@
     request: &Rc<Outbound>,
     destination: &Destination,
     sent: &Cell<bool>,
-) -> Step {
+) -> AttemptResult {
     let mut opening = pin!(open(handle, request, destination, sent));
     let result = poll_fn(|cx| match opening.as_mut().poll(cx) {
         Poll::Ready(result) => Poll::Ready(Ok(result)),
         Poll::Pending => handle.poll_next(cx).map(Err),
     });
     match result.await {
-        Ok(Ok(answer)) => Step::Answer(answer),
-        Ok(Err(end)) => Step::Ended(end),
-        Err(instruction) => Step::Superseded(instruction),
+        Ok(Ok(answer)) => AttemptResult::Answer(answer),
+        Ok(Err(end)) => AttemptResult::Ended(end),
+        Err(instruction) => AttemptResult::Superseded(instruction),
     }
 }
 
@@ -246,7 +246,7 @@
     first: Bytes,
     splitter: Option<EventSplitter>,
 ) -> Response<RouterBody> {
-    let opened = Opened {
+    let start = StreamStart {
         handle: handle.clone(),
         request: request.clone(),
         attempt: destination.attempt,
@@ -256,7 +256,7 @@
         splitter,
         body: answer.body,
     };
-    compose(answer.head, RouterBody::stream(AnswerStream::new(opened)))
+    compose(answer.head, RouterBody::stream(AnswerStream::new(start)))
 }
 
 /// The answer to the client after a complete answer of the endpoint.
--- a/crates/router/src/request/outcome.rs
+++ b/crates/router/src/request/outcome.rs
@@ -16,11 +16,11 @@
     /// Refused because of shutdown.
     RefusedShutdown,
     /// Refused because there is no configuration yet.
-    RefusedUnconfigured,
+    RefusedNoConfiguration,
     /// Refused because a newer configuration may have its route.
-    RefusedBehind,
+    RefusedConfigurationBehind,
     /// No route matches it.
-    RejectedUnrouted,
+    RejectedNoRoute,
     /// It is malformed, too long, or incomplete.
     RejectedMalformed,
     /// It may have run, and its deadline has passed.
@@ -49,9 +49,9 @@
         Outcome::RefusedNoCapacity,
         Outcome::RefusedNotSent,
         Outcome::RefusedShutdown,
-        Outcome::RefusedUnconfigured,
-        Outcome::RefusedBehind,
-        Outcome::RejectedUnrouted,
+        Outcome::RefusedNoConfiguration,
+        Outcome::RefusedConfigurationBehind,
+        Outcome::RejectedNoRoute,
         Outcome::RejectedMalformed,
         Outcome::FailedDeadline,
         Outcome::FailedMayHaveRun,
@@ -71,9 +71,9 @@
             Outcome::RefusedNoCapacity => ("refused", "no_room"),
             Outcome::RefusedNotSent => ("refused", "not_sent"),
             Outcome::RefusedShutdown => ("refused", "process_ending"),
-            Outcome::RefusedUnconfigured => ("refused", "no_configuration"),
-            Outcome::RefusedBehind => ("refused", "configuration_behind"),
-            Outcome::RejectedUnrouted => ("rejected", "no_route"),
+            Outcome::RefusedNoConfiguration => ("refused", "no_configuration"),
+            Outcome::RefusedConfigurationBehind => ("refused", "configuration_behind"),
+            Outcome::RejectedNoRoute => ("rejected", "no_route"),
             Outcome::RejectedMalformed => ("rejected", "malformed"),
             Outcome::FailedDeadline => ("failed", "deadline"),
             Outcome::FailedMayHaveRun => ("failed", "may_have_run"),
--- a/crates/router/src/request/resume.rs
+++ b/crates/router/src/request/resume.rs
@@ -43,12 +43,12 @@
         let Instruction::Decided(decision) = instruction else { return Err(outcome) };
         let destination = Destination::of(decision).ok_or(outcome)?;
         instruction = match send(&handle, &request, &destination, &last_event).await {
-            Sent::Resumed(resumed) => return Ok(resumed),
-            Sent::Ended(end) => {
+            ResumeResult::Resumed(resumed) => return Ok(resumed),
+            ResumeResult::Ended(end) => {
                 handle.ended(destination.attempt, end);
                 handle.next().await
             }
-            Sent::Superseded(instruction) => instruction,
+            ResumeResult::Superseded(instruction) => instruction,
         };
     }
 }
@@ -64,7 +64,7 @@
     }
 }
 
-enum Sent {
+enum ResumeResult {
     Resumed(Resumed),
     Ended(AttemptEnd),
     Superseded(Instruction),
@@ -75,7 +75,7 @@
     request: &Outbound,
     destination: &Destination,
     last_event: &HeaderValue,
-) -> Sent {
+) -> ResumeResult {
     let sent = Cell::new(false);
     let last_event = Some(last_event.clone());
     let mut attempt = pin!(attempt::send(handle.state(), request, destination, last_event, &sent));
@@ -85,15 +85,15 @@
     });
     match result.await {
         Ok(Ok(answer)) => accept_resumed(handle, destination, answer),
-        Ok(Err(end)) => Sent::Ended(end),
-        Err(instruction) => Sent::Superseded(instruction),
+        Ok(Err(end)) => ResumeResult::Ended(end),
+        Err(instruction) => ResumeResult::Superseded(instruction),
     }
 }
 
-fn accept_resumed(handle: &RequestHandle, destination: &Destination, answer: EndpointAnswer) -> Sent {
+fn accept_resumed(handle: &RequestHandle, destination: &Destination, answer: EndpointAnswer) -> ResumeResult {
     if !answer.head.status.is_success() || !is_event_stream(&answer.head.headers) {
-        return Sent::Ended(AttemptEnd::Broken);
+        return ResumeResult::Ended(AttemptEnd::Broken);
     }
     handle.progress(destination.attempt, Progress::Head { load: answer.load });
-    Sent::Resumed(Resumed { attempt: destination.attempt, load: answer.load, body: answer.body })
+    ResumeResult::Resumed(Resumed { attempt: destination.attempt, load: answer.load, body: answer.body })
 }
--- a/crates/router/src/request/stream.rs
+++ b/crates/router/src/request/stream.rs
@@ -67,7 +67,7 @@
 }
 
 /// An answer of which the first bytes have arrived.
-pub struct Opened {
+pub struct StreamStart {
     /// Handle on the request.
     pub handle: Rc<RequestHandle>,
     /// The request.
@@ -87,18 +87,18 @@
 }
 
 impl AnswerStream {
-    /// Forwards `opened.first` and the rest of the body.
-    pub fn new(opened: Opened) -> Self {
-        opened.handle.record_forwarded();
+    /// Forwards `start.first` and the rest of the body.
+    pub fn new(start: StreamStart) -> Self {
+        start.handle.record_forwarded();
         AnswerStream {
-            handle: opened.handle,
-            request: opened.request,
-            attempt: opened.attempt,
-            load: opened.load,
-            kind: opened.kind,
-            first: Some(opened.first),
-            splitter: opened.splitter,
-            source: Source::Endpoint(opened.body),
+            handle: start.handle,
+            request: start.request,
+            attempt: start.attempt,
+            load: start.load,
+            kind: start.kind,
+            first: Some(start.first),
+            splitter: start.splitter,
+            source: Source::Endpoint(start.body),
         }
     }
 
@@ -170,7 +170,7 @@
         self.source = Source::Ended;
         self.handle.ended(self.attempt, AttemptEnd::BrokenMidway);
         let splitter = self.splitter.as_mut().filter(|_| self.request.resumable).ok_or(TruncatedAnswer)?;
-        splitter.begin_resumed_run();
+        splitter.begin_resumed_stream();
         let last = splitter.last_id().ok_or(TruncatedAnswer)?;
         let last = HeaderValue::from_bytes(last).map_err(|_| TruncatedAnswer)?;
         self.source =
@@ -189,7 +189,7 @@
     fn truncate(&mut self, outcome: Outcome) -> Poll<Option<Result<Bytes, TruncatedAnswer>>> {
         self.source = Source::Ended;
         self.handle.record_outcome(outcome);
-        if self.handle.state().has_fault(RouterFault::EndCut) {
+        if self.handle.state().has_fault(RouterFault::HideTruncation) {
             return Poll::Ready(None);
         }
         Poll::Ready(Some(Err(TruncatedAnswer)))
--- a/crates/router/src/routing/configuration_wait.rs
+++ b/crates/router/src/routing/configuration_wait.rs
@@ -44,10 +44,10 @@
 }
 
 impl ConfigurationWait {
-    /// Waits until [`ConfigurationWait::wake`], for a part of `client_time`, counted from `began`.
+    /// Waits until [`ConfigurationWait::wake`], for a part of `client_time`, counted from `arrived`.
     pub async fn wait(
         &self,
-        began: Instant,
+        arrived: Instant,
         client_time: Option<Duration>,
         body_bytes: usize,
     ) -> WaitOutcome {
@@ -57,7 +57,7 @@
             return WaitOutcome::Full;
         }
         let _slot = WaitSlot::acquire(self, body_bytes);
-        match timeout_at(began + max_wait(client_time), self.woken.notified()).await {
+        match timeout_at(arrived + max_wait(client_time), self.woken.notified()).await {
             Ok(()) => WaitOutcome::Notified,
             Err(_) => WaitOutcome::TimedOut,
         }
--- a/crates/router/src/routing/table.rs
+++ b/crates/router/src/routing/table.rs
@@ -14,7 +14,7 @@
 
 /// The route of a request and its service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Resolved<'a> {
+pub struct ResolvedRoute<'a> {
     /// The route.
     pub route: &'a Route,
     /// Name of the service.
@@ -46,15 +46,15 @@
         host: &str,
         path: &str,
         position: impl FnOnce(&str) -> f64,
-    ) -> Option<Resolved<'_>> {
+    ) -> Option<ResolvedRoute<'_>> {
         let route = self.table.lookup(host, path)?;
-        let backend = pick(route, position)?;
+        let backend = select_backend(route, position)?;
         let engine = self.table.backend(backend).is_some_and(|service| service.runtime.is_some());
-        Some(Resolved { route, backend, engine })
+        Some(ResolvedRoute { route, backend, engine })
     }
 }
 
-fn pick(route: &Route, position: impl FnOnce(&str) -> f64) -> Option<&str> {
+fn select_backend(route: &Route, position: impl FnOnce(&str) -> f64) -> Option<&str> {
     if route.traffic_split.is_empty() {
         return route.backend.as_deref();
     }
--- a/crates/router/src/routing/traffic_split.rs
+++ b/crates/router/src/routing/traffic_split.rs
@@ -31,7 +31,7 @@
 
     /// The position, in [0, 1), of the next request of `route` within its weights.
     pub fn next(&mut self, route: &str) -> f64 {
-        if self.fault == Some(RouterFault::DrawSplits) {
+        if self.fault == Some(RouterFault::DrawSplitsIndependently) {
             return self.random.random();
         }
         match self.positions.get_mut(route) {
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -36,11 +36,11 @@
     configured_at: Cell<Option<Instant>>,
     agent_linked: Cell<bool>,
     /// When the timer task calls the dispatcher; never later than the dispatcher asks.
-    armed: Cell<Option<Duration>>,
+    timer_at: Cell<Option<Duration>>,
     /// Wakes the timer task when it has to call earlier.
-    pub rearm: Notify,
+    pub timer_changed: Notify,
     /// Wakes the demand reports: no endpoint can serve a request.
-    pub unplaced: Notify,
+    pub unplaced_demand: Notify,
     /// Connections to endpoints.
     pub pool: Pool,
     /// Counters for the log and the metrics.
@@ -67,9 +67,9 @@
             draining_since: Cell::new(None),
             configured_at: Cell::new(None),
             agent_linked: Cell::new(false),
-            armed: Cell::new(None),
-            rearm: Notify::new(),
-            unplaced: Notify::new(),
+            timer_at: Cell::new(None),
+            timer_changed: Notify::new(),
+            unplaced_demand: Notify::new(),
             pool: Pool::new(fault),
             counters: Counters::default(),
             violations,
@@ -147,7 +147,7 @@
     /// Waits for the first configuration, if there is none. Returns at once during shutdown.
     pub async fn await_configuration(
         &self,
-        began: Duration,
+        arrived: Duration,
         client_time: Option<Duration>,
         body_bytes: usize,
     ) {
@@ -155,13 +155,13 @@
         if !waits || self.is_draining() {
             return;
         }
-        let began = self.instant_of(began);
-        let end = self.configuration_wait.wait(began, client_time, body_bytes).await;
+        let arrived = self.instant_of(arrived);
+        let end = self.configuration_wait.wait(arrived, client_time, body_bytes).await;
         log::debug!("configuration wait ended outcome={end:?} waiting={}", self.configuration_wait.waiting());
     }
 
     /// Whether a newer configuration may be in force elsewhere, so that an unknown route may exist.
-    pub fn is_behind(&self) -> bool {
+    pub fn is_configuration_behind(&self) -> bool {
         self.behind.get()
     }
 
@@ -234,35 +234,35 @@
         let result = act(&mut dispatcher, now);
         let decisions = dispatcher.take_decisions();
         let wake = dispatcher.next_wake();
-        let unplaced = dispatcher.has_unplaced_demand();
+        let unplaced_demand = dispatcher.has_unplaced_demand();
         drop(dispatcher);
-        if unplaced {
-            self.unplaced.notify_one();
+        if unplaced_demand {
+            self.unplaced_demand.notify_one();
         }
         decisions.into_iter().for_each(|decision| self.requests.deliver(decision));
-        self.arm(wake);
+        self.set_timer(wake);
         result
     }
 
     /// Wakes the timer task if it would call too late.
-    fn arm(&self, wake: Option<Duration>) {
+    fn set_timer(&self, wake: Option<Duration>) {
         let Some(wake) = wake else {
             return;
         };
-        if self.armed.get().is_none_or(|armed| wake < armed) {
-            self.armed.set(Some(wake));
-            self.rearm.notify_one();
+        if self.timer_at.get().is_none_or(|timer_at| wake < timer_at) {
+            self.timer_at.set(Some(wake));
+            self.timer_changed.notify_one();
         }
     }
 
     /// When the timer task has to call the dispatcher.
     pub fn timer_at(&self) -> Option<Duration> {
-        self.armed.get()
+        self.timer_at.get()
     }
 
     /// Calls the dispatcher because its timer has expired.
     pub fn wake_dispatcher(&self) {
-        self.armed.set(None);
+        self.timer_at.set(None);
         self.with_dispatcher(|dispatcher, now| dispatcher.wake(now));
     }
 }
--- a/crates/router/tests/attempts.rs
+++ b/crates/router/tests/attempts.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use common::{Endpoint, Message, Router, answer_to, pass_time, play};
+use common::{Endpoint, Message, Router, advance_time, answer_to, run_test};
 use std::time::Duration;
 use tokio::task::spawn_local;
 
 /// Answers that the request did not run.
-fn turned_away(request: &Message, status: &str) -> String {
+fn rejection(request: &Message, status: &str) -> String {
     let id = request.header("Attempt-Id").unwrap();
     format!(
         "HTTP/1.1 {status}\r\nAttempt-Id: {id}\r\nNot-Executed: true\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
@@ -15,12 +15,12 @@
 }
 
 /// Rejects all requests on all connections.
-async fn turn_all_away(endpoint: Endpoint) {
+async fn reject_all(endpoint: Endpoint) {
     loop {
         let mut upstream = endpoint.accept().await;
         spawn_local(async move {
             while let Some(request) = upstream.next_request().await {
-                upstream.write(turned_away(&request, "503 Service Unavailable")).await;
+                upstream.write(rejection(&request, "503 Service Unavailable")).await;
             }
         });
     }
@@ -28,7 +28,7 @@
 
 #[test]
 fn a_rejected_request_is_sent_to_another_endpoint() {
-    play(async {
+    run_test(async {
         for (status, id) in [("421 Misdirected Request", "1"), ("503 Service Unavailable", "2")] {
             let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
             let router = Router::serving(&[&endpoints[0], &endpoints[1]]).await;
@@ -38,7 +38,7 @@
                 got = endpoints[0].request() => (got, &endpoints[1]),
                 got = endpoints[1].request() => (got, &endpoints[0]),
             };
-            first.write(turned_away(&request, status)).await;
+            first.write(rejection(&request, status)).await;
             let (mut upstream, request) = second.request().await;
             assert_eq!(request.header("Attempt-Id"), Some(id));
             assert_eq!(request.header("Expect-Instance"), Some(second.id.as_str()));
@@ -52,14 +52,14 @@
 
 #[test]
 fn a_request_that_never_ran_is_refused_with_retry_after_and_without_a_signature() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
         client
             .write("GET /once/a HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: 1\r\nDeadline-Ms: 300\r\n\r\n")
             .await;
-        spawn_local(turn_all_away(endpoint));
+        spawn_local(reject_all(endpoint));
         let answer = client.answer().await;
         assert_eq!(answer.status, 503);
         assert!(answer.header("Retry-After").unwrap().parse::<f64>().unwrap() > 0.0);
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_request_that_may_have_run_is_retried_only_if_its_route_allows_it() {
-    play(async {
+    run_test(async {
         for path in ["/once/a", "/stream/a"] {
             let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
             let router = Router::serving(&[&endpoints[0], &endpoints[1]]).await;
@@ -98,7 +98,7 @@
 }
 
 /// Sends a request that must not run twice, lets the endpoint write `bytes`, and returns the answer to the client.
-async fn what_comes_of(bytes: &'static str) -> Message {
+async fn answer_after(bytes: &'static str) -> Message {
     let endpoint = Endpoint::start("i-1").await;
     let router = Router::serving(&[&endpoint]).await;
     let mut client = router.client().await;
@@ -112,8 +112,8 @@
 
 #[test]
 fn invalid_and_foreign_answers_never_reach_the_client() {
-    play(async {
-        let spoilt = [
+    run_test(async {
+        let invalid_answers = [
             "HTTP/1.1 200 OK\r\nAttempt-Id: 2\r\nServer-Signature: s\r\nContent-Length: 2\r\n\r\nno",
             "HTTP/1.1 200 OK\r\nServer-Signature: s\r\nContent-Length: 2\r\n\r\nno",
             "HTTP/1.1 200 OK\r\nAttempt-Id: 1\r\nContent-Length: 2\r\n\r\nno",
@@ -125,8 +125,8 @@
             "HTTP/1.1 429 Too Many Requests\r\nAttempt-Id: 1\r\nServer-Signature: s\r\nContent-Length: 0\r\n\r\n",
             "\x01\x02 these bytes are no answer\r\n\r\n",
         ];
-        for bytes in spoilt {
-            let answer = what_comes_of(bytes).await;
+        for bytes in invalid_answers {
+            let answer = answer_after(bytes).await;
             assert_eq!(answer.status, 502, "{bytes}");
             assert_eq!(answer.header("Server-Signature"), None);
             assert!(answer.body.is_empty());
@@ -136,7 +136,7 @@
 
 #[test]
 fn an_incomplete_answer_is_not_forwarded() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -151,7 +151,7 @@
 
 #[test]
 fn bytes_after_a_complete_answer_belong_to_no_request() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -161,16 +161,16 @@
         upstream.write(answer_to(&request, "200 OK", "first") + &extra).await;
         assert_eq!(client.answer().await.text(), "first");
         client.get("/once/a", "2").await;
-        let (mut fresh, request) = endpoint.request().await;
+        let (mut new_upstream, request) = endpoint.request().await;
         assert_eq!(request.header("Attempt-Id"), Some("2"));
-        fresh.answer(&request, "second").await;
+        new_upstream.answer(&request, "second").await;
         assert_eq!(client.answer().await.text(), "second");
     });
 }
 
 #[test]
 fn a_late_second_answer_belongs_to_no_request() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -180,15 +180,15 @@
         assert_eq!(client.answer().await.text(), "first");
         upstream.answer(&request, "extra").await;
         client.get("/once/a", "2").await;
-        let (mut fresh, request) = endpoint.request().await;
-        fresh.answer(&request, "second").await;
+        let (mut new_upstream, request) = endpoint.request().await;
+        new_upstream.answer(&request, "second").await;
         assert_eq!(client.answer().await.text(), "second");
     });
 }
 
 #[test]
 fn a_connection_that_the_endpoint_closed_is_not_reused() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -198,15 +198,15 @@
         assert_eq!(client.answer().await.text(), "first");
         drop(upstream);
         client.get("/once/a", "2").await;
-        let (mut fresh, request) = endpoint.request().await;
-        fresh.answer(&request, "second").await;
+        let (mut new_upstream, request) = endpoint.request().await;
+        new_upstream.answer(&request, "second").await;
         assert_eq!(client.answer().await.text(), "second");
     });
 }
 
 #[test]
 fn a_connection_idle_for_longer_than_its_keep_alive_is_not_reused() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -214,17 +214,17 @@
         let (mut upstream, request) = endpoint.request().await;
         upstream.answer(&request, "first").await;
         assert_eq!(client.answer().await.text(), "first");
-        pass_time(Duration::from_millis(4_500)).await;
+        advance_time(Duration::from_millis(4_500)).await;
         client.get("/once/a", "2").await;
-        let (mut fresh, request) = endpoint.request().await;
-        fresh.answer(&request, "second").await;
+        let (mut new_upstream, request) = endpoint.request().await;
+        new_upstream.answer(&request, "second").await;
         assert_eq!(client.answer().await.text(), "second");
     });
 }
 
 #[test]
 fn a_client_that_disconnects_cancels_its_request() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -237,7 +237,7 @@
 
 #[test]
 fn a_refused_connection_does_not_end_the_request() {
-    play(async {
+    run_test(async {
         let gone = Endpoint::start("i-0").await;
         let gone_registration = gone.registration("plain");
         drop(gone);
@@ -255,7 +255,7 @@
 
 #[test]
 fn a_request_that_runs_past_its_deadline_gets_504() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
--- a/crates/router/tests/before_configuration.rs
+++ b/crates/router/tests/before_configuration.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{CONFIGURATION, Client, Endpoint, Router, pass_time, play, settle};
+use common::{CONFIGURATION, Client, Endpoint, Router, advance_time, run_ready_tasks, run_test};
 use lanegate_config::feed::FeedEvent;
 use lanegate_router::routing::configuration_wait::{ConfigurationWait, WaitOutcome};
 use std::time::Duration;
@@ -10,15 +10,15 @@
 use tokio::time::Instant;
 
 /// Sends a request for `/again/x` with this deadline in ms.
-async fn ask(client: &mut Client, id: &str, deadline_ms: u32) {
+async fn send_request(client: &mut Client, id: &str, deadline_ms: u32) {
     let head = format!(
         "GET /again/x HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: {id}\r\nDeadline-Ms: {deadline_ms}\r\n\r\n"
     );
     client.write(head).await;
-    settle().await;
+    run_ready_tasks().await;
 }
 
-fn begin(router: &Router, endpoint: &Endpoint) {
+fn configure_and_register(router: &Router, endpoint: &Endpoint) {
     router.configure(CONFIGURATION);
     router.send_event(endpoint.registration("plain"));
     router.send_event(FeedEvent::Routers { live: 1 });
@@ -27,13 +27,13 @@
 
 #[test]
 fn a_request_waits_for_the_configuration_and_is_served() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::start().await;
         let mut client = router.client().await;
-        ask(&mut client, "1", 8_000).await;
-        pass_time(Duration::from_millis(1_400)).await;
-        begin(&router, &endpoint);
+        send_request(&mut client, "1", 8_000).await;
+        advance_time(Duration::from_millis(1_400)).await;
+        configure_and_register(&router, &endpoint);
         let (mut upstream, request) = endpoint.request().await;
         upstream.answer(&request, "served").await;
         assert_eq!(client.answer().await.text(), "served");
@@ -42,11 +42,11 @@
 
 #[test]
 fn a_request_is_refused_after_a_quarter_of_its_time() {
-    play(async {
+    run_test(async {
         let router = Router::start().await;
         let mut client = router.client().await;
-        ask(&mut client, "1", 2_000).await;
-        pass_time(Duration::from_millis(520)).await;
+        send_request(&mut client, "1", 2_000).await;
+        advance_time(Duration::from_millis(520)).await;
         let answer = client.answer().await;
         assert_eq!((answer.status, answer.header("Retry-After")), (503, Some("0.250")));
     });
@@ -54,21 +54,21 @@
 
 #[test]
 fn a_long_client_deadline_does_not_extend_the_wait_beyond_its_limit() {
-    play(async {
+    run_test(async {
         let router = Router::start().await;
         let mut client = router.client().await;
-        ask(&mut client, "1", 600_000).await;
-        pass_time(Duration::from_millis(1_520)).await;
+        send_request(&mut client, "1", 600_000).await;
+        advance_time(Duration::from_millis(1_520)).await;
         assert_eq!(client.answer().await.status, 503);
     });
 }
 
 #[test]
 fn no_request_waits_during_shutdown() {
-    play(async {
+    run_test(async {
         let mut router = Router::start().await;
         let mut waiting = router.client().await;
-        ask(&mut waiting, "1", 6_000).await;
+        send_request(&mut waiting, "1", 6_000).await;
         router.terminate();
         assert_eq!(waiting.answer().await.status, 503, "what waits is refused at once");
     });
@@ -76,25 +76,25 @@
 
 #[test]
 fn a_client_that_disconnects_releases_its_slot() {
-    play(async {
+    run_test(async {
         let wait = std::rc::Rc::new(ConfigurationWait::default());
-        let began = Instant::now();
+        let arrived = Instant::now();
         let waiting = {
             let wait = wait.clone();
-            spawn_local(async move { wait.wait(began, Some(Duration::from_secs(6)), 10).await })
+            spawn_local(async move { wait.wait(arrived, Some(Duration::from_secs(6)), 10).await })
         };
-        settle().await;
+        run_ready_tasks().await;
         assert_eq!(wait.waiting(), 1);
         waiting.abort();
-        settle().await;
+        run_ready_tasks().await;
         assert_eq!(wait.waiting(), 0);
     });
 }
 
 #[test]
 fn the_number_and_size_of_waiting_requests_are_bounded() {
-    play(async {
-        let began = Instant::now();
+    run_test(async {
+        let arrived = Instant::now();
         let time = Some(Duration::from_secs(6));
         for (requests, bytes, fits) in
             [(255, 10, true), (256, 10, false), (7, 1 << 20, true), (8, 1 << 20, false)]
@@ -102,15 +102,15 @@
             let wait = std::rc::Rc::new(ConfigurationWait::default());
             for _ in 0..requests {
                 let wait = wait.clone();
-                spawn_local(async move { wait.wait(began, time, bytes).await });
+                spawn_local(async move { wait.wait(arrived, time, bytes).await });
             }
-            settle().await;
+            run_ready_tasks().await;
             assert_eq!(wait.waiting(), requests);
             let further = {
                 let wait = wait.clone();
-                spawn_local(async move { wait.wait(began, time, bytes).await })
+                spawn_local(async move { wait.wait(arrived, time, bytes).await })
             };
-            settle().await;
+            run_ready_tasks().await;
             wait.wake();
             let end = if fits { WaitOutcome::Notified } else { WaitOutcome::Full };
             assert_eq!(further.await.unwrap(), end, "{requests} requests of {bytes} bytes");
--- a/crates/router/tests/byte_streams.rs
+++ b/crates/router/tests/byte_streams.rs
@@ -19,13 +19,13 @@
 
 /// The same cases in every run, unless `PROPTEST_RNG_SEED` and `PROPTEST_CASES` are set.
 fn config(cases: u32) -> Config {
-    let given = Config::default();
-    let rng_seed = match given.rng_seed {
+    let default = Config::default();
+    let rng_seed = match default.rng_seed {
         RngSeed::Random => RngSeed::Fixed(SEED),
-        fixed => fixed,
+        seed => seed,
     };
-    let cases = if std::env::var_os("PROPTEST_CASES").is_some() { given.cases } else { cases };
-    Config { cases, rng_seed, failure_persistence: None, ..given }
+    let cases = if std::env::var_os("PROPTEST_CASES").is_some() { default.cases } else { cases };
+    Config { cases, rng_seed, failure_persistence: None, ..default }
 }
 
 proptest! {
@@ -33,62 +33,62 @@
 
     #[test]
     fn answers_reach_their_callers_and_nothing_is_sent_twice(script in script()) {
-        let wrong = violation(&script, None);
-        prop_assert!(wrong.is_none(), "{}", wrong.unwrap_or_default());
+        let violations = violation(&script, None);
+        prop_assert!(violations.is_none(), "{}", violations.unwrap_or_default());
     }
 }
 
 /// The violation by which a mutation is detected.
-fn found(fault: RouterFault) -> String {
+fn detect(fault: RouterFault) -> String {
     let config = Config { max_shrink_iters: 0, ..config(FAULT_CASES) };
     let outcome = TestRunner::new(config).run(&script(), |script| match violation(&script, Some(fault)) {
-        Some(wrong) => Err(TestCaseError::fail(wrong)),
+        Some(violations) => Err(TestCaseError::fail(violations)),
         None => Ok(()),
     });
     match outcome {
-        Err(TestError::Fail(wrong, _)) => wrong.message().to_owned(),
+        Err(TestError::Fail(violations, _)) => violations.message().to_owned(),
         other => panic!("{fault:?} was not found: {other:?}"),
     }
 }
 
 #[test]
 fn an_answer_that_is_not_matched_by_its_id_is_detected() {
-    let wrong = found(RouterFault::AnyAttemptId);
-    assert!(wrong.contains("was told 200"), "{wrong}");
+    let violations = detect(RouterFault::AcceptAnyAttemptId);
+    assert!(violations.contains("was told 200"), "{violations}");
 }
 
 #[test]
 fn a_retry_after_a_reset_is_detected() {
-    let wrong = found(RouterFault::RepeatAfterReset);
-    assert!(wrong.contains("ran 2 times"), "{wrong}");
+    let violations = detect(RouterFault::RetryAfterReset);
+    assert!(violations.contains("ran 2 times"), "{violations}");
 }
 
 #[test]
 fn a_forwarded_late_answer_is_detected() {
-    let wrong = found(RouterFault::PassStaleAnswers);
-    assert!(wrong.contains("its client told 502"), "{wrong}");
+    let violations = detect(RouterFault::ForwardLateResponses);
+    assert!(violations.contains("its client told 502"), "{violations}");
 }
 
 #[test]
 fn a_retry_on_the_same_connection_is_detected() {
-    let wrong = found(RouterFault::ReuseCarrier);
-    assert!(wrong.contains("ran 2 times"), "{wrong}");
+    let violations = detect(RouterFault::RetryOnSameConnection);
+    assert!(violations.contains("ran 2 times"), "{violations}");
 }
 
 #[test]
 fn a_reset_body_that_counts_as_complete_is_detected() {
-    let wrong = found(RouterFault::ResetIsEnd);
-    assert!(wrong.contains("was told 200"), "{wrong}");
+    let violations = detect(RouterFault::ResetCompletesBody);
+    assert!(violations.contains("was told 200"), "{violations}");
 }
 
 #[test]
 fn a_truncated_answer_that_looks_complete_is_detected() {
-    let wrong = found(RouterFault::EndCut);
-    assert!(wrong.contains("was told 200"), "{wrong}");
+    let violations = detect(RouterFault::HideTruncation);
+    assert!(violations.contains("was told 200"), "{violations}");
 }
 
 #[test]
 fn a_trusted_503_without_not_executed_is_detected() {
-    let wrong = found(RouterFault::TrustStatus);
-    assert!(wrong.contains("ran 2 times") || wrong.contains("was refused and ran"), "{wrong}");
+    let violations = detect(RouterFault::TrustStatusAlone);
+    assert!(violations.contains("ran 2 times") || violations.contains("was refused and ran"), "{violations}");
 }
--- a/crates/router/tests/clients.rs
+++ b/crates/router/tests/clients.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{CONFIGURATION, Endpoint, Router, pass_time, play, settle};
+use common::{CONFIGURATION, Endpoint, Router, advance_time, run_ready_tasks, run_test};
 use lanegate_config::feed::FeedEvent;
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 use tokio::time::timeout;
 
 /// Time in which something that must not happen would have happened.
-const A_WHILE: Duration = Duration::from_millis(60);
+const OBSERVATION_TIME: Duration = Duration::from_millis(60);
 
 #[test]
 fn pipelined_requests_are_sent_one_by_one_and_answered_in_order() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -22,7 +22,10 @@
             |id: &str| format!("GET /once/{id} HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: {id}\r\n\r\n");
         client.write(request("1") + &request("2") + &request("3")).await;
         let (mut upstream, first) = endpoint.request().await;
-        assert!(timeout(A_WHILE, endpoint.accept()).await.is_err(), "two requests of a client at once");
+        assert!(
+            timeout(OBSERVATION_TIME, endpoint.accept()).await.is_err(),
+            "two requests of a client at once"
+        );
         upstream.answer(&first, "1").await;
         for id in ["2", "3"] {
             let request = upstream.request().await;
@@ -38,7 +41,7 @@
 
 #[test]
 fn a_client_that_expects_100_continue_gets_it() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -59,7 +62,7 @@
 
 #[test]
 fn a_client_that_shuts_down_its_write_side_has_disconnected() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -73,22 +76,25 @@
 
 #[test]
 fn a_queued_request_of_a_disconnected_client_is_not_sent() {
-    play(async {
+    run_test(async {
         let router = Router::serving(&[]).await;
         let mut client = router.client().await;
         client.get("/again/a", "1").await;
-        settle().await;
+        run_ready_tasks().await;
         drop(client);
-        settle().await;
+        run_ready_tasks().await;
         let endpoint = Endpoint::start("i-1").await;
         router.send_event(endpoint.registration("plain"));
-        assert!(timeout(A_WHILE, endpoint.accept()).await.is_err(), "sent though the client had left");
+        assert!(
+            timeout(OBSERVATION_TIME, endpoint.accept()).await.is_err(),
+            "sent though the client had left"
+        );
     });
 }
 
 #[test]
 fn a_broken_request_of_a_disconnected_client_is_not_retried() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -96,36 +102,39 @@
         let (upstream, _) = endpoint.request().await;
         drop(client);
         upstream.reset();
-        assert!(timeout(A_WHILE, endpoint.accept()).await.is_err(), "sent though the client had left");
+        assert!(
+            timeout(OBSERVATION_TIME, endpoint.accept()).await.is_err(),
+            "sent though the client had left"
+        );
     });
 }
 
 #[test]
 fn a_truncated_answer_resets_the_connection_of_an_http_1_0_client() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
-        for is_cut in [false, true] {
+        for is_truncated in [false, true] {
             let mut client = router.client().await;
             client.write("GET /stream/a HTTP/1.0\r\nHost: a.example\r\nAttempt-Id: 1\r\n\r\n").await;
             let (mut upstream, request) = endpoint.request().await;
             upstream.begin_events(&request).await;
             upstream.chunk("id: 1\n\n").await;
             client.read_through("id: 1\n\n").await;
-            if is_cut {
+            if is_truncated {
                 upstream.reset()
             } else {
                 upstream.end_chunks().await
             }
             let end = client.stream.read(&mut [0; 8]).await.map_err(|error| error.kind());
-            assert_eq!(end, if is_cut { Err(ErrorKind::ConnectionReset) } else { Ok(0) });
+            assert_eq!(end, if is_truncated { Err(ErrorKind::ConnectionReset) } else { Ok(0) });
         }
     });
 }
 
 #[test]
 fn requests_in_flight_at_a_removed_endpoint_complete() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let (mut asking, mut streaming) = (router.client().await, router.client().await);
@@ -137,10 +146,13 @@
         events.chunk("id: 1\n\n").await;
         streaming.read_through("id: 1\n\n\r\n").await;
         router.send_event(FeedEvent::Removed { id: "i-1".into() });
-        settle().await;
+        run_ready_tasks().await;
         let mut late = router.client().await;
         late.get("/once/a", "3").await;
-        assert!(timeout(A_WHILE, endpoint.accept()).await.is_err(), "sent to an endpoint that is gone");
+        assert!(
+            timeout(OBSERVATION_TIME, endpoint.accept()).await.is_err(),
+            "sent to an endpoint that is gone"
+        );
         plain.answer(&plain_request, "whole").await;
         assert_eq!(asking.answer().await.text(), "whole");
         events.chunk("id: 2\n\n").await;
@@ -151,7 +163,7 @@
 
 #[test]
 fn requests_in_flight_on_a_removed_route_complete() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let (mut asking, mut streaming) = (router.client().await, router.client().await);
@@ -169,7 +181,7 @@
                 .replace("/stream/", "/nowhere/")
                 .replace("\"TimeoutMs\": 20000", "\"TimeoutMs\": 1"),
         );
-        settle().await;
+        run_ready_tasks().await;
         let mut late = router.client().await;
         late.get("/once/a", "3").await;
         assert_eq!(late.answer().await.status, 404);
@@ -182,7 +194,7 @@
 
 #[test]
 fn a_router_without_a_configuration_answers_503_to_any_request() {
-    play(async {
+    run_test(async {
         let router = Router::start().await;
         let large =
             format!("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 5000000\r\n\r\n{}", "x".repeat(64));
@@ -205,16 +217,16 @@
 
 #[test]
 fn a_queued_request_of_a_closed_connection_leaves_no_state() {
-    play(async {
+    run_test(async {
         let mut router = Router::serving(&[]).await;
         let mut client = router.client().await;
         client.get("/once/a", "1").await;
-        settle().await;
+        run_ready_tasks().await;
         drop(client);
-        settle().await;
+        run_ready_tasks().await;
         router.terminate();
-        settle().await;
-        pass_time(Duration::from_millis(2_600)).await;
+        run_ready_tasks().await;
+        advance_time(Duration::from_millis(2_600)).await;
         router.ended().await;
     });
 }
--- a/crates/router/tests/close_delimited.rs
+++ b/crates/router/tests/close_delimited.rs
@@ -2,21 +2,23 @@
 
 mod common;
 
-use common::{Endpoint, Router, answer_without_length, either, play, settle, two_endpoints};
+use common::{
+    Endpoint, Router, answer_without_length, first_request, run_ready_tasks, run_test, two_endpoints,
+};
 
 const PLAIN: &str = "text/plain";
 const EVENTS: &str = "text/event-stream";
 
 #[test]
 fn an_answer_without_a_length_is_complete_once_its_connection_is_closed() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
         client.get("/once/a", "1").await;
         let (mut upstream, request) = endpoint.request().await;
         upstream.write(answer_without_length(&request, PLAIN, "the who")).await;
-        settle().await;
+        run_ready_tasks().await;
         upstream.write("le").await;
         drop(upstream);
         let answer = client.answer().await;
@@ -28,14 +30,14 @@
 
 #[test]
 fn an_answer_without_a_length_that_is_reset_is_incomplete() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
         client.get("/once/a", "1").await;
         let (mut upstream, request) = endpoint.request().await;
         upstream.write(answer_without_length(&request, PLAIN, "a part")).await;
-        settle().await;
+        run_ready_tasks().await;
         upstream.reset();
         let answer = client.answer().await;
         assert_eq!((answer.status, answer.text()), (502, ""));
@@ -45,16 +47,16 @@
 
 #[test]
 fn an_answer_without_a_length_that_is_reset_is_retried_if_allowed() {
-    play(async {
+    run_test(async {
         let endpoints = two_endpoints().await;
         let router = Router::serving(&[&endpoints[0], &endpoints[1]]).await;
         let mut client = router.client().await;
         client.get("/again/a", "1").await;
-        let (mut upstream, request) = either(&endpoints).await;
+        let (mut upstream, request) = first_request(&endpoints).await;
         upstream.write(answer_without_length(&request, PLAIN, "a part")).await;
-        settle().await;
+        run_ready_tasks().await;
         upstream.reset();
-        let (mut upstream, request) = either(&endpoints).await;
+        let (mut upstream, request) = first_request(&endpoints).await;
         upstream.answer(&request, "whole").await;
         assert_eq!(client.answer().await.text(), "whole");
     });
@@ -62,7 +64,7 @@
 
 #[test]
 fn a_large_answer_without_a_length_that_is_reset_does_not_look_complete() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -71,7 +73,7 @@
         let part = "x".repeat(200_000);
         let writing = async {
             upstream.write(answer_without_length(&request, PLAIN, &part)).await;
-            settle().await;
+            run_ready_tasks().await;
             upstream.reset();
         };
         let (rest, ()) = tokio::join!(client.rest(), writing);
@@ -82,7 +84,7 @@
 
 #[test]
 fn a_stream_without_a_length_is_complete_at_the_end_of_an_event() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -98,7 +100,7 @@
 
 #[test]
 fn a_stream_without_a_length_is_incomplete_inside_an_event_or_after_a_reset() {
-    play(async {
+    run_test(async {
         for is_reset in [false, true] {
             let endpoint = Endpoint::start("i-1").await;
             let router = Router::serving(&[&endpoint]).await;
@@ -120,15 +122,15 @@
 
 #[test]
 fn a_stream_without_a_length_that_ends_inside_an_event_is_resumed_elsewhere() {
-    play(async {
+    run_test(async {
         let endpoints = two_endpoints().await;
         let router = Router::serving(&[&endpoints[0], &endpoints[1]]).await;
         let mut client = router.client().await;
         client.get("/resumable/a", "1").await;
-        let (mut upstream, request) = either(&endpoints).await;
+        let (mut upstream, request) = first_request(&endpoints).await;
         upstream.write(answer_without_length(&request, EVENTS, "id: 1\n\nid: 2\nda")).await;
         drop(upstream);
-        let (mut upstream, request) = either(&endpoints).await;
+        let (mut upstream, request) = first_request(&endpoints).await;
         assert_eq!(request.header("Last-Event-Id"), Some("1"));
         upstream.begin_events(&request).await;
         upstream.chunk("id: 2\n\n").await;
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -22,17 +22,17 @@
 use tokio::time::timeout;
 
 /// Time-out of a test, including advanced time; reached only by failing tests.
-const GUARD: Duration = Duration::from_secs(120);
+const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Runs a test on one thread.
-pub(crate) fn play(test: impl Future<Output = ()>) {
+pub(crate) fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let guarded = async { timeout(GUARD, test).await.expect("the test hangs") };
-    runtime.block_on(LocalSet::new().run_until(guarded));
+    let limited = async { timeout(TEST_TIMEOUT, test).await.expect("the test hangs") };
+    runtime.block_on(LocalSet::new().run_until(limited));
 }
 
 /// Advances the clock by `time`; nothing else may be in progress.
-pub(crate) async fn pass_time(time: Duration) {
+pub(crate) async fn advance_time(time: Duration) {
     tokio::time::pause();
     tokio::time::advance(time).await;
     tokio::time::resume();
@@ -195,7 +195,7 @@
 }
 
 /// The next request that one of two endpoints gets on a new connection.
-pub(crate) async fn either(endpoints: &[Endpoint; 2]) -> (Upstream, Message) {
+pub(crate) async fn first_request(endpoints: &[Endpoint; 2]) -> (Upstream, Message) {
     tokio::select! { got = endpoints[0].request() => got, got = endpoints[1].request() => got }
 }
 
@@ -294,7 +294,7 @@
 }
 
 /// Lets ready tasks run for a while.
-pub(crate) async fn settle() {
+pub(crate) async fn run_ready_tasks() {
     for _ in 0..200 {
         tokio::task::yield_now().await;
     }
--- a/crates/router/tests/configuration_behind.rs
+++ b/crates/router/tests/configuration_behind.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use common::{CONFIGURATION, Endpoint, Router, play};
+use common::{CONFIGURATION, Endpoint, Router, run_test};
 use lanegate_config::feed::FeedEvent;
 
 #[test]
 fn an_unknown_route_is_refused_with_retry_after_while_a_newer_configuration_may_have_it() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         router.send_event(FeedEvent::Behind { behind: true });
--- a/crates/router/tests/connections.rs
+++ b/crates/router/tests/connections.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bytes::Bytes;
-use common::{CONFIGURATION, Endpoint, Router, answer_to, pass_time, play};
+use common::{CONFIGURATION, Endpoint, Router, advance_time, answer_to, run_test};
 use http_body_util::Full;
 use hyper::Request;
 use lanegate_config::feed::FeedEvent;
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_request_on_a_connection_that_was_reset_before_was_not_sent() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let pool = Pool::default();
         pool.apply(&endpoint.registration("plain"));
@@ -36,7 +36,7 @@
 }
 
 /// Whether a connection with unread bytes that belong to no request is reused.
-async fn is_handed_out_unread(fault: Option<RouterFault>) -> bool {
+async fn is_reused_with_unread_bytes(fault: Option<RouterFault>) -> bool {
     let endpoint = Endpoint::start("i-1").await;
     let pool = Pool::new(fault);
     pool.apply(&endpoint.registration("plain"));
@@ -54,15 +54,18 @@
 
 #[test]
 fn a_connection_with_unread_bytes_is_not_reused() {
-    play(async {
-        assert!(!is_handed_out_unread(None).await);
-        assert!(is_handed_out_unread(Some(RouterFault::IgnoreUnread)).await, "the mistake is not found");
+    run_test(async {
+        assert!(!is_reused_with_unread_bytes(None).await);
+        assert!(
+            is_reused_with_unread_bytes(Some(RouterFault::SkipConnectionCheck)).await,
+            "the mistake is not found"
+        );
     });
 }
 
 #[test]
 fn an_endpoint_has_no_more_connections_than_the_quota_of_the_router() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let pool = Pool::default();
         pool.apply(&FeedEvent::Configuration(Arc::new(serde_json::from_str(CONFIGURATION).unwrap())));
@@ -79,11 +82,11 @@
 
 #[test]
 fn connection_quotas_fit_the_limit_and_are_at_least_one() {
-    for bound in [1, 6, 96, 370] {
+    for limit in [1, 6, 96, 370] {
         for routers in 1..20 {
-            let own = connection_quota(bound, routers);
-            assert!(own >= 1);
-            assert!(own == 1 || own * routers < bound, "{own} of {bound} for {routers}");
+            let quota = connection_quota(limit, routers);
+            assert!(quota >= 1);
+            assert!(quota == 1 || quota * routers < limit, "{quota} of {limit} for {routers}");
         }
     }
     assert_eq!(connection_quota(100, 0), connection_quota(100, 1));
@@ -91,7 +94,7 @@
 
 #[test]
 fn a_draining_endpoint_gets_no_new_requests() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let pool = Pool::default();
         assert_eq!(pool.availability("i-1"), Availability::Unavailable);
@@ -108,7 +111,7 @@
 
 #[test]
 fn idle_connections_to_a_draining_endpoint_are_closed() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -123,7 +126,7 @@
 
 #[test]
 fn an_older_configuration_is_ignored() {
-    play(async {
+    run_test(async {
         let router = Router::serving(&[]).await;
         router
             .configure(&CONFIGURATION.replace("\"Version\": 1", "\"Version\": 7").replace("/once/", "/now/"));
@@ -137,7 +140,7 @@
 
 #[test]
 fn a_request_that_has_begun_is_answered_before_its_connection_closes() {
-    play(async {
+    run_test(async {
         let mut router = Router::serving(&[]).await;
         let mut client = router.client().await;
         client.write("GET /none/ HTTP/1.1\r\nHost: a.exa").await;
@@ -146,7 +149,7 @@
         }
         router.terminate();
         tokio::task::yield_now().await;
-        pass_time(Duration::from_millis(2_600)).await;
+        advance_time(Duration::from_millis(2_600)).await;
         for _ in 0..20 {
             tokio::task::yield_now().await;
         }
@@ -159,7 +162,7 @@
 
 #[test]
 fn the_connection_of_a_client_that_does_not_read_its_answer_is_closed() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -168,40 +171,40 @@
         upstream.begin_events(&request).await;
         let chunk = format!("10000\r\n{}\r\n", "x".repeat(0x1_0000));
         // Writes until all buffers are full, and then until the router closes.
-        let flood = async move { while upstream.stream.write_all(chunk.as_bytes()).await.is_ok() {} };
-        let leaving = async {
+        let writing = async move { while upstream.stream.write_all(chunk.as_bytes()).await.is_ok() {} };
+        let waiting = async {
             for _ in 0..1_000 {
                 tokio::task::yield_now().await;
             }
-            pass_time(Duration::from_millis(23_500)).await;
+            advance_time(Duration::from_millis(23_500)).await;
         };
-        tokio::join!(flood, leaving);
+        tokio::join!(writing, waiting);
     });
 }
 
 #[test]
 fn an_endpoint_that_sent_an_extra_answer_is_quarantined() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
         client.get("/once/a", "1").await;
-        let (mut spoilt, request) = endpoint.request().await;
-        spoilt.write(answer_to(&request, "200 OK", "a") + &answer_to(&request, "200 OK", "extra")).await;
+        let (mut first, request) = endpoint.request().await;
+        first.write(answer_to(&request, "200 OK", "a") + &answer_to(&request, "200 OK", "extra")).await;
         assert_eq!(client.answer().await.text(), "a");
         client.get("/once/a", "2").await;
-        let (mut rested, request) = endpoint.request().await;
-        rested.answer(&request, "b").await;
+        let (mut second, request) = endpoint.request().await;
+        second.answer(&request, "b").await;
         assert_eq!(client.answer().await.text(), "b");
         client.get("/once/a", "3").await;
-        let (mut fresh, request) = endpoint.request().await;
-        fresh.answer(&request, "c").await;
+        let (mut third, request) = endpoint.request().await;
+        third.answer(&request, "c").await;
         assert_eq!(client.answer().await.text(), "c");
-        pass_time(Duration::from_millis(400)).await;
+        advance_time(Duration::from_millis(400)).await;
         client.get("/once/a", "4").await;
-        let request = rested.request().await;
+        let request = second.request().await;
         assert_eq!(request.header("Attempt-Id"), Some("4"));
-        rested.answer(&request, "d").await;
+        second.answer(&request, "d").await;
         assert_eq!(client.answer().await.text(), "d");
     });
 }
--- a/crates/router/tests/deadlines.rs
+++ b/crates/router/tests/deadlines.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{CONFIGURATION, Endpoint, Message, Router, either, play, two_endpoints};
+use common::{CONFIGURATION, Endpoint, Message, Router, first_request, run_test, two_endpoints};
 use lanegate_router::fault::RouterFault;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
@@ -18,7 +18,7 @@
     request.header("Deadline-Ms").unwrap().parse().unwrap()
 }
 
-async fn short_routes(endpoints: &[&Endpoint]) -> Router {
+async fn router_with_short_timeouts(endpoints: &[&Endpoint]) -> Router {
     let router = Router::serving(endpoints).await;
     router.configure(
         &CONFIGURATION
@@ -43,10 +43,10 @@
     client
         .write("GET /again/a HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: 1\r\nDeadline-Ms: 4000\r\n\r\n")
         .await;
-    let (upstream, first) = either(&endpoints).await;
+    let (upstream, first) = first_request(&endpoints).await;
     sleep(Duration::from_millis(250)).await;
     upstream.reset();
-    let (mut upstream, second) = either(&endpoints).await;
+    let (mut upstream, second) = first_request(&endpoints).await;
     upstream.answer(&second, "done").await;
     assert_eq!(client.answer().await.text(), "done");
     [deadline_ms(&first), deadline_ms(&second)]
@@ -54,7 +54,7 @@
 
 #[test]
 fn every_attempt_carries_the_remaining_time() {
-    play(async {
+    run_test(async {
         let began = Instant::now();
         let [first, second] = deadlines_of_two_attempts(None).await;
         assert!(first <= 4_000);
@@ -66,40 +66,40 @@
 
 #[test]
 fn an_attempt_that_carries_the_full_time_is_detected() {
-    play(async {
-        let [first, second] = deadlines_of_two_attempts(Some(RouterFault::KeepDeadline)).await;
+    run_test(async {
+        let [first, second] = deadlines_of_two_attempts(Some(RouterFault::SendOriginalDeadline)).await;
         assert!(second > first - 250, "{second} after {first}");
     });
 }
 
 #[test]
 fn a_resumed_stream_carries_the_remaining_time() {
-    play(async {
+    run_test(async {
         let endpoints = two_endpoints().await;
         let router = Router::serving(&[&endpoints[0], &endpoints[1]]).await;
         let mut client = router.client().await;
         client.get("/resumable/a", "1").await;
-        let (mut upstream, first) = either(&endpoints).await;
+        let (mut upstream, first) = first_request(&endpoints).await;
         upstream.begin_events(&first).await;
         upstream.chunk("id: 1\n\n").await;
         client.read_through("id: 1\n\n\r\n").await;
         sleep(Duration::from_millis(150)).await;
         upstream.reset();
-        let (_upstream, second) = either(&endpoints).await;
+        let (_upstream, second) = first_request(&endpoints).await;
         assert!(deadline_ms(&second) <= deadline_ms(&first) - 150);
     });
 }
 
 #[test]
 fn without_a_client_deadline_the_timeout_of_the_route_is_sent() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
-        let router = short_routes(&[&endpoint]).await;
-        for client_tells in ["", "Deadline-Ms: 60000\r\n", "Deadline-Ms: soon\r\n"] {
+        let router = router_with_short_timeouts(&[&endpoint]).await;
+        for client_deadline in ["", "Deadline-Ms: 60000\r\n", "Deadline-Ms: soon\r\n"] {
             let mut client = router.client().await;
             client
                 .write(format!(
-                    "GET /once/a HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: 1\r\n{client_tells}\r\n"
+                    "GET /once/a HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: 1\r\n{client_deadline}\r\n"
                 ))
                 .await;
             let (mut upstream, request) = endpoint.request().await;
@@ -112,8 +112,8 @@
 
 #[test]
 fn a_request_without_an_endpoint_is_answered_at_the_timeout_of_its_route() {
-    play(async {
-        let router = short_routes(&[]).await;
+    run_test(async {
+        let router = router_with_short_timeouts(&[]).await;
         let mut client = router.client().await;
         let began = Instant::now();
         client.get("/once/a", "1").await;
@@ -124,9 +124,9 @@
 
 #[test]
 fn an_unanswered_request_ends_at_the_timeout_of_its_route() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
-        let router = short_routes(&[&endpoint]).await;
+        let router = router_with_short_timeouts(&[&endpoint]).await;
         for (path, sent) in [
             ("/once/a", ""),
             (
@@ -148,9 +148,9 @@
 
 #[test]
 fn a_stream_is_truncated_at_the_timeout_of_its_route() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
-        let router = short_routes(&[&endpoint]).await;
+        let router = router_with_short_timeouts(&[&endpoint]).await;
         for path in ["/stream/a", "/resumable/a"] {
             let mut client = router.client().await;
             let began = Instant::now();
@@ -168,18 +168,18 @@
 
 #[test]
 fn a_stream_that_waits_to_be_resumed_ends_at_the_timeout_of_its_route() {
-    play(async {
+    run_test(async {
         let endpoints = two_endpoints().await;
-        let router = short_routes(&[&endpoints[0], &endpoints[1]]).await;
+        let router = router_with_short_timeouts(&[&endpoints[0], &endpoints[1]]).await;
         let mut client = router.client().await;
         let began = Instant::now();
         client.get("/resumable/a", "1").await;
-        let (mut upstream, request) = either(&endpoints).await;
+        let (mut upstream, request) = first_request(&endpoints).await;
         upstream.begin_events(&request).await;
         upstream.chunk("id: 1\n\n").await;
         client.read_through("id: 1\n\n\r\n").await;
         upstream.reset();
-        let (_silent, _) = either(&endpoints).await;
+        let (_silent, _) = first_request(&endpoints).await;
         assert_eq!(client.rest().await, "");
         assert_in_time(began);
     });
--- a/crates/router/tests/exchanges/client.rs
+++ b/crates/router/tests/exchanges/client.rs
@@ -13,7 +13,7 @@
 /// Time that every client leaves.
 const DEADLINE_MS: u32 = 400;
 /// Yields to the other tasks between two segments.
-const TURNS: usize = 2;
+const YIELDS_PER_SEGMENT: usize = 2;
 
 async fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).await.unwrap();
@@ -30,13 +30,13 @@
     address: SocketAddr,
     stream: TcpStream,
     /// All bytes received on the current connection.
-    transcript: Vec<u8>,
+    received: Vec<u8>,
     /// Bytes that belong to answers that were read.
-    read: usize,
+    consumed: usize,
     /// Requests without an answer.
     pending: Vec<(String, Route)>,
     /// Ids of the requests sent on the current connection.
-    own: Vec<String>,
+    sent_ids: Vec<String>,
     record: Rc<Record>,
 }
 
@@ -57,10 +57,10 @@
     let mut client = Client {
         address,
         stream,
-        transcript: Vec::new(),
-        read: 0,
+        received: Vec::new(),
+        consumed: 0,
         pending: Vec::new(),
-        own: Vec::new(),
+        sent_ids: Vec::new(),
         record,
     };
     for (count, action) in actions.into_iter().enumerate() {
@@ -90,14 +90,14 @@
         }
     }
     client.read_pending().await;
-    client.check_transcript();
+    client.check_received();
 }
 
 impl Client {
     fn request(&mut self, id: &str, route: Route, body: usize, in_chunks: bool) -> Vec<u8> {
         let body = request_body(id, body);
         self.record.record_request(id, body.clone(), route.may_run_again());
-        self.own.push(id.to_owned());
+        self.sent_ids.push(id.to_owned());
         let framed = if in_chunks && !body.is_empty() {
             format!("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n", body.len())
         } else {
@@ -115,7 +115,7 @@
             if self.stream.write_all(piece).await.is_err() {
                 return;
             }
-            for _ in 0..TURNS {
+            for _ in 0..YIELDS_PER_SEGMENT {
                 yield_now().await;
             }
         }
@@ -134,8 +134,8 @@
 
     async fn answer(&mut self) -> Option<Answer> {
         loop {
-            if let Some((answer, length)) = parse(&self.transcript[self.read..]) {
-                self.read += length;
+            if let Some((answer, length)) = parse(&self.received[self.consumed..]) {
+                self.consumed += length;
                 return Some(answer);
             }
             if !self.fill().await {
@@ -145,29 +145,29 @@
     }
 
     async fn fill(&mut self) -> bool {
-        matches!(self.stream.read_buf(&mut self.transcript).await, Ok(read) if read > 0)
+        matches!(self.stream.read_buf(&mut self.received).await, Ok(read) if read > 0)
     }
 
     async fn reconnect(&mut self) {
-        self.check_transcript();
+        self.check_received();
         self.stream = connect(self.address).await;
-        self.transcript.clear();
-        self.read = 0;
-        self.own.clear();
+        self.received.clear();
+        self.consumed = 0;
+        self.sent_ids.clear();
         self.pending.clear();
     }
 
     fn check(&self, id: &str, route: Route, answer: &Answer) {
         self.record.record_client_answer(id, answer.status);
-        let own_id = answer.headers.get("attempt-id").is_some_and(|told| told == id);
-        let is_stamped = answer.headers.contains_key("server-signature");
-        let is_right = match answer.status {
-            200 => is_stamped && own_id && answer.body == answer_body(route, id, 0).as_bytes(),
-            500 => is_stamped && own_id && answer.body.is_empty(),
-            502..=504 => !is_stamped && answer.body.is_empty(),
+        let own_id = answer.headers.get("attempt-id").is_some_and(|value| value == id);
+        let is_signed = answer.headers.contains_key("server-signature");
+        let is_valid = match answer.status {
+            200 => is_signed && own_id && answer.body == answer_body(route, id, 0).as_bytes(),
+            500 => is_signed && own_id && answer.body.is_empty(),
+            502..=504 => !is_signed && answer.body.is_empty(),
             _ => false,
         };
-        if !is_right {
+        if !is_valid {
             let body = String::from_utf8_lossy(&answer.body);
             self.record
                 .record_violation(format!("{id} was told {} {:?} {body:?}", answer.status, answer.headers));
@@ -175,14 +175,14 @@
     }
 
     /// Checks that every id on the connection belongs to a request that was sent on it.
-    fn check_transcript(&self) {
-        let text = without_chunk_lines(&String::from_utf8_lossy(&self.transcript));
-        for named in text.split('[').skip(1) {
-            let id = named.split(']').next().unwrap_or_default();
-            if named.contains(']') && !self.own.iter().any(|own| own == id) {
+    fn check_received(&self) {
+        let text = without_chunk_lines(&String::from_utf8_lossy(&self.received));
+        for after_bracket in text.split('[').skip(1) {
+            let id = after_bracket.split(']').next().unwrap_or_default();
+            if after_bracket.contains(']') && !self.sent_ids.iter().any(|sent| sent == id) {
                 self.record.record_violation(format!(
                     "bytes of the answer to {id} came to one that asked for {:?}",
-                    self.own
+                    self.sent_ids
                 ));
             }
         }
@@ -214,7 +214,7 @@
     if headers.contains_key("transfer-encoding") {
         let mut scanner = ChunkScanner::default();
         let length = scanner.scan(&bytes[start..]).expect("the body is not in chunks");
-        let body = scanner.is_over().then(|| unchunked(&bytes[start..start + length]))?;
+        let body = scanner.is_over().then(|| decode_chunks(&bytes[start..start + length]))?;
         return Some((Answer { status, headers, body }, start + length));
     }
     let length: usize =
@@ -223,7 +223,7 @@
     Some((Answer { status, headers, body }, start + length))
 }
 
-fn unchunked(mut bytes: &[u8]) -> Vec<u8> {
+fn decode_chunks(mut bytes: &[u8]) -> Vec<u8> {
     let mut body = Vec::new();
     loop {
         let line = bytes.iter().position(|&byte| byte == b'\n').unwrap();
--- a/crates/router/tests/exchanges/endpoint.rs
+++ b/crates/router/tests/exchanges/endpoint.rs
@@ -9,7 +9,7 @@
 use tokio::task::{spawn_local, yield_now};
 
 /// Yields to the other tasks between two segments.
-const TURNS: usize = 3;
+const YIELDS_PER_SEGMENT: usize = 3;
 
 /// Answers on every connection.
 pub(crate) async fn serve(endpoint: Endpoint, record: Rc<Record>) {
@@ -21,87 +21,91 @@
 }
 
 /// What happens to a connection after an answer.
-enum After {
+enum AfterAnswer {
     /// Bytes that are sent when the next request has arrived.
     Continue {
         late: Vec<u8>,
     },
     /// Bytes that belong to nothing may meet the next request, which then has no proper answer.
-    Tainted,
+    UnsolicitedBytes,
     End,
 }
 
 async fn serve_connection(mut upstream: Upstream, record: Rc<Record>) {
     let mut late = Vec::new();
-    let mut is_tainted = false;
+    let mut has_unsolicited_bytes = false;
     while let Some(request) = upstream.next_request().await {
         write(&mut upstream.stream, &std::mem::take(&mut late), &[]).await;
         let after = answer(&mut upstream.stream, &request, &record).await;
-        if is_tainted {
-            record.has_no_answer(&request);
+        if has_unsolicited_bytes {
+            record.discard_answer(&request);
         }
         match after {
-            After::Continue { late: next } => late = next,
-            After::Tainted => is_tainted = true,
-            After::End => return,
+            AfterAnswer::Continue { late: next } => late = next,
+            AfterAnswer::UnsolicitedBytes => has_unsolicited_bytes = true,
+            AfterAnswer::End => return,
         }
     }
 }
 
-async fn answer(stream: &mut TcpStream, request: &Message, record: &Record) -> After {
+async fn answer(stream: &mut TcpStream, request: &Message, record: &Record) -> AfterAnswer {
     let id = request.header("Attempt-Id").unwrap_or_default().to_owned();
     let route = Route::of(&request.first_line);
-    let before = record.arrived(&id, request.text());
+    let before = record.record_arrival(&id, request.text());
     let Answer { reply, framing, segments } = record.next_answer();
     let after = request.header("Last-Event-Id").map_or(0, |id| id.parse().unwrap());
     let bytes_of_answer = complete(&id, route, &answer_body(route, &id, after), framing);
-    let stays = if framing == Framing::Absent { After::End } else { After::Continue { late: Vec::new() } };
+    let after_complete = if framing == Framing::Absent {
+        AfterAnswer::End
+    } else {
+        AfterAnswer::Continue { late: Vec::new() }
+    };
     if !matches!(reply, Reply::Rejected { .. }) {
         record.record_execution(&id);
     }
     match reply {
         Reply::Complete => {
             write(stream, &bytes_of_answer, &segments).await;
-            record.answered(&id, 200);
-            stays
+            record.record_answer(&id, 200);
+            after_complete
         }
         Reply::Twice { late } if framing != Framing::Absent => {
             write(stream, &bytes_of_answer, &segments).await;
-            record.answered(&id, 200);
+            record.record_answer(&id, 200);
             if late {
-                return After::Continue { late: bytes_of_answer };
+                return AfterAnswer::Continue { late: bytes_of_answer };
             }
             write(stream, &bytes_of_answer, &segments).await;
-            stays
+            after_complete
         }
         Reply::Trailing(bytes) if framing != Framing::Absent => {
             write(stream, &[&bytes_of_answer[..], &bytes].concat(), &segments).await;
-            record.answered(&id, 200);
-            After::Tainted
+            record.record_answer(&id, 200);
+            AfterAnswer::UnsolicitedBytes
         }
         Reply::Twice { .. } | Reply::Trailing(_) => {
             write(stream, &bytes_of_answer, &segments).await;
-            record.answered(&id, 200);
-            After::End
+            record.record_answer(&id, 200);
+            AfterAnswer::End
         }
         Reply::Rejected { twice } => {
             let bytes = format!(
                 "HTTP/1.1 503 Full\r\nAttempt-Id: {id}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
             );
             write(stream, bytes.as_bytes(), &segments).await;
-            After::Continue { late: if twice { bytes.into_bytes() } else { Vec::new() } }
+            AfterAnswer::Continue { late: if twice { bytes.into_bytes() } else { Vec::new() } }
         }
-        Reply::Foreign => {
+        Reply::ToOtherRequest => {
             let other = before.filter(|other| *other != id).unwrap_or_else(|| format!("{id}0"));
             write(stream, &complete(&other, route, &answer_body(route, &other, 0), framing), &segments).await;
-            stays
+            after_complete
         }
-        Reply::Unproven => {
+        Reply::AmbiguousRefusal => {
             let bytes = format!(
                 "HTTP/1.1 503 Full\r\nAttempt-Id: {id}\r\nServer-Signature: s\r\nContent-Length: 0\r\n\r\n"
             );
             write(stream, bytes.as_bytes(), &segments).await;
-            stays
+            after_complete
         }
         Reply::Failure => {
             let bytes = format!(
@@ -109,9 +113,9 @@
             );
             write(stream, bytes.as_bytes(), &segments).await;
             if after == 0 {
-                record.answered(&id, 500);
+                record.record_answer(&id, 500);
             }
-            After::Continue { late: Vec::new() }
+            AfterAnswer::Continue { late: Vec::new() }
         }
         Reply::Break { at, is_reset } => {
             write(stream, &bytes_of_answer[..at % bytes_of_answer.len()], &segments).await;
@@ -119,11 +123,11 @@
             if is_reset || framing == Framing::Absent {
                 stream.set_zero_linger().unwrap();
             }
-            After::End
+            AfterAnswer::End
         }
         Reply::Garbage(bytes) => {
             write(stream, &bytes, &segments).await;
-            After::End
+            AfterAnswer::End
         }
     }
 }
@@ -155,7 +159,7 @@
         if piece.is_empty() || stream.write_all(piece).await.is_err() {
             continue;
         }
-        for _ in 0..TURNS {
+        for _ in 0..YIELDS_PER_SEGMENT {
             yield_now().await;
         }
     }
--- a/crates/router/tests/exchanges/mod.rs
+++ b/crates/router/tests/exchanges/mod.rs
@@ -18,14 +18,14 @@
 use tokio::time::timeout;
 
 /// Longest simulated time of an exchange; reached only by one that hangs.
-const GUARD: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Runs a script; returns a violation, if there is one.
 pub(crate) fn violation(script: &Script, fault: Option<RouterFault>) -> Option<String> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().start_paused(true).build().unwrap();
     runtime.block_on(LocalSet::new().run_until(async {
-        match timeout(GUARD, run(script, fault)).await {
+        match timeout(TEST_TIMEOUT, run(script, fault)).await {
             Ok(record) => record.first_violation(),
             Err(_) => Some("the play hangs".into()),
         }
--- a/crates/router/tests/exchanges/script.rs
+++ b/crates/router/tests/exchanges/script.rs
@@ -14,8 +14,8 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Route {
-    Once,
-    Again,
+    NonIdempotent,
+    Idempotent,
     Stream,
     Resumable,
 }
@@ -67,9 +67,9 @@
         twice: bool,
     },
     /// The answer to another request.
-    Foreign,
+    ToOtherRequest,
     /// 503 without `Not-Executed`.
-    Unproven,
+    AmbiguousRefusal,
     Failure,
     /// The answer up to an offset, and then a reset or a close.
     Break {
@@ -84,7 +84,12 @@
 }
 
 fn route() -> impl Strategy<Value = Route> {
-    prop_oneof![4 => Just(Route::Once), 1 => Just(Route::Again), 2 => Just(Route::Stream), 1 => Just(Route::Resumable)]
+    prop_oneof![
+        4 => Just(Route::NonIdempotent),
+        1 => Just(Route::Idempotent),
+        2 => Just(Route::Stream),
+        1 => Just(Route::Resumable),
+    ]
 }
 
 fn client_action() -> impl Strategy<Value = ClientAction> {
@@ -104,8 +109,8 @@
         3 => any::<bool>().prop_map(|late| Reply::Twice { late }),
         1 => vec(any::<u8>(), 1..40).prop_map(Reply::Trailing),
         3 => any::<bool>().prop_map(|twice| Reply::Rejected { twice }),
-        1 => Just(Reply::Foreign),
-        1 => Just(Reply::Unproven),
+        1 => Just(Reply::ToOtherRequest),
+        1 => Just(Reply::AmbiguousRefusal),
         1 => Just(Reply::Failure),
         3 => (0_usize..700, any::<bool>()).prop_map(|(at, is_reset)| Reply::Break { at, is_reset }),
         2 => any::<bool>().prop_map(|is_reset| Reply::Break { at: 0, is_reset }),
@@ -128,21 +133,21 @@
 impl Route {
     pub(crate) fn path(self) -> &'static str {
         match self {
-            Route::Once => "/once/x",
-            Route::Again => "/again/x",
+            Route::NonIdempotent => "/once/x",
+            Route::Idempotent => "/again/x",
             Route::Stream => "/stream/x",
             Route::Resumable => "/resumable/x",
         }
     }
 
     pub(crate) fn of(first_line: &str) -> Route {
-        let routes = [Route::Once, Route::Again, Route::Stream, Route::Resumable];
+        let routes = [Route::NonIdempotent, Route::Idempotent, Route::Stream, Route::Resumable];
         let path = first_line.split(' ').nth(1).unwrap();
         routes.into_iter().find(|route| route.path() == path).unwrap()
     }
 
     pub(crate) fn may_run_again(self) -> bool {
-        matches!(self, Route::Again | Route::Resumable)
+        matches!(self, Route::Idempotent | Route::Resumable)
     }
 
     pub(crate) fn is_stream(self) -> bool {
--- a/crates/router/tests/forwarding.rs
+++ b/crates/router/tests/forwarding.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use common::{CONFIGURATION, Endpoint, Router, answer_to, either, play, two_endpoints};
+use common::{CONFIGURATION, Endpoint, Router, answer_to, first_request, run_test, two_endpoints};
 use lanegate_config::feed::FeedEvent;
 
 #[test]
 fn a_request_reaches_its_endpoint_unchanged_and_its_answer_the_client() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -41,7 +41,7 @@
 
 #[test]
 fn an_error_of_the_endpoint_is_forwarded_with_status_body_and_signature() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -56,7 +56,7 @@
 
 #[test]
 fn connections_on_both_sides_are_reused() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -76,7 +76,7 @@
 
 #[test]
 fn the_longest_prefix_matches_and_unknown_routes_get_404() {
-    play(async {
+    run_test(async {
         let plain = Endpoint::start("i-1").await;
         let other = Endpoint::start("i-2").await;
         let router = Router::serving(&[&plain]).await;
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_request_before_the_first_configuration_is_refused_with_retry_after() {
-    play(async {
+    run_test(async {
         let router = Router::start().await;
         assert_eq!(router.readiness().await, 503);
         let mut client = router.client().await;
@@ -108,7 +108,7 @@
 
 #[test]
 fn a_router_is_ready_with_a_configuration_and_a_complete_feed() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         tokio::task::yield_now().await;
@@ -118,7 +118,7 @@
 
 #[test]
 fn model_headers_are_forwarded_unchanged_with_each_attempt_and_a_priority_is_added() {
-    play(async {
+    run_test(async {
         let endpoints = two_endpoints().await;
         let router = Router::serving(&[]).await;
         let runtime = r#""Runtime": {"Capacity": 8, "KvCacheTokens": 90000, "WeightsMb": 100000, "MaxAdapters": 2,
@@ -142,9 +142,9 @@
         client
             .write(format!("GET /again/a HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: 1\r\n{lines}\r\n"))
             .await;
-        let (upstream, first) = either(&endpoints).await;
+        let (upstream, first) = first_request(&endpoints).await;
         upstream.reset();
-        let (mut upstream, second) = either(&endpoints).await;
+        let (mut upstream, second) = first_request(&endpoints).await;
         for request in [&first, &second] {
             for (name, value) in asked {
                 assert_eq!(request.header(name), Some(value));
--- a/crates/router/tests/framing.rs
+++ b/crates/router/tests/framing.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
-use common::{Endpoint, Router, play};
+use common::{Endpoint, Router, run_test};
 
 #[test]
 fn a_request_after_a_chunked_one_is_separate() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -33,7 +33,7 @@
 
 #[test]
 fn two_different_lengths_are_rejected() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -49,7 +49,7 @@
 
 #[test]
 fn no_request_is_smuggled_after_a_contradictory_length_and_encoding() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -71,7 +71,7 @@
 
 #[test]
 fn an_encoding_that_does_not_end_in_chunked_is_rejected() {
-    play(async {
+    run_test(async {
         let router = Router::serving(&[]).await;
         let mut client = router.client().await;
         client
@@ -83,7 +83,7 @@
 
 #[test]
 fn two_hosts_are_rejected() {
-    play(async {
+    run_test(async {
         let router = Router::serving(&[]).await;
         let mut client = router.client().await;
         client.write("GET /once/a HTTP/1.1\r\nHost: a.example\r\nHost: b.example\r\n\r\n").await;
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_chunk_with_an_invalid_length_is_rejected() {
-    play(async {
+    run_test(async {
         let router = Router::serving(&[]).await;
         let mut client = router.client().await;
         client
--- a/crates/router/tests/golden.rs
+++ b/crates/router/tests/golden.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::{CONFIGURATION, Client, Endpoint, Router, Upstream, pass_time, play, settle};
+use common::{CONFIGURATION, Client, Endpoint, Router, Upstream, advance_time, run_ready_tasks, run_test};
 use lanegate_config::feed::FeedEvent;
 use std::path::Path;
 use std::time::Duration;
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_request_with_a_body_and_its_answer() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -92,7 +92,7 @@
 
 #[test]
 fn a_request_to_an_engine() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[]).await;
         let runtime = r#""Runtime": {"Capacity": 8, "KvCacheTokens": 90000, "WeightsMb": 100000, "MaxAdapters": 2,
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_stream_that_is_resumed_elsewhere() {
-    play(async {
+    run_test(async {
         let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
         let router = Router::serving(&[&endpoints[0]]).await;
         let mut client = router.client().await;
@@ -145,12 +145,12 @@
 
 #[test]
 fn rejections_and_refusals() {
-    play(async {
+    run_test(async {
         let unconfigured = Router::start().await;
         assert_golden("refused_unconfigured.txt", &answer_to(&unconfigured, &get("/once/a", 20)).await);
 
         let router = Router::serving(&[]).await;
-        settle().await;
+        run_ready_tasks().await;
         assert_golden("rejected_unrouted.txt", &answer_to(&router, &get("/unknown/a", 100)).await);
         let no_host = "GET /once/a HTTP/1.1\r\nAttempt-Id: 1\r\n\r\n";
         assert_golden("rejected_without_host.txt", &answer_to(&router, no_host).await);
@@ -163,14 +163,14 @@
         assert_golden("refused_no_endpoint.txt", &without_number(&refused, "retry-after: "));
 
         router.send_event(FeedEvent::Behind { behind: true });
-        settle().await;
+        run_ready_tasks().await;
         assert_golden("refused_behind.txt", &answer_to(&router, &get("/unknown/a", 100)).await);
     });
 }
 
 #[test]
 fn failures_after_a_send() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -186,7 +186,7 @@
 
 #[test]
 fn answers_of_a_router_that_drains() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let mut router = Router::serving(&[&endpoint]).await;
         let mut served = router.client().await;
@@ -196,7 +196,7 @@
         refused.write(get("/stream/a", 5_000)).await;
         let (mut stream, stream_request) = endpoint.request().await;
         router.terminate();
-        settle().await;
+        run_ready_tasks().await;
         upstream.answer(&request, "whole").await;
         assert_golden("answer_while_draining.txt", &read_through(&mut served.stream, "whole").await);
         let rejection = format!(
@@ -208,19 +208,19 @@
         let refusal = answer_head(&mut refused).await;
         assert_golden("refused_draining.txt", &without_number(&refusal, "retry-after: "));
         drop((upstream, stream));
-        pass_time(Duration::from_millis(8_000)).await;
+        advance_time(Duration::from_millis(8_000)).await;
         router.ended().await;
     });
 }
 
 #[test]
 fn answers_to_the_platform() {
-    play(async {
+    run_test(async {
         let router = Router::start().await;
         assert_golden("not_ready.txt", &readiness(&router, "GET /readyz").await);
         assert_golden("readiness_unknown_path.txt", &readiness(&router, "GET /other").await);
         let router = Router::serving(&[]).await;
-        settle().await;
+        run_ready_tasks().await;
         assert_golden("ready.txt", &readiness(&router, "GET /readyz").await);
     });
 }
@@ -234,9 +234,9 @@
 /// Names, help, types and labels of all figures, without the values.
 #[test]
 fn names_of_metrics() {
-    play(async {
+    run_test(async {
         let router = Router::serving(&[]).await;
-        settle().await;
+        run_ready_tasks().await;
         let mut stream = TcpStream::connect(router.metrics).await.expect("a connection");
         let request = b"GET /metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
         stream.write_all(request).await.expect("a request");
--- a/crates/router/tests/limits.rs
+++ b/crates/router/tests/limits.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use common::{Endpoint, Router, pass_time, play};
+use common::{Endpoint, Router, advance_time, run_test};
 use std::time::Duration;
 
 #[test]
 fn a_head_over_the_limit_gets_431() {
-    play(async {
+    run_test(async {
         let router = Router::serving(&[]).await;
         tokio::task::yield_now().await;
         let mut client = router.client().await;
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_body_over_the_limit_gets_413_with_a_length_and_chunked() {
-    play(async {
+    run_test(async {
         let router = Router::serving(&[]).await;
         let mut client = router.client().await;
         client.write("POST /once/a HTTP/1.1\r\nHost: a.example\r\nContent-Length: 1001\r\n\r\n").await;
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_body_at_the_limit_is_accepted() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -53,23 +53,23 @@
 
 #[test]
 fn an_idle_connection_is_closed_after_its_timeout() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
         client.get("/none/", "1").await;
         assert_eq!(client.answer().await.status, 404);
-        pass_time(Duration::from_millis(14_000)).await;
+        advance_time(Duration::from_millis(14_000)).await;
         client.get("/none/", "2").await;
         assert_eq!(client.answer().await.status, 404);
-        pass_time(Duration::from_millis(16_500)).await;
+        advance_time(Duration::from_millis(16_500)).await;
         assert_eq!(client.rest().await, "");
     });
 }
 
 #[test]
 fn an_incomplete_head_times_out() {
-    play(async {
+    run_test(async {
         let router = Router::serving(&[]).await;
         let mut client = router.client().await;
         client.write("GET /once/a HTTP/1.1\r\nHost: a.exa").await;
@@ -77,7 +77,7 @@
         for _ in 0..20 {
             tokio::task::yield_now().await;
         }
-        pass_time(Duration::from_millis(4_500)).await;
+        advance_time(Duration::from_millis(4_500)).await;
         assert_eq!(client.rest().await, "");
     });
 }
--- a/crates/router/tests/metrics.rs
+++ b/crates/router/tests/metrics.rs
@@ -5,7 +5,7 @@
 #[allow(unreachable_pub, reason = "the file is shared with the tests of another crate")]
 mod text_format;
 
-use common::{Endpoint, Router, answer_to, pass_time, play, settle};
+use common::{Endpoint, Router, advance_time, answer_to, run_ready_tasks, run_test};
 use lanegate_config::feed::FeedEvent;
 use std::time::Duration;
 use text_format::Figures;
@@ -31,22 +31,22 @@
 
 #[test]
 fn a_new_router_exposes_zeros() {
-    play(async {
+    run_test(async {
         let router = Router::start().await;
-        let told = figures(&router).await;
-        assert_eq!(told.sum(REQUESTS), 0.0);
-        assert_eq!(told.sum("lanegate_invariant_violations_total"), 0.0);
-        assert_eq!(told.value("lanegate_router_ready", &[]), 0.0);
-        assert_eq!(told.value("lanegate_router_configuration_version", &[]), 0.0);
-        assert_eq!(told.value("lanegate_router_agent_link_up", &[]), 0.0);
-        assert!(told.0["lanegate_router_retry_budget_left"].samples.is_empty());
+        let current = figures(&router).await;
+        assert_eq!(current.sum(REQUESTS), 0.0);
+        assert_eq!(current.sum("lanegate_invariant_violations_total"), 0.0);
+        assert_eq!(current.value("lanegate_router_ready", &[]), 0.0);
+        assert_eq!(current.value("lanegate_router_configuration_version", &[]), 0.0);
+        assert_eq!(current.value("lanegate_router_agent_link_up", &[]), 0.0);
+        assert!(current.0["lanegate_router_retry_budget_left"].samples.is_empty());
     });
 }
 
 /// An error answer without a length is forwarded as it arrives.
 #[test]
 fn a_chunked_error_answer_counts_as_an_endpoint_error() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -58,14 +58,14 @@
         upstream.chunk("broken").await;
         upstream.end_chunks().await;
         client.read_through("0\r\n\r\n").await;
-        let told = figures(&router).await;
-        assert_eq!(ended(&told, "answered", "endpoint_error"), 1.0);
+        let current = figures(&router).await;
+        assert_eq!(ended(&current, "answered", "endpoint_error"), 1.0);
     });
 }
 
 #[test]
 fn requests_are_counted_by_outcome() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -89,36 +89,36 @@
         assert_eq!(during.value("lanegate_router_endpoint_connections_open", &[]), 1.0);
         upstream.reset();
         client.rest().await;
-        let told = figures(&router).await;
-        assert_eq!(ended(&told, "answered", "success"), 1.0);
-        assert_eq!(ended(&told, "answered", "endpoint_error"), 1.0);
-        assert_eq!(ended(&told, "rejected", "no_route"), 1.0);
-        assert_eq!(ended(&told, "broken_off", "endpoint"), 1.0);
-        assert_eq!(told.sum(REQUESTS), 4.0);
-        assert_eq!(told.value("lanegate_router_requests_received_total", &[]), 4.0);
-        assert_eq!(told.value("lanegate_router_requests_open", &[]), 0.0);
-        assert_eq!(told.value("lanegate_router_attempts_total", &[]), 3.0);
-        assert_eq!(told.value("lanegate_router_configuration_version", &[]), 1.0);
-        assert_eq!(told.sum("lanegate_router_endpoints"), 1.0);
-        assert_eq!(told.sum("lanegate_invariant_violations_total"), 0.0);
+        let current = figures(&router).await;
+        assert_eq!(ended(&current, "answered", "success"), 1.0);
+        assert_eq!(ended(&current, "answered", "endpoint_error"), 1.0);
+        assert_eq!(ended(&current, "rejected", "no_route"), 1.0);
+        assert_eq!(ended(&current, "broken_off", "endpoint"), 1.0);
+        assert_eq!(current.sum(REQUESTS), 4.0);
+        assert_eq!(current.value("lanegate_router_requests_received_total", &[]), 4.0);
+        assert_eq!(current.value("lanegate_router_requests_open", &[]), 0.0);
+        assert_eq!(current.value("lanegate_router_attempts_total", &[]), 3.0);
+        assert_eq!(current.value("lanegate_router_configuration_version", &[]), 1.0);
+        assert_eq!(current.sum("lanegate_router_endpoints"), 1.0);
+        assert_eq!(current.sum("lanegate_invariant_violations_total"), 0.0);
     });
 }
 
 #[test]
 fn a_retry_is_counted_against_the_budget() {
-    play(async {
+    run_test(async {
         let endpoints = common::two_endpoints().await;
         let router = Router::serving(&[&endpoints[0], &endpoints[1]]).await;
         let mut client = router.client().await;
         client.get("/again/a", "1").await;
         let before = figures(&router).await;
-        let (first, _) = common::either(&endpoints).await;
+        let (first, _) = common::first_request(&endpoints).await;
         first.reset();
-        let (mut second, request) = common::either(&endpoints).await;
+        let (mut second, request) = common::first_request(&endpoints).await;
         second.answer(&request, "done").await;
         client.answer().await;
         let after = figures(&router).await;
-        let left = |told: &Figures| told.value("lanegate_router_retry_budget_left", &[]);
+        let left = |current: &Figures| current.value("lanegate_router_retry_budget_left", &[]);
         assert_eq!(after.value("lanegate_router_retries_total", &[]), 1.0);
         assert_eq!(after.value("lanegate_router_attempts_failed_total", &[]), 1.0);
         assert_eq!(left(&after), left(&before) - 1.0);
@@ -127,7 +127,7 @@
 
 #[test]
 fn a_disconnected_client_is_counted_once() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -135,21 +135,21 @@
         let (upstream, _) = endpoint.request().await;
         drop(client);
         upstream.closed().await;
-        let told = figures(&router).await;
-        assert_eq!(ended(&told, "client_left", "client"), 1.0);
-        assert_eq!(told.sum(REQUESTS), 1.0);
+        let current = figures(&router).await;
+        assert_eq!(ended(&current, "client_left", "client"), 1.0);
+        assert_eq!(current.sum(REQUESTS), 1.0);
     });
 }
 
 #[test]
 fn queued_and_refused_requests_are_counted() {
-    play(async {
+    run_test(async {
         let router = Router::serving(&[]).await;
         let mut client = router.client().await;
         client
             .write("GET /once/a HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: 1\r\nDeadline-Ms: 500\r\n\r\n")
             .await;
-        settle().await;
+        run_ready_tasks().await;
         let held = figures(&router).await;
         assert_eq!(held.value("lanegate_router_requests_held", &[]), 1.0);
         assert_eq!(client.answer().await.status, 503);
@@ -161,7 +161,7 @@
 
 #[test]
 fn a_draining_router_exposes_that() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let mut router = Router::serving(&[&endpoint]).await;
         router.send_event(FeedEvent::AgentLink { up: true });
@@ -171,18 +171,18 @@
         assert_eq!(figures(&router).await.value("lanegate_router_draining", &[]), 0.0);
         router.terminate();
         tokio::task::yield_now().await;
-        pass_time(Duration::from_millis(2_600)).await;
-        let told = figures(&router).await;
-        assert_eq!(told.value("lanegate_router_draining", &[]), 1.0);
-        assert!(told.value("lanegate_router_draining_seconds", &[]) >= 2.6);
-        assert_eq!(told.value("lanegate_router_ready", &[]), 0.0);
-        assert_eq!(told.value("lanegate_router_agent_link_up", &[]), 1.0);
+        advance_time(Duration::from_millis(2_600)).await;
+        let current = figures(&router).await;
+        assert_eq!(current.value("lanegate_router_draining", &[]), 1.0);
+        assert!(current.value("lanegate_router_draining_seconds", &[]) >= 2.6);
+        assert_eq!(current.value("lanegate_router_ready", &[]), 0.0);
+        assert_eq!(current.value("lanegate_router_agent_link_up", &[]), 1.0);
     });
 }
 
 #[test]
 fn stalled_scrapes_block_neither_requests_nor_other_scrapes() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut stalled = Vec::new();
--- a/crates/router/tests/open_requests.rs
+++ b/crates/router/tests/open_requests.rs
@@ -28,7 +28,7 @@
     OpenRequest::new(&request, Some(HeaderValue::from_static("q-1")))
 }
 
-fn sent() -> Decision {
+fn send_decision() -> Decision {
     Decision::Send {
         request: RequestId(7),
         attempt: 1,
@@ -51,7 +51,7 @@
 #[test]
 fn a_stream_names_its_endpoint_and_the_time_of_its_last_event() {
     let open = open_request();
-    open.on_decision(sent());
+    open.on_decision(send_decision());
     open.record_forwarded(Duration::from_millis(10_900));
     let line = open.summary(NOW, SIGTERM).to_string();
     assert!(line.contains(" endpoint=i-1 "), "{line}");
@@ -61,7 +61,7 @@
 #[test]
 fn an_answer_that_the_client_has_not_taken_is_reported_as_complete() {
     let open = open_request();
-    open.on_decision(sent());
+    open.on_decision(send_decision());
     open.record_forwarded(Duration::from_millis(10_900));
     open.record_completed();
     assert!(open.summary(NOW, SIGTERM).to_string().contains(" answer=complete "));
@@ -69,11 +69,11 @@
 
 #[test]
 fn requests_aborted_at_shutdown_are_counted_by_age() {
-    let cut = AbortedRequests::default();
+    let aborted = AbortedRequests::default();
     for milliseconds in [0, 999, 1_000, 5_999, 6_000, 12_000, 90_000] {
-        cut.count(Duration::from_millis(milliseconds));
+        aborted.count(Duration::from_millis(milliseconds));
     }
-    let counts: Vec<(&str, u64)> = cut.by_age().collect();
+    let counts: Vec<(&str, u64)> = aborted.by_age().collect();
     let expected = [("under_1s", 2), ("1s_to_3s", 1), ("3s_to_6s", 1), ("6s_to_12s", 1), ("over_12s", 2)];
     assert_eq!(counts, expected);
 }
--- a/crates/router/tests/parsing.rs
+++ b/crates/router/tests/parsing.rs
@@ -68,7 +68,7 @@
             passed.extend_from_slice(&splitter.push(piece));
         }
         let last: u64 = splitter.last_id().map_or(0, |id| std::str::from_utf8(id).unwrap().parse().unwrap());
-        splitter.begin_resumed_run();
+        splitter.begin_resumed_stream();
         let from = (last + 1).saturating_sub(repeated).max(1);
         let second: String = (from..=events).map(|id| event(id, "x", "\n")).collect();
         for piece in segments(&second, &places) {
@@ -89,7 +89,7 @@
     }
 
     #[test]
-    fn any_header_values_are_borne(bytes in vec(32_u8..=255, 0..40)) {
+    fn any_header_values_are_accepted(bytes in vec(32_u8..=255, 0..40)) {
         let Ok(value) = HeaderValue::from_bytes(&bytes) else {
             return Ok(());
         };
--- a/crates/router/tests/response_matching.rs
+++ b/crates/router/tests/response_matching.rs
@@ -2,14 +2,14 @@
 
 mod common;
 
-use common::{CONFIGURATION, Endpoint, Router, answer_to, play, settle};
+use common::{CONFIGURATION, Endpoint, Router, answer_to, run_ready_tasks, run_test};
 use std::time::Duration;
 use tokio::time::timeout;
 
 /// Time in which something that must not happen would have happened.
-const A_WHILE: Duration = Duration::from_millis(60);
+const OBSERVATION_TIME: Duration = Duration::from_millis(60);
 
-fn turned_away(id: &str) -> String {
+fn rejection(id: &str) -> String {
     format!(
         "HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: {id}\r\nNot-Executed: true\r\nContent-Length: 0\r\n\r\n"
     )
@@ -17,7 +17,7 @@
 
 #[test]
 fn a_second_answer_to_an_earlier_request_is_discarded_while_the_next_is_in_flight() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -28,7 +28,7 @@
         client.get("/once/a", "2").await;
         let second = upstream.request().await;
         upstream.answer(&first, "first").await;
-        settle().await;
+        run_ready_tasks().await;
         upstream.answer(&second, "second").await;
         let answer = client.answer().await;
         assert_eq!((answer.header("Attempt-Id"), answer.text()), (Some("2"), "second"));
@@ -48,7 +48,7 @@
 
 #[test]
 fn an_answer_to_a_request_that_was_never_sent_on_the_connection_is_a_failure() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -61,13 +61,13 @@
         upstream.write(answer_to(&second, "200 OK", "no").replace("Attempt-Id: 2", "Attempt-Id: 9")).await;
         let answer = client.answer().await;
         assert_eq!((answer.status, answer.text()), (502, ""));
-        assert!(timeout(A_WHILE, endpoint.accept()).await.is_err(), "the request was sent again");
+        assert!(timeout(OBSERVATION_TIME, endpoint.accept()).await.is_err(), "the request was sent again");
     });
 }
 
 #[test]
 fn answers_swapped_between_two_endpoints_reach_no_client() {
-    play(async {
+    run_test(async {
         let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
         let router = Router::serving(&[&endpoints[0], &endpoints[1]]).await;
         let mut clients = [router.client().await, router.client().await];
@@ -90,28 +90,28 @@
 
 #[test]
 fn a_request_is_not_retried_on_the_same_connection() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
         client.get("/once/a", "1").await;
         let (mut upstream, _) = endpoint.request().await;
-        upstream.write(turned_away("1")).await;
+        upstream.write(rejection("1")).await;
         let (mut again, request) = endpoint.request().await;
         assert_eq!(request.header("Attempt-Id"), Some("1"));
         // The second answer to the first attempt says nothing about the second attempt, which runs.
-        upstream.write(turned_away("1")).await;
-        settle().await;
+        upstream.write(rejection("1")).await;
+        run_ready_tasks().await;
         again.answer(&request, "ran").await;
         let answer = client.answer().await;
         assert_eq!((answer.status, answer.text()), (200, "ran"));
-        assert!(timeout(A_WHILE, endpoint.accept()).await.is_err(), "the request was sent again");
+        assert!(timeout(OBSERVATION_TIME, endpoint.accept()).await.is_err(), "the request was sent again");
     });
 }
 
 #[test]
 fn requests_without_an_id_share_no_connection() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -129,7 +129,7 @@
 
 #[test]
 fn a_connection_with_a_partly_read_request_is_not_reused() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         router.configure(
@@ -162,7 +162,7 @@
 
 #[test]
 fn a_long_request_that_is_rejected_early_is_sent_elsewhere_completely() {
-    play(async {
+    run_test(async {
         let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
         let router = Router::serving(&[&endpoints[0], &endpoints[1]]).await;
         router.configure(
@@ -181,7 +181,7 @@
             got = endpoints[0].accept() => (got, &endpoints[1]),
             got = endpoints[1].accept() => (got, &endpoints[0]),
         };
-        early.write(turned_away("1")).await;
+        early.write(rejection("1")).await;
         let (mut upstream, request) = other.request().await;
         assert_eq!(request.body.len(), body.len());
         upstream.answer(&request, "ran").await;
@@ -191,7 +191,7 @@
 
 #[test]
 fn a_reset_during_a_send_does_not_cause_a_retry() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         router.configure(
@@ -207,16 +207,16 @@
         );
         client.write(head + &body).await;
         let upstream = endpoint.accept().await;
-        settle().await;
+        run_ready_tasks().await;
         upstream.reset();
         assert_eq!(client.answer().await.status, 502);
-        assert!(timeout(A_WHILE, endpoint.accept()).await.is_err(), "the request was sent again");
+        assert!(timeout(OBSERVATION_TIME, endpoint.accept()).await.is_err(), "the request was sent again");
     });
 }
 
 #[test]
 fn a_reset_on_a_reused_connection_does_not_cause_a_retry() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         for path in ["/once/a", "/stream/a"] {
@@ -229,14 +229,17 @@
             assert_eq!(upstream.request().await.header("Attempt-Id"), Some("2"));
             upstream.reset();
             assert_eq!(client.answer().await.status, 502);
-            assert!(timeout(A_WHILE, endpoint.accept()).await.is_err(), "the request was sent again");
+            assert!(
+                timeout(OBSERVATION_TIME, endpoint.accept()).await.is_err(),
+                "the request was sent again"
+            );
         }
     });
 }
 
 #[test]
 fn informational_responses_are_skipped() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
--- a/crates/router/tests/shutdown.rs
+++ b/crates/router/tests/shutdown.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Client, Endpoint, Router, pass_time, play};
+use common::{Client, Endpoint, Router, advance_time, run_test};
 use lanegate_config::feed::FeedEvent;
 use std::io::Write;
 use std::time::Duration;
@@ -48,14 +48,14 @@
 
 #[test]
 fn a_stream_that_was_not_sent_is_refused_after_sigterm() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         for tokens in [1, 50, 900, u32::MAX] {
             let mut router = serving_engine(&endpoint).await;
             let mut client = router.client().await;
             router.terminate();
             tokio::task::yield_now().await;
-            pass_time(Duration::from_millis(540)).await;
+            advance_time(Duration::from_millis(540)).await;
             ask_for_tokens(&mut client, "1", tokens).await;
             let answer = tokio::select! {
                 answer = client.answer() => answer,
@@ -70,13 +70,13 @@
 /// The process may notice a client and the end of the accept time at once.
 #[test]
 fn a_request_that_arrives_before_the_listener_closes_is_answered() {
-    play(async {
+    run_test(async {
         let mut router = Router::serving(&[]).await;
         router.terminate();
         tokio::task::yield_now().await;
         let mut stream = std::net::TcpStream::connect(router.address).unwrap();
         stream.write_all(b"GET /none/ HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: 1\r\n\r\n").unwrap();
-        pass_time(Duration::from_millis(2_600)).await;
+        advance_time(Duration::from_millis(2_600)).await;
         stream.set_nonblocking(true).unwrap();
         let mut stream = tokio::net::TcpStream::from_std(stream).unwrap();
         let mut answer = String::new();
@@ -88,7 +88,7 @@
 
 #[test]
 fn requests_without_a_stream_are_served_after_sigterm() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let mut router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -103,7 +103,7 @@
 
 #[test]
 fn requests_in_flight_have_nearly_the_full_grace_time() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let mut router = serving_engine(&endpoint).await;
         let mut client = router.client().await;
@@ -114,8 +114,8 @@
         client.read_through("id: 1\n\n\r\n").await;
         router.terminate();
         tokio::task::yield_now().await;
-        pass_time(Duration::from_millis(2_600)).await;
-        pass_time(Duration::from_millis(5_100)).await;
+        advance_time(Duration::from_millis(2_600)).await;
+        advance_time(Duration::from_millis(5_100)).await;
         upstream.chunk("id: 2\n\n").await;
         upstream.end_chunks().await;
         assert_eq!(client.rest().await, "7\r\nid: 2\n\n\r\n0\r\n\r\n");
@@ -125,7 +125,7 @@
 
 #[test]
 fn a_draining_router_finishes_streams_and_closes_client_connections() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let mut router = Router::serving(&[&endpoint]).await;
         let mut streaming = router.client().await;
@@ -146,7 +146,7 @@
         let mut late = router.client().await;
         late.get("/none/", "3").await;
         assert_eq!(late.answer().await.status, 404);
-        pass_time(Duration::from_millis(2_600)).await;
+        advance_time(Duration::from_millis(2_600)).await;
         assert_eq!(idle.rest().await, "");
         upstream.chunk("id: 2\n\n").await;
         upstream.end_chunks().await;
@@ -157,14 +157,14 @@
 
 #[test]
 fn requests_that_never_ran_are_refused_before_the_process_ends() {
-    play(async {
+    run_test(async {
         let mut router = Router::serving(&[]).await;
         let mut client = router.client().await;
         client.get("/once/a", "1").await;
         router.terminate();
         tokio::task::yield_now().await;
-        pass_time(Duration::from_millis(2_600)).await;
-        pass_time(Duration::from_millis(5_000)).await;
+        advance_time(Duration::from_millis(2_600)).await;
+        advance_time(Duration::from_millis(5_000)).await;
         assert!(client.rest().await.starts_with("HTTP/1.1 503 "));
         router.ended().await;
     });
@@ -172,7 +172,7 @@
 
 #[test]
 fn a_stream_that_outlasts_the_grace_time_does_not_look_complete() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let mut router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -183,8 +183,8 @@
         client.read_through("id: 1\n\n\r\n").await;
         router.terminate();
         tokio::task::yield_now().await;
-        pass_time(Duration::from_millis(2_600)).await;
-        pass_time(Duration::from_millis(5_000)).await;
+        advance_time(Duration::from_millis(2_600)).await;
+        advance_time(Duration::from_millis(5_000)).await;
         assert_eq!(client.rest().await, "");
         router.ended().await;
     });
--- a/crates/router/tests/stalls.rs
+++ b/crates/router/tests/stalls.rs
@@ -2,16 +2,16 @@
 
 mod common;
 
-use common::{Endpoint, Router, pass_time, play, settle};
+use common::{Endpoint, Router, advance_time, run_ready_tasks, run_test};
 use lanegate_router::fault::RouterFault;
 use std::time::Duration;
 
 /// Longer than the time of every route and the time after it at which stalled clients are closed.
-const STANDSTILL: Duration = Duration::from_secs(30);
+const STALL: Duration = Duration::from_secs(30);
 
 /// What a client gets for a request that an endpoint has, after the process stood still until long after the deadline, so
 /// that everything that was due meanwhile comes at once.
-async fn answer_after_a_standstill(fault: Option<RouterFault>) -> String {
+async fn answer_after_stall(fault: Option<RouterFault>) -> String {
     let endpoint = Endpoint::start("i-1").await;
     let router = Router::serving_with(fault, &[&endpoint]).await;
     let mut client = router.client().await;
@@ -19,29 +19,29 @@
         .write("GET /once/a HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: 1\r\nConnection: close\r\n\r\n")
         .await;
     let (_upstream, _request) = endpoint.request().await;
-    pass_time(STANDSTILL).await;
+    advance_time(STALL).await;
     client.rest().await
 }
 
 #[test]
 fn a_deadline_that_passed_during_a_stall_is_answered() {
-    play(async {
-        let answer = answer_after_a_standstill(None).await;
+    run_test(async {
+        let answer = answer_after_stall(None).await;
         assert!(answer.starts_with("HTTP/1.1 504 "), "{answer:?}");
     });
 }
 
 #[test]
 fn a_connection_that_is_checked_by_the_current_time_after_a_stall_is_detected() {
-    play(async {
-        assert_eq!(answer_after_a_standstill(Some(RouterFault::SweepByPresentTime)).await, "");
+    run_test(async {
+        assert_eq!(answer_after_stall(Some(RouterFault::CheckAtCurrentTime)).await, "");
     });
 }
 
 /// The connection was used before, and the answer arrived during a stall.
 #[test]
 fn an_answer_that_arrived_during_a_stall_reaches_its_client_or_504_does() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -52,7 +52,7 @@
         client.get("/once/b", "2").await;
         let request = upstream.request().await;
         upstream.answer(&request, "second").await;
-        pass_time(STANDSTILL).await;
+        advance_time(STALL).await;
         let answer = client.answer().await;
         assert!(answer.status == 504 || answer.text() == "second", "{answer:?}");
     });
@@ -61,7 +61,7 @@
 /// A client that does not read its answer is disconnected all the same.
 #[test]
 fn the_connection_of_a_client_that_reads_no_answer_is_aborted() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -70,8 +70,8 @@
         upstream.begin_events(&request).await;
         upstream.chunk("id: 1\ndata: x\n\n").await;
         client.read_through("data: x\n\n\r\n").await;
-        pass_time(STANDSTILL).await;
-        settle().await;
+        advance_time(STALL).await;
+        run_ready_tasks().await;
         upstream.closed().await;
     });
 }
--- a/crates/router/tests/streams.rs
+++ b/crates/router/tests/streams.rs
@@ -2,11 +2,14 @@
 
 mod common;
 
-use common::{Client, Endpoint, Message, Router, Upstream, either, pass_time, play, settle, two_endpoints};
+use common::{
+    Client, Endpoint, Message, Router, Upstream, advance_time, first_request, run_ready_tasks, run_test,
+    two_endpoints,
+};
 use std::time::Duration;
 
 /// A stream that has begun, with its first event forwarded.
-async fn begun(router: &Router, endpoint: &Endpoint, path: &str) -> (Client, Upstream, Message) {
+async fn open_stream(router: &Router, endpoint: &Endpoint, path: &str) -> (Client, Upstream, Message) {
     let mut client = router.client().await;
     client.get(path, "1").await;
     let (mut upstream, request) = endpoint.request().await;
@@ -20,11 +23,11 @@
 
 #[test]
 fn events_are_forwarded_one_by_one() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         for path in ["/stream/a", "/resumable/a"] {
-            let (mut client, mut upstream, _) = begun(&router, &endpoint, path).await;
+            let (mut client, mut upstream, _) = open_stream(&router, &endpoint, path).await;
             for number in 2..6 {
                 let event = format!("id: {number}\ndata: x\n\n");
                 upstream.chunk(&event).await;
@@ -40,10 +43,10 @@
 
 #[test]
 fn a_broken_stream_does_not_look_complete() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
-        let (client, mut upstream, _) = begun(&router, &endpoint, "/stream/a").await;
+        let (client, mut upstream, _) = open_stream(&router, &endpoint, "/stream/a").await;
         upstream.chunk("id: 2\nda").await;
         drop(upstream);
         let rest = client.rest().await;
@@ -53,10 +56,10 @@
 
 #[test]
 fn a_stream_is_resumed_elsewhere_within_the_same_answer() {
-    play(async {
+    run_test(async {
         let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
         let router = Router::serving(&[&endpoints[0]]).await;
-        let (mut client, mut upstream, _) = begun(&router, &endpoints[0], "/resumable/a").await;
+        let (mut client, mut upstream, _) = open_stream(&router, &endpoints[0], "/resumable/a").await;
         router.send_event(endpoints[1].registration("plain"));
         upstream.chunk("id: 2\ndata: b\n\nid: 3\ndata: lost").await;
         client.read_through("id: 2\ndata: b\n\n\r\n").await;
@@ -75,20 +78,20 @@
 /// An idle second attempt within an answer neither ends it nor causes a third attempt.
 #[test]
 fn a_resumed_stream_may_be_idle_for_long() {
-    play(async {
+    run_test(async {
         let endpoints =
             [Endpoint::start("i-1").await, Endpoint::start("i-2").await, Endpoint::start("i-3").await];
         let router = Router::serving(&[&endpoints[0]]).await;
-        let (mut client, upstream, _) = begun(&router, &endpoints[0], "/resumable/a").await;
+        let (mut client, upstream, _) = open_stream(&router, &endpoints[0], "/resumable/a").await;
         router.send_event(endpoints[1].registration("plain"));
         drop(upstream);
         let (mut upstream, request) = endpoints[1].request().await;
         upstream.begin_events(&request).await;
-        settle().await;
+        run_ready_tasks().await;
         router.send_event(endpoints[2].registration("plain"));
         for _ in 0..120 {
-            settle().await;
-            pass_time(Duration::from_millis(100)).await;
+            run_ready_tasks().await;
+            advance_time(Duration::from_millis(100)).await;
         }
         upstream.chunk("id: 2\ndata: b\n\n").await;
         upstream.end_chunks().await;
@@ -98,10 +101,10 @@
 
 #[test]
 fn events_repeated_by_a_second_attempt_are_forwarded_once() {
-    play(async {
+    run_test(async {
         let endpoints = [Endpoint::start("i-1").await, Endpoint::start("i-2").await];
         let router = Router::serving(&[&endpoints[0]]).await;
-        let (mut client, upstream, _) = begun(&router, &endpoints[0], "/resumable/a").await;
+        let (mut client, upstream, _) = open_stream(&router, &endpoints[0], "/resumable/a").await;
         router.send_event(endpoints[1].registration("plain"));
         drop(upstream);
         let (mut upstream, request) = endpoints[1].request().await;
@@ -114,7 +117,7 @@
 
 #[test]
 fn a_stream_that_cannot_be_resumed_does_not_look_complete() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -135,10 +138,10 @@
 
 #[test]
 fn a_client_that_disconnects_ends_its_stream_at_the_endpoint() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
-        let (client, upstream, _) = begun(&router, &endpoint, "/stream/a").await;
+        let (client, upstream, _) = open_stream(&router, &endpoint, "/stream/a").await;
         drop(client);
         upstream.closed().await;
     });
@@ -146,7 +149,7 @@
 
 #[test]
 fn an_empty_stream_is_complete() {
-    play(async {
+    run_test(async {
         let endpoint = Endpoint::start("i-1").await;
         let router = Router::serving(&[&endpoint]).await;
         let mut client = router.client().await;
@@ -161,7 +164,7 @@
 
 #[test]
 fn a_stream_resumed_by_the_client_may_be_resumed_again_by_the_router() {
-    play(async {
+    run_test(async {
         let endpoints = two_endpoints().await;
         let router = Router::serving(&[&endpoints[0], &endpoints[1]]).await;
         let mut client = router.client().await;
@@ -170,13 +173,13 @@
                 "GET /resumable/a HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: 1\r\nLast-Event-Id: 4\r\n\r\n",
             )
             .await;
-        let (mut upstream, request) = either(&endpoints).await;
+        let (mut upstream, request) = first_request(&endpoints).await;
         assert_eq!(request.header("Last-Event-Id"), Some("4"));
         upstream.begin_events(&request).await;
         upstream.chunk("versions: 2\nid: 5\n\n").await;
         client.read_through("versions: 2\nid: 5\n\n\r\n").await;
         upstream.reset();
-        let (mut upstream, request) = either(&endpoints).await;
+        let (mut upstream, request) = first_request(&endpoints).await;
         assert_eq!(request.header("Last-Event-Id"), Some("5"));
         upstream.begin_events(&request).await;
         upstream.chunk("id: 6\n\n").await;
--- a/crates/router/tests/traffic_splits.rs
+++ b/crates/router/tests/traffic_splits.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Endpoint, Router, play, settle};
+use common::{Endpoint, Router, run_ready_tasks, run_test};
 use lanegate_config::configuration::Configuration;
 use lanegate_config::feed::FeedEvent;
 use lanegate_router::fault::RouterFault;
@@ -83,22 +83,22 @@
             *counts.entry(self.route(&routing)).or_default() += 1;
         }
         let total: f64 = weights.iter().sum();
-        let off = weights.iter().enumerate().map(|(part, weight)| {
+        let deviation = weights.iter().enumerate().map(|(part, weight)| {
             let count = counts.get(&format!("b{part}")).copied().unwrap_or_default();
             (count as f64 / REQUESTS as f64 - weight / total).abs()
         });
-        off.fold(0.0, f64::max)
+        deviation.fold(0.0, f64::max)
     }
 }
 
 /// The first weights, number of routers and seed with a larger deviation than `bound`.
-fn first_miss(routers: &[usize], bound: f64, fault: Option<RouterFault>) -> Option<String> {
+fn excessive_deviation(routers: &[usize], bound: f64, fault: Option<RouterFault>) -> Option<String> {
     for weights in WEIGHTS {
         for count in routers {
             for seed in 0..SEEDS {
-                let off = Routers::new(*count, seed, fault).largest_deviation(weights);
-                if off > bound {
-                    return Some(format!("{weights:?}, {count} routers, seed {seed}: off by {off:.3}"));
+                let deviation = Routers::new(*count, seed, fault).largest_deviation(weights);
+                if deviation > bound {
+                    return Some(format!("{weights:?}, {count} routers, seed {seed}: off by {deviation:.3}"));
                 }
             }
         }
@@ -108,19 +108,19 @@
 
 #[test]
 fn each_part_gets_its_weight_at_a_few_routers() {
-    assert_eq!(first_miss(&FEW_ROUTERS, MAX_DEVIATION, None), None);
+    assert_eq!(excessive_deviation(&FEW_ROUTERS, MAX_DEVIATION, None), None);
 }
 
 #[test]
 fn each_part_gets_its_weight_when_routers_see_few_requests() {
-    assert_eq!(first_miss(&MANY_ROUTERS, MAX_DEVIATION_MANY_ROUTERS, None), None);
+    assert_eq!(excessive_deviation(&MANY_ROUTERS, MAX_DEVIATION_MANY_ROUTERS, None), None);
 }
 
 #[test]
 fn independent_random_draws_are_detected() {
-    let fault = Some(RouterFault::DrawSplits);
-    assert!(first_miss(&FEW_ROUTERS, MAX_DEVIATION, fault).is_some());
-    assert!(first_miss(&MANY_ROUTERS, MAX_DEVIATION_MANY_ROUTERS, fault).is_some());
+    let fault = Some(RouterFault::DrawSplitsIndependently);
+    assert!(excessive_deviation(&FEW_ROUTERS, MAX_DEVIATION, fault).is_some());
+    assert!(excessive_deviation(&MANY_ROUTERS, MAX_DEVIATION_MANY_ROUTERS, fault).is_some());
 }
 
 /// The weights change repeatedly while requests arrive; each change lasts for as many requests as are checked.
@@ -129,8 +129,8 @@
     for seed in 0..SEEDS {
         let mut routers = Routers::new(6, seed, None);
         for weights in WEIGHTS {
-            let off = routers.largest_deviation(weights);
-            assert!(off <= MAX_DEVIATION, "{weights:?}, seed {seed}: off by {off:.3}");
+            let deviation = routers.largest_deviation(weights);
+            assert!(deviation <= MAX_DEVIATION, "{weights:?}, seed {seed}: off by {deviation:.3}");
         }
     }
 }
@@ -151,8 +151,8 @@
                 first_part += usize::from(resolved.expect("a route").backend == "b0");
             }
         }
-        let off = (first_part as f64 / REQUESTS as f64 - 0.5).abs();
-        assert!(off <= MAX_DEVIATION, "seed {seed}: off by {off:.3}");
+        let deviation = (first_part as f64 / REQUESTS as f64 - 0.5).abs();
+        assert!(deviation <= MAX_DEVIATION, "seed {seed}: off by {deviation:.3}");
     }
 }
 
@@ -174,7 +174,7 @@
 #[test]
 fn a_router_splits_traffic() {
     const SENT: u64 = 40;
-    play(async {
+    run_test(async {
         let router = Router::serving(&[]).await;
         let mut counts = Vec::new();
         for backend in ["b0", "b1"] {
@@ -187,7 +187,7 @@
         for number in 0..SENT {
             if number % 10 == 0 {
                 router.send_event(FeedEvent::Configuration(configuration(2 + number, &[90.0, 10.0])));
-                settle().await;
+                run_ready_tasks().await;
             }
             let mut client = router.client().await;
             client.get("/s/x", &number.to_string()).await;
