--- a/crates/router/src/headers.rs
+++ b/crates/router/src/headers.rs
@@ -7,27 +7,27 @@
 use lanegate_dispatch::interface::{Generation, InstanceLoad, PromptPart};
 use std::time::Duration;
 
-/// Id of a request, which answers repeat.
+/// Id that the client gives a request; an endpoint repeats it in its answer.
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("attempt-id");
-/// Remaining time of a request, ms.
+/// Time that remains for a request, ms.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
-/// Endpoint that a request is meant for.
+/// Id of the endpoint that a request is addressed to.
 pub const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("expect-instance");
-/// Endpoint that answered.
+/// Id of the endpoint that answered.
 pub const INSTANCE_ID: HeaderName = HeaderName::from_static("instance-id");
-/// Load of an endpoint: running, waiting and slots.
+/// Load of an endpoint: running requests, waiting requests and slots.
 pub const INSTANCE_LOAD: HeaderName = HeaderName::from_static("instance-load");
 /// How long an idle connection is kept, s.
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// Event after which a stream is resumed.
+/// Id of the event after which a stream is resumed.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 /// Model and adapter that a request needs.
 pub const MODEL: HeaderName = HeaderName::from_static("model");
-/// Says that a request did not run.
+/// States that the request was not executed.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
 /// Priority of a request at an engine, 0 (first) to 9.
 pub const PRIORITY: HeaderName = HeaderName::from_static("priority");
-/// Parts of the prompt with their tokens.
+/// Ids of the parts of the prompt, each with its number of tokens.
 pub const PROMPT_PREFIX: HeaderName = HeaderName::from_static("prompt-prefix");
 /// Signature that proves that an endpoint answered.
 pub const SERVER_SIGNATURE: HeaderName = HeaderName::from_static("server-signature");
@@ -35,7 +35,7 @@
 pub const TOKEN_USAGE: HeaderName = HeaderName::from_static("token-usage");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Hop-by-hop headers, besides those that `Connection` names.
+/// Hop-by-hop headers, in addition to those that `Connection` lists.
 const HOP_BY_HOP: [HeaderName; 9] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Removes the headers that the framing of the router replaces.
+/// Removes the headers that describe the framing of the client's request; the router frames the forwarded request itself.
 pub fn remove_framing(headers: &mut HeaderMap) {
     headers.remove(CONTENT_LENGTH);
     headers.remove(EXPECT);
@@ -114,7 +114,7 @@
     Some((input.trim().parse().ok()?, output.trim().parse().ok()?))
 }
 
-/// The parts up to the first invalid one: later parts are useless without those before.
+/// Parses the parts up to the first invalid one. A prefix is matched from its beginning, so parts after a gap cannot be used.
 fn prompt_parts(value: &str) -> Vec<PromptPart> {
     value.split(',').map_while(prompt_part).collect()
 }
@@ -124,7 +124,7 @@
     Some(PromptPart { id: u64::from_str_radix(id, 16).ok()?, tokens: tokens.trim().parse().ok()? })
 }
 
-/// The load that an endpoint reports: running, waiting and slots.
+/// The load that an endpoint reports: running requests, waiting requests and slots.
 pub fn instance_load(headers: &HeaderMap) -> Option<InstanceLoad> {
     let mut figures = text(headers, &INSTANCE_LOAD)?.split(',').map(|figure| figure.trim().parse().ok());
     Some(InstanceLoad { running: figures.next()??, waiting: figures.next()??, slots: figures.next()?? })
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,7 +1,7 @@
 //! The data plane: accepts clients, selects an endpoint for each request and forwards the answer.
 //!
-//! Everything here is I/O on a single thread. The dispatcher of `lanegate-dispatch` decides which endpoint gets a request and
-//! when. This crate executes its decisions and reports their results.
+//! This crate does all network I/O, on a single thread. The dispatcher of `lanegate-dispatch` decides which endpoint gets a
+//! request and when; this crate carries out its decisions and reports the results back to it.
 //!
 //! # Invariants
 //!
@@ -11,18 +11,19 @@
 //!   before ([`endpoint::attempt`], [`endpoint::pool`]).
 //! - An incomplete answer never looks complete to the client ([`request::stream`], [`client::activity`]).
 //!
-//! # Where to begin
+//! # Request path
 //!
-//! The way of a request: [`client::listener`] accepts the connection, [`client::frontend`] reads the request, finds its route ([`routing::table`],
+//! A request takes these steps: [`client::listener`] accepts the connection, [`client::frontend`] reads the request, finds its route ([`routing::table`],
 //! [`routing::traffic_split`]) and submits it through a [`request::handle`]. The dispatcher's decisions arrive in its [`request::mailbox`].
 //! [`request::forward`] executes them: [`endpoint::attempt`] sends the request on a connection of the [`endpoint::pool`], [`request::stream`] forwards the body, and
-//! [`request::resume`] continues a broken stream elsewhere. [`state`] is what all tasks share; [`process::run`] assembles everything.
+//! [`request::resume`] continues a broken stream elsewhere. [`state`] holds what all tasks share; [`process::run`] assembles everything.
 //!
 //! # Tests
 //!
-//! `tests/common` runs a router on real sockets between clients and endpoints whose every byte the test writes.
-//! `tests/byte_streams.rs` runs random exchanges and checks that each mutation of the router is detected.
-//! `tests/golden.rs` compares the written bytes with committed files.
+//! `tests/common` runs a router on real sockets, between clients and endpoints whose bytes the test writes directly.
+//! `tests/byte_streams.rs` runs random exchanges and checks that they detect each deliberate fault of
+//! [`fault`].
+//! `tests/golden.rs` compares the bytes that the router writes with the committed files of `tests/golden`.
 
 pub mod client;
 pub mod endpoint;
--- a/crates/router/src/request/event_splitter.rs
+++ b/crates/router/src/request/event_splitter.rs
@@ -1,9 +1,9 @@
-//! Splits a stream of server-sent events at the ends of events, so that a stream that breaks inside an event can be
-//! resumed by another attempt.
+//! Splits a stream of server-sent events at event boundaries. Only complete events are forwarded, so that a stream that breaks
+//! inside an event can be resumed by another attempt after the last complete one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Releases complete events only and remembers the id of the last one.
+/// Buffers the bytes of a stream, releases complete events only and stores the id of the last one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     /// The beginning of an event whose end has not arrived.
@@ -32,7 +32,7 @@
         new
     }
 
-    /// The bytes after the last complete event, after the regular end of the stream.
+    /// Returns the buffered bytes after the last complete event. To be called when the stream has ended regularly.
     pub fn finish(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
@@ -47,13 +47,14 @@
         self.last_id.as_ref()
     }
 
-    /// Drops the incomplete event: the next bytes are from another attempt.
+    /// Discards the incomplete event, because the next bytes come from another attempt, which resumes after the last complete
+    /// event.
     pub fn begin_resumed_stream(&mut self) {
         self.partial.clear();
         self.already_forwarded = self.last_id.as_deref().and_then(number);
     }
 
-    /// Drops events of a resumed stream that were forwarded before.
+    /// Removes the events of a resumed stream that were forwarded before the break. An endpoint may repeat some of them.
     fn drop_duplicates(&mut self, events: Bytes) -> Bytes {
         let Some(last_forwarded) = self.already_forwarded else {
             return events;
@@ -77,7 +78,7 @@
     }
 }
 
-/// Length of the complete events: up to the last empty line.
+/// Length of the complete events at the beginning of `bytes`, which is the end of the last empty line.
 fn events_end(bytes: &[u8]) -> usize {
     let mut end = bytes.len();
     while let Some(feed) = bytes[..end].iter().rposition(|&byte| byte == b'\n') {
--- a/crates/router/src/request/forward.rs
+++ b/crates/router/src/request/forward.rs
@@ -1,7 +1,7 @@
 //! Executes the decisions of the dispatcher for one request, up to the head of its answer.
 //!
-//! The top of the layers `attempt` < `resume` < `stream` < `body` < `local_reply` < `forward`: each uses only those before
-//! it.
+//! The highest of the layers `attempt` < `resume` < `stream` < `body` < `local_reply` < `forward`. A layer uses only layers to
+//! its left.
 
 use crate::client::body::RouterBody;
 use crate::client::local_reply::LocalReply;
@@ -26,15 +26,15 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// Largest answer that is buffered before any of it is forwarded, bytes. Until then another attempt can replace a broken
-/// one.
+/// Largest answer that is buffered before any of it is forwarded, bytes. While nothing has been forwarded, another attempt
+/// can replace a broken one.
 const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
-/// `Retry-After` of a request that ended without being sent.
+/// `Retry-After` of a request that is refused because no endpoint executed it.
 const UNSENT_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// `Retry-After` during shutdown.
 const SHUTDOWN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Follows the decisions of the dispatcher until there is an answer for the client.
+/// Executes the decisions of the dispatcher until there is an answer for the client.
 pub async fn forward(handle: Rc<RequestHandle>, request: Rc<Outbound>) -> Response<RouterBody> {
     let mut may_have_run = false;
     let mut instruction = handle.next().await;
@@ -97,7 +97,10 @@
         Instruction::Decided(decision @ Decision::Send { .. }) => match Destination::of(decision) {
             Some(destination) if request.retryable || !may_have_run => Ok(destination),
             _ => {
-                log::error!("unrepeatable request not sent again attempt_id={:?}", request.attempt_id);
+                log::error!(
+                    "non-idempotent request may have run; not sent again attempt_id={:?}",
+                    request.attempt_id
+                );
                 handle.state().violations.record(Invariant::NonIdempotentSentOnce);
                 Err(refuse(UNSENT_RETRY_AFTER, Outcome::RefusedNotSent, Outcome::FailedMayHaveRun))
             }
@@ -123,7 +126,7 @@
 enum AttemptResult {
     Answer(Response<RouterBody>),
     Ended(AttemptEnd),
-    /// The dispatcher abandoned the attempt.
+    /// A new instruction arrived before the attempt ended, so the attempt is cancelled.
     Superseded(Instruction),
 }
 
@@ -145,7 +148,8 @@
     }
 }
 
-/// Sends the request and waits until something can be forwarded: a small answer completely, otherwise its first bytes.
+/// Sends the request and waits until the answer can be forwarded. A small answer is buffered completely; of a stream or a
+/// large answer, the first bytes are enough.
 async fn open(
     handle: &Rc<RequestHandle>,
     request: &Rc<Outbound>,
@@ -161,7 +165,8 @@
     }
 }
 
-/// Whether an answer is buffered before any of it is forwarded, unless it turns out to be large.
+/// Whether the answer is to be buffered before any of it is forwarded. A body that ends with its connection has an unknown
+/// length and is streamed after all once it exceeds [`MAX_BUFFERED_BYTES`].
 fn is_buffered(body: &EndpointBody) -> bool {
     match body.exact_length() {
         Some(length) => length <= MAX_BUFFERED_BYTES,
@@ -190,7 +195,7 @@
     Prefix(Bytes),
 }
 
-/// Buffers the body of which `first` has arrived.
+/// Buffers the rest of a body of which `first` has already been read.
 async fn read_rest(first: Bytes, body: &mut EndpointBody) -> hyper::Result<Buffered> {
     let mut buffered = BytesMut::new();
     while let Some(more) = body.next().await.transpose()? {
@@ -237,7 +242,7 @@
     Ok(streaming_answer(handle, request, destination, answer, first, splitter))
 }
 
-/// The answer to the client that begins with `first` and is forwarded as it arrives.
+/// An answer to the client whose body begins with `first` and continues as the endpoint sends it.
 fn streaming_answer(
     handle: &Rc<RequestHandle>,
     request: &Rc<Outbound>,
@@ -259,7 +264,7 @@
     compose(answer.head, RouterBody::stream(AnswerStream::new(start)))
 }
 
-/// The answer to the client after a complete answer of the endpoint.
+/// An answer to the client with the complete body of the endpoint's answer.
 fn complete_answer(
     handle: &RequestHandle,
     destination: &Destination,
--- a/crates/router/src/request/handle.rs
+++ b/crates/router/src/request/handle.rs
@@ -1,4 +1,4 @@
-//! The handle of a request task on its request at the dispatcher.
+//! The handle through which a request task communicates with the dispatcher.
 
 use crate::request::mailbox::Instruction;
 use crate::request::open_request::OpenRequest;
@@ -17,7 +17,7 @@
     state: Rc<RouterState>,
     id: RequestId,
     open: Rc<OpenRequest>,
-    /// Whether the request has ended for the dispatcher.
+    /// Whether the dispatcher considers the request ended, so that it need not be cancelled.
     has_ended: Cell<bool>,
     /// The outcome, once there is one.
     outcome: Cell<Option<Outcome>>,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Records that bytes of the answer are forwarded.
+    /// Records that bytes of the answer are being forwarded to the client.
     pub fn record_forwarded(&self) {
         self.open.record_forwarded(self.state.now());
     }
--- a/crates/router/src/request/mailbox.rs
+++ b/crates/router/src/request/mailbox.rs
@@ -10,7 +10,7 @@
 pub enum Instruction {
     /// Execute a decision of the dispatcher.
     Decided(Decision),
-    /// Shutdown: answer now.
+    /// Answer the client at once, because the process is shutting down.
     Shutdown,
 }
 
@@ -29,13 +29,13 @@
         self.wake();
     }
 
-    /// Delivers the instruction to answer because of shutdown.
+    /// Instructs the task to answer at once because of shutdown.
     pub fn shut_down(&self) {
         self.shutting_down.set(true);
         self.wake();
     }
 
-    /// The next instruction, in order.
+    /// The next instruction. Pending decisions come before the instruction to shut down.
     pub fn poll_next(&self, cx: &mut Context<'_>) -> Poll<Instruction> {
         if let Some(decision) = self.decisions.borrow_mut().pop_front() {
             return Poll::Ready(Instruction::Decided(decision));
--- a/crates/router/src/request/mod.rs
+++ b/crates/router/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! The life of one request: executing the decisions about it and forwarding its answer.
+//! The handling of one request: executing the dispatcher's decisions about it and forwarding its answer.
 
 pub mod event_splitter;
 pub mod forward;
--- a/crates/router/src/request/open_request.rs
+++ b/crates/router/src/request/open_request.rs
@@ -1,4 +1,4 @@
-//! An open request: its mailbox, and its state for the log in case shutdown aborts it.
+//! An open request: its mailbox, and the state that is logged if shutdown aborts it.
 
 use crate::request::mailbox::Mailbox;
 use hyper::header::HeaderValue;
@@ -75,7 +75,7 @@
         self.arrived
     }
 
-    /// The state of the request for the log, at `now`; shutdown began at `shutdown_since`.
+    /// The state of the request at `now` for the log line of an aborted request; shutdown began at `shutdown_since`.
     pub fn summary(&self, now: Duration, shutdown_since: Duration) -> OpenRequestSummary<'_> {
         OpenRequestSummary { request: self, now, shutdown_since }
     }
--- a/crates/router/src/request/outcome.rs
+++ b/crates/router/src/request/outcome.rs
@@ -2,40 +2,40 @@
 
 use crate::process::counters::Count;
 
-/// The outcome of a request. Each has exactly one.
+/// The outcome of a request. Each request has exactly one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
     /// The complete answer of an endpoint was forwarded, with a status of success.
     Answered,
-    /// The same with another status.
+    /// The complete answer of an endpoint was forwarded, with any other status.
     AnsweredWithError,
     /// Refused by the dispatcher: no endpoint had capacity in time.
     RefusedNoCapacity,
-    /// Refused: no attempt was sent, and none is left.
+    /// Refused: the dispatcher ended the request before any endpoint executed it.
     RefusedNotSent,
     /// Refused because of shutdown.
     RefusedShutdown,
     /// Refused because there is no configuration yet.
     RefusedNoConfiguration,
-    /// Refused because a newer configuration may have its route.
+    /// Refused because its route is unknown here, but a newer configuration may have it.
     RefusedConfigurationBehind,
-    /// No route matches it.
+    /// No route matches the request.
     RejectedNoRoute,
-    /// It is malformed, too long, or incomplete.
+    /// The request is malformed, too long, or incomplete.
     RejectedMalformed,
-    /// It may have run, and its deadline has passed.
+    /// The request may have run, and its deadline has passed.
     FailedDeadline,
-    /// It may have run, and must not run twice.
+    /// The request may have run, and its route does not allow that it runs twice.
     FailedMayHaveRun,
-    /// It may have run, and no attempt is left.
+    /// The request may have run, and the maximum number of attempts is reached.
     FailedAttempts,
-    /// It may have run, and shutdown ended it.
+    /// The request may have run, and shutdown aborted it.
     FailedShutdown,
-    /// Its answer had begun when its deadline passed.
+    /// The answer was being forwarded when the deadline of the request passed.
     TruncatedDeadline,
-    /// Its answer had begun, the endpoint broke it off, and it could not be resumed.
+    /// The answer was being forwarded when the endpoint broke it off, and it could not be resumed.
     TruncatedEndpoint,
-    /// Its answer had begun when shutdown ended it.
+    /// The answer was being forwarded when shutdown aborted it.
     TruncatedShutdown,
     /// The client disconnected.
     ClientDisconnected,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Requests by their outcome.
+/// Numbers of requests by outcome.
 #[derive(Debug, Default)]
 pub struct OutcomeCounts([Count; Outcome::ALL.len()]);
 
--- a/crates/router/src/request/resume.rs
+++ b/crates/router/src/request/resume.rs
@@ -1,6 +1,6 @@
 //! Resumes a broken stream at another endpoint, within the same answer to the client.
 //!
-//! Above `attempt`, which sends, and below `stream`, which forwards the bytes.
+//! In the layering, this is above `attempt`, which sends requests, and below `stream`, which forwards the bytes.
 
 use crate::endpoint::answer::{EndpointAnswer, EndpointBody};
 use crate::endpoint::attempt;
@@ -27,7 +27,7 @@
     pub body: EndpointBody,
 }
 
-/// Follows the decisions of the dispatcher until another attempt has begun.
+/// Executes the decisions of the dispatcher until another attempt has begun to answer.
 ///
 /// # Errors
 ///
--- a/crates/router/src/request/stream.rs
+++ b/crates/router/src/request/stream.rs
@@ -1,6 +1,7 @@
 //! An answer that is forwarded to the client as it arrives.
 //!
-//! Above `resume`, which begins another attempt, and below `body`, which hands the bytes to the HTTP library.
+//! In the layering, this is above `resume`, which begins another attempt, and below `body`, which passes the bytes to the HTTP
+//! library.
 
 use crate::endpoint::answer::EndpointBody;
 use crate::endpoint::outbound::Outbound;
@@ -19,7 +20,7 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, ready};
 
-/// The answer is incomplete, so the connection of the client has to be broken.
+/// The answer is incomplete. The HTTP library then aborts the client's connection, so that the answer does not look complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the answer ended early")]
 pub struct TruncatedAnswer;
@@ -46,7 +47,8 @@
     }
 }
 
-/// Forwards the bytes of an endpoint; resumes the stream at another endpoint if the route allows that.
+/// The body of an answer, forwarded from an endpoint. A stream that breaks is resumed at another endpoint if its route allows
+/// that.
 pub struct AnswerStream {
     handle: Rc<RequestHandle>,
     request: Rc<Outbound>,
@@ -55,7 +57,8 @@
     kind: AnswerKind,
     /// Bytes that arrived before the head was forwarded.
     first: Option<Bytes>,
-    /// Present for streams that may be resumed, and for those whose end alone does not prove that they are complete.
+    /// Present for event streams that may be resumed, and for those that end with their connection: there, an end inside an event
+    /// means that the stream is incomplete.
     splitter: Option<EventSplitter>,
     source: Source,
 }
@@ -66,7 +69,7 @@
     Ended,
 }
 
-/// An answer of which the first bytes have arrived.
+/// What an [`AnswerStream`] starts from: an answer whose first bytes have arrived.
 pub struct StreamStart {
     /// Handle on the request.
     pub handle: Rc<RequestHandle>,
@@ -80,7 +83,7 @@
     pub kind: AnswerKind,
     /// The first bytes of the body.
     pub first: Bytes,
-    /// Splits the stream into events, where needed.
+    /// Splits the stream into events, if it has to be split.
     pub splitter: Option<EventSplitter>,
     /// The rest of the body.
     pub body: EndpointBody,
@@ -128,7 +131,7 @@
                     }
                     Poll::Ready(Some(Err(error))) => {
                         log::debug!(
-                            "answer broke off attempt_id={:?} error={error}",
+                            "answer of endpoint broke off attempt_id={:?} error={error}",
                             self.request.attempt_id
                         );
                         if self.begin_resume().is_err() {
@@ -156,7 +159,7 @@
         }
     }
 
-    /// The answer of the endpoint is complete.
+    /// Records that the answer of the endpoint is complete; returns the bytes that the splitter still holds.
     fn finish(&mut self) -> Bytes {
         self.source = Source::Ended;
         let success = self.kind != AnswerKind::Failure;
@@ -165,7 +168,7 @@
         self.splitter.as_mut().map(EventSplitter::finish).unwrap_or_default()
     }
 
-    /// The answer of the endpoint broke off: waits for another attempt if that is allowed.
+    /// Reports that the answer of the endpoint broke off, and begins to wait for another attempt if the stream can be resumed.
     fn begin_resume(&mut self) -> Result<(), TruncatedAnswer> {
         self.source = Source::Ended;
         self.handle.ended(self.attempt, AttemptEnd::BrokenMidway);
@@ -185,7 +188,7 @@
         self.source = Source::Endpoint(resumed.body);
     }
 
-    /// Ends the answer in such a way that it does not look complete.
+    /// Ends the answer with an error, so that it does not look complete to the client.
     fn truncate(&mut self, outcome: Outcome) -> Poll<Option<Result<Bytes, TruncatedAnswer>>> {
         self.source = Source::Ended;
         self.handle.record_outcome(outcome);
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -28,18 +28,18 @@
     synchronized: Cell<bool>,
     /// Requests that wait for the first configuration.
     configuration_wait: ConfigurationWait,
-    /// Whether a newer configuration may be in force elsewhere.
+    /// Whether a newer configuration may be in force at other nodes.
     behind: Cell<bool>,
     /// When shutdown began; `None` before.
     draining_since: Cell<Option<Instant>>,
     /// When the configuration in force was applied.
     configured_at: Cell<Option<Instant>>,
     agent_linked: Cell<bool>,
-    /// When the timer task calls the dispatcher; never later than the dispatcher asks.
+    /// When the timer task calls the dispatcher; never later than the time that the dispatcher requested.
     timer_at: Cell<Option<Duration>>,
-    /// Wakes the timer task when it has to call earlier.
+    /// Notified when the dispatcher has to be called earlier than the timer task is set to.
     pub timer_changed: Notify,
-    /// Wakes the demand reports: no endpoint can serve a request.
+    /// Notified when no endpoint can serve a request, so that demand is reported without waiting for the next tick.
     pub unplaced_demand: Notify,
     /// Connections to endpoints.
     pub pool: Pool,
@@ -51,7 +51,7 @@
 }
 
 impl RouterState {
-    /// A router without configuration and endpoints; `fault` is a mutation for tests.
+    /// A router without configuration and endpoints; `fault` is a deliberate fault for tests.
     pub fn new(settings: DispatchSettings, seed: u64, fault: Option<RouterFault>) -> Rc<Self> {
         let violations = Violations::default();
         let dispatcher = Dispatcher::new(settings, seed).counting_violations(violations.clone());
@@ -77,12 +77,12 @@
         })
     }
 
-    /// The mutation of the router, for tests.
+    /// The deliberate fault of this router, for tests.
     pub fn fault(&self) -> Option<RouterFault> {
         self.fault
     }
 
-    /// Whether the router has this mutation, for tests.
+    /// Whether this deliberate fault is enabled, for tests.
     pub fn has_fault(&self, fault: RouterFault) -> bool {
         self.fault == Some(fault)
     }
@@ -107,7 +107,7 @@
         self.splits.borrow_mut().next(route)
     }
 
-    /// Applies an event of the feed.
+    /// Applies an event of the configuration feed.
     pub fn apply(&self, event: FeedEvent) {
         if !self.violations.check(Invariant::ConfigurationVersionRises, !self.is_outdated(&event)) {
             return;
@@ -157,10 +157,13 @@
         }
         let arrived = self.instant_of(arrived);
         let end = self.configuration_wait.wait(arrived, client_time, body_bytes).await;
-        log::debug!("configuration wait ended outcome={end:?} waiting={}", self.configuration_wait.waiting());
+        log::debug!(
+            "wait for the first configuration ended outcome={end:?} waiting={}",
+            self.configuration_wait.waiting()
+        );
     }
 
-    /// Whether a newer configuration may be in force elsewhere, so that an unknown route may exist.
+    /// Whether a newer configuration may be in force at other nodes; it may have routes that are unknown here.
     pub fn is_configuration_behind(&self) -> bool {
         self.behind.get()
     }
@@ -197,7 +200,7 @@
         self.agent_linked.get()
     }
 
-    /// The figures of the dispatcher.
+    /// A summary of the dispatcher's state, for the metrics.
     pub fn dispatch_summary(&self) -> DispatchSummary {
         self.dispatcher.borrow().summary(self.now())
     }
@@ -227,7 +230,7 @@
         }
     }
 
-    /// Calls the dispatcher and delivers its decisions.
+    /// Calls the dispatcher, delivers its decisions to the request tasks and sets the timer for its next call.
     pub fn with_dispatcher<T>(&self, act: impl FnOnce(&mut Dispatcher, Duration) -> T) -> T {
         let now = self.now();
         let mut dispatcher = self.dispatcher.borrow_mut();
@@ -244,7 +247,7 @@
         result
     }
 
-    /// Wakes the timer task if it would call too late.
+    /// Sets the timer to `wake` if it is not set to an earlier time.
     fn set_timer(&self, wake: Option<Duration>) {
         let Some(wake) = wake else {
             return;
