--- a/crates/router/src/client/activity.rs
+++ b/crates/router/src/client/activity.rs
@@ -1,4 +1,4 @@
-//! The activity of client connections, by which idle and stalled ones are closed.
+//! Tracks the activity of client connections, so that idle and stalled ones can be closed.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -9,20 +9,20 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// What a connection waits for.
+/// What a client connection waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// For the first byte of a request.
+    /// The first byte of a request.
     Idle,
-    /// For the rest of the head of a request.
+    /// The rest of the head of a request.
     Head,
-    /// For the rest of the body of a request.
+    /// The rest of the body of a request.
     Body,
-    /// For the answer, or for the client to take it.
+    /// The answer, or the client to read it.
     Answering,
 }
 
-/// Whether and how the task of a connection has to close it.
+/// Whether and how the task of a connection has to close it, from the weakest to the strongest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseMode {
     /// Keep the connection open.
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub struct Activity {
     phase: Cell<Phase>,
-    /// When the current phase began, or when its last byte arrived.
+    /// When the current phase began; in [`Phase::Body`], when the last byte arrived.
     since: Cell<Instant>,
     /// When the first byte of the current request arrived.
     request_began: Cell<Instant>,
@@ -46,7 +46,7 @@
     close_mode: Cell<CloseMode>,
     /// Whether an answer without a length ends with the connection (HTTP/1.0).
     is_close_delimited: Cell<bool>,
-    /// Whether the connection has to be reset when it is dropped.
+    /// Whether the connection has to be reset when it is dropped, so that a truncated answer does not look complete.
     is_reset: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
@@ -71,7 +71,7 @@
         self.phase.get()
     }
 
-    /// When the current phase began, or when its last byte arrived.
+    /// When the current phase began; in [`Phase::Body`], when the last byte arrived.
     pub fn since(&self) -> Instant {
         self.since.get()
     }
@@ -104,7 +104,8 @@
         self.is_close_delimited.set(true);
     }
 
-    /// Records that the connection broke during an answer, which must not look complete.
+    /// Records that the connection broke during an answer. An answer without a length would look complete if the connection were
+    /// closed regularly, so that connection is reset.
     pub fn mark_broken(&self) {
         self.is_reset.set(self.is_close_delimited.get());
     }
@@ -125,7 +126,7 @@
         self.since.set(now);
     }
 
-    /// Requests that the connection is closed. A stronger mode is not weakened again.
+    /// Requests that the connection is closed. A weaker mode does not replace a stronger one.
     pub fn request_close(&self, close_mode: CloseMode) {
         if close_mode <= self.close_mode.get() {
             return;
@@ -136,7 +137,7 @@
         }
     }
 
-    /// The requested mode; the task is woken when it changes.
+    /// The requested mode. The task of `cx` is woken when it changes.
     pub fn close_mode(&self, cx: &Context<'_>) -> CloseMode {
         let mut waker = self.waker.borrow_mut();
         if !waker.as_ref().is_some_and(|known| known.will_wake(cx.waker())) {
@@ -146,7 +147,7 @@
     }
 }
 
-/// Marks the connection as idle again when the answer was handed over or abandoned.
+/// Marks a connection as busy with an answer until it is dropped, which is when the answer was sent or abandoned.
 #[derive(Debug)]
 pub struct BusyGuard(Rc<Activity>);
 
--- a/crates/router/src/client/body.rs
+++ b/crates/router/src/client/body.rs
@@ -1,6 +1,6 @@
 //! The body of an answer to a client: complete, or a stream.
 //!
-//! Above `stream`; `local_reply` and `forward` create bodies.
+//! In the layering of `request::forward`, this is above `stream`; `local_reply` and `forward` create bodies.
 
 use crate::client::activity::BusyGuard;
 use crate::request::stream::{AnswerStream, TruncatedAnswer};
@@ -9,7 +9,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// The body of an answer: complete, or forwarded as it arrives.
+/// The body of an answer: either complete or forwarded as it arrives.
 pub struct RouterBody {
     content: Content,
     _guard: Option<BusyGuard>,
@@ -26,12 +26,12 @@
         RouterBody { content: Content::Complete(bytes), _guard: None }
     }
 
-    /// A body that still arrives.
+    /// A body that is forwarded as it arrives.
     pub fn stream(stream: AnswerStream) -> Self {
         RouterBody { content: Content::Stream(Box::new(stream)), _guard: None }
     }
 
-    /// Keeps the connection of the client marked as busy until the body is handed over.
+    /// Keeps the connection of the client marked as busy until the HTTP library has taken the whole body.
     pub fn with_busy_guard(self, guard: BusyGuard) -> Self {
         RouterBody { _guard: Some(guard), ..self }
     }
--- a/crates/router/src/client/frontend.rs
+++ b/crates/router/src/client/frontend.rs
@@ -24,19 +24,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request ends this long before its deadline, so that the client has the answer in time: several round trips within a
-/// region.
+/// The router answers a request at the latest this long before its deadline, so that the answer reaches the client in time.
+/// This is several round trips within a region.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
-/// The margin is at most this part of the time of the request.
+/// The margin is at most the time of the request divided by this.
 const ANSWER_MARGIN_DIVISOR: u32 = 10;
-/// `Retry-After` of a router without a configuration.
+/// `Retry-After` of a refusal because the router has no configuration or may have an old one.
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// Answers one request of a client.
 ///
 /// # Errors
 ///
-/// None; the type is what the HTTP library asks for.
+/// Never; the HTTP library requires a `Result`.
 pub async fn handle(
     state: Rc<RouterState>,
     activity: Rc<Activity>,
@@ -90,7 +90,7 @@
     LocalReply::Refusal { retry_after: UNCONFIGURED_RETRY_AFTER }
 }
 
-/// Reads the complete body; the error is the status of the reply.
+/// Reads the complete body. The error is the status with which the client is answered.
 async fn read_body(mut incoming: Incoming, limits: &Limits) -> Result<Bytes, StatusCode> {
     let bound = limits.max_body_bytes;
     if incoming.size_hint().lower() > bound as u64 {
@@ -117,7 +117,7 @@
     Ok(if buffered.is_empty() { first } else { buffered.freeze() })
 }
 
-/// Finds the route of a completely received request.
+/// Finds the route of a completely received request and prepares it for the dispatcher and for sending.
 fn prepare(
     state: &RouterState,
     head: Parts,
@@ -145,7 +145,7 @@
     Ok((request, outbound))
 }
 
-/// The request as the dispatcher gets it.
+/// The description of the request for the dispatcher.
 fn describe(
     state: &RouterState,
     resolved: ResolvedRoute<'_>,
@@ -193,7 +193,7 @@
     }
 }
 
-/// Path and query alone (origin form).
+/// The target reduced to path and query (origin form).
 fn origin_form(target: Uri) -> Uri {
     match target.into_parts().path_and_query {
         Some(path) => Uri::from(path),
--- a/crates/router/src/client/listener.rs
+++ b/crates/router/src/client/listener.rs
@@ -20,14 +20,14 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// Listen backlog. A client that does not fit retries its SYN only after a second.
+/// Listen backlog. If it is full, the client's SYN is dropped, and the client retries it only after a second.
 const BACKLOG: i32 = 4_096;
-/// Backoff after a failed accept, mostly because no file descriptors are left.
+/// Wait after a failed accept. The usual cause is that no file descriptors are left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// Smallest buffer that the HTTP library accepts, bytes.
 const SMALLEST_BUFFER: usize = 8 * 1024;
 
-/// A listening socket of the runtime.
+/// Opens a listening socket.
 ///
 /// # Errors
 ///
@@ -51,7 +51,7 @@
 }
 
 impl ClientConnections {
-    /// No connections yet, and at most `max_open`.
+    /// An empty set that admits at most `max_open` connections.
     pub fn new(max_open: usize) -> Rc<Self> {
         Rc::new(ClientConnections {
             open: RefCell::default(),
@@ -61,7 +61,7 @@
         })
     }
 
-    /// Closes all connections once their requests are answered.
+    /// Requests that each connection is closed once its requests are answered.
     pub fn close_gracefully(&self) {
         self.for_each(|activity| activity.request_close(CloseMode::Graceful));
     }
@@ -146,7 +146,7 @@
     _registration: Registration,
 ) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("client disconnected error={error}");
+        log::debug!("client socket option not set error={error}");
         return;
     }
     let io = TokioIo::new(ClientStream::new(stream, activity.clone()));
@@ -159,7 +159,7 @@
             return Poll::Ready(());
         }
         let mut polled = connection.as_mut().poll(cx);
-        // A request that has arrived, also in part, is read and answered before the connection is closed.
+        // A request of which at least a part has arrived is read and answered before the connection is closed.
         if close_mode == CloseMode::Graceful
             && !is_closing
             && polled.is_pending()
@@ -171,7 +171,7 @@
         }
         polled.map(|result| {
             if let Err(error) = result {
-                log::debug!("client connection broke error={error}");
+                log::debug!("client connection failed error={error}");
                 activity.mark_broken();
             }
         })
--- a/crates/router/src/client/local_reply.rs
+++ b/crates/router/src/client/local_reply.rs
@@ -1,4 +1,5 @@
-//! Replies of the router itself: refusals and failures. Above `body`, below `forward` and `frontend`.
+//! Replies that the router generates itself: refusals and failures. In the layering of `request::forward`, this is above `body`
+//! and below `forward` and `frontend`.
 
 use crate::client::body::RouterBody;
 use bytes::Bytes;
@@ -9,14 +10,14 @@
 /// A reply that does not come from an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LocalReply {
-    /// 503: the request has not run and never will.
+    /// 503 with `Retry-After`: the request did not run, and the router will not send it any more.
     Refusal {
         /// When the client should retry.
         retry_after: Duration,
     },
-    /// The request cannot be served, or may have run.
+    /// An error status: the request cannot be served, or it may have run.
     Failure(StatusCode),
-    /// The same, and the connection is closed because the rest of the request is not read.
+    /// An error status after which the connection is closed, because the rest of the request is not read.
     FailureAndClose(StatusCode),
 }
 
--- a/crates/router/src/client/mod.rs
+++ b/crates/router/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! Client connections: accepting them, reading requests, and the replies and bodies that go back.
+//! Client connections: accepting them, reading requests, and sending answers.
 
 pub mod activity;
 pub mod body;
--- a/crates/router/src/endpoint/answer.rs
+++ b/crates/router/src/endpoint/answer.rs
@@ -12,7 +12,7 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
-/// The verified head of the answer of an endpoint, and its body, which still arrives.
+/// The verified head of an endpoint's answer, and its body, which may not have arrived yet.
 pub struct EndpointAnswer {
     /// The head.
     pub head: Parts,
@@ -22,22 +22,22 @@
     pub body: EndpointBody,
 }
 
-/// The body of the answer of an endpoint. Its connection returns to the pool after the last byte, and is closed if this is
-/// dropped before.
+/// The body of an endpoint's answer. Its connection returns to the pool after the last byte; dropping the body earlier closes
+/// the connection.
 pub struct EndpointBody {
     pub(crate) state: Rc<RouterState>,
     pub(crate) connection: Option<EndpointConnection>,
     pub(crate) incoming: Incoming,
     /// How long the endpoint keeps the connection when it is idle.
     pub(crate) idle_timeout: Option<Duration>,
-    /// Whether it has neither a length nor chunks and so ends with its connection.
+    /// Whether the body has neither a length nor chunks, so that it ends with its connection.
     pub(crate) ends_with_connection: bool,
     /// Whether the connection may be used for other requests afterwards.
     pub(crate) is_reusable: bool,
 }
 
 impl EndpointBody {
-    /// The next bytes. After an error or the end the connection is no longer held.
+    /// The next bytes. An error or the end of the body releases the connection.
     pub fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<hyper::Result<Bytes>>> {
         let Some(connection) = &mut self.connection else {
             return Poll::Ready(None);
@@ -59,12 +59,12 @@
         poll_fn(|cx| self.poll_data(cx)).await
     }
 
-    /// Length of the body, if the head has it.
+    /// Length of the body, if it is known from the head.
     pub fn exact_length(&self) -> Option<u64> {
         self.incoming.size_hint().exact()
     }
 
-    /// Whether the body ends with its connection, so that an end inside an event does not prove completeness.
+    /// Whether the body ends with its connection. If such a body ends inside an event, it is incomplete.
     pub fn ends_with_connection(&self) -> bool {
         self.ends_with_connection
     }
--- a/crates/router/src/endpoint/attempt.rs
+++ b/crates/router/src/endpoint/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to send a request to an endpoint. The lowest of the forwarding layers.
+//! One attempt to send a request to an endpoint. This is the lowest of the forwarding layers listed in `request::forward`.
 
 use crate::endpoint::answer::{EndpointAnswer, EndpointBody};
 use crate::endpoint::connection::{EndpointConnection, ExchangeError};
@@ -22,12 +22,12 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// Sends the request and waits for the head of the answer. `sent` is set as soon as the endpoint may have received some of
-/// the request.
+/// Sends the request and waits for the head of the answer. `sent` is true once the endpoint may have received some
+/// of the request.
 ///
 /// # Errors
 ///
-/// The end of the attempt, if there is no answer that can be forwarded.
+/// How the attempt ended, if there is no answer that can be forwarded.
 pub async fn send(
     state: &Rc<RouterState>,
     request: &Outbound,
@@ -92,7 +92,7 @@
     }
 }
 
-/// Verifies the head of an answer.
+/// Verifies the head of an answer. The rest of an answer that cannot be forwarded is discarded.
 async fn receive(
     state: &Rc<RouterState>,
     request: &Outbound,
@@ -126,8 +126,8 @@
     }
 }
 
-/// Reads the rest of an answer to a request that did not run, so that the connection can be reused. Reads only what has
-/// already arrived.
+/// Reads what has already arrived of an answer to a request that did not run. If that is the complete answer, the connection
+/// can be reused.
 async fn discard(mut body: EndpointBody, end: AttemptEnd) {
     if !matches!(end, AttemptEnd::NotExecuted { .. }) {
         return;
@@ -139,7 +139,7 @@
     .await;
 }
 
-/// A connection for the request, and whether it was used before.
+/// A connection for the request, and whether it was used for an earlier request.
 async fn connect(
     state: &Rc<RouterState>,
     request: &Outbound,
@@ -163,8 +163,8 @@
     }
 }
 
-/// An idle connection for the request: not one on which it was sent before, and none at all if it has no id by which its
-/// answer can be recognised.
+/// An idle connection for the request, but not one on which it was sent before. A request without an id always gets a new
+/// connection, because its answer could not be told from a late answer to another request.
 fn idle_connection(
     state: &RouterState,
     request: &Outbound,
--- a/crates/router/src/endpoint/chunk_scanner.rs
+++ b/crates/router/src/endpoint/chunk_scanner.rs
@@ -2,10 +2,10 @@
 
 /// The bytes are not a valid chunked body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the body is not in chunks")]
+#[error("invalid chunked encoding")]
 pub struct NotChunked;
 
-/// A scanner of one chunked body.
+/// The state of the scan of one chunked body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChunkScanner {
     position: Position,
@@ -15,9 +15,9 @@
 enum Position {
     /// In the length of a chunk; the value read so far.
     Length(u64),
-    /// After the length, on the same line.
+    /// In the rest of the line with the length, which may hold chunk extensions; the length.
     Extension(u64),
-    /// In the data of a chunk; bytes that remain, including the line end.
+    /// In the data of a chunk; number of bytes that remain, including the line end.
     Data(u64),
     /// In the trailer lines after the last chunk.
     Trailer {
@@ -26,7 +26,7 @@
     End,
 }
 
-/// Bytes of the line end after the data of a chunk.
+/// Length of the line end (CR LF) after the data of a chunk, bytes.
 const LINE_END: u64 = 2;
 
 impl Default for ChunkScanner {
--- a/crates/router/src/endpoint/connection.rs
+++ b/crates/router/src/endpoint/connection.rs
@@ -1,5 +1,5 @@
-//! One connection to an endpoint. Its user drives it; it has no task of its own. So dropping it closes it at once, and an
-//! idle connection costs nothing.
+//! One connection to an endpoint. It has no task of its own; the task that uses it polls it. So dropping the connection closes
+//! it at once, and an idle connection needs no task.
 
 use crate::endpoint::lease::Lease;
 use crate::endpoint::shared_stream::{EndpointStream, SharedStream};
@@ -21,11 +21,11 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-/// Time-out of a connection attempt: many round trips between regions, but less than the second after which a lost SYN is
-/// sent again.
+/// Time-out of a connection attempt. It allows for many round trips between regions, but is shorter than the second after
+/// which the kernel retransmits a lost SYN.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// TCP user time-out: a peer that acknowledges nothing for this long counts as gone. Clients abandon a stream after 2 s
-/// without data.
+/// TCP user time-out: the connection is closed if the peer leaves sent data unacknowledged for this long. Clients abandon a
+/// stream after 2 s without data.
 const USER_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// TCP keepalive time and interval; one second is the shortest that can be set.
 const KEEPALIVE: Duration = Duration::from_secs(1);
@@ -51,12 +51,12 @@
     connection_state: ConnectionState,
     shared: Rc<SharedStream>,
     lease: Lease,
-    /// When the connection expires for reuse.
+    /// Until when the connection may be reused.
     reusable_until: Instant,
 }
 
 impl EndpointConnection {
-    /// Opens a connection; `lease` counts it among those of the endpoint.
+    /// Opens a connection; `lease` counts it against the connection limit of the endpoint.
     ///
     /// # Errors
     ///
@@ -88,7 +88,7 @@
         self.reusable_until = Instant::now() + idle;
     }
 
-    /// Whether the connection has not expired at `now`.
+    /// Whether the connection may still be reused at `now`.
     pub fn is_unexpired(&self, now: Instant) -> bool {
         now < self.reusable_until
     }
@@ -140,14 +140,14 @@
         }
     }
 
-    /// Whether another request may be sent: the last request was sent and answered completely, and since then no bytes arrived
-    /// and the endpoint did not close.
+    /// Whether another request may be sent: the last request was sent and answered completely, and since then neither have bytes
+    /// arrived nor has the endpoint closed the connection.
     pub fn is_reusable(&mut self) -> bool {
         drive(&mut self.driver, &mut self.connection_state, &mut Context::from_waker(Waker::noop()));
         self.connection_state == ConnectionState::Open && self.sender.is_ready() && !self.shared.is_blocked()
     }
 
-    /// Discards no late responses any more, for tests.
+    /// Forwards late responses from now on instead of discarding them, for tests.
     #[doc(hidden)]
     pub fn forward_late_responses(&self) {
         self.shared.late_responses().forward_all();
@@ -158,12 +158,12 @@
         self.shared.late_responses().discarded()
     }
 
-    /// Whether bytes arrived that belong to no request, or the connection broke.
+    /// Whether the HTTP library reported an error: bytes arrived that belong to no request, or the connection broke.
     pub fn has_failed(&self) -> bool {
         self.connection_state == ConnectionState::Failed
     }
 
-    /// Asks the kernel what the peer has done. The runtime may not have been notified yet.
+    /// Asks the kernel what the peer has done, because the runtime may not have processed the event yet.
     pub fn peer_state(&self) -> PeerState {
         match self.shared.peek() {
             Ok(0) => PeerState::Closed,
@@ -193,7 +193,8 @@
     Failed,
 }
 
-/// Polls the connection. Its errors reach the caller that waits for an answer.
+/// Polls the connection. The HTTP library also reports its errors to the caller that waits for an answer, so only the state is
+/// kept here.
 fn drive(
     driver: &mut Pin<Box<Connection<TokioIo<EndpointStream>, Full<Bytes>>>>,
     connection_state: &mut ConnectionState,
--- a/crates/router/src/endpoint/late_responses.rs
+++ b/crates/router/src/endpoint/late_responses.rs
@@ -1,8 +1,8 @@
 //! A filter that discards late responses to earlier requests of a connection.
 //!
 //! An endpoint may answer a request a second time while the next request is in flight on the same connection. `Attempt-Id`
-//! shows which request a response belongs to. A response to an earlier request of the connection is discarded here, below
-//! the HTTP library. Everything else is forwarded to the library and verified above it.
+//! shows which request a response belongs to. A response to an earlier request of the connection is discarded here, before
+//! the HTTP library parses it. Everything else is passed on to the library, and [`crate::endpoint::verify`] checks the result.
 
 use crate::endpoint::chunk_scanner::ChunkScanner;
 use crate::headers::ATTEMPT_ID;
@@ -12,11 +12,11 @@
 use std::mem;
 use tokio::io::ReadBuf;
 
-/// Earlier requests of a connection whose late responses are recognised.
+/// Number of earlier requests of a connection whose late responses are recognised.
 const MAX_REMEMBERED: usize = 8;
-/// Largest head that is parsed here, bytes; larger ones are left to the library.
+/// Largest head that is parsed here, bytes; larger ones are passed on to the library.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// Maximum number of header fields of a response that are parsed here.
+/// Maximum number of header fields that are parsed here; responses with more are passed on to the library.
 const MAX_FIELDS: usize = 64;
 
 /// A request that was sent on a connection.
@@ -33,7 +33,7 @@
     current: Option<SentRequest>,
     earlier: VecDeque<SentRequest>,
     state: State,
-    /// Bytes that are ready for the library.
+    /// Bytes that the library may read.
     ready: VecDeque<u8>,
     discarded: u64,
     forwards_all: bool,
@@ -44,13 +44,13 @@
     /// All input is forwarded to the library.
     #[default]
     Forwarding,
-    /// Inside the head of a response; the bytes so far.
+    /// Inside the head of a response; the bytes of the head that have arrived.
     Head(Vec<u8>),
     /// Inside the body of a response that is discarded.
     Discarding(Remainder),
 }
 
-/// The rest of a body.
+/// The part of a body that has not arrived.
 #[derive(Debug, Clone, Copy)]
 enum Remainder {
     Bytes(u64),
@@ -64,7 +64,7 @@
 }
 
 impl LateResponseFilter {
-    /// Records that a request is sent: the next response should be its own.
+    /// Records that a request is sent, to which the next response is expected to belong.
     pub fn expect(&mut self, attempt_id: Option<&HeaderValue>, method: &Method) {
         if let Some(before) = self.current.take() {
             self.earlier.push_back(before);
@@ -106,14 +106,14 @@
         }
     }
 
-    /// The connection has ended: the rest is forwarded to the library.
+    /// Handles the end of the connection: an incomplete head is passed on to the library.
     pub fn end(&mut self) {
         if let State::Head(head) = mem::take(&mut self.state) {
             self.ready.extend(head);
         }
     }
 
-    /// Copies ready bytes for the library; returns whether there were any.
+    /// Copies bytes for the library into `buffer`; returns whether there were any.
     pub fn read_ready(&mut self, buffer: &mut ReadBuf<'_>) -> bool {
         let (front, _) = self.ready.as_slices();
         let length = front.len().min(buffer.remaining());
@@ -127,7 +127,7 @@
         &[]
     }
 
-    /// Reads on in a head; returns the rest of `bytes`.
+    /// Continues to read a head; returns the bytes that are not consumed.
     fn read_head<'a>(&mut self, mut head: Vec<u8>, bytes: &'a [u8]) -> &'a [u8] {
         let known = head.len();
         head.extend_from_slice(bytes);
@@ -195,7 +195,8 @@
     }
 }
 
-/// The body of a response; `None` if only the end of the connection delimits it.
+/// How much of the response follows its head; `None` if only the end of the connection delimits the body or its framing is
+/// invalid.
 fn remainder(answer: &httparse::Response<'_, '_>, is_head: bool) -> Option<Remainder> {
     if is_head || matches!(answer.code, Some(100..=199 | 204 | 304)) {
         return Some(Remainder::Bytes(0));
--- a/crates/router/src/endpoint/lease.rs
+++ b/crates/router/src/endpoint/lease.rs
@@ -1,4 +1,4 @@
-//! Leases that count the open connections to an endpoint.
+//! Leases by which the pool counts the open connections to each endpoint.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
     }
 }
 
-/// One of the limited number of connections to an endpoint, released on drop.
+/// One of the limited number of connections to an endpoint. Dropping the lease frees its place.
 #[derive(Debug)]
 pub struct Lease {
     instance: Arc<str>,
--- a/crates/router/src/endpoint/outbound.rs
+++ b/crates/router/src/endpoint/outbound.rs
@@ -1,4 +1,4 @@
-//! A request on its way to endpoints.
+//! A client's request in the form in which it is sent to endpoints, and the destination of an attempt.
 
 use crate::endpoint::lease::ConnectionNumber;
 use bytes::Bytes;
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request of a client, ready to be sent.
+/// A completely received request of a client, ready to be sent to endpoints.
 #[derive(Debug)]
 pub struct Outbound {
     /// Method as the client sent it.
@@ -23,16 +23,16 @@
     pub body: Bytes,
     /// `Attempt-Id` of the client.
     pub attempt_id: Option<HeaderValue>,
-    /// When the time of the client or of the route ends.
+    /// When the request has to be answered: the earlier end of the client's time and the route's, less a margin for the answer.
     pub deadline: Duration,
-    /// Whether its service has engines.
+    /// Whether the endpoints of its service are inference engines.
     pub engine: bool,
-    /// Whether it may be executed more than once.
+    /// Whether the request may be executed more than once.
     pub retryable: bool,
     /// Whether a broken stream may be resumed at another endpoint.
     pub resumable: bool,
-    /// Connections on which it was sent. It is never sent again on one of these: a second answer to the earlier attempt could
-    /// not be distinguished from the answer to the later one.
+    /// Connections on which the request was sent. It is never sent again on any of these, because a second answer to the earlier
+    /// attempt could not be distinguished from the answer to the later one.
     pub used_connections: RefCell<Vec<ConnectionNumber>>,
 }
 
--- a/crates/router/src/endpoint/pool.rs
+++ b/crates/router/src/endpoint/pool.rs
@@ -1,4 +1,4 @@
-//! The connection pool: idle connections are reused, and their number for each endpoint is limited.
+//! The connection pool. It reuses idle connections and limits the number of open connections to each endpoint.
 
 use crate::endpoint::connection::{EndpointConnection, PeerState};
 use crate::endpoint::lease::{ConnectionNumber, Lease};
@@ -14,16 +14,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Idle time-out of a connection if the endpoint sends no `Keep-Alive`: that has whole seconds, so the endpoint closes in
-/// less than a second.
+/// Idle time-out of a connection if the endpoint sends no `Keep-Alive`. That header has whole seconds, so an endpoint without
+/// it may close idle connections after less than a second.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Part of the idle time-out of the endpoint for which a connection is reused; the rest is for the travel of the request.
+/// Fraction of the endpoint's idle time-out for which a connection is reused; the rest allows for the time that the request
+/// takes to arrive.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
-/// Duration of the quarantine of an endpoint that sent bytes that belong to no request.
+/// Duration of the quarantine of an endpoint that sent an invalid response or bytes that belong to no request. Meanwhile only
+/// connections that have been idle for [`QUARANTINE_IDLE_TIME`] are reused.
 const QUARANTINE: Duration = Duration::from_secs(10);
-/// Idle time after which a connection to a quarantined endpoint may be reused.
+/// Idle time after which a connection to a quarantined endpoint may be reused: late bytes would have arrived by then.
 const QUARANTINE_IDLE_TIME: Duration = Duration::from_millis(300);
-/// Part of the connections of an endpoint that routers use; the rest is for health checks and orders.
+/// Fraction of an endpoint's connections that routers use; the rest is for health checks and orders to the endpoint.
 const ROUTER_FRACTION: f64 = 0.9;
 /// Connection limit for an endpoint whose service configures none.
 const DEFAULT_MAX_CONNECTIONS: u32 = 256;
@@ -31,9 +33,9 @@
 /// Whether a request may be sent to an endpoint now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Availability {
-    /// It takes requests.
+    /// It accepts requests.
     Available,
-    /// Draining, removed or unknown.
+    /// It is draining, removed or unknown.
     Unavailable,
 }
 
@@ -50,9 +52,9 @@
 /// Numbers of connections to endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// All of them.
+    /// All open connections.
     pub open: u64,
-    /// Those without a request in flight.
+    /// Connections without a request in flight.
     pub idle: u64,
 }
 
@@ -117,13 +119,13 @@
         None
     }
 
-    /// The most recently used connection without validation: a mutation for tests.
+    /// The most recently used connection without validation: a deliberate fault for tests.
     fn take_unchecked(&mut self, excluded: &[ConnectionNumber]) -> Option<EndpointConnection> {
         let index = self.idle.iter().rposition(|idle| idle.is_not_among(excluded))?;
         Some(self.idle.remove(index).connection)
     }
 
-    /// The connection, if a request may be sent on it.
+    /// The connection, if a request may be sent on it; otherwise it is closed.
     fn validated(&mut self, mut candidate: IdleConnection, now: Instant) -> Option<EndpointConnection> {
         let connection = &mut candidate.connection;
         if !connection.is_unexpired(now) {
@@ -139,12 +141,12 @@
 }
 
 impl Pool {
-    /// An empty pool; `fault` is a mutation for tests.
+    /// An empty pool; `fault` is a deliberate fault for tests.
     pub fn new(fault: Option<RouterFault>) -> Self {
         Pool { fault, ..Pool::default() }
     }
 
-    /// Applies an event of the feed.
+    /// Applies an event of the configuration feed.
     pub fn apply(&self, event: &FeedEvent) {
         match event {
             FeedEvent::Configuration(configuration) => {
@@ -227,7 +229,7 @@
         ConnectionNumber::new(number)
     }
 
-    /// Limit of the connections of this router to one endpoint of the service.
+    /// Maximum number of connections of this router to one endpoint of the service.
     fn connection_limit(&self, backend: &str) -> u32 {
         let configuration = self.configuration.borrow();
         let services = configuration.iter().flat_map(|configuration| &configuration.backends);
@@ -239,7 +241,7 @@
         }
     }
 
-    /// Returns a connection to the pool after a complete answer.
+    /// Returns a connection to the pool after a complete answer, or closes it if it cannot be reused.
     pub fn release(&self, mut connection: EndpointConnection, idle_timeout: Option<Duration>) {
         let reusable = connection.is_reusable() || self.fault == Some(RouterFault::SkipConnectionCheck);
         let now = Instant::now();
@@ -277,7 +279,7 @@
     }
 }
 
-/// The quota of one router of the connections that an endpoint accepts; at least 1.
+/// The share of one router in the connections that an endpoint accepts; at least 1.
 pub fn connection_quota(limit: u32, routers: u32) -> u32 {
     let shared = f64::from(limit) * ROUTER_FRACTION / f64::from(routers.max(1));
     (shared as u32).max(1)
--- a/crates/router/src/endpoint/shared_stream.rs
+++ b/crates/router/src/endpoint/shared_stream.rs
@@ -1,4 +1,4 @@
-//! The TCP stream below the HTTP library, with the filter of late responses between them.
+//! The TCP stream that the HTTP library reads and writes, with the filter of late responses in between.
 
 use crate::endpoint::late_responses::LateResponseFilter;
 use socket2::SockRef;
@@ -11,22 +11,22 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes that are read at a time while waiting for the head of an answer.
+/// Number of bytes that are read at a time while the filter examines the input.
 const HEAD_READ_BYTES: usize = 4 * 1024;
 
-/// The stream that a connection shares with the HTTP library.
+/// The stream that an [`EndpointConnection`](crate::endpoint::connection::EndpointConnection) shares with the HTTP library.
 #[derive(Debug)]
 pub(crate) struct SharedStream {
     stream: RefCell<TcpStream>,
     /// Bytes written to the kernel.
     written: Cell<u64>,
-    /// Whether the last write is pending because the endpoint does not read.
+    /// Whether the last write is pending because the send buffer is full: the endpoint does not read.
     is_blocked: Cell<bool>,
     late_responses: RefCell<LateResponseFilter>,
 }
 
 impl SharedStream {
-    /// Takes over a connected stream.
+    /// Wraps a connected stream.
     pub(crate) fn new(stream: TcpStream) -> Self {
         SharedStream {
             stream: RefCell::new(stream),
@@ -41,7 +41,7 @@
         self.written.get()
     }
 
-    /// Whether the last write is pending because the endpoint does not read.
+    /// Whether the last write is pending because the send buffer is full: the endpoint does not read.
     pub(crate) fn is_blocked(&self) -> bool {
         self.is_blocked.get()
     }
@@ -51,7 +51,7 @@
         self.late_responses.borrow_mut()
     }
 
-    /// Looks for a byte in the receive buffer of the kernel without reading it; returns 0 at the end of the stream.
+    /// Peeks at one byte in the receive buffer of the kernel; returns 0 at the end of the stream.
     pub(crate) fn peek(&self) -> io::Result<usize> {
         let stream = self.stream.borrow();
         let mut byte = [MaybeUninit::uninit()];
--- a/crates/router/src/endpoint/verify.rs
+++ b/crates/router/src/endpoint/verify.rs
@@ -14,9 +14,9 @@
     pub attempt_id: Option<&'a HeaderValue>,
     /// Id of the endpoint.
     pub instance: &'a str,
-    /// Whether the endpoint is an engine, which also answers 421 for a model that is not resident.
+    /// Whether the endpoint is an inference engine, which also answers 421 for a model that it has not loaded.
     pub engine: bool,
-    /// A mutation for tests.
+    /// A deliberate fault for tests.
     pub fault: Option<RouterFault>,
 }
 
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 ///
-/// The end of the attempt, if the answer cannot be forwarded.
+/// How the attempt ended, if the answer cannot be forwarded.
 pub fn check(expected: Expected<'_>, answer: &Response<Incoming>) -> Result<(), AttemptEnd> {
     let headers = answer.headers();
     let matches_request = headers.get(&ATTEMPT_ID) == expected.attempt_id;
@@ -63,7 +63,7 @@
     }
 }
 
-/// Whether the body has neither a length nor chunks: it is complete if its connection is closed, and incomplete if the
+/// Whether the body has neither a length nor chunks. Such a body is complete if its connection is closed, and incomplete if the
 /// connection is reset.
 pub fn ends_with_connection(answer: &Response<Incoming>) -> bool {
     let mut encodings = answer.headers().get_all(TRANSFER_ENCODING).iter();
@@ -71,8 +71,8 @@
     answer.body().size_hint().exact().is_none() && !last.to_ascii_lowercase().trim_end().ends_with("chunked")
 }
 
-/// Whether clients infer from the status that the request never runs. An endpoint that did not send `Not-Executed` may
-/// have run the request, so the status cannot be forwarded.
+/// Whether a client would infer from the status that the request did not run and will not. An endpoint that did not send
+/// `Not-Executed` may have run the request, so such a status cannot be forwarded.
 fn implies_not_executed(status: StatusCode) -> bool {
     matches!(
         status,
--- a/crates/router/src/process/aborted_requests.rs
+++ b/crates/router/src/process/aborted_requests.rs
@@ -3,7 +3,7 @@
 use crate::process::counters::Count;
 use std::time::Duration;
 
-/// Upper bounds of the age classes, with their names.
+/// Upper bounds (exclusive) of the age classes, with their names in the metric.
 const CLASSES: [(Duration, &str); 4] = [
     (Duration::from_secs(1), "under_1s"),
     (Duration::from_secs(3), "1s_to_3s"),
--- a/crates/router/src/process/counters.rs
+++ b/crates/router/src/process/counters.rs
@@ -15,17 +15,17 @@
     pub outcomes: OutcomeCounts,
     /// Requests that shutdown aborted.
     pub aborted_at_shutdown: AbortedRequests,
-    /// Attempts.
+    /// Attempts to send a request to an endpoint.
     pub attempts: Count,
     /// Attempts without an answer that could be forwarded.
     pub failed_attempts: Count,
-    /// Resumed streams.
+    /// Streams that were resumed at another endpoint.
     pub resumed: Count,
-    /// Connections to endpoints that were opened.
+    /// Attempts to open a connection to an endpoint.
     pub connections_opened: Count,
-    /// Answers of endpoints to requests that had been answered already; they are discarded.
+    /// Late answers of endpoints to earlier requests of a connection; they are discarded.
     pub late_responses: Count,
-    /// Bytes of the bodies of answers.
+    /// Bytes of the bodies of endpoints' answers.
     pub forwarded_bytes: Count,
 }
 
@@ -55,8 +55,8 @@
     pub fn log(&self) {
         log::info!(
             "counters accepted={} requests={} successes={} refusals={} failures={} unrouted={} attempts={} \
-             failed_attempts={} resumed={} truncated={} disconnected={} connections_opened={} stale_answers={} \
-             bytes_passed={}",
+             failed_attempts={} resumed={} truncated={} disconnected={} connections_opened={} late_responses={} \
+             forwarded_bytes={}",
             self.accepted.get(),
             self.requests.get(),
             self.outcomes.get(Outcome::Answered),
--- a/crates/router/src/process/maintenance.rs
+++ b/crates/router/src/process/maintenance.rs
@@ -14,11 +14,12 @@
 
 /// Interval of the periodic work.
 const TICK: Duration = Duration::from_secs(1);
-/// Shortest interval between reports of demand that no endpoint can serve; requests wait for the result.
+/// Shortest interval between reports of demand that no endpoint can serve. It is short because requests wait until a model is
+/// placed.
 const URGENT_REPORT_INTERVAL: Duration = Duration::from_millis(20);
-/// Time after the deadline of a request at which the connection of a client that does not read its answer is closed.
+/// If a client has not read its answer this long after the deadline of the request, its connection is closed.
 const STALLED_ANSWER_GRACE: Duration = Duration::from_secs(2);
-/// Number of idle time-outs after which a connection that did not close gracefully is aborted.
+/// An idle connection that did not close gracefully is aborted after this many idle time-outs.
 const STALLED_IDLE_FACTOR: f64 = 2.0;
 /// Ticks between two log lines with the counters.
 const TICKS_PER_LOG: u32 = 60;
@@ -63,8 +64,8 @@
 
 /// Closes a connection that has been idle, or stalled within a request, for longer than allowed.
 ///
-/// `now` is the time at which the tick was due. After a stall of the process that is long ago, so that input that arrived
-/// during the stall is answered before any connection is checked against the current time.
+/// `now` is the time at which the tick was due, which after a stall of the process is long past. So input that arrived during
+/// the stall is processed and answered before any connection is checked against the current time.
 fn close_if_stalled(activity: &Activity, limits: &Limits, now: Instant) {
     let spent = now.saturating_duration_since(activity.since());
     let over = |milliseconds: f64| spent.as_secs_f64() * 1_000.0 > milliseconds;
@@ -82,7 +83,7 @@
     }
 }
 
-/// Calls the dispatcher at the times that it asks for; never returns.
+/// Calls the dispatcher at the times that it requests; never returns.
 pub async fn run_dispatcher_timer(state: Rc<RouterState>) {
     loop {
         let Some(wake) = state.timer_at() else {
--- a/crates/router/src/process/metrics.rs
+++ b/crates/router/src/process/metrics.rs
@@ -74,7 +74,7 @@
 const AGENT_LINK_UP: Metric =
     Metric::gauge("lanegate_router_agent_link_up", "1 while the link to the agent of this machine is up");
 
-/// The current values.
+/// Collects the current values of all metrics.
 pub fn collect(state: &RouterState, clients: &ClientConnections) -> Exposition {
     let mut exposition = Exposition::default();
     add_requests(&mut exposition, state);
--- a/crates/router/src/process/readiness.rs
+++ b/crates/router/src/process/readiness.rs
@@ -1,4 +1,4 @@
-//! The readiness endpoint for the platform.
+//! The HTTP endpoint at which the platform checks whether the router is ready.
 
 use crate::state::RouterState;
 use bytes::Bytes;
@@ -16,9 +16,9 @@
 
 /// Path of the readiness check.
 const READY_PATH: &str = "/readyz";
-/// Longest lifetime of a connection.
+/// Longest lifetime of a connection to the readiness endpoint.
 const MAX_CONNECTION_TIME: Duration = Duration::from_secs(60);
-/// Backoff after a failed accept.
+/// Wait after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Serves readiness checks; never returns.
@@ -44,7 +44,7 @@
     let mut builder = Builder::new();
     let connection = builder.auto_date_header(false).serve_connection(TokioIo::new(stream), service);
     if let Ok(Err(error)) = timeout(MAX_CONNECTION_TIME, connection).await {
-        log::debug!("readiness connection broke error={error}");
+        log::debug!("readiness connection failed error={error}");
     }
 }
 
--- a/crates/router/src/process/run.rs
+++ b/crates/router/src/process/run.rs
@@ -24,9 +24,9 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::task::{LocalSet, spawn_local};
 
-/// Part of the file descriptors for clients; the rest is for endpoints and files.
+/// Fraction of the file descriptors for client connections; the rest is for connections to endpoints and for files.
 const CLIENT_DESCRIPTOR_FRACTION: f64 = 0.6;
-/// Maximum number of clients if the settings do not limit file descriptors.
+/// Maximum number of client connections if the settings do not limit file descriptors.
 const DEFAULT_MAX_CLIENTS: usize = 2_000;
 
 /// Why a router could not run.
@@ -95,7 +95,7 @@
     run_with_fault(None, sockets, settings, feed, demand, stop).await;
 }
 
-/// The same with a mutation for tests.
+/// Like [`run_on`], with a deliberate fault for tests.
 #[doc(hidden)]
 pub async fn run_with_fault(
     fault: Option<RouterFault>,
@@ -134,10 +134,10 @@
     }
 }
 
-/// Applies the events of the feed. After its end the last state stays in force.
+/// Applies the events of the configuration feed. After the feed has closed, the last state stays in force.
 async fn apply_feed(mut feed: UnboundedReceiver<FeedEvent>, state: Rc<RouterState>) {
     while let Some(event) = feed.recv().await {
         state.apply(event);
     }
-    log::warn!("feed closed");
+    log::warn!("configuration feed closed; the last state stays in force");
 }
--- a/crates/router/src/process/shutdown.rs
+++ b/crates/router/src/process/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: new clients are turned to other routers and open requests are finished.
+//! Graceful shutdown: the platform directs new clients to other routers, and open requests are completed.
 
 use crate::client::listener::ClientConnections;
 use crate::state::RouterState;
@@ -10,11 +10,11 @@
 /// Time for which new clients are still accepted: the platform checks readiness each second and stops sending clients after
 /// two failed checks.
 const ACCEPT_GRACE: Duration = Duration::from_millis(2_500);
-/// New clients are accepted for at most this part of the grace time.
+/// New clients are accepted for at most the grace time divided by this.
 const ACCEPT_GRACE_DIVISOR: u32 = 2;
 /// Time for the runtime to process input that has already arrived.
 const INPUT_GRACE: Duration = Duration::from_millis(20);
-/// Requests are aborted this long before the end of the grace time, so that connections are closed in order.
+/// Requests are aborted this long before the end of the grace time, so that there is time to reply and to close the connections.
 const ABORT_MARGIN: Duration = Duration::from_millis(200);
 /// Time for the last replies to be sent.
 const FINAL_FLUSH: Duration = Duration::from_millis(100);
@@ -33,13 +33,13 @@
     state.begin_drain(state.time_of(abort_at));
     log::info!("shutdown started open_requests={}", state.requests.len());
     sleep(ACCEPT_GRACE.min(grace / ACCEPT_GRACE_DIVISOR)).await;
-    // Accept waiting connections, then read their input, before connections without a request are closed.
+    // First accept the connections that are waiting, then read their input. Only then close connections without a request.
     sleep(INPUT_GRACE).await;
     accepting.abort();
     sleep(INPUT_GRACE).await;
     clients.close_gracefully();
     if timeout_at(abort_at, clients.all_closed()).await.is_err() {
-        log::warn!("shutdown aborts requests open_requests={}", state.requests.len());
+        log::warn!("grace time over; aborting requests open_requests={}", state.requests.len());
         state.log_open_requests(began, MAX_LOGGED_REQUESTS);
         state.abort_requests();
         let _ = timeout_at(Instant::now() + FINAL_FLUSH, clients.all_closed()).await;
--- a/crates/router/src/process/signals.rs
+++ b/crates/router/src/process/signals.rs
@@ -1,4 +1,4 @@
-//! Signals of the platform.
+//! The signals that the platform sends to the process.
 
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
--- a/crates/router/src/request/stream.rs
+++ b/crates/router/src/request/stream.rs
@@ -57,8 +57,8 @@
     kind: AnswerKind,
     /// Bytes that arrived before the head was forwarded.
     first: Option<Bytes>,
-    /// Present for event streams that may be resumed, and for those that end with their connection: there, an end inside an event
-    /// means that the stream is incomplete.
+    /// Present for event streams that may be resumed, and for those that end with their connection: if such a stream ends
+    /// inside an event, it is incomplete.
     splitter: Option<EventSplitter>,
     source: Source,
 }
--- a/crates/router/src/routing/configuration_wait.rs
+++ b/crates/router/src/routing/configuration_wait.rs
@@ -1,18 +1,19 @@
 //! Requests that arrive before the first configuration.
 //!
-//! A router receives its configuration some hundred milliseconds after its start. A refusal would send the client away for
-//! longer than that, often to another router that has just started too. So a request waits for the configuration, for a
-//! part of the time that its client allows. The number of waiting requests is bounded.
+//! A router receives its configuration a few hundred milliseconds after its start. A client that is refused retries later than
+//! that, often at another router that has just started too. So a request waits for the configuration, for a fraction of the
+//! time that its client allows. The number and total size of waiting requests are bounded.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 
-/// A request waits at most for this part of the time of its client; the rest is for another router and the answer.
+/// A request waits at most for the time that its client allows divided by this; the rest is left for a retry at another router
+/// and for the answer.
 const WAIT_DIVISOR: u32 = 4;
 
-/// Longest wait, whatever time the client has. A start that takes longer has another problem.
+/// Longest wait, whatever time the client allows. A start that takes longer has a problem that waiting does not solve.
 const MAX_WAIT: Duration = Duration::from_millis(1_500);
 
 /// Wait of a request without `Deadline-Ms`.
@@ -21,7 +22,7 @@
 /// Maximum number of waiting requests.
 const MAX_WAITING: usize = 256;
 
-/// Maximum size of their bodies together, bytes.
+/// Maximum total size of the bodies of waiting requests, bytes.
 const MAX_WAITING_BYTES: usize = 8 * 1024 * 1024;
 
 /// Why a wait ended.
@@ -29,9 +30,9 @@
 pub enum WaitOutcome {
     /// A configuration arrived, or shutdown began.
     Notified,
-    /// The time of the wait is over.
+    /// The maximum wait has passed.
     TimedOut,
-    /// Too many requests wait already.
+    /// The maximum number or total size of waiting requests is reached.
     Full,
 }
 
@@ -44,7 +45,7 @@
 }
 
 impl ConfigurationWait {
-    /// Waits until [`ConfigurationWait::wake`], for a part of `client_time`, counted from `arrived`.
+    /// Waits until [`ConfigurationWait::wake`], at most for a fraction of `client_time` from `arrived`.
     pub async fn wait(
         &self,
         arrived: Instant,
@@ -74,12 +75,12 @@
     }
 }
 
-/// The longest wait of a request, by the time that its client allows.
+/// The longest wait of a request whose client allows `client_time`.
 fn max_wait(client_time: Option<Duration>) -> Duration {
     client_time.map_or(DEFAULT_WAIT, |time| time / WAIT_DIVISOR).min(MAX_WAIT)
 }
 
-/// One of the bounded number of waits; released when the request continues or its client disconnects.
+/// The place of one waiting request, freed on drop: when the request continues or its client disconnects.
 struct WaitSlot<'a> {
     wait: &'a ConfigurationWait,
     body_bytes: usize,
--- a/crates/router/src/routing/mod.rs
+++ b/crates/router/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Where a request goes by the configuration in force, and the wait for the first one.
+//! Routing of requests by the configuration in force, and the wait for the first configuration.
 
 pub mod configuration_wait;
 pub mod table;
--- a/crates/router/src/routing/table.rs
+++ b/crates/router/src/routing/table.rs
@@ -19,12 +19,12 @@
     pub route: &'a Route,
     /// Name of the service.
     pub backend: &'a str,
-    /// Whether the endpoints of the service are engines.
+    /// Whether the endpoints of the service are inference engines.
     pub engine: bool,
 }
 
 impl Routing {
-    /// Prepares a configuration.
+    /// Builds the route table of a configuration.
     pub fn new(configuration: Arc<Configuration>) -> Self {
         Routing { table: RouteTable::new(configuration) }
     }
@@ -34,7 +34,7 @@
         self.table.configuration().version
     }
 
-    /// Limits for clients.
+    /// Size and time limits for client connections.
     pub fn limits(&self) -> &Limits {
         &self.table.configuration().limits
     }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -102,7 +102,7 @@
         self.epoch + time
     }
 
-    /// The position, in [0, 1), of the next request of `route` within the weights of its traffic split.
+    /// The position, in [0, 1), of the next request of `route` within the cumulated weights of its traffic split.
     pub fn split_position(&self, route: &str) -> f64 {
         self.splits.borrow_mut().next(route)
     }
