--- a/crates/router/tests/attempts.rs
+++ b/crates/router/tests/attempts.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Answers that the request did not run.
+/// An answer that states that the request did not run.
 fn rejection(request: &Message, status: &str) -> String {
     let id = request.header("Attempt-Id").unwrap();
     format!(
--- a/crates/router/tests/before_configuration.rs
+++ b/crates/router/tests/before_configuration.rs
@@ -1,4 +1,4 @@
-//! Requests that arrive before the first configuration wait for a part of their time.
+//! Requests that arrive before the first configuration wait for it, for a fraction of the time that their client allows.
 
 mod common;
 
@@ -70,7 +70,7 @@
         let mut waiting = router.client().await;
         send_request(&mut waiting, "1", 6_000).await;
         router.terminate();
-        assert_eq!(waiting.answer().await.status, 503, "what waits is refused at once");
+        assert_eq!(waiting.answer().await.status, 503, "a waiting request is refused at once");
     });
 }
 
--- a/crates/router/tests/byte_streams.rs
+++ b/crates/router/tests/byte_streams.rs
@@ -1,5 +1,5 @@
-//! Random exchanges with any segmentation and resets: no byte of an answer reaches another client, and a request that must
-//! not run twice is sent once. The same exchanges detect mutations of the router.
+//! Random exchanges with arbitrary segmentation and resets: no byte of an answer reaches another client, and a request that
+//! must not run twice is sent once. The same exchanges detect deliberate faults of the router.
 
 mod common;
 mod exchanges;
@@ -10,11 +10,11 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestCaseError, TestError, TestRunner};
 
-/// Cases of an ordinary run.
+/// Default number of cases.
 const CASES: u32 = 1_000;
-/// Maximum number of cases in which a mutation has to be detected.
+/// Number of cases within which a deliberate fault has to be detected.
 const FAULT_CASES: u32 = 4_000;
-/// Seed of an ordinary run.
+/// Default seed.
 const SEED: u64 = 34;
 
 /// The same cases in every run, unless `PROPTEST_RNG_SEED` and `PROPTEST_CASES` are set.
@@ -38,7 +38,7 @@
     }
 }
 
-/// The violation by which a mutation is detected.
+/// The violations by which a deliberate fault is detected.
 fn detect(fault: RouterFault) -> String {
     let config = Config { max_shrink_iters: 0, ..config(FAULT_CASES) };
     let outcome = TestRunner::new(config).run(&script(), |script| match violation(&script, Some(fault)) {
@@ -47,14 +47,14 @@
     });
     match outcome {
         Err(TestError::Fail(violations, _)) => violations.message().to_owned(),
-        other => panic!("{fault:?} was not found: {other:?}"),
+        other => panic!("{fault:?} was not detected: {other:?}"),
     }
 }
 
 #[test]
 fn an_answer_that_is_not_matched_by_its_id_is_detected() {
     let violations = detect(RouterFault::AcceptAnyAttemptId);
-    assert!(violations.contains("was told 200"), "{violations}");
+    assert!(violations.contains("received an invalid answer with status 200"), "{violations}");
 }
 
 #[test]
@@ -66,7 +66,7 @@
 #[test]
 fn a_forwarded_late_answer_is_detected() {
     let violations = detect(RouterFault::ForwardLateResponses);
-    assert!(violations.contains("its client told 502"), "{violations}");
+    assert!(violations.contains("its client received 502"), "{violations}");
 }
 
 #[test]
@@ -78,13 +78,13 @@
 #[test]
 fn a_reset_body_that_counts_as_complete_is_detected() {
     let violations = detect(RouterFault::ResetCompletesBody);
-    assert!(violations.contains("was told 200"), "{violations}");
+    assert!(violations.contains("received an invalid answer with status 200"), "{violations}");
 }
 
 #[test]
 fn a_truncated_answer_that_looks_complete_is_detected() {
     let violations = detect(RouterFault::HideTruncation);
-    assert!(violations.contains("was told 200"), "{violations}");
+    assert!(violations.contains("received an invalid answer with status 200"), "{violations}");
 }
 
 #[test]
--- a/crates/router/tests/clients.rs
+++ b/crates/router/tests/clients.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// Time in which something that must not happen would have happened.
+/// How long a test waits to see that something does not happen.
 const OBSERVATION_TIME: Duration = Duration::from_millis(60);
 
 #[test]
@@ -24,7 +24,7 @@
         let (mut upstream, first) = endpoint.request().await;
         assert!(
             timeout(OBSERVATION_TIME, endpoint.accept()).await.is_err(),
-            "two requests of a client at once"
+            "two requests of one connection were sent at once"
         );
         upstream.answer(&first, "1").await;
         for id in ["2", "3"] {
@@ -87,7 +87,7 @@
         router.send_event(endpoint.registration("plain"));
         assert!(
             timeout(OBSERVATION_TIME, endpoint.accept()).await.is_err(),
-            "sent though the client had left"
+            "sent although the client had disconnected"
         );
     });
 }
@@ -104,7 +104,7 @@
         upstream.reset();
         assert!(
             timeout(OBSERVATION_TIME, endpoint.accept()).await.is_err(),
-            "sent though the client had left"
+            "sent although the client had disconnected"
         );
     });
 }
@@ -149,10 +149,7 @@
         run_ready_tasks().await;
         let mut late = router.client().await;
         late.get("/once/a", "3").await;
-        assert!(
-            timeout(OBSERVATION_TIME, endpoint.accept()).await.is_err(),
-            "sent to an endpoint that is gone"
-        );
+        assert!(timeout(OBSERVATION_TIME, endpoint.accept()).await.is_err(), "sent to a removed endpoint");
         plain.answer(&plain_request, "whole").await;
         assert_eq!(asking.answer().await.text(), "whole");
         events.chunk("id: 2\n\n").await;
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A router on real sockets with an in-process feed, clients, and endpoints whose every byte the test writes.
+//! A router on real sockets with an in-process configuration feed, and clients and endpoints whose bytes the test writes
+//! directly.
 #![allow(dead_code, reason = "each file of tests uses a part")]
 
 use lanegate_config::configuration::Configuration;
@@ -21,10 +22,10 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::timeout;
 
-/// Time-out of a test, including advanced time; reached only by failing tests.
+/// Time-out of a test, including the time by which the clock is advanced; only failing tests reach it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Runs a test on one thread.
+/// Runs a test on a single-threaded runtime.
 pub(crate) fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let limited = async { timeout(TEST_TIMEOUT, test).await.expect("the test hangs") };
@@ -73,7 +74,7 @@
         Router::start_with(None).await
     }
 
-    /// The same with a mutation of the router.
+    /// Like [`Router::start`], with a deliberate fault.
     async fn start_with(fault: Option<RouterFault>) -> Router {
         let frontend = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let readiness = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -106,7 +107,7 @@
         Router::serving_with(None, endpoints).await
     }
 
-    /// The same with a mutation of the router.
+    /// Like [`Router::serving`], with a deliberate fault.
     pub(crate) async fn serving_with(fault: Option<RouterFault>, endpoints: &[&Endpoint]) -> Router {
         let router = Router::start_with(fault).await;
         router.configure(CONFIGURATION);
@@ -137,7 +138,7 @@
         client.answer().await.status
     }
 
-    /// Does what SIGTERM does.
+    /// Begins the shutdown, as SIGTERM does.
     pub(crate) fn terminate(&mut self) {
         self.stop.take().unwrap().send(()).unwrap();
     }
@@ -239,7 +240,7 @@
         self.stream.write_all(bytes.as_ref()).await.unwrap();
     }
 
-    /// The next request, if the router does not close before.
+    /// The next request; `None` if the router closes the connection first.
     pub(crate) async fn next_request(&mut self) -> Option<Message> {
         read_message(&mut self.stream, &mut self.unread).await
     }
@@ -293,7 +294,7 @@
     )
 }
 
-/// Lets ready tasks run for a while.
+/// Yields to the other tasks often enough for them to process what has arrived.
 pub(crate) async fn run_ready_tasks() {
     for _ in 0..200 {
         tokio::task::yield_now().await;
@@ -327,7 +328,7 @@
 
     /// The next complete answer.
     pub(crate) async fn answer(&mut self) -> Message {
-        read_message(&mut self.stream, &mut self.unread).await.expect("a whole answer")
+        read_message(&mut self.stream, &mut self.unread).await.expect("a complete answer")
     }
 
     /// Reads until `end` has arrived; nothing may follow it.
@@ -335,11 +336,15 @@
         loop {
             let text = String::from_utf8_lossy(&self.unread).into_owned();
             if let Some(place) = text.find(end) {
-                assert_eq!(place + end.len(), text.len(), "more than asked for has come: {text}");
+                assert_eq!(place + end.len(), text.len(), "more bytes than expected: {text}");
                 self.unread.clear();
                 return text;
             }
-            assert_ne!(self.stream.read_buf(&mut self.unread).await.unwrap(), 0, "the end has come: {text}");
+            assert_ne!(
+                self.stream.read_buf(&mut self.unread).await.unwrap(),
+                0,
+                "the connection ended early: {text}"
+            );
         }
     }
 
--- a/crates/router/tests/configuration_behind.rs
+++ b/crates/router/tests/configuration_behind.rs
@@ -1,4 +1,4 @@
-//! A router that may be behind the newest configuration rejects no route as unknown.
+//! A router whose configuration may be outdated refuses unknown routes with `Retry-After` instead of rejecting them.
 
 mod common;
 
@@ -19,7 +19,7 @@
         client.get("/again/x", "2").await;
         let (mut upstream, request) = endpoint.request().await;
         upstream.answer(&request, "served").await;
-        assert_eq!(client.answer().await.text(), "served", "what it knows it serves");
+        assert_eq!(client.answer().await.text(), "served", "known routes are served");
 
         let newer = CONFIGURATION.replace("\"Version\": 1", "\"Version\": 2").replace("/once/", "/new/");
         router.configure(&newer);
@@ -29,6 +29,6 @@
         upstream.answer(&request, "new").await;
         assert_eq!(client.answer().await.text(), "new");
         client.get("/other/x", "4").await;
-        assert_eq!(client.answer().await.status, 404, "nothing newer is known");
+        assert_eq!(client.answer().await.status, 404, "the configuration is up to date");
     });
 }
--- a/crates/router/tests/connections.rs
+++ b/crates/router/tests/connections.rs
@@ -58,7 +58,7 @@
         assert!(!is_reused_with_unread_bytes(None).await);
         assert!(
             is_reused_with_unread_bytes(Some(RouterFault::SkipConnectionCheck)).await,
-            "the mistake is not found"
+            "the fault is not detected"
         );
     });
 }
@@ -86,7 +86,10 @@
         for routers in 1..20 {
             let quota = connection_quota(limit, routers);
             assert!(quota >= 1);
-            assert!(quota == 1 || quota * routers < limit, "{quota} of {limit} for {routers}");
+            assert!(
+                quota == 1 || quota * routers < limit,
+                "a quota of {quota} of {limit} connections for {routers} routers"
+            );
         }
     }
     assert_eq!(connection_quota(100, 0), connection_quota(100, 1));
@@ -170,7 +173,7 @@
         let (mut upstream, request) = endpoint.request().await;
         upstream.begin_events(&request).await;
         let chunk = format!("10000\r\n{}\r\n", "x".repeat(0x1_0000));
-        // Writes until all buffers are full, and then until the router closes.
+        // Writes until all buffers are full, then waits until the router closes the connection.
         let writing = async move { while upstream.stream.write_all(chunk.as_bytes()).await.is_ok() {} };
         let waiting = async {
             for _ in 0..1_000 {
--- a/crates/router/tests/deadlines.rs
+++ b/crates/router/tests/deadlines.rs
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// The route's time in these tests.
+/// `TimeoutMs` of the routes in these tests.
 const TIMEOUT: Duration = Duration::from_millis(300);
-/// Time before the time-out of the route from which the final answer may arrive.
+/// How long before the time-out of the route the final answer may arrive.
 const MARGIN: Duration = Duration::from_millis(40);
-/// Time after the time-out of the route within which the final answer has to arrive.
+/// How long after the time-out of the route the final answer may arrive at the latest.
 const ANSWERED_WITHIN: Duration = Duration::from_millis(500);
 
 fn deadline_ms(request: &Message) -> u64 {
@@ -28,14 +28,14 @@
     router
 }
 
-/// The request ends at the time-out of its route, not earlier because nothing was received.
+/// Checks that the request ended at the time-out of its route, and not earlier for lack of data.
 fn assert_in_time(began: Instant) {
     let took = began.elapsed();
-    assert!(took + MARGIN >= TIMEOUT, "the end came after {took:?}");
-    assert!(took < TIMEOUT + ANSWERED_WITHIN, "the end came after {took:?}");
+    assert!(took + MARGIN >= TIMEOUT, "the request ended after {took:?}");
+    assert!(took < TIMEOUT + ANSWERED_WITHIN, "the request ended after {took:?}");
 }
 
-/// The deadlines sent by two attempts, 250 ms apart, of a request with 4,000 ms.
+/// The deadlines sent by two attempts, 250 ms apart, of a request with a `Deadline-Ms` of 4,000.
 async fn deadlines_of_two_attempts(fault: Option<RouterFault>) -> [u64; 2] {
     let endpoints = two_endpoints().await;
     let router = Router::serving_with(fault, &[&endpoints[0], &endpoints[1]]).await;
--- a/crates/router/tests/exchanges/client.rs
+++ b/crates/router/tests/exchanges/client.rs
@@ -10,9 +10,9 @@
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 
-/// Time that every client leaves.
+/// `Deadline-Ms` of every request.
 const DEADLINE_MS: u32 = 400;
-/// Yields to the other tasks between two segments.
+/// Number of yields to the other tasks after each segment.
 const YIELDS_PER_SEGMENT: usize = 2;
 
 async fn connect(address: SocketAddr) -> TcpStream {
@@ -31,9 +31,9 @@
     stream: TcpStream,
     /// All bytes received on the current connection.
     received: Vec<u8>,
-    /// Bytes that belong to answers that were read.
+    /// Number of received bytes that belong to answers that were parsed.
     consumed: usize,
-    /// Requests without an answer.
+    /// Requests that have not been answered.
     pending: Vec<(String, Route)>,
     /// Ids of the requests sent on the current connection.
     sent_ids: Vec<String>,
@@ -169,8 +169,10 @@
         };
         if !is_valid {
             let body = String::from_utf8_lossy(&answer.body);
-            self.record
-                .record_violation(format!("{id} was told {} {:?} {body:?}", answer.status, answer.headers));
+            self.record.record_violation(format!(
+                "the client of {id} received an invalid answer with status {}: {:?} {body:?}",
+                answer.status, answer.headers
+            ));
         }
     }
 
@@ -181,7 +183,7 @@
             let id = after_bracket.split(']').next().unwrap_or_default();
             if after_bracket.contains(']') && !self.sent_ids.iter().any(|sent| sent == id) {
                 self.record.record_violation(format!(
-                    "bytes of the answer to {id} came to one that asked for {:?}",
+                    "bytes of the answer to {id} reached a client that sent only {:?}",
                     self.sent_ids
                 ));
             }
@@ -199,7 +201,8 @@
 fn parse(bytes: &[u8]) -> Option<(Answer, usize)> {
     let mut fields = [httparse::EMPTY_HEADER; 32];
     let mut head = httparse::Response::new(&mut fields);
-    let httparse::Status::Complete(start) = head.parse(bytes).expect("the bytes are no answer") else {
+    let httparse::Status::Complete(start) = head.parse(bytes).expect("the bytes are not a valid answer")
+    else {
         return None;
     };
     let status = head.code.unwrap();
@@ -213,7 +216,7 @@
     }
     if headers.contains_key("transfer-encoding") {
         let mut scanner = ChunkScanner::default();
-        let length = scanner.scan(&bytes[start..]).expect("the body is not in chunks");
+        let length = scanner.scan(&bytes[start..]).expect("the body has an invalid chunked encoding");
         let body = scanner.is_over().then(|| decode_chunks(&bytes[start..start + length]))?;
         return Some((Answer { status, headers, body }, start + length));
     }
--- a/crates/router/tests/exchanges/endpoint.rs
+++ b/crates/router/tests/exchanges/endpoint.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, yield_now};
 
-/// Yields to the other tasks between two segments.
+/// Number of yields to the other tasks after each segment.
 const YIELDS_PER_SEGMENT: usize = 3;
 
 /// Answers on every connection.
@@ -22,11 +22,11 @@
 
 /// What happens to a connection after an answer.
 enum AfterAnswer {
-    /// Bytes that are sent when the next request has arrived.
+    /// It stays open; `late` is sent when the next request has arrived.
     Continue {
         late: Vec<u8>,
     },
-    /// Bytes that belong to nothing may meet the next request, which then has no proper answer.
+    /// It stays open, but bytes that belong to no request were sent on it, so the next request may get no valid answer.
     UnsolicitedBytes,
     End,
 }
--- a/crates/router/tests/exchanges/mod.rs
+++ b/crates/router/tests/exchanges/mod.rs
@@ -1,7 +1,7 @@
 //! Scripted exchanges between clients, a router and endpoints, and a record of what each received.
 //!
-//! Time is simulated: it passes only when nobody has anything to do, so no bytes may wait in a kernel (all
-//! sockets are without delay).
+//! Time is simulated: it advances only when all tasks are idle. The runtime does not see bytes that the kernel holds back, so all
+//! sockets have Nagle's algorithm disabled.
 
 pub(crate) mod client;
 pub(crate) mod endpoint;
@@ -17,17 +17,17 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::timeout;
 
-/// Longest simulated time of an exchange; reached only by one that hangs.
+/// Longest simulated time of an exchange; only an exchange that hangs reaches it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Runs a script; returns a violation, if there is one.
+/// Runs a script; returns the violations, if there are any.
 pub(crate) fn violation(script: &Script, fault: Option<RouterFault>) -> Option<String> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().start_paused(true).build().unwrap();
     runtime.block_on(LocalSet::new().run_until(async {
         match timeout(TEST_TIMEOUT, run(script, fault)).await {
             Ok(record) => record.first_violation(),
-            Err(_) => Some("the play hangs".into()),
+            Err(_) => Some("the exchange hangs".into()),
         }
     }))
 }
--- a/crates/router/tests/exchanges/record.rs
+++ b/crates/router/tests/exchanges/record.rs
@@ -15,12 +15,12 @@
 struct Observations {
     /// Bodies of the requests that clients sent, by id.
     request_bodies: HashMap<String, String>,
-    /// Runs at endpoints, by id.
+    /// Numbers of executions at endpoints, by id.
     executions: HashMap<String, u32>,
     may_run_again: HashSet<String>,
-    /// Status of the last complete answer of an endpoint.
+    /// Status of the last complete answer of an endpoint, by id.
     endpoint_statuses: HashMap<String, u16>,
-    /// Status that the client received.
+    /// Status that the client received, by id.
     client_statuses: HashMap<String, u16>,
     last_arrival: Option<String>,
     violations: Vec<String>,
@@ -59,7 +59,7 @@
                 let text = format!("{id} arrived with {body:?} instead of {sent:?}");
                 observations.violations.push(text);
             }
-            None => observations.violations.push(format!("nobody asked for {id}")),
+            None => observations.violations.push(format!("{id} arrived, but no client sent it")),
         }
         observations.last_arrival.replace(id.into())
     }
@@ -74,7 +74,7 @@
         self.observations.borrow_mut().endpoint_statuses.insert(id.into(), status);
     }
 
-    /// Records that the answer of an endpoint to a request may be invalid.
+    /// Records that the answer of an endpoint to a request may be invalid, so that the client may receive another status.
     pub(crate) fn discard_answer(&self, request: &Message) {
         let id = request.header("Attempt-Id").unwrap_or_default();
         self.observations.borrow_mut().endpoint_statuses.remove(id);
@@ -89,7 +89,7 @@
         self.observations.borrow_mut().violations.push(text);
     }
 
-    /// The first violation, if there is one.
+    /// All violations, if there are any.
     pub(crate) fn first_violation(&self) -> Option<String> {
         let observations = self.observations.borrow();
         let mut violations = observations.violations.clone();
@@ -105,7 +105,7 @@
         for (id, status) in &observations.endpoint_statuses {
             if observations.client_statuses.get(id).is_some_and(|received| received != status) {
                 violations.push(format!(
-                    "{id} was answered with {status}, its client told {}",
+                    "{id} was answered with {status}, its client received {}",
                     observations.client_statuses[id]
                 ));
             }
--- a/crates/router/tests/exchanges/script.rs
+++ b/crates/router/tests/exchanges/script.rs
@@ -8,7 +8,7 @@
 pub(crate) struct Script {
     pub endpoints: usize,
     pub clients: Vec<Vec<ClientAction>>,
-    /// One for each request that reaches an endpoint, in order; later ones get a complete answer.
+    /// One for each request that reaches an endpoint, in order. Requests beyond these get a complete answer.
     pub answers: Vec<Answer>,
 }
 
--- a/crates/router/tests/golden.rs
+++ b/crates/router/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The bytes that a router writes to endpoints, clients and the platform, compared with the files of `tests/golden`.
 //! Numbers that depend on the time are written as `N`.
 //!
-//! `UPDATE_GOLDEN=1` rewrites the files, for changes that are meant to write other bytes.
+//! `UPDATE_GOLDEN=1` rewrites the files, for changes that intentionally alter these bytes.
 
 mod common;
 
@@ -25,7 +25,7 @@
     assert_eq!(actual, expected, "{name}");
 }
 
-/// The text with the number after a header's name replaced.
+/// The text with the number after a header's name replaced by `N`.
 fn without_number(text: &str, header: &str) -> String {
     let Some((before, after)) = text.split_once(header) else { return text.to_owned() };
     let rest = after.trim_start_matches(|letter: char| letter.is_ascii_digit() || letter == '.');
@@ -33,7 +33,7 @@
     format!("{before}{header}N{rest}")
 }
 
-/// The bytes of a stream up to and with `end`.
+/// The bytes of a stream up to and including `end`.
 async fn read_through(stream: &mut TcpStream, end: &str) -> String {
     let mut text = String::new();
     while !text.ends_with(end) {
@@ -231,7 +231,7 @@
     read_through(&mut stream, "\r\n\r\n").await
 }
 
-/// Names, help, types and labels of all figures, without the values.
+/// Names, help texts, types and labels of all metrics, without the values.
 #[test]
 fn names_of_metrics() {
     run_test(async {
--- a/crates/router/tests/metrics.rs
+++ b/crates/router/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of a router; reading them blocks nothing else.
+//! The metrics of a router. A scrape must not block requests or other scrapes.
 
 mod common;
 #[path = "../../metrics/tests/common/text_format.rs"]
--- a/crates/router/tests/parsing.rs
+++ b/crates/router/tests/parsing.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// Splits `text` at the given fractions of its length.
+/// Splits `text` at the given offsets, taken modulo its length.
 fn segments(text: &str, places: &[usize]) -> Vec<Bytes> {
     let mut ends: Vec<usize> = places.iter().map(|place| place % (text.len() + 1)).collect();
     ends.push(text.len());
--- a/crates/router/tests/response_matching.rs
+++ b/crates/router/tests/response_matching.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time in which something that must not happen would have happened.
+/// How long a test waits to see that something does not happen.
 const OBSERVATION_TIME: Duration = Duration::from_millis(60);
 
 fn rejection(id: &str) -> String {
@@ -99,7 +99,7 @@
         upstream.write(rejection("1")).await;
         let (mut again, request) = endpoint.request().await;
         assert_eq!(request.header("Attempt-Id"), Some("1"));
-        // The second answer to the first attempt says nothing about the second attempt, which runs.
+        // A second answer to the first attempt must not be taken for the answer to the second attempt, which runs.
         upstream.write(rejection("1")).await;
         run_ready_tasks().await;
         again.answer(&request, "ran").await;
@@ -156,7 +156,7 @@
         let text = String::from_utf8(read).unwrap();
         let (head, rest) = text.split_once("\r\n\r\n").unwrap();
         assert!(head.starts_with("POST /once/a HTTP/1.1"));
-        assert!(rest.bytes().all(|byte| byte == b'b'), "other bytes came where the body was due");
+        assert!(rest.bytes().all(|byte| byte == b'b'), "other bytes arrived in place of the body");
     });
 }
 
--- a/crates/router/tests/shutdown.rs
+++ b/crates/router/tests/shutdown.rs
@@ -59,7 +59,7 @@
             ask_for_tokens(&mut client, "1", tokens).await;
             let answer = tokio::select! {
                 answer = client.answer() => answer,
-                _ = endpoint.request() => panic!("a stream of {tokens} tokens was begun"),
+                _ = endpoint.request() => panic!("a stream of {tokens} tokens was sent to the endpoint"),
             };
             assert_eq!((answer.status, answer.header("Connection")), (503, Some("close")));
             assert!(answer.header("Retry-After").is_some());
@@ -67,7 +67,7 @@
     });
 }
 
-/// The process may notice a client and the end of the accept time at once.
+/// The router may learn of a new connection and of the end of the accept time in the same poll of its runtime.
 #[test]
 fn a_request_that_arrives_before_the_listener_closes_is_answered() {
     run_test(async {
--- a/crates/router/tests/stalls.rs
+++ b/crates/router/tests/stalls.rs
@@ -6,11 +6,11 @@
 use lanegate_router::fault::RouterFault;
 use std::time::Duration;
 
-/// Longer than the time of every route and the time after it at which stalled clients are closed.
+/// Longer than the time-out of every route plus the grace time after which the connections of stalled clients are closed.
 const STALL: Duration = Duration::from_secs(30);
 
-/// What a client gets for a request that an endpoint has, after the process stood still until long after the deadline, so
-/// that everything that was due meanwhile comes at once.
+/// What a client receives if the process stalls until long after the deadline of a request that was sent to an endpoint. After
+/// the stall, all timers that expired meanwhile fire at once.
 async fn answer_after_stall(fault: Option<RouterFault>) -> String {
     let endpoint = Endpoint::start("i-1").await;
     let router = Router::serving_with(fault, &[&endpoint]).await;
@@ -38,7 +38,7 @@
     });
 }
 
-/// The connection was used before, and the answer arrived during a stall.
+/// The connection is reused for a second request, whose answer arrives during a stall.
 #[test]
 fn an_answer_that_arrived_during_a_stall_reaches_its_client_or_504_does() {
     run_test(async {
@@ -58,7 +58,7 @@
     });
 }
 
-/// A client that does not read its answer is disconnected all the same.
+/// After a stall, too, a client that does not read its answer is disconnected.
 #[test]
 fn the_connection_of_a_client_that_reads_no_answer_is_aborted() {
     run_test(async {
--- a/crates/router/tests/streams.rs
+++ b/crates/router/tests/streams.rs
@@ -8,7 +8,7 @@
 };
 use std::time::Duration;
 
-/// A stream that has begun, with its first event forwarded.
+/// Opens a stream and forwards its first event.
 async fn open_stream(router: &Router, endpoint: &Endpoint, path: &str) -> (Client, Upstream, Message) {
     let mut client = router.client().await;
     client.get(path, "1").await;
@@ -75,7 +75,7 @@
     });
 }
 
-/// An idle second attempt within an answer neither ends it nor causes a third attempt.
+/// A second attempt that is idle after a resume neither ends the answer nor causes a third attempt.
 #[test]
 fn a_resumed_stream_may_be_idle_for_long() {
     run_test(async {
--- a/crates/router/tests/traffic_splits.rs
+++ b/crates/router/tests/traffic_splits.rs
@@ -1,4 +1,4 @@
-//! Each part of a traffic split gets its weight, also if many routers see few requests each.
+//! Each service of a traffic split gets its weight of the requests, even if many routers see few requests each.
 
 mod common;
 
@@ -18,9 +18,9 @@
 
 /// Smallest number of requests over which weights are checked.
 const REQUESTS: usize = 300;
-/// Largest allowed deviation as a part of all requests, with the routers of a small deployment.
+/// Largest allowed deviation as a fraction of all requests, with the routers of a small deployment.
 const MAX_DEVIATION: f64 = 0.03;
-/// The same if each router sees about three requests.
+/// Largest allowed deviation if each router sees only about three requests.
 const MAX_DEVIATION_MANY_ROUTERS: f64 = 0.07;
 /// Numbers of routers in a small deployment, and in one with few requests for each router.
 const FEW_ROUTERS: [usize; 4] = [1, 3, 6, 9];
@@ -170,7 +170,7 @@
     }
 }
 
-/// Over the wire, through a router that receives new configurations.
+/// Checks the weights over real connections, through a router that receives new configurations.
 #[test]
 fn a_router_splits_traffic() {
     const SENT: u64 = 40;
