--- a/crates/router/tests/byte_streams.rs
+++ b/crates/router/tests/byte_streams.rs
@@ -4,8 +4,8 @@
 mod common;
 mod exchanges;
 
+use exchanges::run_script;
 use exchanges::script::script;
-use exchanges::violation;
 use lanegate_router::fault::RouterFault;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestCaseError, TestError, TestRunner};
@@ -33,7 +33,7 @@
 
     #[test]
     fn answers_reach_their_callers_and_nothing_is_sent_twice(script in script()) {
-        let violations = violation(&script, None);
+        let violations = run_script(&script, None);
         prop_assert!(violations.is_none(), "{}", violations.unwrap_or_default());
     }
 }
@@ -41,7 +41,7 @@
 /// The violations by which a deliberate fault is detected.
 fn detect(fault: RouterFault) -> String {
     let config = Config { max_shrink_iters: 0, ..config(FAULT_CASES) };
-    let outcome = TestRunner::new(config).run(&script(), |script| match violation(&script, Some(fault)) {
+    let outcome = TestRunner::new(config).run(&script(), |script| match run_script(&script, Some(fault)) {
         Some(violations) => Err(TestCaseError::fail(violations)),
         None => Ok(()),
     });
--- a/crates/router/tests/exchanges/mod.rs
+++ b/crates/router/tests/exchanges/mod.rs
@@ -21,12 +21,12 @@
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Runs a script; returns the violations, if there are any.
-pub(crate) fn violation(script: &Script, fault: Option<RouterFault>) -> Option<String> {
+pub(crate) fn run_script(script: &Script, fault: Option<RouterFault>) -> Option<String> {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().start_paused(true).build().unwrap();
     runtime.block_on(LocalSet::new().run_until(async {
         match timeout(TEST_TIMEOUT, run(script, fault)).await {
-            Ok(record) => record.first_violation(),
+            Ok(record) => record.all_violations(),
             Err(_) => Some("the exchange hangs".into()),
         }
     }))
--- a/crates/router/tests/exchanges/record.rs
+++ b/crates/router/tests/exchanges/record.rs
@@ -90,7 +90,7 @@
     }
 
     /// All violations, if there are any.
-    pub(crate) fn first_violation(&self) -> Option<String> {
+    pub(crate) fn all_violations(&self) -> Option<String> {
         let observations = self.observations.borrow();
         let mut violations = observations.violations.clone();
         for (id, runs) in &observations.executions {
