--- a/crates/router/src/client/frontend.rs
+++ b/crates/router/src/client/frontend.rs
@@ -8,7 +8,7 @@
 use crate::request::forward::forward;
 use crate::request::handle::RequestHandle;
 use crate::request::outcome::Outcome;
-use crate::routing::table::{Resolved, host};
+use crate::routing::table::{ResolvedRoute, host};
 use crate::state::RouterState;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -24,31 +24,31 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request ends this long before its deadline, so that the client has the answer in time: several round trips within a
-/// region.
+/// The router answers a request at the latest this long before its deadline, so that the answer reaches the client in time.
+/// This is several round trips within a region.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
-/// The margin is at most this part of the time of the request.
+/// The margin is at most the time of the request divided by this.
 const ANSWER_MARGIN_DIVISOR: u32 = 10;
-/// `Retry-After` of a router without a configuration.
+/// `Retry-After` of a refusal because the router has no configuration or may have an old one.
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// Answers one request of a client.
 ///
 /// # Errors
 ///
-/// None; the type is what the HTTP library asks for.
+/// Never; the HTTP library requires a `Result`.
 pub async fn handle(
     state: Rc<RouterState>,
     activity: Rc<Activity>,
     request: Request<Incoming>,
 ) -> Result<Response<RouterBody>, Infallible> {
-    let began = state.time_of(activity.on_head_complete(Instant::now()));
+    let arrived = state.time_of(activity.on_head_complete(Instant::now()));
     state.counters.requests.increment();
     if request.version() == Version::HTTP_10 {
         activity.mark_close_delimited();
     }
-    let answer = answer(&state, &activity, request, began).await;
-    let mut answer = answer.map(|body| body.guarded(BusyGuard::new(activity)));
+    let answer = answer(&state, &activity, request, arrived).await;
+    let mut answer = answer.map(|body| body.with_busy_guard(BusyGuard::new(activity)));
     if state.is_draining() {
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -59,7 +59,7 @@
     state: &Rc<RouterState>,
     activity: &Rc<Activity>,
     request: Request<Incoming>,
-    began: Duration,
+    arrived: Duration,
 ) -> Response<RouterBody> {
     let limits = state.routing().map(|routing| routing.limits().clone()).unwrap_or_default();
     let (head, incoming) = request.into_parts();
@@ -73,9 +73,9 @@
     };
     let _guard = BusyGuard::new(activity.clone());
     if state.routing().is_none() {
-        state.await_configuration(began, client_deadline(&head.headers), body.len()).await;
+        state.await_configuration(arrived, client_deadline(&head.headers), body.len()).await;
     }
-    let (request, outbound) = match prepare(state, head, body, began) {
+    let (request, outbound) = match prepare(state, head, body, arrived) {
         Ok(prepared) => prepared,
         Err(answer) => return answer.into(),
     };
@@ -86,11 +86,11 @@
 
 /// The reply to any request while there is no configuration.
 fn unconfigured(state: &RouterState) -> LocalReply {
-    state.counters.outcomes.count(Outcome::RefusedUnconfigured);
+    state.counters.outcomes.count(Outcome::RefusedNoConfiguration);
     LocalReply::Refusal { retry_after: UNCONFIGURED_RETRY_AFTER }
 }
 
-/// Reads the complete body; the error is the status of the reply.
+/// Reads the complete body. The error is the status with which the client is answered.
 async fn read_body(mut incoming: Incoming, limits: &Limits) -> Result<Bytes, StatusCode> {
     let bound = limits.max_body_bytes;
     if incoming.size_hint().lower() > bound as u64 {
@@ -117,12 +117,12 @@
     Ok(if buffered.is_empty() { first } else { buffered.freeze() })
 }
 
-/// Finds the route of a completely received request.
+/// Finds the route of a completely received request and prepares it for the dispatcher and for sending.
 fn prepare(
     state: &RouterState,
     head: Parts,
     body: Bytes,
-    began: Duration,
+    arrived: Duration,
 ) -> Result<(interface::Request, Outbound), LocalReply> {
     let Some(routing) = state.routing() else {
         return Err(unconfigured(state));
@@ -132,30 +132,30 @@
         return Err(LocalReply::Failure(StatusCode::BAD_REQUEST));
     };
     let Some(resolved) = routing.resolve(host, head.uri.path(), |route| state.split_position(route)) else {
-        if state.is_behind() {
+        if state.is_configuration_behind() {
             // A newer configuration may have the route.
-            state.counters.outcomes.count(Outcome::RefusedBehind);
+            state.counters.outcomes.count(Outcome::RefusedConfigurationBehind);
             return Err(LocalReply::Refusal { retry_after: UNCONFIGURED_RETRY_AFTER });
         }
-        state.counters.outcomes.count(Outcome::RejectedUnrouted);
+        state.counters.outcomes.count(Outcome::RejectedNoRoute);
         return Err(LocalReply::Failure(StatusCode::NOT_FOUND));
     };
-    let request = describe(state, resolved, &head, body.len() as u64, began);
+    let request = describe(state, resolved, &head, body.len() as u64, arrived);
     let outbound = outbound(resolved, head, body, request.deadline);
     Ok((request, outbound))
 }
 
-/// The request as the dispatcher gets it.
+/// The description of the request for the dispatcher.
 fn describe(
     state: &RouterState,
-    resolved: Resolved<'_>,
+    resolved: ResolvedRoute<'_>,
     head: &Parts,
     body_bytes: u64,
-    began: Duration,
+    arrived: Duration,
 ) -> interface::Request {
     let route = resolved.route;
     let allowed = milliseconds(route.timeout_ms);
-    let time = client_deadline(&head.headers).map_or(allowed, |told| told.min(allowed));
+    let time = client_deadline(&head.headers).map_or(allowed, |requested| requested.min(allowed));
     let margin = ANSWER_MARGIN.min(time / ANSWER_MARGIN_DIVISOR);
     interface::Request {
         id: state.requests.new_id(),
@@ -165,15 +165,15 @@
         resumable: route.resumable,
         max_attempts: route.max_attempts,
         priority: route.priority,
-        arrived: began,
-        target: began + milliseconds(route.target_ms),
-        deadline: began + time - margin,
+        arrived,
+        target: arrived + milliseconds(route.target_ms),
+        deadline: arrived + time - margin,
         body_bytes,
         generation: resolved.engine.then(|| generation(&head.headers)).flatten(),
     }
 }
 
-fn outbound(resolved: Resolved<'_>, head: Parts, body: Bytes, deadline: Duration) -> Outbound {
+fn outbound(resolved: ResolvedRoute<'_>, head: Parts, body: Bytes, deadline: Duration) -> Outbound {
     let route = resolved.route;
     let resumable = route.route_type == RouteType::Streaming && route.resumable;
     let mut headers = head.headers;
@@ -193,7 +193,7 @@
     }
 }
 
-/// Path and query alone (origin form).
+/// The target reduced to path and query (origin form).
 fn origin_form(target: Uri) -> Uri {
     match target.into_parts().path_and_query {
         Some(path) => Uri::from(path),
--- a/crates/router/src/endpoint/attempt.rs
+++ b/crates/router/src/endpoint/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to send a request to an endpoint. The lowest of the forwarding layers.
+//! One attempt to send a request to an endpoint. This is the lowest of the forwarding layers listed in `request::forward`.
 
 use crate::endpoint::answer::{EndpointAnswer, EndpointBody};
 use crate::endpoint::connection::{EndpointConnection, ExchangeError};
@@ -22,12 +22,12 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// Sends the request and waits for the head of the answer. `sent` is set as soon as the endpoint may have received some of
-/// the request.
+/// Sends the request and waits for the head of the answer. `sent` is true once the endpoint may have received some
+/// of the request.
 ///
 /// # Errors
 ///
-/// The end of the attempt, if there is no answer that can be forwarded.
+/// How the attempt ended, if there is no answer that can be forwarded.
 pub async fn send(
     state: &Rc<RouterState>,
     request: &Outbound,
@@ -60,20 +60,20 @@
 ) -> Result<EndpointAnswer, AttemptEnd> {
     loop {
         let (mut connection, used_before) = connect(state, request, destination).await?;
-        let late_before = connection.late_responses();
+        let discarded_before = connection.discarded_responses();
         let remaining = remaining_time(state, request).ok_or(AttemptEnd::NotSent)?;
         if state.pool.availability(&destination.instance) == Availability::Unavailable {
             return Err(AttemptEnd::NotSent);
         }
         sent.set(true);
         request.used_connections.borrow_mut().push(connection.lease().number());
-        if state.has_fault(RouterFault::PassStaleAnswers) {
+        if state.has_fault(RouterFault::ForwardLateResponses) {
             connection.forward_late_responses();
         }
         let message = compose(state, request, destination, &last_event, remaining);
         match connection.exchange(message).await {
             Ok(answer) => {
-                state.counters.late_responses.add(connection.late_responses() - late_before);
+                state.counters.late_responses.add(connection.discarded_responses() - discarded_before);
                 return receive(state, request, destination, connection, answer).await;
             }
             Err(ExchangeError::NotSent) => {
@@ -82,9 +82,9 @@
                     return Err(AttemptEnd::NotSent);
                 }
             }
-            Err(ExchangeError::Garbled(_)) => return Err(AttemptEnd::InvalidResponse),
+            Err(ExchangeError::InvalidResponse(_)) => return Err(AttemptEnd::InvalidResponse),
             Err(ExchangeError::Broken(_)) => {
-                if !(used_before && state.has_fault(RouterFault::RepeatAfterReset)) {
+                if !(used_before && state.has_fault(RouterFault::RetryAfterReset)) {
                     return Err(AttemptEnd::Broken);
                 }
             }
@@ -92,7 +92,7 @@
     }
 }
 
-/// Verifies the head of an answer.
+/// Verifies the head of an answer. The rest of an answer that cannot be forwarded is discarded.
 async fn receive(
     state: &Rc<RouterState>,
     request: &Outbound,
@@ -126,8 +126,8 @@
     }
 }
 
-/// Reads the rest of an answer to a request that did not run, so that the connection can be reused. Reads only what has
-/// already arrived.
+/// Reads what has already arrived of an answer to a request that did not run. If that is the complete answer, the connection
+/// can be reused.
 async fn discard(mut body: EndpointBody, end: AttemptEnd) {
     if !matches!(end, AttemptEnd::NotExecuted { .. }) {
         return;
@@ -139,7 +139,7 @@
     .await;
 }
 
-/// A connection for the request, and whether it was used before.
+/// A connection for the request, and whether it was used for an earlier request.
 async fn connect(
     state: &Rc<RouterState>,
     request: &Outbound,
@@ -163,15 +163,15 @@
     }
 }
 
-/// An idle connection for the request: not one on which it was sent before, and none at all if it has no id by which its
-/// answer can be recognised.
+/// An idle connection for the request, but not one on which it was sent before. A request without an id always gets a new
+/// connection, because its answer could not be told from a late answer to another request.
 fn idle_connection(
     state: &RouterState,
     request: &Outbound,
     destination: &Destination,
 ) -> Option<EndpointConnection> {
     request.attempt_id.as_ref()?;
-    let used_connections = if state.has_fault(RouterFault::ReuseCarrier) {
+    let used_connections = if state.has_fault(RouterFault::RetryOnSameConnection) {
         Vec::new()
     } else {
         request.used_connections.borrow().clone()
@@ -194,7 +194,7 @@
     *message.method_mut() = request.method.clone();
     *message.uri_mut() = request.target.clone();
     let mut headers = request.headers.clone();
-    if !state.has_fault(RouterFault::KeepDeadline) || !headers.contains_key(DEADLINE_MS) {
+    if !state.has_fault(RouterFault::SendOriginalDeadline) || !headers.contains_key(DEADLINE_MS) {
         headers.insert(DEADLINE_MS, milliseconds(remaining));
     }
     if let Ok(instance) = HeaderValue::from_str(&destination.instance) {
--- a/crates/router/src/routing/table.rs
+++ b/crates/router/src/routing/table.rs
@@ -14,17 +14,17 @@
 
 /// The route of a request and its service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Resolved<'a> {
+pub struct ResolvedRoute<'a> {
     /// The route.
     pub route: &'a Route,
     /// Name of the service.
     pub backend: &'a str,
-    /// Whether the endpoints of the service are engines.
+    /// Whether the endpoints of the service are inference engines.
     pub engine: bool,
 }
 
 impl Routing {
-    /// Prepares a configuration.
+    /// Builds the route table of a configuration.
     pub fn new(configuration: Arc<Configuration>) -> Self {
         Routing { table: RouteTable::new(configuration) }
     }
@@ -34,7 +34,7 @@
         self.table.configuration().version
     }
 
-    /// Limits for clients.
+    /// Size and time limits for client connections.
     pub fn limits(&self) -> &Limits {
         &self.table.configuration().limits
     }
@@ -46,15 +46,15 @@
         host: &str,
         path: &str,
         position: impl FnOnce(&str) -> f64,
-    ) -> Option<Resolved<'_>> {
+    ) -> Option<ResolvedRoute<'_>> {
         let route = self.table.lookup(host, path)?;
-        let backend = pick(route, position)?;
+        let backend = select_backend(route, position)?;
         let engine = self.table.backend(backend).is_some_and(|service| service.runtime.is_some());
-        Some(Resolved { route, backend, engine })
+        Some(ResolvedRoute { route, backend, engine })
     }
 }
 
-fn pick(route: &Route, position: impl FnOnce(&str) -> f64) -> Option<&str> {
+fn select_backend(route: &Route, position: impl FnOnce(&str) -> f64) -> Option<&str> {
     if route.traffic_split.is_empty() {
         return route.backend.as_deref();
     }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -28,19 +28,19 @@
     synchronized: Cell<bool>,
     /// Requests that wait for the first configuration.
     configuration_wait: ConfigurationWait,
-    /// Whether a newer configuration may be in force elsewhere.
+    /// Whether a newer configuration may be in force at other nodes.
     behind: Cell<bool>,
     /// When shutdown began; `None` before.
     draining_since: Cell<Option<Instant>>,
     /// When the configuration in force was applied.
     configured_at: Cell<Option<Instant>>,
     agent_linked: Cell<bool>,
-    /// When the timer task calls the dispatcher; never later than the dispatcher asks.
-    armed: Cell<Option<Duration>>,
-    /// Wakes the timer task when it has to call earlier.
-    pub rearm: Notify,
-    /// Wakes the demand reports: no endpoint can serve a request.
-    pub unplaced: Notify,
+    /// When the timer task calls the dispatcher; never later than the time that the dispatcher requested.
+    timer_at: Cell<Option<Duration>>,
+    /// Notified when the dispatcher has to be called earlier than the timer task is set to.
+    pub timer_changed: Notify,
+    /// Notified when no endpoint can serve a request, so that demand is reported without waiting for the next tick.
+    pub unplaced_demand: Notify,
     /// Connections to endpoints.
     pub pool: Pool,
     /// Counters for the log and the metrics.
@@ -51,7 +51,7 @@
 }
 
 impl RouterState {
-    /// A router without configuration and endpoints; `fault` is a mutation for tests.
+    /// A router without configuration and endpoints; `fault` is a deliberate fault for tests.
     pub fn new(settings: DispatchSettings, seed: u64, fault: Option<RouterFault>) -> Rc<Self> {
         let violations = Violations::default();
         let dispatcher = Dispatcher::new(settings, seed).counting_violations(violations.clone());
@@ -67,9 +67,9 @@
             draining_since: Cell::new(None),
             configured_at: Cell::new(None),
             agent_linked: Cell::new(false),
-            armed: Cell::new(None),
-            rearm: Notify::new(),
-            unplaced: Notify::new(),
+            timer_at: Cell::new(None),
+            timer_changed: Notify::new(),
+            unplaced_demand: Notify::new(),
             pool: Pool::new(fault),
             counters: Counters::default(),
             violations,
@@ -77,12 +77,12 @@
         })
     }
 
-    /// The mutation of the router, for tests.
+    /// The deliberate fault of this router, for tests.
     pub fn fault(&self) -> Option<RouterFault> {
         self.fault
     }
 
-    /// Whether the router has this mutation, for tests.
+    /// Whether this deliberate fault is enabled, for tests.
     pub fn has_fault(&self, fault: RouterFault) -> bool {
         self.fault == Some(fault)
     }
@@ -102,12 +102,12 @@
         self.epoch + time
     }
 
-    /// The position, in [0, 1), of the next request of `route` within the weights of its traffic split.
+    /// The position, in [0, 1), of the next request of `route` within the cumulated weights of its traffic split.
     pub fn split_position(&self, route: &str) -> f64 {
         self.splits.borrow_mut().next(route)
     }
 
-    /// Applies an event of the feed.
+    /// Applies an event of the configuration feed.
     pub fn apply(&self, event: FeedEvent) {
         if !self.violations.check(Invariant::ConfigurationVersionRises, !self.is_outdated(&event)) {
             return;
@@ -147,7 +147,7 @@
     /// Waits for the first configuration, if there is none. Returns at once during shutdown.
     pub async fn await_configuration(
         &self,
-        began: Duration,
+        arrived: Duration,
         client_time: Option<Duration>,
         body_bytes: usize,
     ) {
@@ -155,13 +155,16 @@
         if !waits || self.is_draining() {
             return;
         }
-        let began = self.instant_of(began);
-        let end = self.configuration_wait.wait(began, client_time, body_bytes).await;
-        log::debug!("configuration wait ended outcome={end:?} waiting={}", self.configuration_wait.waiting());
+        let arrived = self.instant_of(arrived);
+        let end = self.configuration_wait.wait(arrived, client_time, body_bytes).await;
+        log::debug!(
+            "wait for the first configuration ended outcome={end:?} waiting={}",
+            self.configuration_wait.waiting()
+        );
     }
 
-    /// Whether a newer configuration may be in force elsewhere, so that an unknown route may exist.
-    pub fn is_behind(&self) -> bool {
+    /// Whether a newer configuration may be in force at other nodes; it may have routes that are unknown here.
+    pub fn is_configuration_behind(&self) -> bool {
         self.behind.get()
     }
 
@@ -197,7 +200,7 @@
         self.agent_linked.get()
     }
 
-    /// The figures of the dispatcher.
+    /// A summary of the dispatcher's state, for the metrics.
     pub fn dispatch_summary(&self) -> DispatchSummary {
         self.dispatcher.borrow().summary(self.now())
     }
@@ -227,42 +230,42 @@
         }
     }
 
-    /// Calls the dispatcher and delivers its decisions.
+    /// Calls the dispatcher, delivers its decisions to the request tasks and sets the timer for its next call.
     pub fn with_dispatcher<T>(&self, act: impl FnOnce(&mut Dispatcher, Duration) -> T) -> T {
         let now = self.now();
         let mut dispatcher = self.dispatcher.borrow_mut();
         let result = act(&mut dispatcher, now);
         let decisions = dispatcher.take_decisions();
         let wake = dispatcher.next_wake();
-        let unplaced = dispatcher.has_unplaced_demand();
+        let unplaced_demand = dispatcher.has_unplaced_demand();
         drop(dispatcher);
-        if unplaced {
-            self.unplaced.notify_one();
+        if unplaced_demand {
+            self.unplaced_demand.notify_one();
         }
         decisions.into_iter().for_each(|decision| self.requests.deliver(decision));
-        self.arm(wake);
+        self.set_timer(wake);
         result
     }
 
-    /// Wakes the timer task if it would call too late.
-    fn arm(&self, wake: Option<Duration>) {
+    /// Sets the timer to `wake` if it is not set to an earlier time.
+    fn set_timer(&self, wake: Option<Duration>) {
         let Some(wake) = wake else {
             return;
         };
-        if self.armed.get().is_none_or(|armed| wake < armed) {
-            self.armed.set(Some(wake));
-            self.rearm.notify_one();
+        if self.timer_at.get().is_none_or(|timer_at| wake < timer_at) {
+            self.timer_at.set(Some(wake));
+            self.timer_changed.notify_one();
         }
     }
 
     /// When the timer task has to call the dispatcher.
     pub fn timer_at(&self) -> Option<Duration> {
-        self.armed.get()
+        self.timer_at.get()
     }
 
     /// Calls the dispatcher because its timer has expired.
     pub fn wake_dispatcher(&self) {
-        self.armed.set(None);
+        self.timer_at.set(None);
         self.with_dispatcher(|dispatcher, now| dispatcher.wake(now));
     }
 }
