--- a/crates/controller/src/agent/agent_test.rs
+++ b/crates/controller/src/agent/agent_test.rs
@@ -32,12 +32,12 @@
 
 /// A clock that the test sets, and the links that the agent asked for.
 #[derive(Clone, Default)]
-struct Outside {
+struct TestEnvironment {
     now: Rc<Cell<Duration>>,
     dialled: Rc<RefCell<Vec<(SocketAddr, Hello)>>>,
 }
 
-impl Environment for Outside {
+impl Environment for TestEnvironment {
     fn now(&self) -> Duration {
         self.now.get()
     }
@@ -54,7 +54,7 @@
 }
 
 struct World {
-    outside: Outside,
+    environment: TestEnvironment,
     agent: Agent,
     /// What the agent sends to each source.
     sent: Vec<(SocketAddr, Receiver<Bytes>)>,
@@ -72,8 +72,8 @@
 impl World {
     /// An agent that has two sources up, which have said nothing yet, and a router.
     fn new() -> World {
-        let outside = Outside::default();
-        let mut agent = Agent::new(settings(), 5, Box::new(outside.clone()));
+        let environment = TestEnvironment::default();
+        let mut agent = Agent::new(settings(), 5, Box::new(environment.clone()));
         agent.review_sources();
         let (events_end, events) = unbounded_channel();
         let mut client = Client::new(settings(), 6, events_end);
@@ -81,9 +81,10 @@
         agent.on_subscriber_event(SubscriberEvent::Up { subscriber: ROUTER, outbox });
         let (outbox, from_router) = Outbox::new();
         client.on_agent_event(ms(0), SourceEvent::Up { source: router_link(), outbox });
-        let mut world = World { outside, agent, sent: Vec::new(), client, to_router, from_router, events };
+        let mut world =
+            World { environment, agent, sent: Vec::new(), client, to_router, from_router, events };
         let sources: Vec<SocketAddr> =
-            world.outside.dialled.borrow().iter().map(|dialled| dialled.0).collect();
+            world.environment.dialled.borrow().iter().map(|dialled| dialled.0).collect();
         sources.into_iter().for_each(|source| world.up(source));
         world
     }
@@ -111,7 +112,7 @@
 
     /// Lets the time go on, and what waits between agent and router arrive.
     fn at(&mut self, now: Duration) {
-        self.outside.now.set(now);
+        self.environment.now.set(now);
         self.agent.fetch();
         self.client.fetch(now);
         for _ in 0..3 {
@@ -174,9 +175,9 @@
     world.receives(source, Message::SnapshotEnd { complete: 1 });
     world.receives(source, heartbeat(1, 44));
     world.agent.on_source_event(SourceEvent::Down { source });
-    world.outside.now.set(ms(500));
+    world.environment.now.set(ms(500));
     world.agent.review_sources();
-    let dialled = world.outside.dialled.borrow();
+    let dialled = world.environment.dialled.borrow();
     let (again, hello) = dialled.last().expect("it is dialled");
     assert_eq!((*again, hello.source, hello.offset), (source, SOURCE_INCARNATION, 44));
 }
--- a/crates/controller/src/agent/metrics.rs
+++ b/crates/controller/src/agent/metrics.rs
@@ -64,10 +64,10 @@
     pub(crate) fn metrics(&self) -> Exposition {
         let mut exposition = Exposition::default();
         let sources = self.sources.counts();
-        for (standing, count) in
+        for (status, count) in
             [("starting", sources.starting), ("trusted", sources.trusted), ("cut_off", sources.partitioned)]
         {
-            exposition.set_labelled(&SOURCES, &[("standing", standing)], count);
+            exposition.set_labelled(&SOURCES, &[("standing", status)], count);
         }
         self.add_heartbeats(&mut exposition);
         exposition.set(&LINKS_STARTED, self.counters.links_started);
@@ -79,7 +79,7 @@
         let revision = self.view.configuration().map_or(0, |committed| committed.revision);
         exposition.set(&CONFIGURATION_REVISION, revision);
         exposition.set(&CONFIGURATION_BEHIND, self.view.may_be_behind());
-        exposition.set(&CONFIGURATION_WITHHELD, self.unconfirmed.withholds_any());
+        exposition.set(&CONFIGURATION_WITHHELD, self.unconfirmed.has_withheld());
         exposition.set_violations(&self.violations);
         exposition
     }
--- a/crates/controller/src/agent/mod.rs
+++ b/crates/controller/src/agent/mod.rs
@@ -23,7 +23,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
-use unconfirmed::Unconfirmed;
+use unconfirmed::UnconfirmedConfigurations;
 
 /// How often the choice of sources is reviewed when nothing else happens.
 pub(crate) const SOURCE_REVIEW_PERIOD: Duration = Duration::from_millis(500);
@@ -61,13 +61,13 @@
     incarnation: u64,
     view: View,
     sources: Sources,
-    unconfirmed: Unconfirmed,
+    unconfirmed: UnconfirmedConfigurations,
     outboxes: BTreeMap<SocketAddr, Outbox>,
     subscribers: BTreeMap<u64, Outbox>,
     configurations: ConfigurationPublisher,
     /// The heartbeat that routers were sent last.
     notified_heartbeat: Option<FeedHeartbeat>,
-    settings_read: Duration,
+    settings_read_at: Duration,
     /// The newest heartbeat of each source whose link is up.
     heartbeats: BTreeMap<SocketAddr, LastHeartbeat>,
     counters: Counters,
@@ -83,12 +83,12 @@
             incarnation,
             view: View::default(),
             sources: Sources::default(),
-            unconfirmed: Unconfirmed::default(),
+            unconfirmed: UnconfirmedConfigurations::default(),
             outboxes: BTreeMap::new(),
             subscribers: BTreeMap::new(),
-            configurations: ConfigurationPublisher::retaining(RETAINED_CONFIGURATIONS),
+            configurations: ConfigurationPublisher::with_capacity(RETAINED_CONFIGURATIONS),
             notified_heartbeat: None,
-            settings_read: Duration::ZERO,
+            settings_read_at: Duration::ZERO,
             heartbeats: BTreeMap::new(),
             counters: Counters::default(),
             violations: Violations::default(),
@@ -113,7 +113,7 @@
                 self.outboxes.remove(&source);
                 self.environment.unfollow(source);
                 self.view.source_lost(self.now(), source);
-                self.unconfirmed.lost(source);
+                self.unconfirmed.on_source_lost(source);
                 self.sources.link_down(self.now(), source);
                 self.review_sources();
                 self.notify_heartbeat();
@@ -143,7 +143,7 @@
             let changed = self.sources.report_quorum(source, quorum);
             self.notify_heartbeat();
             if quorum {
-                self.take_withheld(source);
+                self.apply_withheld(source);
             }
             if changed {
                 self.review_sources();
@@ -152,7 +152,7 @@
     }
 
     /// A source is trusted now: its withheld configuration can be used.
-    fn take_withheld(&mut self, source: SocketAddr) {
+    fn apply_withheld(&mut self, source: SocketAddr) {
         if let Some(committed) = self.unconfirmed.take(source) {
             self.on_source_message(source, Message::CommittedConfiguration(committed));
         }
@@ -207,7 +207,7 @@
     fn awaits_trusted_source(&self) -> bool {
         self.view.configuration().is_none()
             && self.sources.has_no_trusted()
-            && self.unconfirmed.withholds_any()
+            && self.unconfirmed.has_withheld()
     }
 
     /// Tells how many routers are live, and whether any source is in contact with a majority, when that has
@@ -247,7 +247,7 @@
                 self.forward_demand(&message)
             }
             SubscriberEvent::Message { subscriber, message: Message::ConfigurationFetch(base) } => {
-                self.answer(subscriber, base);
+                self.answer_fetch(subscriber, base);
             }
             SubscriberEvent::Message { .. } => {}
             SubscriberEvent::Down { subscriber } => {
@@ -256,7 +256,7 @@
         }
     }
 
-    fn answer(&mut self, subscriber: u64, base: ConfigurationVersion) {
+    fn answer_fetch(&mut self, subscriber: u64, base: ConfigurationVersion) {
         let Some(frame) = self.configurations.answer(base) else { return };
         if let Some(outbox) = self.subscribers.get(&subscriber) {
             outbox.send(frame);
@@ -274,7 +274,7 @@
     pub(crate) fn review_sources(&mut self) {
         let now = self.now();
         self.release_withheld();
-        if self.sources.has_no_trusted() && now > self.settings_read + SETTINGS_PERIOD {
+        if self.sources.has_no_trusted() && now > self.settings_read_at + SETTINGS_PERIOD {
             self.read_settings();
         }
         let known: BTreeSet<SocketAddr> = self.known_controllers();
@@ -287,7 +287,7 @@
             self.heartbeats.remove(&source);
             self.outboxes.remove(&source);
             self.view.source_lost(now, source);
-            self.unconfirmed.lost(source);
+            self.unconfirmed.on_source_lost(source);
             self.environment.unfollow(source);
         }
     }
@@ -299,7 +299,7 @@
 
     /// Seeds may have been exchanged since the process started.
     pub(crate) fn read_settings(&mut self) {
-        self.settings_read = self.now();
+        self.settings_read_at = self.now();
         match self.environment.read_settings() {
             Ok(settings) => self.settings.seeds = settings.seeds,
             Err(findings) => log::warn!("settings not reloaded error={findings}"),
--- a/crates/controller/src/agent/process.rs
+++ b/crates/controller/src/agent/process.rs
@@ -17,14 +17,14 @@
 use tokio::time::sleep_until;
 
 /// The outside of an agent that is a process. Must be used inside a `LocalSet`.
-struct Process {
+struct ProcessEnvironment {
     started: Instant,
     events: mpsc::UnboundedSender<SourceEvent>,
     /// Links that are dialled or up.
     links: BTreeMap<SocketAddr, AbortHandle>,
 }
 
-impl Environment for Process {
+impl Environment for ProcessEnvironment {
     fn now(&self) -> Duration {
         self.started.elapsed()
     }
@@ -58,8 +58,8 @@
     tokio::task::spawn_local(accept(listener, subscriber_events));
     let (events, mut from_sources) = mpsc::unbounded_channel();
     let started = Instant::now();
-    let process = Process { started, events, links: BTreeMap::new() };
-    let mut agent = Agent::new(settings, draw_incarnation(), Box::new(process));
+    let environment = ProcessEnvironment { started, events, links: BTreeMap::new() };
+    let mut agent = Agent::new(settings, draw_incarnation(), Box::new(environment));
     agent.review_sources();
     let mut scrapes = Scrapes::at(metrics);
     let mut review = tokio::time::interval(SOURCE_REVIEW_PERIOD);
--- a/crates/controller/src/agent/sources.rs
+++ b/crates/controller/src/agent/sources.rs
@@ -42,7 +42,7 @@
 
 /// What to change.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Plan {
+pub struct SourcePlan {
     /// Sources to follow from now on.
     pub start: Vec<SocketAddr>,
     /// Sources to follow no more.
@@ -95,14 +95,14 @@
     }
 
     /// Decides which sources among `known` to begin and to end.
-    pub fn plan(&mut self, now: Duration, name: &str, known: &BTreeSet<SocketAddr>) -> Plan {
+    pub fn plan(&mut self, now: Duration, name: &str, known: &BTreeSet<SocketAddr>) -> SourcePlan {
         self.retry_at.retain(|_, at| *at > now);
-        let mut plan = Plan::default();
-        let mut useful =
+        let mut plan = SourcePlan::default();
+        let mut usable =
             self.followed.values().filter(|status| **status != SourceStatus::Partitioned).count();
         let all: Vec<SocketAddr> = known.iter().copied().collect();
         for source in rendezvous_order(name.as_bytes(), &all) {
-            if useful >= WANTED_SOURCES {
+            if usable >= WANTED_SOURCES {
                 break;
             }
             if self.followed.contains_key(&source) || self.retry_at.contains_key(&source) {
@@ -110,7 +110,7 @@
             }
             self.followed.insert(source, SourceStatus::Starting);
             plan.start.push(source);
-            useful += 1;
+            usable += 1;
         }
         let trusted = self.followed.values().filter(|status| **status == SourceStatus::Trusted).count();
         if trusted >= WANTED_SOURCES {
--- a/crates/controller/src/agent/unconfirmed.rs
+++ b/crates/controller/src/agent/unconfirmed.rs
@@ -17,29 +17,29 @@
 
 /// Withheld configurations, by source.
 #[derive(Debug, Default)]
-pub struct Unconfirmed {
+pub struct UnconfirmedConfigurations {
     withheld: BTreeMap<SocketAddr, CommittedConfiguration>,
     /// When the first one was withheld, while none has been accepted since.
-    since: Option<Duration>,
+    withheld_since: Option<Duration>,
 }
 
-impl Unconfirmed {
+impl UnconfirmedConfigurations {
     /// Passes a message on, unless it is a configuration that may not be accepted yet: that is withheld.
     pub fn filter(
         &mut self,
         now: Duration,
         source: SocketAddr,
         message: Message,
-        may_take: bool,
+        may_accept: bool,
     ) -> Option<Message> {
         match message {
-            Message::CommittedConfiguration(committed) if !may_take => {
-                self.since.get_or_insert(now);
+            Message::CommittedConfiguration(committed) if !may_accept => {
+                self.withheld_since.get_or_insert(now);
                 self.withheld.insert(source, committed);
                 None
             }
             Message::CommittedConfiguration(_) => {
-                self.since = None;
+                self.withheld_since = None;
                 self.withheld.clear();
                 Some(message)
             }
@@ -53,13 +53,13 @@
     }
 
     /// Whether a configuration is withheld.
-    pub fn withholds_any(&self) -> bool {
+    pub fn has_withheld(&self) -> bool {
         !self.withheld.is_empty()
     }
 
-    /// A source is not followed any more. Its configuration stays for [`Unconfirmed::overdue`] only if it is the
+    /// A source is not followed any more. Its configuration stays for [`UnconfirmedConfigurations::overdue`] only if it is the
     /// only one.
-    pub fn lost(&mut self, source: SocketAddr) {
+    pub fn on_source_lost(&mut self, source: SocketAddr) {
         if self.withheld.len() > 1 {
             self.withheld.remove(&source);
         }
@@ -67,10 +67,10 @@
 
     /// The newest withheld configuration, once [`WITHHOLD_LIMIT`] is over.
     pub fn overdue(&mut self, now: Duration) -> Option<(SocketAddr, CommittedConfiguration)> {
-        if self.since.is_none_or(|since| now < since + WITHHOLD_LIMIT) {
+        if self.withheld_since.is_none_or(|since| now < since + WITHHOLD_LIMIT) {
             return None;
         }
-        self.since = None;
+        self.withheld_since = None;
         let withheld = std::mem::take(&mut self.withheld);
         withheld.into_iter().max_by_key(|(_, committed)| committed.revision)
     }
--- a/crates/controller/src/configuration_feed/delta.rs
+++ b/crates/controller/src/configuration_feed/delta.rs
@@ -20,11 +20,11 @@
     TooLong,
     /// The result has another digest than expected.
     #[error("the result has another digest")]
-    OtherDigest,
+    DigestMismatch,
 }
 
 /// The parts that make `newer` of `older`.
-pub fn between(older: &[u8], newer: &[u8]) -> Vec<DeltaPart> {
+pub fn compute(older: &[u8], newer: &[u8]) -> Vec<DeltaPart> {
     let (old, new) = (chunks(older), chunks(newer));
     let mut positions = None;
     let mut parts = Parts::default();
@@ -85,7 +85,7 @@
             return Err(DeltaError::TooLong);
         }
     }
-    if digest(&newer) == expected { Ok(newer) } else { Err(DeltaError::OtherDigest) }
+    if digest(&newer) == expected { Ok(newer) } else { Err(DeltaError::DigestMismatch) }
 }
 
 fn chunks(document: &[u8]) -> Vec<Range<usize>> {
--- a/crates/controller/src/configuration_feed/fetcher.rs
+++ b/crates/controller/src/configuration_feed/fetcher.rs
@@ -15,29 +15,29 @@
 
 /// How often a subscriber fetches.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pace {
+pub struct FetchPacing {
     /// Least time from one fetch to the next.
-    pub shortest: Duration,
+    pub min_interval: Duration,
     /// Most that an answer's size adds up to: a large document delays the next fetch by no more than this.
-    pub longest: Duration,
-    /// Bytes of answers a second that are aimed at, as long as `longest` allows it.
+    pub max_interval: Duration,
+    /// Bytes of answers a second that are aimed at, as long as `max_interval` allows it.
     pub bytes_per_s: f64,
 }
 
-impl Pace {
+impl FetchPacing {
     /// For a subscriber behind a link of 10 Mbit/s or more, of which configurations get a fifth.
-    pub const LINK: Pace = Pace {
-        shortest: Duration::from_millis(100),
-        longest: Duration::from_millis(800),
+    pub const LINK: FetchPacing = FetchPacing {
+        min_interval: Duration::from_millis(100),
+        max_interval: Duration::from_millis(800),
         bytes_per_s: 250_000.0,
     };
     /// For a subscriber on the loopback interface, where the cost is parsing the document.
-    pub const LOOPBACK: Pace = Pace { bytes_per_s: f64::INFINITY, ..Pace::LINK };
+    pub const LOOPBACK: FetchPacing = FetchPacing { bytes_per_s: f64::INFINITY, ..FetchPacing::LINK };
 
     /// Least time from a fetch that was answered with `bytes` to the next.
     pub fn interval(&self, bytes: usize) -> Duration {
         let seconds = bytes as f64 / self.bytes_per_s;
-        Duration::from_secs_f64(seconds).clamp(self.shortest, self.longest)
+        Duration::from_secs_f64(seconds).clamp(self.min_interval, self.max_interval)
     }
 }
 
@@ -51,7 +51,7 @@
 /// The newest configuration that a subscriber has, and the newer versions that its sources announced.
 #[derive(Debug)]
 pub struct ConfigurationFetcher {
-    pace: Pace,
+    pacing: FetchPacing,
     current: Option<CommittedConfiguration>,
     version: Option<ConfigurationVersion>,
     /// Newest version that anyone is known to have.
@@ -61,21 +61,21 @@
     in_flight: BTreeMap<SocketAddr, InFlightFetch>,
     next_fetch: Duration,
     /// Whether a delta did not apply: the next answer has to be a complete document.
-    wants_complete: bool,
+    requires_complete: bool,
 }
 
 impl ConfigurationFetcher {
     /// A fetcher that has no configuration yet.
-    pub fn new(pace: Pace) -> Self {
+    pub fn new(pacing: FetchPacing) -> Self {
         ConfigurationFetcher {
-            pace,
+            pacing,
             current: None,
             version: None,
             known: None,
             announced: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             next_fetch: Duration::ZERO,
-            wants_complete: false,
+            requires_complete: false,
         }
     }
 
@@ -115,7 +115,7 @@
         committed: &CommittedConfiguration,
     ) -> bool {
         self.on_answer(now, source, committed.document.bytes.len());
-        self.wants_complete = false;
+        self.requires_complete = false;
         self.apply(committed)
     }
 
@@ -148,7 +148,7 @@
                     "configuration delta not applied revision={} error={error}",
                     delta.version.revision
                 );
-                self.wants_complete = true;
+                self.requires_complete = true;
                 None
             }
         }
@@ -167,7 +167,7 @@
 
     fn on_answer(&mut self, now: Duration, source: SocketAddr, bytes: usize) {
         let requested_at = self.in_flight.remove(&source).map_or(now, |in_flight| in_flight.at);
-        self.next_fetch = self.next_fetch.max(requested_at + self.pace.interval(bytes));
+        self.next_fetch = self.next_fetch.max(requested_at + self.pacing.interval(bytes));
     }
 
     /// A source's link has ended.
@@ -187,10 +187,10 @@
         let have_newest = candidates.iter().filter(|(_, version)| version.revision == newest);
         let sources: Vec<SocketAddr> = have_newest.map(|(source, _)| *source).collect();
         let source = preferred.filter(|preferred| sources.contains(preferred)).unwrap_or(sources[0]);
-        let base = self.version.filter(|_| !self.wants_complete);
+        let base = self.version.filter(|_| !self.requires_complete);
         let timeout = if base.is_some() { DELTA_TIMEOUT } else { DOCUMENT_TIMEOUT };
         self.in_flight.insert(source, InFlightFetch { at: now, timeout });
-        self.next_fetch = now + self.pace.shortest;
+        self.next_fetch = now + self.pacing.min_interval;
         Some((source, Message::ConfigurationFetch(base.unwrap_or(ConfigurationVersion::NONE))))
     }
 
--- a/crates/controller/src/configuration_feed/mod.rs
+++ b/crates/controller/src/configuration_feed/mod.rs
@@ -14,7 +14,7 @@
 /// Odd, so that a step of [`digest`] maps no two words, and no two digests before it, to the same.
 const DIGEST_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Bits by which a step turns the digest before it.
-const DIGEST_TURN: u32 = 23;
+const DIGEST_ROTATION: u32 = 23;
 const WORD_BYTES: usize = 8;
 
 /// The digest of a document, by which both ends know that they have the same bytes. Guards against errors, not
@@ -24,7 +24,7 @@
     let mut digest = stable_hash(words.remainder()) ^ document.len() as u64;
     for word in words {
         let word = word.try_into().map_or(0, u64::from_le_bytes);
-        digest = (digest.rotate_left(DIGEST_TURN) ^ word).wrapping_mul(DIGEST_FACTOR);
+        digest = (digest.rotate_left(DIGEST_ROTATION) ^ word).wrapping_mul(DIGEST_FACTOR);
     }
     stable_hash(&digest.to_le_bytes())
 }
--- a/crates/controller/src/configuration_feed/publisher.rs
+++ b/crates/controller/src/configuration_feed/publisher.rs
@@ -26,7 +26,7 @@
 
 impl ConfigurationPublisher {
     /// A publisher of nothing yet, that retains `capacity` documents as bases of deltas.
-    pub fn retaining(capacity: usize) -> Self {
+    pub fn with_capacity(capacity: usize) -> Self {
         ConfigurationPublisher { capacity, versions: VecDeque::new(), answers: BTreeMap::new() }
     }
 
@@ -84,7 +84,7 @@
 }
 
 fn delta(base: &RetainedConfiguration, newest: &RetainedConfiguration) -> Bytes {
-    let parts = delta::between(&base.document, &newest.document).into();
+    let parts = delta::compute(&base.document, &newest.document).into();
     let (base, version) = (base.version.digest, newest.version);
     Message::ConfigurationDelta(ConfigurationDelta { base, version, parts }).frame()
 }
--- a/crates/controller/src/controller/feed/subscriber_storm_test.rs
+++ b/crates/controller/src/controller/feed/subscriber_storm_test.rs
@@ -1,6 +1,6 @@
 //! Subscribers of the feed under bursts of changes, in simulated time: bytes, lag and final state of each.
 
-use crate::configuration_feed::fetcher::Pace;
+use crate::configuration_feed::fetcher::FetchPacing;
 use crate::controller::feed::subscribers::{FeedStatus, Subscribers};
 use crate::link::Outbox;
 use crate::message::{CommittedConfiguration, Hello, Message, Registered, Removed, Role};
@@ -116,7 +116,7 @@
                 Link { frames, arriving: None }
             });
             let links = links.collect();
-            let view = View::new(Pace::LINK);
+            let view = View::new(FetchPacing::LINK);
             SimulatedSubscriber { view, links, fetches: VecDeque::new(), bytes: 0, longest_lag: 0 }
         };
         let subscribers = (0..count).map(&mut subscriber).collect();
@@ -225,7 +225,7 @@
     let changes = world.committed_at.len() as u64;
     world.assert_all_have(&all_routes_changed(changes));
     let document_bytes = all_routes_changed(changes).len();
-    let interval = Pace::LINK.interval(document_bytes).as_millis() as u64;
+    let interval = FetchPacing::LINK.interval(document_bytes).as_millis() as u64;
     let answers = 1 + (LENGTH_MS + 1_500).div_ceil(interval) as usize;
     let small = 2 * (changes as usize * 25 + 40 * 60);
     let (bytes, lag) = (world.most_bytes(), world.longest_lag());
--- a/crates/controller/src/controller/feed/subscribers.rs
+++ b/crates/controller/src/controller/feed/subscribers.rs
@@ -41,7 +41,7 @@
     pub(crate) fn new(incarnation: u64) -> Self {
         Subscribers {
             journal: Journal::new(incarnation, JOURNAL_CHANGES),
-            configurations: ConfigurationPublisher::retaining(RETAINED_CONFIGURATIONS),
+            configurations: ConfigurationPublisher::with_capacity(RETAINED_CONFIGURATIONS),
             outboxes: BTreeMap::new(),
             snapshot: None,
         }
--- a/crates/controller/src/feed_client.rs
+++ b/crates/controller/src/feed_client.rs
@@ -1,7 +1,7 @@
 //! The router's client of its agent's feed: converts messages into events for the router.
 
 use crate::agent::loopback_address;
-use crate::configuration_feed::fetcher::Pace;
+use crate::configuration_feed::fetcher::FetchPacing;
 use crate::incarnation::draw_incarnation;
 use crate::link::Outbox;
 use crate::message::{Hello, Message, Role, RouterDemand};
@@ -67,7 +67,7 @@
         incarnation: u64,
         events: mpsc::UnboundedSender<FeedEvent>,
     ) -> Self {
-        let view = View::new(Pace::LOOPBACK);
+        let view = View::new(FetchPacing::LOOPBACK);
         Client { settings, incarnation, view, outbox: None, events, synchronized: false, behind: false }
     }
 
--- a/crates/controller/src/simulation/checks.rs
+++ b/crates/controller/src/simulation/checks.rs
@@ -157,7 +157,7 @@
             .map(|machine| machine.index)
             .collect();
         let reaches = |from: usize, to: usize| {
-            from == to || self.network.is_sound(Host::Controller(from), Host::Controller(to))
+            from == to || self.network.is_healthy_between(Host::Controller(from), Host::Controller(to))
         };
         let reached = |from: usize| awake.iter().filter(|to| reaches(from, **to)).count();
         awake.iter().copied().filter(|index| 2 * reached(*index) > core).collect()
@@ -169,15 +169,16 @@
         let working = self.working_controllers();
         let all_connected = working.iter().all(|one| {
             working.iter().all(|other| {
-                one == other || self.network.is_sound(Host::Controller(*one), Host::Controller(*other))
+                one == other
+                    || self.network.is_healthy_between(Host::Controller(*one), Host::Controller(*other))
             })
         });
         let disks = (0..self.controllers.len()).all(|index| !self.controllers[index].disk.is_slow());
         2 * working.len() > core
             && all_connected
             && disks
-            && self.network.is_calm()
-            && self.fault_history.core_at() + span <= self.now()
+            && self.network.has_normal_speed()
+            && self.fault_history.last_core_fault() + span <= self.now()
             && !self.is_beyond_tolerance()
     }
 
@@ -190,8 +191,8 @@
         let in_touch = |index: &usize| {
             let router = Host::Router(*index);
             self.routers[*index].is_awake()
-                && self.fault_history.machine_at(router) + CONTACT <= self.now()
-                && working.iter().all(|at| self.network.is_sound(router, Host::Controller(*at)))
+                && self.fault_history.last_machine_fault(router) + CONTACT <= self.now()
+                && working.iter().all(|at| self.network.is_healthy_between(router, Host::Controller(*at)))
         };
         (0..self.routers.len()).filter(in_touch).collect()
     }
@@ -216,7 +217,8 @@
             self.controllers.iter().filter(|machine| is_lost(machine)).map(|machine| machine.index).collect();
         let pair_is_cut = working.iter().any(|one| {
             working.iter().any(|other| {
-                one != other && !self.network.is_sound(Host::Controller(*one), Host::Controller(*other))
+                one != other
+                    && !self.network.is_healthy_between(Host::Controller(*one), Host::Controller(*other))
             })
         });
         let losses = &mut self.fault_history.losses;
--- a/crates/controller/src/simulation/connection.rs
+++ b/crates/controller/src/simulation/connection.rs
@@ -54,8 +54,8 @@
 pub(super) struct Pipe {
     frames: mpsc::Receiver<Bytes>,
     /// Frames with the times from which they can be read, in order.
-    on_the_way: VecDeque<(Duration, Bytes)>,
-    bytes_on_the_way: usize,
+    in_flight: VecDeque<(Duration, Bytes)>,
+    bytes_in_flight: usize,
     /// When the link has sent all before.
     free_at: Duration,
     /// Whether a look at the first frame is scheduled.
@@ -64,8 +64,8 @@
 
 impl Pipe {
     fn new(frames: mpsc::Receiver<Bytes>) -> Self {
-        let on_the_way = VecDeque::new();
-        Pipe { frames, on_the_way, bytes_on_the_way: 0, free_at: Duration::ZERO, scheduled: false }
+        let in_flight = VecDeque::new();
+        Pipe { frames, in_flight, bytes_in_flight: 0, free_at: Duration::ZERO, scheduled: false }
     }
 
     /// Takes frames out of the outbox, as many as fit. `transfer` and `delay` give the time that each takes.
@@ -76,23 +76,23 @@
         transfer: impl Fn(usize) -> Duration,
         mut delay: impl FnMut() -> Duration,
     ) -> bool {
-        while self.bytes_on_the_way < WINDOW_BYTES {
+        while self.bytes_in_flight < WINDOW_BYTES {
             let frame = match self.frames.try_recv() {
                 Ok(frame) => frame,
                 Err(mpsc::error::TryRecvError::Empty) => return true,
-                Err(mpsc::error::TryRecvError::Disconnected) => return !self.on_the_way.is_empty(),
+                Err(mpsc::error::TryRecvError::Disconnected) => return !self.in_flight.is_empty(),
             };
             self.free_at = self.free_at.max(now) + transfer(frame.len());
-            let last = self.on_the_way.back().map_or(Duration::ZERO, |(at, _)| *at);
-            self.bytes_on_the_way += frame.len();
-            self.on_the_way.push_back((last.max(self.free_at + delay()), frame));
+            let last = self.in_flight.back().map_or(Duration::ZERO, |(at, _)| *at);
+            self.bytes_in_flight += frame.len();
+            self.in_flight.push_back((last.max(self.free_at + delay()), frame));
         }
         true
     }
 
     /// When the next frame can be read.
     pub(super) fn next_at(&self) -> Option<Duration> {
-        self.on_the_way.front().map(|(at, _)| *at)
+        self.in_flight.front().map(|(at, _)| *at)
     }
 
     /// The next frame, if it can be read by now.
@@ -100,29 +100,29 @@
         if self.next_at()? > now {
             return None;
         }
-        let (_, frame) = self.on_the_way.pop_front()?;
-        self.bytes_on_the_way -= frame.len();
+        let (_, frame) = self.in_flight.pop_front()?;
+        self.bytes_in_flight -= frame.len();
         Some(frame)
     }
 
     /// Everything on the way is sent again, from `at` on.
     pub(super) fn postpone(&mut self, at: Duration) {
-        for (ready, _) in &mut self.on_the_way {
+        for (ready, _) in &mut self.in_flight {
             *ready = at.max(*ready);
         }
     }
 
     /// What is on the way arrives by `at`: the queue in which it waits is emptied.
     pub(super) fn empty_queue(&mut self, at: Duration) {
-        for (ready, _) in &mut self.on_the_way {
+        for (ready, _) in &mut self.in_flight {
             *ready = at.min(*ready);
         }
     }
 
     /// All that is on the way, with its times.
     pub(super) fn drain(&mut self) -> Vec<(Duration, Bytes)> {
-        self.bytes_on_the_way = 0;
-        self.on_the_way.drain(..).collect()
+        self.bytes_in_flight = 0;
+        self.in_flight.drain(..).collect()
     }
 }
 
--- a/crates/controller/src/simulation/connections.rs
+++ b/crates/controller/src/simulation/connections.rs
@@ -124,7 +124,7 @@
     pub(super) fn pump(&mut self, number: u64) {
         let now = self.now();
         let mut due = Vec::new();
-        let mut is_over = false;
+        let mut is_closed = false;
         {
             let Some(connection) = self.connections.get_mut(&number) else { return };
             for end in [End::Dialer, End::Listener] {
@@ -132,7 +132,7 @@
                 let pipe = connection.pipe_to(end);
                 let transfer = |bytes| self.network.transfer_time(bytes);
                 let open = pipe.pump(now, transfer, || self.network.delay(from, to, &mut self.random));
-                is_over |= !open;
+                is_closed |= !open;
                 if let Some(at) = pipe.next_at().filter(|_| !pipe.scheduled) {
                     pipe.scheduled = true;
                     due.push((at, end));
@@ -142,7 +142,7 @@
         for (at, end) in due {
             self.schedule(at, SimulationEvent::Arrive { connection: number, end });
         }
-        if is_over {
+        if is_closed {
             self.close(number, None);
         }
     }
--- a/crates/controller/src/simulation/controller_machine.rs
+++ b/crates/controller/src/simulation/controller_machine.rs
@@ -125,7 +125,7 @@
         if machine.running.is_some() || machine.retired {
             return;
         }
-        self.network.set_dark(host, false);
+        self.network.set_powered_off(host, false);
         self.end_connections(|connection| connection.touches(host), None);
         let process = self.next_process(host);
         let environment =
@@ -326,7 +326,7 @@
         let disk = &mut self.controllers[index].disk;
         disk.interrupt(&mut self.random);
         disk.lose_power(&mut self.random);
-        self.network.set_dark(Host::Controller(index), true);
+        self.network.set_powered_off(Host::Controller(index), true);
         self.paths_changed();
     }
 
@@ -358,7 +358,7 @@
 
     fn end_controller(&mut self, index: usize) {
         self.kill_controller(index);
-        self.fault_history.core(self.clock.get());
+        self.fault_history.record_core_fault(self.clock.get());
         self.detect_losses();
         self.expect_complete_groups();
     }
--- a/crates/controller/src/simulation/disk.rs
+++ b/crates/controller/src/simulation/disk.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// A write on a healthy disk takes up to this long.
-const USUAL_WRITE: Duration = Duration::from_millis(2);
+const HEALTHY_WRITE_TIME: Duration = Duration::from_millis(2);
 /// Steps of a save, from making the file to removing old ones.
 const SAVE_STEPS: u32 = 6;
 
@@ -46,7 +46,7 @@
         Disk {
             directory: SimulatedDirectory::new(),
             stores: Stores::new(),
-            longest_write: USUAL_WRITE,
+            longest_write: HEALTHY_WRITE_TIME,
             stalled: false,
             queue: VecDeque::new(),
             busy: false,
@@ -124,14 +124,14 @@
 
     /// The disk is as good as new, apart from what is on it.
     pub(super) fn repair(&mut self) {
-        self.longest_write = USUAL_WRITE;
+        self.longest_write = HEALTHY_WRITE_TIME;
         self.stalled = false;
         self.directory.rejects_writes = false;
     }
 
     /// Whether writes take longer than usual, or for ever.
     pub(super) fn is_slow(&self) -> bool {
-        self.stalled || self.longest_write != USUAL_WRITE
+        self.stalled || self.longest_write != HEALTHY_WRITE_TIME
     }
 
     pub(super) fn is_healthy(&self) -> bool {
--- a/crates/controller/src/simulation/expectation.rs
+++ b/crates/controller/src/simulation/expectation.rs
@@ -50,7 +50,7 @@
 /// Words that are no expectation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("no such expectation")]
-pub struct NoExpectation;
+pub struct ExpectationParseError;
 
 impl fmt::Display for Expectation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -77,12 +77,12 @@
 }
 
 impl FromStr for Expectation {
-    type Err = NoExpectation;
+    type Err = ExpectationParseError;
 
-    fn from_str(text: &str) -> Result<Self, NoExpectation> {
+    fn from_str(text: &str) -> Result<Self, ExpectationParseError> {
         let words: Vec<&str> = text.split_whitespace().collect();
-        let host = |word: &str| word.parse::<Host>().map_err(|_| NoExpectation);
-        let number = |word: &str| word.parse::<usize>().map_err(|_| NoExpectation);
+        let host = |word: &str| word.parse::<Host>().map_err(|_| ExpectationParseError);
+        let number = |word: &str| word.parse::<usize>().map_err(|_| ExpectationParseError);
         Ok(match *words.as_slice() {
             ["change", which, status] => {
                 Expectation::Change { number: number(which)?, status: status.to_owned() }
@@ -109,7 +109,7 @@
             [who, "nowhere"] => Expectation::NoMember(host(who)?),
             [who, "acts"] => Expectation::Acts(host(who)?),
             [who, "idle"] => Expectation::Idle(host(who)?),
-            _ => return Err(NoExpectation),
+            _ => return Err(ExpectationParseError),
         })
     }
 }
--- a/crates/controller/src/simulation/faults.rs
+++ b/crates/controller/src/simulation/faults.rs
@@ -28,25 +28,25 @@
 
 impl FaultHistory {
     /// The start of all is no fault.
-    pub(super) fn forget(&mut self) {
+    pub(super) fn reset(&mut self) {
         *self = FaultHistory::default();
     }
 
     /// Something happened to controllers or the paths between them.
-    pub(super) fn core(&mut self, now: Duration) {
+    pub(super) fn record_core_fault(&mut self, now: Duration) {
         self.core_at = Some(now);
         self.steps += 1;
     }
 
     /// Something happened to a machine.
-    pub(super) fn machine(&mut self, now: Duration, host: Host) {
+    pub(super) fn record_machine_fault(&mut self, now: Duration, host: Host) {
         self.machines.insert(host, now);
         if matches!(host, Host::Controller(_)) {
-            self.core(now);
+            self.record_core_fault(now);
         }
     }
 
-    pub(super) fn thawed(&mut self, now: Duration, host: Host) {
+    pub(super) fn record_thaw(&mut self, now: Duration, host: Host) {
         self.thawed.insert(host, now);
     }
 
@@ -55,12 +55,12 @@
     }
 
     /// When a controller or a path between two was last touched.
-    pub(super) fn core_at(&self) -> Duration {
+    pub(super) fn last_core_fault(&self) -> Duration {
         self.core_at.unwrap_or_default()
     }
 
     /// When a machine was last touched.
-    pub(super) fn machine_at(&self, host: Host) -> Duration {
+    pub(super) fn last_machine_fault(&self, host: Host) -> Duration {
         self.machines.get(&host).copied().unwrap_or_default()
     }
 }
@@ -84,7 +84,7 @@
             Step::Heal => self.heal(),
             Step::Refuse(host) => self.network.refuse(*host),
             Step::Reset(host) => self.end_connections(|connection| connection.touches(*host), None),
-            Step::Delay(time) => self.network.set_longest_delay(Duration::from_millis(*time)),
+            Step::Delay(time) => self.network.set_max_delay(Duration::from_millis(*time)),
             Step::Rate(rate) => self.network.set_rate(Some(*rate)),
             Step::Kill(host) => self.kill(*host),
             Step::Power(index) => self.lose_power(*index),
@@ -111,17 +111,17 @@
         match step {
             Step::Crash(_) => return,
             Step::Heal | Step::Delay(_) | Step::Rate(_) | Step::Split(_) | Step::Seeds(_) => {
-                self.fault_history.core(now);
+                self.fault_history.record_core_fault(now);
                 for index in 0..self.routers.len() {
-                    self.fault_history.machine(now, Host::Router(index));
+                    self.fault_history.record_machine_fault(now, Host::Router(index));
                 }
             }
             Step::Partition { from, to }
             | Step::Blackhole { from, to }
             | Step::Lag { from, to, .. }
             | Step::ResetOneSide { host: from, peer: to } => {
-                self.fault_history.machine(now, *from);
-                self.fault_history.machine(now, *to);
+                self.fault_history.record_machine_fault(now, *from);
+                self.fault_history.record_machine_fault(now, *to);
             }
             Step::Isolate { host, .. }
             | Step::Refuse(host)
@@ -129,8 +129,8 @@
             | Step::Kill(host)
             | Step::Start(host)
             | Step::Freeze(host)
-            | Step::Thaw(host) => self.fault_history.machine(now, *host),
-            _ => self.fault_history.core(now),
+            | Step::Thaw(host) => self.fault_history.record_machine_fault(now, *host),
+            _ => self.fault_history.record_core_fault(now),
         }
         self.detect_losses();
         self.expect_complete_groups();
@@ -170,7 +170,7 @@
         let lagged = self.network.end_lags();
         let now = self.now();
         for host in self.controller_hosts() {
-            self.fault_history.thawed(now, host);
+            self.fault_history.record_thaw(now, host);
         }
         self.paths_changed();
         self.empty_queues(&lagged);
@@ -243,7 +243,7 @@
 
     pub(super) fn thaw(&mut self, host: Host) {
         let now = self.now();
-        self.fault_history.thawed(now, host);
+        self.fault_history.record_thaw(now, host);
         match host {
             Host::Controller(index) => self.thaw_controller(index),
             Host::Router(index) => self.thaw_router(index),
--- a/crates/controller/src/simulation/mod.rs
+++ b/crates/controller/src/simulation/mod.rs
@@ -34,10 +34,10 @@
 mod violation;
 mod world;
 
-pub use expectation::{Expectation, NoExpectation};
+pub use expectation::{Expectation, ExpectationParseError};
 pub use host::Host;
 pub use scenario::{ParseError, Scenario};
 pub use schedule::{random_link_scenario, random_scenario, shrink};
-pub use step::{NoStep, Scope, Step};
+pub use step::{Scope, Step, StepParseError};
 pub use violation::Violation;
 pub use world::World;
--- a/crates/controller/src/simulation/network.rs
+++ b/crates/controller/src/simulation/network.rs
@@ -12,12 +12,12 @@
 use std::time::Duration;
 
 /// Longest delay on a healthy network, ms.
-const USUAL_DELAY_MS: u64 = 3;
+const HEALTHY_DELAY_MS: u64 = 3;
 
 /// Paths between machines.
 #[derive(Debug)]
 pub(super) struct Network {
-    longest_delay: Duration,
+    max_delay: Duration,
     /// Directions in which nothing arrives.
     partitions: BTreeSet<(Host, Host)>,
     /// Directions in which nothing arrives, although connections last.
@@ -25,7 +25,7 @@
     /// Directions in which everything arrives this much later.
     lags: BTreeMap<(Host, Host), Duration>,
     /// Machines that are without power: nothing arrives there, nothing comes from there.
-    dark: BTreeSet<Host>,
+    powered_off: BTreeSet<Host>,
     /// Machines that refuse new connections.
     refusing: BTreeSet<Host>,
     /// Bytes that a link carries in a second; no limit if absent.
@@ -35,11 +35,11 @@
 impl Network {
     pub(super) fn new() -> Self {
         Network {
-            longest_delay: Duration::from_millis(USUAL_DELAY_MS),
+            max_delay: Duration::from_millis(HEALTHY_DELAY_MS),
             partitions: BTreeSet::new(),
             blackholes: BTreeSet::new(),
             lags: BTreeMap::new(),
-            dark: BTreeSet::new(),
+            powered_off: BTreeSet::new(),
             refusing: BTreeSet::new(),
             bytes_per_second: None,
         }
@@ -77,19 +77,19 @@
         std::mem::take(&mut self.lags).into_keys().collect()
     }
 
-    pub(super) fn set_longest_delay(&mut self, delay: Duration) {
-        self.longest_delay = delay;
+    pub(super) fn set_max_delay(&mut self, delay: Duration) {
+        self.max_delay = delay;
     }
 
     pub(super) fn set_rate(&mut self, bytes_per_second: Option<u64>) {
         self.bytes_per_second = bytes_per_second;
     }
 
-    pub(super) fn set_dark(&mut self, host: Host, dark: bool) {
-        if dark {
-            self.dark.insert(host);
+    pub(super) fn set_powered_off(&mut self, host: Host, powered_off: bool) {
+        if powered_off {
+            self.powered_off.insert(host);
         } else {
-            self.dark.remove(&host);
+            self.powered_off.remove(&host);
         }
     }
 
@@ -103,8 +103,8 @@
 
     /// Everything is as on a healthy network.
     pub(super) fn repair(&mut self) {
-        let dark = std::mem::take(&mut self.dark);
-        *self = Network { dark, ..Network::new() };
+        let powered_off = std::mem::take(&mut self.powered_off);
+        *self = Network { powered_off, ..Network::new() };
     }
 
     /// Whether what is sent now arrives.
@@ -123,23 +123,25 @@
     }
 
     /// Whether a connection between the two works, and as fast as on a healthy network.
-    pub(super) fn is_sound(&self, one: Host, other: Host) -> bool {
+    pub(super) fn is_healthy_between(&self, one: Host, other: Host) -> bool {
         let is_late = self.lags.contains_key(&(one, other)) || self.lags.contains_key(&(other, one));
         self.is_open_both_ways(one, other) && !is_late
     }
 
     fn is_connected(&self, from: Host, to: Host) -> bool {
-        !self.partitions.contains(&(from, to)) && !self.dark.contains(&from) && !self.dark.contains(&to)
+        !self.partitions.contains(&(from, to))
+            && !self.powered_off.contains(&from)
+            && !self.powered_off.contains(&to)
     }
 
     /// Whether nothing is out of order on the paths between the two.
-    pub(super) fn is_calm(&self) -> bool {
-        self.longest_delay <= Duration::from_millis(USUAL_DELAY_MS) && self.bytes_per_second.is_none()
+    pub(super) fn has_normal_speed(&self) -> bool {
+        self.max_delay <= Duration::from_millis(HEALTHY_DELAY_MS) && self.bytes_per_second.is_none()
     }
 
     /// Time that something takes from one machine to another.
     pub(super) fn delay(&self, from: Host, to: Host, random: &mut SmallRng) -> Duration {
-        self.longest_delay.mul_f64(random.random::<f64>()) + self.lag(from, to)
+        self.max_delay.mul_f64(random.random::<f64>()) + self.lag(from, to)
     }
 
     /// How much later than usual something arrives.
--- a/crates/controller/src/simulation/operator.rs
+++ b/crates/controller/src/simulation/operator.rs
@@ -16,9 +16,9 @@
 /// An operator that goes from controller to controller gives up after this long.
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(10);
 /// An operator gives up at this many unclear refusals.
-const MOST_REFUSALS: usize = 3;
+const MAX_REFUSALS: usize = 3;
 /// Versions go up in uneven steps.
-const LONGEST_VERSION_STEP: u64 = 3;
+const MAX_VERSION_STEP: u64 = 3;
 
 /// How an operator takes a status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,7 +40,7 @@
             400 | 413 | 422 => Verdict::Invalid,
             408 | 429 => Verdict::RetryElsewhere,
             404 => Verdict::Missing,
-            401..=499 if attempts >= MOST_REFUSALS => Verdict::Invalid,
+            401..=499 if attempts >= MAX_REFUSALS => Verdict::Invalid,
             _ => Verdict::RetryElsewhere,
         }
     }
@@ -80,7 +80,7 @@
     }
 
     fn next_version(&mut self, base: u64) -> u64 {
-        base + self.random.random_range(1..=LONGEST_VERSION_STEP)
+        base + self.random.random_range(1..=MAX_VERSION_STEP)
     }
 
     fn send_change(&mut self, form: Form, base: u64, version: u64, via: usize, only: bool) {
--- a/crates/controller/src/simulation/quiesce.rs
+++ b/crates/controller/src/simulation/quiesce.rs
@@ -77,7 +77,7 @@
         self.empty_queues(&lagged);
         self.release_delayed_calls();
         let now = self.now();
-        self.fault_history.core(now);
+        self.fault_history.record_core_fault(now);
         self.detect_losses();
     }
 
--- a/crates/controller/src/simulation/schedule.rs
+++ b/crates/controller/src/simulation/schedule.rs
@@ -19,10 +19,10 @@
 const PAUSES: [u64; 6] = [5, 30, 150, 700, 2_000, 5_000];
 
 /// Longest lag of a link in a random scenario, in milliseconds.
-const LONGEST_LAG: u64 = 5_000;
+const MAX_LAG: u64 = 5_000;
 
 /// The cast of a random scenario.
-struct Cast {
+struct Participants {
     controllers: usize,
     founders: usize,
     routers: usize,
@@ -31,7 +31,7 @@
     link_faults: bool,
 }
 
-impl Cast {
+impl Participants {
     fn controller(&self, random: &mut SmallRng) -> usize {
         random.random_range(0..self.controllers)
     }
@@ -70,46 +70,49 @@
     let spares = random.random_range(0..=2);
     let spares_late = random.random_bool(0.3);
     let (routers, endpoints) = (random.random_range(1..=2), 2);
-    let cast = Cast { controllers: founders + spares, founders, routers, endpoints, link_faults };
-    let mut steps = vec![Step::Wait(FIRST_WAIT), put(random, &cast, Form::Put)];
+    let participants =
+        Participants { controllers: founders + spares, founders, routers, endpoints, link_faults };
+    let mut steps = vec![Step::Wait(FIRST_WAIT), put(random, &participants, Form::Put)];
     while steps.len() < STEPS {
-        add_steps(&mut steps, random, &cast);
+        add_steps(&mut steps, random, &participants);
     }
     steps.push(Step::Quiesce);
     Scenario { founders, spares, spares_late, within_tolerance: true, routers, endpoints, seed, steps }
 }
 
-fn put(random: &mut SmallRng, cast: &Cast, form: Form) -> Step {
-    Step::Put { form, via: cast.controller(random), only: false }
+fn put(random: &mut SmallRng, participants: &Participants, form: Form) -> Step {
+    Step::Put { form, via: participants.controller(random), only: false }
 }
 
-fn add_steps(steps: &mut Vec<Step>, random: &mut SmallRng, cast: &Cast) {
+fn add_steps(steps: &mut Vec<Step>, random: &mut SmallRng, participants: &Participants) {
     match random.random_range(0..100) {
-        0..28 => steps.push(operation(random, cast)),
+        0..28 => steps.push(operation(random, participants)),
         28..56 => steps.push(wait(random)),
-        56..60 => steps.push(endpoint_step(random, cast)),
-        60..78 => add_process_fault(steps, random, cast),
-        78..92 if cast.link_faults && random.random_bool(0.5) => add_link_fault(steps, random, cast),
-        78..92 => add_network_fault(steps, random, cast),
-        _ => steps.push(disk_fault(random, cast)),
+        56..60 => steps.push(endpoint_step(random, participants)),
+        60..78 => add_process_fault(steps, random, participants),
+        78..92 if participants.link_faults && random.random_bool(0.5) => {
+            add_link_fault(steps, random, participants)
+        }
+        78..92 => add_network_fault(steps, random, participants),
+        _ => steps.push(disk_fault(random, participants)),
     }
 }
 
-fn operation(random: &mut SmallRng, cast: &Cast) -> Step {
-    let via = cast.controller(random);
+fn operation(random: &mut SmallRng, participants: &Participants) -> Step {
+    let via = participants.controller(random);
     let only = random.random_bool(0.2);
     match random.random_range(0..14) {
         0..4 => Step::Put { form: Form::Put, via, only },
         4..6 => Step::Put { form: Form::Patch, via, only },
         6 => Step::Put { form: Form::Invalid, via, only: false },
-        7..9 => Step::Rivals { first: via, second: cast.controller(random) },
+        7..9 => Step::Rivals { first: via, second: participants.controller(random) },
         9..11 => Step::Again { number: None, via, only },
         _ => Step::Read { via, only },
     }
 }
 
-fn endpoint_step(random: &mut SmallRng, cast: &Cast) -> Step {
-    let index = random.random_range(0..cast.endpoints);
+fn endpoint_step(random: &mut SmallRng, participants: &Participants) -> Step {
+    let index = random.random_range(0..participants.endpoints);
     match random.random_range(0..6) {
         0..3 => Step::Drain(index),
         3 => Step::Remove(index),
@@ -124,8 +127,8 @@
     Step::Wait(random.random_range(1..=longest))
 }
 
-fn add_process_fault(steps: &mut Vec<Step>, random: &mut SmallRng, cast: &Cast) {
-    let index = cast.controller(random);
+fn add_process_fault(steps: &mut Vec<Step>, random: &mut SmallRng, participants: &Participants) {
+    let index = participants.controller(random);
     let host = Host::Controller(index);
     let start = Step::Start(host);
     match random.random_range(0..15) {
@@ -138,21 +141,21 @@
         8 => steps.extend([Step::Wipe(index), start]),
         9 => steps.extend([Step::Wipe(index), wait(random), start]),
         10 => steps.extend([Step::Stop(index), wait(random), start]),
-        11 if cast.controllers > cast.founders => steps.push(Step::Retire(index)),
+        11 if participants.controllers > participants.founders => steps.push(Step::Retire(index)),
         12 => {
-            let router = cast.router(random);
+            let router = participants.router(random);
             steps.extend([Step::Kill(router), wait(random), Step::Start(router)]);
         }
         13 => {
-            let router = cast.router(random);
+            let router = participants.router(random);
             steps.extend([Step::Freeze(router), wait(random), Step::Thaw(router)]);
         }
         _ => steps.push(start),
     }
 }
 
-fn add_network_fault(steps: &mut Vec<Step>, random: &mut SmallRng, cast: &Cast) {
-    let (one, other) = (cast.any(random), cast.any(random));
+fn add_network_fault(steps: &mut Vec<Step>, random: &mut SmallRng, participants: &Participants) {
+    let (one, other) = (participants.any(random), participants.any(random));
     match random.random_range(0..14) {
         0..3 => steps.push(Step::Heal),
         3 => steps.push(Step::Partition { from: one, to: other }),
@@ -161,33 +164,33 @@
         }
         5 => steps.push(Step::Isolate { host: one, scope: Scope::Peers }),
         6..8 => steps.extend([Step::Isolate { host: one, scope: Scope::All }, wait(random), Step::Heal]),
-        8 => steps.extend([part(random, cast), wait(random), Step::Heal]),
-        9 => steps.push(part(random, cast)),
+        8 => steps.extend([part(random, participants), wait(random), Step::Heal]),
+        9 => steps.push(part(random, participants)),
         10 => steps.push(Step::Reset(one)),
-        11 => steps.push(Step::Refuse(Host::Controller(cast.controller(random)))),
+        11 => steps.push(Step::Refuse(Host::Controller(participants.controller(random)))),
         12 => steps.push(Step::Delay(random.random_range(1..=300))),
-        _ => steps.push(seeds(random, cast)),
+        _ => steps.push(seeds(random, participants)),
     }
 }
 
 /// Something is wrong with a link that stays up.
-fn add_link_fault(steps: &mut Vec<Step>, random: &mut SmallRng, cast: &Cast) {
-    let (one, other) = (cast.any(random), cast.any(random));
+fn add_link_fault(steps: &mut Vec<Step>, random: &mut SmallRng, participants: &Participants) {
+    let (one, other) = (participants.any(random), participants.any(random));
     match random.random_range(0..8) {
         0 => steps.push(Step::Blackhole { from: one, to: other }),
         1 => steps.extend([Step::Blackhole { from: one, to: other }, wait(random), Step::Heal]),
         2 => {
-            steps.extend(links_from(random, cast, |from, to| Step::Blackhole { from, to }));
+            steps.extend(links_from(random, participants, |from, to| Step::Blackhole { from, to }));
             steps.extend([wait(random), Step::Heal]);
         }
         3 => {
-            steps.extend(links_from(random, cast, |to, from| Step::Blackhole { from, to }));
+            steps.extend(links_from(random, participants, |to, from| Step::Blackhole { from, to }));
             steps.extend([wait(random), Step::Heal]);
         }
-        4 => steps.push(Step::Lag { from: one, to: other, time: random.random_range(1..=LONGEST_LAG) }),
+        4 => steps.push(Step::Lag { from: one, to: other, time: random.random_range(1..=MAX_LAG) }),
         5 => {
-            let time = random.random_range(1..=LONGEST_LAG);
-            steps.extend(links_from(random, cast, |from, to| Step::Lag { from, to, time }));
+            let time = random.random_range(1..=MAX_LAG);
+            steps.extend(links_from(random, participants, |from, to| Step::Lag { from, to, time }));
             steps.extend([wait(random), Step::Heal]);
         }
         _ => steps.push(Step::ResetOneSide { host: one, peer: other }),
@@ -195,26 +198,30 @@
 }
 
 /// The same fault on the links of one controller to all others.
-fn links_from(random: &mut SmallRng, cast: &Cast, fault: impl Fn(Host, Host) -> Step) -> Vec<Step> {
-    let index = cast.controller(random);
-    let others = (0..cast.controllers).filter(|other| *other != index);
+fn links_from(
+    random: &mut SmallRng,
+    participants: &Participants,
+    fault: impl Fn(Host, Host) -> Step,
+) -> Vec<Step> {
+    let index = participants.controller(random);
+    let others = (0..participants.controllers).filter(|other| *other != index);
     others.map(|other| fault(Host::Controller(index), Host::Controller(other))).collect()
 }
 
 /// Any machines are parted from the others.
-fn part(random: &mut SmallRng, cast: &Cast) -> Step {
-    let controllers = (0..cast.controllers).map(Host::Controller);
-    let routers = (0..cast.routers).map(Host::Router);
+fn part(random: &mut SmallRng, participants: &Participants) -> Step {
+    let controllers = (0..participants.controllers).map(Host::Controller);
+    let routers = (0..participants.routers).map(Host::Router);
     let set = controllers.chain(routers).chain([Host::Operator]).filter(|_| random.random_bool(0.5));
     Step::Split(set.collect())
 }
 
-fn seeds(random: &mut SmallRng, cast: &Cast) -> Step {
-    Step::Seeds((0..3).map(|_| cast.controller(random)).collect())
+fn seeds(random: &mut SmallRng, participants: &Participants) -> Step {
+    Step::Seeds((0..3).map(|_| participants.controller(random)).collect())
 }
 
-fn disk_fault(random: &mut SmallRng, cast: &Cast) -> Step {
-    let index = cast.controller(random);
+fn disk_fault(random: &mut SmallRng, participants: &Participants) -> Step {
+    let index = participants.controller(random);
     match random.random_range(0..6) {
         0 => Step::Stall(index),
         1 => Step::Full(index),
--- a/crates/controller/src/simulation/step.rs
+++ b/crates/controller/src/simulation/step.rs
@@ -94,7 +94,7 @@
 /// A line that is no step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("no such step")]
-pub struct NoStep;
+pub struct StepParseError;
 
 /// Writes `via a` or `only a`.
 fn through(via: usize, only: bool) -> String {
@@ -167,14 +167,14 @@
 }
 
 impl FromStr for Step {
-    type Err = NoStep;
+    type Err = StepParseError;
 
-    fn from_str(line: &str) -> Result<Self, NoStep> {
+    fn from_str(line: &str) -> Result<Self, StepParseError> {
         let words: Vec<&str> = line.split_whitespace().collect();
         match *words.as_slice() {
             ["expect", ..] => {
                 let rest = line.trim_start().trim_start_matches("expect");
-                rest.parse().map(Step::Expect).map_err(|_| NoStep)
+                rest.parse().map(Step::Expect).map_err(|_| StepParseError)
             }
             ["heal"] => Ok(Step::Heal),
             ["settle"] => Ok(Step::Quiesce),
@@ -190,43 +190,43 @@
             ["lag", from, to, time] => {
                 Ok(Step::Lag { from: host(from)?, to: host(to)?, time: number(time)? })
             }
-            _ => Err(NoStep),
+            _ => Err(StepParseError),
         }
     }
 }
 
-fn host(word: &str) -> Result<Host, NoStep> {
-    word.parse().map_err(|_| NoStep)
+fn host(word: &str) -> Result<Host, StepParseError> {
+    word.parse().map_err(|_| StepParseError)
 }
 
-fn controller(word: &str) -> Result<usize, NoStep> {
+fn controller(word: &str) -> Result<usize, StepParseError> {
     match host(word)? {
         Host::Controller(index) => Ok(index),
-        _ => Err(NoStep),
+        _ => Err(StepParseError),
     }
 }
 
-fn endpoint(word: &str) -> Result<usize, NoStep> {
+fn endpoint(word: &str) -> Result<usize, StepParseError> {
     match host(word)? {
         Host::Endpoint(index) => Ok(index),
-        _ => Err(NoStep),
+        _ => Err(StepParseError),
     }
 }
 
-fn number<N: FromStr>(word: &str) -> Result<N, NoStep> {
-    word.parse().map_err(|_| NoStep)
+fn number<N: FromStr>(word: &str) -> Result<N, StepParseError> {
+    word.parse().map_err(|_| StepParseError)
 }
 
 /// Reads `via` or `only`.
-fn only(word: &str) -> Result<bool, NoStep> {
+fn only(word: &str) -> Result<bool, StepParseError> {
     match word {
         "via" => Ok(false),
         "only" => Ok(true),
-        _ => Err(NoStep),
+        _ => Err(StepParseError),
     }
 }
 
-fn operator_step(words: &[&str]) -> Result<Step, NoStep> {
+fn operator_step(words: &[&str]) -> Result<Step, StepParseError> {
     let put = |form, way: &str, at: &str| Ok(Step::Put { form, via: controller(at)?, only: only(way)? });
     match *words {
         ["put", way, at] => put(Form::Put, way, at),
@@ -241,11 +241,11 @@
         ["rivals", first, second] => {
             Ok(Step::Rivals { first: controller(first)?, second: controller(second)? })
         }
-        _ => Err(NoStep),
+        _ => Err(StepParseError),
     }
 }
 
-fn step_at(word: &str, argument: &str) -> Result<Step, NoStep> {
+fn step_at(word: &str, argument: &str) -> Result<Step, StepParseError> {
     Ok(match word {
         "wait" => Step::Wait(number(argument)?),
         "delay" => Step::Delay(number(argument)?),
@@ -267,11 +267,11 @@
         "stall" => Step::Stall(controller(argument)?),
         "full" => Step::Full(controller(argument)?),
         "work" => Step::Work(controller(argument)?),
-        _ => return Err(NoStep),
+        _ => return Err(StepParseError),
     })
 }
 
-fn step_between(word: &str, first: &str, second: &str) -> Result<Step, NoStep> {
+fn step_between(word: &str, first: &str, second: &str) -> Result<Step, StepParseError> {
     Ok(match (word, second) {
         ("cut", _) => Step::Partition { from: host(first)?, to: host(second)? },
         ("blackhole", _) => Step::Blackhole { from: host(first)?, to: host(second)? },
@@ -279,6 +279,6 @@
         ("isolate", "peers") => Step::Isolate { host: host(first)?, scope: Scope::Peers },
         ("isolate", "all") => Step::Isolate { host: host(first)?, scope: Scope::All },
         ("slow", _) => Step::Slow(controller(first)?, number(second)?),
-        _ => return Err(NoStep),
+        _ => return Err(StepParseError),
     })
 }
--- a/crates/controller/src/simulation/world.rs
+++ b/crates/controller/src/simulation/world.rs
@@ -222,7 +222,7 @@
         for index in 0..self.endpoints.len() {
             self.start_endpoint(index);
         }
-        self.fault_history.forget();
+        self.fault_history.reset();
     }
 
     fn step(&mut self, number: usize, step: &Step) -> Result<(), Violation> {
--- a/crates/controller/src/view.rs
+++ b/crates/controller/src/view.rs
@@ -4,7 +4,7 @@
 //! revert the view. Endpoints that were removed while a source was disconnected are dropped at the end of that source's
 //! next snapshot.
 
-use crate::configuration_feed::fetcher::{ConfigurationFetcher, Pace};
+use crate::configuration_feed::fetcher::{ConfigurationFetcher, FetchPacing};
 use crate::message::{
     CommittedConfiguration, ConfigurationVersion, Controllers, FeedHeartbeat, Message,
     Registered as RegisteredMessage, Removed, ResidencyUpdate,
@@ -69,15 +69,15 @@
 
 impl Default for View {
     fn default() -> Self {
-        View::new(Pace::LINK)
+        View::new(FetchPacing::LINK)
     }
 }
 
 impl View {
-    /// An empty view that fetches configurations at this pace.
-    pub fn new(pace: Pace) -> Self {
+    /// An empty view that fetches configurations at this pacing.
+    pub fn new(pacing: FetchPacing) -> Self {
         View {
-            configuration: ConfigurationFetcher::new(pace),
+            configuration: ConfigurationFetcher::new(pacing),
             registry: Registry::default(),
             sources: BTreeMap::new(),
             lost: BTreeMap::new(),
--- a/crates/controller/tests/configuration_feed.rs
+++ b/crates/controller/tests/configuration_feed.rs
@@ -7,7 +7,7 @@
 use lanegate_controller::configuration_feed::delta::{self, DeltaError};
 use lanegate_controller::configuration_feed::digest;
 use lanegate_controller::configuration_feed::fetcher::{
-    ConfigurationFetcher, DELTA_TIMEOUT, DOCUMENT_TIMEOUT, Pace, RETRY_DELAY,
+    ConfigurationFetcher, DELTA_TIMEOUT, DOCUMENT_TIMEOUT, FetchPacing, RETRY_DELAY,
 };
 use lanegate_controller::configuration_feed::publisher::ConfigurationPublisher;
 use lanegate_controller::message::{
@@ -47,7 +47,7 @@
 }
 
 fn publisher_of(configurations: &[CommittedConfiguration]) -> ConfigurationPublisher {
-    let mut publisher = ConfigurationPublisher::retaining(8);
+    let mut publisher = ConfigurationPublisher::with_capacity(8);
     configurations.iter().for_each(|committed| assert!(publisher.publish(committed.clone()).is_some()));
     publisher
 }
@@ -73,7 +73,7 @@
 #[test]
 fn a_change_of_one_field_takes_some_bytes_of_a_large_document() {
     let (older, newer) = (document(1, 1_000, 5_000), document(2, 1_000, 7_000));
-    let parts = delta::between(&older, &newer);
+    let parts = delta::compute(&older, &newer);
     assert_eq!(delta::apply(&older, &parts, digest(&newer)).as_deref(), Ok(&newer[..]));
     let inserted = parts.iter().map(|part| match part {
         DeltaPart::Copied { .. } => 0,
@@ -106,7 +106,7 @@
     };
     let older = all(&[1, 2, 3, 4, 5, 6, 7, 8]);
     let newer = all(&[5, 1, 2, 9, 4, 6, 7]);
-    let parts = delta::between(&older, &newer);
+    let parts = delta::compute(&older, &newer);
     assert_eq!(delta::apply(&older, &parts, digest(&newer)).as_deref(), Ok(&newer[..]));
     let inserted: usize = parts
         .iter()
@@ -118,9 +118,9 @@
 #[test]
 fn a_difference_on_another_base_is_refused_by_its_digest() {
     let (older, newer) = (document(1, 10, 5_000), document(2, 10, 7_000));
-    let parts = delta::between(&older, &newer);
+    let parts = delta::compute(&older, &newer);
     let other = String::from_utf8(older.clone()).unwrap().replace("h3.example", "x3.example").into_bytes();
-    assert_eq!(delta::apply(&other, &parts, digest(&newer)), Err(DeltaError::OtherDigest));
+    assert_eq!(delta::apply(&other, &parts, digest(&newer)), Err(DeltaError::DigestMismatch));
     let outside = [DeltaPart::Copied { offset: 1, length: u32::MAX }];
     assert_eq!(delta::apply(&older, &outside, 0), Err(DeltaError::OutsideBase));
     let many = vec![DeltaPart::Copied { offset: 0, length: older.len() as u32 }; 17_000_000 / older.len()];
@@ -133,7 +133,7 @@
         older in "[a-c,}]{0,60}",
         newer in "[a-c,}]{0,60}",
     ) {
-        let parts = delta::between(older.as_bytes(), newer.as_bytes());
+        let parts = delta::compute(older.as_bytes(), newer.as_bytes());
         let made = delta::apply(older.as_bytes(), &parts, digest(newer.as_bytes()));
         prop_assert_eq!(made.as_deref(), Ok(newer.as_bytes()));
     }
@@ -218,7 +218,7 @@
     let versions: Vec<CommittedConfiguration> =
         (1..=9).map(|number| committed(number, document(number, 400, 5_000 + number))).collect();
     let mut publisher = publisher_of(&versions[..1]);
-    let mut fetcher = ConfigurationFetcher::new(Pace::LINK);
+    let mut fetcher = ConfigurationFetcher::new(FetchPacing::LINK);
     let (one, two) = (controller(1), controller(2));
     assert!(fetcher.on_announcement(one, version(&versions[0])));
     assert!(!fetcher.on_announcement(two, version(&versions[0])), "it is known");
@@ -234,7 +234,11 @@
     }
     assert!(fetcher.is_behind());
     let due = fetcher.next_wake(ms(6)).unwrap();
-    assert_eq!(due, Pace::LINK.interval(versions[0].document.bytes.len()), "the first answer was large");
+    assert_eq!(
+        due,
+        FetchPacing::LINK.interval(versions[0].document.bytes.len()),
+        "the first answer was large"
+    );
     assert_eq!(fetcher.fetch(due - ms(1), Some(two)), None, "not before its pace allows it");
     let base = version(&versions[0]);
     assert_eq!(fetcher.fetch(due, Some(two)), Some((two, Message::ConfigurationFetch(base))));
@@ -249,7 +253,7 @@
     let second = committed(2, document(2, 50, 6_000));
     let (one, two) = (controller(1), controller(2));
     for (held, timeout) in [(None, DOCUMENT_TIMEOUT), (Some(&first), DELTA_TIMEOUT)] {
-        let mut fetcher = ConfigurationFetcher::new(Pace::LINK);
+        let mut fetcher = ConfigurationFetcher::new(FetchPacing::LINK);
         if let Some(held) = held {
             fetcher.on_document(ms(0), one, held);
         }
@@ -270,7 +274,7 @@
 fn a_lost_source_has_no_fetch_in_flight_and_gets_none() {
     let newest = committed(2, document(2, 50, 5_000));
     let (one, two) = (controller(1), controller(2));
-    let mut fetcher = ConfigurationFetcher::new(Pace::LINK);
+    let mut fetcher = ConfigurationFetcher::new(FetchPacing::LINK);
     fetcher.on_announcement(one, version(&newest));
     assert!(fetcher.fetch(ms(0), Some(one)).is_some());
     fetcher.on_source_lost(one);
@@ -284,7 +288,7 @@
 fn the_source_that_has_the_newest_is_fetched_from() {
     let (older, newer) = (committed(4, document(4, 50, 5_000)), committed(5, document(5, 50, 5_500)));
     let (one, two) = (controller(1), controller(2));
-    let mut fetcher = ConfigurationFetcher::new(Pace::LINK);
+    let mut fetcher = ConfigurationFetcher::new(FetchPacing::LINK);
     fetcher.on_announcement(one, version(&older));
     fetcher.on_announcement(two, version(&newer));
     assert_eq!(fetcher.fetch(ms(0), Some(one)).map(|(source, _)| source), Some(two));
@@ -293,7 +297,7 @@
 #[test]
 fn an_answer_that_lags_takes_nothing_back() {
     let (older, newer) = (committed(4, document(4, 50, 5_000)), committed(5, document(5, 50, 5_500)));
-    let mut fetcher = ConfigurationFetcher::new(Pace::LINK);
+    let mut fetcher = ConfigurationFetcher::new(FetchPacing::LINK);
     assert!(fetcher.on_document(ms(0), controller(1), &newer));
     assert!(!fetcher.on_document(ms(1), controller(2), &older));
     let mut publisher = publisher_of(&[committed(3, document(3, 50, 1)), older]);
@@ -305,7 +309,7 @@
 #[test]
 fn a_delta_that_does_not_apply_is_followed_by_the_complete_document() {
     let (first, second) = (committed(1, document(1, 50, 5_000)), committed(2, document(2, 50, 6_000)));
-    let mut fetcher = ConfigurationFetcher::new(Pace::LINK);
+    let mut fetcher = ConfigurationFetcher::new(FetchPacing::LINK);
     fetcher.on_document(ms(0), controller(1), &first);
     fetcher.on_announcement(controller(1), version(&second));
     let damaged = ConfigurationDelta {
@@ -330,7 +334,7 @@
         committed(2, document(2, 50, 2)),
         committed(3, document(3, 50, 3)),
     );
-    let mut fetcher = ConfigurationFetcher::new(Pace::LINK);
+    let mut fetcher = ConfigurationFetcher::new(FetchPacing::LINK);
     fetcher.on_document(ms(0), controller(1), &second);
     fetcher.on_announcement(controller(2), version(&third));
     let mut publisher = publisher_of(&[first.clone(), third.clone()]);
@@ -344,7 +348,7 @@
 fn the_same_bytes_decided_again_are_not_fetched() {
     let first = committed(1, document(1, 50, 5_000));
     let again = committed(7, document(1, 50, 5_000));
-    let mut fetcher = ConfigurationFetcher::new(Pace::LINK);
+    let mut fetcher = ConfigurationFetcher::new(FetchPacing::LINK);
     fetcher.on_document(ms(0), controller(1), &first);
     assert!(fetcher.on_announcement(controller(2), version(&again)));
     assert!(!fetcher.is_behind());
@@ -353,8 +357,8 @@
 
 #[test]
 fn the_pace_follows_the_size_of_the_answer_within_its_bounds() {
-    assert_eq!(Pace::LINK.interval(200), ms(100));
-    assert_eq!(Pace::LINK.interval(100_000), ms(400));
-    assert_eq!(Pace::LINK.interval(10_000_000), ms(800));
-    assert_eq!(Pace::LOOPBACK.interval(10_000_000), ms(100));
+    assert_eq!(FetchPacing::LINK.interval(200), ms(100));
+    assert_eq!(FetchPacing::LINK.interval(100_000), ms(400));
+    assert_eq!(FetchPacing::LINK.interval(10_000_000), ms(800));
+    assert_eq!(FetchPacing::LOOPBACK.interval(10_000_000), ms(100));
 }
--- a/crates/controller/tests/sources.rs
+++ b/crates/controller/tests/sources.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{controller, ms};
-use lanegate_controller::agent::sources::{Plan, Sources};
+use lanegate_controller::agent::sources::{SourcePlan, Sources};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
@@ -28,7 +28,7 @@
 fn two_sources_are_followed_and_no_more() {
     let (mut sources, first, second) = trusted_sources(5);
     assert_ne!(first, second);
-    assert_eq!(sources.plan(ms(1), AGENT, &known(5)), Plan::default());
+    assert_eq!(sources.plan(ms(1), AGENT, &known(5)), SourcePlan::default());
 }
 
 #[test]
@@ -45,10 +45,14 @@
     let plan = sources.plan(ms(1), AGENT, &known(4));
     assert_eq!((plan.start.len(), plan.stop.len()), (1, 0), "{plan:?}");
     let third = plan.start[0];
-    assert_eq!(sources.plan(ms(2), AGENT, &known(4)), Plan::default(), "the new one has not spoken yet");
+    assert_eq!(
+        sources.plan(ms(2), AGENT, &known(4)),
+        SourcePlan::default(),
+        "the new one has not spoken yet"
+    );
     sources.report_quorum(third, true);
     let plan = sources.plan(ms(3), AGENT, &known(4));
-    assert_eq!(plan, Plan { start: vec![], stop: vec![first] });
+    assert_eq!(plan, SourcePlan { start: vec![], stop: vec![first] });
     assert_eq!(sources.preferred(), Some(second.min(third)));
 }
 
@@ -56,9 +60,9 @@
 fn a_source_that_is_trusted_again_before_it_was_replaced_stays() {
     let (mut sources, first, _) = trusted_sources(2);
     sources.report_quorum(first, false);
-    assert_eq!(sources.plan(ms(1), AGENT, &known(2)), Plan::default(), "there is no third");
+    assert_eq!(sources.plan(ms(1), AGENT, &known(2)), SourcePlan::default(), "there is no third");
     sources.report_quorum(first, true);
-    assert_eq!(sources.plan(ms(2), AGENT, &known(2)), Plan::default());
+    assert_eq!(sources.plan(ms(2), AGENT, &known(2)), SourcePlan::default());
 }
 
 #[test]
@@ -70,7 +74,7 @@
     let plan = sources.plan(ms(1), AGENT, &known(3));
     assert_eq!((plan.start.len(), plan.stop.len()), (1, 0));
     sources.report_quorum(plan.start[0], false);
-    assert_eq!(sources.plan(ms(2), AGENT, &known(3)), Plan::default());
+    assert_eq!(sources.plan(ms(2), AGENT, &known(3)), SourcePlan::default());
     assert!(sources.preferred().is_some(), "one that is cut off is better than none");
 }
 
@@ -84,8 +88,8 @@
 
     let (mut sources, first, _) = trusted_sources(2);
     sources.link_down(ms(1_000), first);
-    assert_eq!(sources.plan(ms(1_000), AGENT, &known(2)), Plan::default());
-    assert_eq!(sources.plan(ms(1_399), AGENT, &known(2)), Plan::default());
+    assert_eq!(sources.plan(ms(1_000), AGENT, &known(2)), SourcePlan::default());
+    assert_eq!(sources.plan(ms(1_399), AGENT, &known(2)), SourcePlan::default());
     assert_eq!(sources.plan(ms(1_400), AGENT, &known(2)).start, vec![first]);
 }
 
@@ -118,7 +122,11 @@
 
     let (mut sources, first, second) = trusted_sources(2);
     sources.link_down(ms(1_000), first);
-    assert_eq!(sources.plan(ms(1_100), AGENT, &known(2)), Plan::default(), "the other one is enough for now");
+    assert_eq!(
+        sources.plan(ms(1_100), AGENT, &known(2)),
+        SourcePlan::default(),
+        "the other one is enough for now"
+    );
     sources.link_down(ms(1_100), second);
     assert_eq!(sources.plan(ms(1_200), AGENT, &known(2)).start, [second]);
     assert_eq!(sources.plan(ms(1_400), AGENT, &known(2)).start, [first]);
--- a/crates/controller/tests/view.rs
+++ b/crates/controller/tests/view.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{controller, ms, registered, removed, residency_update, residency_update_of};
-use lanegate_controller::configuration_feed::fetcher::Pace;
+use lanegate_controller::configuration_feed::fetcher::FetchPacing;
 use lanegate_controller::message::{
     CommittedConfiguration, ConfigurationVersion, Controllers, FeedHeartbeat, Message,
 };
@@ -444,7 +444,7 @@
 
 #[test]
 fn a_view_is_behind_while_a_newer_configuration_is_known_or_nobody_would_know() {
-    let mut view = View::new(Pace::LOOPBACK);
+    let mut view = View::new(FetchPacing::LOOPBACK);
     assert!(view.may_be_behind(), "nobody is heard");
     send(&mut view, controller(1), &[committed(4, "a"), heartbeat_at(9, 1)]);
     assert!(!view.may_be_behind());
