--- a/crates/controller/src/agent/agent_test.rs
+++ b/crates/controller/src/agent/agent_test.rs
@@ -1,4 +1,4 @@
-//! An agent between two sources and its router, on simulated time and without sockets.
+//! Tests of an agent with two sources and a router, in simulated time and without sockets.
 
 use super::{Agent, Environment, SubscriberEvent};
 use crate::feed_client::Client;
@@ -30,7 +30,7 @@
     .expect("settings")
 }
 
-/// A clock that the test sets, and the links that the agent asked for.
+/// A clock that the test sets, and a record of the links that the agent requested.
 #[derive(Clone, Default)]
 struct TestEnvironment {
     now: Rc<Cell<Duration>>,
@@ -56,7 +56,7 @@
 struct World {
     environment: TestEnvironment,
     agent: Agent,
-    /// What the agent sends to each source.
+    /// Frames that the agent sends to each source.
     sent: Vec<(SocketAddr, Receiver<Bytes>)>,
     client: Client,
     to_router: Receiver<Bytes>,
@@ -70,7 +70,7 @@
 }
 
 impl World {
-    /// An agent that has two sources up, which have said nothing yet, and a router.
+    /// An agent with a router and two sources, whose links are up but have delivered no message yet.
     fn new() -> World {
         let environment = TestEnvironment::default();
         let mut agent = Agent::new(settings(), 5, Box::new(environment.clone()));
@@ -104,13 +104,13 @@
         self.agent.on_source_event(SourceEvent::Message { source, message });
     }
 
-    /// What the agent has sent to a source since the last call.
+    /// Messages that the agent has sent to a source since the last call.
     fn sent_to(&mut self, source: SocketAddr) -> Vec<Message> {
         let (_, frames) = self.sent.iter_mut().find(|(known, _)| *known == source).expect("a source");
         messages(frames)
     }
 
-    /// Lets the time go on, and what waits between agent and router arrive.
+    /// Advances the clock to `now`, and delivers the messages between agent and router.
     fn at(&mut self, now: Duration) {
         self.environment.now.set(now);
         self.agent.fetch();
@@ -136,7 +136,7 @@
         versions.collect()
     }
 
-    /// What the router was told of being behind since the last call.
+    /// Values of the `Behind` events that the router has received since the last call.
     fn behind(&mut self) -> Vec<bool> {
         let events = std::iter::from_fn(|| self.events.try_recv().ok());
         events
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_lost_source_is_dialled_again_from_where_its_feed_stood() {
+fn a_lost_source_is_dialled_again_from_the_last_feed_offset() {
     let mut world = World::new();
     let source = world.source(0);
     world.receives(source, Message::SnapshotBegin);
@@ -219,7 +219,7 @@
         read.extend(world.read());
     }
     assert_eq!(read.last(), Some(&75));
-    assert!(read.len() <= 17, "one each 100 ms: {read:?}");
+    assert!(read.len() <= 17, "at most one read per 100 ms: {read:?}");
     assert!(read.is_sorted());
 }
 
@@ -234,7 +234,7 @@
     assert_eq!(world.behind().last(), Some(&false));
     world.receives(one, heartbeat(0, 0));
     world.at(ms(1));
-    assert!(world.behind().is_empty(), "the other one is");
+    assert!(world.behind().is_empty(), "the other source still has quorum contact");
     world.receives(two, heartbeat(0, 0));
     world.at(ms(2));
     assert_eq!(world.behind(), [true]);
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_message_of_a_link_that_was_given_up_changes_nothing() {
+fn a_message_from_a_closed_link_changes_nothing() {
     let mut world = World::new();
     let (one, two) = (world.source(0), world.source(1));
     world.receives(one, heartbeat(1, 0));
@@ -273,7 +273,7 @@
     for now in (0..10_000).step_by(100) {
         world.at(ms(now));
     }
-    assert_eq!(fetches(&world.sent_to(source)), 0, "what it has is held back");
+    assert_eq!(fetches(&world.sent_to(source)), 0, "the withheld configuration is not fetched again");
     assert!(world.read().is_empty());
     world.receives(source, heartbeat(1, 0));
     world.at(ms(10_001));
--- a/crates/controller/src/agent/metrics.rs
+++ b/crates/controller/src/agent/metrics.rs
@@ -1,4 +1,4 @@
-//! The figures of an agent, read from its state when they are asked for.
+//! The metrics of an agent, computed from its state at each scrape.
 
 use super::Agent;
 use lanegate_metrics::{Exposition, Metric};
@@ -52,7 +52,7 @@
     pub offset: u64,
 }
 
-/// Counts since the start of the process.
+/// Counters since the start of the process.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
     pub links_started: u64,
@@ -60,7 +60,7 @@
 }
 
 impl Agent {
-    /// The figures now.
+    /// The current metrics.
     pub(crate) fn metrics(&self) -> Exposition {
         let mut exposition = Exposition::default();
         let sources = self.sources.counts();
--- a/crates/controller/src/agent/mod.rs
+++ b/crates/controller/src/agent/mod.rs
@@ -1,4 +1,5 @@
-//! The agent beside a router: keeps links to the control plane, and feeds the router over loopback.
+//! The agent on a router's machine: maintains links to controllers, and forwards their feed to the router over
+//! loopback.
 
 #[cfg(test)]
 mod agent_test;
@@ -25,27 +26,28 @@
 use std::time::Duration;
 use unconfirmed::UnconfirmedConfigurations;
 
-/// How often the choice of sources is reviewed when nothing else happens.
+/// Interval at which the selection of sources is reviewed, besides the reviews that events cause.
 pub(crate) const SOURCE_REVIEW_PERIOD: Duration = Duration::from_millis(500);
-/// How often the settings file is read again while no controller can be trusted.
+/// Minimum interval between reads of the settings file while no source is trusted.
 const SETTINGS_PERIOD: Duration = Duration::from_millis(1_000);
-/// The link to a controller that sends nothing for so long is closed; its heartbeat period is several times shorter.
+/// A link to a controller is closed if nothing is received for this long. The heartbeat period of controllers is
+/// several times shorter.
 pub(crate) const SOURCE_TIMEOUT: Duration = Duration::from_millis(1_800);
-/// Configurations retained as bases of deltas: routers are some tenths of a second behind at most.
+/// Configurations retained as bases of deltas. Few suffice, as routers are at most some tenths of a second behind.
 const RETAINED_CONFIGURATIONS: usize = 4;
 
-/// Address on which an agent feeds its router: the last port of the range, as the first is where controllers
-/// have their links. Agents with different last ports can share a machine.
+/// Address on which an agent accepts its router: the last port of the range, as controllers accept links on the
+/// first. Agents with different last ports can share a machine.
 pub fn loopback_address(settings: &Settings) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, settings.port_range.1))
 }
 
-/// Address of the links of the controller whose control interface is at `control`.
+/// Address on which the controller with the control interface `control` accepts links.
 pub fn link_address(control: SocketAddr, settings: &Settings) -> SocketAddr {
     SocketAddr::new(control.ip(), settings.port_range.0)
 }
 
-/// What reaches the agent from routers.
+/// An event of the link to a router.
 #[derive(Debug)]
 pub(crate) enum SubscriberEvent {
     Up { subscriber: u64, outbox: Outbox },
@@ -53,8 +55,8 @@
     Down { subscriber: u64 },
 }
 
-/// One agent. All of its state belongs to one task; nothing in it waits, and its clock and links are those of
-/// its [`Environment`].
+/// The state machine of an agent. A single task owns it; no method blocks, and its [`Environment`] provides the clock
+/// and the links.
 pub(crate) struct Agent {
     settings: Settings,
     environment: Box<dyn Environment>,
@@ -65,7 +67,7 @@
     outboxes: BTreeMap<SocketAddr, Outbox>,
     subscribers: BTreeMap<u64, Outbox>,
     configurations: ConfigurationPublisher,
-    /// The heartbeat that routers were sent last.
+    /// The heartbeat last sent to routers.
     notified_heartbeat: Option<FeedHeartbeat>,
     settings_read_at: Duration,
     /// The newest heartbeat of each source whose link is up.
@@ -75,7 +77,7 @@
 }
 
 impl Agent {
-    /// An agent that follows nobody yet. `incarnation` is drawn at random at each start of the process.
+    /// An agent without links to sources. `incarnation` is drawn at random at each start of the process.
     pub(crate) fn new(settings: Settings, incarnation: u64, environment: Box<dyn Environment>) -> Self {
         Agent {
             settings,
@@ -123,7 +125,7 @@
 
     fn on_source_message(&mut self, source: SocketAddr, message: Message) {
         if !self.outboxes.contains_key(&source) {
-            // Left over from a link that was given up.
+            // The message was still queued when its link was closed.
             return;
         }
         let heartbeat = match &message {
@@ -151,25 +153,26 @@
         }
     }
 
-    /// A source is trusted now: its withheld configuration can be used.
+    /// Applies the withheld configuration of a source that is now trusted.
     fn apply_withheld(&mut self, source: SocketAddr) {
         if let Some(committed) = self.unconfirmed.take(source) {
             self.on_source_message(source, Message::CommittedConfiguration(committed));
         }
     }
 
-    /// Uses the newest withheld configuration, once no source has been trusted for too long.
+    /// Applies the newest withheld configuration once
+    /// [`WITHHOLD_LIMIT`](unconfirmed::WITHHOLD_LIMIT) has passed without a trusted source.
     fn release_withheld(&mut self) {
         if let Some((source, committed)) = self.unconfirmed.overdue(self.now()) {
             log::warn!(
-                "unconfirmed configuration used, no controller has quorum contact revision={}",
+                "no source has quorum contact; applying unconfirmed configuration revision={}",
                 committed.revision
             );
             self.receive(source, Message::CommittedConfiguration(committed));
         }
     }
 
-    /// Merges a message into the view, and publishes what changed to routers.
+    /// Merges a message into the view, and publishes the resulting changes to routers.
     fn receive(&mut self, source: SocketAddr, message: Message) {
         let mut events = Vec::new();
         self.view.receive(self.now(), source, message, &mut events);
@@ -187,12 +190,12 @@
         }
     }
 
-    /// When [`Agent::fetch`] is to be called next; `None` while there is nothing to fetch.
+    /// Time at which [`Agent::fetch`] must be called next; `None` while there is nothing to fetch.
     pub(crate) fn next_fetch(&self) -> Option<Duration> {
         if self.awaits_trusted_source() { None } else { self.view.next_wake(self.now()) }
     }
 
-    /// Fetches a newer configuration, if there is one and it is time.
+    /// Requests a newer configuration if one is known and a fetch is due.
     pub(crate) fn fetch(&mut self) {
         if self.awaits_trusted_source() {
             return;
@@ -203,15 +206,14 @@
         }
     }
 
-    /// Whether another configuration would only be withheld.
+    /// Whether a fetched configuration would only be withheld, because none is in use and no source is trusted.
     fn awaits_trusted_source(&self) -> bool {
         self.view.configuration().is_none()
             && self.sources.has_no_trusted()
             && self.unconfirmed.has_withheld()
     }
 
-    /// Tells how many routers are live, and whether any source is in contact with a majority, when that has
-    /// changed.
+    /// Sends routers the number of live routers and whether any source has quorum contact, if either has changed.
     fn notify_heartbeat(&mut self) {
         let heartbeat = self.heartbeat();
         if self.notified_heartbeat != Some(heartbeat) {
@@ -270,7 +272,7 @@
         }
     }
 
-    /// Begins and ends links to controllers as needed.
+    /// Opens and closes links to controllers according to the selection of sources.
     pub(crate) fn review_sources(&mut self) {
         let now = self.now();
         self.release_withheld();
@@ -297,7 +299,7 @@
         control.map(|address| link_address(*address, &self.settings)).collect()
     }
 
-    /// Seeds may have been exchanged since the process started.
+    /// Reads the settings file again, as its seeds may have changed since the process started.
     pub(crate) fn read_settings(&mut self) {
         self.settings_read_at = self.now();
         match self.environment.read_settings() {
--- a/crates/controller/src/agent/process.rs
+++ b/crates/controller/src/agent/process.rs
@@ -1,4 +1,4 @@
-//! An agent that runs as a process of its own: sockets, signals, the machine's clock.
+//! Runs an agent as a process, with sockets, signals and the system clock.
 
 use super::{Agent, Environment, SOURCE_REVIEW_PERIOD, SOURCE_TIMEOUT, SubscriberEvent, loopback_address};
 use crate::incarnation::draw_incarnation;
@@ -16,11 +16,11 @@
 use tokio::task::AbortHandle;
 use tokio::time::sleep_until;
 
-/// The outside of an agent that is a process. Must be used inside a `LocalSet`.
+/// The [`Environment`] of an agent that runs as a process. Must be used inside a `LocalSet`.
 struct ProcessEnvironment {
     started: Instant,
     events: mpsc::UnboundedSender<SourceEvent>,
-    /// Links that are dialled or up.
+    /// Tasks of the links that are connecting or up.
     links: BTreeMap<SocketAddr, AbortHandle>,
 }
 
--- a/crates/controller/src/agent/sources.rs
+++ b/crates/controller/src/agent/sources.rs
@@ -1,57 +1,59 @@
-//! Which controllers an agent follows: two that reach their quorum, in an order of its own.
+//! Selects the controllers that an agent follows: two with quorum contact, in a rendezvous-hash order that differs
+//! between agents.
 
 use lanegate_coordination::membership::rendezvous_order;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Sources followed at a time: one may fail, lag or be partitioned unnoticed, and updates still arrive at once.
+/// Sources followed at a time. With two, updates still arrive without delay if one fails, lags or is partitioned before
+/// that is detected.
 const WANTED_SOURCES: usize = 2;
-/// Pause before a source whose link failed is dialled again.
+/// Delay before reconnecting to a source whose link failed.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
-/// The same while no source is in touch with a majority, as after a start of everything at once.
+/// Delay before reconnecting while no source has quorum contact, for example when all processes start at once.
 const URGENT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SourceStatus {
-    /// Being dialled, or up without a heartbeat yet.
+    /// Connecting, or up without a heartbeat yet.
     Starting,
-    /// Up, and in touch with more than half of its group.
+    /// Up, and in contact with a majority of its replica group.
     Trusted,
-    /// Up, but partitioned from its group.
+    /// Up, but without quorum contact.
     Partitioned,
 }
 
-/// The sources in use and those that failed lately.
+/// The sources in use, and those that failed recently and may not be retried yet.
 #[derive(Debug, Default)]
 pub struct Sources {
     followed: BTreeMap<SocketAddr, SourceStatus>,
     retry_at: BTreeMap<SocketAddr, Duration>,
 }
 
-/// Sources in use, by their last reported status.
+/// Numbers of sources in use, by their last reported status.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SourceCounts {
-    /// Being dialled, or up without a heartbeat yet.
+    /// Connecting, or up without a heartbeat yet.
     pub starting: usize,
-    /// In touch with a majority.
+    /// In contact with a majority.
     pub trusted: usize,
-    /// Up, but not in touch with a majority.
+    /// Up, but not in contact with a majority.
     pub partitioned: usize,
 }
 
-/// What to change.
+/// The changes that a review of the sources requires.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct SourcePlan {
-    /// Sources to follow from now on.
+    /// Sources to start following.
     pub start: Vec<SocketAddr>,
-    /// Sources to follow no more.
+    /// Sources to stop following.
     pub stop: Vec<SocketAddr>,
 }
 
 impl Sources {
-    /// Records whether a source reports quorum contact. Returns whether that changed: the choice of sources has to be
-    /// reviewed.
+    /// Records whether a source reports quorum contact. Returns whether that changed, in which case the
+    /// selection of sources has to be reviewed.
     pub fn report_quorum(&mut self, source: SocketAddr, quorum: bool) -> bool {
         let Some(status) = self.followed.get_mut(&source) else { return false };
         let reported = if quorum { SourceStatus::Trusted } else { SourceStatus::Partitioned };
@@ -63,25 +65,25 @@
         self.followed.get(&source) == Some(&SourceStatus::Trusted)
     }
 
-    /// Notes that a source's link has ended.
+    /// Records that a source's link has ended, and when it may be retried.
     pub fn link_down(&mut self, now: Duration, source: SocketAddr) {
         self.followed.remove(&source);
         let delay = if self.has_no_trusted() { URGENT_RETRY_DELAY } else { RETRY_DELAY };
         self.retry_at.insert(source, now + delay);
     }
 
-    /// The source to which this agent's own messages go.
+    /// The source to which this agent sends demand reports and, if possible, fetches: a trusted one if there is any.
     pub fn preferred(&self) -> Option<SocketAddr> {
         let trusted = self.followed.iter().find(|(_, status)| **status == SourceStatus::Trusted);
         trusted.or_else(|| self.followed.iter().next()).map(|(source, _)| *source)
     }
 
-    /// Whether nobody who can be trusted is followed.
+    /// Whether none of the sources in use is trusted.
     pub fn has_no_trusted(&self) -> bool {
         !self.followed.values().any(|status| *status == SourceStatus::Trusted)
     }
 
-    /// Sources in use, by their last reported status.
+    /// Numbers of sources in use, by their last reported status.
     pub fn counts(&self) -> SourceCounts {
         let mut counts = SourceCounts::default();
         for status in self.followed.values() {
@@ -94,7 +96,7 @@
         counts
     }
 
-    /// Decides which sources among `known` to begin and to end.
+    /// Decides which sources among `known` to start and to stop following. `name` determines the order of preference.
     pub fn plan(&mut self, now: Duration, name: &str, known: &BTreeSet<SocketAddr>) -> SourcePlan {
         self.retry_at.retain(|_, at| *at > now);
         let mut plan = SourcePlan::default();
--- a/crates/controller/src/agent/unconfirmed.rs
+++ b/crates/controller/src/agent/unconfirmed.rs
@@ -1,30 +1,30 @@
-//! Configurations of sources that are not trusted yet.
+//! Withholds configurations from sources that are not trusted yet.
 //!
 //! An agent that has a configuration accepts any newer one from any source: every configuration sent is committed,
-//! and revisions order them. An agent that has none yet could start with an old one, if the first source that answers
-//! is partitioned from the majority. So the configuration of such a source is withheld until that source has quorum
-//! contact, or another trusted source sends one.
+//! and revisions order them. An agent that has none yet could start with an outdated one, if the first source that
+//! answers is partitioned from the majority. Therefore the configuration of such a source is withheld until that source
+//! has quorum contact, or a trusted source sends one.
 
 use crate::message::{CommittedConfiguration, Message};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a configuration is withheld at most. Beyond a partition of this length a majority is taken to be lost
-/// for long, and an old configuration serves most requests where none serves nothing. No change can be
-/// acknowledged meanwhile by the controllers that this agent reaches.
+/// Maximum time for which a configuration is withheld. After this time the majority is assumed to be lost for long, and
+/// an outdated configuration is used: it serves most requests, whereas without any configuration none can be served.
+/// The controllers that this agent reaches cannot acknowledge any change meanwhile.
 pub const WITHHOLD_LIMIT: Duration = Duration::from_secs(25);
 
 /// Withheld configurations, by source.
 #[derive(Debug, Default)]
 pub struct UnconfirmedConfigurations {
     withheld: BTreeMap<SocketAddr, CommittedConfiguration>,
-    /// When the first one was withheld, while none has been accepted since.
+    /// When the first of them was withheld; `None` once a configuration has been accepted.
     withheld_since: Option<Duration>,
 }
 
 impl UnconfirmedConfigurations {
-    /// Passes a message on, unless it is a configuration that may not be accepted yet: that is withheld.
+    /// Returns the message, unless it is a configuration and `may_accept` is false: then it is withheld.
     pub fn filter(
         &mut self,
         now: Duration,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The withheld configuration of a source, which is trusted now.
+    /// Removes and returns the withheld configuration of a source that is now trusted.
     pub fn take(&mut self, source: SocketAddr) -> Option<CommittedConfiguration> {
         self.withheld.remove(&source)
     }
@@ -57,15 +57,15 @@
         !self.withheld.is_empty()
     }
 
-    /// A source is not followed any more. Its configuration stays for [`UnconfirmedConfigurations::overdue`] only if it is the
-    /// only one.
+    /// Drops the configuration of a source that is no longer followed, unless it is the only one left for
+    /// [`UnconfirmedConfigurations::overdue`].
     pub fn on_source_lost(&mut self, source: SocketAddr) {
         if self.withheld.len() > 1 {
             self.withheld.remove(&source);
         }
     }
 
-    /// The newest withheld configuration, once [`WITHHOLD_LIMIT`] is over.
+    /// Removes all withheld configurations and returns the newest, once [`WITHHOLD_LIMIT`] has passed.
     pub fn overdue(&mut self, now: Duration) -> Option<(SocketAddr, CommittedConfiguration)> {
         if self.withheld_since.is_none_or(|since| now < since + WITHHOLD_LIMIT) {
             return None;
--- a/crates/controller/src/configuration_feed/delta.rs
+++ b/crates/controller/src/configuration_feed/delta.rs
@@ -1,8 +1,8 @@
-//! The delta between two documents, as parts of the older one and new bytes.
+//! Computes and applies deltas between documents: sequences of ranges copied from the older one and inserted bytes.
 //!
-//! Documents are split behind commas and closing brackets, so that a chunk of a JSON document is a member of an
-//! item, its name or one of its other fields. Chunks that both documents contain are named by their position in the
-//! older one. Nothing is parsed: the result is the newer document byte for byte, whatever it holds.
+//! Documents are split after commas and closing brackets, so that a chunk of a JSON document is about one field.
+//! Chunks that both documents contain are copied by their position in the older one. The documents are not parsed: the
+//! result is the newer document byte for byte, whatever its content.
 
 use super::digest;
 use crate::message::{DeltaPart, MAX_FRAME_BYTES};
@@ -19,11 +19,11 @@
     #[error("the document would be longer than a frame")]
     TooLong,
     /// The result has another digest than expected.
-    #[error("the result has another digest")]
+    #[error("the digest of the result differs from the expected one")]
     DigestMismatch,
 }
 
-/// The parts that make `newer` of `older`.
+/// The parts from which [`apply`] builds `newer`, given `older`.
 pub fn compute(older: &[u8], newer: &[u8]) -> Vec<DeltaPart> {
     let (old, new) = (chunks(older), chunks(newer));
     let mut positions = None;
@@ -37,7 +37,7 @@
         let position = if same(expected, index) {
             Some(expected)
         } else if same(expected + 1, index + 1) {
-            // One piece stands in the place of another; nothing has moved.
+            // A single chunk was replaced and the next ones match again, so no position has to be looked up.
             None
         } else {
             let positions = positions.get_or_insert_with(|| positions_of(older, &old));
@@ -66,7 +66,7 @@
     positions
 }
 
-/// The document that `parts` make of `older`, if it has the digest `expected`.
+/// Applies `parts` to `older`. Returns the resulting document if it has the digest `expected`.
 ///
 /// # Errors
 /// If a part lies outside `older`, or the result is too long or has another digest than `expected`.
@@ -98,7 +98,7 @@
     chunks
 }
 
-/// Parts as they are found; neighbours are joined.
+/// Collects the parts of a delta, and merges adjacent copied ranges and adjacent insertions.
 #[derive(Default)]
 struct Parts {
     parts: Vec<DeltaPart>,
--- a/crates/controller/src/configuration_feed/fetcher.rs
+++ b/crates/controller/src/configuration_feed/fetcher.rs
@@ -1,4 +1,5 @@
-//! The fetching side of the configuration feed: which version it has, which it knows of, and when it fetches from which source.
+//! The fetching side of the configuration feed: tracks the current version and those that sources announced, and
+//! decides when to fetch from which source.
 
 use super::delta;
 use crate::message::{CommittedConfiguration, ConfigurationDelta, ConfigurationVersion, Message};
@@ -13,19 +14,19 @@
 /// A source that owes an answer is not asked again before this.
 pub const RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// How often a subscriber fetches.
+/// Limits the rate at which a subscriber fetches configurations.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FetchPacing {
-    /// Least time from one fetch to the next.
+    /// Minimum time between two fetches.
     pub min_interval: Duration,
-    /// Most that an answer's size adds up to: a large document delays the next fetch by no more than this.
+    /// Maximum time by which the size of an answer delays the next fetch.
     pub max_interval: Duration,
-    /// Bytes of answers a second that are aimed at, as long as `max_interval` allows it.
+    /// Target rate of answers in bytes per second, within the limit of `max_interval`.
     pub bytes_per_s: f64,
 }
 
 impl FetchPacing {
-    /// For a subscriber behind a link of 10 Mbit/s or more, of which configurations get a fifth.
+    /// For a subscriber on a link of at least 10 Mbit/s, a fifth of which is for configurations.
     pub const LINK: FetchPacing = FetchPacing {
         min_interval: Duration::from_millis(100),
         max_interval: Duration::from_millis(800),
@@ -34,7 +35,7 @@
     /// For a subscriber on the loopback interface, where the cost is parsing the document.
     pub const LOOPBACK: FetchPacing = FetchPacing { bytes_per_s: f64::INFINITY, ..FetchPacing::LINK };
 
-    /// Least time from a fetch that was answered with `bytes` to the next.
+    /// Minimum time between a fetch that was answered with `bytes` and the next fetch.
     pub fn interval(&self, bytes: usize) -> Duration {
         let seconds = bytes as f64 / self.bytes_per_s;
         Duration::from_secs_f64(seconds).clamp(self.min_interval, self.max_interval)
@@ -54,13 +55,13 @@
     pacing: FetchPacing,
     current: Option<CommittedConfiguration>,
     version: Option<ConfigurationVersion>,
-    /// Newest version that anyone is known to have.
+    /// Newest version known to exist in any process.
     known: Option<ConfigurationVersion>,
-    /// What each source announced last.
+    /// The last announcement of each source.
     announced: BTreeMap<SocketAddr, ConfigurationVersion>,
     in_flight: BTreeMap<SocketAddr, InFlightFetch>,
     next_fetch: Duration,
-    /// Whether a delta did not apply: the next answer has to be a complete document.
+    /// Whether the next fetch must request a complete document, because a delta could not be applied.
     requires_complete: bool,
 }
 
@@ -89,13 +90,13 @@
         self.known.is_some_and(|known| known.is_newer_than(self.version))
     }
 
-    /// `source` announced this version. Returns whether it is the newest one known so far.
+    /// Records that `source` announced this version. Returns whether it is the newest one known so far.
     pub fn on_announcement(&mut self, source: SocketAddr, version: ConfigurationVersion) -> bool {
         self.announced.insert(source, version);
         self.on_known_version(version)
     }
 
-    /// Some process has this version. Returns whether it is the newest one known so far.
+    /// Records that some process has this version. Returns whether it is the newest one known so far.
     pub fn on_known_version(&mut self, version: ConfigurationVersion) -> bool {
         if let Some(current) = self.version.as_mut().filter(|current| current.digest == version.digest) {
             current.revision = current.revision.max(version.revision);
@@ -107,7 +108,7 @@
         newer
     }
 
-    /// `source` sent a complete configuration. Returns whether it is newer than the current one.
+    /// Handles a complete configuration from `source`. Returns whether it is newer than the current one.
     pub fn on_document(
         &mut self,
         now: Duration,
@@ -119,7 +120,7 @@
         self.apply(committed)
     }
 
-    /// `source` sent a delta. Returns the resulting configuration, if that is newer than the current one.
+    /// Applies a delta from `source`. Returns the resulting configuration, if that is newer than the current one.
     pub fn on_delta(
         &mut self,
         now: Duration,
@@ -141,11 +142,12 @@
                     CommittedConfiguration { revision: delta.version.revision, document: document.into() };
                 self.apply(&committed).then_some(committed)
             }
-            // Another source's answer came first, and the next fetch names it.
+            // The base has changed since the fetch, because another source answered first. The next fetch names
+            // the new base.
             None => None,
             Some(Err(error)) => {
                 log::warn!(
-                    "configuration delta not applied revision={} error={error}",
+                    "cannot apply configuration delta; fetching the complete document revision={} error={error}",
                     delta.version.revision
                 );
                 self.requires_complete = true;
@@ -170,14 +172,14 @@
         self.next_fetch = self.next_fetch.max(requested_at + self.pacing.interval(bytes));
     }
 
-    /// A source's link has ended.
+    /// Removes the announcement and the fetch in flight of a source whose link has ended.
     pub fn on_source_lost(&mut self, source: SocketAddr) {
         self.announced.remove(&source);
         self.in_flight.remove(&source);
     }
 
-    /// Whom to ask now, and what; `preferred` among those that have the newest. Never more than one, and none
-    /// while an answer can still be waited for.
+    /// The source to fetch from now, and the message to send to it; `preferred` if it is among those that announced the
+    /// newest version. Returns `None` while an earlier fetch has not timed out.
     pub fn fetch(&mut self, now: Duration, preferred: Option<SocketAddr>) -> Option<(SocketAddr, Message)> {
         if self.next_wake(now)? > now {
             return None;
@@ -194,7 +196,7 @@
         Some((source, Message::ConfigurationFetch(base.unwrap_or(ConfigurationVersion::NONE))))
     }
 
-    /// When [`ConfigurationFetcher::fetch`] is to be called next; `None` while there is nothing to fetch.
+    /// Time at which [`ConfigurationFetcher::fetch`] must be called next; `None` while there is nothing to fetch.
     pub fn next_wake(&self, now: Duration) -> Option<Duration> {
         let mut newer = self.newer().peekable();
         newer.peek()?;
@@ -213,7 +215,7 @@
         self.newer().filter(|(source, _)| is_free(source)).collect()
     }
 
-    /// Sources that have a newer configuration than the current one.
+    /// Sources that announced a newer configuration than the current one, with its version.
     fn newer(&self) -> impl Iterator<Item = (SocketAddr, ConfigurationVersion)> {
         let announced = self.announced.iter().map(|(source, version)| (*source, *version));
         announced.filter(|(_, version)| version.is_newer_than(self.version))
--- a/crates/controller/src/configuration_feed/mod.rs
+++ b/crates/controller/src/configuration_feed/mod.rs
@@ -1,8 +1,8 @@
-//! How configurations reach the subscribers of a feed.
+//! Distribution of configurations to the subscribers of a feed.
 //!
 //! A source only announces its newest configuration: revision and digest. The subscriber fetches it from one source
-//! at a time and names the configuration that it has; the source answers with the newest one, as the difference
-//! to that or complete. What was committed between two fetches is never sent, so a subscriber that lags skips it.
+//! at a time and names the configuration that it has; the source answers with the newest one, either as a
+//! delta to the named one or complete. Versions between the two are never sent, so a lagging subscriber skips them.
 
 pub mod delta;
 pub mod fetcher;
@@ -11,14 +11,14 @@
 use crate::message::ConfigurationVersion;
 use lanegate_coordination::membership::stable_hash;
 
-/// Odd, so that a step of [`digest`] maps no two words, and no two digests before it, to the same.
+/// Multiplier of [`digest`]. It is odd, so each step is injective in the word and in the previous digest.
 const DIGEST_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Bits by which a step turns the digest before it.
+/// Bits by which each step rotates the previous digest.
 const DIGEST_ROTATION: u32 = 23;
 const WORD_BYTES: usize = 8;
 
-/// The digest of a document, by which both ends know that they have the same bytes. Guards against errors, not
-/// against forgery. Eight bytes a step: agents compute it for every version.
+/// The digest of a document, by which both ends verify that they have the same bytes. It detects errors, not
+/// forgery. It processes eight bytes per step for speed, as agents compute it for every version.
 pub fn digest(document: &[u8]) -> u64 {
     let words = document.chunks_exact(WORD_BYTES);
     let mut digest = stable_hash(words.remainder()) ^ document.len() as u64;
@@ -38,7 +38,8 @@
         ConfigurationVersion { revision, digest: digest(document) }
     }
 
-    /// Whether this is newer than `current`. The same bytes committed again are not.
+    /// Whether this has a higher revision than `current` and different content: the same bytes committed again do not
+    /// count as newer.
     pub fn is_newer_than(&self, current: Option<ConfigurationVersion>) -> bool {
         current.is_none_or(|current| self.revision > current.revision && self.digest != current.digest)
     }
--- a/crates/controller/src/configuration_feed/publisher.rs
+++ b/crates/controller/src/configuration_feed/publisher.rs
@@ -5,14 +5,14 @@
 use bytes::Bytes;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Maximum size of retained documents in bytes, without the newest.
+/// Maximum total size in bytes of the retained documents, not counting the newest.
 const RETAINED_BYTES: usize = 8 * 1024 * 1024;
 
-/// The newest configuration and the ones shortly before it.
+/// The newest configuration, and recent ones as bases of deltas.
 #[derive(Debug)]
 pub struct ConfigurationPublisher {
     capacity: usize,
-    /// The oldest first.
+    /// Oldest first.
     versions: VecDeque<RetainedConfiguration>,
     /// Answers with the newest configuration, by the digest of the base; encoded once for all subscribers.
     answers: BTreeMap<u64, Bytes>,
@@ -25,7 +25,7 @@
 }
 
 impl ConfigurationPublisher {
-    /// A publisher of nothing yet, that retains `capacity` documents as bases of deltas.
+    /// A publisher without a configuration, which retains up to `capacity` documents, the newest included.
     pub fn with_capacity(capacity: usize) -> Self {
         ConfigurationPublisher { capacity, versions: VecDeque::new(), answers: BTreeMap::new() }
     }
@@ -49,8 +49,8 @@
         Some(Message::ConfigurationAnnounced(self.newest()?.version))
     }
 
-    /// The frame that brings a subscriber that has `base` to the newest configuration; `None` if there is none, or
-    /// the subscriber has it.
+    /// The frame that updates a subscriber from `base` to the newest configuration; `None` if there is no configuration
+    /// or the subscriber already has the newest.
     pub fn answer(&mut self, base: ConfigurationVersion) -> Option<Bytes> {
         let newest = self.newest()?;
         if newest.version.digest == base.digest && base != ConfigurationVersion::NONE {
