--- a/crates/controller/src/simulation/agent_environment.rs
+++ b/crates/controller/src/simulation/agent_environment.rs
@@ -1,4 +1,4 @@
-//! The outside of a simulated agent: what it asks for is collected, and carried out by the world.
+//! The environment of a simulated agent: collects its requests, which the world executes.
 
 use super::environment::SimulatedEnvironment;
 use crate::agent::Environment;
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Something that an agent wants done.
+/// A request of an agent.
 #[derive(Debug)]
 pub(super) enum Request {
     Follow { source: SocketAddr, hello: Hello },
--- a/crates/controller/src/simulation/calls.rs
+++ b/crates/controller/src/simulation/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of operators and endpoints to controllers: sent, answered, lost, and sent again elsewhere.
+//! Calls of operators and endpoints to controllers, with lost messages, timeouts and retries at other controllers.
 
 use super::connection::Process;
 use super::host::Host;
@@ -10,9 +10,9 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// A caller that has no answer for so long tries another controller.
+/// A caller that has received no answer for this long tries another controller.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// What was sent into a partition still arrives if the partition ends within this time.
+/// A call sent during a partition still arrives if the partition ends within this time.
 const MAX_PARTITION_DELAY: Duration = Duration::from_millis(1_500);
 /// The backoff before another attempt grows by this with each one.
 const BACKOFF_STEP: Duration = Duration::from_millis(100);
@@ -28,11 +28,11 @@
     Read(usize),
     /// A heartbeat of an incarnation of an endpoint.
     Heartbeat { endpoint: usize, start: u64 },
-    /// The end of an endpoint.
+    /// The deregistration of an incarnation of an endpoint.
     Delete { endpoint: usize, start: u64 },
 }
 
-/// What is sent.
+/// The request that is sent.
 #[derive(Debug, Clone)]
 pub(super) struct Content {
     pub(super) method: Method,
@@ -47,7 +47,7 @@
     pub(super) purpose: Purpose,
     caller: Host,
     content: Content,
-    /// Controllers in the order in which they are tried, again and again.
+    /// Controllers in the order in which they are tried, cyclically.
     targets: Vec<usize>,
     attempts: usize,
     max_attempts: usize,
@@ -56,7 +56,7 @@
     gives_up_at: Duration,
 }
 
-/// One attempt.
+/// One attempt of a call.
 #[derive(Debug)]
 struct Attempt {
     call: u64,
@@ -81,13 +81,13 @@
         self.next
     }
 
-    /// Whether a call about this is in flight.
+    /// Whether a call with this purpose is in flight.
     pub(super) fn is_under_way(&self, purpose: Purpose) -> bool {
         self.calls.values().any(|call| call.purpose == purpose)
     }
 }
 
-/// How long a caller goes on, and how often.
+/// Maximum duration of a call, and maximum number of its attempts.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CallLimits {
     pub(super) time: Duration,
@@ -195,7 +195,7 @@
         self.collect_answers(process);
     }
 
-    /// Takes the answers that a controller has given.
+    /// Collects the answers of a controller and sends them to the callers.
     pub(super) fn collect_answers(&mut self, process: Process) {
         let mut answered = Vec::new();
         for (number, (_, reply)) in self.calls.replies.iter_mut().filter(|(_, (of, _))| *of == process) {
@@ -260,7 +260,7 @@
         self.retry_later(call);
     }
 
-    /// The caller has waited for long, or could not connect.
+    /// The caller could not connect, or its wait for an answer has timed out.
     pub(super) fn attempt_fails(&mut self, number: u64) {
         let Some(call) = self.waiting_for(number) else {
             return;
@@ -292,7 +292,7 @@
         }
     }
 
-    /// Cancels all attempts of calls about something.
+    /// Cancels all calls whose purpose matches, with their attempts.
     pub(super) fn cancel_calls(&mut self, which: impl Fn(Purpose) -> bool) {
         self.calls.calls.retain(|_, pending_call| !which(pending_call.purpose));
     }
--- a/crates/controller/src/simulation/change.rs
+++ b/crates/controller/src/simulation/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration that simulated operators send, and how to recognize which of them is in force.
+//! Configuration changes that simulated operators send, and how the change in force is identified.
 
 use crate::controller::Method;
 use bytes::Bytes;
@@ -9,7 +9,7 @@
 const MARKER_ROUTE: &str = "mark";
 /// Services with engines; their shards differ.
 pub(super) const SERVICES: [&str; 2] = ["engines-one", "engines-two"];
-/// Time of a load, s.
+/// Duration of a model load, in seconds.
 pub(super) const LOAD_TIME_S: f64 = 0.6;
 
 /// How a change is sent.
@@ -17,7 +17,7 @@
 pub enum Form {
     /// The complete configuration.
     Put,
-    /// What changes.
+    /// A patch with only the changed items.
     Patch,
     /// A complete configuration that is not valid.
     Invalid,
@@ -91,7 +91,7 @@
     })
 }
 
-/// The number of the change that made a configuration.
+/// The number of the change that produced a configuration, read from its marker route.
 pub(super) fn maker(configuration: &Configuration) -> Option<usize> {
     let marker = configuration.routes.iter().find(|route| route.name == MARKER_ROUTE)?;
     marker.path_prefix.trim_matches('/').parse().ok()
--- a/crates/controller/src/simulation/checks.rs
+++ b/crates/controller/src/simulation/checks.rs
@@ -1,4 +1,4 @@
-//! Bounds in time: who is connected, how many machines are lost, and what must hold by then.
+//! Checks of time bounds: which hosts are connected, how many machines are lost, and what must hold until when.
 
 use super::host::{Host, controller_at};
 use super::violation::Violation;
@@ -18,25 +18,25 @@
 const CATCH_UP: Duration = Duration::from_secs(4);
 /// `RecoverS`.
 const RECOVER: Duration = Duration::from_secs(12);
-/// How long after its bound an acknowledgement is checked, and the interval between two checks.
+/// How long an acknowledged operation is checked after its bound has passed, and the interval between checks.
 const CHECK_SPAN: Duration = Duration::from_secs(12);
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// `LeaseMs`.
 pub(super) const LEASE: Duration = Duration::from_millis(3_000);
 
-/// Something that must hold at a time.
+/// A condition that must hold at a time.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Check {
     /// Every connected router has this version or a newer one.
     Applied { version: u64, until: Duration },
-    /// No connected router takes this incarnation of an endpoint to be ready, whether the controller that acknowledged its end
+    /// No connected router considers this incarnation of an endpoint ready, whether the controller that acknowledged its end
     /// was connected or not.
     Drained { endpoint: usize, start: u64, until: Duration },
-    /// Every shard's group is complete, unless there was a fault since this many steps.
+    /// Every shard's group is complete. Skipped if the number of fault steps is no longer `steps`.
     GroupsComplete { steps: u64 },
 }
 
-/// Which controllers are lost, and when each was lost last.
+/// The controllers that are lost now, and the last time at which each was lost.
 #[derive(Debug, Default)]
 pub(super) struct Losses {
     now: BTreeSet<usize>,
@@ -71,8 +71,8 @@
         }
     }
 
-    /// What was acknowledged holds from its bound on, so it is checked several times: routers may be disconnected at the
-    /// first.
+    /// Schedules a check of an acknowledged operation from `due` on. It must hold from its bound on, and is checked several
+    /// times, as routers may be disconnected at the first check.
     pub(super) fn check_from(&mut self, due: Duration, check: impl FnOnce(Duration) -> Check) {
         self.schedule(due, SimulationEvent::Check(check(due + CHECK_SPAN)));
     }
@@ -96,7 +96,7 @@
         Ok(())
     }
 
-    /// No placer planned an order that its last check had to withhold.
+    /// Checks that no controller planned an order that its final check had to withhold.
     pub(super) fn check_orders_withheld(&self) -> Result<(), Violation> {
         for machine in &self.controllers {
             let orders = machine.controller().map_or(0, |controller| controller.violations().total());
@@ -120,7 +120,7 @@
         Ok(())
     }
 
-    /// A group has to be complete a bound after the last fault, where enough machines are left for it.
+    /// Schedules a check that groups are complete `CatchUpS` after the last fault, if enough machines are left.
     pub(super) fn expect_complete_groups(&mut self) {
         let check = Check::GroupsComplete { steps: self.fault_history.steps };
         self.schedule(self.now() + CATCH_UP, SimulationEvent::Check(check));
@@ -147,7 +147,7 @@
         controllers.iter().all(|index| self.controllers[*index].disk.is_healthy())
     }
 
-    /// Controllers that run and reach more than half of the core both ways, in time.
+    /// Controllers that run and have a healthy path to more than half of the controllers that are not retired.
     pub(super) fn working_controllers(&self) -> BTreeSet<usize> {
         let core = self.controllers.iter().filter(|machine| !machine.retired).count();
         let awake: Vec<usize> = self
@@ -163,7 +163,8 @@
         awake.iter().copied().filter(|index| 2 * reached(*index) > core).collect()
     }
 
-    /// Whether the core has been left alone for `span`, works in a majority, and not too much is lost.
+    /// Whether the controllers and the paths between them have had no fault for `span`, a majority of them works, and the
+    /// fault tolerance is not exceeded.
     fn is_core_stable(&self, span: Duration) -> bool {
         let core = self.controllers.iter().filter(|machine| !machine.retired).count();
         let working = self.working_controllers();
@@ -182,7 +183,7 @@
             && !self.is_beyond_tolerance()
     }
 
-    /// Routers for which bounds hold now.
+    /// Routers for which the time bounds apply now.
     fn connected_routers(&self) -> Vec<usize> {
         if !self.is_core_stable(CONTACT) {
             return Vec::new();
@@ -197,14 +198,14 @@
         (0..self.routers.len()).filter(in_touch).collect()
     }
 
-    /// Whether more machines are, or were lately, lost at once than may be.
+    /// Whether the number of machines lost at the same time exceeds the fault tolerance, or recently did.
     fn is_beyond_tolerance(&self) -> bool {
         let counts = self.fault_history.losses.now.len() > self.tolerance as usize;
         counts || self.fault_history.beyond_at.is_some_and(|at| self.now() < at + RECOVER)
     }
 
-    /// Counts the machines that are lost. A machine stays lost for a time after it is back; one that is retired
-    /// for good counts as long, if there are enough others.
+    /// Updates the lost machines. A machine counts as lost for [`CATCH_UP`] after it is back; so does a retired one,
+    /// from its retirement on, if enough others are left.
     pub(super) fn detect_losses(&mut self) {
         let now = self.now();
         let working = self.working_controllers();
@@ -232,7 +233,7 @@
         }
     }
 
-    /// The newest group of each shard, as far as any running controller has learned it.
+    /// The newest group of each shard that any running controller has learned of.
     pub(super) fn newest_groups(&self) -> Vec<Vec<Host>> {
         let mut newest: Vec<(u64, Vec<Host>)> = Vec::new();
         for controller in self.controllers.iter().filter_map(|machine| machine.controller()) {
@@ -248,7 +249,7 @@
         newest.into_iter().map(|(_, group)| group).collect()
     }
 
-    /// The controllers that act for the shards for which anybody does, one for each shard.
+    /// The controllers that act for shards, once per shard. Shards for which no controller acts are left out.
     pub(super) fn holders(&self) -> Vec<Host> {
         let awake = self.controllers.iter().filter(|machine| machine.is_awake());
         let mut holders = Vec::new();
@@ -259,8 +260,8 @@
         holders
     }
 
-    /// Whether the loss of a disk is made good: the machine has every record again, or, if it is retired, is
-    /// in no group any more.
+    /// Whether the loss of a disk is repaired: the machine has every record again or, if it is retired, is no longer
+    /// in any group.
     fn is_disk_loss_repaired(&self, index: usize, records: &[Records]) -> bool {
         if self.controllers[index].retired {
             return !records.iter().flat_map(members_on_disk).any(|member| member == Some(index));
@@ -269,8 +270,9 @@
         records[index].len() == shards
     }
 
-    /// Whether the others could go on without the disk of a controller: no more disks are lost at once than may
-    /// be, and a majority of every group that any disk knows of keeps its record.
+    /// Whether the others can continue without the disk of a controller: with `within_tolerance`, no more disks are
+    /// lost at the same time than the fault tolerance allows, and a majority of every group stored on any disk keeps its
+    /// record.
     pub(super) fn may_lose_disk(&self, lost: usize) -> bool {
         let records: Vec<_> = self.controllers.iter().map(|machine| machine.disk.peek()).collect();
         let still_lost = |index: &&usize| **index != lost && !self.is_disk_loss_repaired(**index, &records);
@@ -293,7 +295,7 @@
     }
 }
 
-/// Nodes of all groups that a disk knows of.
+/// Nodes of all groups that are stored on a disk.
 fn members_on_disk(records: &Records) -> impl Iterator<Item = Option<usize>> {
     let groups = records.values().flat_map(|record| &record.value.groups);
     let nodes = groups.flat_map(|group| group.members());
--- a/crates/controller/src/simulation/connection.rs
+++ b/crates/controller/src/simulation/connection.rs
@@ -1,4 +1,4 @@
-//! One simulated connection: frames in order both ways, as long as it lasts.
+//! One simulated connection, which delivers frames in order in both directions while it is open.
 
 use super::host::Host;
 use crate::link::Outbox;
@@ -8,21 +8,21 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Bytes that are on the way at a time; what is beyond waits in the outbox.
+/// Maximum number of bytes in flight per direction; further frames wait in the outbox.
 const WINDOW_BYTES: usize = 256 * 1024;
 
 /// One incarnation of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Process {
     pub(super) host: Host,
-    /// Counts all starts of all processes.
+    /// Number of this start, counted over all processes.
     pub(super) start: u64,
 }
 
 /// What a connection is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Kind {
-    /// A controller speaks to another.
+    /// Between two controllers.
     Peer,
     /// An agent follows a controller.
     Feed,
@@ -30,7 +30,7 @@
     Loopback,
 }
 
-/// A connection that somebody wants.
+/// A connection attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Dial {
     pub(super) kind: Kind,
@@ -42,23 +42,23 @@
     pub(super) dial_number: u64,
 }
 
-/// The side of a connection to which something goes.
+/// One side of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum End {
     Dialer,
     Listener,
 }
 
-/// One direction.
+/// One direction of a connection.
 #[derive(Debug)]
 pub(super) struct Pipe {
     frames: mpsc::Receiver<Bytes>,
     /// Frames with the times from which they can be read, in order.
     in_flight: VecDeque<(Duration, Bytes)>,
     bytes_in_flight: usize,
-    /// When the link has sent all before.
+    /// When the link has transmitted all earlier frames.
     free_at: Duration,
-    /// Whether a look at the first frame is scheduled.
+    /// Whether an `Arrive` event for the first frame is scheduled.
     pub(super) scheduled: bool,
 }
 
@@ -68,8 +68,8 @@
         Pipe { frames, in_flight, bytes_in_flight: 0, free_at: Duration::ZERO, scheduled: false }
     }
 
-    /// Takes frames out of the outbox, as many as fit. `transfer` and `delay` give the time that each takes.
-    /// False once the outbox is closed and everything has arrived.
+    /// Moves frames from the outbox into flight, up to [`WINDOW_BYTES`]. `transfer` returns the transmission time
+    /// of a frame, `delay` its latency. Returns false once the outbox is closed and all frames have arrived.
     pub(super) fn pump(
         &mut self,
         now: Duration,
@@ -105,37 +105,37 @@
         Some(frame)
     }
 
-    /// Everything on the way is sent again, from `at` on.
+    /// Retransmits all frames in flight, so that none arrives before `at`.
     pub(super) fn postpone(&mut self, at: Duration) {
         for (ready, _) in &mut self.in_flight {
             *ready = at.max(*ready);
         }
     }
 
-    /// What is on the way arrives by `at`: the queue in which it waits is emptied.
+    /// Makes all frames in flight arrive by `at`, as the queue in which they waited is emptied.
     pub(super) fn empty_queue(&mut self, at: Duration) {
         for (ready, _) in &mut self.in_flight {
             *ready = at.min(*ready);
         }
     }
 
-    /// All that is on the way, with its times.
+    /// Removes and returns all frames in flight, with their times of arrival.
     pub(super) fn drain(&mut self) -> Vec<(Duration, Bytes)> {
         self.bytes_in_flight = 0;
         self.in_flight.drain(..).collect()
     }
 }
 
-/// A connection that is up.
+/// An established connection.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) dial: Dial,
     pub(super) listener: Process,
-    /// Frames of the dialer.
+    /// Frames from the dialer.
     pub(super) forward: Pipe,
-    /// Frames of the listener.
+    /// Frames from the listener.
     pub(super) backward: Pipe,
-    /// The peer whose first message has been read, where controllers talk.
+    /// Between controllers: the peer, once its first message has been read.
     pub(super) peer: Option<SocketAddr>,
     /// Handed to the listener once it has read the first message.
     pub(super) listener_outbox: Option<Outbox>,
@@ -163,7 +163,7 @@
         (connection, dialer_outbox)
     }
 
-    /// The direction to an end.
+    /// The direction that leads to an end.
     pub(super) fn pipe_to(&mut self, end: End) -> &mut Pipe {
         match end {
             End::Dialer => &mut self.backward,
@@ -171,7 +171,7 @@
         }
     }
 
-    /// The two machines, in the direction to an end.
+    /// Sender and receiver of the direction that leads to an end.
     pub(super) fn path_to(&self, end: End) -> (Host, Host) {
         let (dialer, listener) = (self.dial.dialer.host, self.listener.host);
         match end {
@@ -185,7 +185,7 @@
         self.dial.dialer == process || self.listener == process
     }
 
-    /// Whether one of its ends is at this place.
+    /// Whether one of its ends is on this host.
     pub(super) fn touches(&self, host: Host) -> bool {
         self.dial.dialer.host == host || self.listener.host == host
     }
--- a/crates/controller/src/simulation/connections.rs
+++ b/crates/controller/src/simulation/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that come up, carry frames, and end.
+//! Establishes connections, delivers their frames, and closes them.
 
 use super::connection::{Connection, Dial, End, Kind, Process};
 use super::host::Host;
@@ -15,11 +15,11 @@
 /// A connection in which a direction is partitioned ends after this long, and up to [`PARTITION_TIMEOUT_SPREAD`] later.
 const PARTITION_TIMEOUT: Duration = Duration::from_millis(1_500);
 const PARTITION_TIMEOUT_SPREAD: Duration = Duration::from_millis(1_000);
-/// After a partition, what was lost is sent again within this time.
+/// After a partition, lost frames are retransmitted within this time.
 const RESEND_SPREAD: Duration = Duration::from_millis(400);
 /// Pause before a router dials its agent again.
 const LOOPBACK_REDIAL_DELAY: Duration = Duration::from_millis(100);
-/// A frozen process goes on with what it was about to do after so long, if it is thawed.
+/// Interval at which a pending action of a frozen process is retried until the process is thawed.
 const FROZEN_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Bytes of the length before each message.
 const LENGTH_BYTES: usize = 4;
@@ -29,12 +29,12 @@
         longest.mul_f64(self.random.random::<f64>())
     }
 
-    /// Time that something takes from one machine to another.
+    /// Latency of a packet from one machine to another.
     pub(super) fn delay(&mut self, from: Host, to: Host) -> Duration {
         self.network.delay(from, to, &mut self.random)
     }
 
-    /// Whether the dialer is still the one who wanted this.
+    /// Whether the process that dialled still runs and still wants the connection.
     fn is_wanted(&self, dial: &Dial) -> bool {
         self.running(dial.dialer.host) == Some(dial.dialer)
             && match (dial.kind, dial.dialer.host) {
@@ -63,7 +63,7 @@
         self.schedule(self.now() + round_trip, SimulationEvent::Connect(dial));
     }
 
-    /// The first packets have gone both ways.
+    /// The handshake of a connection has completed its round trip.
     pub(super) fn connect(&mut self, dial: Dial) {
         if !self.is_wanted(&dial) {
             return;
@@ -98,7 +98,7 @@
         self.pump(number);
     }
 
-    /// An agent takes the connection of its router.
+    /// An agent accepts the connection of its router.
     fn accept_router(&mut self, number: u64, listener: Process) {
         let connection = self.connections.get_mut(&number);
         let outbox = connection.and_then(|connection| connection.listener_outbox.take());
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Takes up what the two ends have queued.
+    /// Sends the frames that the two ends have queued.
     pub(super) fn pump(&mut self, number: u64) {
         let now = self.now();
         let mut due = Vec::new();
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Takes up what one process has queued.
+    /// Sends the frames that one process has queued on all its connections.
     pub(super) fn pump_all(&mut self, process: Process) {
         let numbers: Vec<u64> = self
             .connections
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Frames whose time has come are read, unless the path is partitioned.
+    /// Delivers the frames that are due, unless the path is partitioned.
     pub(super) fn arrive(&mut self, number: u64, end: End) {
         let now = self.now();
         loop {
@@ -189,7 +189,7 @@
         self.pump(number);
     }
 
-    /// What an end of a connection makes of a frame.
+    /// Decodes a frame that arrived at an end of a connection; returns the receiving process and the event for it.
     fn read_frame(&mut self, number: u64, end: End, frame: &Bytes) -> Option<(Process, Delivery)> {
         let now = self.now();
         let message = Message::decode(&frame[LENGTH_BYTES..]).ok()?;
@@ -225,8 +225,8 @@
         Some((process, delivery))
     }
 
-    /// A connection ends for both sides: what `closer` has sent still arrives, what was sent to it does not.
-    /// With `None` all that is on the way arrives.
+    /// Closes a connection for both sides: frames that `closer` has sent still arrive, frames sent to it do not.
+    /// With `None` all frames in flight arrive.
     pub(super) fn close(&mut self, number: u64, closer: Option<Process>) {
         for end in [End::Dialer, End::Listener] {
             let Some(connection) = self.connections.get_mut(&number) else { return };
@@ -247,12 +247,12 @@
         self.end_by(number, closer);
     }
 
-    /// A connection ends for both sides, and what is on the way is lost.
+    /// Closes a connection for both sides; frames in flight are lost.
     pub(super) fn end(&mut self, number: u64) {
         self.end_by(number, None);
     }
 
-    /// A connection ends: at once for whoever closed it, later for others where the path is partitioned.
+    /// Closes a connection: at once for `closer`, later for the other side if the path is partitioned.
     fn end_by(&mut self, number: u64, closer: Option<Process>) {
         let Some(connection) = self.connections.remove(&number) else { return };
         let (dial, listener) = (connection.dial, connection.listener);
@@ -265,8 +265,8 @@
         self.end_for_listener(number, &dial, listener, at);
     }
 
-    /// Connections between two machines are reset at one of them: the other one notices only when it has had no
-    /// acknowledgement for long, and what it sends until then is lost.
+    /// Resets the connections between two machines at `host`: `peer` detects it only after a timeout without
+    /// acknowledgements, and frames that it sends until then are lost.
     pub(super) fn reset_one_side(&mut self, host: Host, peer: Host) {
         let ends_here = |connection: &Connection| {
             let path = connection.path_to(End::Listener);
@@ -320,7 +320,7 @@
         }
     }
 
-    /// All connections of a process that has ended, or that reset them.
+    /// Ends all matching connections: with a `closer` as [`World::close`] does, else as [`World::end`] does.
     pub(super) fn end_connections(&mut self, which: impl Fn(&Connection) -> bool, closer: Option<Process>) {
         let numbers: Vec<u64> = self
             .connections
@@ -336,7 +336,7 @@
         }
     }
 
-    /// Cuts or heals have changed which ways are open.
+    /// Handles a change of the partitions of the network.
     pub(super) fn paths_changed(&mut self) {
         let now = self.now();
         let numbers: Vec<u64> = self.connections.keys().copied().collect();
@@ -361,7 +361,7 @@
         }
     }
 
-    /// Queues on the way are emptied: what waits in them arrives soon.
+    /// Empties the queues on these paths, so that the frames in them arrive soon.
     pub(super) fn empty_queues(&mut self, directions: &[(Host, Host)]) {
         let numbers: Vec<u64> = self.connections.keys().copied().collect();
         for number in numbers {
@@ -377,7 +377,7 @@
         }
     }
 
-    /// Frames that waited for an open way are sent again.
+    /// Retransmits frames that waited for the path to be open.
     fn resend(&mut self, number: u64, at: Duration) {
         for end in [End::Dialer, End::Listener] {
             let Some(connection) = self.connections.get_mut(&number) else { return };
@@ -392,7 +392,7 @@
         }
     }
 
-    /// A connection that has been partitioned all the time is closed by both sides.
+    /// Closes a connection at both sides if it has been partitioned since `since`.
     pub(super) fn partition_timed_out(&mut self, number: u64, since: Duration) {
         let connection = self.connections.get(&number);
         if connection.is_some_and(|connection| connection.partitioned_since == Some(since)) {
@@ -400,7 +400,7 @@
         }
     }
 
-    /// An agent that has received nothing for long closes the connection.
+    /// An agent that has received nothing for [`SOURCE_TIMEOUT`] closes the connection.
     pub(super) fn check_receive_timeout(&mut self, number: u64) {
         let now = self.now();
         let Some(connection) = self.connections.get(&number) else { return };
--- a/crates/controller/src/simulation/controller_environment.rs
+++ b/crates/controller/src/simulation/controller_environment.rs
@@ -1,4 +1,4 @@
-//! The outside of a simulated controller: what it asks for is collected, and carried out by the world.
+//! The environment of a simulated controller: collects its requests, which the world executes.
 
 use super::disk::Write;
 use super::environment::SimulatedEnvironment;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Something that a controller wants done.
+/// A request of a controller.
 #[derive(Debug)]
 pub(super) enum Request {
     OpenLink(SocketAddr),
--- a/crates/controller/src/simulation/controller_machine.rs
+++ b/crates/controller/src/simulation/controller_machine.rs
@@ -1,4 +1,4 @@
-//! A simulated machine with a controller: a disk, and a process that comes and goes.
+//! A simulated machine with a controller: a disk, and a process that is started and stopped.
 
 use super::connection::{Dial, Kind, Process};
 use super::controller_environment::Request;
@@ -21,15 +21,15 @@
 /// A process that is shutting down is killed after this long (`GraceS`).
 const GRACE: Duration = Duration::from_secs(8);
 
-/// A process that runs.
+/// A running process.
 struct Running {
     process: Process,
     incarnation: u64,
     controller: Controller,
     environment: SimulatedEnvironment<Request>,
-    /// Links that it wants, with the number of the wish.
+    /// Links that it has requested, with the dial number of the request.
     links: BTreeMap<SocketAddr, u64>,
-    /// The timer that is set.
+    /// When its timer fires.
     wake_at: Option<Duration>,
     /// It is shutting down.
     shutting_down: bool,
@@ -41,11 +41,11 @@
     pub(super) disk: Disk,
     running: Option<Running>,
     pub(super) frozen: bool,
-    /// Gone for good.
+    /// Permanently removed.
     pub(super) retired: bool,
     /// Whether it has run before.
     pub(super) has_run: bool,
-    /// Came in while frozen.
+    /// Deliveries that arrived while it was frozen.
     backlog: VecDeque<Delivery>,
     /// The settings file.
     settings: Rc<RefCell<Settings>>,
@@ -93,7 +93,7 @@
         running.is_some_and(|running| running.links.get(&dial.address) == Some(&dial.dial_number))
     }
 
-    /// Exchanges the seeds in the settings file.
+    /// Replaces the seeds in the settings file.
     pub(super) fn set_seeds(&mut self, seeds: &[usize]) {
         self.settings.borrow_mut().seeds = seed_addresses(seeds);
     }
@@ -118,7 +118,7 @@
         self.controllers[index].hello().expect("only a running controller dials")
     }
 
-    /// Starts the process of a machine, if it does not run.
+    /// Starts the process of a machine, unless it runs already.
     pub(super) fn start_controller(&mut self, index: usize) {
         let host = Host::Controller(index);
         let machine = &self.controllers[index];
@@ -154,7 +154,7 @@
         self.paths_changed();
     }
 
-    /// Tells a controller something.
+    /// Delivers an event to a controller.
     pub(super) fn deliver_to_controller(&mut self, index: usize, process: Process, delivery: Delivery) {
         let machine = &mut self.controllers[index];
         let Some(running) = machine.running.as_mut().filter(|running| running.process == process) else {
@@ -182,7 +182,7 @@
         }
     }
 
-    /// The timer of a controller.
+    /// Handles the timer of a controller.
     pub(super) fn wake(&mut self, process: Process, at: Duration) {
         let Host::Controller(index) = process.host else { return };
         let machine = &mut self.controllers[index];
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Does what a controller has asked for.
+    /// Executes the requests of a controller.
     pub(super) fn execute_controller_requests(&mut self, index: usize) {
         let Some(process) = self.controllers[index].process() else { return };
         let requests = match &self.controllers[index].running {
@@ -257,7 +257,7 @@
         self.controllers[index].disk.queue(write);
     }
 
-    /// Lets the disk begin with the next write.
+    /// Starts the next write of the disk.
     pub(super) fn start_write(&mut self, index: usize) {
         let Some(process) = self.controllers[index].process() else { return };
         let disk = &mut self.controllers[index].disk;
@@ -269,7 +269,7 @@
         self.schedule(self.now() + time, SimulationEvent::Written { process });
     }
 
-    /// The disk of a controller has done the first write.
+    /// The disk of a controller has finished the first write of its queue.
     pub(super) fn written(&mut self, process: Process) {
         let Host::Controller(index) = process.host else { return };
         if self.controllers[index].process() != Some(process) {
@@ -295,7 +295,7 @@
         self.schedule(wake, SimulationEvent::Wake { process, at: wake });
     }
 
-    /// A frozen controller goes on: it takes all that has come in, and then looks at the time.
+    /// A frozen controller continues: it first handles the backlog of deliveries, and then its timer.
     pub(super) fn thaw_controller(&mut self, index: usize) {
         let machine = &mut self.controllers[index];
         if !std::mem::take(&mut machine.frozen) {
@@ -312,7 +312,7 @@
         self.tick_controller(index);
     }
 
-    /// The process dies; what it has sent still arrives.
+    /// Kills the process; messages that it has sent still arrive.
     pub(super) fn kill_controller(&mut self, index: usize) {
         let Some(process) = self.controllers[index].process() else { return };
         self.end_connections(|connection| connection.involves(process), Some(process));
@@ -320,7 +320,7 @@
         self.controllers[index].disk.interrupt(&mut self.random);
     }
 
-    /// The machine is without power: nothing that is on the way arrives, and others get no reset.
+    /// Powers the machine off: messages in flight are lost, and its peers receive no reset.
     pub(super) fn lose_power(&mut self, index: usize) {
         self.drop_controller(index);
         let disk = &mut self.controllers[index].disk;
@@ -348,7 +348,7 @@
         self.tick_controller(index);
     }
 
-    /// The time that a process gets to end is over.
+    /// The grace period of a process that is shutting down has expired.
     pub(super) fn grace_over(&mut self, process: Process) {
         let Host::Controller(index) = process.host else { return };
         if self.controllers[index].process() == Some(process) {
--- a/crates/controller/src/simulation/disk.rs
+++ b/crates/controller/src/simulation/disk.rs
@@ -1,4 +1,5 @@
-//! The simulated disk of a controller: one write at a time, in order, which takes a while, fails or hangs.
+//! The simulated disk of a controller. It executes one write at a time, in order; writes take time, and may fail or
+//! hang.
 
 use crate::controller::{Records, Stores, open_stores};
 use lanegate_coordination::register::Record;
@@ -9,9 +10,9 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A write on a healthy disk takes up to this long.
+/// Maximum duration of a write on a healthy disk.
 const HEALTHY_WRITE_TIME: Duration = Duration::from_millis(2);
-/// Steps of a save, from making the file to removing old ones.
+/// Number of file system steps of a save, from creating the file to removing old ones.
 const SAVE_STEPS: u32 = 6;
 
 /// A record that is to be written.
@@ -22,7 +23,7 @@
     pub(super) record: Record,
 }
 
-/// A write that has ended.
+/// The outcome of a write.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Written {
     pub(super) shard: u8,
@@ -30,7 +31,7 @@
     pub(super) durable: bool,
 }
 
-/// A disk and what waits for it.
+/// A disk and the queue of its writes.
 pub(super) struct Disk {
     directory: SimulatedDirectory,
     stores: Stores,
@@ -53,14 +54,14 @@
         }
     }
 
-    /// What a starting process finds.
+    /// Opens the stores as a starting process does, and returns their records.
     pub(super) fn open(&mut self) -> Option<Records> {
         let (stores, records) = open_stores(Path::new("data"), &mut self.directory).ok()?;
         self.stores = stores;
         Some(records)
     }
 
-    /// What a process that started now would find; nothing changes.
+    /// The records that a process starting now would read. Leaves the disk unchanged.
     pub(super) fn peek(&self) -> Records {
         let mut copy = Disk::new();
         copy.directory = self.directory.clone();
@@ -94,7 +95,7 @@
         store.save(&mut self.directory, &bytes).is_ok()
     }
 
-    /// The process dies, perhaps within a write.
+    /// The process is killed, possibly during a write.
     pub(super) fn interrupt(&mut self, random: &mut SmallRng) {
         self.directory.operations_until_crash = Some(random.random_range(0..=SAVE_STEPS));
         if let Some(write) = self.queue.pop_front() {
@@ -122,14 +123,14 @@
         self.directory.rejects_writes = true;
     }
 
-    /// The disk is as good as new, apart from what is on it.
+    /// Ends all faults of the disk; its content stays as it is.
     pub(super) fn repair(&mut self) {
         self.longest_write = HEALTHY_WRITE_TIME;
         self.stalled = false;
         self.directory.rejects_writes = false;
     }
 
-    /// Whether writes take longer than usual, or for ever.
+    /// Whether writes take longer than on a healthy disk, or hang.
     pub(super) fn is_slow(&self) -> bool {
         self.stalled || self.longest_write != HEALTHY_WRITE_TIME
     }
--- a/crates/controller/src/simulation/endpoint.rs
+++ b/crates/controller/src/simulation/endpoint.rs
@@ -14,7 +14,7 @@
 
 /// Time between heartbeats.
 pub(super) const HEARTBEAT: Duration = Duration::from_millis(1_200);
-/// An endpoint that ends tries for so long to be acknowledged.
+/// How long an endpoint that shuts down retries until it is acknowledged.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// The state that an endpoint reports.
@@ -22,7 +22,7 @@
 pub(super) enum State {
     Ready,
     Draining,
-    /// It has ended, and sends nothing any more.
+    /// It has ended and sends no more calls.
     Ended,
 }
 
@@ -30,12 +30,12 @@
 #[derive(Debug)]
 pub(super) struct EndpointMachine {
     index: usize,
-    /// Counts its incarnations.
+    /// Number of its present incarnation.
     pub(super) start: u64,
     pub(super) state: State,
     sequence: u64,
     pub(super) engine: Engine,
-    /// When its drain, or its end, was first acknowledged.
+    /// When its drain or its deregistration was first acknowledged.
     pub(super) acknowledged_at: Option<Duration>,
 }
 
@@ -167,7 +167,7 @@
         self.call_any(Purpose::Delete { endpoint: index, start }, index, content, DRAIN_TIMEOUT);
     }
 
-    /// A heartbeat was answered. True if the endpoint is content.
+    /// Handles the answer to a heartbeat. Returns true if the endpoint does not retry the call.
     pub(super) fn heartbeat_answered(&mut self, index: usize, start: u64, status: u16) -> bool {
         let machine = &self.endpoints[index];
         let is_taken = (200..300).contains(&status);
@@ -177,7 +177,7 @@
         is_taken
     }
 
-    /// The end of an endpoint was answered. True if the endpoint is content.
+    /// Handles the answer to a deregistration. Returns true if the endpoint does not retry the call.
     pub(super) fn delete_answered(&mut self, index: usize, start: u64, status: u16) -> bool {
         let is_taken = (200..300).contains(&status);
         if is_taken && self.endpoints[index].start == start {
--- a/crates/controller/src/simulation/engine.rs
+++ b/crates/controller/src/simulation/engine.rs
@@ -1,4 +1,4 @@
-//! What simulated endpoints do with orders, and how orders reach them.
+//! Orders and report requests from controllers to simulated endpoints, and how endpoints execute them.
 
 use super::change::LOAD_TIME_S;
 use super::connection::Process;
@@ -12,19 +12,19 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A controller gives up a connection to an endpoint after this long.
+/// Timeout of a controller for connecting to an endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
-/// A controller gives up an answer of an endpoint after this long.
+/// Timeout of a controller for the answer of an endpoint.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Something that a controller wants of an endpoint.
+/// An order, or a report request, from a controller to an endpoint.
 #[derive(Debug)]
 pub(super) struct OrderCall {
     pub(super) sender: Process,
     pub(super) action: ServiceAction,
-    /// Epoch under which it is sent.
+    /// Epoch of the lease under which it is sent.
     pub(super) epoch: u64,
-    /// When it has to have been sent.
+    /// Deadline for sending it.
     pub(super) send_by: Duration,
 }
 
@@ -37,7 +37,7 @@
         endpoint_at(address)
     }
 
-    /// The event of the controller for this answer.
+    /// The event by which the controller learns of this answer; `None` for a report request.
     fn answered(&self, answer: OrderAnswer) -> Option<Event> {
         let service = self.action.service.clone();
         match &self.action.action {
@@ -54,17 +54,17 @@
     until: Duration,
 }
 
-/// The models of an endpoint.
+/// The models of an endpoint, and the execution of orders on them.
 #[derive(Debug, Default)]
 pub(super) struct Engine {
     resident: BTreeSet<String>,
     loading: Option<Load>,
-    /// Orders taken.
+    /// Number of orders executed.
     sequence: u64,
 }
 
 impl Engine {
-    /// Ends a load whose time has come.
+    /// Completes the load in progress if it is due.
     pub(super) fn finish_load(&mut self, now: Duration) {
         if let Some(load) = self.loading.take_if(|load| load.until <= now) {
             self.resident.insert(load.model);
@@ -113,7 +113,7 @@
 }
 
 impl World {
-    /// An order, or a report request, is sent by its controller, once its connection is up.
+    /// The controller sends an order or a report request, if it can connect and the deadline has not passed.
     pub(super) fn send_order(&mut self, call: OrderCall) {
         let sender = call.sender;
         if self.running(sender.host) != Some(sender) {
--- a/crates/controller/src/simulation/environment.rs
+++ b/crates/controller/src/simulation/environment.rs
@@ -1,4 +1,4 @@
-//! What a simulated process and the world share: its clock, its requests and its settings file.
+//! State shared between a simulated process and the world: clock, requests and settings file.
 
 use lanegate_config::settings::Settings;
 use std::cell::{Cell, RefCell};
@@ -44,7 +44,7 @@
         self.requests.borrow_mut().push(request);
     }
 
-    /// Takes the requests that the process has made.
+    /// Removes and returns the requests that the process has made.
     pub(super) fn take_requests(&self) -> Vec<Request> {
         std::mem::take(&mut *self.requests.borrow_mut())
     }
--- a/crates/controller/src/simulation/expectation.rs
+++ b/crates/controller/src/simulation/expectation.rs
@@ -1,4 +1,4 @@
-//! What a scenario expects at a moment, and its text form.
+//! Conditions that a scenario checks at a step, and their text form.
 
 use super::history::{ChangeStatus, ReadStatus};
 use super::host::Host;
@@ -8,18 +8,18 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Something that must be so when the step is reached. Changes and reads are counted from 1.
+/// A condition that must hold when the step is reached. Changes and reads are counted from 1.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Expectation {
-    /// What became of a change: `open`, `taken`, `refused`, `invalid` or `unclear`.
+    /// The status of a change: `open`, `taken`, `refused`, `invalid` or `unclear`.
     Change { number: usize, status: String },
-    /// What came back for a read: `open`, `served`, `missing` or `unavailable`.
+    /// The status of a read: `open`, `served`, `missing` or `unavailable`.
     Read { number: usize, status: String },
-    /// The configuration that a router has is the one that this change made.
+    /// The configuration that a router has is the result of this change.
     Router { router: Host, change: usize },
-    /// A router takes an endpoint to be ready.
+    /// A router considers an endpoint ready.
     Uses { router: Host, endpoint: Host },
-    /// A router does not take an endpoint to be ready.
+    /// A router does not consider an endpoint ready.
     Avoids { router: Host, endpoint: Host },
     /// An endpoint's drain or end was acknowledged.
     Acknowledged(Host),
@@ -29,25 +29,25 @@
     Member(Host),
     /// No shard's group has this member.
     NoMember(Host),
-    /// Every shard's group has so many members.
+    /// Every shard's group has this many members.
     GroupSize(usize),
-    /// Every member that runs knows that each shard can bear so many losses, or more, in all groups in force.
+    /// Every running member knows that each shard tolerates this many losses or more in all groups in force.
     Margin(usize),
     /// A controller does not run.
     Down(Host),
-    /// So many shards have a controller that acts for them.
+    /// This many shards have a controller that acts for them.
     Holders(usize),
     /// A controller acts for some shard.
     Acts(Host),
     /// A controller acts for no shard.
     Idle(Host),
-    /// So many orders, or more, have reached endpoints.
+    /// This many orders or more have reached endpoints.
     Orders(usize),
-    /// Routers have lost live endpoints from their lists so many times at most.
+    /// Routers have removed live endpoints from their lists at most this many times.
     Lost(usize),
 }
 
-/// Words that are no expectation.
+/// Words that cannot be parsed as an expectation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("no such expectation")]
 pub struct ExpectationParseError;
@@ -125,7 +125,7 @@
         Evaluation { is_met, found: found.into() }
     }
 
-    /// Something holds or does not.
+    /// The outcome of a condition that either holds or does not.
     fn of(is_met: bool) -> Self {
         Evaluation::new(is_met, if is_met { "that" } else { "not that" })
     }
@@ -206,19 +206,19 @@
         }
     }
 
-    /// Whether the newest group of each shard is as it should be.
+    /// Whether the newest group of each shard satisfies a condition.
     fn every_group(&self, is_right: impl Fn(&Vec<Host>) -> bool) -> Evaluation {
         let groups = self.newest_groups();
         Evaluation::new(groups.iter().all(is_right), format!("{groups:?}"))
     }
 
-    /// The change that made the configuration of a router.
+    /// The change that produced the configuration of a router.
     fn change_at(&self, router: Host) -> Option<usize> {
         let Host::Router(index) = router else { return None };
         super::change::maker(self.routers.get(index)?.known.configuration.as_ref()?)
     }
 
-    /// Whether a router takes an endpoint's present incarnation to be ready.
+    /// Whether a router considers an endpoint's present incarnation ready.
     pub(super) fn uses(&self, router: Host, endpoint: Host) -> bool {
         let (Host::Router(router), Host::Endpoint(endpoint)) = (router, endpoint) else { return false };
         let id = self.endpoints[endpoint].id();
@@ -226,7 +226,7 @@
         known.is_some_and(|instance| instance.state == InstanceState::Ready)
     }
 
-    /// What each controller that runs and is a member knows of the least fault tolerance of all shards.
+    /// The lowest fault tolerance of all shards, as known to each running controller that is a member.
     fn fault_tolerances(&self) -> Vec<(Host, Option<usize>)> {
         let groups = self.newest_groups();
         let is_member = |host: &Host| groups.iter().any(|group| group.contains(host));
--- a/crates/controller/src/simulation/faults.rs
+++ b/crates/controller/src/simulation/faults.rs
@@ -7,38 +7,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Orders that arrive so soon after a thaw or the end of a partition are not judged.
+/// Orders that arrive within this time after a thaw or the end of a partition are not checked.
 const THAW: Duration = Duration::from_millis(300);
 
 /// When each machine was last affected by a fault.
 #[derive(Debug, Default)]
 pub(super) struct FaultHistory {
-    /// The last step that touched a controller's machine or a path between two.
+    /// Time of the last step that affected a controller's machine or a path between two of them.
     core_at: Option<Duration>,
     machines: BTreeMap<Host, Duration>,
     thawed: BTreeMap<Host, Duration>,
-    /// When more machines were lost than may be.
+    /// Last time at which more machines were lost than the fault tolerance allows.
     pub(super) beyond_at: Option<Duration>,
     pub(super) losses: Losses,
     /// Controllers that have lost their disk at any time.
     pub(super) disks_lost: BTreeSet<usize>,
-    /// Changes with each step that does or ends harm.
+    /// Number of steps so far that injected or ended a fault.
     pub(super) steps: u64,
 }
 
 impl FaultHistory {
-    /// The start of all is no fault.
+    /// Clears the history, as the start of all processes does not count as a fault.
     pub(super) fn reset(&mut self) {
         *self = FaultHistory::default();
     }
 
-    /// Something happened to controllers or the paths between them.
+    /// Records that controllers or the paths between them were affected by a step.
     pub(super) fn record_core_fault(&mut self, now: Duration) {
         self.core_at = Some(now);
         self.steps += 1;
     }
 
-    /// Something happened to a machine.
+    /// Records that a machine was affected by a step.
     pub(super) fn record_machine_fault(&mut self, now: Duration, host: Host) {
         self.machines.insert(host, now);
         if matches!(host, Host::Controller(_)) {
@@ -54,19 +54,19 @@
         self.thawed.get(&host).is_some_and(|at| now < *at + THAW)
     }
 
-    /// When a controller or a path between two was last touched.
+    /// When a controller or a path between two of them was last affected.
     pub(super) fn last_core_fault(&self) -> Duration {
         self.core_at.unwrap_or_default()
     }
 
-    /// When a machine was last touched.
+    /// When a machine was last affected.
     pub(super) fn last_machine_fault(&self, host: Host) -> Duration {
         self.machines.get(&host).copied().unwrap_or_default()
     }
 }
 
 impl World {
-    /// A step that does harm or ends it.
+    /// Executes a step that injects or ends a fault.
     pub(super) fn inject_fault(&mut self, step: &Step) {
         let now = self.now();
         match step {
@@ -153,7 +153,7 @@
         self.paths_changed();
     }
 
-    /// Cuts all paths between the machines of a set and all others, and no further ones.
+    /// Partitions the machines of a set from all others, and ends all other partitions.
     fn split(&mut self, set: &[Host]) {
         self.heal();
         let hosts = self.all_hosts();
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Starts a process again; it begins with what its disk holds.
+    /// Starts a process again, with the content of its disk.
     pub(super) fn start(&mut self, host: Host) {
         match host {
             Host::Controller(index) => self.start_controller(index),
--- a/crates/controller/src/simulation/history.rs
+++ b/crates/controller/src/simulation/history.rs
@@ -1,4 +1,4 @@
-//! What operators, endpoints and routers saw, and what must hold for it at every step.
+//! Records what operators, endpoints and routers observe, and checks it at every step.
 
 use super::change::{Change, Form, maker};
 use super::host::Host;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What became of a change, as its operator sees it.
+/// The status of a change, as known to its operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ChangeStatus {
     /// It is being sent.
@@ -20,20 +20,20 @@
     Unclear,
 }
 
-/// A change and what its operator learned of it.
+/// A change and what is known of its outcome.
 #[derive(Debug)]
 pub(super) struct Sent {
     pub(super) change: Change,
     pub(super) status: ChangeStatus,
-    /// Whether it was acknowledged at any time.
+    /// Whether it has ever been acknowledged.
     pub(super) acknowledged: bool,
-    /// Whether it was refused at any time.
+    /// Whether it has ever been refused.
     refused: bool,
-    /// Whether it was seen in force.
+    /// Whether it has been observed in force.
     observed: bool,
 }
 
-/// What came back for a read.
+/// The status of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadStatus {
     Open,
@@ -43,14 +43,14 @@
     Unavailable,
 }
 
-/// A read and what was acknowledged before it.
+/// A read, and the newest version that was acknowledged before it.
 #[derive(Debug)]
 pub(super) struct Read {
     floor: u64,
     pub(super) status: ReadStatus,
 }
 
-/// An order that an endpoint took.
+/// An order that an endpoint received.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SentOrder {
     pub(super) endpoint: usize,
@@ -60,7 +60,7 @@
     pub(super) at: Duration,
 }
 
-/// Everything that was seen.
+/// All observations.
 #[derive(Debug, Default)]
 pub(super) struct History {
     pub(super) changes: Vec<Sent>,
@@ -69,7 +69,7 @@
     pub(super) newest_acknowledged: u64,
     /// The newest version that operators know of.
     pub(super) newest_known: u64,
-    /// The change that was taken on top of each version.
+    /// The change that was accepted on top of each version.
     successors: BTreeMap<u64, usize>,
     /// Newest version that each router has had since its start.
     router_versions: BTreeMap<usize, u64>,
@@ -78,10 +78,10 @@
     /// Highest token that each endpoint has seen.
     tokens: BTreeMap<usize, u64>,
     pub(super) orders: usize,
-    /// How often a router took a live endpoint off its list.
+    /// How often a router removed a live endpoint from its list.
     pub(super) lost: usize,
     pub(super) seen_at: Duration,
-    /// The first rule that was broken.
+    /// The first violation.
     pub(super) violation: Option<Violation>,
 }
 
@@ -129,7 +129,7 @@
         self.took_effect(number);
     }
 
-    /// A change was refused; `invalid` if for what it says, else as another version is current.
+    /// A change was refused: if `invalid`, because of its content, otherwise because another version is current.
     pub(super) fn change_refused(&mut self, number: usize, invalid: bool) {
         let sent = self.change_mut(number);
         sent.status = if invalid { ChangeStatus::Invalid } else { ChangeStatus::Refused };
@@ -164,7 +164,7 @@
         }
     }
 
-    /// A configuration was seen in force.
+    /// A configuration was observed in force.
     fn observed(&mut self, configuration: &Configuration) {
         let number = maker(configuration).filter(|number| self.change(*number).is_some());
         let Some(number) = number else {
@@ -203,7 +203,7 @@
         self.reads.len()
     }
 
-    /// A configuration came back for a read.
+    /// A read returned a configuration.
     pub(super) fn read_served(&mut self, number: usize, body: &[u8]) {
         let read = &mut self.reads[number - 1];
         read.status = ReadStatus::Served;
@@ -235,12 +235,12 @@
         self.reads[number - 1].status = ReadStatus::Unavailable;
     }
 
-    /// An endpoint has started anew and has forgotten the tokens.
+    /// An endpoint has restarted and no longer knows earlier tokens.
     pub(super) fn endpoint_started(&mut self, endpoint: usize) {
         self.tokens.remove(&endpoint);
     }
 
-    /// An order reached its endpoint. `quiet` is the time that must lie between two senders.
+    /// An order reached its endpoint. `quiet` is the minimum time between orders of two different senders.
     pub(super) fn record_order(&mut self, order: SentOrder, quiet: Duration) {
         self.orders += 1;
         let highest = self.tokens.entry(order.endpoint).or_default();
--- a/crates/controller/src/simulation/host.rs
+++ b/crates/controller/src/simulation/host.rs
@@ -1,4 +1,4 @@
-//! Who takes part in a simulation, and their addresses.
+//! The hosts of a simulation, and their names and addresses.
 
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -6,12 +6,12 @@
 
 /// Control port of all controllers.
 const CONTROL_PORT: u16 = 8146;
-/// Port at which controllers take links.
+/// Port on which controllers accept links.
 pub(super) const LINK_PORT: u16 = 7000;
 /// Port of endpoints.
 const ENDPOINT_PORT: u16 = 9000;
 
-/// A machine, or the operators' one.
+/// A simulated machine. All operators share one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Host {
     /// A machine with a controller: `a`, `b`, `c` and so on.
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Where this place is called.
+    /// Address on which this host accepts calls.
     pub(super) fn address(self) -> SocketAddr {
         let port = match self {
             Host::Endpoint(_) => ENDPOINT_PORT,
@@ -50,7 +50,7 @@
     }
 }
 
-/// The controller at an address, whichever of its ports it is.
+/// The controller with this address, on any of its ports.
 pub(super) fn controller_at(address: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(address) = address else { return None };
     match address.ip().octets() {
@@ -68,7 +68,7 @@
     }
 }
 
-/// A word that names no host.
+/// A word that is not the name of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("no such place")]
 pub struct UnknownHost;
--- a/crates/controller/src/simulation/mod.rs
+++ b/crates/controller/src/simulation/mod.rs
@@ -1,10 +1,10 @@
 //! The complete control plane in simulated time: controllers, agents, routers, operators and endpoints, the
 //! network between them and the disks of the controllers, all in one process.
 //!
-//! Controllers, agents and the routers' feed clients are those of the program; links, disks, clocks and
-//! calls are simulated. A [`Scenario`] is a list of steps, written by hand as text or drawn from a seed.
-//! [`World::play`] plays it and checks at every step what operators, endpoints and routers saw. Everything
-//! follows from the seed.
+//! Controllers, agents and the routers' feed clients are the production code; links, disks, clocks and calls
+//! are simulated. A [`Scenario`] is a list of steps, written by hand as text or generated from a seed.
+//! [`World::play`] runs it and checks at every step what operators, endpoints and routers observe. A run is
+//! deterministic: it depends only on the scenario and its seed.
 
 mod agent_environment;
 mod calls;
--- a/crates/controller/src/simulation/network.rs
+++ b/crates/controller/src/simulation/network.rs
@@ -1,9 +1,9 @@
 //! The simulated network between machines: delays, and faults of one direction each.
 //!
 //! Three faults differ in what happens to connections. A *partition* ends them: neither side gets acknowledgements,
-//! so both give them up after a while. A *black hole* keeps them: packets of one direction are held back until it ends,
-//! while the transport of both sides is content, as behind a proxy that acknowledges what it has not delivered. A *lag* delivers
-//! everything, but seconds late: a queue on the way that has filled up.
+//! so both close them after a timeout. A *black hole* keeps them open: packets of one direction are held back until it
+//! ends, but neither side's transport detects a fault, as behind a proxy that acknowledges data that it has not
+//! delivered. A *lag* delivers everything, but seconds late, like a full queue on the path.
 
 use super::host::Host;
 use rand::Rng;
@@ -20,15 +20,15 @@
     max_delay: Duration,
     /// Directions in which nothing arrives.
     partitions: BTreeSet<(Host, Host)>,
-    /// Directions in which nothing arrives, although connections last.
+    /// Directions in which nothing arrives, although connections stay open.
     blackholes: BTreeSet<(Host, Host)>,
     /// Directions in which everything arrives this much later.
     lags: BTreeMap<(Host, Host), Duration>,
-    /// Machines that are without power: nothing arrives there, nothing comes from there.
+    /// Machines that are powered off: they neither send nor receive.
     powered_off: BTreeSet<Host>,
     /// Machines that refuse new connections.
     refusing: BTreeSet<Host>,
-    /// Bytes that a link carries in a second; no limit if absent.
+    /// Bytes that a link carries per second; `None` for no limit.
     bytes_per_second: Option<u64>,
 }
 
@@ -101,13 +101,13 @@
         self.refusing.contains(&host)
     }
 
-    /// Everything is as on a healthy network.
+    /// Ends all faults except power failures.
     pub(super) fn repair(&mut self) {
         let powered_off = std::mem::take(&mut self.powered_off);
         *self = Network { powered_off, ..Network::new() };
     }
 
-    /// Whether what is sent now arrives.
+    /// Whether a packet sent now arrives.
     pub(super) fn is_open(&self, from: Host, to: Host) -> bool {
         self.is_connected(from, to) && !self.blackholes.contains(&(from, to))
     }
@@ -117,7 +117,7 @@
         self.is_open(one, other) && self.is_open(other, one)
     }
 
-    /// Whether a connection that is up lasts.
+    /// Whether an established connection between the two stays open.
     pub(super) fn keeps_connections(&self, one: Host, other: Host) -> bool {
         self.is_connected(one, other) && self.is_connected(other, one)
     }
@@ -134,17 +134,17 @@
             && !self.powered_off.contains(&to)
     }
 
-    /// Whether nothing is out of order on the paths between the two.
+    /// Whether delays are as on a healthy network and links have no limit on their rate.
     pub(super) fn has_normal_speed(&self) -> bool {
         self.max_delay <= Duration::from_millis(HEALTHY_DELAY_MS) && self.bytes_per_second.is_none()
     }
 
-    /// Time that something takes from one machine to another.
+    /// Latency of a packet from one machine to another.
     pub(super) fn delay(&self, from: Host, to: Host, random: &mut SmallRng) -> Duration {
         self.max_delay.mul_f64(random.random::<f64>()) + self.lag(from, to)
     }
 
-    /// How much later than usual something arrives.
+    /// Additional delay of packets in this direction.
     pub(super) fn lag(&self, from: Host, to: Host) -> Duration {
         self.lags.get(&(from, to)).copied().unwrap_or_default()
     }
--- a/crates/controller/src/simulation/operator.rs
+++ b/crates/controller/src/simulation/operator.rs
@@ -1,4 +1,4 @@
-//! Simulated operators: they change the configuration and read it back, as patiently as real ones.
+//! Simulated operators, which change the configuration, read it back, and retry as real ones do.
 
 use super::calls::{CallLimits, Content, Purpose};
 use super::change::Form;
@@ -11,16 +11,16 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Where the configuration is read and changed.
+/// Path at which the configuration is read and changed.
 const PATH: &str = "/config";
-/// An operator that goes from controller to controller gives up after this long.
+/// Time after which an operator that tries one controller after another gives up.
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(10);
-/// An operator gives up at this many unclear refusals.
+/// Number of attempts from which a 4xx status without a special meaning counts as a final refusal.
 const MAX_REFUSALS: usize = 3;
-/// Versions go up in uneven steps.
+/// Versions increase by a random step of up to this.
 const MAX_VERSION_STEP: u64 = 3;
 
-/// How an operator takes a status.
+/// How an operator interprets the status of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Verdict {
     Success,
@@ -47,7 +47,7 @@
 }
 
 impl World {
-    /// A step of operators.
+    /// Executes a step of operators.
     pub(super) fn operate(&mut self, step: &Step) {
         match *step {
             Step::Put { form, via, only } => {
@@ -100,7 +100,7 @@
         self.begin_call(Purpose::Change(number), Host::Operator, content, via, call_limits(only));
     }
 
-    /// An answer to a change. True if the operator is done with it.
+    /// Handles an answer to a change. Returns true if the operator does not retry.
     pub(super) fn change_answered(&mut self, number: usize, answer: &Answer, attempts: usize) -> bool {
         match Verdict::of(answer.status, attempts) {
             Verdict::Success => {
@@ -121,7 +121,7 @@
         true
     }
 
-    /// An answer to a read. True if the operator is done with it.
+    /// Handles an answer to a read. Returns true if the operator does not retry.
     pub(super) fn read_answered(&mut self, number: usize, answer: &Answer, attempts: usize) -> bool {
         match Verdict::of(answer.status, attempts) {
             Verdict::Success => self.history.read_served(number, &answer.body),
--- a/crates/controller/src/simulation/quiesce.rs
+++ b/crates/controller/src/simulation/quiesce.rs
@@ -1,4 +1,4 @@
-//! The end of a scenario: all faults end, and everything must work again within its bounds.
+//! The end of a scenario: all faults end, and the system must recover within its time bounds.
 
 use super::change::{Form, SERVICES};
 use super::history::{ChangeStatus, ReadStatus};
@@ -12,13 +12,13 @@
 const QUIESCE_TIME: Duration = Duration::from_secs(12);
 /// A change is acknowledged within this time (`AckMs`).
 const ACKNOWLEDGE_TIME: Duration = Duration::from_secs(4);
-/// Seeds that settings files name.
+/// Number of seeds in settings files.
 const SEEDS: usize = 3;
 /// A read is answered within this time.
 const READ_TIME: Duration = Duration::from_secs(1);
-/// Steps in which an acknowledgement is waited for.
+/// Interval at which a pending acknowledgement is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Routers have it within this time (`ConfigApplyMs`).
+/// Routers have an acknowledged change within this time (`ConfigApplyMs`).
 const APPLY_TIME: Duration = Duration::from_secs(2);
 
 impl World {
@@ -32,7 +32,7 @@
         self.operate(&Step::Put { form: Form::Put, via, only: false });
         let status = self.wait_for_change(number)?;
         if status == Some(ChangeStatus::Refused) {
-            // Operators did not know of the newest version; now they do.
+            // The operators' base was outdated. The refusal told them the newest version, so a second change must succeed.
             return self.quiesce_change(number + 1, via);
         }
         self.check_quiesced(number)
@@ -44,7 +44,7 @@
         self.check_quiesced(number)
     }
 
-    /// Waits until the operator of a change is done with it, or for as long as that may take.
+    /// Waits until the outcome of a change is known, but at most for [`ACKNOWLEDGE_TIME`].
     fn wait_for_change(&mut self, number: usize) -> Result<Option<ChangeStatus>, Violation> {
         let until = self.now() + ACKNOWLEDGE_TIME;
         let mut status = self.history.change(number).map(|sent| sent.status);
@@ -111,7 +111,7 @@
         Ok(())
     }
 
-    /// Every controller gives the newest configuration.
+    /// Checks that every controller serves the newest configuration.
     fn check_reads(&mut self) -> Result<(), Violation> {
         let left: Vec<usize> =
             self.controllers.iter().filter(|machine| !machine.retired).map(|machine| machine.index).collect();
@@ -142,7 +142,7 @@
         Ok(())
     }
 
-    /// The shard of every service has a controller that acts for it.
+    /// Checks that the shard of every service has a controller that acts for it.
     fn check_holders(&self) -> Result<(), Violation> {
         let holders = self.holders();
         if holders.len() == SERVICES.len() {
--- a/crates/controller/src/simulation/router_machine.rs
+++ b/crates/controller/src/simulation/router_machine.rs
@@ -1,4 +1,4 @@
-//! A simulated machine with an agent and a hollow router, which only stores what it was sent.
+//! A simulated machine with an agent and a stub router, which only stores what its feed client delivers.
 
 use super::agent_environment::Request;
 use super::connection::{Dial, Kind, Process};
@@ -23,18 +23,18 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Where an agent feeds its router.
+/// Address on which an agent accepts its router.
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 7100);
 /// Requests for each model that a router reports at each review.
 const REQUESTS: u32 = 5;
 
-/// Links that an agent follows, by address.
+/// A link that an agent has requested to a source.
 struct Follow {
     dial_number: u64,
     hello: Hello,
 }
 
-/// Processes that run.
+/// The running processes of a machine.
 struct Running {
     process: Process,
     agent: Agent,
@@ -42,11 +42,11 @@
     follows: BTreeMap<SocketAddr, Follow>,
     client: Client,
     events: mpsc::UnboundedReceiver<FeedEvent>,
-    /// The timer that is set.
+    /// When the fetch timer fires.
     fetch_at: Option<Duration>,
 }
 
-/// What a router knows.
+/// The state that a router has received.
 #[derive(Debug, Default)]
 pub(super) struct Known {
     pub(super) configuration: Option<Arc<Configuration>>,
@@ -87,7 +87,7 @@
         self.running.is_some() && !self.frozen
     }
 
-    /// Whether the agent still wants what was dialled.
+    /// Whether the agent still wants the link that was dialled.
     pub(super) fn follows(&self, dial: &Dial) -> bool {
         let running = self.running.as_ref().filter(|running| running.process == dial.dialer);
         let follow = running.and_then(|running| running.follows.get(&dial.address));
@@ -111,7 +111,7 @@
         self.routers[index].running.as_ref().expect("only a running router dials").client.hello()
     }
 
-    /// Starts agent and router of a machine, if they do not run.
+    /// Starts agent and router of a machine, unless they run already.
     pub(super) fn start_router(&mut self, index: usize) {
         if self.routers[index].running.is_some() {
             return;
@@ -147,7 +147,7 @@
         machine.known = Known::default();
     }
 
-    /// Tells an agent or its router something.
+    /// Delivers an event to an agent or its router.
     pub(super) fn deliver_to_router(&mut self, index: usize, process: Process, delivery: Delivery) {
         let machine = &mut self.routers[index];
         let Some(running) = machine.running.as_mut().filter(|running| running.process == process) else {
@@ -199,7 +199,7 @@
         }
     }
 
-    /// The timer of an agent or its router.
+    /// Handles the fetch timer of an agent or its router.
     pub(super) fn fetch(&mut self, process: Process, at: Duration) {
         let Host::Router(index) = process.host else { return };
         let machine = &mut self.routers[index];
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Lets agent and router fetch what is due, and sets the timer for the rest.
+    /// Runs the fetches of agent and router that are due, and sets the timer for the next one.
     fn fetch_due(&mut self, index: usize) {
         let Some(running) = self.routers[index].running.as_mut() else { return };
         let started = running.environment.started;
@@ -307,7 +307,7 @@
 }
 
 impl RouterMachine {
-    /// Some requests for each model of the configuration.
+    /// A demand report with [`REQUESTS`] requests for each model of the configuration.
     fn demand(&self) -> DemandReport {
         let configuration = self.known.configuration.iter();
         let backends = configuration.flat_map(|configuration| &configuration.backends);
--- a/crates/controller/src/simulation/scenario.rs
+++ b/crates/controller/src/simulation/scenario.rs
@@ -1,39 +1,39 @@
-//! Scenarios and their text form: a header line, then one step a line.
+//! Scenarios and their text form: a header line, then one step per line.
 
 use super::step::Step;
 use std::fmt;
 use std::str::FromStr;
 
-/// What is played.
+/// Initial conditions and steps of a simulation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Scenario {
     /// Controllers that bootstrap the group.
     pub founders: usize,
     /// Further controllers.
     pub spares: usize,
-    /// Whether these have to be started by steps.
+    /// Whether the spares are started by steps instead of at the beginning.
     pub spares_late: bool,
     /// Whether disks are lost only as long as the fault tolerance allows it; random scenarios ask for it.
     pub within_tolerance: bool,
     /// Routers, each with an agent.
     pub routers: usize,
-    /// Endpoints, which belong to two services by turns.
+    /// Endpoints, which belong alternately to two services.
     pub endpoints: usize,
-    /// Sets delays, losses and all other chance.
+    /// Seed of delays, losses and all other random choices.
     pub seed: u64,
     /// The steps.
     pub steps: Vec<Step>,
 }
 
-/// Why a text is no scenario.
+/// Why a text cannot be parsed as a scenario.
 #[derive(Debug, Clone, thiserror::Error, PartialEq, Eq)]
 pub enum ParseError {
-    /// The first line must give the numbers of all.
+    /// The first line is not a valid header.
     #[error(
         "line {0}: expected 'founders N spares N [late] [within-tolerance] routers N endpoints N seed N'"
     )]
     Header(usize),
-    /// A later line is no step.
+    /// A later line is not a valid step.
     #[error("line {0}: no such step: {1}")]
     Step(usize, String),
 }
--- a/crates/controller/src/simulation/schedule.rs
+++ b/crates/controller/src/simulation/schedule.rs
@@ -1,4 +1,4 @@
-//! Scenarios drawn from a seed, and the shortest part of one that still breaks a rule.
+//! Generates random scenarios from a seed, and shrinks a failing scenario to fewer steps.
 
 use super::change::Form;
 use super::host::Host;
@@ -15,19 +15,19 @@
 const STEPS: usize = 24;
 /// First wait, in milliseconds, so that the group is bootstrapped.
 const FIRST_WAIT: u64 = 600;
-/// Longest pauses, in milliseconds: some messages, a call, an expiry, a takeover.
+/// Maximum lengths of pauses, in milliseconds: enough for some messages, a call, an expiry, or a takeover.
 const PAUSES: [u64; 6] = [5, 30, 150, 700, 2_000, 5_000];
 
 /// Longest lag of a link in a random scenario, in milliseconds.
 const MAX_LAG: u64 = 5_000;
 
-/// The cast of a random scenario.
+/// The hosts of a random scenario.
 struct Participants {
     controllers: usize,
     founders: usize,
     routers: usize,
     endpoints: usize,
-    /// Whether links also fall silent, lag and are reset on one side.
+    /// Whether the scenario includes black holes, lags and one-sided resets of links.
     link_faults: bool,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// A scenario drawn from a seed: changes, drains and faults in any order, then everything is repaired.
+/// Generates a scenario from a seed: changes, drains and faults in random order, then everything is repaired.
 #[must_use]
 pub fn random_scenario(seed: u64) -> Scenario {
     let mut random = SmallRng::seed_from_u64(seed);
@@ -58,7 +58,7 @@
     draw_scenario(seed, &mut random, founders, false)
 }
 
-/// The same with groups of two to five, whose links also fall silent one way, lag by seconds, and are reset on one side.
+/// Like [`random_scenario`], with groups of two to five, and with black holes, lags of seconds and one-sided resets of links.
 #[must_use]
 pub fn random_link_scenario(seed: u64) -> Scenario {
     let mut random = SmallRng::seed_from_u64(seed);
@@ -173,7 +173,7 @@
     }
 }
 
-/// Something is wrong with a link that stays up.
+/// Adds a fault of a link that stays up.
 fn add_link_fault(steps: &mut Vec<Step>, random: &mut SmallRng, participants: &Participants) {
     let (one, other) = (participants.any(random), participants.any(random));
     match random.random_range(0..8) {
@@ -208,7 +208,7 @@
     others.map(|other| fault(Host::Controller(index), Host::Controller(other))).collect()
 }
 
-/// Any machines are parted from the others.
+/// A random set of machines is partitioned from the others.
 fn part(random: &mut SmallRng, participants: &Participants) -> Step {
     let controllers = (0..participants.controllers).map(Host::Controller);
     let routers = (0..participants.routers).map(Host::Router);
@@ -230,7 +230,7 @@
     }
 }
 
-/// Leaves out steps as long as the rest still breaks a rule of the same kind.
+/// Removes steps as long as the remaining ones still cause a violation of the same kind.
 #[must_use]
 pub fn shrink(scenario: &Scenario, fault: Option<ControllerFault>) -> Scenario {
     let Err(violation) = World::play(scenario, fault) else { return scenario.clone() };
--- a/crates/controller/src/simulation/settings.rs
+++ b/crates/controller/src/simulation/settings.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Last port for links; agents feed their routers there.
+/// Last port of the range for links, on which agents accept their routers.
 const LAST_PORT: u16 = 7100;
 
 /// Settings of a process at `host`.
--- a/crates/controller/src/simulation/step.rs
+++ b/crates/controller/src/simulation/step.rs
@@ -6,24 +6,24 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// From whom a machine is isolated.
+/// The hosts from which a machine is isolated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
     /// The other controllers.
     Peers,
-    /// Everybody.
+    /// All other hosts.
     All,
 }
 
 /// One step of a scenario. Controllers are given by their index.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// An operator changes the configuration on top of the newest version that operators know of, through a
-    /// controller first; with `only`, it is called once and no other is.
+    /// An operator changes the configuration, based on the newest version known to operators. It calls the
+    /// controller `via` first; with `only`, it makes a single attempt there and calls no other controller.
     Put { form: Form, via: usize, only: bool },
-    /// Two operators send different changes with one number on one version.
+    /// Two operators send different changes with the same version number, based on the same version.
     Rivals { first: usize, second: usize },
-    /// A change, the last one if no number is given, is sent again as it was.
+    /// A change is sent again without modification; the last one if no number is given.
     Again { number: Option<usize>, via: usize, only: bool },
     /// The configuration is read.
     Read { via: usize, only: bool },
@@ -35,13 +35,13 @@
     Crash(usize),
     /// Time passes, in milliseconds.
     Wait(u64),
-    /// What one machine sends to another does not arrive.
+    /// Packets from one machine to another are lost.
     Partition { from: Host, to: Host },
-    /// What one machine sends to another is held back until it ends; connections last.
+    /// Packets from one machine to another are held back until the fault ends; connections stay open.
     Blackhole { from: Host, to: Host },
-    /// What one machine sends to another arrives so many milliseconds later: a queue on the way is full.
+    /// Packets from one machine to another are delayed by `time` milliseconds, as by a full queue on the path.
     Lag { from: Host, to: Host, time: u64 },
-    /// The connections between two machines are reset at the first; the second notices late.
+    /// The connections between two machines are reset at `host`; `peer` detects it only after a timeout.
     ResetOneSide { host: Host, peer: Host },
     /// A machine is isolated in both directions.
     Isolate { host: Host, scope: Scope },
@@ -53,9 +53,9 @@
     Refuse(Host),
     /// All connections of a machine are reset.
     Reset(Host),
-    /// Packets take from nothing up to so many milliseconds.
+    /// Packets are delayed by a random time of up to this many milliseconds.
     Delay(u64),
-    /// A link carries so many bytes a second.
+    /// Every link carries this many bytes per second.
     Rate(u64),
     /// A process is killed.
     Kill(Host),
@@ -71,32 +71,32 @@
     Stop(usize),
     /// A machine freezes.
     Freeze(Host),
-    /// A machine wakes.
+    /// A frozen machine continues.
     Thaw(Host),
-    /// A write takes up to so many milliseconds.
+    /// A write to the disk of a controller takes up to this many milliseconds.
     Slow(usize, u64),
-    /// The disk answers nothing.
+    /// The disk of a controller completes no writes.
     Stall(usize),
-    /// The disk refuses writes.
+    /// The disk of a controller is full: writes fail.
     Full(usize),
-    /// The disk is as good as new.
+    /// The disk of a controller works normally again, with its content unchanged.
     Work(usize),
     /// Settings files name these seeds from now on.
     Seeds(Vec<usize>),
     /// Endpoints call this controller first from now on.
     Prefer(usize),
-    /// All faults end, and everything must work again within its bounds.
+    /// All faults end, and the system must recover within its time bounds.
     Quiesce,
-    /// Something must be so now.
+    /// A condition must hold now.
     Expect(Expectation),
 }
 
-/// A line that is no step.
+/// A line that cannot be parsed as a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("no such step")]
 pub struct StepParseError;
 
-/// Writes `via a` or `only a`.
+/// Formats `via a` or `only a`.
 fn through(via: usize, only: bool) -> String {
     let word = if only { "only" } else { "via" };
     format!("{word} {}", Host::Controller(via))
@@ -217,7 +217,7 @@
     word.parse().map_err(|_| StepParseError)
 }
 
-/// Reads `via` or `only`.
+/// Parses `via` or `only`.
 fn only(word: &str) -> Result<bool, StepParseError> {
     match word {
         "via" => Ok(false),
--- a/crates/controller/src/simulation/trace.rs
+++ b/crates/controller/src/simulation/trace.rs
@@ -1,5 +1,5 @@
-//! A digest of all that a simulated system does: the bytes that it sends and stores, its orders, calls and
-//! answers, each with its place and simulated time. No name of the code and no `Debug` text goes into it.
+//! A digest of the behaviour of a simulated system: the bytes that it sends and stores, its orders, calls and
+//! answers, each with its host and simulated time. It includes no identifiers of the code and no `Debug` text.
 
 use super::connection::{End, Kind};
 use super::host::Host;
@@ -10,7 +10,7 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// What a record in the trace is about.
+/// The kind of a record in the trace.
 #[derive(Clone, Copy)]
 enum Record {
     Frame = 1,
@@ -25,7 +25,7 @@
     AgentEnd = 10,
 }
 
-/// FNV-1a, 64 bits, over the records so far.
+/// 64-bit FNV-1a hash of the records so far.
 #[derive(Debug)]
 pub(super) struct Trace {
     digest: u64,
@@ -50,7 +50,7 @@
         self.raw(&number.to_le_bytes());
     }
 
-    /// Bytes of any length, the length first.
+    /// Adds bytes of any length, preceded by the length.
     fn bytes(&mut self, bytes: &[u8]) {
         self.number(bytes.len() as u64);
         self.raw(bytes);
--- a/crates/controller/src/simulation/violation.rs
+++ b/crates/controller/src/simulation/violation.rs
@@ -1,8 +1,8 @@
-//! Rules that a simulation may find broken, as operators, endpoints and routers see them.
+//! Violations of guarantees to operators, endpoints and routers that a simulation can detect.
 
 use super::host::Host;
 
-/// A broken rule. Changes are counted from 1 in the order in which they were sent.
+/// A violated guarantee. Changes are counted from 1 in the order in which they were sent.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     #[error("change {0} is not valid and was acknowledged")]
--- a/crates/controller/src/simulation/world.rs
+++ b/crates/controller/src/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world: time, what happens when, and who takes part.
+//! The simulated world: clock, event queue, machines and network, and the loop that runs a scenario.
 
 use super::calls::Calls;
 use super::checks::Check;
@@ -31,17 +31,17 @@
 pub(super) enum SimulationEvent {
     /// A process tries to connect.
     Dial(Dial),
-    /// The other side has taken, or not taken, the connection.
+    /// The listener accepts or refuses the connection.
     Connect(Dial),
     /// A frame may have arrived at an end of a connection.
     Arrive { connection: u64, end: End },
-    /// A connection that was partitioned for long ends.
+    /// A connection closes if it has been partitioned since this time.
     PartitionTimeout { connection: u64, since: Duration },
     /// The dialer checks whether it has received anything.
     ReceiveTimeout { connection: u64 },
-    /// Something is delivered to a process.
+    /// A message or an event is delivered to a process.
     Delivery { process: Process, delivery: Delivery },
-    /// The disk of a controller has done the first write.
+    /// The disk of a controller has finished the first write of its queue.
     Written { process: Process },
     /// The timer of a controller.
     Wake { process: Process, at: Duration },
@@ -49,13 +49,13 @@
     Review { process: Process },
     /// The timer of an agent or its router: a newer configuration may be fetched.
     Fetch { process: Process, at: Duration },
-    /// The grace time of a process that is shutting down is over.
+    /// The grace period of a process that is shutting down has expired.
     GraceOver { process: Process },
     /// A call reaches a controller.
     CallArrives { attempt: u64 },
     /// An answer reaches the caller.
     AnswerArrives { attempt: u64, answer: crate::controller::Answer },
-    /// The caller has waited for long, or could not connect.
+    /// The caller could not connect, or its wait for an answer has timed out.
     AttemptFails { attempt: u64 },
     /// The caller tries the next controller.
     Retry { call: u64 },
@@ -65,11 +65,11 @@
     SendOrder(OrderCall),
     /// An order, or a report request, reaches its endpoint.
     OrderArrives(OrderCall),
-    /// Something that must hold by now is checked.
+    /// A condition that must hold at this time is checked.
     Check(Check),
 }
 
-/// What is delivered to a process.
+/// A message or an event for a process.
 #[derive(Debug)]
 pub(super) enum Delivery {
     Controller(Event),
@@ -79,11 +79,11 @@
     SubscriberEvent(SubscriberEvent),
     /// An event of the link to the agent, for the router.
     Agent(SourceEvent),
-    /// The process may send this now.
+    /// The process was frozen when it was about to send this call; it does so once thawed.
     Send(OrderCall),
 }
 
-/// Something that happens, and when; of those at one time the first scheduled goes first.
+/// An event in the queue. Events with the same time are handled in the order in which they were scheduled.
 struct Scheduled {
     at: Duration,
     order: u64,
@@ -110,13 +110,13 @@
     }
 }
 
-/// Machines, network and time.
+/// The state of a simulation.
 pub struct World {
     pub(super) clock: Rc<Cell<Duration>>,
     pub(super) random: SmallRng,
     event_queue: BinaryHeap<Reverse<Scheduled>>,
     order: u64,
-    /// Counts starts of processes.
+    /// Number of processes started so far.
     pub(super) starts: u64,
     pub(super) controllers: Vec<ControllerMachine>,
     pub(super) routers: Vec<RouterMachine>,
@@ -128,7 +128,7 @@
     pub(super) history: History,
     pub(super) fault_history: FaultHistory,
     pub(super) founders: usize,
-    /// Machines that may be lost at once.
+    /// Number of machines that may be lost at the same time.
     pub(super) tolerance: u32,
     pub(super) fault: Option<ControllerFault>,
     /// Whether disks are lost only as long as the fault tolerance allows it.
@@ -139,18 +139,18 @@
 }
 
 impl World {
-    /// Plays a scenario to its end or to the first broken rule; `fault` is a deliberate fault.
+    /// Runs a scenario to its end or to the first violation. `fault` is a deliberate fault of the controllers.
     ///
     /// # Errors
-    /// The rule that was broken.
+    /// The first violation.
     pub fn play(scenario: &Scenario, fault: Option<ControllerFault>) -> Result<(), Violation> {
         Self::new(scenario, fault).play_steps(scenario)
     }
 
-    /// Plays a scenario and gives a digest of all that was sent, stored and ordered, with its times.
+    /// Runs a scenario and returns a digest of all messages, stored records and orders, with their times.
     ///
     /// # Errors
-    /// The rule that was broken.
+    /// The first violation.
     pub fn play_for_digest(scenario: &Scenario) -> Result<u64, Violation> {
         let mut world = Self::new(scenario, None);
         world.play_steps(scenario)?;
@@ -258,7 +258,7 @@
         self.clock.get()
     }
 
-    /// Lets time pass.
+    /// Advances the clock by `time`, and handles the events that are due until then.
     pub(super) fn run(&mut self, time: Duration) -> Result<(), Violation> {
         let end = self.now() + time;
         while self.event_queue.peek().is_some_and(|next| next.0.at <= end) {
@@ -309,7 +309,7 @@
         Ok(())
     }
 
-    /// Delivers something to a process, if it still runs; a frozen one handles it once it is thawed.
+    /// Delivers an event to a process, if it still runs; a frozen process handles it once it is thawed.
     pub(super) fn deliver(&mut self, process: Process, delivery: Delivery) {
         match process.host {
             Host::Controller(index) => self.deliver_to_controller(index, process, delivery),
@@ -324,7 +324,7 @@
         Process { host, start: self.starts }
     }
 
-    /// The process that runs at a place.
+    /// The process that runs on a host.
     pub(super) fn running(&self, host: Host) -> Option<Process> {
         match host {
             Host::Controller(index) => self.controllers.get(index)?.process(),
