--- a/crates/controller/src/simulation/calls.rs
+++ b/crates/controller/src/simulation/calls.rs
@@ -134,7 +134,7 @@
         let Some(pending_call) = self.calls.calls.get_mut(&call) else { return };
         if pending_call.attempts >= pending_call.max_attempts || now >= pending_call.gives_up_at {
             let pending_call = self.calls.calls.remove(&call).expect("it was just there");
-            return self.gave_up(&pending_call);
+            return self.record_give_up(&pending_call);
         }
         let target = pending_call.targets[pending_call.attempts % pending_call.targets.len()];
         pending_call.attempts += 1;
@@ -238,7 +238,7 @@
     }
 
     /// The call whose attempt this is, if the caller still waits for it.
-    fn waiting_for(&mut self, number: u64) -> Option<u64> {
+    fn take_waiting_call(&mut self, number: u64) -> Option<u64> {
         let call = self.calls.attempts.get(&number)?.call;
         let pending_call = self.calls.calls.get_mut(&call)?;
         if pending_call.attempt != Some(number) {
@@ -250,7 +250,7 @@
 
     /// An answer reaches the caller.
     pub(super) fn answer_arrives(&mut self, number: u64, answer: Answer) {
-        let Some(call) = self.waiting_for(number) else { return };
+        let Some(call) = self.take_waiting_call(number) else { return };
         self.calls.attempts.remove(&number);
         let pending_call = self.calls.calls.remove(&call).expect("somebody waits for it");
         if self.is_answered(&pending_call, &answer) {
@@ -262,7 +262,7 @@
 
     /// The caller could not connect, or its wait for an answer has timed out.
     pub(super) fn attempt_fails(&mut self, number: u64) {
-        let Some(call) = self.waiting_for(number) else {
+        let Some(call) = self.take_waiting_call(number) else {
             return;
         };
         self.retry_later(call);
@@ -284,7 +284,7 @@
         }
     }
 
-    fn gave_up(&mut self, pending_call: &PendingCall) {
+    fn record_give_up(&mut self, pending_call: &PendingCall) {
         match pending_call.purpose {
             Purpose::Change(number) => self.history.change_given_up(number),
             Purpose::Read(number) => self.history.read_given_up(number),
--- a/crates/controller/src/simulation/checks.rs
+++ b/crates/controller/src/simulation/checks.rs
@@ -114,7 +114,7 @@
         for index in self.connected_routers() {
             let (router, endpoint) = (Host::Router(index), Host::Endpoint(endpoint));
             if self.uses(router, endpoint) {
-                return Err(Violation::DrainUnknown { router, endpoint });
+                return Err(Violation::DrainNotApplied { router, endpoint });
             }
         }
         Ok(())
--- a/crates/controller/src/simulation/expectation.rs
+++ b/crates/controller/src/simulation/expectation.rs
@@ -156,7 +156,7 @@
         if evaluation.is_met {
             return Ok(());
         }
-        Err(Violation::Unmet { step, expected: expectation.to_string(), found: evaluation.found })
+        Err(Violation::ExpectationNotMet { step, expected: expectation.to_string(), found: evaluation.found })
     }
 
     fn evaluate(&self, expectation: &Expectation) -> Evaluation {
--- a/crates/controller/src/simulation/history.rs
+++ b/crates/controller/src/simulation/history.rs
@@ -122,7 +122,7 @@
             self.record_violation(Violation::InvalidAcknowledged(number));
         }
         if refused {
-            self.record_violation(Violation::RefusedAndTaken(number));
+            self.record_violation(Violation::AcknowledgedAfterRefusal(number));
         }
         self.newest_acknowledged = self.newest_acknowledged.max(version);
         self.newest_known = self.newest_known.max(version);
@@ -135,11 +135,11 @@
         sent.status = if invalid { ChangeStatus::Invalid } else { ChangeStatus::Refused };
         sent.refused = true;
         if sent.acknowledged {
-            self.record_violation(Violation::TakenAndRefused(number));
+            self.record_violation(Violation::RefusedAfterAcknowledgement(number));
         } else if sent.observed {
             self.record_violation(Violation::RefusedInForce(number));
         } else if invalid && sent.change.form != Form::Invalid {
-            self.record_violation(Violation::ValidCalledInvalid(number));
+            self.record_violation(Violation::ValidRejected(number));
         }
     }
 
@@ -160,7 +160,11 @@
         let base = self.change_mut(number).change.base;
         let successor = *self.successors.entry(base).or_insert(number);
         if successor != number {
-            self.record_violation(Violation::TwoOnOneVersion { base, first: successor, second: number });
+            self.record_violation(Violation::TwoChangesOnOneVersion {
+                base,
+                first: successor,
+                second: number,
+            });
         }
     }
 
@@ -168,13 +172,13 @@
     fn observed(&mut self, configuration: &Configuration) {
         let number = maker(configuration).filter(|number| self.change(*number).is_some());
         let Some(number) = number else {
-            return self.record_violation(Violation::NeverSent(configuration.version));
+            return self.record_violation(Violation::UnknownConfigurationInForce(configuration.version));
         };
         let sent = self.change_mut(number);
         sent.observed = true;
         let (refused, invalid) = (sent.refused, sent.change.form == Form::Invalid);
         if sent.change.version != configuration.version {
-            return self.record_violation(Violation::NeverSent(configuration.version));
+            return self.record_violation(Violation::UnknownConfigurationInForce(configuration.version));
         }
         if refused || invalid {
             return self.record_violation(Violation::RefusedInForce(number));
@@ -210,14 +214,14 @@
         let floor = read.floor;
         match serde_json::from_slice::<Configuration>(body) {
             Ok(configuration) if configuration.version < floor => {
-                self.record_violation(Violation::OldRead {
+                self.record_violation(Violation::StaleRead {
                     read: number,
                     floor,
                     version: configuration.version,
                 });
             }
             Ok(configuration) => self.observed(&configuration),
-            Err(_) => self.record_violation(Violation::NeverSent(0)),
+            Err(_) => self.record_violation(Violation::UnknownConfigurationInForce(0)),
         }
     }
 
@@ -227,7 +231,7 @@
         read.status = ReadStatus::Missing;
         let floor = read.floor;
         if floor > 0 {
-            self.record_violation(Violation::OldRead { read: number, floor, version: 0 });
+            self.record_violation(Violation::StaleRead { read: number, floor, version: 0 });
         }
     }
 
--- a/crates/controller/src/simulation/quiesce.rs
+++ b/crates/controller/src/simulation/quiesce.rs
@@ -89,7 +89,7 @@
         let sent = self.history.change(number);
         if sent.map(|sent| sent.status) != Some(ChangeStatus::Taken) {
             let status = sent.map(|sent| sent.status);
-            return Err(Violation::Stuck(format!("change {number} is {status:?}")));
+            return Err(Violation::NotRecovered(format!("change {number} is {status:?}")));
         }
         let version = self.history.newest_acknowledged;
         self.run(APPLY_TIME)?;
@@ -105,7 +105,7 @@
             let found = configuration.map_or(0, |configuration| configuration.version);
             if found != version {
                 let router = machine.host();
-                return Err(Violation::Stuck(format!("{router} has version {found}, not {version}")));
+                return Err(Violation::NotRecovered(format!("{router} has version {found}, not {version}")));
             }
         }
         Ok(())
@@ -123,7 +123,7 @@
         for (read, via) in self.history.reads[first..].iter().zip(left) {
             if read.status != ReadStatus::Served {
                 let (host, status) = (Host::Controller(via), read.status);
-                return Err(Violation::Stuck(format!("a read at {host} is {status:?}")));
+                return Err(Violation::NotRecovered(format!("a read at {host} is {status:?}")));
             }
         }
         Ok(())
@@ -136,7 +136,7 @@
             let ended =
                 |host: &Host| matches!(host, Host::Controller(index) if self.controllers[*index].retired);
             if left >= size && (group.len() < size || group.iter().any(ended)) {
-                return Err(Violation::Stuck(format!("shard {shard} has group {group:?}")));
+                return Err(Violation::NotRecovered(format!("shard {shard} has group {group:?}")));
             }
         }
         Ok(())
@@ -148,6 +148,6 @@
         if holders.len() == SERVICES.len() {
             return Ok(());
         }
-        Err(Violation::Stuck(format!("holders are {holders:?}")))
+        Err(Violation::NotRecovered(format!("holders are {holders:?}")))
     }
 }
--- a/crates/controller/src/simulation/router_machine.rs
+++ b/crates/controller/src/simulation/router_machine.rs
@@ -29,7 +29,7 @@
 const REQUESTS: u32 = 5;
 
 /// A link that an agent has requested to a source.
-struct Follow {
+struct SourceLink {
     dial_number: u64,
     hello: Hello,
 }
@@ -39,7 +39,7 @@
     process: Process,
     agent: Agent,
     environment: SimulatedEnvironment<Request>,
-    follows: BTreeMap<SocketAddr, Follow>,
+    source_links: BTreeMap<SocketAddr, SourceLink>,
     client: Client,
     events: mpsc::UnboundedReceiver<FeedEvent>,
     /// When the fetch timer fires.
@@ -48,7 +48,7 @@
 
 /// The state that a router has received.
 #[derive(Debug, Default)]
-pub(super) struct Known {
+pub(super) struct RouterState {
     pub(super) configuration: Option<Arc<Configuration>>,
     pub(super) instances: BTreeMap<String, Instance>,
 }
@@ -57,7 +57,7 @@
 pub(super) struct RouterMachine {
     index: usize,
     running: Option<Running>,
-    pub(super) known: Known,
+    pub(super) known: RouterState,
     pub(super) frozen: bool,
     backlog: VecDeque<Delivery>,
     settings: Rc<RefCell<Settings>>,
@@ -71,7 +71,7 @@
         RouterMachine {
             index,
             running: None,
-            known: Known::default(),
+            known: RouterState::default(),
             frozen: false,
             backlog: VecDeque::new(),
             settings: Rc::new(RefCell::new(settings)),
@@ -90,7 +90,7 @@
     /// Whether the agent still wants the link that was dialled.
     pub(super) fn follows(&self, dial: &Dial) -> bool {
         let running = self.running.as_ref().filter(|running| running.process == dial.dialer);
-        let follow = running.and_then(|running| running.follows.get(&dial.address));
+        let follow = running.and_then(|running| running.source_links.get(&dial.address));
         follow.is_some_and(|follow| follow.dial_number == dial.dial_number)
     }
 
@@ -103,7 +103,7 @@
     pub(super) fn agent_hello(&self, dial: &Dial) -> Hello {
         let Host::Router(index) = dial.dialer.host else { unreachable!("only agents follow feeds") };
         let running = self.routers[index].running.as_ref().expect("only a running agent dials");
-        running.follows[&dial.address].hello.clone()
+        running.source_links[&dial.address].hello.clone()
     }
 
     pub(super) fn router_hello(&self, process: Process) -> Hello {
@@ -125,11 +125,11 @@
         let agent = Agent::new(own.clone(), incarnation, Box::new(environment.share()));
         let (sender, events) = mpsc::unbounded_channel();
         let client = Client::new(own, self.random.random_range(1..=u64::MAX), sender);
-        let follows = BTreeMap::new();
+        let source_links = BTreeMap::new();
         let machine = &mut self.routers[index];
         machine.running =
-            Some(Running { process, agent, environment, follows, client, events, fetch_at: None });
-        machine.known = Known::default();
+            Some(Running { process, agent, environment, source_links, client, events, fetch_at: None });
+        machine.known = RouterState::default();
         self.history.router_started(index);
         self.schedule(self.now(), SimulationEvent::Review { process });
         let dial =
@@ -144,7 +144,7 @@
         machine.running = None;
         machine.frozen = false;
         machine.backlog.clear();
-        machine.known = Known::default();
+        machine.known = RouterState::default();
     }
 
     /// Delivers an event to an agent or its router.
@@ -251,7 +251,7 @@
         machine.next_dial_number += 1;
         let dial_number = machine.next_dial_number;
         if let Some(running) = machine.running.as_mut() {
-            running.follows.insert(source, Follow { dial_number, hello });
+            running.source_links.insert(source, SourceLink { dial_number, hello });
         }
         let listener = Host::Controller(listener);
         let dial = Dial { kind: Kind::Feed, dialer: process, listener, address: source, dial_number };
@@ -260,7 +260,7 @@
 
     fn unfollow_source(&mut self, index: usize, process: Process, source: SocketAddr) {
         if let Some(running) = self.routers[index].running.as_mut() {
-            running.follows.remove(&source);
+            running.source_links.remove(&source);
         }
         let is_it = |dial: &Dial| dial.dialer == process && dial.address == source;
         self.end_connections(|connection| is_it(&connection.dial), Some(process));
--- a/crates/controller/src/simulation/violation.rs
+++ b/crates/controller/src/simulation/violation.rs
@@ -8,25 +8,25 @@
     #[error("change {0} is not valid and was acknowledged")]
     InvalidAcknowledged(usize),
     #[error("change {0} is valid and was called invalid")]
-    ValidCalledInvalid(usize),
+    ValidRejected(usize),
     #[error("change {0} was refused and then acknowledged")]
-    RefusedAndTaken(usize),
+    AcknowledgedAfterRefusal(usize),
     #[error("change {0} was acknowledged and then refused")]
-    TakenAndRefused(usize),
+    RefusedAfterAcknowledgement(usize),
     #[error("change {0} was refused and is in force")]
     RefusedInForce(usize),
     #[error("changes {first} and {second} were both taken on version {base}")]
-    TwoOnOneVersion { base: u64, first: usize, second: usize },
+    TwoChangesOnOneVersion { base: u64, first: usize, second: usize },
     #[error("a configuration with version {0} that nobody sent is in force")]
-    NeverSent(u64),
+    UnknownConfigurationInForce(u64),
     #[error("router {router} went back from version {from} to {to}")]
     RouterWentBack { router: usize, from: u64, to: u64 },
     #[error("read {read} gave version {version} after {floor} was acknowledged")]
-    OldRead { read: usize, floor: u64, version: u64 },
+    StaleRead { read: usize, floor: u64, version: u64 },
     #[error("{router} has version {version} a bound after {acknowledged} was acknowledged")]
     NotApplied { router: Host, version: u64, acknowledged: u64 },
     #[error("{router} sends to {endpoint} a bound after its drain was acknowledged")]
-    DrainUnknown { router: Host, endpoint: Host },
+    DrainNotApplied { router: Host, endpoint: Host },
     #[error("{orders} orders of {sender} would have broken a limit and were held back")]
     OrdersWithheld { sender: Host, orders: u64 },
     #[error("an order with token {token} came after one with {highest}")]
@@ -38,7 +38,7 @@
     #[error("shard {shard} has group {group} a bound after a loss")]
     GroupIncomplete { shard: u8, group: String },
     #[error("once all is well, {0}")]
-    Stuck(String),
+    NotRecovered(String),
     #[error("step {step} expects {expected}, found {found}")]
-    Unmet { step: usize, expected: String, found: String },
+    ExpectationNotMet { step: usize, expected: String, found: String },
 }
