--- a/crates/controller/src/simulation/calls.rs
+++ b/crates/controller/src/simulation/calls.rs
@@ -133,7 +133,7 @@
         let now = self.now();
         let Some(pending_call) = self.calls.calls.get_mut(&call) else { return };
         if pending_call.attempts >= pending_call.max_attempts || now >= pending_call.gives_up_at {
-            let pending_call = self.calls.calls.remove(&call).expect("it was just there");
+            let pending_call = self.calls.calls.remove(&call).expect("the call was found above");
             return self.record_give_up(&pending_call);
         }
         let target = pending_call.targets[pending_call.attempts % pending_call.targets.len()];
@@ -252,7 +252,7 @@
     pub(super) fn answer_arrives(&mut self, number: u64, answer: Answer) {
         let Some(call) = self.take_waiting_call(number) else { return };
         self.calls.attempts.remove(&number);
-        let pending_call = self.calls.calls.remove(&call).expect("somebody waits for it");
+        let pending_call = self.calls.calls.remove(&call).expect("the call of a pending attempt exists");
         if self.is_answered(&pending_call, &answer) {
             return;
         }
--- a/crates/controller/src/simulation/host.rs
+++ b/crates/controller/src/simulation/host.rs
@@ -70,7 +70,7 @@
 
 /// A word that is not the name of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("no such place")]
+#[error("unknown host")]
 pub struct UnknownHost;
 
 impl fmt::Display for Host {
--- a/crates/controller/src/simulation/violation.rs
+++ b/crates/controller/src/simulation/violation.rs
@@ -5,40 +5,46 @@
 /// A violated guarantee. Changes are counted from 1 in the order in which they were sent.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    #[error("change {0} is not valid and was acknowledged")]
+    #[error("change {0} is invalid but was acknowledged")]
     InvalidAcknowledged(usize),
-    #[error("change {0} is valid and was called invalid")]
+    #[error("change {0} is valid but was rejected as invalid")]
     ValidRejected(usize),
-    #[error("change {0} was refused and then acknowledged")]
+    #[error("change {0} was acknowledged after it had been refused")]
     AcknowledgedAfterRefusal(usize),
-    #[error("change {0} was acknowledged and then refused")]
+    #[error("change {0} was refused after it had been acknowledged")]
     RefusedAfterAcknowledgement(usize),
-    #[error("change {0} was refused and is in force")]
+    #[error("change {0} is in force although it was refused")]
     RefusedInForce(usize),
-    #[error("changes {first} and {second} were both taken on version {base}")]
+    #[error("changes {first} and {second} were both accepted on top of version {base}")]
     TwoChangesOnOneVersion { base: u64, first: usize, second: usize },
-    #[error("a configuration with version {0} that nobody sent is in force")]
+    #[error("a configuration with version {0} is in force although no operator sent it")]
     UnknownConfigurationInForce(u64),
-    #[error("router {router} went back from version {from} to {to}")]
+    #[error("router {router} changed from version {from} back to the older version {to}")]
     RouterWentBack { router: usize, from: u64, to: u64 },
-    #[error("read {read} gave version {version} after {floor} was acknowledged")]
+    #[error("read {read} returned version {version} after version {floor} had been acknowledged")]
     StaleRead { read: usize, floor: u64, version: u64 },
-    #[error("{router} has version {version} a bound after {acknowledged} was acknowledged")]
+    #[error(
+        "{router} still has version {version} although the time bound for the acknowledged version {acknowledged} has passed"
+    )]
     NotApplied { router: Host, version: u64, acknowledged: u64 },
-    #[error("{router} sends to {endpoint} a bound after its drain was acknowledged")]
+    #[error(
+        "{router} still sends to {endpoint} although the time bound after its acknowledged drain has passed"
+    )]
     DrainNotApplied { router: Host, endpoint: Host },
-    #[error("{orders} orders of {sender} would have broken a limit and were held back")]
+    #[error("{sender} planned {orders} orders that its final check had to withhold")]
     OrdersWithheld { sender: Host, orders: u64 },
-    #[error("an order with token {token} came after one with {highest}")]
+    #[error("an order with fencing token {token} arrived after one with the higher token {highest}")]
     TokenWentBack { highest: u64, token: u64 },
-    #[error("two senders use token {0}")]
+    #[error("two senders use fencing token {0}")]
     TokenShared(u64),
-    #[error("{second} gives orders {after_ms} ms after {first} did")]
+    #[error("{second} sent an order {after_ms} ms after one of {first}, which is less than the lease")]
     TwoPlacers { first: Host, second: Host, after_ms: u64 },
-    #[error("shard {shard} has group {group} a bound after a loss")]
+    #[error(
+        "shard {shard} still has group {group}, which is too small or has a lost member, although the time bound after a fault has passed"
+    )]
     GroupIncomplete { shard: u8, group: String },
-    #[error("once all is well, {0}")]
+    #[error("the system did not recover after all faults had ended: {0}")]
     NotRecovered(String),
-    #[error("step {step} expects {expected}, found {found}")]
+    #[error("step {step}: expected {expected}, found {found}")]
     ExpectationNotMet { step: usize, expected: String, found: String },
 }
