--- a/crates/controller/src/agent/metrics.rs
+++ b/crates/controller/src/agent/metrics.rs
@@ -1,4 +1,4 @@
-//! The figures of an agent, read from its state when they are asked for.
+//! The metrics of an agent, computed from its state at each scrape.
 
 use super::Agent;
 use lanegate_metrics::{Exposition, Metric};
@@ -52,7 +52,7 @@
     pub offset: u64,
 }
 
-/// Counts since the start of the process.
+/// Counters since the start of the process.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
     pub links_started: u64,
@@ -60,14 +60,14 @@
 }
 
 impl Agent {
-    /// The figures now.
+    /// The current metrics.
     pub(crate) fn metrics(&self) -> Exposition {
         let mut exposition = Exposition::default();
         let sources = self.sources.counts();
-        for (standing, count) in
+        for (status, count) in
             [("starting", sources.starting), ("trusted", sources.trusted), ("cut_off", sources.partitioned)]
         {
-            exposition.set_labelled(&SOURCES, &[("standing", standing)], count);
+            exposition.set_labelled(&SOURCES, &[("standing", status)], count);
         }
         self.add_heartbeats(&mut exposition);
         exposition.set(&LINKS_STARTED, self.counters.links_started);
@@ -79,7 +79,7 @@
         let revision = self.view.configuration().map_or(0, |committed| committed.revision);
         exposition.set(&CONFIGURATION_REVISION, revision);
         exposition.set(&CONFIGURATION_BEHIND, self.view.may_be_behind());
-        exposition.set(&CONFIGURATION_WITHHELD, self.unconfirmed.withholds_any());
+        exposition.set(&CONFIGURATION_WITHHELD, self.unconfirmed.has_withheld());
         exposition.set_violations(&self.violations);
         exposition
     }
--- a/crates/controller/src/configuration_feed/fetcher.rs
+++ b/crates/controller/src/configuration_feed/fetcher.rs
@@ -1,4 +1,5 @@
-//! The fetching side of the configuration feed: which version it has, which it knows of, and when it fetches from which source.
+//! The fetching side of the configuration feed: tracks the current version and those that sources announced, and
+//! decides when to fetch from which source.
 
 use super::delta;
 use crate::message::{CommittedConfiguration, ConfigurationDelta, ConfigurationVersion, Message};
@@ -13,31 +14,31 @@
 /// A source that owes an answer is not asked again before this.
 pub const RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// How often a subscriber fetches.
+/// Limits the rate at which a subscriber fetches configurations.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pace {
-    /// Least time from one fetch to the next.
-    pub shortest: Duration,
-    /// Most that an answer's size adds up to: a large document delays the next fetch by no more than this.
-    pub longest: Duration,
-    /// Bytes of answers a second that are aimed at, as long as `longest` allows it.
+pub struct FetchPacing {
+    /// Minimum time between two fetches.
+    pub min_interval: Duration,
+    /// Maximum time by which the size of an answer delays the next fetch.
+    pub max_interval: Duration,
+    /// Target rate of answers in bytes per second, within the limit of `max_interval`.
     pub bytes_per_s: f64,
 }
 
-impl Pace {
-    /// For a subscriber behind a link of 10 Mbit/s or more, of which configurations get a fifth.
-    pub const LINK: Pace = Pace {
-        shortest: Duration::from_millis(100),
-        longest: Duration::from_millis(800),
+impl FetchPacing {
+    /// For a subscriber on a link of at least 10 Mbit/s, a fifth of which is for configurations.
+    pub const LINK: FetchPacing = FetchPacing {
+        min_interval: Duration::from_millis(100),
+        max_interval: Duration::from_millis(800),
         bytes_per_s: 250_000.0,
     };
     /// For a subscriber on the loopback interface, where the cost is parsing the document.
-    pub const LOOPBACK: Pace = Pace { bytes_per_s: f64::INFINITY, ..Pace::LINK };
+    pub const LOOPBACK: FetchPacing = FetchPacing { bytes_per_s: f64::INFINITY, ..FetchPacing::LINK };
 
-    /// Least time from a fetch that was answered with `bytes` to the next.
+    /// Minimum time between a fetch that was answered with `bytes` and the next fetch.
     pub fn interval(&self, bytes: usize) -> Duration {
         let seconds = bytes as f64 / self.bytes_per_s;
-        Duration::from_secs_f64(seconds).clamp(self.shortest, self.longest)
+        Duration::from_secs_f64(seconds).clamp(self.min_interval, self.max_interval)
     }
 }
 
@@ -51,31 +52,31 @@
 /// The newest configuration that a subscriber has, and the newer versions that its sources announced.
 #[derive(Debug)]
 pub struct ConfigurationFetcher {
-    pace: Pace,
+    pacing: FetchPacing,
     current: Option<CommittedConfiguration>,
     version: Option<ConfigurationVersion>,
-    /// Newest version that anyone is known to have.
+    /// Newest version known to exist in any process.
     known: Option<ConfigurationVersion>,
-    /// What each source announced last.
+    /// The last announcement of each source.
     announced: BTreeMap<SocketAddr, ConfigurationVersion>,
     in_flight: BTreeMap<SocketAddr, InFlightFetch>,
     next_fetch: Duration,
-    /// Whether a delta did not apply: the next answer has to be a complete document.
-    wants_complete: bool,
+    /// Whether the next fetch must request a complete document, because a delta could not be applied.
+    requires_complete: bool,
 }
 
 impl ConfigurationFetcher {
     /// A fetcher that has no configuration yet.
-    pub fn new(pace: Pace) -> Self {
+    pub fn new(pacing: FetchPacing) -> Self {
         ConfigurationFetcher {
-            pace,
+            pacing,
             current: None,
             version: None,
             known: None,
             announced: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             next_fetch: Duration::ZERO,
-            wants_complete: false,
+            requires_complete: false,
         }
     }
 
@@ -89,13 +90,13 @@
         self.known.is_some_and(|known| known.is_newer_than(self.version))
     }
 
-    /// `source` announced this version. Returns whether it is the newest one known so far.
+    /// Records that `source` announced this version. Returns whether it is the newest one known so far.
     pub fn on_announcement(&mut self, source: SocketAddr, version: ConfigurationVersion) -> bool {
         self.announced.insert(source, version);
         self.on_known_version(version)
     }
 
-    /// Some process has this version. Returns whether it is the newest one known so far.
+    /// Records that some process has this version. Returns whether it is the newest one known so far.
     pub fn on_known_version(&mut self, version: ConfigurationVersion) -> bool {
         if let Some(current) = self.version.as_mut().filter(|current| current.digest == version.digest) {
             current.revision = current.revision.max(version.revision);
@@ -107,7 +108,7 @@
         newer
     }
 
-    /// `source` sent a complete configuration. Returns whether it is newer than the current one.
+    /// Handles a complete configuration from `source`. Returns whether it is newer than the current one.
     pub fn on_document(
         &mut self,
         now: Duration,
@@ -115,11 +116,11 @@
         committed: &CommittedConfiguration,
     ) -> bool {
         self.on_answer(now, source, committed.document.bytes.len());
-        self.wants_complete = false;
+        self.requires_complete = false;
         self.apply(committed)
     }
 
-    /// `source` sent a delta. Returns the resulting configuration, if that is newer than the current one.
+    /// Applies a delta from `source`. Returns the resulting configuration, if that is newer than the current one.
     pub fn on_delta(
         &mut self,
         now: Duration,
@@ -141,14 +142,15 @@
                     CommittedConfiguration { revision: delta.version.revision, document: document.into() };
                 self.apply(&committed).then_some(committed)
             }
-            // Another source's answer came first, and the next fetch names it.
+            // The base has changed since the fetch, because another source answered first. The next fetch names
+            // the new base.
             None => None,
             Some(Err(error)) => {
                 log::warn!(
-                    "configuration delta not applied revision={} error={error}",
+                    "cannot apply configuration delta; fetching the complete document revision={} error={error}",
                     delta.version.revision
                 );
-                self.wants_complete = true;
+                self.requires_complete = true;
                 None
             }
         }
@@ -167,17 +169,17 @@
 
     fn on_answer(&mut self, now: Duration, source: SocketAddr, bytes: usize) {
         let requested_at = self.in_flight.remove(&source).map_or(now, |in_flight| in_flight.at);
-        self.next_fetch = self.next_fetch.max(requested_at + self.pace.interval(bytes));
+        self.next_fetch = self.next_fetch.max(requested_at + self.pacing.interval(bytes));
     }
 
-    /// A source's link has ended.
+    /// Removes the announcement and the fetch in flight of a source whose link has ended.
     pub fn on_source_lost(&mut self, source: SocketAddr) {
         self.announced.remove(&source);
         self.in_flight.remove(&source);
     }
 
-    /// Whom to ask now, and what; `preferred` among those that have the newest. Never more than one, and none
-    /// while an answer can still be waited for.
+    /// The source to fetch from now, and the message to send to it; `preferred` if it is among those that announced the
+    /// newest version. Returns `None` while an earlier fetch has not timed out.
     pub fn fetch(&mut self, now: Duration, preferred: Option<SocketAddr>) -> Option<(SocketAddr, Message)> {
         if self.next_wake(now)? > now {
             return None;
@@ -187,14 +189,14 @@
         let have_newest = candidates.iter().filter(|(_, version)| version.revision == newest);
         let sources: Vec<SocketAddr> = have_newest.map(|(source, _)| *source).collect();
         let source = preferred.filter(|preferred| sources.contains(preferred)).unwrap_or(sources[0]);
-        let base = self.version.filter(|_| !self.wants_complete);
+        let base = self.version.filter(|_| !self.requires_complete);
         let timeout = if base.is_some() { DELTA_TIMEOUT } else { DOCUMENT_TIMEOUT };
         self.in_flight.insert(source, InFlightFetch { at: now, timeout });
-        self.next_fetch = now + self.pace.shortest;
+        self.next_fetch = now + self.pacing.min_interval;
         Some((source, Message::ConfigurationFetch(base.unwrap_or(ConfigurationVersion::NONE))))
     }
 
-    /// When [`ConfigurationFetcher::fetch`] is to be called next; `None` while there is nothing to fetch.
+    /// Time at which [`ConfigurationFetcher::fetch`] must be called next; `None` while there is nothing to fetch.
     pub fn next_wake(&self, now: Duration) -> Option<Duration> {
         let mut newer = self.newer().peekable();
         newer.peek()?;
@@ -213,7 +215,7 @@
         self.newer().filter(|(source, _)| is_free(source)).collect()
     }
 
-    /// Sources that have a newer configuration than the current one.
+    /// Sources that announced a newer configuration than the current one, with its version.
     fn newer(&self) -> impl Iterator<Item = (SocketAddr, ConfigurationVersion)> {
         let announced = self.announced.iter().map(|(source, version)| (*source, *version));
         announced.filter(|(_, version)| version.is_newer_than(self.version))
--- a/crates/controller/src/simulation/connection.rs
+++ b/crates/controller/src/simulation/connection.rs
@@ -1,4 +1,4 @@
-//! One simulated connection: frames in order both ways, as long as it lasts.
+//! One simulated connection, which delivers frames in order in both directions while it is open.
 
 use super::host::Host;
 use crate::link::Outbox;
@@ -8,21 +8,21 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Bytes that are on the way at a time; what is beyond waits in the outbox.
+/// Maximum number of bytes in flight per direction; further frames wait in the outbox.
 const WINDOW_BYTES: usize = 256 * 1024;
 
 /// One incarnation of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Process {
     pub(super) host: Host,
-    /// Counts all starts of all processes.
+    /// Number of this start, counted over all processes.
     pub(super) start: u64,
 }
 
 /// What a connection is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Kind {
-    /// A controller speaks to another.
+    /// Between two controllers.
     Peer,
     /// An agent follows a controller.
     Feed,
@@ -30,7 +30,7 @@
     Loopback,
 }
 
-/// A connection that somebody wants.
+/// A connection attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Dial {
     pub(super) kind: Kind,
@@ -42,57 +42,57 @@
     pub(super) dial_number: u64,
 }
 
-/// The side of a connection to which something goes.
+/// One side of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum End {
     Dialer,
     Listener,
 }
 
-/// One direction.
+/// One direction of a connection.
 #[derive(Debug)]
 pub(super) struct Pipe {
     frames: mpsc::Receiver<Bytes>,
     /// Frames with the times from which they can be read, in order.
-    on_the_way: VecDeque<(Duration, Bytes)>,
-    bytes_on_the_way: usize,
-    /// When the link has sent all before.
+    in_flight: VecDeque<(Duration, Bytes)>,
+    bytes_in_flight: usize,
+    /// When the link has transmitted all earlier frames.
     free_at: Duration,
-    /// Whether a look at the first frame is scheduled.
+    /// Whether an `Arrive` event for the first frame is scheduled.
     pub(super) scheduled: bool,
 }
 
 impl Pipe {
     fn new(frames: mpsc::Receiver<Bytes>) -> Self {
-        let on_the_way = VecDeque::new();
-        Pipe { frames, on_the_way, bytes_on_the_way: 0, free_at: Duration::ZERO, scheduled: false }
+        let in_flight = VecDeque::new();
+        Pipe { frames, in_flight, bytes_in_flight: 0, free_at: Duration::ZERO, scheduled: false }
     }
 
-    /// Takes frames out of the outbox, as many as fit. `transfer` and `delay` give the time that each takes.
-    /// False once the outbox is closed and everything has arrived.
+    /// Moves frames from the outbox into flight, up to [`WINDOW_BYTES`]. `transfer` returns the transmission time
+    /// of a frame, `delay` its latency. Returns false once the outbox is closed and all frames have arrived.
     pub(super) fn pump(
         &mut self,
         now: Duration,
         transfer: impl Fn(usize) -> Duration,
         mut delay: impl FnMut() -> Duration,
     ) -> bool {
-        while self.bytes_on_the_way < WINDOW_BYTES {
+        while self.bytes_in_flight < WINDOW_BYTES {
             let frame = match self.frames.try_recv() {
                 Ok(frame) => frame,
                 Err(mpsc::error::TryRecvError::Empty) => return true,
-                Err(mpsc::error::TryRecvError::Disconnected) => return !self.on_the_way.is_empty(),
+                Err(mpsc::error::TryRecvError::Disconnected) => return !self.in_flight.is_empty(),
             };
             self.free_at = self.free_at.max(now) + transfer(frame.len());
-            let last = self.on_the_way.back().map_or(Duration::ZERO, |(at, _)| *at);
-            self.bytes_on_the_way += frame.len();
-            self.on_the_way.push_back((last.max(self.free_at + delay()), frame));
+            let last = self.in_flight.back().map_or(Duration::ZERO, |(at, _)| *at);
+            self.bytes_in_flight += frame.len();
+            self.in_flight.push_back((last.max(self.free_at + delay()), frame));
         }
         true
     }
 
     /// When the next frame can be read.
     pub(super) fn next_at(&self) -> Option<Duration> {
-        self.on_the_way.front().map(|(at, _)| *at)
+        self.in_flight.front().map(|(at, _)| *at)
     }
 
     /// The next frame, if it can be read by now.
@@ -100,42 +100,42 @@
         if self.next_at()? > now {
             return None;
         }
-        let (_, frame) = self.on_the_way.pop_front()?;
-        self.bytes_on_the_way -= frame.len();
+        let (_, frame) = self.in_flight.pop_front()?;
+        self.bytes_in_flight -= frame.len();
         Some(frame)
     }
 
-    /// Everything on the way is sent again, from `at` on.
+    /// Retransmits all frames in flight, so that none arrives before `at`.
     pub(super) fn postpone(&mut self, at: Duration) {
-        for (ready, _) in &mut self.on_the_way {
+        for (ready, _) in &mut self.in_flight {
             *ready = at.max(*ready);
         }
     }
 
-    /// What is on the way arrives by `at`: the queue in which it waits is emptied.
+    /// Makes all frames in flight arrive by `at`, as the queue in which they waited is emptied.
     pub(super) fn empty_queue(&mut self, at: Duration) {
-        for (ready, _) in &mut self.on_the_way {
+        for (ready, _) in &mut self.in_flight {
             *ready = at.min(*ready);
         }
     }
 
-    /// All that is on the way, with its times.
+    /// Removes and returns all frames in flight, with their times of arrival.
     pub(super) fn drain(&mut self) -> Vec<(Duration, Bytes)> {
-        self.bytes_on_the_way = 0;
-        self.on_the_way.drain(..).collect()
+        self.bytes_in_flight = 0;
+        self.in_flight.drain(..).collect()
     }
 }
 
-/// A connection that is up.
+/// An established connection.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub(super) dial: Dial,
     pub(super) listener: Process,
-    /// Frames of the dialer.
+    /// Frames from the dialer.
     pub(super) forward: Pipe,
-    /// Frames of the listener.
+    /// Frames from the listener.
     pub(super) backward: Pipe,
-    /// The peer whose first message has been read, where controllers talk.
+    /// Between controllers: the peer, once its first message has been read.
     pub(super) peer: Option<SocketAddr>,
     /// Handed to the listener once it has read the first message.
     pub(super) listener_outbox: Option<Outbox>,
@@ -163,7 +163,7 @@
         (connection, dialer_outbox)
     }
 
-    /// The direction to an end.
+    /// The direction that leads to an end.
     pub(super) fn pipe_to(&mut self, end: End) -> &mut Pipe {
         match end {
             End::Dialer => &mut self.backward,
@@ -171,7 +171,7 @@
         }
     }
 
-    /// The two machines, in the direction to an end.
+    /// Sender and receiver of the direction that leads to an end.
     pub(super) fn path_to(&self, end: End) -> (Host, Host) {
         let (dialer, listener) = (self.dial.dialer.host, self.listener.host);
         match end {
@@ -185,7 +185,7 @@
         self.dial.dialer == process || self.listener == process
     }
 
-    /// Whether one of its ends is at this place.
+    /// Whether one of its ends is on this host.
     pub(super) fn touches(&self, host: Host) -> bool {
         self.dial.dialer.host == host || self.listener.host == host
     }
--- a/crates/controller/src/simulation/faults.rs
+++ b/crates/controller/src/simulation/faults.rs
@@ -7,46 +7,46 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Orders that arrive so soon after a thaw or the end of a partition are not judged.
+/// Orders that arrive within this time after a thaw or the end of a partition are not checked.
 const THAW: Duration = Duration::from_millis(300);
 
 /// When each machine was last affected by a fault.
 #[derive(Debug, Default)]
 pub(super) struct FaultHistory {
-    /// The last step that touched a controller's machine or a path between two.
+    /// Time of the last step that affected a controller's machine or a path between two of them.
     core_at: Option<Duration>,
     machines: BTreeMap<Host, Duration>,
     thawed: BTreeMap<Host, Duration>,
-    /// When more machines were lost than may be.
+    /// Last time at which more machines were lost than the fault tolerance allows.
     pub(super) beyond_at: Option<Duration>,
     pub(super) losses: Losses,
     /// Controllers that have lost their disk at any time.
     pub(super) disks_lost: BTreeSet<usize>,
-    /// Changes with each step that does or ends harm.
+    /// Number of steps so far that injected or ended a fault.
     pub(super) steps: u64,
 }
 
 impl FaultHistory {
-    /// The start of all is no fault.
-    pub(super) fn forget(&mut self) {
+    /// Clears the history, as the start of all processes does not count as a fault.
+    pub(super) fn reset(&mut self) {
         *self = FaultHistory::default();
     }
 
-    /// Something happened to controllers or the paths between them.
-    pub(super) fn core(&mut self, now: Duration) {
+    /// Records that controllers or the paths between them were affected by a step.
+    pub(super) fn record_core_fault(&mut self, now: Duration) {
         self.core_at = Some(now);
         self.steps += 1;
     }
 
-    /// Something happened to a machine.
-    pub(super) fn machine(&mut self, now: Duration, host: Host) {
+    /// Records that a machine was affected by a step.
+    pub(super) fn record_machine_fault(&mut self, now: Duration, host: Host) {
         self.machines.insert(host, now);
         if matches!(host, Host::Controller(_)) {
-            self.core(now);
+            self.record_core_fault(now);
         }
     }
 
-    pub(super) fn thawed(&mut self, now: Duration, host: Host) {
+    pub(super) fn record_thaw(&mut self, now: Duration, host: Host) {
         self.thawed.insert(host, now);
     }
 
@@ -54,19 +54,19 @@
         self.thawed.get(&host).is_some_and(|at| now < *at + THAW)
     }
 
-    /// When a controller or a path between two was last touched.
-    pub(super) fn core_at(&self) -> Duration {
+    /// When a controller or a path between two of them was last affected.
+    pub(super) fn last_core_fault(&self) -> Duration {
         self.core_at.unwrap_or_default()
     }
 
-    /// When a machine was last touched.
-    pub(super) fn machine_at(&self, host: Host) -> Duration {
+    /// When a machine was last affected.
+    pub(super) fn last_machine_fault(&self, host: Host) -> Duration {
         self.machines.get(&host).copied().unwrap_or_default()
     }
 }
 
 impl World {
-    /// A step that does harm or ends it.
+    /// Executes a step that injects or ends a fault.
     pub(super) fn inject_fault(&mut self, step: &Step) {
         let now = self.now();
         match step {
@@ -84,7 +84,7 @@
             Step::Heal => self.heal(),
             Step::Refuse(host) => self.network.refuse(*host),
             Step::Reset(host) => self.end_connections(|connection| connection.touches(*host), None),
-            Step::Delay(time) => self.network.set_longest_delay(Duration::from_millis(*time)),
+            Step::Delay(time) => self.network.set_max_delay(Duration::from_millis(*time)),
             Step::Rate(rate) => self.network.set_rate(Some(*rate)),
             Step::Kill(host) => self.kill(*host),
             Step::Power(index) => self.lose_power(*index),
@@ -111,17 +111,17 @@
         match step {
             Step::Crash(_) => return,
             Step::Heal | Step::Delay(_) | Step::Rate(_) | Step::Split(_) | Step::Seeds(_) => {
-                self.fault_history.core(now);
+                self.fault_history.record_core_fault(now);
                 for index in 0..self.routers.len() {
-                    self.fault_history.machine(now, Host::Router(index));
+                    self.fault_history.record_machine_fault(now, Host::Router(index));
                 }
             }
             Step::Partition { from, to }
             | Step::Blackhole { from, to }
             | Step::Lag { from, to, .. }
             | Step::ResetOneSide { host: from, peer: to } => {
-                self.fault_history.machine(now, *from);
-                self.fault_history.machine(now, *to);
+                self.fault_history.record_machine_fault(now, *from);
+                self.fault_history.record_machine_fault(now, *to);
             }
             Step::Isolate { host, .. }
             | Step::Refuse(host)
@@ -129,8 +129,8 @@
             | Step::Kill(host)
             | Step::Start(host)
             | Step::Freeze(host)
-            | Step::Thaw(host) => self.fault_history.machine(now, *host),
-            _ => self.fault_history.core(now),
+            | Step::Thaw(host) => self.fault_history.record_machine_fault(now, *host),
+            _ => self.fault_history.record_core_fault(now),
         }
         self.detect_losses();
         self.expect_complete_groups();
@@ -153,7 +153,7 @@
         self.paths_changed();
     }
 
-    /// Cuts all paths between the machines of a set and all others, and no further ones.
+    /// Partitions the machines of a set from all others, and ends all other partitions.
     fn split(&mut self, set: &[Host]) {
         self.heal();
         let hosts = self.all_hosts();
@@ -170,7 +170,7 @@
         let lagged = self.network.end_lags();
         let now = self.now();
         for host in self.controller_hosts() {
-            self.fault_history.thawed(now, host);
+            self.fault_history.record_thaw(now, host);
         }
         self.paths_changed();
         self.empty_queues(&lagged);
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Starts a process again; it begins with what its disk holds.
+    /// Starts a process again, with the content of its disk.
     pub(super) fn start(&mut self, host: Host) {
         match host {
             Host::Controller(index) => self.start_controller(index),
@@ -243,7 +243,7 @@
 
     pub(super) fn thaw(&mut self, host: Host) {
         let now = self.now();
-        self.fault_history.thawed(now, host);
+        self.fault_history.record_thaw(now, host);
         match host {
             Host::Controller(index) => self.thaw_controller(index),
             Host::Router(index) => self.thaw_router(index),
--- a/crates/controller/src/simulation/operator.rs
+++ b/crates/controller/src/simulation/operator.rs
@@ -1,4 +1,4 @@
-//! Simulated operators: they change the configuration and read it back, as patiently as real ones.
+//! Simulated operators, which change the configuration, read it back, and retry as real ones do.
 
 use super::calls::{CallLimits, Content, Purpose};
 use super::change::Form;
@@ -11,16 +11,16 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Where the configuration is read and changed.
+/// Path at which the configuration is read and changed.
 const PATH: &str = "/config";
-/// An operator that goes from controller to controller gives up after this long.
+/// Time after which an operator that tries one controller after another gives up.
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(10);
-/// An operator gives up at this many unclear refusals.
-const MOST_REFUSALS: usize = 3;
-/// Versions go up in uneven steps.
-const LONGEST_VERSION_STEP: u64 = 3;
+/// Number of attempts from which a 4xx status without a special meaning counts as a final refusal.
+const MAX_REFUSALS: usize = 3;
+/// Versions increase by a random step of up to this.
+const MAX_VERSION_STEP: u64 = 3;
 
-/// How an operator takes a status.
+/// How an operator interprets the status of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Verdict {
     Success,
@@ -40,14 +40,14 @@
             400 | 413 | 422 => Verdict::Invalid,
             408 | 429 => Verdict::RetryElsewhere,
             404 => Verdict::Missing,
-            401..=499 if attempts >= MOST_REFUSALS => Verdict::Invalid,
+            401..=499 if attempts >= MAX_REFUSALS => Verdict::Invalid,
             _ => Verdict::RetryElsewhere,
         }
     }
 }
 
 impl World {
-    /// A step of operators.
+    /// Executes a step of operators.
     pub(super) fn operate(&mut self, step: &Step) {
         match *step {
             Step::Put { form, via, only } => {
@@ -80,7 +80,7 @@
     }
 
     fn next_version(&mut self, base: u64) -> u64 {
-        base + self.random.random_range(1..=LONGEST_VERSION_STEP)
+        base + self.random.random_range(1..=MAX_VERSION_STEP)
     }
 
     fn send_change(&mut self, form: Form, base: u64, version: u64, via: usize, only: bool) {
@@ -100,7 +100,7 @@
         self.begin_call(Purpose::Change(number), Host::Operator, content, via, call_limits(only));
     }
 
-    /// An answer to a change. True if the operator is done with it.
+    /// Handles an answer to a change. Returns true if the operator does not retry.
     pub(super) fn change_answered(&mut self, number: usize, answer: &Answer, attempts: usize) -> bool {
         match Verdict::of(answer.status, attempts) {
             Verdict::Success => {
@@ -121,7 +121,7 @@
         true
     }
 
-    /// An answer to a read. True if the operator is done with it.
+    /// Handles an answer to a read. Returns true if the operator does not retry.
     pub(super) fn read_answered(&mut self, number: usize, answer: &Answer, attempts: usize) -> bool {
         match Verdict::of(answer.status, attempts) {
             Verdict::Success => self.history.read_served(number, &answer.body),
--- a/crates/controller/src/simulation/quiesce.rs
+++ b/crates/controller/src/simulation/quiesce.rs
@@ -1,4 +1,4 @@
-//! The end of a scenario: all faults end, and everything must work again within its bounds.
+//! The end of a scenario: all faults end, and the system must recover within its time bounds.
 
 use super::change::{Form, SERVICES};
 use super::history::{ChangeStatus, ReadStatus};
@@ -12,13 +12,13 @@
 const QUIESCE_TIME: Duration = Duration::from_secs(12);
 /// A change is acknowledged within this time (`AckMs`).
 const ACKNOWLEDGE_TIME: Duration = Duration::from_secs(4);
-/// Seeds that settings files name.
+/// Number of seeds in settings files.
 const SEEDS: usize = 3;
 /// A read is answered within this time.
 const READ_TIME: Duration = Duration::from_secs(1);
-/// Steps in which an acknowledgement is waited for.
+/// Interval at which a pending acknowledgement is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Routers have it within this time (`ConfigApplyMs`).
+/// Routers have an acknowledged change within this time (`ConfigApplyMs`).
 const APPLY_TIME: Duration = Duration::from_secs(2);
 
 impl World {
@@ -32,7 +32,7 @@
         self.operate(&Step::Put { form: Form::Put, via, only: false });
         let status = self.wait_for_change(number)?;
         if status == Some(ChangeStatus::Refused) {
-            // Operators did not know of the newest version; now they do.
+            // The operators' base was outdated. The refusal told them the newest version, so a second change must succeed.
             return self.quiesce_change(number + 1, via);
         }
         self.check_quiesced(number)
@@ -44,7 +44,7 @@
         self.check_quiesced(number)
     }
 
-    /// Waits until the operator of a change is done with it, or for as long as that may take.
+    /// Waits until the outcome of a change is known, but at most for [`ACKNOWLEDGE_TIME`].
     fn wait_for_change(&mut self, number: usize) -> Result<Option<ChangeStatus>, Violation> {
         let until = self.now() + ACKNOWLEDGE_TIME;
         let mut status = self.history.change(number).map(|sent| sent.status);
@@ -77,7 +77,7 @@
         self.empty_queues(&lagged);
         self.release_delayed_calls();
         let now = self.now();
-        self.fault_history.core(now);
+        self.fault_history.record_core_fault(now);
         self.detect_losses();
     }
 
@@ -89,7 +89,7 @@
         let sent = self.history.change(number);
         if sent.map(|sent| sent.status) != Some(ChangeStatus::Taken) {
             let status = sent.map(|sent| sent.status);
-            return Err(Violation::Stuck(format!("change {number} is {status:?}")));
+            return Err(Violation::NotRecovered(format!("change {number} is {status:?}")));
         }
         let version = self.history.newest_acknowledged;
         self.run(APPLY_TIME)?;
@@ -105,13 +105,13 @@
             let found = configuration.map_or(0, |configuration| configuration.version);
             if found != version {
                 let router = machine.host();
-                return Err(Violation::Stuck(format!("{router} has version {found}, not {version}")));
+                return Err(Violation::NotRecovered(format!("{router} has version {found}, not {version}")));
             }
         }
         Ok(())
     }
 
-    /// Every controller gives the newest configuration.
+    /// Checks that every controller serves the newest configuration.
     fn check_reads(&mut self) -> Result<(), Violation> {
         let left: Vec<usize> =
             self.controllers.iter().filter(|machine| !machine.retired).map(|machine| machine.index).collect();
@@ -123,7 +123,7 @@
         for (read, via) in self.history.reads[first..].iter().zip(left) {
             if read.status != ReadStatus::Served {
                 let (host, status) = (Host::Controller(via), read.status);
-                return Err(Violation::Stuck(format!("a read at {host} is {status:?}")));
+                return Err(Violation::NotRecovered(format!("a read at {host} is {status:?}")));
             }
         }
         Ok(())
@@ -136,18 +136,18 @@
             let ended =
                 |host: &Host| matches!(host, Host::Controller(index) if self.controllers[*index].retired);
             if left >= size && (group.len() < size || group.iter().any(ended)) {
-                return Err(Violation::Stuck(format!("shard {shard} has group {group:?}")));
+                return Err(Violation::NotRecovered(format!("shard {shard} has group {group:?}")));
             }
         }
         Ok(())
     }
 
-    /// The shard of every service has a controller that acts for it.
+    /// Checks that the shard of every service has a controller that acts for it.
     fn check_holders(&self) -> Result<(), Violation> {
         let holders = self.holders();
         if holders.len() == SERVICES.len() {
             return Ok(());
         }
-        Err(Violation::Stuck(format!("holders are {holders:?}")))
+        Err(Violation::NotRecovered(format!("holders are {holders:?}")))
     }
 }
--- a/crates/controller/src/simulation/router_machine.rs
+++ b/crates/controller/src/simulation/router_machine.rs
@@ -1,4 +1,4 @@
-//! A simulated machine with an agent and a hollow router, which only stores what it was sent.
+//! A simulated machine with an agent and a stub router, which only stores what its feed client delivers.
 
 use super::agent_environment::Request;
 use super::connection::{Dial, Kind, Process};
@@ -23,32 +23,32 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Where an agent feeds its router.
+/// Address on which an agent accepts its router.
 const LOOPBACK: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 7100);
 /// Requests for each model that a router reports at each review.
 const REQUESTS: u32 = 5;
 
-/// Links that an agent follows, by address.
-struct Follow {
+/// A link that an agent has requested to a source.
+struct SourceLink {
     dial_number: u64,
     hello: Hello,
 }
 
-/// Processes that run.
+/// The running processes of a machine.
 struct Running {
     process: Process,
     agent: Agent,
     environment: SimulatedEnvironment<Request>,
-    follows: BTreeMap<SocketAddr, Follow>,
+    source_links: BTreeMap<SocketAddr, SourceLink>,
     client: Client,
     events: mpsc::UnboundedReceiver<FeedEvent>,
-    /// The timer that is set.
+    /// When the fetch timer fires.
     fetch_at: Option<Duration>,
 }
 
-/// What a router knows.
+/// The state that a router has received.
 #[derive(Debug, Default)]
-pub(super) struct Known {
+pub(super) struct RouterState {
     pub(super) configuration: Option<Arc<Configuration>>,
     pub(super) instances: BTreeMap<String, Instance>,
 }
@@ -57,7 +57,7 @@
 pub(super) struct RouterMachine {
     index: usize,
     running: Option<Running>,
-    pub(super) known: Known,
+    pub(super) known: RouterState,
     pub(super) frozen: bool,
     backlog: VecDeque<Delivery>,
     settings: Rc<RefCell<Settings>>,
@@ -71,7 +71,7 @@
         RouterMachine {
             index,
             running: None,
-            known: Known::default(),
+            known: RouterState::default(),
             frozen: false,
             backlog: VecDeque::new(),
             settings: Rc::new(RefCell::new(settings)),
@@ -87,10 +87,10 @@
         self.running.is_some() && !self.frozen
     }
 
-    /// Whether the agent still wants what was dialled.
+    /// Whether the agent still wants the link that was dialled.
     pub(super) fn follows(&self, dial: &Dial) -> bool {
         let running = self.running.as_ref().filter(|running| running.process == dial.dialer);
-        let follow = running.and_then(|running| running.follows.get(&dial.address));
+        let follow = running.and_then(|running| running.source_links.get(&dial.address));
         follow.is_some_and(|follow| follow.dial_number == dial.dial_number)
     }
 
@@ -103,7 +103,7 @@
     pub(super) fn agent_hello(&self, dial: &Dial) -> Hello {
         let Host::Router(index) = dial.dialer.host else { unreachable!("only agents follow feeds") };
         let running = self.routers[index].running.as_ref().expect("only a running agent dials");
-        running.follows[&dial.address].hello.clone()
+        running.source_links[&dial.address].hello.clone()
     }
 
     pub(super) fn router_hello(&self, process: Process) -> Hello {
@@ -111,7 +111,7 @@
         self.routers[index].running.as_ref().expect("only a running router dials").client.hello()
     }
 
-    /// Starts agent and router of a machine, if they do not run.
+    /// Starts agent and router of a machine, unless they run already.
     pub(super) fn start_router(&mut self, index: usize) {
         if self.routers[index].running.is_some() {
             return;
@@ -125,11 +125,11 @@
         let agent = Agent::new(own.clone(), incarnation, Box::new(environment.share()));
         let (sender, events) = mpsc::unbounded_channel();
         let client = Client::new(own, self.random.random_range(1..=u64::MAX), sender);
-        let follows = BTreeMap::new();
+        let source_links = BTreeMap::new();
         let machine = &mut self.routers[index];
         machine.running =
-            Some(Running { process, agent, environment, follows, client, events, fetch_at: None });
-        machine.known = Known::default();
+            Some(Running { process, agent, environment, source_links, client, events, fetch_at: None });
+        machine.known = RouterState::default();
         self.history.router_started(index);
         self.schedule(self.now(), SimulationEvent::Review { process });
         let dial =
@@ -144,10 +144,10 @@
         machine.running = None;
         machine.frozen = false;
         machine.backlog.clear();
-        machine.known = Known::default();
+        machine.known = RouterState::default();
     }
 
-    /// Tells an agent or its router something.
+    /// Delivers an event to an agent or its router.
     pub(super) fn deliver_to_router(&mut self, index: usize, process: Process, delivery: Delivery) {
         let machine = &mut self.routers[index];
         let Some(running) = machine.running.as_mut().filter(|running| running.process == process) else {
@@ -199,7 +199,7 @@
         }
     }
 
-    /// The timer of an agent or its router.
+    /// Handles the fetch timer of an agent or its router.
     pub(super) fn fetch(&mut self, process: Process, at: Duration) {
         let Host::Router(index) = process.host else { return };
         let machine = &mut self.routers[index];
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Lets agent and router fetch what is due, and sets the timer for the rest.
+    /// Runs the fetches of agent and router that are due, and sets the timer for the next one.
     fn fetch_due(&mut self, index: usize) {
         let Some(running) = self.routers[index].running.as_mut() else { return };
         let started = running.environment.started;
@@ -251,7 +251,7 @@
         machine.next_dial_number += 1;
         let dial_number = machine.next_dial_number;
         if let Some(running) = machine.running.as_mut() {
-            running.follows.insert(source, Follow { dial_number, hello });
+            running.source_links.insert(source, SourceLink { dial_number, hello });
         }
         let listener = Host::Controller(listener);
         let dial = Dial { kind: Kind::Feed, dialer: process, listener, address: source, dial_number };
@@ -260,7 +260,7 @@
 
     fn unfollow_source(&mut self, index: usize, process: Process, source: SocketAddr) {
         if let Some(running) = self.routers[index].running.as_mut() {
-            running.follows.remove(&source);
+            running.source_links.remove(&source);
         }
         let is_it = |dial: &Dial| dial.dialer == process && dial.address == source;
         self.end_connections(|connection| is_it(&connection.dial), Some(process));
@@ -307,7 +307,7 @@
 }
 
 impl RouterMachine {
-    /// Some requests for each model of the configuration.
+    /// A demand report with [`REQUESTS`] requests for each model of the configuration.
     fn demand(&self) -> DemandReport {
         let configuration = self.known.configuration.iter();
         let backends = configuration.flat_map(|configuration| &configuration.backends);
