--- a/crates/config/src/configuration/reading.rs
+++ b/crates/config/src/configuration/reading.rs
@@ -16,17 +16,17 @@
 ///
 /// An invalid configuration is parsed again item by item, so that all mistakes are found.
 pub(super) fn read_configuration(bytes: &[u8]) -> Result<Configuration, Findings> {
-    let text = std::str::from_utf8(bytes).map_err(unreadable)?;
+    let text = std::str::from_utf8(bytes).map_err(not_a_json_object)?;
     match serde_json::from_str(text) {
         Ok(Object(configuration)) => {
             validate(&configuration).into_result()?;
             Ok(configuration)
         }
-        Err(_) => read_piecewise(bytes),
+        Err(_) => read_item_by_item(bytes),
     }
 }
 
-fn read_piecewise(bytes: &[u8]) -> Result<Configuration, Findings> {
+fn read_item_by_item(bytes: &[u8]) -> Result<Configuration, Findings> {
     let members = read_object(bytes)?;
     let mut findings = Findings::default();
     let version = read_version(&members, &mut findings);
@@ -49,10 +49,10 @@
 
 /// The members of the object in a body.
 pub(super) fn read_object(bytes: &[u8]) -> Result<Members<'_>, Findings> {
-    serde_json::from_slice(bytes).map_err(unreadable)
+    serde_json::from_slice(bytes).map_err(not_a_json_object)
 }
 
-fn unreadable(error: impl Display) -> Findings {
+fn not_a_json_object(error: impl Display) -> Findings {
     Findings::one("", format!("cannot be read as a JSON object: {error}"))
 }
 
--- a/crates/config/src/configuration/validation.rs
+++ b/crates/config/src/configuration/validation.rs
@@ -29,7 +29,7 @@
             findings.add(format!("Routes[{index}].TimeoutMs"), message);
         }
         check_backends(route, index, backends, findings);
-        let key = (without_case(&route.hostname), route.path_prefix.as_str());
+        let key = (lowercase(&route.hostname), route.path_prefix.as_str());
         if let Some(first) = first_index.insert(key, index) {
             let path = format!("{}{}", route.hostname, route.path_prefix);
             let message = format!("same host and prefix as Routes[{first}]: {path}");
@@ -38,7 +38,7 @@
     }
 }
 
-fn without_case(host: &str) -> Cow<'_, str> {
+fn lowercase(host: &str) -> Cow<'_, str> {
     if host.bytes().any(|byte| byte.is_ascii_uppercase()) {
         return host.to_ascii_lowercase().into();
     }
--- a/crates/config/src/control_state/mod.rs
+++ b/crates/config/src/control_state/mod.rs
@@ -72,7 +72,7 @@
 /// An encoded state without the document, which comes last.
 #[derive(DekuRead, DekuWrite)]
 #[deku(endian = "little", magic = b"LGC1")]
-struct Head {
+struct StateHead {
     version: u64,
     #[deku(assert = "*history_length as usize <= MAX_ENCODED_CHANGES")]
     history_length: u32,
@@ -111,7 +111,7 @@
     /// # Panics
     /// Never: a head has no field that cannot be written.
     pub fn encode(&self) -> Vec<u8> {
-        let head = Head {
+        let head = StateHead {
             version: self.version,
             history_length: self.history.len() as u32,
             history: self.history.clone(),
@@ -129,7 +129,7 @@
         if bytes.is_empty() {
             return Ok(ControlState::default());
         }
-        let ((document, _), head) = Head::from_bytes((bytes, 0)).map_err(DecodeError::ControlState)?;
+        let ((document, _), head) = StateHead::from_bytes((bytes, 0)).map_err(DecodeError::ControlState)?;
         Ok(ControlState { version: head.version, document: document.to_vec(), history: head.history })
     }
 
--- a/crates/config/src/mechanism.rs
+++ b/crates/config/src/mechanism.rs
@@ -9,7 +9,7 @@
     /// Requests wait for a router's first configuration.
     ConfigurationWait,
     /// Queued requests that no timeline can meet are rejected early.
-    EarlyRefusal,
+    EarlyRejection,
     /// The class with the lowest miss ratio is rejected first.
     MissRatioVictim,
     /// A request is offered to an endpoint in time for its latency target, whatever the load.
@@ -29,7 +29,7 @@
     /// Endpoints that fail or do not respond are ejected.
     Ejection,
     /// An endpoint that returns gets few requests at first (slow start).
-    SlowReturn,
+    SlowStart,
     /// An idempotent request is retried elsewhere if its endpoint does not respond.
     ResponseTimeoutRetry,
     /// Streams end when their client times out.
@@ -43,17 +43,17 @@
     /// Victims with long running requests cost more.
     DrainCost,
     /// A new lease holder starts with the demand of its predecessor.
-    DemandRecall,
+    DemandHandover,
     /// Replicas that demand needs are not evicted for less.
-    NeededCopies,
+    RequiredReplicas,
     /// Models that have lost their last replica are loaded before they are requested.
-    Restore,
+    LostModelReload,
 }
 
 /// All mechanisms, with their names on the command line.
 const NAMES: [(&str, Mechanism); 21] = [
     ("configuration-wait", Mechanism::ConfigurationWait),
-    ("early-refusal", Mechanism::EarlyRefusal),
+    ("early-refusal", Mechanism::EarlyRejection),
     ("miss-ratio-victim", Mechanism::MissRatioVictim),
     ("last-offer", Mechanism::LastOffer),
     ("prefix-cache", Mechanism::PrefixCache),
@@ -63,16 +63,16 @@
     ("excess-delay", Mechanism::ExcessDelay),
     ("engine-urgency", Mechanism::EngineUrgency),
     ("ejection", Mechanism::Ejection),
-    ("slow-return", Mechanism::SlowReturn),
+    ("slow-return", Mechanism::SlowStart),
     ("silence-retry", Mechanism::ResponseTimeoutRetry),
     ("client-patience", Mechanism::ClientTimeout),
     ("load-wait", Mechanism::LoadWait),
     ("exhausted-try", Mechanism::ExhaustedAttempt),
     ("eviction-hiding", Mechanism::EvictionHiding),
     ("drain-cost", Mechanism::DrainCost),
-    ("demand-recall", Mechanism::DemandRecall),
-    ("needed-copies", Mechanism::NeededCopies),
-    ("restore", Mechanism::Restore),
+    ("demand-recall", Mechanism::DemandHandover),
+    ("needed-copies", Mechanism::RequiredReplicas),
+    ("restore", Mechanism::LostModelReload),
 ];
 
 /// The name of an unknown mechanism.
@@ -117,7 +117,7 @@
 
 impl SwitchedOff {
     /// Whether a mechanism is switched on.
-    pub fn leaves(&self, mechanism: Mechanism) -> bool {
+    pub fn allows(&self, mechanism: Mechanism) -> bool {
         self.bits & (1 << mechanism as u32) == 0
     }
 }
--- a/crates/config/src/routes.rs
+++ b/crates/config/src/routes.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 /// Longest host that is converted to lower case without an allocation, bytes.
-const FOLDED_HOST_BYTES: usize = 255;
+const MAX_STACK_HOST_BYTES: usize = 255;
 
 /// The routes of one configuration, ready for look-ups.
 ///
@@ -81,11 +81,11 @@
         if !host.bytes().any(|byte| byte.is_ascii_uppercase()) {
             return self.hosts.get(host);
         }
-        let mut folded = [0; FOLDED_HOST_BYTES];
-        let folded = folded.get_mut(..host.len())?;
-        folded.copy_from_slice(host.as_bytes());
-        folded.make_ascii_lowercase();
-        self.hosts.get(std::str::from_utf8(folded).ok()?)
+        let mut lowercase = [0; MAX_STACK_HOST_BYTES];
+        let lowercase = lowercase.get_mut(..host.len())?;
+        lowercase.copy_from_slice(host.as_bytes());
+        lowercase.make_ascii_lowercase();
+        self.hosts.get(std::str::from_utf8(lowercase).ok()?)
     }
 
     /// The service of that name.
--- a/crates/config/src/settings/loading.rs
+++ b/crates/config/src/settings/loading.rs
@@ -40,7 +40,7 @@
 const MAX_FINDINGS: usize = 100;
 
 /// Replaces required fields that are missing or invalid while the others are checked.
-const STAND_IN: &str = "
+const PLACEHOLDERS: &str = "
 NodeName: stand-in
 Ip: 127.0.0.1
 Zone: stand-in
@@ -48,7 +48,7 @@
 ";
 
 /// Replaces an invalid item of a list of addresses.
-const STAND_IN_ITEM: &str = "127.0.0.1:1";
+const PLACEHOLDER_ADDRESS: &str = "127.0.0.1:1";
 
 /// Reads the settings file at `path`.
 pub(super) fn load(path: &Path) -> Result<Settings, SettingsError> {
@@ -97,7 +97,7 @@
     for error in error.clone() {
         let (path, message) = describe(&error);
         findings.add(path.join("."), message);
-        let replaced = !path.is_empty() && replace(fields, &path, &stand_in());
+        let replaced = !path.is_empty() && replace(fields, &path, &placeholders());
         if !replaced || findings.iter().count() >= MAX_FINDINGS {
             return Err(std::mem::take(findings));
         }
@@ -114,16 +114,16 @@
     (path, error.kind.to_string())
 }
 
-fn stand_in() -> Dict {
-    Figment::from(Yaml::string(STAND_IN)).extract().unwrap_or_default()
+fn placeholders() -> Dict {
+    Figment::from(Yaml::string(PLACEHOLDERS)).extract().unwrap_or_default()
 }
 
 /// Replaces the field at `path` by its stand-in, or removes it if there is none.
-fn replace(fields: &mut Dict, path: &[String], stand_in: &Dict) -> bool {
+fn replace(fields: &mut Dict, path: &[String], placeholders: &Dict) -> bool {
     let Some((key, rest)) = path.split_first() else {
         return false;
     };
-    if let Some(value) = stand_in.get(key) {
+    if let Some(value) = placeholders.get(key) {
         return fields.insert(key.clone(), value.clone()).as_ref() != Some(value);
     }
     let nested = match fields.get_mut(key) {
@@ -140,7 +140,7 @@
     let Some(item) = index.and_then(|index| items.get_mut(index)) else {
         return false;
     };
-    let value = Value::from(STAND_IN_ITEM);
+    let value = Value::from(PLACEHOLDER_ADDRESS);
     let replaced = *item != value;
     *item = value;
     replaced
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -18,7 +18,7 @@
     format!(r#"{{"Version":1,"Routes":[{routes}],"Backends":[{{"Name":"b"}}]}}"#)
 }
 
-fn places(text: &str) -> Vec<String> {
+fn locations(text: &str) -> Vec<String> {
     let findings = Document::parse(text.to_owned()).unwrap_err();
     findings.iter().map(|finding| finding.location.clone()).collect()
 }
@@ -71,23 +71,26 @@
 #[test]
 fn unparsable_document_is_rejected() {
     for text in ["", "{", "[]", "null", "7", &COMPLETE[..COMPLETE.len() - 1], r#"{"Version":1} {}"#] {
-        assert_eq!(places(text), [""], "{text}");
+        assert_eq!(locations(text), [""], "{text}");
     }
-    assert_eq!(places("{}"), ["Version"]);
-    assert_eq!(places(r#"{"Version":-1}"#), ["Version"]);
-    assert_eq!(places(r#"{"Version":"2"}"#), ["Version"]);
-    assert_eq!(places(r#"{"Version":2.5}"#), ["Version"]);
-    assert_eq!(places(r#"{"Version":2,"Routes":{}}"#), ["Routes"]);
+    assert_eq!(locations("{}"), ["Version"]);
+    assert_eq!(locations(r#"{"Version":-1}"#), ["Version"]);
+    assert_eq!(locations(r#"{"Version":"2"}"#), ["Version"]);
+    assert_eq!(locations(r#"{"Version":2.5}"#), ["Version"]);
+    assert_eq!(locations(r#"{"Version":2,"Routes":{}}"#), ["Routes"]);
     assert!(Document::parse(b"{\"Version\":1,\"a\":\"\xff\"}".to_vec()).is_err());
 }
 
 #[test]
 fn arrays_instead_of_objects_are_rejected() {
-    assert_eq!(places("[1]"), [""]);
-    assert_eq!(places(&with_routes(r#"["r","a","/p/","idempotent",9,0,0,"b"]"#)), ["Routes[0]"]);
-    assert_eq!(places(r#"{"Version":1,"Limits":[1,2]}"#), ["Limits"]);
-    assert_eq!(places(r#"{"Version":1,"Backends":[{"Name":"b","Runtime":[1,2]}]}"#), ["Backends[0].Runtime"]);
-    assert_eq!(places(r#"{"Version":null}"#), ["Version"]);
+    assert_eq!(locations("[1]"), [""]);
+    assert_eq!(locations(&with_routes(r#"["r","a","/p/","idempotent",9,0,0,"b"]"#)), ["Routes[0]"]);
+    assert_eq!(locations(r#"{"Version":1,"Limits":[1,2]}"#), ["Limits"]);
+    assert_eq!(
+        locations(r#"{"Version":1,"Backends":[{"Name":"b","Runtime":[1,2]}]}"#),
+        ["Backends[0].Runtime"]
+    );
+    assert_eq!(locations(r#"{"Version":null}"#), ["Version"]);
 }
 
 #[test]
@@ -100,11 +103,11 @@
 #[test]
 fn ill_typed_fields_are_reported_with_location() {
     let text = COMPLETE.replace("\"LoadTimeS\":0.6", "\"LoadTimeS\":\"x\"").replace("5000.5", "true");
-    assert_eq!(places(&text), ["Backends[0].Runtime.Models[0].LoadTimeS", "Routes[1].TimeoutMs"]);
+    assert_eq!(locations(&text), ["Backends[0].Runtime.Models[0].LoadTimeS", "Routes[1].TimeoutMs"]);
 }
 
 #[test]
-fn all_mistakes_are_reported_at_once() {
+fn all_errors_are_reported_at_once() {
     let text = with_routes(
         r#"{"Name":"r1","Hostname":"a","PathPrefix":"/p/","TimeoutMs":9,"Backend":"c"},
            {"Name":"r2","Hostname":"A","PathPrefix":"/p/","TimeoutMs":9,"Backend":"b"},
@@ -122,7 +125,7 @@
         "Routes[4].TrafficSplit[1].Backend",
         "Routes[5]",
     ];
-    assert_eq!(places(&text), expected);
+    assert_eq!(locations(&text), expected);
     let findings = parse(&text).unwrap_err().to_string();
     assert!(findings.contains("Routes[0].Backend: unknown service \"c\"\n"), "{findings}");
 }
@@ -130,7 +133,7 @@
 #[test]
 fn invalid_service_still_counts_as_defined() {
     let text = with_routes(ROUTE).replace(r#"{"Name":"b"}"#, r#"{"Name":"b","MaxConns":"x"}"#);
-    assert_eq!(places(&text), ["Backends[0].MaxConns"]);
+    assert_eq!(locations(&text), ["Backends[0].MaxConns"]);
 }
 
 #[test]
@@ -142,9 +145,9 @@
     );
     let document = parse(&text).unwrap();
     let warnings = warnings(document.configuration());
-    let places: Vec<_> = warnings.iter().map(|finding| finding.location.as_str()).collect();
+    let locations: Vec<_> = warnings.iter().map(|finding| finding.location.as_str()).collect();
     let expected = ["Routes[1].Name", "Routes[0].PathPrefix", "Routes[1].Hostname", "Routes[1].Backend"];
-    assert_eq!(places, expected);
+    assert_eq!(locations, expected);
 }
 
 #[test]
@@ -198,11 +201,11 @@
 }
 
 #[test]
-fn all_mistakes_in_a_patch_are_reported() {
+fn all_errors_in_a_patch_are_reported() {
     let patch = br#"{"Upsert":{"Routes":[{"x":1}],"Backends":{}},"Delete":{"Routes":[1]}}"#;
     let findings = parse(COMPLETE).unwrap().patch(patch).unwrap_err();
-    let places: Vec<_> = findings.iter().map(|finding| finding.location.as_str()).collect();
-    assert_eq!(places, ["Version", "Upsert.Routes[0].Name", "Upsert.Backends", "Delete.Routes[0]"]);
+    let locations: Vec<_> = findings.iter().map(|finding| finding.location.as_str()).collect();
+    assert_eq!(locations, ["Version", "Upsert.Routes[0].Name", "Upsert.Backends", "Delete.Routes[0]"]);
 }
 
 #[test]
--- a/crates/config/tests/control_state.rs
+++ b/crates/config/tests/control_state.rs
@@ -19,10 +19,10 @@
 }
 
 fn after(commands: &[Command]) -> ControlState {
-    commands.iter().fold(ControlState::default(), |state, command| taken(state.apply(command)))
+    commands.iter().fold(ControlState::default(), |state, command| accepted(state.apply(command)))
 }
 
-fn taken(applied: Applied) -> ControlState {
+fn accepted(applied: Applied) -> ControlState {
     assert!(matches!(applied.outcome, Outcome::Taken { .. }), "{:?}", applied.outcome);
     applied.state.unwrap()
 }
@@ -33,7 +33,7 @@
     applied.outcome
 }
 
-fn place(outcome: Outcome) -> String {
+fn first_location(outcome: Outcome) -> String {
     let Outcome::Invalid(findings) = outcome else { panic!("{outcome:?}") };
     findings.iter().next().unwrap().location.clone()
 }
@@ -52,7 +52,7 @@
     let second = patch(3, &version(5));
     let state = after(&[first.clone(), second.clone()]);
     assert_eq!(outcome(&state, &second), Outcome::AlreadyTaken { current: 5 });
-    let state = taken(state.apply(&put(5, &version(9))));
+    let state = accepted(state.apply(&put(5, &version(9))));
     assert_eq!(outcome(&state, &first), Outcome::AlreadyTaken { current: 9 });
     assert_eq!(outcome(&state, &second), Outcome::AlreadyTaken { current: 9 });
 }
@@ -76,24 +76,24 @@
 #[test]
 fn version_that_does_not_rise_is_invalid() {
     let state = after(&[put(0, &version(3))]);
-    assert_eq!(place(outcome(&state, &put(3, r#"{"Version":3,"Other":1}"#))), "Version");
-    assert_eq!(place(outcome(&state, &patch(3, &version(2)))), "Version");
-    assert_eq!(place(outcome(&ControlState::default(), &put(0, &version(0)))), "Version");
+    assert_eq!(first_location(outcome(&state, &put(3, r#"{"Version":3,"Other":1}"#))), "Version");
+    assert_eq!(first_location(outcome(&state, &patch(3, &version(2)))), "Version");
+    assert_eq!(first_location(outcome(&ControlState::default(), &put(0, &version(0)))), "Version");
 }
 
 #[test]
 fn invalid_changes_are_reported() {
     let state = after(&[put(0, &version(3))]);
-    assert_eq!(place(outcome(&state, &put(3, "{"))), "");
+    assert_eq!(first_location(outcome(&state, &put(3, "{"))), "");
     let route = r#"{"Name":"r","Hostname":"a","PathPrefix":"/p/","TimeoutMs":9,"Backend":"b"}"#;
     let body = format!(r#"{{"Version":4,"Upsert":{{"Routes":[{route}]}}}}"#);
-    assert_eq!(place(outcome(&state, &patch(3, &body))), "Routes[0].Backend");
+    assert_eq!(first_location(outcome(&state, &patch(3, &body))), "Routes[0].Backend");
 }
 
 #[test]
 fn missing_precondition_is_reported() {
     let command = Command { if_match: None, ..put(0, &version(3)) };
-    assert_eq!(place(outcome(&ControlState::default(), &command)), "If-Match");
+    assert_eq!(first_location(outcome(&ControlState::default(), &command)), "If-Match");
     let state = after(&[put(0, &version(3))]);
     assert!(outcome(&state, &command).is_acknowledged(), "it is in force already");
 }
@@ -145,9 +145,9 @@
     // Not higher than the version it builds on: it was never valid.
     assert_eq!(outcome(&state, &put(1, &version(1))), Outcome::Conflict { current });
     assert_eq!(outcome(&state, &put(1, "{")), Outcome::Conflict { current });
-    assert_eq!(place(outcome(&state, &put(current, &version(1)))), "Version");
+    assert_eq!(first_location(outcome(&state, &put(current, &version(1)))), "Version");
     let unconditional = Command { if_match: None, ..changes[0].clone() };
-    assert_eq!(place(outcome(&state, &unconditional)), "If-Match");
+    assert_eq!(first_location(outcome(&state, &unconditional)), "If-Match");
 }
 
 #[test]
@@ -156,15 +156,15 @@
     let full = after(&changes[..HISTORY_LENGTH]);
     assert!(outcome(&full, &changes[0]).is_acknowledged());
     let almost_full = after(&changes[..HISTORY_LENGTH - 1]);
-    let never_taken = put(0, &version(1));
-    assert!(matches!(outcome(&almost_full, &never_taken), Outcome::Conflict { .. }));
+    let never_accepted = put(0, &version(1));
+    assert!(matches!(outcome(&almost_full, &never_accepted), Outcome::Conflict { .. }));
 }
 
 #[test]
 fn state_size_is_bounded() {
     let (state, _) = state_with_one_forgotten_change();
     let size = state.encode().len();
-    let changed = taken(state.apply(&put(state.version(), &version(state.version() + 2))));
+    let changed = accepted(state.apply(&put(state.version(), &version(state.version() + 2))));
     assert_eq!(changed.encode().len(), size);
     assert!(size < HISTORY_LENGTH * 24 + 200, "{size} bytes");
 }
@@ -186,7 +186,7 @@
 fn longer_history_of_earlier_release_is_truncated() {
     let state = ControlState::decode(&state_of_an_earlier_release(4_096)).unwrap();
     assert_eq!(state.version(), 4_096);
-    let next = taken(state.apply(&put(4_096, &version(4_097))));
+    let next = accepted(state.apply(&put(4_096, &version(4_097))));
     assert!(next.encode().len() < HISTORY_LENGTH * 24 + 200);
     let forgotten = 4_097 - HISTORY_LENGTH as u64;
     assert!(matches!(outcome(&next, &put(forgotten - 1, &version(forgotten))), Outcome::Unclear(_)));
--- a/crates/config/tests/control_state_model.rs
+++ b/crates/config/tests/control_state_model.rs
@@ -9,14 +9,14 @@
     /// A new change on top of the version that is current, or of one before it.
     Change { operator: u8, is_put: bool, behind: u64, step: u64 },
     /// A repetition of the call with that index.
-    Again { of: prop::sample::Index },
+    Repeat { of: prop::sample::Index },
 }
 
 fn calls() -> impl Strategy<Value = Call> {
     let change = (0..2_u8, any::<bool>(), 0..2_u64, 0..3_u64)
         .prop_map(|(operator, is_put, behind, step)| Call::Change { operator, is_put, behind, step });
-    let again = any::<prop::sample::Index>().prop_map(|of| Call::Again { of });
-    prop_oneof![2 => change, 1 => again]
+    let repeat = any::<prop::sample::Index>().prop_map(|of| Call::Repeat { of });
+    prop_oneof![2 => change, 1 => repeat]
 }
 
 fn command(current: u64, operator: u8, is_put: bool, behind: u64, step: u64) -> Command {
@@ -37,11 +37,11 @@
     ) {
         let mut state = ControlState::default();
         let mut sent: Vec<Command> = Vec::new();
-        let mut taken: Vec<Command> = Vec::new();
+        let mut accepted: Vec<Command> = Vec::new();
         for call in calls {
             let command = match call {
-                Call::Again { of } if !sent.is_empty() => of.get(&sent).clone(),
-                Call::Again { .. } => continue,
+                Call::Repeat { of } if !sent.is_empty() => of.get(&sent).clone(),
+                Call::Repeat { .. } => continue,
                 Call::Change { operator, is_put, behind, step } => {
                     command(state.version(), operator, is_put, behind, step)
                 }
@@ -51,31 +51,31 @@
             let applied = state.apply(&command);
             match &applied.outcome {
                 Outcome::Taken { version } => {
-                    prop_assert!(!taken.contains(&command));
+                    prop_assert!(!accepted.contains(&command));
                     prop_assert!(*version > before && command.if_match == Some(before));
-                    taken.push(command);
+                    accepted.push(command);
                 }
                 Outcome::AlreadyTaken { current } => {
                     let same = |other: &Command| other.method == command.method && other.body == command.body;
-                    prop_assert!(taken.iter().any(same) || state.document() == Some(&*command.body));
+                    prop_assert!(accepted.iter().any(same) || state.document() == Some(&*command.body));
                     prop_assert_eq!(*current, before);
                 }
                 Outcome::Conflict { current } => {
-                    prop_assert!(!taken.contains(&command));
+                    prop_assert!(!accepted.contains(&command));
                     prop_assert!(*current == before && command.if_match != Some(before));
                 }
                 Outcome::Invalid(_) => {
-                    prop_assert!(!taken.contains(&command) && command.if_match == Some(before));
+                    prop_assert!(!accepted.contains(&command) && command.if_match == Some(before));
                 }
                 Outcome::Unclear(_) => prop_assert!(false, "nothing is forgotten so soon"),
             }
             if let Some(next) = applied.state {
                 state = ControlState::decode(&next.encode()).unwrap();
-                let body = String::from_utf8(taken.last().unwrap().body.clone()).unwrap();
+                let body = String::from_utf8(accepted.last().unwrap().body.clone()).unwrap();
                 prop_assert_eq!(limit(&body), limit(std::str::from_utf8(state.document().unwrap()).unwrap()));
             }
         }
-        for command in &taken {
+        for command in &accepted {
             prop_assert!(state.apply(command).outcome.is_acknowledged());
         }
     }
--- a/crates/config/tests/mechanism.rs
+++ b/crates/config/tests/mechanism.rs
@@ -17,11 +17,11 @@
 
 #[test]
 fn only_named_mechanisms_are_switched_off() {
-    assert!(Mechanism::all().all(|mechanism| SwitchedOff::default().leaves(mechanism)));
+    assert!(Mechanism::all().all(|mechanism| SwitchedOff::default().allows(mechanism)));
     for off in Mechanism::all() {
         let switched_off: SwitchedOff = [off].into_iter().collect();
         for mechanism in Mechanism::all() {
-            assert_eq!(switched_off.leaves(mechanism), mechanism != off);
+            assert_eq!(switched_off.allows(mechanism), mechanism != off);
         }
     }
 }
--- a/crates/config/tests/routes.rs
+++ b/crates/config/tests/routes.rs
@@ -19,7 +19,7 @@
     Document::parse(text).unwrap().configuration().clone()
 }
 
-fn plain_lookup<'a>(configuration: &'a Configuration, host: &str, path: &str) -> Option<&'a Route> {
+fn linear_lookup<'a>(configuration: &'a Configuration, host: &str, path: &str) -> Option<&'a Route> {
     let routes = configuration.routes.iter();
     let matching = routes
         .filter(|route| route.hostname.eq_ignore_ascii_case(host) && path.starts_with(&route.path_prefix));
@@ -45,7 +45,7 @@
         routes.dedup_by_key(|(host, prefix)| (host.to_ascii_lowercase(), prefix.clone()));
         let configuration = configuration(&routes);
         let table = RouteTable::new(configuration.clone());
-        let expected = plain_lookup(&configuration, &host, &path).map(|route| &route.name);
+        let expected = linear_lookup(&configuration, &host, &path).map(|route| &route.name);
         prop_assert_eq!(table.lookup(&host, &path).map(|route| &route.name), expected);
     }
 }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -46,11 +46,11 @@
 
 const SMALLEST: &str = "NodeName: a\nIp: 10.0.0.1\nZone: z\nPortRange: [10, 20]\n";
 
-fn places(findings: &Findings) -> Vec<&str> {
+fn locations(findings: &Findings) -> Vec<&str> {
     findings.iter().map(|finding| finding.location.as_str()).collect()
 }
 
-fn places_in(text: &str) -> Vec<String> {
+fn locations_in(text: &str) -> Vec<String> {
     let findings = Settings::from_yaml(text).unwrap_err();
     findings.iter().map(|finding| finding.location.clone()).collect()
 }
@@ -92,24 +92,24 @@
 }
 
 #[test]
-fn all_mistakes_are_reported() {
+fn all_errors_are_reported() {
     let text = "NodeName: a\nIp: not-an-address\nPortRange: [10, 20]\nBounds: {GraceS: soon}\n";
-    let mut places = places_in(text);
-    places.sort();
-    assert_eq!(places, ["Bounds.GraceS", "Ip", "Zone"]);
+    let mut locations = locations_in(text);
+    locations.sort();
+    assert_eq!(locations, ["Bounds.GraceS", "Ip", "Zone"]);
 }
 
 #[test]
 fn empty_file_lacks_every_required_field() {
-    let mut places = places_in("");
-    places.sort();
-    assert_eq!(places, ["Ip", "NodeName", "PortRange", "Zone"]);
+    let mut locations = locations_in("");
+    locations.sort();
+    assert_eq!(locations, ["Ip", "NodeName", "PortRange", "Zone"]);
 }
 
 #[test]
 fn list_items_are_reported_by_index() {
     let text = format!("{SMALLEST}Seeds: ['10.0.0.1:1', nowhere, '10.0.0.2:1', '10.0.0.3']\n");
-    assert_eq!(places_in(&text), ["Seeds.1", "Seeds.3"]);
+    assert_eq!(locations_in(&text), ["Seeds.1", "Seeds.3"]);
 }
 
 #[test]
@@ -123,28 +123,28 @@
 #[test]
 fn port_range_must_be_ordered() {
     let text = SMALLEST.replace("[10, 20]", "[20, 10]");
-    assert_eq!(places_in(&text), ["PortRange"]);
+    assert_eq!(locations_in(&text), ["PortRange"]);
     let text = SMALLEST.replace("[10, 20]", "[20]");
-    assert_eq!(places_in(&text), ["PortRange"]);
+    assert_eq!(locations_in(&text), ["PortRange"]);
     let text = SMALLEST.replace("[10, 20]", "[20, 70000]");
-    assert_eq!(places_in(&text).len(), 1);
+    assert_eq!(locations_in(&text).len(), 1);
 }
 
 #[test]
 fn roles_require_their_listeners() {
     let settings = Settings::from_yaml(SMALLEST).unwrap();
     let router = settings.check_for(ProcessRole::Router);
-    assert_eq!(places(&router), ["ListenersMap.Frontend", "ListenersMap.Readiness"]);
+    assert_eq!(locations(&router), ["ListenersMap.Frontend", "ListenersMap.Readiness"]);
     let controller = settings.check_for(ProcessRole::Controller);
-    assert_eq!(places(&controller), ["ListenersMap.ControlPlane", "DataDir"]);
+    assert_eq!(locations(&controller), ["ListenersMap.ControlPlane", "DataDir"]);
     assert!(settings.check_for(ProcessRole::Agent).is_empty());
     assert!(Settings::from_yaml(COMPLETE).unwrap().check_for(ProcessRole::Router).is_empty());
 }
 
 #[test]
 fn invalid_yaml_is_one_finding() {
-    assert_eq!(places_in("NodeName: [unclosed"), [""]);
-    assert_eq!(places_in("just words"), [""]);
+    assert_eq!(locations_in("NodeName: [unclosed"), [""]);
+    assert_eq!(locations_in("just words"), [""]);
 }
 
 #[test]
--- a/crates/control-http/tests/connection.rs
+++ b/crates/control-http/tests/connection.rs
@@ -16,7 +16,7 @@
 
 /// A served connection, the client's end of it, and the requests that its handler received.
 struct Fixture {
-    caller: DuplexStream,
+    client: DuplexStream,
     requests: Rc<RefCell<Vec<ControlRequest>>>,
     serving: JoinHandle<()>,
 }
@@ -31,7 +31,7 @@
 
 /// Serves with a handler that answers 200 to complete requests and 400 to truncated ones, after `work`.
 fn served_slowly(limits: ServerLimits, work: Duration) -> Fixture {
-    let (caller, server) = duplex(PIPE_BYTES);
+    let (client, server) = duplex(PIPE_BYTES);
     let requests = Rc::new(RefCell::new(Vec::new()));
     let seen = requests.clone();
     let handler = Rc::new(move |request: ControlRequest| {
@@ -47,7 +47,7 @@
     });
     let serving =
         spawn_local(async move { serve_connection(server, remote(), &limits, handler, pending()).await });
-    Fixture { caller, requests, serving }
+    Fixture { client, requests, serving }
 }
 
 fn served(limits: ServerLimits) -> Fixture {
@@ -56,14 +56,14 @@
 
 impl Fixture {
     async fn send(&mut self, bytes: &str) {
-        self.caller.write_all(bytes.as_bytes()).await.expect("a pipe with room");
+        self.client.write_all(bytes.as_bytes()).await.expect("a pipe with room");
     }
 
     /// Reads up to `end`, the end of the handler's response.
     async fn read_to(&mut self, end: &str) -> String {
         let mut read = Vec::new();
         while !read.ends_with(end.as_bytes()) {
-            let byte = self.caller.read_u8().await;
+            let byte = self.client.read_u8().await;
             read.push(byte.unwrap_or_else(|_| panic!("no {end} in {}", String::from_utf8_lossy(&read))));
         }
         String::from_utf8(read).expect("text")
@@ -72,13 +72,13 @@
     /// Reads up to the end of the connection.
     async fn read_to_end(&mut self) -> String {
         let mut read = String::new();
-        self.caller.read_to_string(&mut read).await.expect("text");
+        self.client.read_to_string(&mut read).await.expect("text");
         read
     }
 
     /// Shuts down the client's sending side.
     async fn finish(&mut self) {
-        self.caller.shutdown().await.expect("an open pipe");
+        self.client.shutdown().await.expect("an open pipe");
     }
 }
 
@@ -192,7 +192,7 @@
     let length = limits.max_body_bytes;
     let mut fixture = served(limits);
     fixture.send(&format!("PUT /config HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n")).await;
-    fixture.caller.write_all(&vec![b'x'; length]).await.expect("a pipe with room");
+    fixture.client.write_all(&vec![b'x'; length]).await.expect("a pipe with room");
     fixture.read_to("\"/config\"").await;
     let requests = fixture.requests.borrow();
     assert!(requests[0].complete);
@@ -223,8 +223,8 @@
     fixture
         .send("PUT /config HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
         .await;
-    let leave = fixture.read_to("\r\n\r\n").await;
-    assert!(leave.starts_with("HTTP/1.1 100 "), "{leave}");
+    let interim = fixture.read_to("\r\n\r\n").await;
+    assert!(interim.starts_with("HTTP/1.1 100 "), "{interim}");
     fixture.send("{}").await;
     let answer = fixture.read_to("\"/config\"").await;
     assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
@@ -280,7 +280,7 @@
 });
 
 local_test!(location_and_retry_after_are_sent, {
-    let (mut caller, server) = duplex(PIPE_BYTES);
+    let (mut client, server) = duplex(PIPE_BYTES);
     let handler = Rc::new(|_| async {
         let redirect = ControlResponse::redirect("http://10.0.0.4:8080/config");
         ControlResponse { retry_after_s: Some(2), close: true, ..redirect }
@@ -288,9 +288,9 @@
     spawn_local(async move {
         serve_connection(server, remote(), &ServerLimits::default(), handler, pending()).await;
     });
-    caller.write_all(b"GET /config HTTP/1.1\r\nHost: a\r\n\r\n").await.expect("a pipe with room");
+    client.write_all(b"GET /config HTTP/1.1\r\nHost: a\r\n\r\n").await.expect("a pipe with room");
     let mut answer = String::new();
-    caller.read_to_string(&mut answer).await.expect("text");
+    client.read_to_string(&mut answer).await.expect("text");
     assert!(answer.starts_with("HTTP/1.1 307 "), "{answer}");
     assert!(answer.contains("location: http://10.0.0.4:8080/config\r\n"), "{answer}");
     assert!(answer.contains("retry-after: 2\r\n"), "{answer}");
--- a/crates/control-http/tests/server_and_client.rs
+++ b/crates/control-http/tests/server_and_client.rs
@@ -183,9 +183,9 @@
     let (listener, address) = listen().await;
     let (stop, stopped) = oneshot::channel::<()>();
     let (begun, proceed) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
-    let (tell_begun, await_proceed) = (begun.clone(), proceed.clone());
+    let (notify_begun, await_proceed) = (begun.clone(), proceed.clone());
     let handler = move |request: ControlRequest| {
-        let (begun, proceed) = (tell_begun.clone(), await_proceed.clone());
+        let (begun, proceed) = (notify_begun.clone(), await_proceed.clone());
         async move {
             begun.notify_one();
             proceed.notified().await;
--- a/crates/control-http/tests/system_calls.rs
+++ b/crates/control-http/tests/system_calls.rs
@@ -49,15 +49,15 @@
 
 /// Serves one request that arrives in one read, after which the client disconnects.
 async fn calls_for(request: &str) -> (u32, u32) {
-    let (mut caller, stream) = duplex(1 << 16);
+    let (mut client, stream) = duplex(1 << 16);
     let (reads, writes) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
     let stream = CountedStream { stream, reads: reads.clone(), writes: writes.clone() };
-    caller.write_all(request.as_bytes()).await.expect("a pipe with room");
-    caller.shutdown().await.expect("an open pipe");
+    client.write_all(request.as_bytes()).await.expect("a pipe with room");
+    client.shutdown().await.expect("an open pipe");
     let remote = SocketAddr::from(([10, 0, 0, 9], 4000));
     serve_connection(stream, remote, &ServerLimits::default(), Rc::new(answer), pending()).await;
     let mut answer = String::new();
-    caller.read_to_string(&mut answer).await.expect("text");
+    client.read_to_string(&mut answer).await.expect("text");
     assert!(answer.starts_with("HTTP/1.1 200 ") && answer.ends_with("{}"), "{answer}");
     (reads.get(), writes.get())
 }
--- a/crates/controller/src/controller/placement/placement_control.rs
+++ b/crates/controller/src/controller/placement/placement_control.rs
@@ -205,7 +205,7 @@
     /// it has ended, but refuses requests for it all that time. Otherwise its heartbeats would make routers send requests
     /// for the model again.
     fn republish_evictions(&mut self, id: &str) {
-        if !self.settings.switched_off.leaves(Mechanism::EvictionHiding) {
+        if !self.settings.switched_off.allows(Mechanism::EvictionHiding) {
             return;
         }
         let Some(registered) = self.endpoints.registration(id) else { return };
--- a/crates/controller/src/controller/placement/placers.rs
+++ b/crates/controller/src/controller/placement/placers.rs
@@ -89,7 +89,7 @@
                 placer.predecessor_idle(Duration::from_secs_f64(settings.bounds.lease_ms.max(0.0) / 1e3));
             }
             placer.configure(now, runtime);
-            if settings.switched_off.leaves(Mechanism::DemandRecall) {
+            if settings.switched_off.allows(Mechanism::DemandHandover) {
                 demand.reports().iter().for_each(|(at, report)| placer.restore_demand(*at, report));
             }
             for registered in instances.clone().filter(|r| r.instance.backend == backend.name) {
--- a/crates/dispatch/src/dispatcher/admission_control.rs
+++ b/crates/dispatch/src/dispatcher/admission_control.rs
@@ -47,7 +47,7 @@
     fn may_refuse_early(&self, now: Duration, id: RequestId) -> bool {
         let pending = &self.requests[&id];
         let unsent = pending.attempts == 0 && now <= pending.early_refusal_end();
-        self.fleet.uses(Mechanism::EarlyRefusal)
+        self.fleet.uses(Mechanism::EarlyRejection)
             && unsent
             && self.fleet.is_crowded(now, &pending.request.backend)
     }
--- a/crates/dispatch/src/dispatcher/observations.rs
+++ b/crates/dispatch/src/dispatcher/observations.rs
@@ -129,7 +129,7 @@
     }
 
     fn record_success(&mut self, now: Duration, key: EndpointKey) {
-        let slow_start = self.fleet.uses(Mechanism::SlowReturn);
+        let slow_start = self.fleet.uses(Mechanism::SlowStart);
         if let Some(load) = self.fleet.load_mut(key) {
             load.health.record_success(now, slow_start);
         }
--- a/crates/dispatch/src/fleet.rs
+++ b/crates/dispatch/src/fleet.rs
@@ -55,7 +55,7 @@
 
     /// Whether a mechanism is switched on.
     pub fn uses(&self, mechanism: Mechanism) -> bool {
-        self.settings.switched_off.leaves(mechanism)
+        self.settings.switched_off.allows(mechanism)
     }
 
     /// Applies a configuration.
--- a/crates/lanegate/examples/small_system/main.rs
+++ b/crates/lanegate/examples/small_system/main.rs
@@ -26,14 +26,14 @@
 async fn main() -> Outcome<()> {
     let data = std::env::temp_dir().join(format!("lanegate-small-system-{}", std::process::id()));
     std::fs::create_dir_all(&data)?;
-    let addresses = Addresses::free()?;
+    let addresses = Addresses::unused()?;
     processes::start(&addresses, &data)?;
-    let outcome = tokio::task::LocalSet::new().run_until(show(&addresses)).await;
+    let outcome = tokio::task::LocalSet::new().run_until(run_demo(&addresses)).await;
     std::fs::remove_dir_all(&data)?;
     outcome
 }
 
-async fn show(addresses: &Addresses) -> Outcome<()> {
+async fn run_demo(addresses: &Addresses) -> Outcome<()> {
     for (id, service) in [("i-1", "small"), ("i-2", "large")] {
         endpoint::start(id, service, addresses.control).await?;
     }
--- a/crates/lanegate/examples/small_system/operator.rs
+++ b/crates/lanegate/examples/small_system/operator.rs
@@ -14,7 +14,7 @@
                "TimeoutMs":2000,"TargetMs":500,"Backend":"small","MaxAttempts":2}],
     "Backends":[{"Name":"small"},{"Name":"large"}]}"#;
 
-const MOVE: &str = r#"{"Version":2,"Upsert":{
+const MOVE_ROUTE: &str = r#"{"Version":2,"Upsert":{
     "Routes":[{"Name":"chat","Hostname":"models.example","PathPrefix":"/chat/","RouteType":"idempotent",
                "TimeoutMs":2000,"TargetMs":500,"Backend":"large","MaxAttempts":2}]}}"#;
 
@@ -25,7 +25,7 @@
 
 /// Moves the route.
 pub(crate) async fn patch(control: SocketAddr) -> Outcome<String> {
-    send(control, ControlMethod::Patch, 1, MOVE).await
+    send(control, ControlMethod::Patch, 1, MOVE_ROUTE).await
 }
 
 async fn send(
--- a/crates/lanegate/examples/small_system/processes.rs
+++ b/crates/lanegate/examples/small_system/processes.rs
@@ -14,9 +14,9 @@
 use tokio::task::{LocalSet, spawn_local};
 
 /// Machine of the router and its agent.
-const EDGE: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 1);
+const EDGE_IP: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 1);
 /// Machine of the controller; another address, as every machine uses the same ports.
-const CORE: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
+const CORE_IP: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
 
 /// Where the processes are.
 pub(crate) struct Addresses {
@@ -28,13 +28,13 @@
 
 impl Addresses {
     /// Addresses that nobody listens on.
-    pub(crate) fn free() -> io::Result<Self> {
-        let ports: Vec<TcpListener> = (0..4).map(|_| free_listener()).collect::<io::Result<_>>()?;
+    pub(crate) fn unused() -> io::Result<Self> {
+        let ports: Vec<TcpListener> = (0..4).map(|_| unused_port()).collect::<io::Result<_>>()?;
         let port = |index: usize| ports[index].local_addr().map(|address| address.port());
         Ok(Addresses {
-            frontend: (EDGE, port(0)?).into(),
-            readiness: (EDGE, port(1)?).into(),
-            control: (CORE, port(2)?).into(),
+            frontend: (EDGE_IP, port(0)?).into(),
+            readiness: (EDGE_IP, port(1)?).into(),
+            control: (CORE_IP, port(2)?).into(),
             links: port(3)?,
         })
     }
@@ -52,10 +52,10 @@
 }
 
 /// A listener of a port that is free on both machines.
-fn free_listener() -> io::Result<TcpListener> {
+fn unused_port() -> io::Result<TcpListener> {
     loop {
-        let listener = TcpListener::bind((EDGE, 0))?;
-        if TcpListener::bind((CORE, listener.local_addr()?.port())).is_ok() {
+        let listener = TcpListener::bind((EDGE_IP, 0))?;
+        if TcpListener::bind((CORE_IP, listener.local_addr()?.port())).is_ok() {
             return Ok(listener);
         }
     }
@@ -63,8 +63,10 @@
 
 /// Starts all three.
 pub(crate) fn start(addresses: &Addresses, data: &Path) -> Outcome<()> {
-    run("controller", addresses.settings("core-1", CORE, data)?, |settings| run_controller(settings, None));
-    let edge = addresses.settings("edge-1", EDGE, data)?;
+    run("controller", addresses.settings("core-1", CORE_IP, data)?, |settings| {
+        run_controller(settings, None)
+    });
+    let edge = addresses.settings("edge-1", EDGE_IP, data)?;
     run("agent", edge.clone(), |settings| run_agent(settings, None));
     run("router", edge, router);
     Ok(())
--- a/crates/lanegate/src/command_line.rs
+++ b/crates/lanegate/src/command_line.rs
@@ -19,37 +19,37 @@
 /// One command.
 #[derive(Debug, Clone)]
 pub(crate) enum Command {
-    Router(Serving),
+    Router(ProcessOptions),
     Agent { metrics_port: Option<u16> },
-    Controller(Serving),
+    Controller(ProcessOptions),
     Check { files: Vec<PathBuf> },
     Status { address: SocketAddr },
 }
 
 /// How a process serves that decides for requests or models.
 #[derive(Debug, Clone)]
-pub(crate) struct Serving {
+pub(crate) struct ProcessOptions {
     pub metrics_port: Option<u16>,
     /// Mechanisms that are switched off.
-    pub without: Vec<Mechanism>,
+    pub disabled_mechanisms: Vec<Mechanism>,
 }
 
 /// A command line, read.
 pub(crate) enum Parsed {
     Arguments(Arguments),
     /// Help or version.
-    Information(String),
+    HelpOrVersion(String),
     /// What is wrong with it.
-    Mistake(String),
+    UsageError(String),
 }
 
 /// Reads the command line of this process.
 pub(crate) fn parse() -> Parsed {
     match options().run_inner(Args::current_args()) {
         Ok(arguments) => Parsed::Arguments(arguments),
-        Err(ParseFailure::Stdout(text, full)) => Parsed::Information(text.monochrome(full)),
-        Err(ParseFailure::Completion(text)) => Parsed::Information(text),
-        Err(ParseFailure::Stderr(text)) => Parsed::Mistake(text.monochrome(true)),
+        Err(ParseFailure::Stdout(text, full)) => Parsed::HelpOrVersion(text.monochrome(full)),
+        Err(ParseFailure::Completion(text)) => Parsed::HelpOrVersion(text),
+        Err(ParseFailure::Stderr(text)) => Parsed::UsageError(text.monochrome(true)),
     }
 }
 
@@ -69,35 +69,35 @@
         .env("LANEGATE_LOG")
         .help("What is logged to standard error: off, error, warn, info, debug or trace")
         .argument::<String>("LEVEL")
-        .parse(|level| read_level(&level))
+        .parse(|level| parse_log_level(&level))
         .fallback(LevelFilter::Warn)
         .display_fallback()
 }
 
-fn read_level(level: &str) -> Result<LevelFilter, String> {
+fn parse_log_level(level: &str) -> Result<LevelFilter, String> {
     let read = level.parse();
     read.map_err(|_| format!("log level {level:?} is none of off, error, warn, info, debug and trace"))
 }
 
 fn command() -> impl Parser<Command> {
-    let router = serving().map(Command::Router).to_options();
+    let router = process_options().map(Command::Router).to_options();
     let router = router.descr("Serve clients").command("router");
     let agent = metrics_port().map(|metrics_port| Command::Agent { metrics_port }).to_options();
     let agent = agent.descr("Keep a router fed").command("agent");
-    let controller = serving().map(Command::Controller).to_options();
+    let controller = process_options().map(Command::Controller).to_options();
     let controller = controller.descr("Keep configuration and registrations").command("controller");
     let check = check().to_options().descr("Check settings and configuration files").command("check");
     let status = status().to_options().descr("Ask a controller how it is").command("status");
     construct!([router, agent, controller, check, status])
 }
 
-fn serving() -> impl Parser<Serving> {
+fn process_options() -> impl Parser<ProcessOptions> {
     let metrics_port = metrics_port();
-    let without = without();
-    construct!(Serving { metrics_port, without })
+    let disabled_mechanisms = disabled_mechanisms();
+    construct!(ProcessOptions { metrics_port, disabled_mechanisms })
 }
 
-fn without() -> impl Parser<Vec<Mechanism>> {
+fn disabled_mechanisms() -> impl Parser<Vec<Mechanism>> {
     long("without")
         .help("A mechanism that is switched off, to measure what it is worth; may be given several times")
         .argument::<String>("MECHANISM")
--- a/crates/lanegate/src/commands/check.rs
+++ b/crates/lanegate/src/commands/check.rs
@@ -9,20 +9,20 @@
 /// What is said of one file.
 #[derive(Default)]
 struct Report {
-    mistakes: Findings,
+    errors: Findings,
     warnings: Findings,
 }
 
 /// Prints every finding of `files` with its place; fails where one is a mistake.
 pub(super) fn run(files: &[PathBuf]) -> Result<(), CommandError> {
-    let mut mistakes = 0;
+    let mut errors = 0;
     for file in files {
         let report = check(file);
-        mistakes += report.mistakes.iter().count();
+        errors += report.errors.iter().count();
         print(file, &report);
     }
-    if mistakes > 0 {
-        return Err(CommandError::Findings { mistakes });
+    if errors > 0 {
+        return Err(CommandError::InvalidFiles { errors });
     }
     Ok(())
 }
@@ -30,8 +30,8 @@
 fn check(file: &Path) -> Report {
     match std::fs::read(file) {
         Ok(bytes) if is_configuration(file, &bytes) => check_configuration(bytes),
-        Ok(bytes) => Report { mistakes: check_settings(&bytes), ..Report::default() },
-        Err(error) => Report { mistakes: Findings::one("", error.to_string()), ..Report::default() },
+        Ok(bytes) => Report { errors: check_settings(&bytes), ..Report::default() },
+        Err(error) => Report { errors: Findings::one("", error.to_string()), ..Report::default() },
     }
 }
 
@@ -46,16 +46,14 @@
 
 fn check_configuration(bytes: Vec<u8>) -> Report {
     match Document::parse(bytes) {
-        Ok(document) => {
-            Report { warnings: warnings(document.configuration()), mistakes: Findings::default() }
-        }
-        Err(mistakes) => Report { mistakes, warnings: Findings::default() },
+        Ok(document) => Report { warnings: warnings(document.configuration()), errors: Findings::default() },
+        Err(errors) => Report { errors, warnings: Findings::default() },
     }
 }
 
 fn check_settings(bytes: &[u8]) -> Findings {
     let settings = Settings::from_yaml(&String::from_utf8_lossy(bytes));
-    settings.map_or_else(|mistakes| mistakes, |settings| check_role(&settings))
+    settings.map_or_else(|errors| errors, |settings| check_role(&settings))
 }
 
 /// Where the settings name a role of this program, what that role needs.
@@ -70,13 +68,13 @@
 
 fn print(file: &Path, report: &Report) {
     let file = file.display();
-    for mistake in &report.mistakes {
-        println!("{file}: {mistake}");
+    for error in &report.errors {
+        println!("{file}: {error}");
     }
     for warning in &report.warnings {
         println!("{file}: warning: {warning}");
     }
-    if report.mistakes.is_empty() {
+    if report.errors.is_empty() {
         println!("{file}: ok");
     }
 }
--- a/crates/lanegate/src/commands/controller.rs
+++ b/crates/lanegate/src/commands/controller.rs
@@ -2,11 +2,16 @@
 
 use super::CommandError;
 use super::process;
-use crate::command_line::Serving;
+use crate::command_line::ProcessOptions;
 use lanegate_config::settings::ProcessRole;
 
 /// Serves until SIGTERM.
-pub(super) fn run(serving: &Serving) -> Result<(), CommandError> {
-    let Serving { metrics_port, without } = serving;
-    process::run(ProcessRole::Controller, *metrics_port, without, lanegate_controller::run_controller)
+pub(super) fn run(options: &ProcessOptions) -> Result<(), CommandError> {
+    let ProcessOptions { metrics_port, disabled_mechanisms } = options;
+    process::run(
+        ProcessRole::Controller,
+        *metrics_port,
+        disabled_mechanisms,
+        lanegate_controller::run_controller,
+    )
 }
--- a/crates/lanegate/src/commands/mod.rs
+++ b/crates/lanegate/src/commands/mod.rs
@@ -27,8 +27,8 @@
     #[error("{0}")]
     Process(Box<dyn Error>),
     /// Files that were checked have mistakes.
-    #[error("{mistakes} mistake(s) found")]
-    Findings { mistakes: usize },
+    #[error("{errors} mistake(s) found")]
+    InvalidFiles { errors: usize },
     /// A controller could not be asked.
     #[error(transparent)]
     Status(#[from] status::StatusError),
@@ -39,7 +39,7 @@
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             CommandError::Settings(_) | CommandError::RoleSettings(_) => exit::SETTINGS,
-            CommandError::Process(_) | CommandError::Findings { .. } | CommandError::Status(_) => {
+            CommandError::Process(_) | CommandError::InvalidFiles { .. } | CommandError::Status(_) => {
                 exit::FAILURE
             }
         }
@@ -49,9 +49,9 @@
 /// Does what `command` asks for.
 pub(crate) fn run(command: Command) -> Result<(), CommandError> {
     match command {
-        Command::Router(serving) => router::run(&serving),
+        Command::Router(options) => router::run(&options),
         Command::Agent { metrics_port } => agent::run(metrics_port),
-        Command::Controller(serving) => controller::run(&serving),
+        Command::Controller(options) => controller::run(&options),
         Command::Check { files } => check::run(&files),
         Command::Status { address } => status::run(address),
     }
--- a/crates/lanegate/src/commands/process.rs
+++ b/crates/lanegate/src/commands/process.rs
@@ -11,11 +11,11 @@
 
 /// Reads the settings and runs `serve` with them until it ends.
 ///
-/// The mechanisms of `without` are switched off. Where a port is given, the process tells its figures there, at the address of its machine.
+/// The mechanisms of `disabled_mechanisms` are switched off. Where a port is given, the process tells its figures there, at the address of its machine.
 pub(super) fn run<F, E>(
     role: ProcessRole,
     metrics_port: Option<u16>,
-    without: &[Mechanism],
+    disabled_mechanisms: &[Mechanism],
     serve: impl FnOnce(Settings, Option<MetricsAddress>) -> F,
 ) -> Result<(), CommandError>
 where
@@ -23,8 +23,8 @@
     E: Into<Box<dyn Error>>,
 {
     let mut settings = load(role)?;
-    settings.switched_off = without.iter().copied().collect();
-    for mechanism in without {
+    settings.switched_off = disabled_mechanisms.iter().copied().collect();
+    for mechanism in disabled_mechanisms {
         log::warn!("mechanism switched off name={mechanism}");
     }
     let (first_port, last_port) = settings.port_range;
--- a/crates/lanegate/src/commands/router.rs
+++ b/crates/lanegate/src/commands/router.rs
@@ -2,15 +2,15 @@
 
 use super::CommandError;
 use super::process;
-use crate::command_line::Serving;
+use crate::command_line::ProcessOptions;
 use lanegate_config::settings::{ProcessRole, Settings};
 use lanegate_metrics::MetricsAddress;
 use lanegate_router::RouterError;
 use tokio::sync::mpsc;
 
 /// Serves until SIGTERM.
-pub(super) fn run(serving: &Serving) -> Result<(), CommandError> {
-    process::run(ProcessRole::Router, serving.metrics_port, &serving.without, serve)
+pub(super) fn run(options: &ProcessOptions) -> Result<(), CommandError> {
+    process::run(ProcessRole::Router, options.metrics_port, &options.disabled_mechanisms, serve)
 }
 
 /// Routes what clients send, by what the agent beside this process tells.
--- a/crates/lanegate/src/commands/status.rs
+++ b/crates/lanegate/src/commands/status.rs
@@ -9,10 +9,10 @@
 use thiserror::Error;
 
 /// Longest time that the operator waits at the terminal.
-const TIME_OUT: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Path of the status at the control interface.
-const PATH: &str = "/status";
+const STATUS_PATH: &str = "/status";
 
 /// Why there is no status to print.
 #[derive(Debug, Error)]
@@ -27,8 +27,8 @@
 
 /// Prints the answer of the controller at `address`.
 pub(super) fn run(address: SocketAddr) -> Result<(), CommandError> {
-    let request = ClientRequest::get(PATH);
-    let answer = block_on(async { Ok(call(address, &request, TIME_OUT).await) });
+    let request = ClientRequest::get(STATUS_PATH);
+    let answer = block_on(async { Ok(call(address, &request, TIMEOUT).await) });
     let answer = answer.map_err(CommandError::Process)?;
     let answer = answer.map_err(|source| StatusError::NoAnswer { address, source })?;
     if !(200..300).contains(&answer.status) {
--- a/crates/lanegate/src/main.rs
+++ b/crates/lanegate/src/main.rs
@@ -11,11 +11,11 @@
 fn main() -> ExitCode {
     match command_line::parse() {
         Parsed::Arguments(arguments) => run(arguments),
-        Parsed::Information(text) => {
+        Parsed::HelpOrVersion(text) => {
             println!("{text}");
             ExitCode::SUCCESS
         }
-        Parsed::Mistake(text) => {
+        Parsed::UsageError(text) => {
             eprintln!("{text}");
             exit::USAGE.into()
         }
--- a/crates/lanegate/tests/check.rs
+++ b/crates/lanegate/tests/check.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_named_role_is_checked_too() {
+fn a_settings_file_with_a_role_is_checked_for_that_role() {
     let path = file("role.yaml", &format!("{SETTINGS}Role: controller\n"));
     let output = run(&["check", path.to_str().unwrap()]);
     assert_eq!(code(&output), 1);
--- a/crates/lanegate/tests/command_line.rs
+++ b/crates/lanegate/tests/command_line.rs
@@ -18,7 +18,7 @@
 
 #[test]
 fn usage_errors_exit_with_status_2() {
-    let mistakes: [&[&str]; 6] = [
+    let invalid: [&[&str]; 6] = [
         &[],
         &["fly"],
         &["check"],
@@ -26,7 +26,7 @@
         &["--log-level", "loud", "router"],
         &["router", "--unknown"],
     ];
-    for arguments in mistakes {
+    for arguments in invalid {
         let output = run(arguments);
         assert_eq!(code(&output), 2, "{arguments:?}");
         assert!(!err(&output).is_empty(), "{arguments:?}");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn settings_that_are_not_named_end_with_3() {
+fn missing_settings_variable_exits_with_status_3() {
     for command in ["router", "agent", "controller"] {
         let output = run(&[command]);
         assert_eq!(code(&output), 3, "{command}");
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn every_mistake_in_the_settings_is_named() {
+fn every_error_in_the_settings_is_reported() {
     let path = file("three_mistakes.yaml", "NodeName: a\nIp: x\nPortRange: [1, 2]\nHeartbeatMs: y\n");
     let output = lanegate(&["controller"]).env("LANEGATE_NODE_FILE", &path).output().unwrap();
     assert_eq!(code(&output), 3);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_a_role_needs_is_named() {
+fn missing_listeners_of_a_role_are_reported() {
     let path = file("no_listeners.yaml", SETTINGS);
     let output = lanegate(&["router"]).env("LANEGATE_NODE_FILE", &path).output().unwrap();
     assert_eq!(code(&output), 3);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_wrong_level_in_the_environment_is_a_mistake() {
+fn invalid_log_level_in_the_environment_is_a_usage_error() {
     let output = lanegate(&["check", "x"]).env("LANEGATE_LOG", "loud").output().unwrap();
     assert_eq!(code(&output), 2);
     assert!(err(&output).contains("\"loud\""));
--- a/crates/lanegate/tests/common/processes.rs
+++ b/crates/lanegate/tests/common/processes.rs
@@ -24,7 +24,7 @@
 }
 
 /// An address that no other test uses now: other processes of this machine may take any free port at 127.0.0.1.
-fn own_address() -> IpAddr {
+fn unique_loopback_address() -> IpAddr {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed) % 128;
     let [.., high, low] = std::process::id().to_be_bytes();
@@ -46,7 +46,7 @@
 
 /// A addresses of that name, whose settings suit every role, with nothing on its disk.
 pub(crate) fn addresses(name: &str) -> ProcessAddresses {
-    let ip = own_address();
+    let ip = unique_loopback_address();
     let at = |port| SocketAddr::new(ip, port);
     let (frontend, readiness, control, metrics) = (at(8144), at(8140), at(8146), at(9464));
     let feed = SocketAddr::new(Ipv4Addr::LOCALHOST.into(), feed_port());
--- a/crates/lanegate/tests/metrics.rs
+++ b/crates/lanegate/tests/metrics.rs
@@ -13,7 +13,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use text_format::Figures;
+use text_format::ParsedMetrics;
 
 const ROLES: [&str; 3] = ["router", "agent", "controller"];
 const CONFIGURATION: &str = r#"{"Version": 7, "Backends": [{"Name": "b"}], "Routes": [
@@ -24,80 +24,81 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn figures(at: SocketAddr, child: &mut Process) -> Figures {
+fn scrape(at: SocketAddr, child: &mut Process) -> ParsedMetrics {
     let answer = call(at, METRICS_PATH, child);
     assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
-    Figures::parse(answer.split_once("\r\n\r\n").unwrap().1)
+    ParsedMetrics::parse(answer.split_once("\r\n\r\n").unwrap().1)
 }
 
 /// Longest wait for what has to come; reached only by tests that fail.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Asks again and again until `is_so`.
-fn wait_until(at: SocketAddr, child: &mut Process, is_so: impl Fn(&Figures) -> bool) -> Figures {
+fn wait_until(at: SocketAddr, child: &mut Process, is_so: impl Fn(&ParsedMetrics) -> bool) -> ParsedMetrics {
     let began = Instant::now();
     loop {
-        let told = figures(at, child);
-        if is_so(&told) {
-            return told;
+        let exported = scrape(at, child);
+        if is_so(&exported) {
+            return exported;
         }
-        assert!(began.elapsed() < PATIENCE, "{told:?}");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "{exported:?}");
         std::thread::yield_now();
     }
 }
 
 /// The section on metrics of the operators' page.
-fn section_on_metrics() -> String {
+fn metrics_section() -> String {
     let page = std::fs::read_to_string(repository().join("docs/operators.md")).unwrap();
     let section = page.split_once("\n## Metrics\n").expect("a section on metrics").1;
     section.split_once("\n## ").map_or(section, |(section, _)| section).to_owned()
 }
 
 /// All names in that section.
-fn documented() -> BTreeSet<String> {
-    let section = section_on_metrics();
+fn documented_metrics() -> BTreeSet<String> {
+    let section = metrics_section();
     let words = section.split(|letter: char| !(letter.is_ascii_alphanumeric() || letter == '_'));
     words.filter(|word| word.starts_with("lanegate_")).map(str::to_owned).collect()
 }
 
 #[test]
-fn every_metric_stands_on_the_operators_page_and_no_other() {
-    let mut told = BTreeSet::new();
+fn exactly_the_exported_metrics_are_documented() {
+    let mut exported = BTreeSet::new();
     for role in ROLES {
         let addresses = addresses(&format!("metrics-names-{role}"));
         let mut child = start_with_metrics(role, &addresses, addresses.metrics.port());
-        let figures = figures(addresses.metrics, &mut child);
+        let figures = scrape(addresses.metrics, &mut child);
         let build = [("role", role), ("version", env!("CARGO_PKG_VERSION"))];
         assert_eq!(figures.value("lanegate_build_info", &build), 1.0);
         assert_eq!(figures.sum("lanegate_invariant_violations_total"), 0.0);
         assert_eq!(terminate(child).status.code(), Some(0));
-        told.extend(figures.0.into_keys());
+        exported.extend(figures.0.into_keys());
     }
-    assert_eq!(told, documented());
+    assert_eq!(exported, documented_metrics());
 }
 
 #[test]
-fn every_invariant_stands_on_the_operators_page() {
-    let section = section_on_metrics();
+fn every_invariant_is_documented() {
+    let section = metrics_section();
     for invariant in Invariant::ALL {
         assert!(section.contains(&format!("| `{}` |", invariant.name())), "{}", invariant.name());
     }
 }
 
 #[test]
-fn the_figures_of_the_three_roles_agree_on_the_configuration() {
+fn metrics_of_all_roles_agree_on_the_configuration() {
     let addresses = addresses("metrics-system");
     let at = |port| SocketAddr::new(addresses.metrics.ip(), port);
     let (metrics_of_router, metrics_of_agent) = (at(9465), at(9466));
     let mut controller = start_with_metrics("controller", &addresses, addresses.metrics.port());
-    change(&addresses, &mut controller);
+    put_configuration(&addresses, &mut controller);
     let mut agent = start_with_metrics("agent", &addresses, metrics_of_agent.port());
     let mut router = start_with_metrics("router", &addresses, metrics_of_router.port());
     let version = "lanegate_router_configuration_version";
-    let of_router = wait_until(metrics_of_router, &mut router, |told| told.value(version, &[]) == 7.0);
+    let of_router =
+        wait_until(metrics_of_router, &mut router, |exported| exported.value(version, &[]) == 7.0);
     assert_eq!(of_router.value("lanegate_router_agent_link_up", &[]), 1.0);
-    let of_agent = figures(metrics_of_agent, &mut agent);
-    let of_controller = figures(addresses.metrics, &mut controller);
+    let of_agent = scrape(metrics_of_agent, &mut agent);
+    let of_controller = scrape(addresses.metrics, &mut controller);
     assert_eq!(of_agent.value("lanegate_agent_router_links", &[]), 1.0);
     assert_eq!(of_agent.value("lanegate_agent_sources", &[("standing", "trusted")]), 1.0);
     assert_eq!(of_agent.value("lanegate_agent_links_started_total", &[]), 1.0);
@@ -116,7 +117,7 @@
     }
 }
 
-fn change(addresses: &ProcessAddresses, controller: &mut Process) {
+fn put_configuration(addresses: &ProcessAddresses, controller: &mut Process) {
     let began = Instant::now();
     loop {
         let mut stream = connect(addresses.control, controller);
@@ -132,13 +133,13 @@
         if answer.starts_with("HTTP/1.1 200 ") {
             return;
         } else {
-            assert!(answer.starts_with("HTTP/1.1 503 ") && began.elapsed() < PATIENCE, "{answer}")
+            assert!(answer.starts_with("HTTP/1.1 503 ") && began.elapsed() < WAIT_TIMEOUT, "{answer}")
         }
     }
 }
 
 #[test]
-fn a_process_whose_port_for_metrics_is_taken_says_so_once_and_serves() {
+fn an_occupied_metrics_port_is_logged_once_and_the_process_serves() {
     for role in ROLES {
         let addresses = addresses(&format!("metrics-taken-{role}"));
         let taken = TcpListener::bind(addresses.metrics).unwrap();
@@ -160,7 +161,7 @@
 }
 
 #[test]
-fn a_port_for_metrics_that_is_one_of_the_roles_own_stays_with_the_role() {
+fn a_metrics_port_that_the_role_itself_uses_is_not_bound_for_metrics() {
     for role in ["router", "controller"] {
         let addresses = addresses(&format!("metrics-own-{role}"));
         let (served, path) = match role {
@@ -177,7 +178,7 @@
 }
 
 #[test]
-fn a_process_without_a_port_for_metrics_listens_at_none() {
+fn without_a_metrics_port_no_metrics_are_served() {
     let addresses = addresses("metrics-none");
     let mut child = common::processes::start("router", &addresses);
     connect(addresses.readiness, &mut child);
@@ -186,23 +187,23 @@
 }
 
 #[test]
-fn the_deploy_file_names_the_ports_that_the_processes_are_given() {
+fn the_deploy_file_names_the_metrics_port_of_each_role() {
     let text = std::fs::read_to_string(repository().join("deploy/system.toml")).unwrap();
     let deploy: toml::Table = text.parse().unwrap();
     let roles = deploy["roles"].as_table().unwrap();
-    let mut places = BTreeSet::new();
+    let mut ports = BTreeSet::new();
     for (role, settings) in roles {
         let command: Vec<&str> = settings["run"].as_str().unwrap().split(' ').collect();
         let [_, of, "--metrics-port", port] = command[..] else { panic!("{command:?}") };
         assert_eq!(of, role);
         assert_eq!(settings["metrics"].as_str().unwrap(), format!("{port}{METRICS_PATH}"));
-        assert!(places.insert(port.parse::<u16>().unwrap()), "two roles at port {port}");
+        assert!(ports.insert(port.parse::<u16>().unwrap()), "two roles at port {port}");
     }
     assert_eq!(roles.len(), ROLES.len());
 }
 
 #[test]
-fn a_port_for_metrics_has_to_be_one() {
+fn invalid_metrics_ports_are_rejected() {
     for port in ["0", "-1", "65536", "x"] {
         let output = common::run(&["router", "--metrics-port", port]);
         assert_eq!(common::code(&output), 2, "{port}: {}", err(&output));
--- a/crates/lanegate/tests/signals.rs
+++ b/crates/lanegate/tests/signals.rs
@@ -8,7 +8,7 @@
 use std::net::TcpListener;
 use std::process::Output;
 
-fn assert_ended_well(output: &Output) {
+fn assert_clean_exit(output: &Output) {
     assert_eq!(output.status.code(), Some(0), "{}", err(output));
     let log = err(output);
     let first = log.lines().next().unwrap();
@@ -18,16 +18,16 @@
 }
 
 #[test]
-fn a_router_ends_well_at_sigterm() {
+fn a_router_exits_cleanly_on_sigterm() {
     let addresses = addresses("signals-router");
     let mut child = start("router", &addresses);
     let answer = call(addresses.readiness, "/readyz", &mut child);
     assert!(answer.starts_with("HTTP/1.1 503 "), "it knows no configuration yet: {answer}");
-    assert_ended_well(&terminate(child));
+    assert_clean_exit(&terminate(child));
 }
 
 #[test]
-fn a_router_stays_at_sighup_and_answers_the_request_that_was_on_its_way() {
+fn a_router_ignores_sighup_and_answers_the_open_request() {
     let addresses = addresses("signals-router-hup");
     let mut child = start("router", &addresses);
     call(addresses.readiness, "/readyz", &mut child);
@@ -41,32 +41,32 @@
     let mut answer = String::new();
     client.read_to_string(&mut answer).unwrap();
     assert!(answer.starts_with("HTTP/1.1 503 "), "it knows no configuration yet: {answer}");
-    assert_ended_well(&terminate(child));
+    assert_clean_exit(&terminate(child));
 }
 
 #[test]
-fn an_agent_ends_well_at_sigterm_and_stays_at_sighup() {
+fn an_agent_exits_cleanly_on_sigterm_and_ignores_sighup() {
     let addresses = addresses("signals-agent");
     let mut child = start("agent", &addresses);
     connect(addresses.feed, &mut child);
     send("-HUP", &mut child);
     connect(addresses.feed, &mut child);
-    assert_ended_well(&terminate(child));
+    assert_clean_exit(&terminate(child));
 }
 
 #[test]
-fn a_controller_ends_well_at_sigterm_and_stays_at_sighup() {
+fn a_controller_exits_cleanly_on_sigterm_and_ignores_sighup() {
     let addresses = addresses("signals-controller");
     let mut child = start("controller", &addresses);
     call(addresses.control, "/status", &mut child);
     send("-HUP", &mut child);
     let answer = call(addresses.control, "/status", &mut child);
     assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
-    assert_ended_well(&terminate(child));
+    assert_clean_exit(&terminate(child));
 }
 
 #[test]
-fn an_address_that_is_taken_ends_with_1() {
+fn an_occupied_address_exits_with_status_1() {
     let addresses = addresses("signals-taken");
     let _taken = TcpListener::bind(addresses.control).unwrap();
     let output = start("controller", &addresses).output();
--- a/crates/lanegate/tests/soak.rs
+++ b/crates/lanegate/tests/soak.rs
@@ -17,9 +17,9 @@
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
     let report = runtime.block_on(plan.run()).unwrap();
     let violations = &report.verdict.violations;
-    let stories: Vec<String> =
+    let explanations: Vec<String> =
         violations.iter().map(|violation| tell(violation, &report.events, &report.layout)).collect();
-    assert!(violations.is_empty(), "{}\n{}\n{}", report.schedule, report.verdict, stories.join("\n"));
+    assert!(violations.is_empty(), "{}\n{}\n{}", report.schedule, report.verdict, explanations.join("\n"));
 }
 
 #[test]
--- a/crates/lanegate/tests/status.rs
+++ b/crates/lanegate/tests/status.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn an_address_where_nobody_listens_is_named() {
+fn a_refused_connection_error_names_the_address() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address: SocketAddr = listener.local_addr().unwrap();
     drop(listener);
--- a/crates/metrics/tests/common/text_format.rs
+++ b/crates/metrics/tests/common/text_format.rs
@@ -17,13 +17,13 @@
 
 /// All metrics of a text, by name.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub(crate) struct Figures(pub BTreeMap<String, Family>);
+pub(crate) struct ParsedMetrics(pub BTreeMap<String, Family>);
 
-impl Figures {
+impl ParsedMetrics {
     /// Parses a text; panics with the invalid line.
-    pub(crate) fn parse(text: &str) -> Figures {
+    pub(crate) fn parse(text: &str) -> ParsedMetrics {
         assert!(text.ends_with('\n'), "the last line has no end");
-        let mut figures = Figures::default();
+        let mut metrics = ParsedMetrics::default();
         let mut lines = text.lines().peekable();
         while let Some(line) = lines.next() {
             let (name, help) = words(line, "# HELP ");
@@ -40,9 +40,9 @@
                 assert!(family.samples.iter().all(|(known, _)| *known != labels), "twice: {line}");
                 family.samples.push((labels, value));
             }
-            assert!(figures.0.insert(name.into(), family).is_none(), "twice: {line}");
+            assert!(metrics.0.insert(name.into(), family).is_none(), "twice: {line}");
         }
-        figures
+        metrics
     }
 
     /// The value of the sample with exactly these labels.
--- a/crates/metrics/tests/exposition.rs
+++ b/crates/metrics/tests/exposition.rs
@@ -6,7 +6,7 @@
 use lanegate_invariants::{Invariant, Violations};
 use lanegate_metrics::{Exposition, Metric};
 use std::time::Duration;
-use text_format::Figures;
+use text_format::ParsedMetrics;
 
 const ORDERS: Metric = Metric::counter("lanegate_test_orders_total", "Orders that were given");
 const DEPTH: Metric = Metric::gauge("lanegate_test_depth", "How many wait in the queue");
@@ -40,9 +40,9 @@
     exposition.set_labelled(&ORDERS, &[("kind", "load")], 1_u64);
     exposition.set(&DEPTH, 2_u64);
     exposition.set_labelled(&ORDERS, &[("kind", "evict")], 3_u64);
-    let figures = Figures::parse(&exposition.render().unwrap());
-    assert_eq!(figures.sum("lanegate_test_orders_total"), 4.0);
-    assert_eq!(figures.value("lanegate_test_depth", &[]), 2.0);
+    let metrics = ParsedMetrics::parse(&exposition.render().unwrap());
+    assert_eq!(metrics.sum("lanegate_test_orders_total"), 4.0);
+    assert_eq!(metrics.value("lanegate_test_depth", &[]), 2.0);
 }
 
 #[test]
@@ -50,16 +50,16 @@
     let odd = "a\"b\\c\nd,e}";
     let mut exposition = Exposition::default();
     exposition.set_labelled(&DEPTH, &[("kind", odd)], 1_u64);
-    let figures = Figures::parse(&exposition.render().unwrap());
-    assert_eq!(figures.value("lanegate_test_depth", &[("kind", odd)]), 1.0);
+    let metrics = ParsedMetrics::parse(&exposition.render().unwrap());
+    assert_eq!(metrics.value("lanegate_test_depth", &[("kind", odd)]), 1.0);
 }
 
 #[test]
 fn declared_metric_without_sample_is_described() {
     let mut exposition = Exposition::default();
     exposition.declare(&DEPTH);
-    let figures = Figures::parse(&exposition.render().unwrap());
-    assert!(figures.0["lanegate_test_depth"].samples.is_empty());
+    let metrics = ParsedMetrics::parse(&exposition.render().unwrap());
+    assert!(metrics.0["lanegate_test_depth"].samples.is_empty());
 }
 
 #[test]
@@ -68,7 +68,7 @@
     let rendered = |violations: &Violations| {
         let mut exposition = Exposition::default();
         exposition.set_violations(violations);
-        Figures::parse(&exposition.render().unwrap())
+        ParsedMetrics::parse(&exposition.render().unwrap())
     };
     let name = "lanegate_invariant_violations_total";
     let before = rendered(&violations);
--- a/crates/placement/src/desired_replica.rs
+++ b/crates/placement/src/desired_replica.rs
@@ -62,7 +62,7 @@
     let mut desired_replicas: Vec<DesiredReplica> =
         view.models.iter().filter_map(|(model, status)| desired_replica(model, status)).collect();
     desired_replicas.retain(|desired| {
-        desired.priority != Priority::Restore || view.switched_off.leaves(Mechanism::Restore)
+        desired.priority != Priority::Restore || view.switched_off.allows(Mechanism::LostModelReload)
     });
     desired_replicas
         .sort_by(|a, b| a.priority.group().cmp(&b.priority.group()).then(b.gain().total_cmp(&a.gain())));
--- a/crates/placement/src/eviction.rs
+++ b/crates/placement/src/eviction.rs
@@ -72,7 +72,7 @@
 
     /// Cost of waiting until the victim's running requests have ended: until then requests for this model miss.
     fn drain_cost(&self, view: &PlanningView, resident: &Resident) -> f64 {
-        if !view.switched_off.leaves(Mechanism::DrainCost) {
+        if !view.switched_off.allows(Mechanism::DrainCost) {
             return 0.0;
         }
         let rate = view.models.get(&resident.model).map_or(0.0, ModelStatus::rate_per_replica);
@@ -89,7 +89,7 @@
         }
         if other.in_demand {
             let remaining = other.replicas - 1;
-            let missed = if view.switched_off.leaves(Mechanism::NeededCopies) {
+            let missed = if view.switched_off.allows(Mechanism::RequiredReplicas) {
                 other.served_by_next_replica(remaining)
             } else {
                 0.0
--- a/crates/router/tests/metrics.rs
+++ b/crates/router/tests/metrics.rs
@@ -8,24 +8,24 @@
 use common::{Endpoint, Router, answer_to, pass_time, play, settle};
 use lanegate_config::feed::FeedEvent;
 use std::time::Duration;
-use text_format::Figures;
+use text_format::ParsedMetrics;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
 const REQUESTS: &str = "lanegate_router_requests_total";
 
 /// The current metrics of a router.
-async fn figures(router: &Router) -> Figures {
+async fn figures(router: &Router) -> ParsedMetrics {
     let mut stream = TcpStream::connect(router.metrics).await.unwrap();
     let request = b"GET /metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
     stream.write_all(request).await.unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
-    Figures::parse(answer.split_once("\r\n\r\n").unwrap().1)
+    ParsedMetrics::parse(answer.split_once("\r\n\r\n").unwrap().1)
 }
 
-fn ended(figures: &Figures, outcome: &str, reason: &str) -> f64 {
+fn ended(figures: &ParsedMetrics, outcome: &str, reason: &str) -> f64 {
     figures.value(REQUESTS, &[("outcome", outcome), ("reason", reason)])
 }
 
@@ -118,7 +118,7 @@
         second.answer(&request, "done").await;
         client.answer().await;
         let after = figures(&router).await;
-        let left = |told: &Figures| told.value("lanegate_router_retry_budget_left", &[]);
+        let left = |told: &ParsedMetrics| told.value("lanegate_router_retry_budget_left", &[]);
         assert_eq!(after.value("lanegate_router_retries_total", &[]), 1.0);
         assert_eq!(after.value("lanegate_router_attempts_failed_total", &[]), 1.0);
         assert_eq!(left(&after), left(&before) - 1.0);
