--- a/crates/lanegate/examples/small_system/endpoint.rs
+++ b/crates/lanegate/examples/small_system/endpoint.rs
@@ -15,7 +15,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Time between heartbeats, and the longest wait for the answer to one.
+/// Interval between heartbeats, and the timeout of each.
 const HEARTBEAT: Duration = Duration::from_millis(500);
 
 /// Starts the endpoint `id` of `service`.
@@ -57,7 +57,7 @@
             body: body.into(),
             ..ClientRequest::get(format!("/instances/{id}"))
         };
-        // A heartbeat that fails is made up for by the next.
+        // A failed heartbeat needs no retry: the next one replaces it.
         let _ = call(control, &heartbeat, HEARTBEAT).await;
         sleep(HEARTBEAT).await;
     }
--- a/crates/lanegate/examples/small_system/main.rs
+++ b/crates/lanegate/examples/small_system/main.rs
@@ -1,7 +1,7 @@
-//! A whole system on the loopback interface: a controller, an agent, a router, two endpoints and an operator.
+//! A complete system on loopback addresses: a controller, an agent, a router, two endpoints and an operator.
 //!
 //! `cargo run -p lanegate --example small_system` starts them, sends requests, moves the route to the other
-//! service and sends more. Every process that would be one by itself is a thread here.
+//! service and sends more. What would be separate processes are threads here.
 
 mod client;
 mod endpoint;
@@ -13,11 +13,11 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// Pause between questions whether something has happened.
+/// Polling interval.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Longest wait for the whole system to come up.
+/// Time limit for the system to become ready.
 const START_TIME: Duration = Duration::from_secs(20);
-/// Requests sent each time.
+/// Requests sent before the route is moved, and again after it.
 const REQUESTS: u32 = 4;
 
 type Outcome<T> = Result<T, Box<dyn Error>>;
--- a/crates/lanegate/examples/small_system/operator.rs
+++ b/crates/lanegate/examples/small_system/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: puts a configuration in force, then moves its route to another service.
+//! The operator: sends a configuration, then moves its route to another service.
 
 use crate::{Outcome, POLL_INTERVAL};
 use lanegate_control_http::{ClientRequest, ControlMethod, call};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Longest wait for one answer.
+/// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 const CONFIGURATION: &str = r#"{"Version":1,
@@ -18,12 +18,12 @@
     "Routes":[{"Name":"chat","Hostname":"models.example","PathPrefix":"/chat/","RouteType":"idempotent",
                "TimeoutMs":2000,"TargetMs":500,"Backend":"large","MaxAttempts":2}]}}"#;
 
-/// Sends the first configuration until it is taken.
+/// Sends the first configuration; retries until the controller gives a definite answer.
 pub(crate) async fn put(control: SocketAddr) -> Outcome<String> {
     send(control, ControlMethod::Put, 0, CONFIGURATION).await
 }
 
-/// Moves the route.
+/// Moves the route to the other service.
 pub(crate) async fn patch(control: SocketAddr) -> Outcome<String> {
     send(control, ControlMethod::Patch, 1, MOVE_ROUTE).await
 }
@@ -41,7 +41,7 @@
             Ok(answer) if answer.status < 500 => {
                 return Ok(format!("{} {}", answer.status, String::from_utf8_lossy(&answer.body)));
             }
-            // No clear answer: the same is sent again.
+            // The outcome is unknown: the same change is sent again, which is safe to repeat.
             _ => sleep(POLL_INTERVAL).await,
         }
     }
--- a/crates/lanegate/examples/small_system/processes.rs
+++ b/crates/lanegate/examples/small_system/processes.rs
@@ -1,4 +1,4 @@
-//! The three processes, each on a thread of its own.
+//! Router, agent and controller, each on its own thread.
 
 use crate::Outcome;
 use lanegate_config::settings::Settings;
@@ -15,10 +15,10 @@
 
 /// Machine of the router and its agent.
 const EDGE_IP: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 1);
-/// Machine of the controller; another address, as every machine uses the same ports.
+/// Machine of the controller. It has its own address because all machines use the same ports.
 const CORE_IP: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
 
-/// Where the processes are.
+/// Addresses of the processes.
 pub(crate) struct Addresses {
     pub frontend: SocketAddr,
     pub readiness: SocketAddr,
@@ -27,7 +27,7 @@
 }
 
 impl Addresses {
-    /// Addresses that nobody listens on.
+    /// Picks ports that no process listens on.
     pub(crate) fn unused() -> io::Result<Self> {
         let ports: Vec<TcpListener> = (0..4).map(|_| unused_port()).collect::<io::Result<_>>()?;
         let port = |index: usize| ports[index].local_addr().map(|address| address.port());
@@ -51,7 +51,7 @@
     }
 }
 
-/// A listener of a port that is free on both machines.
+/// Binds a port that is free on both addresses.
 fn unused_port() -> io::Result<TcpListener> {
     loop {
         let listener = TcpListener::bind((EDGE_IP, 0))?;
@@ -61,7 +61,7 @@
     }
 }
 
-/// Starts all three.
+/// Starts all three processes.
 pub(crate) fn start(addresses: &Addresses, data: &Path) -> Outcome<()> {
     run("controller", addresses.settings("core-1", CORE_IP, data)?, |settings| {
         run_controller(settings, None)
--- a/crates/lanegate/src/command_line.rs
+++ b/crates/lanegate/src/command_line.rs
@@ -9,14 +9,14 @@
 /// Width of help texts, columns.
 const HELP_WIDTH: usize = 100;
 
-/// What the command line asks for.
+/// The parsed command line.
 #[derive(Debug, Clone)]
 pub(crate) struct Arguments {
     pub log_level: LevelFilter,
     pub command: Command,
 }
 
-/// One command.
+/// A subcommand with its arguments.
 #[derive(Debug, Clone)]
 pub(crate) enum Command {
     Router(ProcessOptions),
@@ -26,24 +26,24 @@
     Status { address: SocketAddr },
 }
 
-/// How a process serves that decides for requests or models.
+/// Options of the processes that route requests or place models.
 #[derive(Debug, Clone)]
 pub(crate) struct ProcessOptions {
     pub metrics_port: Option<u16>,
-    /// Mechanisms that are switched off.
+    /// Mechanisms that `--without` switches off.
     pub disabled_mechanisms: Vec<Mechanism>,
 }
 
-/// A command line, read.
+/// Result of parsing the command line.
 pub(crate) enum Parsed {
     Arguments(Arguments),
-    /// Help or version.
+    /// The text of `--help` or `--version`.
     HelpOrVersion(String),
-    /// What is wrong with it.
+    /// Why the command line is invalid.
     UsageError(String),
 }
 
-/// Reads the command line of this process.
+/// Parses the command line of this process.
 pub(crate) fn parse() -> Parsed {
     match options().run_inner(Args::current_args()) {
         Ok(arguments) => Parsed::Arguments(arguments),
@@ -58,8 +58,8 @@
     let command = command();
     construct!(Arguments { log_level, command })
         .to_options()
-        .descr("A router and placer for many models")
-        .footer("LANEGATE_NODE_FILE names the settings file of router, agent and controller.")
+        .descr("Routes requests to model endpoints and places models on them")
+        .footer("The variable LANEGATE_NODE_FILE names the settings file of router, agent and controller.")
         .version(env!("CARGO_PKG_VERSION"))
         .max_width(HELP_WIDTH)
 }
@@ -67,7 +67,7 @@
 fn log_level() -> impl Parser<LevelFilter> {
     long("log-level")
         .env("LANEGATE_LOG")
-        .help("What is logged to standard error: off, error, warn, info, debug or trace")
+        .help("Least severe level that is logged to standard error: off, error, warn, info, debug or trace")
         .argument::<String>("LEVEL")
         .parse(|level| parse_log_level(&level))
         .fallback(LevelFilter::Warn)
@@ -76,18 +76,20 @@
 
 fn parse_log_level(level: &str) -> Result<LevelFilter, String> {
     let read = level.parse();
-    read.map_err(|_| format!("log level {level:?} is none of off, error, warn, info, debug and trace"))
+    read.map_err(|_| format!("invalid log level {level:?}; expected off, error, warn, info, debug or trace"))
 }
 
 fn command() -> impl Parser<Command> {
     let router = process_options().map(Command::Router).to_options();
-    let router = router.descr("Serve clients").command("router");
+    let router = router.descr("Route requests of clients").command("router");
     let agent = metrics_port().map(|metrics_port| Command::Agent { metrics_port }).to_options();
-    let agent = agent.descr("Keep a router fed").command("agent");
+    let agent =
+        agent.descr("Forward configuration and registrations to the router of this machine").command("agent");
     let controller = process_options().map(Command::Controller).to_options();
-    let controller = controller.descr("Keep configuration and registrations").command("controller");
+    let controller =
+        controller.descr("Store configuration and registrations, and place models").command("controller");
     let check = check().to_options().descr("Check settings and configuration files").command("check");
-    let status = status().to_options().descr("Ask a controller how it is").command("status");
+    let status = status().to_options().descr("Print the status of a controller").command("status");
     construct!([router, agent, controller, check, status])
 }
 
@@ -99,7 +101,7 @@
 
 fn disabled_mechanisms() -> impl Parser<Vec<Mechanism>> {
     long("without")
-        .help("A mechanism that is switched off, to measure what it is worth; may be given several times")
+        .help("Switch off a mechanism, to measure its value; may be repeated")
         .argument::<String>("MECHANISM")
         .parse(|name| name.parse::<Mechanism>())
         .many()
@@ -107,21 +109,21 @@
 
 fn metrics_port() -> impl Parser<Option<u16>> {
     long("metrics-port")
-        .help("Port at the machine's address where GET /metrics tells the figures of the process")
+        .help("Port on the machine's address at which the process serves GET /metrics")
         .argument::<u16>("PORT")
-        .guard(|port| *port > 0, "the port of the metrics cannot be 0")
+        .guard(|port| *port > 0, "the metrics port must not be 0")
         .optional()
 }
 
 fn check() -> impl Parser<Command> {
     let files = positional::<PathBuf>("FILE")
         .help("A settings file (YAML) or a configuration (JSON)")
-        .some("name at least one file");
+        .some("expected at least one FILE");
     construct!(Command::Check { files })
 }
 
 fn status() -> impl Parser<Command> {
-    let address =
-        positional::<SocketAddr>("ADDRESS").help("Address of a control interface, as 10.0.0.4:8080");
+    let address = positional::<SocketAddr>("ADDRESS")
+        .help("Address of a controller's control interface, such as 10.0.0.4:8080");
     construct!(Command::Status { address })
 }
--- a/crates/lanegate/src/commands/check.rs
+++ b/crates/lanegate/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! Checks files without starting anything.
+//! `lanegate check`: validates settings and configuration files without starting a process.
 
 use super::CommandError;
 use lanegate_config::configuration::{Document, warnings};
@@ -6,14 +6,14 @@
 use lanegate_config::settings::{ProcessRole, Settings};
 use std::path::{Path, PathBuf};
 
-/// What is said of one file.
+/// The findings for one file.
 #[derive(Default)]
 struct Report {
     errors: Findings,
     warnings: Findings,
 }
 
-/// Prints every finding of `files` with its place; fails where one is a mistake.
+/// Prints every finding in `files` with its location; fails if any of them is an error.
 pub(super) fn run(files: &[PathBuf]) -> Result<(), CommandError> {
     let mut errors = 0;
     for file in files {
@@ -56,7 +56,7 @@
     settings.map_or_else(|errors| errors, |settings| check_role(&settings))
 }
 
-/// Where the settings name a role of this program, what that role needs.
+/// Checks what the role named in the settings needs, if it is a role of this program.
 fn check_role(settings: &Settings) -> Findings {
     match settings.role.as_str() {
         "router" => settings.check_for(ProcessRole::Router),
--- a/crates/lanegate/src/commands/mod.rs
+++ b/crates/lanegate/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! The subcommands.
 
 mod agent;
 mod check;
@@ -17,25 +17,25 @@
 /// Why a command failed.
 #[derive(Debug, Error)]
 pub(crate) enum CommandError {
-    /// There are no settings.
+    /// The settings could not be loaded.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The settings lack what this role needs.
     #[error("settings:\n{0}")]
     RoleSettings(Findings),
-    /// A process ended by an error.
+    /// A process ended with an error.
     #[error("{0}")]
     Process(Box<dyn Error>),
-    /// Files that were checked have mistakes.
-    #[error("{errors} mistake(s) found")]
+    /// Checked files have errors.
+    #[error("{errors} error(s) found")]
     InvalidFiles { errors: usize },
-    /// A controller could not be asked.
+    /// The status of a controller could not be fetched.
     #[error(transparent)]
     Status(#[from] status::StatusError),
 }
 
 impl CommandError {
-    /// The exit code that tells of it.
+    /// The exit code of the program for this error.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             CommandError::Settings(_) | CommandError::RoleSettings(_) => exit::SETTINGS,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Does what `command` asks for.
+/// Runs `command`.
 pub(crate) fn run(command: Command) -> Result<(), CommandError> {
     match command {
         Command::Router(options) => router::run(&options),
--- a/crates/lanegate/src/commands/process.rs
+++ b/crates/lanegate/src/commands/process.rs
@@ -1,4 +1,4 @@
-//! What all processes that serve have in common: settings, and one thread for everything.
+//! Common start of router, agent and controller: loads the settings and runs everything on one thread.
 
 use super::CommandError;
 use lanegate_config::mechanism::Mechanism;
@@ -11,7 +11,7 @@
 
 /// Reads the settings and runs `serve` with them until it ends.
 ///
-/// The mechanisms of `disabled_mechanisms` are switched off. Where a port is given, the process tells its figures there, at the address of its machine.
+/// If a metrics port is given, the process serves its metrics at that port of its machine's address.
 pub(super) fn run<F, E>(
     role: ProcessRole,
     metrics_port: Option<u16>,
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-/// Runs `work` on a runtime of this thread.
+/// Runs `work` on a single-threaded runtime.
 pub(super) fn block_on<T>(
     work: impl Future<Output = Result<T, Box<dyn Error>>>,
 ) -> Result<T, Box<dyn Error>> {
--- a/crates/lanegate/src/commands/router.rs
+++ b/crates/lanegate/src/commands/router.rs
@@ -13,7 +13,7 @@
     process::run(ProcessRole::Router, options.metrics_port, &options.disabled_mechanisms, serve)
 }
 
-/// Routes what clients send, by what the agent beside this process tells.
+/// Routes requests of clients, using the feed from the agent on the same machine.
 async fn serve(settings: Settings, metrics: Option<MetricsAddress>) -> Result<(), RouterError> {
     let (events, feed) = mpsc::unbounded_channel();
     let (demand, reports) = mpsc::unbounded_channel();
--- a/crates/lanegate/src/commands/status.rs
+++ b/crates/lanegate/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! Asks a controller how it is.
+//! `lanegate status`: prints the status of a controller.
 
 use super::CommandError;
 use super::process::block_on;
@@ -8,20 +8,20 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Longest time that the operator waits at the terminal.
+/// Time limit for the complete answer; an operator is waiting at the terminal.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Path of the status at the control interface.
+/// Path of the status on the control interface.
 const STATUS_PATH: &str = "/status";
 
-/// Why there is no status to print.
+/// Why the status could not be fetched.
 #[derive(Debug, Error)]
 pub(crate) enum StatusError {
-    /// No whole answer.
+    /// The controller gave no complete answer.
     #[error("{address}: {source}")]
     NoAnswer { address: SocketAddr, source: CallError },
-    /// An answer that is no status.
-    #[error("{address} answered {status}")]
+    /// The controller answered with an error status.
+    #[error("{address} answered with HTTP status {status}")]
     Refused { address: SocketAddr, status: u16 },
 }
 
--- a/crates/lanegate/src/logging.rs
+++ b/crates/lanegate/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log: one line an event, to standard error.
+//! Logging to standard error, one line per event.
 
 use log::{LevelFilter, Record};
 use log4rs::append::Append;
@@ -14,7 +14,7 @@
 /// Name of the one appender.
 const STANDARD_ERROR: &str = "stderr";
 
-/// Writes events of `level` and above from now on; nothing is set up where the log is off.
+/// Starts logging events of `level` and more severe ones; does nothing for `Off`.
 pub(crate) fn start(level: LevelFilter) {
     if level == LevelFilter::Off {
         return;
@@ -24,11 +24,11 @@
     let root = Root::builder().appender(STANDARD_ERROR).build(level);
     let started = Config::builder().appender(appender).build(root).map(log4rs::init_config);
     if !matches!(started, Ok(Ok(_))) {
-        eprintln!("lanegate: the log could not be set up");
+        eprintln!("lanegate: logging could not be initialized");
     }
 }
 
-/// Writes each event by one call, so that lines of several processes do not mix.
+/// Writes each event with a single call, so that lines of several processes do not interleave.
 #[derive(Debug)]
 struct StandardError {
     encoder: PatternEncoder,
@@ -40,7 +40,7 @@
         self.encoder.encode(&mut SimpleWriter(&mut line), record)?;
         join_lines(&mut line);
         line.push(b'\n');
-        // Nobody is left to be told when standard error is gone.
+        // If standard error is closed, there is nowhere to report the failure.
         let _ = std::io::stderr().write_all(&line);
         Ok(())
     }
--- a/crates/lanegate/tests/check.rs
+++ b/crates/lanegate/tests/check.rs
@@ -1,4 +1,4 @@
-//! Checks of files.
+//! `lanegate check`: findings, warnings and exit status.
 
 mod common;
 
--- a/crates/lanegate/tests/command_line.rs
+++ b/crates/lanegate/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: help, mistakes, exit codes, the log.
+//! The command line: help, usage errors and exit status.
 
 mod common;
 
--- a/crates/lanegate/tests/common/mod.rs
+++ b/crates/lanegate/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Runs of the program.
+//! Helpers that run the program.
 #![allow(dead_code)]
 
 pub(crate) mod processes;
@@ -6,22 +6,22 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// Settings that lack nothing but what single roles need.
+/// Minimal valid settings, without what only some roles need.
 pub(crate) const SETTINGS: &str = "NodeName: a\nIp: 127.0.0.1\nZone: z\nPortRange: [10, 20]\n";
 
-/// The program with `arguments` and nothing of this process's environment that it reads.
+/// The program with `arguments`; environment variables that it reads are removed.
 pub(crate) fn lanegate(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lanegate"));
     command.args(arguments).env_remove("LANEGATE_LOG").env_remove("LANEGATE_NODE_FILE");
     command
 }
 
-/// What a run to the end gives.
+/// Runs the program to its end.
 pub(crate) fn run(arguments: &[&str]) -> Output {
     lanegate(arguments).output().unwrap()
 }
 
-/// A file of that name and text.
+/// Writes a file with that name and text.
 pub(crate) fn file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
--- a/crates/lanegate/tests/common/processes.rs
+++ b/crates/lanegate/tests/common/processes.rs
@@ -1,4 +1,4 @@
-//! The three processes, started on this machine.
+//! Starts router, agent and controller on this machine.
 
 use super::{file, lanegate};
 use std::io::{Read, Write};
@@ -7,23 +7,23 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// Ports of the feed on 127.0.0.1, below those that the kernel gives to connections.
+/// First port for the agent's feed on 127.0.0.1; below the ephemeral ports of the kernel.
 const FIRST_FEED_PORT: u16 = 12_000;
-/// Ports that are tried for the feed.
+/// Number of ports that are tried for the feed.
 const FEED_PORTS: u16 = 8_000;
 
-/// Addresses of a machine that is a loopback address of its own, and its settings file.
+/// Addresses of one simulated machine, which has its own loopback address, and its settings file.
 pub(crate) struct ProcessAddresses {
     pub frontend: SocketAddr,
     pub readiness: SocketAddr,
     pub control: SocketAddr,
     pub metrics: SocketAddr,
-    /// Where an agent feeds its router.
+    /// Address at which an agent serves the feed to its router.
     pub feed: SocketAddr,
     pub settings: PathBuf,
 }
 
-/// An address that no other test uses now: other processes of this machine may take any free port at 127.0.0.1.
+/// A loopback address that no other test uses now. Any port of 127.0.0.1 may be bound by other processes.
 fn unique_loopback_address() -> IpAddr {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed) % 128;
@@ -31,7 +31,7 @@
     Ipv4Addr::new(127, 100 + number, high, low.max(1)).into()
 }
 
-/// A port at 127.0.0.1 that nobody listened on a moment ago.
+/// A port on 127.0.0.1 that was free when it was checked.
 fn feed_port() -> u16 {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let first = std::process::id() as u16;
@@ -44,7 +44,7 @@
     }
 }
 
-/// A addresses of that name, whose settings suit every role, with nothing on its disk.
+/// A machine with that name, an empty data directory and settings that are valid for every role.
 pub(crate) fn addresses(name: &str) -> ProcessAddresses {
     let ip = unique_loopback_address();
     let at = |port| SocketAddr::new(ip, port);
@@ -64,7 +64,7 @@
     ProcessAddresses { frontend, readiness, control, metrics, feed, settings }
 }
 
-/// A process; it is killed when this is dropped.
+/// A running process; dropping it kills the process.
 pub(crate) struct Process(Option<Child>);
 
 impl Process {
@@ -87,12 +87,12 @@
     }
 }
 
-/// Starts a role at a addresses.
+/// Starts a process of `role` with the settings of `addresses`.
 pub(crate) fn start(role: &str, addresses: &ProcessAddresses) -> Process {
     start_with(&[role], addresses)
 }
 
-/// Starts a role that tells its figures at `port`.
+/// Starts a process of `role` that serves its metrics at `port`.
 pub(crate) fn start_with_metrics(role: &str, addresses: &ProcessAddresses, port: u16) -> Process {
     start_with(&[role, "--metrics-port", &port.to_string()], addresses)
 }
@@ -103,7 +103,7 @@
     Process(Some(program.spawn().unwrap()))
 }
 
-/// Waits until the process listens at `address`.
+/// Connects to `address`, retrying until the process listens there; panics if the process has ended.
 pub(crate) fn connect(address: SocketAddr, process: &mut Process) -> TcpStream {
     loop {
         if let Ok(stream) = TcpStream::connect(address) {
@@ -118,7 +118,7 @@
     }
 }
 
-/// Waits until the process answers a call at `address`.
+/// Waits until the process listens at `address`, sends a `GET` request and returns the response.
 pub(crate) fn call(address: SocketAddr, path: &str, process: &mut Process) -> String {
     let mut stream = connect(address, process);
     write!(stream, "GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n").unwrap();
@@ -127,13 +127,13 @@
     answer
 }
 
-/// Sends a signal, as `-TERM`.
+/// Sends a signal, given as an argument of `kill` such as `-TERM`.
 pub(crate) fn send(signal: &str, process: &mut Process) {
     let id = process.child().id().to_string();
     assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
 }
 
-/// Asks a process to end and waits for that.
+/// Sends SIGTERM and waits for the process to end.
 pub(crate) fn terminate(mut process: Process) -> Output {
     send("-TERM", &mut process);
     process.output()
--- a/crates/lanegate/tests/metrics.rs
+++ b/crates/lanegate/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What the three processes tell of themselves, and that the pages and the deploy file agree with it.
+//! Metrics of the three processes, and their agreement with the documentation and the deploy file.
 
 mod common;
 #[path = "../../metrics/tests/common/text_format.rs"]
@@ -30,10 +30,10 @@
     ParsedMetrics::parse(answer.split_once("\r\n\r\n").unwrap().1)
 }
 
-/// Longest wait for what has to come; reached only by tests that fail.
+/// Limit on waiting for a condition; only failing tests reach it.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Asks again and again until `is_so`.
+/// Scrapes repeatedly until `is_so` holds.
 fn wait_until(at: SocketAddr, child: &mut Process, is_so: impl Fn(&ParsedMetrics) -> bool) -> ParsedMetrics {
     let began = Instant::now();
     loop {
@@ -46,14 +46,14 @@
     }
 }
 
-/// The section on metrics of the operators' page.
+/// The section "Metrics" of `docs/operators.md`.
 fn metrics_section() -> String {
     let page = std::fs::read_to_string(repository().join("docs/operators.md")).unwrap();
     let section = page.split_once("\n## Metrics\n").expect("a section on metrics").1;
     section.split_once("\n## ").map_or(section, |(section, _)| section).to_owned()
 }
 
-/// All names in that section.
+/// The names of all metrics in that section.
 fn documented_metrics() -> BTreeSet<String> {
     let section = metrics_section();
     let words = section.split(|letter: char| !(letter.is_ascii_alphanumeric() || letter == '_'));
--- a/crates/lanegate/tests/signals.rs
+++ b/crates/lanegate/tests/signals.rs
@@ -1,4 +1,4 @@
-//! Starts and stops of the three processes.
+//! Start of the three processes, and their reaction to signals.
 
 mod common;
 
--- a/crates/lanegate/tests/soak.rs
+++ b/crates/lanegate/tests/soak.rs
@@ -1,13 +1,13 @@
 //! Short soaks of the program; `lanegate-soak` runs longer ones (`docs/soak.md`).
 //!
-//! They stand here and not in the soak's own tests, as only the tests of its package are given the program.
+//! They are in this package because Cargo gives the path of a program only to tests of its own package.
 
 use lanegate_soak::{Plan, tell};
 use std::path::PathBuf;
 use std::time::Duration;
 use tokio::runtime::Builder;
 
-/// Time of traffic.
+/// Duration of the traffic.
 const LENGTH: Duration = Duration::from_secs(25);
 
 fn soak(seed: u64) {
--- a/crates/lanegate/tests/status.rs
+++ b/crates/lanegate/tests/status.rs
@@ -1,4 +1,4 @@
-//! Questions to a controller.
+//! `lanegate status` against a fake controller.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::process::Output;
 
-/// Asks a stand-in that gives `answer`; the request that it got and the program's output.
+/// Runs the program against a server that sends `answer`; returns the received request and the output.
 fn ask(answer: &str) -> (String, Output) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
