--- a/crates/config/src/configuration/document.rs
+++ b/crates/config/src/configuration/document.rs
@@ -36,39 +36,39 @@
     configuration: Arc<Configuration>,
 }
 
-/// Text of the configuration before the first.
+/// Text of the empty configuration that is in force before the first change.
 const EMPTY: &[u8] = br#"{"Version":0}"#;
 
 impl Document {
     /// Parses a complete configuration.
     ///
     /// # Errors
-    /// Every mistake in the document.
+    /// Every error in the document.
     pub fn parse(bytes: impl Into<Bytes>) -> Result<Self, Findings> {
         let bytes = bytes.into();
         let configuration = Arc::new(read_configuration(&bytes)?);
         Ok(Document { bytes, configuration })
     }
 
-    /// The configuration before the first: version 0 and nothing in it.
+    /// The empty configuration that is in force before the first change; its version is 0.
     pub fn empty() -> Self {
         let configuration =
             Configuration { version: 0, routes: Vec::new(), backends: Vec::new(), limits: Limits::default() };
         Document { bytes: Bytes::from_static(EMPTY), configuration: Arc::new(configuration) }
     }
 
-    /// This configuration with items added, replaced by name or removed.
+    /// Applies a patch, which adds items, replaces them by name or removes them.
     ///
     /// `Upsert` is applied before `Delete`. Replaced items stay where they were, new ones come last; deleting a name
     /// that does not exist is not an error.
     ///
     /// # Errors
-    /// Every mistake in the form of the patch, or in the configuration that it makes.
+    /// Every structural error of the patch, or every error in the resulting configuration.
     pub fn patch(&self, patch: &[u8]) -> Result<Self, Findings> {
         Document::parse(Patch::read(patch)?.apply(&self.bytes)?)
     }
 
-    /// The text, byte for byte as it was sent (or as the patch made it).
+    /// The text, byte for byte as it was sent, or as it resulted from a patch.
     pub fn serialize(&self) -> Bytes {
         self.bytes.clone()
     }
@@ -83,7 +83,7 @@
         self.configuration.version
     }
 
-    /// Refuses a version that is not higher than `current`.
+    /// Checks that the version is higher than `current`.
     ///
     /// # Errors
     /// The version is not higher.
--- a/crates/config/src/configuration/members.rs
+++ b/crates/config/src/configuration/members.rs
@@ -1,11 +1,11 @@
-//! A JSON object whose values stay the text that they were sent as.
+//! A JSON object whose values are kept as their original text.
 
 use serde::de::{Deserialize, Deserializer, MapAccess, Visitor};
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 use std::fmt;
 
-/// The members of an object, in their order; of members with the same key, the last counts.
+/// The members of an object, in order; of members with the same key, the last one wins.
 #[derive(Debug, Default, Clone)]
 pub(super) struct Members<'a>(Vec<(Cow<'a, str>, &'a RawValue)>);
 
--- a/crates/config/src/configuration/mod.rs
+++ b/crates/config/src/configuration/mod.rs
@@ -43,7 +43,7 @@
     pub hostname: String,
     /// Begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Which requests may be sent more than once.
     #[serde(default, deserialize_with = "lenient::null_as_default")]
     pub route_type: RouteType,
     /// Time-out of a request, ms.
@@ -57,10 +57,10 @@
     /// The only service of the route, unless `traffic_split` names several.
     #[serde(default)]
     pub backend: Option<String>,
-    /// Services with their weights; empty where `backend` names the only one.
+    /// Services with their weights; empty if `backend` names the only one.
     #[serde(default, deserialize_with = "lenient::objects")]
     pub traffic_split: Vec<WeightedBackend>,
-    /// Number of endpoints to which a client's request may be sent at most.
+    /// Maximum number of endpoints to which one request of a client is sent.
     #[serde(default = "one", deserialize_with = "lenient::integer_or_one")]
     pub max_attempts: u32,
     /// `Sticky` of the route; not read.
@@ -85,7 +85,7 @@
     }
 }
 
-/// What may be repeated of a route's requests.
+/// Whether the requests of a route may be sent more than once.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteType {
@@ -120,7 +120,7 @@
     /// Connections that one endpoint accepts from all clients together.
     #[serde(default, deserialize_with = "lenient::optional_integer")]
     pub max_conns: Option<u32>,
-    /// Present where the endpoints are model engines.
+    /// Present if the endpoints are model engines.
     #[serde(default, deserialize_with = "lenient::object_or_none")]
     pub runtime: Option<Runtime>,
 }
--- a/crates/config/src/configuration/patch.rs
+++ b/crates/config/src/configuration/patch.rs
@@ -1,4 +1,4 @@
-//! Changes of a configuration by the names of its items.
+//! Patches: changes to a configuration that refer to its items by name.
 
 use super::members::Members;
 use super::reading::{name_of, read_borrowed, read_list, read_object, read_version};
@@ -7,7 +7,7 @@
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet};
 
-/// A change of a configuration, as the body of a `PATCH` describes it.
+/// A parsed patch: the body of a `PATCH` request.
 pub(super) struct Patch<'a> {
     /// Members whose text is replaced: `Version`, and others that are not lists.
     members: Vec<(String, &'a RawValue)>,
@@ -22,7 +22,7 @@
 }
 
 impl<'a> Patch<'a> {
-    /// Parses the body of a `PATCH`; reports every mistake in its form.
+    /// Parses the body of a `PATCH`; reports every structural error.
     pub(super) fn read(bytes: &'a [u8]) -> Result<Self, Findings> {
         let object = read_object(bytes)?;
         let mut findings = Findings::default();
@@ -151,7 +151,7 @@
     }
 }
 
-/// The text of an object, as it is being written.
+/// Writes the text of a JSON object member by member.
 struct ObjectText(String);
 
 impl ObjectText {
--- a/crates/config/src/configuration/reading.rs
+++ b/crates/config/src/configuration/reading.rs
@@ -1,4 +1,4 @@
-//! Parses a configuration, with the location of every mistake.
+//! Parses a configuration and reports the location of every error.
 
 use super::members::Members;
 use super::validation::{validate, validate_routes};
@@ -14,7 +14,7 @@
 
 /// The typed view of a valid configuration.
 ///
-/// An invalid configuration is parsed again item by item, so that all mistakes are found.
+/// An invalid configuration is parsed again item by item, so that all errors are found.
 pub(super) fn read_configuration(bytes: &[u8]) -> Result<Configuration, Findings> {
     let text = std::str::from_utf8(bytes).map_err(not_a_json_object)?;
     match serde_json::from_str(text) {
@@ -73,7 +73,7 @@
     read_optional::<Version>(members, "Version", findings).map(|Version(version)| version)
 }
 
-/// The items of a list as text; none where it is missing.
+/// The items of a list as text; empty if the list is missing.
 pub(super) fn read_list<'a>(members: &Members<'a>, key: &str, findings: &mut Findings) -> Vec<&'a RawValue> {
     let Some(raw) = members.get(key) else {
         return Vec::new();
--- a/crates/config/src/control_state/command.rs
+++ b/crates/config/src/control_state/command.rs
@@ -12,7 +12,7 @@
     /// The body is the complete configuration.
     #[deku(id = 1)]
     Put,
-    /// The body names what changes.
+    /// The body is a patch of the current configuration.
     #[deku(id = 2)]
     Patch,
 }
@@ -22,7 +22,7 @@
 pub struct Command {
     /// How the body describes the change.
     pub method: Method,
-    /// The version that the change builds on.
+    /// The version of the configuration on which the change is based.
     pub if_match: Option<u64>,
     /// Body of the call, as it was sent.
     pub body: Vec<u8>,
@@ -56,7 +56,7 @@
     /// Reads a command.
     ///
     /// # Errors
-    /// The bytes are no command.
+    /// The bytes are not an encoded command.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let ((body, _), head) = CommandHead::from_bytes((bytes, 0)).map_err(DecodeError::Command)?;
         let if_match = (head.has_if_match != 0).then_some(head.if_match);
@@ -71,14 +71,14 @@
         }
     }
 
-    /// The version that this change makes, if its body can be read so far.
+    /// The version that this change would create, if its body can be parsed that far.
     pub(super) fn version(&self) -> Option<u64> {
         version_of(&self.body)
     }
 
     /// Digest that identifies this change.
     ///
-    /// A complete configuration is the same change whatever version it was built on.
+    /// For `PUT` the digest does not depend on the version on which the change was based.
     pub(super) fn digest(&self) -> RequestDigest {
         let mut hasher = Sha256::new();
         match self.method {
--- a/crates/config/src/control_state/mod.rs
+++ b/crates/config/src/control_state/mod.rs
@@ -1,5 +1,5 @@
-//! The value of the configuration's register, and its compare-and-set as a pure function of two byte strings: the
-//! value in force and a command.
+//! The value of the replicated register that stores the configuration, and its compare-and-set as a pure function of
+//! two byte strings: the current value and a command.
 //!
 //! ```
 //! use lanegate_config::control_state::{Command, ControlState, Method, Outcome};
@@ -29,29 +29,29 @@
 use thiserror::Error;
 
 /// Number of accepted changes that are remembered, so that a repeated one is acknowledged again. They take 24 KB of
-/// every version of the state. Clients repeat a change for a few seconds; at 12 changes/s these last 85 s.
+/// every version of the state. Clients repeat a change for a few seconds; at 12 changes/s this history covers 85 s.
 ///
-/// A state with fewer has forgotten none.
+/// If a state remembers fewer, no change has been dropped from its history.
 pub const HISTORY_LENGTH: usize = 1_024;
 
-/// Limit on accepted changes in an encoded state; earlier releases remembered so many.
+/// Limit on accepted changes in an encoded state; earlier releases remembered up to this many.
 const MAX_ENCODED_CHANGES: usize = 4_096;
 
 /// Why bytes cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// The bytes are no command.
+    /// The bytes are not an encoded command.
     #[error("not readable as a command: {0}")]
     Command(#[source] DekuError),
-    /// The bytes are no control state.
+    /// The bytes are not an encoded control state.
     #[error("not readable as a control state: {0}")]
     ControlState(#[source] DekuError),
-    /// The bytes are no outcome.
+    /// The bytes are not an encoded outcome.
     #[error("not readable as an outcome: {0}")]
     Outcome(#[source] DekuError),
 }
 
-/// The newest configuration and what is needed to answer changes of it.
+/// The current configuration, and the history that is needed to answer repeated changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ControlState {
     version: u64,
@@ -61,7 +61,7 @@
     history: Vec<AcceptedChange>,
 }
 
-/// A change that was accepted and the version that it made.
+/// A change that was accepted and the version that it created.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 struct AcceptedChange {
@@ -80,12 +80,12 @@
     history: Vec<AcceptedChange>,
 }
 
-/// What a command did to a state.
+/// The result of applying a command to a state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Applied {
-    /// What became of the command.
+    /// The outcome of the command.
     pub outcome: Outcome,
-    /// The state after the command; absent where nothing changed.
+    /// The state after the command; absent if nothing changed.
     pub state: Option<ControlState>,
 }
 
@@ -124,7 +124,7 @@
     /// Reads a state; no bytes at all are the state before the first configuration.
     ///
     /// # Errors
-    /// The bytes are no control state.
+    /// The bytes are not an encoded control state.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         if bytes.is_empty() {
             return Ok(ControlState::default());
@@ -133,7 +133,7 @@
         Ok(ControlState { version: head.version, document: document.to_vec(), history: head.history })
     }
 
-    /// What `command` does to this state.
+    /// Applies `command` to this state.
     ///
     /// The same state and command give the same result on every machine.
     pub fn apply(&self, command: &Command) -> Applied {
@@ -161,11 +161,11 @@
         self.history.iter().rev().any(|change| change.request == *request)
     }
 
-    /// Why it is unknown whether `command` was accepted, if it is.
+    /// Returns a finding if it cannot be known whether `command` was accepted before.
     ///
-    /// Every accepted change made the version in its body, higher than the one that it was built on, and no two made
-    /// the same. So a change to a version below all remembered ones may have been accepted and forgotten; everything
-    /// else that is not remembered was never accepted.
+    /// Every accepted change created the version in its body, which is higher than the one it was based on, and no two
+    /// changes created the same version. So a change to a version below all remembered ones may have been accepted and
+    /// dropped from the history; any other change that is not in the history was never accepted.
     fn may_have_forgotten(&self, command: &Command) -> Option<Findings> {
         let oldest = self.history.first().filter(|_| self.history.len() >= HISTORY_LENGTH)?.version;
         let version = command.version().filter(|version| *version < oldest)?;
@@ -177,7 +177,7 @@
         Some(Findings::one("Version", message))
     }
 
-    /// Whether `command` puts exactly what is in force.
+    /// Whether `command` is a `PUT` of exactly the current configuration.
     fn is_current(&self, command: &Command) -> bool {
         command.method == Method::Put && !self.document.is_empty() && command.body == self.document
     }
@@ -213,7 +213,7 @@
     Findings::one("If-Match", "is missing; it names the version that the change builds on, 0 for the first")
 }
 
-/// The outcome of an encoded command on an encoded state, and the new state's bytes where there is one.
+/// The outcome of an encoded command on an encoded state, and the encoded new state, if the state changed.
 ///
 /// # Errors
 /// One of the two cannot be decoded.
--- a/crates/config/src/control_state/outcome.rs
+++ b/crates/config/src/control_state/outcome.rs
@@ -13,24 +13,24 @@
 /// The outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is in force as `version`.
+    /// The change was accepted and is in force as `version`.
     Taken {
         /// The version that is in force now.
         version: u64,
     },
-    /// It was accepted before; `current` is in force now.
+    /// The change was accepted earlier; `current` is in force now.
     AlreadyTaken {
         /// The version in force.
         current: u64,
     },
-    /// It builds on another version than `current`.
+    /// The change is based on a version other than `current`.
     Conflict {
         /// The version in force.
         current: u64,
     },
-    /// It cannot be read or makes no valid configuration.
+    /// The change cannot be parsed, or the resulting configuration is invalid.
     Invalid(Findings),
-    /// It is unknown whether it was accepted before, for these reasons.
+    /// It is unknown whether the change was accepted before; the findings say why.
     Unclear(Findings),
 }
 
@@ -99,7 +99,7 @@
     /// Reads an outcome.
     ///
     /// # Errors
-    /// The bytes are no outcome.
+    /// The bytes are not an encoded outcome.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let (_, outcome) = EncodedOutcome::from_bytes((bytes, 0)).map_err(DecodeError::Outcome)?;
         Ok(outcome.into())
--- a/crates/config/src/demand.rs
+++ b/crates/config/src/demand.rs
@@ -9,14 +9,14 @@
     pub backend: String,
     /// Name of the model.
     pub model: String,
-    /// Name of the adapter, where the request asked for one.
+    /// Name of the adapter, if the request named one.
     pub adapter: Option<String>,
     /// Requests that arrived.
     pub requests: u32,
     /// Prompt and output tokens that those requests asked for.
     pub tokens: u64,
-    /// Requests that found no endpoint with the model (and adapter): of `requests`, and of earlier ones that still
-    /// wait.
+    /// Requests for which no endpoint had the model (and adapter): some of `requests`, and earlier ones that are still
+    /// waiting.
     pub unplaced: u32,
 }
 
--- a/crates/config/src/feed.rs
+++ b/crates/config/src/feed.rs
@@ -21,8 +21,8 @@
         /// Number of live routers.
         live: u32,
     },
-    /// Whether a newer configuration than any in this feed is known to exist, or no source that would know is
-    /// connected.
+    /// Whether this view may be outdated: a newer configuration than any in this feed is known to exist, or no source
+    /// that would know of one is connected.
     Behind {
         /// Whether this view may be outdated.
         behind: bool,
--- a/crates/config/src/findings.rs
+++ b/crates/config/src/findings.rs
@@ -1,8 +1,8 @@
-//! Mistakes in a document: each with its location, all reported at once.
+//! Errors in a document: each with its location, all reported at once.
 
 use std::fmt;
 
-/// One mistake and its location in the document.
+/// One error and its location in the document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
     /// Path of the field, as in `Routes[3].Backend`; empty for the document as a whole.
@@ -27,7 +27,7 @@
     }
 }
 
-/// All mistakes of a document, in the order of their locations.
+/// All errors of a document, in the order of their locations.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Findings(Vec<Finding>);
 
@@ -57,7 +57,7 @@
         self.0.iter()
     }
 
-    /// `Ok` where nothing was found.
+    /// `Ok` if nothing was found.
     ///
     /// # Errors
     /// The findings, if there are any.
@@ -75,7 +75,7 @@
     }
 }
 
-/// One finding a line.
+/// One finding per line.
 impl fmt::Display for Findings {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, finding) in self.0.iter().enumerate() {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,7 +4,7 @@
 //! |---|---|
 //! | [`settings`] | the settings file of a process (YAML) |
 //! | [`configuration`] | the operator's configuration (JSON): routes, services, limits; patches and validation |
-//! | [`control_state`] | the replicated value of the configuration's register, and its compare-and-set |
+//! | [`control_state`] | the replicated register that stores the configuration, and its compare-and-set |
 //! | [`instance`] | registrations of endpoints, as sent in heartbeats |
 //! | [`demand`] | demand reports of routers |
 //! | [`feed`] | events that a router receives from the control plane |
@@ -13,7 +13,7 @@
 //! # Invariants
 //!
 //! - The text of a configuration is stored and returned byte for byte.
-//! - Parsing reports all mistakes at once, each with its location ([`findings`]).
+//! - Parsing reports all errors at once, each with its location ([`findings`]).
 //! - [`control_state::apply`] is a pure function: every replica computes the same result.
 //! - Names of fields are read by operators, endpoints and other releases, and never change; `tests/golden.rs` pins them.
 //!
--- a/crates/config/src/mechanism.rs
+++ b/crates/config/src/mechanism.rs
@@ -8,9 +8,9 @@
 pub enum Mechanism {
     /// Requests wait for a router's first configuration.
     ConfigurationWait,
-    /// Queued requests that no timeline can meet are rejected early.
+    /// Queued requests that cannot be served in time under any schedule are rejected early.
     EarlyRejection,
-    /// The class with the lowest miss ratio is rejected first.
+    /// Requests of the class with the lowest miss ratio are rejected first.
     MissRatioVictim,
     /// A request is offered to an endpoint in time for its latency target, whatever the load.
     LastOffer,
@@ -40,17 +40,17 @@
     ExhaustedAttempt,
     /// Models that are being evicted are hidden from routers.
     EvictionHiding,
-    /// Victims with long running requests cost more.
+    /// Evicting models with long-running requests costs more.
     DrainCost,
     /// A new lease holder starts with the demand of its predecessor.
     DemandHandover,
-    /// Replicas that demand needs are not evicted for less.
+    /// Replicas that current demand requires are not evicted for less valuable ones.
     RequiredReplicas,
     /// Models that have lost their last replica are loaded before they are requested.
     LostModelReload,
 }
 
-/// All mechanisms, with their names on the command line.
+/// All mechanisms, with their names on the command line (these never change).
 const NAMES: [(&str, Mechanism); 21] = [
     ("configuration-wait", Mechanism::ConfigurationWait),
     ("early-refusal", Mechanism::EarlyRejection),
@@ -77,7 +77,7 @@
 
 /// The name of an unknown mechanism.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{name:?} is no mechanism; there are {}", names())]
+#[error("unknown mechanism {name:?}; expected one of {}", names())]
 pub struct UnknownMechanism {
     name: String,
 }
--- a/crates/config/src/routes.rs
+++ b/crates/config/src/routes.rs
@@ -1,4 +1,4 @@
-//! The route table: host and longest path prefix to a route.
+//! The route table: maps a host and a path to the route with the longest matching prefix.
 //!
 //! A look-up costs one hash of the host and one of each part of the path that ends with a slash and is as long as
 //! some prefix of that host, however many routes there are.
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Longest host that is converted to lower case without an allocation, bytes.
+/// Longest host that can be looked up if it has upper-case letters, bytes; it is converted on the stack.
 const MAX_STACK_HOST_BYTES: usize = 255;
 
 /// The routes of one configuration, ready for look-ups.
--- a/crates/config/src/settings/checks.rs
+++ b/crates/config/src/settings/checks.rs
@@ -9,9 +9,9 @@
 pub enum ProcessRole {
     /// Routes requests.
     Router,
-    /// Follows controllers for the router of its machine.
+    /// Follows the controllers on behalf of the router of its machine.
     Agent,
-    /// Has a replica of the control state.
+    /// Holds a replica of the control state.
     Controller,
 }
 
--- a/crates/config/src/settings/loading.rs
+++ b/crates/config/src/settings/loading.rs
@@ -1,6 +1,6 @@
-//! Reading of a settings file.
+//! Loads a settings file.
 //!
-//! Deserialization stops at the first error. To report all at once, each field in error is replaced by a stand-in and
+//! Deserialization stops at the first error. To report all at once, each invalid field is replaced by a placeholder and
 //! the rest is deserialized again.
 
 use super::{Settings, checks};
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why there are no settings.
+/// Why the settings could not be loaded.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The variable that names the settings file is not set.
@@ -26,7 +26,7 @@
         /// Why it could not be read.
         source: std::io::Error,
     },
-    /// Fields are missing, ill-typed or do not fit one another.
+    /// Fields are missing, have the wrong type or contradict one another.
     #[error("{}:\n{findings}", path.display())]
     Invalid {
         /// The settings file.
@@ -41,9 +41,9 @@
 
 /// Replaces required fields that are missing or invalid while the others are checked.
 const PLACEHOLDERS: &str = "
-NodeName: stand-in
+NodeName: placeholder
 Ip: 127.0.0.1
-Zone: stand-in
+Zone: placeholder
 PortRange: [1, 1]
 ";
 
@@ -88,7 +88,7 @@
         .collect()
 }
 
-/// Records the findings in `error`, and replaces the fields by stand-ins or removes them.
+/// Records the findings in `error`, and replaces the invalid fields by placeholders or removes them.
 fn replace_invalid(
     error: &figment::Error,
     fields: &mut Dict,
@@ -118,7 +118,7 @@
     Figment::from(Yaml::string(PLACEHOLDERS)).extract().unwrap_or_default()
 }
 
-/// Replaces the field at `path` by its stand-in, or removes it if there is none.
+/// Replaces the field at `path` by its placeholder, or removes it if there is none.
 fn replace(fields: &mut Dict, path: &[String], placeholders: &Dict) -> bool {
     let Some((key, rest)) = path.split_first() else {
         return false;
--- a/crates/config/src/settings/mod.rs
+++ b/crates/config/src/settings/mod.rs
@@ -53,19 +53,19 @@
     /// Resources that the machine grants the process.
     #[serde(default)]
     pub limits: ProcessLimits,
-    /// Directory for what has to survive a restart.
+    /// Directory for data that has to survive a restart.
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
     /// Time between two heartbeats of an endpoint, ms.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: f64,
-    /// Failures that have to be borne.
+    /// Simultaneous failures that the system has to tolerate.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
     /// Bounds of the platform's rules.
     #[serde(default)]
     pub bounds: Bounds,
-    /// Mechanisms that the command line switches off; no part of the file.
+    /// Mechanisms that the command line switches off; not part of the file.
     #[serde(skip)]
     pub switched_off: SwitchedOff,
 }
--- a/crates/config/tests/control_state_model.rs
+++ b/crates/config/tests/control_state_model.rs
@@ -6,7 +6,7 @@
 /// A call of one of two operators.
 #[derive(Debug, Clone)]
 enum Call {
-    /// A new change on top of the version that is current, or of one before it.
+    /// A new change based on the current version, or on an earlier one.
     Change { operator: u8, is_put: bool, behind: u64, step: u64 },
     /// A repetition of the call with that index.
     Repeat { of: prop::sample::Index },
@@ -67,7 +67,7 @@
                 Outcome::Invalid(_) => {
                     prop_assert!(!accepted.contains(&command) && command.if_match == Some(before));
                 }
-                Outcome::Unclear(_) => prop_assert!(false, "nothing is forgotten so soon"),
+                Outcome::Unclear(_) => prop_assert!(false, "the history is not full yet"),
             }
             if let Some(next) = applied.state {
                 state = ControlState::decode(&next.encode()).unwrap();
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The documents and encoded forms that every process shares, with each of their fields.
+//! Pins every field name and encoded form of the documents that the processes share.
 
 use lanegate_config::configuration::{
     Backend, Configuration, Document, Limits, Model, Route, RouteType, Runtime, WeightedBackend,
--- a/crates/config/tests/mechanism.rs
+++ b/crates/config/tests/mechanism.rs
@@ -12,7 +12,10 @@
 #[test]
 fn unknown_mechanism_error_lists_known_ones() {
     let error = "prefix".parse::<Mechanism>().unwrap_err().to_string();
-    assert!(error.starts_with("\"prefix\" is no mechanism; there are configuration-wait, "), "{error}");
+    assert!(
+        error.starts_with("unknown mechanism \"prefix\"; expected one of configuration-wait, "),
+        "{error}"
+    );
 }
 
 #[test]
