--- a/crates/metrics/src/endpoint.rs
+++ b/crates/metrics/src/endpoint.rs
@@ -19,7 +19,7 @@
 const MAX_CONNECTIONS: usize = 4;
 /// Time for a request to arrive, once it has begun.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for an answer to be read and the next request to begin; metrics are scraped every 5 s.
+/// Time within which a client has to read the answer and begin its next request; metrics are scraped every 5 s.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(8);
 /// Largest body of a request, bytes; a scrape has none.
 const MAX_BODY_BYTES: usize = 1_024;
--- a/crates/metrics/src/exposition.rs
+++ b/crates/metrics/src/exposition.rs
@@ -77,7 +77,7 @@
     /// The text of all metrics.
     ///
     /// # Errors
-    /// The text could not be written; a string always takes it.
+    /// The text could not be written; this does not happen, as it is written to a string.
     pub fn render(self) -> Result<String, fmt::Error> {
         let mut registry = Registry::default();
         registry.register_collector(Box::new(self));
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,6 +1,6 @@
 //! Metrics of a process, as text in the Prometheus exposition format (version 0.0.4).
 //!
-//! The crate has no state: a role has plain counters where it works and fills an [`Exposition`] from its state at
+//! The crate has no state: a role keeps plain counters in its own state and fills an [`Exposition`] from them at
 //! each scrape. [`MetricsEndpoint`] answers scrapes over HTTP; [`Scrapes`] passes them to the task that owns the
 //! state. Names and labels are read by dashboards and never change.
 
--- a/crates/metrics/src/metric.rs
+++ b/crates/metrics/src/metric.rs
@@ -1,4 +1,4 @@
-//! What a metric is called, means and holds.
+//! Definition of a metric: name, description, kind, and the type of its values.
 
 /// How a metric behaves over time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -20,7 +20,7 @@
     pub kind: Kind,
 }
 
-/// What the name of every counter ends with.
+/// Suffix of the name of every counter.
 const COUNTER_SUFFIX: &str = "_total";
 
 impl Metric {
--- a/crates/metrics/tests/common/text_format.rs
+++ b/crates/metrics/tests/common/text_format.rs
@@ -1,6 +1,6 @@
-//! A strict reader of the Prometheus text format, version 0.0.4: what it allows and this program never writes
-//! (time stamps, comments, histograms, families in several parts) is a mistake here.
-#![allow(dead_code, reason = "each file of tests uses a part")]
+//! A strict parser of the Prometheus text format, version 0.0.4. It rejects what the format allows but this program
+//! never writes: timestamps, comments, histograms, and families in several parts.
+#![allow(dead_code, reason = "each test file uses only some items")]
 
 use std::collections::BTreeMap;
 
--- a/crates/metrics/tests/endpoint.rs
+++ b/crates/metrics/tests/endpoint.rs
@@ -17,7 +17,7 @@
 
 const SCRAPES: Metric = Metric::counter("lanegate_test_scrapes_total", "How often this was asked for");
 const SCRAPE_REQUEST: &str = "GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n";
-/// Longest time of a test on its clock; reached only by tests that fail.
+/// Time limit of a test; only failing tests reach it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn run_local(test: impl Future<Output = ()>) {
@@ -45,7 +45,7 @@
     (address, scrapes)
 }
 
-/// The answer to one request on a connection of its own.
+/// Sends one request on a new connection and returns the answer.
 async fn send_request(address: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let request = request.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
@@ -181,7 +181,7 @@
         client.write_all(SCRAPE_REQUEST.repeat(50).as_bytes()).await.unwrap();
         pass_time(Duration::from_millis(1_000)).await;
         let answered = asked.get();
-        assert!(answered < 20, "{answered} answers are kept for a caller that takes none");
+        assert!(answered < 20, "{answered} answers are buffered for a client that reads none");
         pass_time(Duration::from_millis(9_000)).await;
         assert!(asked.get() <= answered + 1);
         let mut taken = Vec::new();
