--- a/crates/control-http/src/activity.rs
+++ b/crates/control-http/src/activity.rs
@@ -18,7 +18,7 @@
     Head(Instant),
     /// A body is arriving; its newest bytes came at this time.
     Body(Instant),
-    /// The handler is at work.
+    /// The handler is running.
     Handling,
 }
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// A stream that records in its activity when bytes arrive.
+/// A stream that reports to the connection's [`Activity`] when bytes arrive.
 pub(crate) struct WatchedStream<S> {
     stream: S,
     activity: Activity,
--- a/crates/control-http/src/client.rs
+++ b/crates/control-http/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: one call at a time on a connection that may be kept.
+//! The client: one call at a time on a connection that may be reused.
 
 use crate::message::ControlMethod;
 use bytes::Bytes;
@@ -18,7 +18,7 @@
 
 /// Largest answer, bytes: a complete configuration.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
-/// Header that names the incarnation; any other one at the address rejects the call.
+/// Header that names the incarnation that a call is meant for; any other one at that address rejects the call.
 const EXPECT_INSTANCE: &str = "expect-instance";
 
 type HttpConnection = Connection<TokioIo<TcpStream>, Full<Bytes>>;
@@ -32,7 +32,7 @@
     pub path: String,
     /// Body; may be empty.
     pub body: Bytes,
-    /// Version that the call builds on.
+    /// Version of the configuration on which the call is based (`If-Match`).
     pub if_match: Option<u64>,
     /// The only incarnation that may accept the call.
     pub expect_instance: Option<String>,
@@ -116,7 +116,7 @@
     }
 }
 
-/// Makes one call on a connection of its own.
+/// Makes one call on a new connection.
 ///
 /// # Errors
 /// The call could not be made, or has no complete answer.
@@ -130,7 +130,7 @@
     connection.call_until(request, deadline).await
 }
 
-/// A connection for one call after the other. It is only driven while a call is open.
+/// A connection for sequential calls. Its I/O only runs while a call is open.
 #[derive(Debug)]
 pub struct ClientConnection {
     address: SocketAddr,
@@ -158,8 +158,8 @@
         Ok(ClientConnection { address, sender, driver: Driver { connection: Some(Box::pin(connection)) } })
     }
 
-    /// Whether another call can be made. A peer that has closed meanwhile is only noticed at the next call, which
-    /// fails with `NotSent`.
+    /// Whether another call can be made. If the peer has closed the connection meanwhile, this is only noticed at the next
+    /// call, which fails with `NotSent`.
     pub fn is_open(&self) -> bool {
         self.driver.connection.is_some() && !self.sender.is_closed()
     }
--- a/crates/control-http/src/connection.rs
+++ b/crates/control-http/src/connection.rs
@@ -19,7 +19,7 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// Most bytes of heads and waiting body that a connection buffers.
+/// Limit on the bytes of heads and unread body that a connection buffers.
 const BUFFER_BYTES: usize = 64 * 1024;
 
 /// Serves one connection until it closes, times out, or is idle after `stop` is done.
@@ -63,7 +63,7 @@
 
 /// Ready once the current phase of the connection has timed out.
 ///
-/// The timer is moved only when it fires or when it would fire too late, not with every request.
+/// To save work, the timer is reset only when it fires or would fire too late, not with every request.
 fn poll_timeout(
     mut timer: Pin<&mut Sleep>,
     activity: &Activity,
--- a/crates/control-http/src/lib.rs
+++ b/crates/control-http/src/lib.rs
@@ -4,8 +4,8 @@
 //! are distinguished from complete ones, stalled clients are disconnected, and a failed call says whether it may have
 //! been executed. Why this is built on `hyper`: `docs/findings/async-h1.md`.
 //!
-//! Begin with [`serve`] (server) and [`ClientConnection`] (client). Tests: `tests/connection.rs` plays raw bytes
-//! against one connection, `tests/server_and_client.rs` uses sockets, `tests/system_calls.rs` bounds the system calls
+//! Begin with [`serve`] (server) and [`ClientConnection`] (client). Tests: `tests/connection.rs` sends raw bytes
+//! to one connection, `tests/server_and_client.rs` uses sockets, `tests/system_calls.rs` bounds the system calls
 //! of a request.
 
 mod activity;
--- a/crates/control-http/src/message.rs
+++ b/crates/control-http/src/message.rs
@@ -18,7 +18,7 @@
     Post,
     /// `DELETE`
     Delete,
-    /// Any other; the interface knows none.
+    /// Any other method; the interface supports none of them.
     Other,
 }
 
@@ -49,10 +49,10 @@
     }
 }
 
-/// The version that a request builds on.
+/// The version on which a request is based: its `If-Match` header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IfMatch {
-    /// The request names none.
+    /// The request has no such header.
     Absent,
     /// The request names this version.
     Version(u64),
@@ -84,7 +84,7 @@
     pub method: ControlMethod,
     /// Path without a query.
     pub path: String,
-    /// Version that the request builds on.
+    /// Version on which the request is based.
     pub if_match: IfMatch,
     /// Body, or its beginning.
     pub body: Bytes,
@@ -152,7 +152,7 @@
         ControlResponse { body: body.into(), content_type, ..Self::status(status) }
     }
 
-    /// Sends the caller to another server.
+    /// A temporary redirect to another server.
     pub fn redirect(location: impl Into<String>) -> Self {
         ControlResponse {
             location: Some(location.into()),
@@ -160,7 +160,7 @@
         }
     }
 
-    /// The headers that the response needs; a location that no header can hold is left out.
+    /// The headers that the response needs; a location that is not a valid header value is left out.
     pub(crate) fn headers(&self) -> HeaderMap {
         let mut headers = HeaderMap::new();
         if !self.body.is_empty() {
--- a/crates/control-http/src/server.rs
+++ b/crates/control-http/src/server.rs
@@ -14,7 +14,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// Delay after a failed `accept`, which fails again at once while file descriptors are short.
+/// Delay after a failed `accept`, which would fail again immediately while file descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Serves the control interface until `stop` is done; then open requests have `shutdown_timeout` to finish.
--- a/crates/control-http/tests/server_and_client.rs
+++ b/crates/control-http/tests/server_and_client.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::{LocalSet, spawn_local};
 
-/// Much longer than any call here takes.
+/// Timeout of calls that are expected to succeed; much longer than they take.
 const TIMEOUT: Duration = Duration::from_secs(60);
 /// For calls that are expected to get no answer.
 const SHORT_TIMEOUT: Duration = Duration::from_millis(20);
@@ -226,7 +226,7 @@
     call(address, &ClientRequest::get("/status"), TIMEOUT).await.expect("an answer");
 });
 
-/// The interface runs on the thread on which it was started.
+/// Server and client run on the thread on which they were started.
 #[cfg(target_os = "linux")]
 #[test]
 fn no_thread_is_started() {
--- a/crates/control-http/tests/system_calls.rs
+++ b/crates/control-http/tests/system_calls.rs
@@ -1,4 +1,4 @@
-//! The reads and writes of a request; on a socket each is a system call.
+//! Bounds the reads and writes that one request takes; on a socket each is a system call.
 
 use lanegate_control_http::{ControlRequest, ControlResponse, ServerLimits, serve_connection};
 use std::cell::Cell;
