--- a/crates/golden/src/file.rs
+++ b/crates/golden/src/file.rs
@@ -6,7 +6,7 @@
 /// Set to `1` to write the files instead of comparing with them.
 const UPDATE_VARIABLE: &str = "UPDATE_GOLDEN";
 
-/// Asserts that the digests are those of `tests/digests/<name>.txt` in a crate's directory, with the same names in the same order.
+/// Asserts that the digests equal those in `tests/digests/<name>.txt` in a crate's directory, with the same names in the same order.
 ///
 /// # Panics
 ///
@@ -20,7 +20,7 @@
     assert_entries(&file_of(crate_directory, "digests", name), &entries.collect::<Vec<_>>());
 }
 
-/// Asserts that the encoded examples are those of `tests/golden/<name>.txt` in a crate's directory, with the same names in the same order.
+/// Asserts that the encoded examples equal those in `tests/golden/<name>.txt` in a crate's directory, with the same names in the same order.
 ///
 /// # Panics
 ///
@@ -38,7 +38,7 @@
 ///
 /// # Panics
 ///
-/// If the file cannot be read, or holds something else.
+/// If the file cannot be read or has another format.
 pub fn committed_bytes(crate_directory: &str, name: &str) -> BTreeMap<String, Vec<u8>> {
     let entries = read(&file_of(crate_directory, "golden", name)).into_iter();
     entries.map(|(name, value)| (name, from_hex(&value))).collect()
--- a/crates/golden/src/lib.rs
+++ b/crates/golden/src/lib.rs
@@ -1,12 +1,12 @@
 //! Committed data that tests compare with: digests of what a simulated run does, and the bytes of messages and stored
 //! records.
 //!
-//! A file has one entry a line: a name, a space, and a value in hexadecimal. An entry that differs, is missing, is not
-//! produced any more or stands elsewhere fails the test that compares, by its name. `UPDATE_GOLDEN=1` writes the files instead, for a change
-//! that is meant to change them; a test that compares nothing in that run says so by passing.
+//! A file has one entry per line: a name, a space, and a value in hexadecimal. The comparing test fails if an entry
+//! differs, is missing, is new or is out of order, and names the entries that differ. With `UPDATE_GOLDEN=1` the files
+//! are written instead, for a change that is meant to change them; nothing is compared in that run, so the tests pass.
 //!
-//! Only tests depend on this crate. [`Digest`] covers bytes that the caller encodes by hand, so that a digest does not
-//! change with the name of a Rust item.
+//! Only tests depend on this crate. The caller of [`Digest`] encodes the bytes by hand, so that a digest does not
+//! change when a Rust item is renamed.
 
 mod digest;
 mod file;
--- a/crates/golden/tests/files.rs
+++ b/crates/golden/tests/files.rs
@@ -1,4 +1,4 @@
-//! Comparison with committed files: what passes, and what fails.
+//! Comparison with committed files: which differences fail.
 
 use lanegate_golden::{Digest, assert_bytes, assert_digests, committed_bytes};
 use std::path::{Path, PathBuf};
@@ -16,7 +16,7 @@
     directory
 }
 
-/// What a comparison of these digests says where it fails.
+/// The message with which the comparison of these digests fails, if it fails.
 fn failure(test: &str, digests: &[(&str, u64)]) -> Option<String> {
     let directory = crate_directory(test);
     let directory = directory.to_str().expect("a path of text");
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -19,9 +19,9 @@
     OneOutcome,
     /// A request that arrives after SIGTERM is rejected, or answered before the process ends.
     AcceptedRequestAnsweredBeforeShutdown,
-    /// The configuration in force at a process never gets older.
+    /// The version of the configuration in force at a process never decreases.
     ConfigurationVersionRises,
-    /// The committed revision of a shard, as one controller learns it, never falls.
+    /// The committed revision of a shard that a controller knows never decreases.
     RevisionRises,
     /// Each tenure of a lease has a higher epoch than those before it.
     EpochRises,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Violations so far of every invariant. Clones count together; counting is one atomic addition.
+/// Counters of violations, one per invariant. Clones share the counters; counting is one atomic addition.
 #[derive(Debug, Clone, Default)]
 pub struct Violations(Arc<[AtomicU64; Invariant::ALL.len()]>);
 
--- a/crates/invariants/tests/violations.rs
+++ b/crates/invariants/tests/violations.rs
@@ -1,4 +1,4 @@
-//! Counting violations.
+//! Counters of violations.
 
 use lanegate_invariants::{Invariant, Violations};
 use std::collections::BTreeSet;
