--- a/crates/config/src/configuration/reading.rs
+++ b/crates/config/src/configuration/reading.rs
@@ -1,4 +1,4 @@
-//! Parses a configuration, with the location of every mistake.
+//! Parses a configuration and reports the location of every error.
 
 use super::members::Members;
 use super::validation::{validate, validate_routes};
@@ -14,19 +14,19 @@
 
 /// The typed view of a valid configuration.
 ///
-/// An invalid configuration is parsed again item by item, so that all mistakes are found.
+/// An invalid configuration is parsed again item by item, so that all errors are found.
 pub(super) fn read_configuration(bytes: &[u8]) -> Result<Configuration, Findings> {
-    let text = std::str::from_utf8(bytes).map_err(unreadable)?;
+    let text = std::str::from_utf8(bytes).map_err(not_a_json_object)?;
     match serde_json::from_str(text) {
         Ok(Object(configuration)) => {
             validate(&configuration).into_result()?;
             Ok(configuration)
         }
-        Err(_) => read_piecewise(bytes),
+        Err(_) => read_item_by_item(bytes),
     }
 }
 
-fn read_piecewise(bytes: &[u8]) -> Result<Configuration, Findings> {
+fn read_item_by_item(bytes: &[u8]) -> Result<Configuration, Findings> {
     let members = read_object(bytes)?;
     let mut findings = Findings::default();
     let version = read_version(&members, &mut findings);
@@ -49,10 +49,10 @@
 
 /// The members of the object in a body.
 pub(super) fn read_object(bytes: &[u8]) -> Result<Members<'_>, Findings> {
-    serde_json::from_slice(bytes).map_err(unreadable)
+    serde_json::from_slice(bytes).map_err(not_a_json_object)
 }
 
-fn unreadable(error: impl Display) -> Findings {
+fn not_a_json_object(error: impl Display) -> Findings {
     Findings::one("", format!("cannot be read as a JSON object: {error}"))
 }
 
@@ -73,7 +73,7 @@
     read_optional::<Version>(members, "Version", findings).map(|Version(version)| version)
 }
 
-/// The items of a list as text; none where it is missing.
+/// The items of a list as text; empty if the list is missing.
 pub(super) fn read_list<'a>(members: &Members<'a>, key: &str, findings: &mut Findings) -> Vec<&'a RawValue> {
     let Some(raw) = members.get(key) else {
         return Vec::new();
--- a/crates/config/src/mechanism.rs
+++ b/crates/config/src/mechanism.rs
@@ -8,9 +8,9 @@
 pub enum Mechanism {
     /// Requests wait for a router's first configuration.
     ConfigurationWait,
-    /// Queued requests that no timeline can meet are rejected early.
-    EarlyRefusal,
-    /// The class with the lowest miss ratio is rejected first.
+    /// Queued requests that cannot be served in time under any schedule are rejected early.
+    EarlyRejection,
+    /// Requests of the class with the lowest miss ratio are rejected first.
     MissRatioVictim,
     /// A request is offered to an endpoint in time for its latency target, whatever the load.
     LastOffer,
@@ -29,7 +29,7 @@
     /// Endpoints that fail or do not respond are ejected.
     Ejection,
     /// An endpoint that returns gets few requests at first (slow start).
-    SlowReturn,
+    SlowStart,
     /// An idempotent request is retried elsewhere if its endpoint does not respond.
     ResponseTimeoutRetry,
     /// Streams end when their client times out.
@@ -40,20 +40,20 @@
     ExhaustedAttempt,
     /// Models that are being evicted are hidden from routers.
     EvictionHiding,
-    /// Victims with long running requests cost more.
+    /// Evicting models with long-running requests costs more.
     DrainCost,
     /// A new lease holder starts with the demand of its predecessor.
-    DemandRecall,
-    /// Replicas that demand needs are not evicted for less.
-    NeededCopies,
+    DemandHandover,
+    /// Replicas that current demand requires are not evicted for less valuable ones.
+    RequiredReplicas,
     /// Models that have lost their last replica are loaded before they are requested.
-    Restore,
+    LostModelReload,
 }
 
-/// All mechanisms, with their names on the command line.
+/// All mechanisms, with their names on the command line (these never change).
 const NAMES: [(&str, Mechanism); 21] = [
     ("configuration-wait", Mechanism::ConfigurationWait),
-    ("early-refusal", Mechanism::EarlyRefusal),
+    ("early-refusal", Mechanism::EarlyRejection),
     ("miss-ratio-victim", Mechanism::MissRatioVictim),
     ("last-offer", Mechanism::LastOffer),
     ("prefix-cache", Mechanism::PrefixCache),
@@ -63,21 +63,21 @@
     ("excess-delay", Mechanism::ExcessDelay),
     ("engine-urgency", Mechanism::EngineUrgency),
     ("ejection", Mechanism::Ejection),
-    ("slow-return", Mechanism::SlowReturn),
+    ("slow-return", Mechanism::SlowStart),
     ("silence-retry", Mechanism::ResponseTimeoutRetry),
     ("client-patience", Mechanism::ClientTimeout),
     ("load-wait", Mechanism::LoadWait),
     ("exhausted-try", Mechanism::ExhaustedAttempt),
     ("eviction-hiding", Mechanism::EvictionHiding),
     ("drain-cost", Mechanism::DrainCost),
-    ("demand-recall", Mechanism::DemandRecall),
-    ("needed-copies", Mechanism::NeededCopies),
-    ("restore", Mechanism::Restore),
+    ("demand-recall", Mechanism::DemandHandover),
+    ("needed-copies", Mechanism::RequiredReplicas),
+    ("restore", Mechanism::LostModelReload),
 ];
 
 /// The name of an unknown mechanism.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{name:?} is no mechanism; there are {}", names())]
+#[error("unknown mechanism {name:?}; expected one of {}", names())]
 pub struct UnknownMechanism {
     name: String,
 }
@@ -117,7 +117,7 @@
 
 impl SwitchedOff {
     /// Whether a mechanism is switched on.
-    pub fn leaves(&self, mechanism: Mechanism) -> bool {
+    pub fn allows(&self, mechanism: Mechanism) -> bool {
         self.bits & (1 << mechanism as u32) == 0
     }
 }
--- a/crates/control-http/tests/server_and_client.rs
+++ b/crates/control-http/tests/server_and_client.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::{LocalSet, spawn_local};
 
-/// Much longer than any call here takes.
+/// Timeout of calls that are expected to succeed; much longer than they take.
 const TIMEOUT: Duration = Duration::from_secs(60);
 /// For calls that are expected to get no answer.
 const SHORT_TIMEOUT: Duration = Duration::from_millis(20);
@@ -183,9 +183,9 @@
     let (listener, address) = listen().await;
     let (stop, stopped) = oneshot::channel::<()>();
     let (begun, proceed) = (Rc::new(Notify::new()), Rc::new(Notify::new()));
-    let (tell_begun, await_proceed) = (begun.clone(), proceed.clone());
+    let (notify_begun, await_proceed) = (begun.clone(), proceed.clone());
     let handler = move |request: ControlRequest| {
-        let (begun, proceed) = (tell_begun.clone(), await_proceed.clone());
+        let (begun, proceed) = (notify_begun.clone(), await_proceed.clone());
         async move {
             begun.notify_one();
             proceed.notified().await;
@@ -226,7 +226,7 @@
     call(address, &ClientRequest::get("/status"), TIMEOUT).await.expect("an answer");
 });
 
-/// The interface runs on the thread on which it was started.
+/// Server and client run on the thread on which they were started.
 #[cfg(target_os = "linux")]
 #[test]
 fn no_thread_is_started() {
--- a/crates/controller/src/controller/placement/placers.rs
+++ b/crates/controller/src/controller/placement/placers.rs
@@ -92,7 +92,7 @@
                 ));
             }
             placer.configure(now, runtime);
-            if settings.switched_off.leaves(Mechanism::DemandRecall) {
+            if settings.switched_off.allows(Mechanism::DemandHandover) {
                 demand.reports().iter().for_each(|(at, report)| placer.restore_demand(*at, report));
             }
             for registered in instances.clone().filter(|r| r.instance.backend == backend.name) {
--- a/crates/dispatch/src/dispatcher/admission_control.rs
+++ b/crates/dispatch/src/dispatcher/admission_control.rs
@@ -50,7 +50,7 @@
     fn may_refuse_early(&self, now: Duration, id: RequestId) -> bool {
         let pending = &self.requests[&id];
         let unsent = pending.attempts == 0 && now <= pending.early_refusal_end();
-        self.fleet.is_enabled(Mechanism::EarlyRefusal)
+        self.fleet.is_enabled(Mechanism::EarlyRejection)
             && unsent
             && self.fleet.is_near_capacity(now, &pending.request.backend)
     }
--- a/crates/lanegate/examples/small_system/processes.rs
+++ b/crates/lanegate/examples/small_system/processes.rs
@@ -1,4 +1,4 @@
-//! The three processes, each on a thread of its own.
+//! Router, agent and controller, each on its own thread.
 
 use crate::Outcome;
 use lanegate_config::settings::Settings;
@@ -14,11 +14,11 @@
 use tokio::task::{LocalSet, spawn_local};
 
 /// Machine of the router and its agent.
-const EDGE: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 1);
-/// Machine of the controller; another address, as every machine uses the same ports.
-const CORE: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
+const EDGE_IP: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 1);
+/// Machine of the controller. It has its own address because all machines use the same ports.
+const CORE_IP: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
 
-/// Where the processes are.
+/// Addresses of the processes.
 pub(crate) struct Addresses {
     pub frontend: SocketAddr,
     pub readiness: SocketAddr,
@@ -27,14 +27,14 @@
 }
 
 impl Addresses {
-    /// Addresses that nobody listens on.
-    pub(crate) fn free() -> io::Result<Self> {
-        let ports: Vec<TcpListener> = (0..4).map(|_| free_listener()).collect::<io::Result<_>>()?;
+    /// Picks ports that no process listens on.
+    pub(crate) fn unused() -> io::Result<Self> {
+        let ports: Vec<TcpListener> = (0..4).map(|_| unused_port()).collect::<io::Result<_>>()?;
         let port = |index: usize| ports[index].local_addr().map(|address| address.port());
         Ok(Addresses {
-            frontend: (EDGE, port(0)?).into(),
-            readiness: (EDGE, port(1)?).into(),
-            control: (CORE, port(2)?).into(),
+            frontend: (EDGE_IP, port(0)?).into(),
+            readiness: (EDGE_IP, port(1)?).into(),
+            control: (CORE_IP, port(2)?).into(),
             links: port(3)?,
         })
     }
@@ -51,20 +51,22 @@
     }
 }
 
-/// A listener of a port that is free on both machines.
-fn free_listener() -> io::Result<TcpListener> {
+/// Binds a port that is free on both addresses.
+fn unused_port() -> io::Result<TcpListener> {
     loop {
-        let listener = TcpListener::bind((EDGE, 0))?;
-        if TcpListener::bind((CORE, listener.local_addr()?.port())).is_ok() {
+        let listener = TcpListener::bind((EDGE_IP, 0))?;
+        if TcpListener::bind((CORE_IP, listener.local_addr()?.port())).is_ok() {
             return Ok(listener);
         }
     }
 }
 
-/// Starts all three.
+/// Starts all three processes.
 pub(crate) fn start(addresses: &Addresses, data: &Path) -> Outcome<()> {
-    run("controller", addresses.settings("core-1", CORE, data)?, |settings| run_controller(settings, None));
-    let edge = addresses.settings("edge-1", EDGE, data)?;
+    run("controller", addresses.settings("core-1", CORE_IP, data)?, |settings| {
+        run_controller(settings, None)
+    });
+    let edge = addresses.settings("edge-1", EDGE_IP, data)?;
     run("agent", edge.clone(), |settings| run_agent(settings, None));
     run("router", edge, router);
     Ok(())
--- a/crates/lanegate/src/commands/status.rs
+++ b/crates/lanegate/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! Asks a controller how it is.
+//! `lanegate status`: prints the status of a controller.
 
 use super::CommandError;
 use super::process::block_on;
@@ -8,27 +8,27 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Longest time that the operator waits at the terminal.
-const TIME_OUT: Duration = Duration::from_secs(5);
+/// Time limit for the complete answer; an operator is waiting at the terminal.
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Path of the status at the control interface.
-const PATH: &str = "/status";
+/// Path of the status on the control interface.
+const STATUS_PATH: &str = "/status";
 
-/// Why there is no status to print.
+/// Why the status could not be fetched.
 #[derive(Debug, Error)]
 pub(crate) enum StatusError {
-    /// No whole answer.
+    /// The controller gave no complete answer.
     #[error("{address}: {source}")]
     NoAnswer { address: SocketAddr, source: CallError },
-    /// An answer that is no status.
-    #[error("{address} answered {status}")]
+    /// The controller answered with an error status.
+    #[error("{address} answered with HTTP status {status}")]
     Refused { address: SocketAddr, status: u16 },
 }
 
 /// Prints the answer of the controller at `address`.
 pub(super) fn run(address: SocketAddr) -> Result<(), CommandError> {
-    let request = ClientRequest::get(PATH);
-    let answer = block_on(async { Ok(call(address, &request, TIME_OUT).await) });
+    let request = ClientRequest::get(STATUS_PATH);
+    let answer = block_on(async { Ok(call(address, &request, TIMEOUT).await) });
     let answer = answer.map_err(CommandError::Process)?;
     let answer = answer.map_err(|source| StatusError::NoAnswer { address, source })?;
     if !(200..300).contains(&answer.status) {
--- a/crates/lanegate/tests/soak.rs
+++ b/crates/lanegate/tests/soak.rs
@@ -1,13 +1,13 @@
 //! Short soaks of the program; `lanegate-soak` runs longer ones (`docs/soak.md`).
 //!
-//! They stand here and not in the soak's own tests, as only the tests of its package are given the program.
+//! They are in this package because Cargo gives the path of a program only to tests of its own package.
 
 use lanegate_soak::{Plan, tell};
 use std::path::PathBuf;
 use std::time::Duration;
 use tokio::runtime::Builder;
 
-/// Time of traffic.
+/// Duration of the traffic.
 const LENGTH: Duration = Duration::from_secs(25);
 
 fn soak(seed: u64) {
@@ -17,9 +17,9 @@
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
     let report = runtime.block_on(plan.run()).unwrap();
     let violations = &report.verdict.violations;
-    let stories: Vec<String> =
+    let explanations: Vec<String> =
         violations.iter().map(|violation| tell(violation, &report.events, &report.layout)).collect();
-    assert!(violations.is_empty(), "{}\n{}\n{}", report.schedule, report.verdict, stories.join("\n"));
+    assert!(violations.is_empty(), "{}\n{}\n{}", report.schedule, report.verdict, explanations.join("\n"));
 }
 
 #[test]
--- a/crates/lanegate/tests/status.rs
+++ b/crates/lanegate/tests/status.rs
@@ -1,4 +1,4 @@
-//! Questions to a controller.
+//! `lanegate status` against a fake controller.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::process::Output;
 
-/// Asks a stand-in that gives `answer`; the request that it got and the program's output.
+/// Runs the program against a server that sends `answer`; returns the received request and the output.
 fn ask(answer: &str) -> (String, Output) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn an_address_where_nobody_listens_is_named() {
+fn a_refused_connection_error_names_the_address() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address: SocketAddr = listener.local_addr().unwrap();
     drop(listener);
