--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -1,10 +1,10 @@
 //! Calls to endpoints and probes, and the connections kept for them. One call a connection at a time; what
 //! may have run is told apart from what never did.
 
+use super::input::Input;
 use super::journal::Message;
-use super::link::{Answer, LAST_LOOK, Link, Lost};
-use super::log::say;
-use super::news::News;
+use super::link::{CallError, CallResponse, Link, UNREAD_GRACE};
+use super::log::log_line;
 use super::register::Register;
 use crate::interface::{EndpointId, Outcome, Report};
 use bytes::Bytes;
@@ -23,7 +23,7 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 /// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_millis(500);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How a call ended.
 #[derive(Debug)]
@@ -42,84 +42,84 @@
     pub endpoint: EndpointId,
     pub host: String,
     pub address: SocketAddr,
-    pub letter: Rc<Message>,
+    pub submitted: Rc<Message>,
     pub timeout: Duration,
     /// It must not be sent again if it may have run.
     pub once: bool,
-    pub leave: Leave,
+    pub start_permit: StartPermit,
 }
 
 /// Whether a call may still begin once its connection is there. That can take longer than what allowed it
 /// lasts: its endpoint drains, its destination tells a wait, or the time in which a repeat is dropped ends.
 #[derive(Clone, Default)]
-pub struct Leave {
-    recalled: Rc<Cell<bool>>,
+pub struct StartPermit {
+    revoked: Rc<Cell<bool>>,
     begun: Rc<Cell<bool>>,
     /// Not begun from then on.
     pub ends: Option<Instant>,
 }
 
-impl Leave {
+impl StartPermit {
     /// The call is not begun any more; one that has begun goes on.
-    pub fn recall(&self) {
-        self.recalled.set(true);
+    pub fn revoke(&self) {
+        self.revoked.set(true);
     }
 
     /// Whether its first byte may have gone out.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         self.begun.get()
     }
 
-    fn holds(&self) -> bool {
-        !self.recalled.get() && self.ends.is_none_or(|at| Instant::now() < at)
+    fn is_valid(&self) -> bool {
+        !self.revoked.get() && self.ends.is_none_or(|at| Instant::now() < at)
     }
 }
 
 /// How calls fared on connections by the time for which these had stood idle: some endpoints, or what lies
 /// between, drop them long before the limit and say so only to the next request, which then may have run.
 #[derive(Default)]
-struct Fates {
-    fresh: Fate,
-    idle: [Fate; 8],
+struct BreakRates {
+    fresh: BreakRate,
+    idle: [BreakRate; 8],
 }
 
 /// The share of calls that broke, smoothed, as it was when last noted.
 #[derive(Clone, Copy, Default)]
-struct Fate {
+struct BreakRate {
     share: f64,
     at: Option<Instant>,
 }
 
-const FATE_GAIN: f64 = 0.05;
+const BREAK_RATE_GAIN: f64 = 0.05;
 /// An old share loses half its weight in this time, s: what is shunned is tried again.
-const FATE_HALVES: f64 = 10.0;
+const BREAK_RATE_HALF_LIFE_S: f64 = 10.0;
 /// More breaks than on fresh connections that a message bears which may be sent again, and one that may not:
 /// what breaks is lost then, which weighs many times a new connection.
-const BREAKS_MOST: f64 = 0.1;
-const BREAKS_ONCE: f64 = 0.03;
+const MAX_EXCESS: f64 = 0.1;
+const MAX_EXCESS_ONCE: f64 = 0.03;
 
-impl Fate {
+impl BreakRate {
     fn now(&self) -> f64 {
         let age = self.at.map_or(0.0, |at| at.elapsed().as_secs_f64());
-        self.share * 0.5f64.powf(age / FATE_HALVES)
+        self.share * 0.5f64.powf(age / BREAK_RATE_HALF_LIFE_S)
     }
 
     fn note(&mut self, broke: bool) {
         let share = self.now();
         let seen = if broke { 1.0 } else { 0.0 };
-        *self = Fate { share: share + FATE_GAIN * (seen - share), at: Some(Instant::now()) };
+        *self = BreakRate { share: share + BREAK_RATE_GAIN * (seen - share), at: Some(Instant::now()) };
     }
 }
 
-impl Fates {
+impl BreakRates {
     /// Rows double in span, from 50 ms.
-    fn row(idle: Duration) -> usize {
+    fn bucket(idle: Duration) -> usize {
         (idle.as_millis() as u64 / 25).max(1).ilog2().min(7) as usize
     }
 
     fn note(&mut self, idle: Option<Duration>, broke: bool) {
         match idle {
-            Some(idle) => self.idle[Self::row(idle)].note(broke),
+            Some(idle) => self.idle[Self::bucket(idle)].note(broke),
             None => self.fresh.note(broke),
         }
     }
@@ -127,13 +127,13 @@
     /// Breaks beyond those on fresh connections. What has been dropped after a time is not there after a
     /// longer one either; only a close right behind an answer, the first row, says nothing of later.
     fn excess(&self, idle: Duration) -> f64 {
-        let row = Self::row(idle);
+        let row = Self::bucket(idle);
         let rows = self.idle[row.min(1)..=row].iter();
-        rows.map(Fate::now).fold(0.0, f64::max) - self.fresh.now()
+        rows.map(BreakRate::now).fold(0.0, f64::max) - self.fresh.now()
     }
 }
 
-struct Kept {
+struct IdleConnection {
     link: Link,
     since: Instant,
 }
@@ -145,8 +145,8 @@
     sockets: Arc<Semaphore>,
     /// By endpoint, not by address: a new endpoint at the address of one that is gone must not inherit links
     /// to that one.
-    idle: Rc<RefCell<HashMap<EndpointId, Vec<Kept>>>>,
-    fates: Rc<RefCell<Fates>>,
+    idle: Rc<RefCell<HashMap<EndpointId, Vec<IdleConnection>>>>,
+    break_rates: Rc<RefCell<BreakRates>>,
     /// Asked before the first byte of each call: what operators leave out gets none from their yes on.
     register: Arc<Register>,
 }
@@ -154,20 +154,20 @@
 impl Calls {
     /// `keep` is how long a connection may stand idle, well below the endpoints' own limit.
     pub fn new(connect: Duration, keep: Duration, sockets: usize, register: Arc<Register>) -> Self {
-        let idle = Rc::new(RefCell::new(HashMap::<EndpointId, Vec<Kept>>::new()));
+        let idle = Rc::new(RefCell::new(HashMap::<EndpointId, Vec<IdleConnection>>::new()));
         let swept = Rc::downgrade(&idle);
         tokio::task::spawn_local(async move {
             while let Some(idle) = swept.upgrade() {
                 idle.borrow_mut().retain(|_, kept| {
-                    kept.retain_mut(|k| k.since.elapsed() < keep && k.link.sound());
+                    kept.retain_mut(|k| k.since.elapsed() < keep && k.link.is_usable());
                     !kept.is_empty()
                 });
                 drop(idle);
-                sleep(SWEEP).await;
+                sleep(SWEEP_INTERVAL).await;
             }
         });
         let sockets = Arc::new(Semaphore::new(sockets));
-        Calls { connect, keep, sockets, idle, fates: Rc::default(), register }
+        Calls { connect, keep, sockets, idle, break_rates: Rc::default(), register }
     }
 
     /// Closes all idle connections.
@@ -188,15 +188,15 @@
             // A request on a connection that the peer has closed, or is about to, would end as a reset and
             // count as one that may have run.
             let age = k.since.elapsed();
-            if age >= self.keep || !k.link.sound() {
+            if age >= self.keep || !k.link.is_usable() {
                 continue;
             }
             // So would one on a connection that has stood for as long as those that broke of late.
-            let excess = self.fates.borrow().excess(age);
-            if excess <= if once { BREAKS_ONCE } else { BREAKS_MOST } {
+            let excess = self.break_rates.borrow().excess(age);
+            if excess <= if once { MAX_EXCESS_ONCE } else { MAX_EXCESS } {
                 return Some((k.link, age));
             }
-            if excess <= BREAKS_MOST {
+            if excess <= MAX_EXCESS {
                 kept.push(k);
                 return None;
             }
@@ -205,7 +205,11 @@
     }
 
     fn keep(&self, endpoint: EndpointId, link: Link) {
-        self.idle.borrow_mut().entry(endpoint).or_default().push(Kept { link, since: Instant::now() });
+        self.idle
+            .borrow_mut()
+            .entry(endpoint)
+            .or_default()
+            .push(IdleConnection { link, since: Instant::now() });
     }
 
     /// Room for one more socket; an idle connection elsewhere gives way to it.
@@ -242,21 +246,21 @@
         (to, once): (SocketAddr, bool),
         request: Request<Full<Bytes>>,
         until: Instant,
-        leave: &Leave,
-    ) -> Result<Answer, Lost> {
+        start_permit: &StartPermit,
+    ) -> Result<CallResponse, CallError> {
         // A call whose time is up while it still has no connection was never sent.
         let link = timeout_at(until, self.link(endpoint, to, once)).await.ok().flatten();
-        let (mut link, idle) = link.ok_or(Lost::Unsent)?;
-        if !leave.holds() || self.register.is_out(host) {
-            return Err(Lost::Recalled);
+        let (mut link, idle) = link.ok_or(CallError::NotSent)?;
+        if !start_permit.is_valid() || self.register.is_out(host) {
+            return Err(CallError::Revoked);
         }
-        leave.begun.set(true);
+        start_permit.begun.set(true);
         let answer = link.ask(request, until).await;
         if let Err(lost) = answer {
             let stood = idle.map_or("new".to_owned(), |i| format!("idle for {} ms", i.as_millis()));
-            say!("{to} {lost:?}: on a connection {stood}");
+            log_line!("{to} {lost:?}: on a connection {stood}");
         }
-        self.fates.borrow_mut().note(idle, matches!(answer, Err(Lost::Broken)));
+        self.break_rates.borrow_mut().note(idle, matches!(answer, Err(CallError::ConnectionLost)));
         let answer = answer?;
         if answer.reusable {
             self.keep(endpoint, link);
@@ -266,26 +270,27 @@
 
     /// Makes one attempt and reports its end. The connection is closed before a time-out or a cancel is
     /// told: else the next call would find this one's slot still taken.
-    pub async fn call(self, call: Call, cancel: oneshot::Receiver<()>, news: Sender<News>) {
-        let Call { message, attempt, endpoint, host, address, letter, timeout, once, leave } = call;
+    pub async fn call(self, call: Call, cancel: oneshot::Receiver<()>, inputs: Sender<Input>) {
+        let Call { message, attempt, endpoint, host, address, submitted, timeout, once, start_permit } = call;
         let until = Instant::now() + timeout;
         let mut request = Request::post("/inbox")
             .header(HOST, address.to_string())
-            .header("X-Request-ID", &letter.id)
+            .header("X-Request-ID", &submitted.id)
             .header("X-Timeout", format!("{}m", timeout.as_millis().max(1)));
-        if let Some(key) = &letter.key {
+        if let Some(key) = &submitted.key {
             request = request.header("Idempotency-Key", key);
         }
-        let end = match request.body(Full::new(letter.body.clone())) {
+        let end = match request.body(Full::new(submitted.body.clone())) {
             Ok(request) => {
-                let mut asked = pin!(self.ask((endpoint, &host), (address, once), request, until, &leave));
+                let mut asked =
+                    pin!(self.ask((endpoint, &host), (address, once), request, until, &start_permit));
                 let answer = tokio::select! {
                     biased;
                     answer = &mut asked => Some(answer),
                     _ = cancel => {
                         // It may not begin any more; and an answer that is there already counts.
-                        leave.recall();
-                        tokio::time::timeout(LAST_LOOK, &mut asked).await.ok()
+                        start_permit.revoke();
+                        tokio::time::timeout(UNREAD_GRACE, &mut asked).await.ok()
                     }
                 };
                 answer.map_or_else(
@@ -295,7 +300,7 @@
             }
             Err(_) => CallEnd { outcome: Outcome::NotSent, over: false, report: None, at: Instant::now() },
         };
-        let _ = news.send(News::Called { message, attempt, endpoint, end }).await;
+        let _ = inputs.send(Input::CallEnded { message, attempt, endpoint, end }).await;
     }
 
     /// Sends a check and reports its end.
@@ -304,31 +309,37 @@
         (endpoint, host): (EndpointId, String),
         address: SocketAddr,
         timeout: Duration,
-        news: Sender<News>,
+        inputs: Sender<Input>,
     ) {
         let sent = Instant::now();
         let request = Request::get("/-/load").header(HOST, address.to_string()).body(Full::default());
         let answer = match request {
             Ok(request) => {
-                self.ask((endpoint, &host), (address, false), request, sent + timeout, &Leave::default())
-                    .await
+                self.ask(
+                    (endpoint, &host),
+                    (address, false),
+                    request,
+                    sent + timeout,
+                    &StartPermit::default(),
+                )
+                .await
             }
-            Err(_) => Err(Lost::Unsent),
+            Err(_) => Err(CallError::NotSent),
         };
-        let _ = news.send(News::Probed { endpoint, sent, end: ended(answer) }).await;
+        let _ = inputs.send(Input::Probed { endpoint, sent, end: ended(answer) }).await;
     }
 }
 
 /// What an answer proves. Only what was turned away or never left counts as not run.
-fn ended(answer: Result<Answer, Lost>) -> CallEnd {
+fn ended(answer: Result<CallResponse, CallError>) -> CallEnd {
     let answer = match answer {
         Ok(answer) => answer,
         Err(lost) => {
             let outcome = match lost {
-                Lost::Unsent => Outcome::ConnectFailed,
-                Lost::Recalled => Outcome::NotSent,
-                Lost::Broken => Outcome::Reset,
-                Lost::Silent => Outcome::TimedOut,
+                CallError::NotSent => Outcome::ConnectFailed,
+                CallError::Revoked => Outcome::NotSent,
+                CallError::ConnectionLost => Outcome::Reset,
+                CallError::TimedOut => Outcome::TimedOut,
             };
             return CallEnd { outcome, over: false, report: None, at: Instant::now() };
         }
--- a/src/node/channel.rs
+++ b/src/node/channel.rs
@@ -24,7 +24,7 @@
 
 /// An endpoint as the old process knows it.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct EndpointState {
+pub struct KnownEndpoint {
     pub id: EndpointId,
     pub host: String,
     pub dial: Option<String>,
@@ -52,7 +52,7 @@
     pub clock: Duration,
     #[serde(rename = "at")]
     pub unix_time: Duration,
-    pub endpoints: Vec<EndpointState>,
+    pub endpoints: Vec<KnownEndpoint>,
     #[serde(rename = "numbered")]
     pub endpoint_ids_assigned: u32,
     pub destinations: Vec<u64>,
--- a/src/node/commit.rs
+++ b/src/node/commit.rs
@@ -6,7 +6,7 @@
 use super::courier::{Courier, never_sent};
 use super::intake::{Answer, Reply};
 use super::journal::unix;
-use super::log::say;
+use super::log::log_line;
 use super::outcomes::Notice;
 use std::io;
 use std::time::Duration;
@@ -86,20 +86,23 @@
 
     /// Whether no action depends on the pending records yet.
     fn may_delay_commit(&self) -> bool {
-        self.dues.waiting.is_empty() && !self.dues.failed() && !self.journal.is_behind() && {
-            let lately = self.dues.last.is_some_and(|t| t.elapsed() < MAX_DELAY);
-            self.journal.waiting() == 0 || (lately && self.journal.waiting() < MAX_DELAYED_BYTES)
-        }
+        self.pending_actions.waiting.is_empty()
+            && !self.pending_actions.failed()
+            && !self.journal.is_behind()
+            && {
+                let lately = self.pending_actions.last.is_some_and(|t| t.elapsed() < MAX_DELAY);
+                self.journal.waiting() == 0 || (lately && self.journal.waiting() < MAX_DELAYED_BYTES)
+            }
     }
 
     fn commit(&mut self) {
-        self.dues.committing = std::mem::take(&mut self.dues.waiting);
+        self.pending_actions.committing = std::mem::take(&mut self.pending_actions.waiting);
         let now = Instant::now();
         // A disk that has just failed is not retried for each message.
-        if self.dues.failed.is_some_and(|t| now < t + RETRY_INTERVAL) {
+        if self.pending_actions.failed.is_some_and(|t| now < t + RETRY_INTERVAL) {
             return self.release(false);
         }
-        self.dues.last = Some(now);
+        self.pending_actions.last = Some(now);
         if let Some(result) = self.journal.commit() {
             self.committed(result);
         }
@@ -109,23 +112,23 @@
     pub(super) fn committed(&mut self, result: io::Result<()>) {
         match &result {
             Ok(()) => {
-                if self.dues.failed.take().is_some() {
-                    say!("journal: writing works again");
+                if self.pending_actions.failed.take().is_some() {
+                    log_line!("journal: writing works again");
                 }
             }
             Err(e) => {
-                if self.dues.failed.replace(Instant::now()).is_none() {
-                    say!("journal: cannot write: {e}");
+                if self.pending_actions.failed.replace(Instant::now()).is_none() {
+                    log_line!("journal: cannot write: {e}");
                 }
             }
         }
-        self.standing.ready.set(result.is_ok() && self.stopping.is_none());
+        self.intake_state.ready.set(result.is_ok() && self.stopping.is_none());
         self.release(result.is_ok());
     }
 
     /// Performs the actions of the completed commit, or reverts them if it failed.
     fn release(&mut self, durable: bool) {
-        for due in std::mem::take(&mut self.dues.committing) {
+        for due in std::mem::take(&mut self.pending_actions.committing) {
             match due {
                 PendingAction::Reply { message, reply } => {
                     let response = if durable { Reply::Taken } else { Reply::Unavailable };
@@ -139,14 +142,14 @@
                 PendingAction::Notice(notice, until) if durable || unix() >= until => {
                     self.notices.push_back(notice)
                 }
-                notice => self.dues.waiting.push(notice),
+                notice => self.pending_actions.waiting.push(notice),
             }
         }
     }
 
     fn begin_call(&mut self, mut call: Call, mut cancelled: oneshot::Receiver<()>, durable: bool) {
         // None if its client has disconnected meanwhile.
-        let waited = self.held.get(&call.message).and_then(|m| Some(m.out.as_ref()?.0.elapsed()));
+        let waited = self.held.get(&call.message).and_then(|m| Some(m.in_flight.as_ref()?.0.elapsed()));
         if let Some(waited) = waited.filter(|waited| durable && *waited < call.timeout)
             && cancelled.try_recv().is_err()
         {
@@ -154,12 +157,12 @@
                 call.timeout -= waited;
             }
             let calls = self.calls.clone();
-            tokio::task::spawn_local(calls.call(call, cancelled, self.news.clone()));
+            tokio::task::spawn_local(calls.call(call, cancelled, self.inputs.clone()));
             return;
         }
         self.journal.never_ran(call.message, call.attempt);
         if let Some(m) = self.held.get_mut(&call.message) {
-            m.out = None;
+            m.in_flight = None;
         }
         self.events.push(never_sent(call.message, call.endpoint));
     }
@@ -169,10 +172,10 @@
         if self.journal.is_busy() {
             return None;
         }
-        if let Some(failed) = self.dues.failed {
+        if let Some(failed) = self.pending_actions.failed {
             return Some(failed + RETRY_INTERVAL);
         }
-        let last = self.dues.last?;
+        let last = self.pending_actions.last?;
         let behind = self.journal.is_behind().then(|| last + REWRITE_INTERVAL);
         let delayed = (self.journal.syncs() && self.journal.waiting() > 0).then(|| last + MAX_DELAY);
         behind.into_iter().chain(delayed).min()
@@ -182,19 +185,22 @@
     /// known to be durable.
     pub(super) async fn commit_all(&mut self) -> bool {
         let all = async {
-            while self.journal.is_busy() || self.journal.waiting() > 0 || !self.dues.waiting.is_empty() {
+            while self.journal.is_busy()
+                || self.journal.waiting() > 0
+                || !self.pending_actions.waiting.is_empty()
+            {
                 if self.journal.is_busy() {
                     let done = self.journal.done().await;
                     self.committed(done);
                 } else {
                     self.commit();
                 }
-                if self.dues.failed() {
+                if self.pending_actions.failed() {
                     break;
                 }
             }
         };
-        tokio::time::timeout(FINAL_COMMIT_TIMEOUT, all).await.is_ok() && !self.dues.failed()
+        tokio::time::timeout(FINAL_COMMIT_TIMEOUT, all).await.is_ok() && !self.pending_actions.failed()
     }
 }
 
--- a/src/node/commit_test.rs
+++ b/src/node/commit_test.rs
@@ -5,9 +5,9 @@
 use crate::node::calls::Calls;
 use crate::node::config::{Config, Limits};
 use crate::node::discovery::{Health, Host, List};
-use crate::node::intake::{Answer, Offer, Standing};
+use crate::node::input::Input;
+use crate::node::intake::{Answer, IntakeState, Submission};
 use crate::node::journal::{CommitResults, Journal, Message};
-use crate::node::news::News;
 use crate::node::options::Options;
 use crate::node::register::Register;
 use crate::scheduler::Scheduler;
@@ -31,8 +31,8 @@
 
 struct Bench {
     folder: PathBuf,
-    news: Sender<News>,
-    standing: Rc<Standing>,
+    inputs: Sender<Input>,
+    intake_state: Rc<IntakeState>,
     batches: Receiver<Batch>,
     done: CommitResults,
     /// The one endpoint of destination 7.
@@ -88,21 +88,22 @@
         };
         let register = Register::new(&folder, Durability::Power);
         let calls = Calls::new(CONNECT_TIMEOUT, Duration::from_secs(5), 16, register.clone());
-        let standing = Rc::new(Standing::new(register.clone()));
-        let (news, mut inbox) = tokio::sync::mpsc::channel(64);
+        let intake_state = Rc::new(IntakeState::new(register.clone()));
+        let (inputs, mut inbox) = tokio::sync::mpsc::channel(64);
         let scheduler = Scheduler::new(config.settings.clone(), 5).expect("a module");
-        let mut courier = Courier::new(config, scheduler, journal, 0, calls, standing.clone(), news.clone());
+        let mut courier =
+            Courier::new(config, scheduler, journal, 0, calls, intake_state.clone(), inputs.clone());
         courier.begin();
         let mut changes = register.serve();
         spawn_local(async move {
             courier.run(&mut inbox, &mut changes).await;
         });
-        Bench { folder, news, standing, batches, done, endpoint, platform }
+        Bench { folder, inputs, intake_state, batches, done, endpoint, platform }
     }
 
     /// Submits a message; returns the receiver of the response.
-    async fn offer(&self, id: &str, class: usize, left: Duration) -> oneshot::Receiver<Reply> {
-        let letter = Message {
+    async fn submit(&self, id: &str, class: usize, left: Duration) -> oneshot::Receiver<Reply> {
+        let submitted = Message {
             id: id.to_owned(),
             class: ["notice", "status", "payment"][class].to_owned(),
             destination: 7,
@@ -110,9 +111,9 @@
             ..Message::default()
         };
         let (reply, answer) = Answer::new();
-        let (letter, at) = (Rc::new(letter), Instant::now());
-        let offer = Offer { letter, class, tenant: 0, time_left: left, at, reply };
-        self.news.send(News::Offered(offer)).await.expect("the courier runs");
+        let (submitted, at) = (Rc::new(submitted), Instant::now());
+        let submission = Submission { submitted, class, tenant: 0, time_left: left, at, reply };
+        self.inputs.send(Input::Submitted(submission)).await.expect("the courier runs");
         answer
     }
 
@@ -148,12 +149,12 @@
         // A message that must not run twice is waited for until its deadline. One that may be repeated would
         // be sent again if the process stalls for longer than an attempt, and no one here completes that
         // commit.
-        let mut answer = bench.offer("m1", PAYMENT, Duration::from_secs(20)).await;
+        let mut answer = bench.submit("m1", PAYMENT, Duration::from_secs(20)).await;
         bench.batch().await;
         pass().await;
         assert!(answer.try_recv().is_err(), "not told before it is kept");
         // The same message, submitted again meanwhile: a 202 would promise what is not durable yet.
-        let mut again = bench.offer("m1", PAYMENT, Duration::from_secs(20)).await;
+        let mut again = bench.submit("m1", PAYMENT, Duration::from_secs(20)).await;
         pass().await;
         assert!(again.try_recv().is_err(), "nor is the other, nor refused: it would be handed in anew");
         bench.end(Ok(()));
@@ -172,11 +173,11 @@
 async fn what_comes_while_a_commit_is_under_way_goes_with_the_next_one() {
     let test = async {
         let bench = Bench::new("group").await;
-        let first = bench.offer("m0", 1, Duration::from_secs(20)).await;
+        let first = bench.submit("m0", 1, Duration::from_secs(20)).await;
         bench.batch().await;
         let mut others = Vec::new();
         for n in 1..=20 {
-            others.push(bench.offer(&format!("m{n}"), 1, Duration::from_secs(20)).await);
+            others.push(bench.submit(&format!("m{n}"), 1, Duration::from_secs(20)).await);
         }
         pass().await;
         assert!(bench.batches.try_recv().is_err(), "one commit at a time");
@@ -195,20 +196,20 @@
 async fn a_commit_that_fails_takes_back_what_was_due_and_stops_the_taking() {
     let test = async {
         let bench = Bench::new("fails").await;
-        let answer = bench.offer("m1", 1, Duration::from_secs(20)).await;
+        let answer = bench.submit("m1", 1, Duration::from_secs(20)).await;
         bench.batch().await;
         bench.end(Err(io::ErrorKind::StorageFull.into()));
         assert_eq!(answer.await, Ok(Reply::Unavailable));
-        assert!(!bench.standing.ready.get(), "ready says no");
-        let refused = bench.offer("m2", 1, Duration::from_secs(20)).await;
+        assert!(!bench.intake_state.ready.get(), "ready says no");
+        let refused = bench.submit("m2", 1, Duration::from_secs(20)).await;
         assert_eq!(refused.await, Ok(Reply::Unavailable));
         // The commit is retried without a new event, and messages are accepted again once it succeeds.
         bench.batch().await;
         bench.end(Ok(()));
-        while !bench.standing.ready.get() {
+        while !bench.intake_state.ready.get() {
             yield_now().await;
         }
-        let taken = bench.offer("m3", 1, Duration::from_secs(20)).await;
+        let taken = bench.submit("m3", 1, Duration::from_secs(20)).await;
         bench.batch().await;
         bench.end(Ok(()));
         assert_eq!(taken.await, Ok(Reply::Taken));
@@ -225,7 +226,7 @@
         let left = Duration::from_millis(400);
         // The message's deadline is not before this.
         let until = unix() + left;
-        let answer = bench.offer("m1", 2, left).await;
+        let answer = bench.submit("m1", 2, left).await;
         bench.batch().await;
         bench.end(Ok(()));
         assert_eq!(answer.await, Ok(Reply::Taken));
--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -15,37 +15,37 @@
 
 /// Why a start cannot go on.
 #[derive(Debug)]
-pub enum Fault {
+pub enum ConfigError {
     Missing(&'static str),
-    Bad(&'static str, String),
+    Invalid(&'static str, String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::Missing(name) => write!(f, "{name} is not set"),
-            Fault::Bad(name, why) => write!(f, "{name}: {}", why.replace('\n', " ")),
+            ConfigError::Missing(name) => write!(f, "{name} is not set"),
+            ConfigError::Invalid(name, why) => write!(f, "{name}: {}", why.replace('\n', " ")),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ConfigError {}
 
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
     pub sockets: usize,
     pub disk_mb: f64,
-    #[serde(default = "memory")]
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: f64,
 }
 
 /// Where the file tells none: the most that a courier gets.
-fn memory() -> f64 {
+fn default_memory_mb() -> f64 {
     192.0
 }
 
 #[derive(Deserialize)]
-struct Page {
+struct ConfigFile {
     #[serde(default)]
     seed: String,
     discovery: Option<String>,
@@ -79,28 +79,28 @@
     pub kinds: Vec<String>,
 }
 
-fn text(name: &'static str) -> Result<String, Fault> {
+fn required(name: &'static str) -> Result<String, ConfigError> {
     match env::var(name) {
         Ok(value) if !value.is_empty() => Ok(value),
-        Err(env::VarError::NotUnicode(_)) => Err(Fault::Bad(name, "is not text".to_owned())),
-        _ => Err(Fault::Missing(name)),
+        Err(env::VarError::NotUnicode(_)) => Err(ConfigError::Invalid(name, "is not text".to_owned())),
+        _ => Err(ConfigError::Missing(name)),
     }
 }
 
 /// The same of a variable that need not be set.
-fn optional(name: &'static str) -> Result<Option<String>, Fault> {
-    match text(name) {
+fn optional(name: &'static str) -> Result<Option<String>, ConfigError> {
+    match required(name) {
         Ok(value) => Ok(Some(value)),
-        Err(Fault::Missing(_)) => Ok(None),
+        Err(ConfigError::Missing(_)) => Ok(None),
         Err(fault) => Err(fault),
     }
 }
 
-fn address(name: &'static str) -> Result<SocketAddr, Fault> {
-    place(&text(name)?).map_err(|why| Fault::Bad(name, why))
+fn address(name: &'static str) -> Result<SocketAddr, ConfigError> {
+    parse_address(&required(name)?).map_err(|why| ConfigError::Invalid(name, why))
 }
 
-fn place(text: &str) -> Result<SocketAddr, String> {
+fn parse_address(text: &str) -> Result<SocketAddr, String> {
     text.parse().map_err(|_| format!("{text:?} is no address with a port"))
 }
 
@@ -111,36 +111,36 @@
     u64::from_str_radix(text, 16).unwrap_or_else(|_| mixed())
 }
 
-impl Page {
+impl ConfigFile {
     /// Reads the whole file, or tells what is wrong with it.
-    fn read(path: &Path) -> Result<(Self, Settings, Option<SocketAddr>), Fault> {
-        let bad = |why: String| Fault::Bad("LB_CONFIG", format!("{}: {why}", path.display()));
+    fn read(path: &Path) -> Result<(Self, Settings, Option<SocketAddr>), ConfigError> {
+        let bad = |why: String| ConfigError::Invalid("LB_CONFIG", format!("{}: {why}", path.display()));
         let page = fs::read(path).map_err(|e| bad(e.to_string()))?;
-        let page: Page = serde_json::from_slice(&page).map_err(|e| bad(e.to_string()))?;
+        let page: ConfigFile = serde_json::from_slice(&page).map_err(|e| bad(e.to_string()))?;
         let settings = page.settings.settings().map_err(|e| bad(format!("settings: {e}")))?;
         if page.limits.sockets < 64 || page.limits.disk_mb <= 0.0 {
             return Err(bad("limits: too few sockets or no disk".to_owned()));
         }
-        let discovery = page.discovery.as_deref().map(place).transpose();
+        let discovery = page.discovery.as_deref().map(parse_address).transpose();
         let discovery = discovery.map_err(|why| bad(format!("discovery: {why}")))?;
         Ok((page, settings, discovery))
     }
 }
 
 /// Where the file says that discovery is, as it stands now. An error changes nothing.
-pub fn discovery_again(path: &Path) -> Result<Option<SocketAddr>, Fault> {
-    Page::read(path).map(|(_, _, discovery)| discovery)
+pub fn reread_discovery(path: &Path) -> Result<Option<SocketAddr>, ConfigError> {
+    ConfigFile::read(path).map(|(_, _, discovery)| discovery)
 }
 
 impl Config {
-    pub fn read() -> Result<Self, Fault> {
-        let (name, listen) = (text("LB_NAME")?, address("LB_LISTEN")?);
-        let state = PathBuf::from(text("LB_STATE")?);
+    pub fn read() -> Result<Self, ConfigError> {
+        let (name, listen) = (required("LB_NAME")?, address("LB_LISTEN")?);
+        let state = PathBuf::from(required("LB_STATE")?);
         if !state.is_dir() {
-            return Err(Fault::Bad("LB_STATE", format!("{} is no folder", state.display())));
+            return Err(ConfigError::Invalid("LB_STATE", format!("{} is no folder", state.display())));
         }
-        let file = PathBuf::from(text("LB_CONFIG")?);
-        let (page, settings, named) = Page::read(&file)?;
+        let file = PathBuf::from(required("LB_CONFIG")?);
+        let (page, settings, named) = ConfigFile::read(&file)?;
         // The file may have been replaced since the environment was set, so it holds where it names one: a
         // courier that restarts after a reload must not fall back to the address before.
         let discovery = match named {
@@ -149,19 +149,25 @@
         };
         // Each process has its own, which the environment tells; the file may be shared.
         let admin = match optional("LB_ADMIN_ADDR")? {
-            Some(admin) => Some(place(&admin).map_err(|why| Fault::Bad("LB_ADMIN_ADDR", why))?),
+            Some(admin) => {
+                Some(parse_address(&admin).map_err(|why| ConfigError::Invalid("LB_ADMIN_ADDR", why))?)
+            }
             None => {
-                let admin = page.admin_addr.as_deref().filter(|a| !a.is_empty()).map(place).transpose();
-                admin.map_err(|why| Fault::Bad("admin_addr", why))?
+                let admin =
+                    page.admin_addr.as_deref().filter(|a| !a.is_empty()).map(parse_address).transpose();
+                admin.map_err(|why| ConfigError::Invalid("admin_addr", why))?
             }
         };
         let descriptor = |number: String| {
             let descriptor = number.parse().ok().filter(|fd: &RawFd| *fd >= 0);
-            descriptor.ok_or_else(|| Fault::Bad("LB_LISTEN_FD", format!("{number:?} is no descriptor")))
+            descriptor
+                .ok_or_else(|| ConfigError::Invalid("LB_LISTEN_FD", format!("{number:?} is no descriptor")))
         };
         let listener = optional("LB_LISTEN_FD")?.map(descriptor).transpose()?;
         let options = match optional("LB_OPTIONS")? {
-            Some(path) => Options::read(Path::new(&path)).map_err(|why| Fault::Bad("LB_OPTIONS", why))?,
+            Some(path) => {
+                Options::read(Path::new(&path)).map_err(|why| ConfigError::Invalid("LB_OPTIONS", why))?
+            }
             None => Options::default(),
         };
         Ok(Config {
--- a/src/node/courier/attempts.rs
+++ b/src/node/courier/attempts.rs
@@ -2,10 +2,10 @@
 
 use super::Courier;
 use crate::interface::{Effect, Ended, EndpointId, Event, MessageId, Outcome};
-use crate::node::calls::{Call, CallEnd, Leave};
+use crate::node::calls::{Call, CallEnd, StartPermit};
 use crate::node::commit::PendingAction;
 use crate::node::journal::{Attempt, unix};
-use crate::node::log::say;
+use crate::node::log::log_line;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -20,7 +20,7 @@
 impl Courier {
     /// Records the attempts of a turn; each begins once it is on record.
     pub(super) fn send(&mut self, sends: Vec<Send>, now: Instant) {
-        let late = self.begins_no_call(now);
+        let late = self.starts_no_calls(now);
         for send in sends {
             self.attempt(&send, now, late);
         }
@@ -40,29 +40,39 @@
         let zone = self.config.zones.get(e.zone).cloned().unwrap_or_default();
         let host = e.host.clone();
         let attempt = Attempt { host: host.clone(), zone, sent: unix(), may_have_run: true };
-        m.out = Some((now, None));
+        m.in_flight = Some((now, None));
         if late {
             // This process ends before an answer could come: it is left to the next, as never sent.
             return;
         }
         let number = m.attempts;
         m.attempts += 1;
-        let letter = m.letter.clone();
-        say!("{} attempt {number}: to {host} for {} ms", letter.id, timeout.as_millis());
-        let effect = self.effect(&letter.class);
+        let submitted = m.submitted.clone();
+        log_line!("{} attempt {number}: to {host} for {} ms", submitted.id, timeout.as_millis());
+        let effect = self.effect(&submitted.class);
         let once = effect == Some(Effect::Once);
-        let mut leave = Leave::default();
+        let mut start_permit = StartPermit::default();
         if let Some(Effect::Keyed { window, .. }) = effect {
-            leave.ends = self.window_end(message, window, now);
+            start_permit.ends = self.window_end(message, window, now);
         }
         self.journal.attempt(message, attempt);
         let (cancel, cancelled) = oneshot::channel();
         if let Some(m) = self.held.get_mut(&message) {
-            m.leave = Some((endpoint, leave.clone()));
-            m.out = Some((now, Some(cancel)));
+            m.start_permit = Some((endpoint, start_permit.clone()));
+            m.in_flight = Some((now, Some(cancel)));
         }
-        let call = Call { message, attempt: number, endpoint, host, address, letter, timeout, once, leave };
-        self.dues.push(PendingAction::Call { call, cancelled });
+        let call = Call {
+            message,
+            attempt: number,
+            endpoint,
+            host,
+            address,
+            submitted,
+            timeout,
+            once,
+            start_permit,
+        };
+        self.pending_actions.push(PendingAction::Call { call, cancelled });
     }
 
     /// What a repeated delivery of a message of this class does.
@@ -91,12 +101,12 @@
         // It may have gone while the call was out, and its connection was kept after that.
         self.close_unless_usable(endpoint);
         if let (Outcome::Full { wait: Some(_) }, Some(m)) = (end.outcome, self.held.get(&message)) {
-            self.recall_calls_to_destination(m.letter.destination);
+            self.revoke_calls_to_destination(m.submitted.destination);
         }
         let Some(m) = self.held.get_mut(&message) else { return };
-        let Some((sent, _)) = m.out.take() else { return };
-        let (id, took) = (&m.letter.id, end.at.saturating_duration_since(sent).as_millis());
-        say!("{id} attempt {attempt}: {:?} after {took} ms", end.outcome);
+        let Some((sent, _)) = m.in_flight.take() else { return };
+        let (id, took) = (&m.submitted.id, end.at.saturating_duration_since(sent).as_millis());
+        log_line!("{id} attempt {attempt}: {:?} after {took} ms", end.outcome);
         self.events.push(Event::Ended(Ended {
             message: MessageId(message),
             endpoint,
@@ -129,7 +139,7 @@
                 (endpoint, host),
                 address,
                 timeout,
-                self.news.clone(),
+                self.inputs.clone(),
             ));
         }
     }
--- a/src/node/courier/discovery.rs
+++ b/src/node/courier/discovery.rs
@@ -16,7 +16,7 @@
         let (fleet, grace) = (self.config.settings.couriers, self.config.settings.drain_grace);
         let watch =
             Watch { address: self.config.discovery, seed: self.config.seed, seq, fresh, fleet, grace };
-        let task = tokio::task::spawn_local(watch.run(self.news.clone()));
+        let task = tokio::task::spawn_local(watch.run(self.inputs.clone()));
         self.watch = Some(task.abort_handle());
     }
 
--- a/src/node/courier/endpoints.rs
+++ b/src/node/courier/endpoints.rs
@@ -3,7 +3,7 @@
 use super::{Courier, Endpoint};
 use crate::interface::{self, DestinationId, EndpointId, Entry, Event};
 use crate::node::discovery::{Health, Host, List};
-use crate::node::log::say;
+use crate::node::log::log_line;
 use crate::node::register::{Change, Register};
 use std::sync::Arc;
 
@@ -50,7 +50,7 @@
             self.close_unless_usable(endpoint);
         }
         let ready = |e: &EndpointId| self.endpoints.get(e).is_some_and(|e| e.ready);
-        self.recall_calls(|endpoint| !ready(endpoint));
+        self.revoke_calls(|endpoint| !ready(endpoint));
     }
 
     /// One host of a list.
@@ -65,31 +65,31 @@
             self.calls.close(endpoint);
         }
         // An address that cannot be read leaves nowhere to send to.
-        let standing = match host.health {
+        let state = match host.health {
             Health::Ready if e.address.is_some() => interface::EndpointState::Ready,
             Health::Gone => interface::EndpointState::Gone,
             _ => interface::EndpointState::Draining,
         };
-        e.ready = standing == interface::EndpointState::Ready;
+        e.ready = state == interface::EndpointState::Ready;
         self.destinations.insert(host.block);
         let (destination, weight) = (DestinationId(host.block), host.share);
-        Some(Entry { endpoint, destination, zone, kind, state: standing, weight })
+        Some(Entry { endpoint, destination, zone, kind, state, weight })
     }
 
     /// Calls to such endpoints that are still without their connection do not begin.
-    fn recall_calls(&self, to: impl Fn(&EndpointId) -> bool) {
-        let leaves = self.held.values().filter_map(|m| m.leave.as_ref());
-        leaves.filter(|(endpoint, _)| to(endpoint)).for_each(|(_, leave)| leave.recall());
+    fn revoke_calls(&self, to: impl Fn(&EndpointId) -> bool) {
+        let leaves = self.held.values().filter_map(|m| m.start_permit.as_ref());
+        leaves.filter(|(endpoint, _)| to(endpoint)).for_each(|(_, start_permit)| start_permit.revoke());
     }
 
     /// Told to wait by a destination: calls that are still without their connection do not begin there.
-    pub(super) fn recall_calls_to_destination(&self, destination: u64) {
-        let there = self.held.values().filter(|m| m.letter.destination == destination);
-        there.filter_map(|m| m.leave.as_ref()).for_each(|(_, leave)| leave.recall());
+    pub(super) fn revoke_calls_to_destination(&self, destination: u64) {
+        let there = self.held.values().filter(|m| m.submitted.destination == destination);
+        there.filter_map(|m| m.start_permit.as_ref()).for_each(|(_, start_permit)| start_permit.revoke());
     }
 
     fn register(&self) -> &Arc<Register> {
-        &self.standing.register
+        &self.intake_state.register
     }
 
     /// Whether operators have left it out.
@@ -107,17 +107,20 @@
     pub(super) fn operated(&mut self, change: Change) {
         match change {
             Change::Service { out } => {
-                say!("operators: {}", if out { "out of service" } else { "in service" });
+                log_line!("operators: {}", if out { "out of service" } else { "in service" });
                 if out {
-                    self.standing.close_idle();
+                    self.intake_state.close_idle();
                 }
             }
             Change::Endpoint { id, out } => {
                 let Some(endpoint) = self.numbers.get(&id).copied() else { return };
-                say!("operators: {id} {}", if out { "left out" } else { "used again, as one that is cold" });
+                log_line!(
+                    "operators: {id} {}",
+                    if out { "left out" } else { "used again, as one that is cold" }
+                );
                 // What is kept for it leads to the process that is about to end, or has.
                 self.calls.close(endpoint);
-                self.recall_calls(|e| out && *e == endpoint);
+                self.revoke_calls(|e| out && *e == endpoint);
                 self.events.push(Event::Maintenance { endpoint, out });
             }
         }
--- a/src/node/courier/event_loop.rs
+++ b/src/node/courier/event_loop.rs
@@ -2,9 +2,9 @@
 
 use super::{Courier, End};
 use crate::node::handover::Successor;
+use crate::node::input::Input;
 use crate::node::journal::Scrubbed;
-use crate::node::log::say;
-use crate::node::news::News;
+use crate::node::log::log_line;
 use crate::node::register::Change;
 use std::future::pending;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// A turn that is late by more was held up, and first lets others read what came meanwhile.
-const STANDSTILL: Duration = Duration::from_millis(50);
+const STALL: Duration = Duration::from_millis(50);
 const CATCH_UP: Duration = Duration::from_millis(2);
 /// How long a successor waits for notices that are on their way.
 const NOTICES_TIME: Duration = Duration::from_millis(300);
@@ -49,7 +49,7 @@
 
 impl Courier {
     /// Runs until the courier has stopped, or may be handed over.
-    pub async fn run(&mut self, inbox: &mut Receiver<News>, changes: &mut UnboundedReceiver<Change>) -> End {
+    pub async fn run(&mut self, inbox: &mut Receiver<Input>, changes: &mut UnboundedReceiver<Change>) -> End {
         let mut last_turn: Option<Instant> = None;
         // Also where the module need not ask: on sockets nobody sends the list unasked.
         self.watch();
@@ -65,10 +65,10 @@
                     self.commit_if_due();
                     self.post();
                 }
-                news = inbox.recv() => {
-                    let Some(news) = news else { return End::Stopped };
-                    self.hear(news);
-                    self.hear_waiting(inbox);
+                inputs = inbox.recv() => {
+                    let Some(inputs) = inputs else { return End::Stopped };
+                    self.handle_input(inputs);
+                    self.handle_waiting_inputs(inbox);
                     self.commit_if_due();
                     self.post();
                 }
@@ -79,7 +79,7 @@
                 return End::Stopped;
             }
             if let Some(successor) = self.ready_successor() {
-                return End::Asked(successor);
+                return End::HandoverReady(successor);
             }
         }
     }
@@ -101,7 +101,7 @@
     async fn run_timers(
         &mut self,
         timers: &Timers,
-        inbox: &mut Receiver<News>,
+        inbox: &mut Receiver<Input>,
         last_turn: &mut Option<Instant>,
     ) {
         let now = Instant::now();
@@ -122,14 +122,14 @@
 
     /// After a standstill answers may be there that nobody has read yet. They come first: a message must not be
     /// given up for want of one.
-    async fn catch_up(&mut self, now: Instant, inbox: &mut Receiver<News>) {
-        if self.wake.is_none_or(|(at, _)| at + STANDSTILL >= now) {
+    async fn catch_up(&mut self, now: Instant, inbox: &mut Receiver<Input>) {
+        if self.wake.is_none_or(|(at, _)| at + STALL >= now) {
             return;
         }
         sleep(CATCH_UP).await;
         // Whoever was woken together with this has its turn first.
         yield_now().await;
-        self.hear_waiting(inbox);
+        self.handle_waiting_inputs(inbox);
     }
 
     /// The successor, once nothing is in judgement. Notices that are not acknowledged soon go out again from
@@ -137,8 +137,10 @@
     fn ready_successor(&mut self) -> Option<Successor> {
         let (_, since) = self.successor.as_ref()?;
         let told = self.notices.is_empty() && self.posts == 0;
-        let judged = self.offers.is_empty() && self.events.is_empty() && self.standing.pending_offers() == 0;
-        let kept = self.dues.is_empty() || self.dues.failed();
+        let judged = self.submissions.is_empty()
+            && self.events.is_empty()
+            && self.intake_state.pending_submissions() == 0;
+        let kept = self.pending_actions.is_empty() || self.pending_actions.failed();
         let due = judged && kept && (told || since.elapsed() > NOTICES_TIME);
         self.successor.take_if(|_| due).map(|(successor, _)| successor)
     }
@@ -147,10 +149,10 @@
     fn scrub(&mut self, now: Instant) {
         self.scrub = self.config.options.store.scrub().map(|every| now + every);
         if let Some(scrub) = self.journal.scrub() {
-            let news = self.news.clone();
+            let inputs = self.inputs.clone();
             tokio::task::spawn_local(async move {
                 if let Ok(scrubbed) = tokio::task::spawn_blocking(|| scrub.run()).await {
-                    let _ = news.send(News::Scrubbed(scrubbed)).await;
+                    let _ = inputs.send(Input::Scrubbed(scrubbed)).await;
                 }
             });
         }
@@ -158,41 +160,41 @@
 
     fn scrubbed(&mut self, scrubbed: &Scrubbed) {
         if let (true, Some(damage)) = (self.journal.scrubbed(scrubbed), &scrubbed.damage) {
-            say!("journal: damaged: {damage}; what lives of it is written anew from memory");
+            log_line!("journal: damaged: {damage}; what lives of it is written anew from memory");
         }
     }
 
     /// Hears all that waits.
-    fn hear_waiting(&mut self, inbox: &mut Receiver<News>) {
-        while let Ok(news) = inbox.try_recv() {
-            self.hear(news);
+    fn handle_waiting_inputs(&mut self, inbox: &mut Receiver<Input>) {
+        while let Ok(inputs) = inbox.try_recv() {
+            self.handle_input(inputs);
         }
     }
 
-    fn hear(&mut self, news: News) {
-        match news {
-            News::Offered(offer) => self.offered(offer),
-            News::Called { message, attempt, endpoint, end } => {
+    fn handle_input(&mut self, inputs: Input) {
+        match inputs {
+            Input::Submitted(submission) => self.handle_submission(submission),
+            Input::CallEnded { message, attempt, endpoint, end } => {
                 self.call_ended(message, attempt, endpoint, end);
             }
-            News::Probed { endpoint, sent, end } => self.probed(endpoint, sent, end),
-            News::Listed(list) => {
+            Input::Probed { endpoint, sent, end } => self.probed(endpoint, sent, end),
+            Input::EndpointList(list) => {
                 (self.listed, self.seq) = (true, Some(list.seq));
-                say!("list {}: {}", list.seq, list);
+                log_line!("list {}: {}", list.seq, list);
                 self.apply_list(list);
             }
-            News::Told(messages) => self.told(messages),
-            News::Moved(discovery) => self.move_discovery(discovery),
-            News::Scrubbed(scrubbed) => self.scrubbed(&scrubbed),
-            News::Successor(successor) => {
+            Input::NoticesAcknowledged(messages) => self.notices_acknowledged(messages),
+            Input::DiscoveryMoved(discovery) => self.move_discovery(discovery),
+            Input::Scrubbed(scrubbed) => self.scrubbed(&scrubbed),
+            Input::Successor(successor) => {
                 // One at a time: another asks again.
                 if self.successor.is_none() {
-                    self.standing.hold();
+                    self.intake_state.hold();
                     self.successor = Some((successor, Instant::now()));
                 }
             }
-            News::Stop => {
-                self.standing.stop();
+            Input::Stop => {
+                self.intake_state.stop();
                 self.stopping.get_or_insert(Instant::now());
             }
         }
--- a/src/node/courier/mod.rs
+++ b/src/node/courier/mod.rs
@@ -8,21 +8,21 @@
 mod endpoints;
 mod event_loop;
 mod notices;
-mod offers;
 mod resume;
 mod stopping;
+mod submissions;
 mod turn;
 
 pub(super) use attempts::never_sent;
 pub(super) use stopping::{STOP_ALL, STOP_CLOSING, STOP_LISTENING};
 
-use super::calls::{Calls, Leave};
+use super::calls::{Calls, StartPermit};
 use super::commit::PendingActions;
 use super::config::Config;
 use super::handover::Successor;
-use super::intake::{Offer, Standing};
+use super::input::Input;
+use super::intake::{IntakeState, Submission};
 use super::journal::{Journal, Message};
-use super::news::News;
 use super::outcomes::{Notice, Platform};
 use crate::interface::{EndpointId, Event};
 use crate::scheduler::Scheduler;
@@ -39,9 +39,9 @@
     /// All is done that could be after SIGTERM.
     Stopped,
     /// Nothing is in judgement: all can be handed over.
-    Asked(Successor),
+    HandoverReady(Successor),
     /// The successor has ended after it had taken over.
-    Bereft,
+    SuccessorExited,
 }
 
 /// An endpoint as the list or the journal has named it.
@@ -56,24 +56,24 @@
 }
 
 /// A message that is taken on and has not ended.
-pub(super) struct Held {
-    pub(super) letter: Rc<Message>,
+pub(super) struct HeldMessage {
+    pub(super) submitted: Rc<Message>,
     pub(super) attempts: u32,
     /// The call that is out: when it left, and how to call it off.
-    pub(super) out: Option<(Instant, Option<oneshot::Sender<()>>)>,
+    pub(super) in_flight: Option<(Instant, Option<oneshot::Sender<()>>)>,
     /// Where its last call went, and whether that may still begin.
-    pub(super) leave: Option<(EndpointId, Leave)>,
+    pub(super) start_permit: Option<(EndpointId, StartPermit)>,
 }
 
-impl Held {
+impl HeldMessage {
     /// One of which no call is out.
-    fn new(letter: Rc<Message>, attempts: u32) -> Self {
-        Held { letter, attempts, out: None, leave: None }
+    fn new(submitted: Rc<Message>, attempts: u32) -> Self {
+        HeldMessage { submitted, attempts, in_flight: None, start_permit: None }
     }
 
     /// Calls off the call that is out.
     pub(super) fn cancel(&mut self) {
-        if let Some(cancel) = self.out.as_mut().and_then(|(_, cancel)| cancel.take()) {
+        if let Some(cancel) = self.in_flight.as_mut().and_then(|(_, cancel)| cancel.take()) {
             let _ = cancel.send(());
         }
     }
@@ -86,17 +86,17 @@
     pub(super) journal: Journal,
     pub(super) calls: Calls,
     platform: Platform,
-    pub(super) standing: Rc<Standing>,
-    pub(super) news: Sender<News>,
+    pub(super) intake_state: Rc<IntakeState>,
+    pub(super) inputs: Sender<Input>,
     pub(super) origin: Instant,
     pub(super) events: Vec<Event>,
-    offers: BTreeMap<u64, Offer>,
+    submissions: BTreeMap<u64, Submission>,
     /// Those that the module knows; it says when one is forgotten. Numbers are never used again.
     pub(super) endpoints: HashMap<EndpointId, Endpoint>,
     pub(super) numbered: u32,
     pub(super) numbers: HashMap<String, EndpointId>,
     pub(super) destinations: BTreeSet<u64>,
-    pub(super) held: BTreeMap<u64, Held>,
+    pub(super) held: BTreeMap<u64, HeldMessage>,
     /// Messages by the id that their clients gave them, until they have ended.
     pub(super) ids: HashMap<String, u64>,
     pub(super) next: u64,
@@ -113,7 +113,7 @@
     pub(super) listed: bool,
     pub(super) stopping: Option<Instant>,
     /// What waits for the record.
-    pub(super) dues: PendingActions,
+    pub(super) pending_actions: PendingActions,
     /// When the next segment of the journal is read again.
     scrub: Option<Instant>,
 }
@@ -126,8 +126,8 @@
         journal: Journal,
         last: u64,
         calls: Calls,
-        standing: Rc<Standing>,
-        news: Sender<News>,
+        intake_state: Rc<IntakeState>,
+        inputs: Sender<Input>,
     ) -> Self {
         let platform = Platform::new(config.discovery);
         Courier {
@@ -136,11 +136,11 @@
             journal,
             calls,
             platform,
-            standing,
-            news,
+            intake_state,
+            inputs,
             origin: Instant::now(),
             events: Vec::new(),
-            offers: BTreeMap::new(),
+            submissions: BTreeMap::new(),
             endpoints: HashMap::new(),
             numbered: 0,
             numbers: HashMap::new(),
@@ -156,7 +156,7 @@
             successor: None,
             listed: false,
             stopping: None,
-            dues: PendingActions::default(),
+            pending_actions: PendingActions::default(),
             scrub: None,
         }
     }
--- a/src/node/courier/resume.rs
+++ b/src/node/courier/resume.rs
@@ -1,12 +1,12 @@
 //! Starts from the journal: messages on record come back to the decision module, with what is known of them.
 
-use super::{Courier, Held};
+use super::{Courier, HeldMessage};
 use crate::interface::{DestinationId, Event, MessageId, Past, Ran, Taken};
 use crate::node::discovery::List;
 use crate::node::journal::{Attempt, Message, Verdict, unix};
 use std::time::Duration;
 
-const AGES: Duration = Duration::from_secs(24 * 3600);
+const UNKNOWN_AGE: Duration = Duration::from_secs(24 * 3600);
 /// A clock that is being set right may go back by so much.
 const CLOCK_SLACK: Duration = Duration::from_secs(1);
 
@@ -25,32 +25,32 @@
     /// Hands back a message that is on record, with what is known of its attempts.
     pub(in crate::node) fn resume(&mut self, message: u64) {
         let Some(m) = self.journal.get(message) else { return };
-        let (now, letter, taken, verdict) = (unix(), m.submitted.clone(), m.taken, m.verdict);
+        let (now, submitted, taken, verdict) = (unix(), m.submitted.clone(), m.taken, m.verdict);
         let attempts = m.attempts.len() as u32;
         let ran = m.attempts.iter().find(|a| a.may_have_run).cloned();
-        self.ids.insert(letter.id.clone(), message);
-        let class = self.config.classes.iter().position(|c| *c == letter.class);
-        let tenant = self.config.tenants.iter().position(|t| *t == letter.tenant);
+        self.ids.insert(submitted.id.clone(), message);
+        let class = self.config.classes.iter().position(|c| *c == submitted.class);
+        let tenant = self.config.tenants.iter().position(|t| *t == submitted.tenant);
         // A message with its end decided only waits to have it acknowledged: sending it again would
         // deliver what a client was told to hand in again.
         let verdict = verdict.or(class.is_none().then_some(Verdict::Dead));
         if let Some(verdict) = verdict {
-            return self.tell(message, letter.id.clone(), verdict);
+            return self.queue_notice(message, submitted.id.clone(), verdict);
         }
-        let time_left = time_left(&letter, taken, now);
+        let time_left = time_left(&submitted, taken, now);
         let ran = ran.map(|attempt| self.ran(&attempt, now));
-        self.destinations.insert(letter.destination);
+        self.destinations.insert(submitted.destination);
         self.events.push(Event::Taken(Taken {
             message: MessageId(message),
             class: class.unwrap_or_default(),
             tenant: tenant.unwrap_or_default(),
-            destination: DestinationId(letter.destination),
+            destination: DestinationId(submitted.destination),
             key: None,
             time_left,
             estimated_work: None,
             history: Past { recovered: true, attempts, may_have_run: ran },
         }));
-        self.held.insert(message, Held::new(letter, attempts));
+        self.held.insert(message, HeldMessage::new(submitted, attempts));
     }
 
     /// An attempt on record that may have run, as the module is told of it.
@@ -64,14 +64,14 @@
 }
 
 /// What a message on record has left. A clock that went back gives it no more than it had when it was taken on.
-fn time_left(letter: &Message, taken: Duration, now: Duration) -> Duration {
-    letter.until.saturating_sub(now.max(taken))
+fn time_left(submitted: &Message, taken: Duration, now: Duration) -> Duration {
+    submitted.until.saturating_sub(now.max(taken))
 }
 
 /// How long ago an attempt on record was made. If the clock has gone back since, nobody knows: then any time in
 /// which a repeat is dropped counts as over.
 fn age(sent: Duration, now: Duration) -> Duration {
-    if sent > now + CLOCK_SLACK { AGES } else { now.saturating_sub(sent) }
+    if sent > now + CLOCK_SLACK { UNKNOWN_AGE } else { now.saturating_sub(sent) }
 }
 
 #[cfg(test)]
--- a/src/node/courier/stopping.rs
+++ b/src/node/courier/stopping.rs
@@ -1,7 +1,7 @@
 //! What is still done after SIGTERM, and when all of it is done.
 
 use super::Courier;
-use crate::node::log::say;
+use crate::node::log::log_line;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -17,7 +17,7 @@
 
 impl Courier {
     /// Whether no call is begun any more, as this process would end before its answer.
-    pub(super) fn begins_no_call(&self, now: Instant) -> bool {
+    pub(super) fn starts_no_calls(&self, now: Instant) -> bool {
         self.stopping.is_some_and(|at| now >= at + STOP_SENDING)
     }
 
@@ -26,27 +26,31 @@
         let Some(since) = self.stopping else { return false };
         let since = since.elapsed();
         let told = self.notices.is_empty() && self.posts == 0;
-        let closed = !self.standing.listening.get() && self.standing.open.borrow().is_empty();
-        let quiet = closed && self.offers.is_empty();
-        let calls = self.held.values().any(|m| matches!(m.out, Some((_, Some(_)))));
+        let closed = !self.intake_state.listening.get() && self.intake_state.open.borrow().is_empty();
+        let quiet = closed && self.submissions.is_empty();
+        let calls = self.held.values().any(|m| matches!(m.in_flight, Some((_, Some(_)))));
         let idle = self.held.is_empty() || since >= STOP_SENDING;
-        since >= STOP_ALL || (quiet && told && idle && !calls && self.dues.is_empty())
+        since >= STOP_ALL || (quiet && told && idle && !calls && self.pending_actions.is_empty())
     }
 
     /// Brings the last records to disk.
     pub(super) async fn finish(&mut self) {
         self.record_unsent();
         self.commit_all().await;
-        say!("journal: {} commits, {} syncs in this life", self.journal.commits, self.journal.syncs);
+        log_line!("journal: {} commits, {} syncs in this life", self.journal.commits, self.journal.syncs);
     }
 
     /// At the end: what still waits for its connection has not run, whatever the record of its attempt says, and the
     /// next process may send it.
     fn record_unsent(&mut self) {
         for (message, m) in &self.held {
-            let Some((_, leave)) = m.leave.as_ref().filter(|(_, leave)| !leave.has_begun()) else { continue };
-            leave.recall();
-            if m.out.is_some() && m.attempts > 0 {
+            let Some((_, start_permit)) =
+                m.start_permit.as_ref().filter(|(_, start_permit)| !start_permit.has_started())
+            else {
+                continue;
+            };
+            start_permit.revoke();
+            if m.in_flight.is_some() && m.attempts > 0 {
                 self.journal.never_ran(*message, m.attempts - 1);
             }
         }
--- a/src/node/courier/turn.rs
+++ b/src/node/courier/turn.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Action, Event};
 use crate::node::commit::PendingAction;
 use crate::node::journal::Verdict;
-use crate::node::log::say;
+use crate::node::log::log_line;
 use crate::node::outcomes::Notice;
 use std::collections::HashMap;
 use tokio::time::Instant;
@@ -24,7 +24,7 @@
         if let Some((_, token)) = self.wake.take_if(|(at, _)| *at <= now) {
             self.events.push(Event::Woken { token });
         }
-        self.drop_deserted();
+        self.drop_abandoned();
         let events = std::mem::take(&mut self.events);
         let mut actions = Vec::new();
         self.scheduler.handle(now.duration_since(self.origin), &events, &mut actions);
@@ -35,7 +35,7 @@
         let Decisions { mut refused, sends, cancels } = decisions;
         self.take_on(&mut refused);
         for (message, verdict) in refused {
-            self.judge(message, verdict);
+            self.give_up(message, verdict);
         }
         self.send(sends, now);
         self.cancel(cancels);
@@ -60,22 +60,22 @@
             Action::Subscribe { active: false } | Action::Tell { .. } => {}
             Action::Wake { token, after } => self.wake = Some((now + after, token)),
             Action::Forget { endpoint } => self.forget(endpoint),
-            Action::Note { text } => say!("note: {text}"),
+            Action::Note { text } => log_line!("note: {text}"),
         }
     }
 
     /// The module has ended a message undelivered: on record first, then told.
-    fn judge(&mut self, message: u64, verdict: Verdict) {
+    fn give_up(&mut self, message: u64, verdict: Verdict) {
         let Some(m) = self.held.get(&message) else { return };
         if self.journal.get(message).is_none_or(|m| m.verdict.is_some()) {
             return;
         }
-        let (id, until) = (m.letter.id.clone(), m.letter.until);
-        say!("{id} given up: {verdict:?}");
-        if m.out.is_none() {
+        let (id, until) = (m.submitted.id.clone(), m.submitted.until);
+        log_line!("{id} given up: {verdict:?}");
+        if m.in_flight.is_none() {
             self.held.remove(&message);
         }
         self.journal.record_verdict(message, verdict);
-        self.dues.push(PendingAction::Notice(Notice { message, id, verdict }, until));
+        self.pending_actions.push(PendingAction::Notice(Notice { message, id, verdict }, until));
     }
 }
--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -1,9 +1,9 @@
 //! The watch on the list of endpoints. It lasts until its connection ends or falls silent; then it is
 //! asked for again, with backoff.
 
+use super::input::Input;
 use super::link::Link;
-use super::log::say;
-use super::news::News;
+use super::log::log_line;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode, header};
@@ -61,28 +61,28 @@
     Unknown,
 }
 
-const CONNECT: Duration = Duration::from_millis(1000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// An agent answers at once; one that does not is asked again. Where a fleet asks together it may be work that
-/// waits in a queue, which each call that is given up and made anew lengthens: patience doubles with each.
-const FIRST_ANSWER: Duration = Duration::from_millis(1000);
-const ANSWER_MOST: Duration = Duration::from_millis(8000);
+/// waits in a queue, which each call that is given up and made anew lengthens: schedule doubles with each.
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
+const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_millis(8000);
 /// While nothing changes an empty line comes every 2 s. A machine that vanished leaves the connection open
-/// and silent; a change counts as told 6 s later, so silence must be found out early enough before that for
+/// and silent; a change counts as splitter 6 s later, so silence must be found out early enough before that for
 /// a watch that is not answered and another that is.
-const SILENT: Duration = Duration::from_millis(3000);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
 /// Pause before a watch is asked for again, s, in a fleet of this size or less; in a larger one it grows with
 /// it, so that all together ask no oftener. The first watch is spread likewise where a list is at hand.
-const BACKOFF_FIRST: f64 = 0.15;
-const BACKOFF_MOST: f64 = 2.0;
-const FLEET: f64 = 6.0;
-const SPREAD: f64 = 0.3;
-/// While there is no watch, what the agent has been sent counts as told already. So a first watch, and one
+const FIRST_BACKOFF_S: f64 = 0.15;
+const MAX_BACKOFF_S: f64 = 2.0;
+const REFERENCE_FLEET: f64 = 6.0;
+const START_SPREAD_S: f64 = 0.3;
+/// While there is no watch, what the agent has been sent counts as splitter already. So a first watch, and one
 /// after another that was answered, is up within the grace on drains: its call comes in this part of it.
-const GRACE_PART: f64 = 0.5;
+const GRACE_SHARE: f64 = 0.5;
 /// No list is longer; guards memory against one without an end.
-const VALUE_MOST: usize = 8 * 1024 * 1024;
+const MAX_VALUE: usize = 8 * 1024 * 1024;
 /// Bytes that the log shows of what cannot be read.
-const SHOWN: usize = 60;
+const MAX_LOGGED_BYTES: usize = 60;
 
 pub struct Watch {
     pub address: SocketAddr,
@@ -98,7 +98,7 @@
 }
 
 /// When to ask again, and how long to wait for the answer.
-struct Patience {
+struct Backoff {
     scale: f64,
     /// The first pause, at most, while discovery is not known to turn callers away.
     most: f64,
@@ -106,60 +106,60 @@
     answer: Duration,
 }
 
-impl Patience {
+impl Backoff {
     fn new(fleet: usize, grace: Duration) -> Self {
-        let scale = (fleet as f64 / FLEET).max(1.0);
-        let most = grace.as_secs_f64() * GRACE_PART;
-        Patience { scale, most, backoff: BACKOFF_FIRST, answer: FIRST_ANSWER }
+        let scale = (fleet as f64 / REFERENCE_FLEET).max(1.0);
+        let most = grace.as_secs_f64() * GRACE_SHARE;
+        Backoff { scale, most, backoff: FIRST_BACKOFF_S, answer: FIRST_RESPONSE_TIMEOUT }
     }
 
     /// When the first watch is asked for; `jitter` is from 0 to 1.
     fn spread(&self, jitter: f64) -> Duration {
-        Duration::from_secs_f64((SPREAD * self.scale).min(self.most) * jitter)
+        Duration::from_secs_f64((START_SPREAD_S * self.scale).min(self.most) * jitter)
     }
 
     /// A watch has held: the next is asked for as if it were the first.
     fn renew(&mut self) {
-        (self.backoff, self.answer) = (BACKOFF_FIRST, FIRST_ANSWER);
+        (self.backoff, self.answer) = (FIRST_BACKOFF_S, FIRST_RESPONSE_TIMEOUT);
     }
 
     /// The pause before the next call, after one that was answered (`heard`) or was not; `jitter` is from 0 to
     /// 1. Only a discovery that turns callers away is spared by pauses that grow with the fleet.
     fn pause(&mut self, heard: bool, jitter: f64) -> Duration {
-        let scale = if heard { self.scale.min(self.most / BACKOFF_FIRST).max(1.0) } else { self.scale };
+        let scale = if heard { self.scale.min(self.most / FIRST_BACKOFF_S).max(1.0) } else { self.scale };
         let pause = self.backoff * scale * (0.5 + jitter);
-        self.backoff = (self.backoff * 2.0).min(BACKOFF_MOST);
+        self.backoff = (self.backoff * 2.0).min(MAX_BACKOFF_S);
         Duration::from_secs_f64(pause)
     }
 
     /// The last call had no answer in time.
     fn unanswered(&mut self) {
-        self.answer = (self.answer * 2).min(ANSWER_MOST);
+        self.answer = (self.answer * 2).min(MAX_RESPONSE_TIMEOUT);
     }
 }
 
 impl Watch {
     /// Watches for good. Ends only when nobody listens any more.
-    pub async fn run(mut self, news: Sender<News>) {
+    pub async fn run(mut self, inputs: Sender<Input>) {
         let mut rng = SmallRng::seed_from_u64(self.seed);
-        let mut patience = Patience::new(self.fleet, self.grace);
+        let mut schedule = Backoff::new(self.fleet, self.grace);
         if !self.fresh {
-            sleep(patience.spread(rng.random())).await;
+            sleep(schedule.spread(rng.random())).await;
         }
-        while !news.is_closed() {
+        while !inputs.is_closed() {
             let since = Instant::now();
-            let heard = self.once(&news, &mut patience).await;
-            if heard && since.elapsed() > SILENT {
-                patience.renew();
+            let heard = self.once(&inputs, &mut schedule).await;
+            if heard && since.elapsed() > SILENCE_TIMEOUT {
+                schedule.renew();
             }
-            sleep(patience.pause(heard, rng.random())).await;
+            sleep(schedule.pause(heard, rng.random())).await;
         }
     }
 
     /// One watch, from its connection to its end. True if it was answered.
-    async fn once(&mut self, news: &Sender<News>, patience: &mut Patience) -> bool {
-        let Some(mut link) = Link::open(self.address, CONNECT, None).await else {
-            say!("discovery: no connection to {}", self.address);
+    async fn once(&mut self, inputs: &Sender<Input>, schedule: &mut Backoff) -> bool {
+        let Some(mut link) = Link::open(self.address, CONNECT_TIMEOUT, None).await else {
+            log_line!("discovery: no connection to {}", self.address);
             return false;
         };
         let path = match self.fresh {
@@ -169,33 +169,33 @@
         let host = self.address.to_string();
         let request = Request::get(path).header(header::HOST, host).body(Full::<Bytes>::default());
         let Ok(request) = request else { return false };
-        let Some(answer) = link.watch(request, patience.answer).await else {
-            say!("discovery: no answer from {} in {:?}", self.address, patience.answer);
-            patience.unanswered();
+        let Some(answer) = link.watch(request, schedule.answer).await else {
+            log_line!("discovery: no answer from {} in {:?}", self.address, schedule.answer);
+            schedule.unanswered();
             return false;
         };
-        say!("discovery: {} answers {} {:?}", self.address, answer.status(), answer.headers());
+        log_line!("discovery: {} answers {} {:?}", self.address, answer.status(), answer.headers());
         if answer.status() != StatusCode::OK {
             return false;
         }
-        let (mut body, mut told) = (answer.into_body(), Told::default());
+        let (mut body, mut splitter) = (answer.into_body(), ValueSplitter::default());
         let mut heard = false;
-        while let Some(piece) = link.piece(&mut body, told.patience()).await {
-            if !told.push(&piece) {
-                say!("discovery: {} tells a list without an end", self.address);
+        while let Some(piece) = link.next_chunk(&mut body, splitter.time_left()).await {
+            if !splitter.push(&piece) {
+                log_line!("discovery: {} tells a list without an end", self.address);
                 self.fresh = true;
                 return heard;
             }
-            while let Some(item) = told.next() {
+            while let Some(item) = splitter.next() {
                 // An empty line says that all is as it was: an answer too.
                 let list = match item {
-                    Item::Beat => List { seq: self.seq, ..List::default() },
+                    Item::Heartbeat => List { seq: self.seq, ..List::default() },
                     Item::Value(value) => match serde_json::from_slice::<List>(&value) {
                         Ok(list) => list,
                         Err(e) => {
-                            let from = String::from_utf8_lossy(&value[..value.len().min(SHOWN)]);
-                            say!("discovery: {} tells what cannot be read, {from:?}: {e}", self.address);
-                            // What it would have told is asked for again, as a whole list.
+                            let from = String::from_utf8_lossy(&value[..value.len().min(MAX_LOGGED_BYTES)]);
+                            log_line!("discovery: {} tells what cannot be read, {from:?}: {e}", self.address);
+                            // What it would have splitter is asked for again, as a whole list.
                             self.fresh = true;
                             return heard;
                         }
@@ -210,13 +210,13 @@
                     }
                 }
                 heard = true;
-                if news.send(News::Listed(list)).await.is_err() {
+                if inputs.send(Input::EndpointList(list)).await.is_err() {
                     return true;
                 }
             }
         }
-        let cut = if told.is_within() { ", in the middle of a list" } else { "" };
-        say!("discovery: the watch at {} has ended{cut}", self.address);
+        let cut = if splitter.is_within() { ", in the middle of a list" } else { "" };
+        log_line!("discovery: the watch at {} has ended{cut}", self.address);
         heard
     }
 }
@@ -225,14 +225,14 @@
 #[derive(Debug, PartialEq)]
 enum Item {
     /// An empty line.
-    Beat,
+    Heartbeat,
     /// A JSON value, or a line that is none.
     Value(Vec<u8>),
 }
 
 /// Cuts a stream of bytes into JSON values. Each has a line of its own, or several where lists come indented.
 #[derive(Default)]
-struct Told {
+struct ValueSplitter {
     bytes: Vec<u8>,
     /// Up to here there is no end of a value.
     seen: usize,
@@ -248,11 +248,11 @@
     since: Option<Instant>,
 }
 
-impl Told {
+impl ValueSplitter {
     /// False if a value has grown too long.
     fn push(&mut self, piece: &[u8]) -> bool {
         self.bytes.extend_from_slice(piece);
-        self.bytes.len() <= VALUE_MOST
+        self.bytes.len() <= MAX_VALUE
     }
 
     /// Whether a value is unfinished.
@@ -260,10 +260,10 @@
         self.begun
     }
 
-    /// How long what follows may stay away. A value that does not end hides all that is told after it, and so is
+    /// How long what follows may stay away. A value that does not end hides all that is splitter after it, and so is
     /// no better than silence, whatever else comes meanwhile.
-    fn patience(&self) -> Duration {
-        self.since.map_or(SILENT, |since| SILENT.saturating_sub(since.elapsed()))
+    fn time_left(&self) -> Duration {
+        self.since.map_or(SILENCE_TIMEOUT, |since| SILENCE_TIMEOUT.saturating_sub(since.elapsed()))
     }
 
     fn next(&mut self) -> Option<Item> {
@@ -303,12 +303,13 @@
             }
             let rest = self.bytes.split_off(self.seen);
             let ended = self.begun && byte != b'\n';
-            let told = std::mem::replace(self, Told { bytes: rest, ended, ..Told::default() });
-            if told.begun {
-                return Some(Item::Value(told.bytes));
+            let splitter =
+                std::mem::replace(self, ValueSplitter { bytes: rest, ended, ..ValueSplitter::default() });
+            if splitter.begun {
+                return Some(Item::Value(splitter.bytes));
             }
-            if !told.ended {
-                return Some(Item::Beat);
+            if !splitter.ended {
+                return Some(Item::Heartbeat);
             }
         }
         self.since = self.begun.then(|| self.since.unwrap_or_else(Instant::now));
--- a/src/node/golden_test.rs
+++ b/src/node/golden_test.rs
@@ -1,7 +1,7 @@
 //! The courier's records on disk and its handover messages, byte for byte.
 
 use super::channel::{
-    ClientConnection, EndedCall, EndpointState, HandoverMessage, HandoverState, InFlightCall,
+    ClientConnection, EndedCall, HandoverMessage, HandoverState, InFlightCall, KnownEndpoint,
 };
 use super::journal::{Attempt, LiveMessage, Message, Verdict};
 use super::outcomes::Notice;
@@ -134,7 +134,7 @@
 fn handover_messages() -> Vec<(&'static str, HandoverMessage)> {
     let endpoint = EndpointId(4);
     let age = Duration::new(3, 500);
-    let known = |dial: Option<&str>, ready| EndpointState {
+    let known = |dial: Option<&str>, ready| KnownEndpoint {
         id: endpoint,
         host: "s-1".to_owned(),
         dial: dial.map(str::to_owned),
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -1,16 +1,16 @@
 //! Replaces the process without downtime. The process that holds the lock on the state folder is the courier;
 //! its predecessor keeps only its calls in flight. `docs/design.md` describes the steps and what aborts them.
 
-use super::calls::{CallEnd, Leave};
+use super::calls::{CallEnd, StartPermit};
 use super::channel::{
-    self, ClientConnection, EndedCall, EndpointState, HandoverMessage, HandoverReceiver, HandoverSender,
-    HandoverState, InFlightCall,
+    self, ClientConnection, EndedCall, HandoverMessage, HandoverReceiver, HandoverSender, HandoverState,
+    InFlightCall, KnownEndpoint,
 };
-use super::courier::{Courier, End, Endpoint, Held, STOP_ALL, STOP_LISTENING};
+use super::courier::{Courier, End, Endpoint, HeldMessage, STOP_ALL, STOP_LISTENING};
+use super::input::Input;
 use super::intake::{Intake, PassedConnection, Reply};
 use super::journal::unix;
-use super::log::say;
-use super::news::News;
+use super::log::log_line;
 use super::register::{Forward, Register};
 use crate::interface::{EndpointId, Event, MessageId, Outcome, Settings};
 use crate::scheduler::Scheduler;
@@ -52,7 +52,7 @@
 }
 
 /// Accepts successors from now on.
-pub fn listen(folder: &Path, news: Sender<News>) -> io::Result<AbortHandle> {
+pub fn listen(folder: &Path, inputs: Sender<Input>) -> io::Result<AbortHandle> {
     let (_open, path) = socket(folder)?;
     // Left by a killed process: whoever holds the lock may replace it.
     match fs::remove_file(&path) {
@@ -68,11 +68,11 @@
                     if let Ok(Ok((HandoverMessage::Hello, _))) =
                         timeout(MESSAGE_TIMEOUT, receiver.receive()).await
                     {
-                        let _ = news.send(News::Successor(Successor { sender, receiver })).await;
+                        let _ = inputs.send(Input::Successor(Successor { sender, receiver })).await;
                     }
                 }
                 Err(e) => {
-                    say!("handover: cannot accept: {e}");
+                    log_line!("handover: cannot accept: {e}");
                     sleep(RETRY_INTERVAL).await;
                 }
             }
@@ -117,7 +117,7 @@
                 }
             }
             Err(e) if !reported => {
-                say!("handover: the serving process does not hand over yet: {e}");
+                log_line!("handover: the serving process does not hand over yet: {e}");
                 reported = true;
             }
             Err(_) => {}
@@ -134,8 +134,8 @@
         return Err(io::ErrorKind::InvalidData.into());
     };
     let scheduler = Scheduler::unpack(&state.scheduler, set.clone(), seed);
-    let scheduler =
-        scheduler.inspect_err(|e| say!("handover: cannot load the state, starting from the journal: {e}"));
+    let scheduler = scheduler
+        .inspect_err(|e| log_line!("handover: cannot load the state, starting from the journal: {e}"));
     sender.send(&HandoverMessage::Ready { state_loaded: scheduler.is_ok() }, None).await?;
     match timeout(MESSAGE_TIMEOUT, receiver.receive()).await?? {
         (HandoverMessage::LockReleased, _) => {
@@ -157,8 +157,8 @@
             }
             None => courier.begin(),
         }
-        let news = courier.news.clone();
-        tokio::task::spawn_local(receive_messages(receiver, sender, out, news, intake, register));
+        let inputs = courier.inputs.clone();
+        tokio::task::spawn_local(receive_messages(receiver, sender, out, inputs, intake, register));
     }
 }
 
@@ -167,7 +167,7 @@
     mut receiver: HandoverReceiver,
     sender: HandoverSender,
     mut out: HashMap<u64, (u32, EndpointId)>,
-    news: Sender<News>,
+    inputs: Sender<Input>,
     intake: Rc<Intake>,
     register: Arc<Register>,
 ) {
@@ -177,7 +177,7 @@
             Ok((HandoverMessage::Client(client), Some(descriptor))) => {
                 clients += 1;
                 if let Err(e) = intake.clone().adopt(descriptor, client) {
-                    say!("handover: cannot take over a client connection: {e}");
+                    log_line!("handover: cannot take over a client connection: {e}");
                 }
             }
             Ok((HandoverMessage::Ended(ended), _)) => {
@@ -186,7 +186,7 @@
                 let at = at.checked_sub(ended.age).unwrap_or(at);
                 let end = CallEnd { outcome: ended.outcome, over: ended.over, report, at };
                 let EndedCall { message, attempt, endpoint, .. } = ended;
-                let _ = news.send(News::Called { message, attempt, endpoint, end }).await;
+                let _ = inputs.send(Input::CallEnded { message, attempt, endpoint, end }).await;
             }
             Ok((HandoverMessage::OperatorChange(number, change), _)) => {
                 let (register, sender) = (register.clone(), sender.clone());
@@ -199,13 +199,13 @@
             Err(_) => break,
         }
     }
-    say!(
+    log_line!(
         "handover: the previous process has ended; {clients} client connections came from it, {} calls were lost",
         out.len()
     );
     for (message, (attempt, endpoint)) in out {
         let end = CallEnd { outcome: Outcome::Reset, over: false, report: None, at: Instant::now() };
-        let _ = news.send(News::Called { message, attempt, endpoint, end }).await;
+        let _ = inputs.send(Input::CallEnded { message, attempt, endpoint, end }).await;
     }
 }
 
@@ -213,7 +213,7 @@
     /// All state that the successor needs beside the journal.
     fn state(&self) -> Result<HandoverState, String> {
         let zone = |e: &Endpoint| self.config.zones.get(e.zone).cloned().unwrap_or_default();
-        let endpoints = self.endpoints.iter().map(|(id, e)| EndpointState {
+        let endpoints = self.endpoints.iter().map(|(id, e)| KnownEndpoint {
             id: *id,
             host: e.host.clone(),
             dial: e.address.map(|a| a.to_string()),
@@ -222,8 +222,8 @@
             listed: e.listed,
         });
         let in_flight = self.held.iter().filter_map(|(message, m)| {
-            let (sent, _) = m.out.as_ref()?;
-            let (endpoint, attempt) = (m.leave.as_ref()?.0, m.attempts.checked_sub(1)?);
+            let (sent, _) = m.in_flight.as_ref()?;
+            let (endpoint, attempt) = (m.start_permit.as_ref()?.0, m.attempts.checked_sub(1)?);
             Some(InFlightCall { message: *message, endpoint, attempt, age: sent.elapsed() })
         });
         Ok(HandoverState {
@@ -246,7 +246,7 @@
         self.scheduler = scheduler;
         for known in state.endpoints {
             let (zone, address) = (self.zone(&known.zone), known.dial.and_then(|d| d.parse().ok()));
-            let EndpointState { id, host, ready, listed, .. } = known;
+            let KnownEndpoint { id, host, ready, listed, .. } = known;
             self.numbers.insert(host.clone(), id);
             self.endpoints.insert(id, Endpoint { host, address, zone, ready, listed });
         }
@@ -266,10 +266,10 @@
             }
             self.ids.insert(m.submitted.id.clone(), message);
             if let Some(verdict) = m.verdict {
-                self.tell(message, m.submitted.id.clone(), verdict);
+                self.queue_notice(message, m.submitted.id.clone(), verdict);
             }
             let out = out.remove(&message);
-            let leave = out.as_ref().map(|o| (o.endpoint, Leave::default()));
+            let start_permit = out.as_ref().map(|o| (o.endpoint, StartPermit::default()));
             let out = out.map(|o| {
                 let (cancel, cancelled) = oneshot::channel();
                 let sender = sender.clone();
@@ -281,13 +281,15 @@
                 (now.checked_sub(o.age).unwrap_or(now), Some(cancel))
             });
             if m.verdict.is_none() || out.is_some() {
-                let (letter, attempts) = (m.submitted, m.attempts.len() as u32);
-                self.held.insert(message, Held { letter, attempts, out, leave });
+                let (submitted, attempts) = (m.submitted, m.attempts.len() as u32);
+                self.held.insert(message, HeldMessage { submitted, attempts, in_flight: out, start_permit });
             }
         }
         // The latest operator changes may be recorded and not yet known to the scheduler.
-        let set =
-            self.endpoints.iter().map(|(endpoint, e)| (*endpoint, self.standing.register.is_out(&e.host)));
+        let set = self
+            .endpoints
+            .iter()
+            .map(|(endpoint, e)| (*endpoint, self.intake_state.register.is_out(&e.host)));
         let set = set.map(|(endpoint, out)| Event::Maintenance { endpoint, out });
         let set: Vec<_> = set.collect();
         self.events.extend(set);
@@ -302,26 +304,32 @@
         match self.send_state(to).await {
             Ok(()) => {}
             Err(e) => {
-                say!("handover: aborted, this process keeps serving: {e}");
+                log_line!("handover: aborted, this process keeps serving: {e}");
                 return false;
             }
         }
         drop(lock.take());
         // If this message cannot be sent, the lock is released all the same: whoever takes it is the courier.
         if let Err(e) = to.sender.send(&HandoverMessage::LockReleased, None).await {
-            say!("handover: cannot reach the successor after releasing the lock: {e}");
+            log_line!("handover: cannot reach the successor after releasing the lock: {e}");
         }
         true
     }
 
     async fn send_state(&mut self, to: &mut Successor) -> io::Result<()> {
         // A call that has no connection yet is not started any more.
-        self.held.values().filter_map(|m| m.leave.as_ref()).for_each(|(_, leave)| leave.recall());
+        self.held
+            .values()
+            .filter_map(|m| m.start_permit.as_ref())
+            .for_each(|(_, start_permit)| start_permit.revoke());
         if !self.commit_all().await {
             return Err(io::Error::other("the journal cannot be written"));
         }
         let state = self.state().map_err(io::Error::other)?;
-        say!("handover: sending the state to a successor, with {} calls in flight", state.in_flight.len());
+        log_line!(
+            "handover: sending the state to a successor, with {} calls in flight",
+            state.in_flight.len()
+        );
         timeout(MESSAGE_TIMEOUT, to.sender.send(&HandoverMessage::State(Box::new(state)), None)).await??;
         match timeout(MESSAGE_TIMEOUT, to.receiver.receive()).await?? {
             (HandoverMessage::Ready { state_loaded: true }, _) => Ok(()),
@@ -340,7 +348,7 @@
     pub async fn drain_after_handover(
         mut self,
         mut to: Successor,
-        mut inbox: Receiver<News>,
+        mut inbox: Receiver<Input>,
         mut clients: UnboundedReceiver<PassedConnection>,
         mut forwards: UnboundedReceiver<Forward>,
     ) -> End {
@@ -361,11 +369,11 @@
                     waiting.insert(asked, reply);
                     Some(HandoverMessage::OperatorChange(asked, change))
                 }
-                Some(news) = inbox.recv() => self.handle_late_news(news),
+                Some(inputs) = inbox.recv() => self.handle_late_news(inputs),
                 message = to.receiver.receive() => {
                     match message {
                         Ok((HandoverMessage::Cancel(message), _)) => {
-                            self.held.get_mut(&message).into_iter().for_each(Held::cancel);
+                            self.held.get_mut(&message).into_iter().for_each(HeldMessage::cancel);
                         }
                         Ok((HandoverMessage::OperatorChangeResult(number, set), _)) => {
                             if let Some(reply) = waiting.remove(&number) {
@@ -375,8 +383,8 @@
                         Ok(_) => {}
                         Err(_) if self.stopping.is_some() => return End::Stopped,
                         Err(e) => {
-                            say!("handover: the successor has ended: {e}");
-                            return End::Bereft;
+                            log_line!("handover: the successor has ended: {e}");
+                            return End::SuccessorExited;
                         }
                     }
                     None
@@ -387,8 +395,8 @@
                 let _ = to.sender.send(&message, None).await;
             }
             if let Some(since) = self.stopping.map(|at| at.elapsed()) {
-                let calls = self.held.values().any(|m| m.out.is_some());
-                let clients = !self.standing.open.borrow().is_empty() && since < STOP_LISTENING;
+                let calls = self.held.values().any(|m| m.in_flight.is_some());
+                let clients = !self.intake_state.open.borrow().is_empty() && since < STOP_LISTENING;
                 if since >= STOP_ALL || !(calls || clients) {
                     return End::Stopped;
                 }
@@ -397,12 +405,12 @@
     }
 
     /// Handles events that arrive after the handover.
-    fn handle_late_news(&mut self, news: News) -> Option<HandoverMessage> {
-        match news {
-            News::Called { message, attempt, endpoint, end } => {
+    fn handle_late_news(&mut self, inputs: Input) -> Option<HandoverMessage> {
+        match inputs {
+            Input::CallEnded { message, attempt, endpoint, end } => {
                 let m = self.held.get_mut(&message)?;
-                m.out.take()?;
-                say!("{} attempt {attempt}: {:?}, passed to the successor", m.letter.id, end.outcome);
+                m.in_flight.take()?;
+                log_line!("{} attempt {attempt}: {:?}, passed to the successor", m.submitted.id, end.outcome);
                 Some(HandoverMessage::Ended(EndedCall {
                     message,
                     attempt,
@@ -413,11 +421,11 @@
                     age: end.at.elapsed(),
                 }))
             }
-            News::Offered(offer) => {
-                let _ = offer.reply.send(Reply::Unavailable);
+            Input::Submitted(submission) => {
+                let _ = submission.reply.send(Reply::Unavailable);
                 None
             }
-            News::Stop => {
+            Input::Stop => {
                 self.stopping.get_or_insert(Instant::now());
                 None
             }
--- a/src/node/news.rs
+++ b/src/node/input.rs
@@ -3,15 +3,15 @@
 use super::calls::CallEnd;
 use super::discovery::List;
 use super::handover::Successor;
-use super::intake::Offer;
+use super::intake::Submission;
 use super::journal::Scrubbed;
 use crate::interface::EndpointId;
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-pub enum News {
-    Offered(Offer),
-    Called {
+pub enum Input {
+    Submitted(Submission),
+    CallEnded {
         message: u64,
         attempt: u32,
         endpoint: EndpointId,
@@ -22,13 +22,13 @@
         sent: Instant,
         end: CallEnd,
     },
-    Listed(List),
+    EndpointList(List),
     /// The platform has acknowledged the notices for these.
-    Told(Vec<u64>),
+    NoticesAcknowledged(Vec<u64>),
     /// Another process is there to go on in this one's place.
     Successor(Successor),
     /// The configuration was read again: where discovery is now.
-    Moved(SocketAddr),
+    DiscoveryMoved(SocketAddr),
     /// A segment of the journal was read again.
     Scrubbed(Scrubbed),
     Stop,
--- a/src/node/intake/closing.rs
+++ b/src/node/intake/closing.rs
@@ -10,7 +10,7 @@
 /// What comes behind the courier's last answer is read and dropped for so long: a close over unread bytes is a
 /// reset, which may overtake that answer.
 const LINGER: Duration = Duration::from_millis(60);
-const LINGER_MOST: usize = 256 * 1024;
+const MAX_LINGER_BYTES: usize = 256 * 1024;
 
 const REQUEST_TIMEOUT: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
@@ -67,7 +67,7 @@
     /// Reads and drops what the client still sends, until it goes.
     async fn drop_what_comes(&self) {
         let (mut bytes, mut dropped) = ([0; 4096], 0);
-        while dropped < LINGER_MOST && self.stream.readable().await.is_ok() {
+        while dropped < MAX_LINGER_BYTES && self.stream.readable().await.is_ok() {
             match self.stream.try_read(&mut bytes) {
                 Ok(0) => break,
                 Ok(n) => dropped += n,
--- a/src/node/intake/connection.rs
+++ b/src/node/intake/connection.rs
@@ -1,7 +1,7 @@
 //! One client's connection: where its request stands, and until when it is waited for.
 
 use super::framing::Framing;
-use super::limits::{BODY_MOST, HEAD_MOST, REQUEST_TIME, SILENT_TIME};
+use super::limits::{MAX_BODY, MAX_HEAD, REQUEST_TIMEOUT, SILENT_TIMEOUT};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 /// Bytes of a request that are kept for another process to read on from.
-const RECEIVED_MOST: usize = HEAD_MOST + BODY_MOST;
+const MAX_RECEIVED: usize = MAX_HEAD + MAX_BODY;
 
 /// Where a client's connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
     /// All of it is here, and it waits to be offered to the courier.
     Received,
     /// It is with the courier, or its answer is on its way.
-    Offered,
+    Submitted,
     /// Between requests; `well` if the last one was not at fault.
     Idle { well: bool },
     /// Its last answer is out, and it waits for the client to go.
@@ -102,7 +102,7 @@
         let begun = match self.stage.get() {
             Stage::Head => self.framing.borrow().begun,
             Stage::Reading | Stage::Received => true,
-            Stage::Silent | Stage::Offered | Stage::Idle { .. } | Stage::Closing => false,
+            Stage::Silent | Stage::Submitted | Stage::Idle { .. } | Stage::Closing => false,
         };
         begun && !self.answering.get()
     }
@@ -123,7 +123,7 @@
 
     fn keep_unanswered(&self, bytes: &[u8]) {
         let mut unanswered = self.unanswered.borrow_mut();
-        let kept = unanswered.take().filter(|kept| kept.len() + bytes.len() <= RECEIVED_MOST);
+        let kept = unanswered.take().filter(|kept| kept.len() + bytes.len() <= MAX_RECEIVED);
         *unanswered = kept.map(|mut kept| {
             kept.extend_from_slice(bytes);
             kept
@@ -142,7 +142,7 @@
 
     /// When the request that is being read must be there.
     pub(super) fn request_due(&self) -> Instant {
-        self.begun.get() + REQUEST_TIME
+        self.begun.get() + REQUEST_TIMEOUT
     }
 
     /// Whatever has not come whole by then is not waited for.
@@ -154,9 +154,9 @@
     pub(super) fn due(&self) -> Option<Instant> {
         match self.stage.get() {
             Stage::Silent | Stage::Head | Stage::Reading if self.ends.get().is_some() => self.ends.get(),
-            Stage::Silent => Some(self.since.get() + SILENT_TIME),
+            Stage::Silent => Some(self.since.get() + SILENT_TIMEOUT),
             Stage::Head => Some(self.request_due()),
-            Stage::Reading | Stage::Received | Stage::Offered | Stage::Idle { .. } | Stage::Closing => None,
+            Stage::Reading | Stage::Received | Stage::Submitted | Stage::Idle { .. } | Stage::Closing => None,
         }
     }
 }
--- a/src/node/intake/eviction.rs
+++ b/src/node/intake/eviction.rs
@@ -1,7 +1,7 @@
 //! Which connection is closed to make room for a newcomer.
 
 use super::connection::{Connection, Stage};
-use super::standing::Standing;
+use super::state::IntakeState;
 use std::time::Duration;
 
 /// A connection without an open request may be closed after this time, where room is needed.
@@ -11,7 +11,7 @@
 /// A new connection's request is mostly there already and read by then.
 const FRESH_TIME: Duration = Duration::from_millis(10);
 /// Of those to whom room could go, so many are looked at more closely; the others are for the next time.
-const SHED_TRIES: usize = 8;
+const MAX_CANDIDATES: usize = 8;
 
 impl Connection {
     /// How readily it is closed to make room: low first, None not at all. What has never handed in anything
@@ -40,10 +40,10 @@
     }
 }
 
-impl Standing {
+impl IntakeState {
     /// Closes the connection that is of least use, if one can go. One on which something waits to be read is not
     /// closed: it may be the whole of a request.
-    pub(super) fn shed(&self) -> bool {
+    pub(super) fn evict_one(&self) -> bool {
         let mut open = self.open.borrow_mut();
         // In a flood of newcomers the silent ones show in a moment, and go before what has served.
         if open.values().filter(|c| c.eviction_rank().is_none()).count() * 4 > open.len() {
@@ -51,7 +51,7 @@
         }
         let mut least: Vec<_> =
             open.iter().filter_map(|(id, c)| Some((c.eviction_rank()?, c.last.get(), *id))).collect();
-        let looked = least.len().min(SHED_TRIES);
+        let looked = least.len().min(MAX_CANDIDATES);
         if least.len() > looked {
             least.select_nth_unstable(looked - 1);
         }
--- a/src/node/intake/guards.rs
+++ b/src/node/intake/guards.rs
@@ -1,42 +1,42 @@
 //! Counts that a request holds up while it is under way, given back when it is dropped at whatever step.
 
-use super::standing::Standing;
+use super::state::IntakeState;
 
-/// An offer that the courier has not answered.
-pub(super) struct PendingOffer<'a>(&'a Standing);
+/// An submission that the courier has not answered.
+pub(super) struct PendingSubmission<'a>(&'a IntakeState);
 
-impl<'a> PendingOffer<'a> {
-    pub(super) fn new(standing: &'a Standing) -> Self {
-        standing.pending_offers.set(standing.pending_offers.get() + 1);
-        PendingOffer(standing)
+impl<'a> PendingSubmission<'a> {
+    pub(super) fn new(intake_state: &'a IntakeState) -> Self {
+        intake_state.pending_submissions.set(intake_state.pending_submissions.get() + 1);
+        PendingSubmission(intake_state)
     }
 }
 
-impl Drop for PendingOffer<'_> {
+impl Drop for PendingSubmission<'_> {
     fn drop(&mut self) {
-        self.0.pending_offers.set(self.0.pending_offers.get() - 1);
+        self.0.pending_submissions.set(self.0.pending_submissions.get() - 1);
     }
 }
 
 /// Memory for one body.
 pub(super) struct BodyReservation<'a> {
-    standing: &'a Standing,
+    intake_state: &'a IntakeState,
     bytes: usize,
 }
 
 impl<'a> BodyReservation<'a> {
     /// None if all bodies together would take more than `most` bytes.
-    pub(super) fn take(standing: &'a Standing, bytes: usize, most: usize) -> Option<Self> {
-        let after = standing.bodies.get() + bytes;
+    pub(super) fn take(intake_state: &'a IntakeState, bytes: usize, most: usize) -> Option<Self> {
+        let after = intake_state.bodies.get() + bytes;
         (after <= most).then(|| {
-            standing.bodies.set(after);
-            BodyReservation { standing, bytes }
+            intake_state.bodies.set(after);
+            BodyReservation { intake_state, bytes }
         })
     }
 }
 
 impl Drop for BodyReservation<'_> {
     fn drop(&mut self) {
-        self.standing.bodies.set(self.standing.bodies.get() - self.bytes);
+        self.intake_state.bodies.set(self.intake_state.bodies.get() - self.bytes);
     }
 }
--- a/src/node/intake/limits.rs
+++ b/src/node/intake/limits.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 /// Bytes of a message's body at most.
-pub(super) const BODY_MOST: usize = 64 * 1024;
+pub(super) const MAX_BODY: usize = 64 * 1024;
 /// A longer body is read no further and costs its connection.
-pub(super) const BODY_DRAINED: usize = 1024 * 1024;
+pub(super) const MAX_DRAINED_BODY: usize = 1024 * 1024;
 /// Bytes of a request's head at most.
-pub(super) const HEAD_MOST: usize = 16 * 1024;
+pub(super) const MAX_HEAD: usize = 16 * 1024;
 /// A client is owed an answer or a close within 3 s of connecting: so long it may stay silent, and so long its
 /// request may take, from its first byte or, for the first one, from connecting. Usual clients connect ahead
 /// and send a second or two later, and some that are true take 2 s to write: a close before that fails them.
-pub(super) const SILENT_TIME: Duration = Duration::from_millis(2500);
-pub(super) const REQUEST_TIME: Duration = Duration::from_millis(2850);
+pub(super) const SILENT_TIMEOUT: Duration = Duration::from_millis(2500);
+pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_millis(2850);
 /// Bytes that wait unread when a connection's time is up may be the rest of its request: they are read for so long
 /// yet, in steps, which still ends within the 3 s.
 pub(super) const UNREAD_GRACE: Duration = Duration::from_millis(80);
--- a/src/node/intake/message.rs
+++ b/src/node/intake/message.rs
@@ -7,16 +7,16 @@
 use hyper::header::ToStrError;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-const ID_MOST: usize = 256;
+const MAX_ID: usize = 256;
 /// No class has a time-out near this.
-const TIMEOUT_MOST: Duration = Duration::from_secs(24 * 3600);
+const MAX_TIMEOUT: Duration = Duration::from_secs(24 * 3600);
 /// Two that name different messages: one reader would take the first and another the last.
 const ONCE: [&str; 6] =
     ["X-Request-ID", "X-Priority-Class", "X-Tenant-Id", "X-Timeout", "Envelope", "Idempotency-Key"];
 
 /// A message as its client has handed it in.
 pub(super) struct ReadMessage {
-    pub(super) letter: Message,
+    pub(super) submitted: Message,
     /// Places in the lists of classes and of tenants.
     pub(super) class: usize,
     pub(super) tenant: usize,
@@ -40,7 +40,7 @@
         let destination = destination(headers)?;
         let key = idempotency_key(headers)?;
         let tenant = self.tenant(headers);
-        let letter = Message {
+        let submitted = Message {
             id: id.to_owned(),
             class: self.classes[class].clone(),
             tenant: tenant.map_or(String::new(), |t| self.tenants[t].clone()),
@@ -49,7 +49,7 @@
             until: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default() + time_left,
             body,
         };
-        Ok(ReadMessage { letter, class, tenant: tenant.unwrap_or_default(), time_left })
+        Ok(ReadMessage { submitted, class, tenant: tenant.unwrap_or_default(), time_left })
     }
 
     /// The class that the path names; a header, if there is one, must name the same.
@@ -81,7 +81,7 @@
 fn request_id(headers: &HeaderMap) -> Result<&str, &'static str> {
     let id =
         head(headers, "X-Request-ID").ok_or("no X-Request-ID\n")?.map_err(|_| "X-Request-ID is no text\n")?;
-    if id.is_empty() || id.len() > ID_MOST {
+    if id.is_empty() || id.len() > MAX_ID {
         return Err("X-Request-ID is empty or too long\n");
     }
     Ok(id)
@@ -99,7 +99,7 @@
 
 fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>, &'static str> {
     match head(headers, "Idempotency-Key") {
-        Some(Ok(key)) if !key.is_empty() && key.len() <= ID_MOST => Ok(Some(key.to_owned())),
+        Some(Ok(key)) if !key.is_empty() && key.len() <= MAX_ID => Ok(Some(key.to_owned())),
         Some(_) => Err("Idempotency-Key cannot be read\n"),
         None => Ok(None),
     }
@@ -117,7 +117,7 @@
         "u" => Duration::from_micros(number),
         _ => return None,
     };
-    (!span.is_zero() && span <= TIMEOUT_MOST).then_some(span)
+    (!span.is_zero() && span <= MAX_TIMEOUT).then_some(span)
 }
 
 /// `dest=7`, perhaps among other fields.
--- a/src/node/intake/message_test.rs
+++ b/src/node/intake/message_test.rs
@@ -1,7 +1,7 @@
 //! What the headers of a message tell.
 
 use super::*;
-use crate::node::intake::Standing;
+use crate::node::intake::IntakeState;
 use crate::node::register::Register;
 use crate::store::Durability;
 use hyper::header::HeaderValue;
@@ -19,12 +19,12 @@
 
 #[test]
 fn a_message_is_counted_for_its_tenant() {
-    let (news, _inbox) = tokio::sync::mpsc::channel(1);
+    let (inputs, _inbox) = tokio::sync::mpsc::channel(1);
     let names = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
     let (classes, tenants) = (names(&["notice"]), names(&["acme", "zenith"]));
     let register = Register::new(std::path::Path::new(""), Durability::Process);
-    let standing = Rc::new(Standing::new(register));
-    let intake = Intake { classes, tenants, standing, news, sockets: 1, bodies: 1 };
+    let intake_state = Rc::new(IntakeState::new(register));
+    let intake = Intake { classes, tenants, intake_state, inputs, sockets: 1, bodies: 1 };
     let read = |tenants: &[&'static str]| {
         let mut headers = HeaderMap::new();
         for (name, value) in [("X-Request-ID", "m"), ("X-Timeout", "480m"), ("Envelope", "dest=7")] {
@@ -33,7 +33,9 @@
         for tenant in tenants {
             headers.append("X-Tenant-Id", HeaderValue::from_static(tenant));
         }
-        intake.read_message("/notice", &headers, Bytes::new()).map(|read| (read.letter.tenant, read.tenant))
+        intake
+            .read_message("/notice", &headers, Bytes::new())
+            .map(|read| (read.submitted.tenant, read.tenant))
     };
     assert_eq!(read(&["zenith"]), Ok(("zenith".to_owned(), 1)));
     assert_eq!(read(&["acme"]), Ok(("acme".to_owned(), 0)));
--- a/src/node/intake/mod.rs
+++ b/src/node/intake/mod.rs
@@ -8,18 +8,18 @@
 mod guards;
 mod limits;
 mod message;
-mod offer;
 mod requests;
 mod response;
 mod serving;
-mod standing;
+mod state;
 mod stream;
+mod submission;
 
-pub use offer::{Answer, Offer, Reply};
-pub use standing::{PassedConnection, Standing};
+pub use state::{IntakeState, PassedConnection};
+pub use submission::{Answer, Reply, Submission};
 
-use super::log::say;
-use super::news::News;
+use super::input::Input;
+use super::log::log_line;
 use bytes::Bytes;
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,9 +28,9 @@
 use tokio::time::sleep;
 
 /// Nobody has come for so long: the listening socket may close.
-const SHUT_TIME: Duration = Duration::from_millis(20);
+const QUIET_BEFORE_SHUT: Duration = Duration::from_millis(20);
 /// When a newcomer is looked at again for whom there was no room.
-const NO_ROOM_PAUSE: Duration = Duration::from_millis(5);
+const FULL_RETRY: Duration = Duration::from_millis(5);
 /// When connections are accepted again after an error.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
@@ -38,8 +38,8 @@
 pub struct Intake {
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
-    pub standing: Rc<Standing>,
-    pub news: Sender<News>,
+    pub intake_state: Rc<IntakeState>,
+    pub inputs: Sender<Input>,
     /// Clients' connections at most.
     pub sockets: usize,
     /// Bytes of bodies in flight at most.
@@ -50,23 +50,23 @@
     /// Accepts clients until the task is dropped, or the listening socket is to close.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         let mut shut = false;
-        self.standing.listening.set(true);
+        self.intake_state.listening.set(true);
         loop {
             // Out of sockets is backpressure: the one of least use makes room, else the newcomer waits
             // outside. Each closed one lets one in at once, so that hundreds that say nothing starve nobody.
-            if self.standing.open.borrow().len() >= self.sockets && !self.standing.shed() {
-                sleep(NO_ROOM_PAUSE).await;
+            if self.intake_state.open.borrow().len() >= self.sockets && !self.intake_state.evict_one() {
+                sleep(FULL_RETRY).await;
                 continue;
             }
             let accepted = tokio::select! {
                 biased;
                 accepted = listener.accept() => accepted,
-                () = self.standing.shut.notified(), if !shut => {
+                () = self.intake_state.shut.notified(), if !shut => {
                     shut = true;
                     continue;
                 }
                 // Whoever was let in by the system, and not by this loop yet, would be reset with the socket.
-                () = sleep(SHUT_TIME), if shut => return self.standing.listening.set(false),
+                () = sleep(QUIET_BEFORE_SHUT), if shut => return self.intake_state.listening.set(false),
             };
             match accepted {
                 Ok((stream, _)) => {
@@ -75,7 +75,7 @@
                     tokio::task::yield_now().await;
                 }
                 Err(e) => {
-                    say!("intake: cannot accept: {e}");
+                    log_line!("intake: cannot accept: {e}");
                     sleep(ACCEPT_RETRY).await;
                 }
             }
--- a/src/node/intake/requests.rs
+++ b/src/node/intake/requests.rs
@@ -2,12 +2,12 @@
 
 use super::Intake;
 use super::connection::{Connection, Stage};
-use super::guards::{BodyReservation, PendingOffer};
-use super::limits::{BODY_DRAINED, BODY_MOST, UNREAD_GRACE};
+use super::guards::{BodyReservation, PendingSubmission};
+use super::limits::{MAX_BODY, MAX_DRAINED_BODY, UNREAD_GRACE};
 use super::message::ReadMessage;
-use super::offer::{Answer, Offer, Reply};
 use super::response::{closing, plain, respond};
-use crate::node::news::News;
+use super::submission::{Answer, Reply, Submission};
+use crate::node::input::Input;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// How long the courier may take to hear of an offer; well under the time for which a client waits.
+/// How long the courier may take to hear of an submission; well under the time for which a client waits.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(300);
 
 const TOO_LARGE: &str = "over 64 KiB\n";
@@ -31,14 +31,16 @@
         connection: &Connection,
     ) -> Response<Full<Bytes>> {
         let mut answer = match (request.method(), request.uri().path()) {
-            (&Method::GET, "/-/ready") => match self.standing.ready.get() && !self.standing.sends_away() {
-                true => plain(StatusCode::OK, "ready\n"),
-                false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-            },
+            (&Method::GET, "/-/ready") => {
+                match self.intake_state.ready.get() && !self.intake_state.sends_away() {
+                    true => plain(StatusCode::OK, "ready\n"),
+                    false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+                }
+            }
             (&Method::POST, _) => self.take(request, connection).await,
             _ => plain(StatusCode::NOT_FOUND, "no such page\n"),
         };
-        if self.standing.sends_away() {
+        if self.intake_state.sends_away() {
             answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         answer
@@ -52,8 +54,8 @@
             Err((status, why)) => return closing(status, why),
         };
         // Many large bodies at once must not take the memory: together they have a fixed room.
-        let kept = if length > BODY_MOST as u64 { 0 } else { length as usize };
-        let Some(_reservation) = BodyReservation::take(&self.standing, kept, self.bodies) else {
+        let kept = if length > MAX_BODY as u64 { 0 } else { length as usize };
+        let Some(_reservation) = BodyReservation::take(&self.intake_state, kept, self.bodies) else {
             return respond(Reply::Unavailable);
         };
         // Read even if the head is at fault, so that the connection can go on.
@@ -67,13 +69,13 @@
         }
         let at = Instant::now();
         match self.read_message(parts.uri.path(), &parts.headers, body) {
-            Ok(message) => self.offer(message, at, connection).await,
+            Ok(message) => self.submit(message, at, connection).await,
             Err(why) => plain(StatusCode::BAD_REQUEST, why),
         }
     }
 
     /// Offers a message, which was whole at `at`, to the courier and waits for its reply.
-    async fn offer(
+    async fn submit(
         &self,
         message: ReadMessage,
         at: Instant,
@@ -81,13 +83,13 @@
     ) -> Response<Full<Bytes>> {
         connection.enter(Stage::Received);
         // While a successor is being let in; most often it is there that this is read again.
-        self.standing.until_released().await;
-        connection.enter(Stage::Offered);
-        let _pending = PendingOffer::new(&self.standing);
+        self.intake_state.until_released().await;
+        connection.enter(Stage::Submitted);
+        let _pending = PendingSubmission::new(&self.intake_state);
         let (reply, answered) = Answer::new();
-        let ReadMessage { letter, class, tenant, time_left } = message;
-        let offer = Offer { letter: Rc::new(letter), class, tenant, time_left, at, reply };
-        let reply = match timeout(OFFER_TIMEOUT, self.news.send(News::Offered(offer))).await {
+        let ReadMessage { submitted, class, tenant, time_left } = message;
+        let submission = Submission { submitted: Rc::new(submitted), class, tenant, time_left, at, reply };
+        let reply = match timeout(OFFER_TIMEOUT, self.inputs.send(Input::Submitted(submission))).await {
             Ok(Ok(())) => answered.await.unwrap_or(Reply::Unavailable),
             _ => Reply::Unavailable,
         };
@@ -102,7 +104,7 @@
         return Err(fault);
     }
     let length = length.unwrap_or_default();
-    if length > BODY_DRAINED as u64 {
+    if length > MAX_DRAINED_BODY as u64 {
         return Err((StatusCode::PAYLOAD_TOO_LARGE, TOO_LARGE));
     }
     Ok(length)
@@ -140,14 +142,14 @@
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.map_err(|_| BodyFault::Broken)?.into_data() else { continue };
         seen += data.len();
-        if seen > BODY_DRAINED {
+        if seen > MAX_DRAINED_BODY {
             break;
         }
-        if seen <= BODY_MOST {
+        if seen <= MAX_BODY {
             kept.extend_from_slice(&data);
         } else {
             kept = Vec::new();
         }
     }
-    if seen > BODY_MOST { Err(BodyFault::TooLarge) } else { Ok(kept.into()) }
+    if seen > MAX_BODY { Err(BodyFault::TooLarge) } else { Ok(kept.into()) }
 }
--- a/src/node/intake/response.rs
+++ b/src/node/intake/response.rs
@@ -1,6 +1,6 @@
 //! Answers to clients as HTTP responses.
 
-use super::offer::Reply;
+use super::submission::Reply;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
@@ -34,7 +34,7 @@
     answer
 }
 
-/// The courier's reply to an offer.
+/// The courier's reply to an submission.
 pub(super) fn respond(reply: Reply) -> Response<Full<Bytes>> {
     match reply {
         Reply::Taken => plain(StatusCode::ACCEPTED, ""),
--- a/src/node/intake/serving.rs
+++ b/src/node/intake/serving.rs
@@ -3,7 +3,7 @@
 use super::Intake;
 use super::closing::CloseReason;
 use super::connection::{Connection, Stage};
-use super::limits::{HEAD_MOST, SILENT_TIME, UNREAD_GRACE, UNREAD_STEP};
+use super::limits::{MAX_HEAD, SILENT_TIMEOUT, UNREAD_GRACE, UNREAD_STEP};
 use super::stream::ClientStream;
 use crate::node::channel::ClientConnection;
 use bytes::Bytes;
@@ -38,10 +38,10 @@
     pub(super) async fn serve(self: Rc<Self>, stream: TcpStream, age: Duration, served: bool, ahead: Bytes) {
         let _ = stream.set_nodelay(true);
         let connection = Rc::new(Connection::new(stream, age, served));
-        let id = self.standing.admit(connection.clone());
+        let id = self.intake_state.admit(connection.clone());
         let http = http1::Builder::new()
-            .max_buf_size(HEAD_MOST)
-            .keep_alive(!self.standing.sends_away())
+            .max_buf_size(MAX_HEAD)
+            .keep_alive(!self.intake_state.sends_away())
             .serve_connection(
                 TokioIo::new(ClientStream::new(connection.clone(), ahead)),
                 self.clone().service(connection.clone()),
@@ -50,7 +50,7 @@
         let mut http = pin!(http);
         let reason = self.drive(id, &connection, http.as_mut()).await;
         connection.finish(reason).await;
-        self.standing.open.borrow_mut().remove(&id);
+        self.intake_state.open.borrow_mut().remove(&id);
     }
 
     fn service(
@@ -67,7 +67,7 @@
         connection.enter(Stage::Reading);
         let answer = self.handle(request, connection).await;
         connection.answered(!answer.status().is_client_error());
-        if self.standing.passes_on() {
+        if self.intake_state.passes_on() {
             connection.pass.notify_one();
         }
         answer
@@ -83,9 +83,9 @@
     where
         S: Service<Request<Incoming>, Response = Response<Full<Bytes>>, Error = Infallible>,
     {
-        let mut timer = pin!(sleep_until(connection.since.get() + SILENT_TIME));
+        let mut timer = pin!(sleep_until(connection.since.get() + SILENT_TIMEOUT));
         let mut grace_ends: Option<Instant> = None;
-        if self.standing.passes_on() {
+        if self.intake_state.passes_on() {
             connection.pass.notify_one();
         }
         loop {
@@ -94,20 +94,20 @@
                 () = connection.evict.notified() => match connection.stage.get() {
                     // Its request came between the choice and the close: it stays, if only for that.
                     Stage::Silent | Stage::Idle { .. } if !connection.nothing_unread() => {
-                        self.standing.open.borrow_mut().insert(id, connection.clone());
+                        self.intake_state.open.borrow_mut().insert(id, connection.clone());
                     }
                     _ => return CloseReason::Evicted,
                 },
                 _ = http.as_mut() => return CloseReason::Done,
                 () = connection.pass.notified() => {
-                    if self.standing.pass(connection) {
+                    if self.intake_state.pass(connection) {
                         return CloseReason::Passed;
                     }
                 }
                 () = connection.close.notified() => match connection.stage.get() {
                     // One whose next request is on its way goes after its answer, like all that are at work.
                     Stage::Idle { .. } if connection.nothing_unread() => http.as_mut().graceful_shutdown(),
-                    Stage::Silent | Stage::Head | Stage::Reading if self.standing.closing.get() => {
+                    Stage::Silent | Stage::Head | Stage::Reading if self.intake_state.closing.get() => {
                         connection.end_by(Instant::now());
                         timer.as_mut().reset(Instant::now());
                     }
@@ -134,14 +134,14 @@
             Some(due) if due <= Instant::now() => {
                 let now = Instant::now();
                 if connection.nothing_unread() || now >= *grace_ends.get_or_insert(now + UNREAD_GRACE) {
-                    let stopping = self.standing.closing.get();
+                    let stopping = self.intake_state.closing.get();
                     return Some(if stopping { CloseReason::Stopping } else { CloseReason::Late });
                 }
                 timer.reset(now + UNREAD_STEP);
             }
             due => {
                 *grace_ends = None;
-                timer.reset(due.unwrap_or_else(|| Instant::now() + SILENT_TIME));
+                timer.reset(due.unwrap_or_else(|| Instant::now() + SILENT_TIMEOUT));
             }
         }
         None
--- a/src/node/intake/standing.rs
+++ b/src/node/intake/state.rs
@@ -1,4 +1,4 @@
-//! Standing of the program toward its clients: whether it is ready, stops, or hands over, and their connections.
+//! IntakeState of the program toward its clients: whether it is ready, stops, or hands over, and their connections.
 
 use super::connection::{Connection, Stage};
 use crate::node::register::Register;
@@ -12,8 +12,8 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Standing of the program, as clients may know it.
-pub struct Standing {
+/// IntakeState of the program, as clients may know it.
+pub struct IntakeState {
     /// What operators have set.
     pub register: Arc<Register>,
     pub ready: Cell<bool>,
@@ -30,7 +30,7 @@
     /// Bytes of bodies that are being read or have no answer yet.
     pub(super) bodies: Cell<usize>,
     /// Offers that the courier has not answered.
-    pub(super) pending_offers: Cell<usize>,
+    pub(super) pending_submissions: Cell<usize>,
     /// A successor asks: nothing new is offered to the courier.
     held: Cell<bool>,
     released: Notify,
@@ -47,9 +47,9 @@
     pub served: bool,
 }
 
-impl Standing {
+impl IntakeState {
     pub fn new(register: Arc<Register>) -> Self {
-        Standing {
+        IntakeState {
             register,
             ready: Cell::default(),
             stopping: Cell::default(),
@@ -59,7 +59,7 @@
             open: RefCell::default(),
             next: Cell::default(),
             bodies: Cell::default(),
-            pending_offers: Cell::default(),
+            pending_submissions: Cell::default(),
             held: Cell::default(),
             released: Notify::new(),
             successor: RefCell::default(),
@@ -67,8 +67,8 @@
     }
 
     /// Offers that the courier has not answered.
-    pub fn pending_offers(&self) -> usize {
-        self.pending_offers.get()
+    pub fn pending_submissions(&self) -> usize {
+        self.pending_submissions.get()
     }
 
     /// Counts a connection among the open ones, under a number of its own.
@@ -114,7 +114,7 @@
         let received = connection.unanswered.borrow().clone();
         let (Some(successor), Some(received)) = (successor.as_ref(), received) else { return false };
         let stage = connection.stage.get();
-        if stage == Stage::Offered || connection.answering.get() {
+        if stage == Stage::Submitted || connection.answering.get() {
             return false;
         }
         let Ok(socket) = SockRef::from(&connection.stream).try_clone() else { return false };
--- a/src/node/intake/offer.rs
+++ b/src/node/intake/submission.rs
@@ -1,4 +1,4 @@
-//! A message on offer to the courier, and the reply that its clients wait for.
+//! A message on submission to the courier, and the reply that its clients wait for.
 
 use crate::node::journal::Message;
 use std::rc::Rc;
@@ -7,8 +7,8 @@
 use tokio::time::Instant;
 
 /// A message that is offered, and where its answer goes.
-pub struct Offer {
-    pub letter: Rc<Message>,
+pub struct Submission {
+    pub submitted: Rc<Message>,
     pub class: usize,
     pub tenant: usize,
     pub time_left: Duration,
--- a/src/node/link.rs
+++ b/src/node/link.rs
@@ -24,15 +24,15 @@
 
 /// How long a head may take from its first byte: one without an end must not hold a slot till the time-out. It is a
 /// few hundred bytes, written at once: this is many times any way between two machines.
-const HEAD_TIME: Duration = Duration::from_millis(400);
+const HEAD_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long the rest of an answer may take once its head is here.
-const BODY_TIME: Duration = Duration::from_millis(200);
+const BODY_TIMEOUT: Duration = Duration::from_millis(200);
 /// Bytes that wait unread when time is up are an answer that has come in time: they are read for so long yet.
-pub const LAST_LOOK: Duration = Duration::from_millis(20);
-const BODY_MOST: usize = 64 * 1024;
+pub const UNREAD_GRACE: Duration = Duration::from_millis(20);
+const MAX_BODY: usize = 64 * 1024;
 
 /// The socket, how much has been written to it, and what its answer began with.
-struct Wire {
+struct SharedSocket {
     stream: TcpStream,
     written: Cell<u64>,
     first: RefCell<FirstLine>,
@@ -44,21 +44,21 @@
 struct FirstLine {
     line: Vec<u8>,
     /// In the rest of a 1xx answer.
-    passing: bool,
+    in_informational: bool,
     /// When the first byte of the answer, or of a 1xx ahead that has not ended, came.
-    begun: Option<Instant>,
+    started: Option<Instant>,
     status: Option<u16>,
     /// The status is known, or there is none.
-    over: bool,
+    done: bool,
 }
 
 /// `HTTP/1.1 200` and what ends the number.
 const STATUS_END: usize = 13;
 
 impl FirstLine {
-    fn hear(&mut self, bytes: &[u8]) {
+    fn feed(&mut self, bytes: &[u8]) {
         for byte in bytes {
-            if self.over {
+            if self.done {
                 return;
             }
             self.byte(*byte);
@@ -67,11 +67,11 @@
 
     fn byte(&mut self, byte: u8) {
         let blank = matches!(self.line.as_slice(), b"" | b"\r");
-        if blank && !self.passing && matches!(byte, b'\r' | b'\n') {
+        if blank && !self.in_informational && matches!(byte, b'\r' | b'\n') {
             return;
         }
-        self.begun.get_or_insert_with(Instant::now);
-        if self.passing {
+        self.started.get_or_insert_with(Instant::now);
+        if self.in_informational {
             match byte {
                 b'\n' if blank => *self = FirstLine::default(),
                 b'\n' => self.line.clear(),
@@ -84,8 +84,8 @@
             return;
         }
         match status(&self.line) {
-            Some(100..=199) => (self.passing, self.line) = (true, vec![b' ']),
-            status => (self.status, self.over) = (status, true),
+            Some(100..=199) => (self.in_informational, self.line) = (true, vec![b' ']),
+            status => (self.status, self.done) = (status, true),
         }
         if byte == b'\n' {
             self.line.clear();
@@ -102,9 +102,9 @@
 }
 
 #[derive(Clone)]
-struct Tap(Rc<Wire>);
+struct CountingStream(Rc<SharedSocket>);
 
-impl AsyncRead for Tap {
+impl AsyncRead for CountingStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.stream.poll_read_ready(cx))?;
@@ -112,7 +112,7 @@
                 Ok(n) => {
                     let before = buf.filled().len();
                     buf.advance(n);
-                    self.0.first.borrow_mut().hear(&buf.filled()[before..]);
+                    self.0.first.borrow_mut().feed(&buf.filled()[before..]);
                     return Poll::Ready(Ok(()));
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
@@ -122,7 +122,7 @@
     }
 }
 
-impl Tap {
+impl CountingStream {
     fn write(
         &self,
         cx: &mut Context,
@@ -142,7 +142,7 @@
     }
 }
 
-impl AsyncWrite for Tap {
+impl AsyncWrite for CountingStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.write(cx, |s| s.try_write(buf))
     }
@@ -168,10 +168,10 @@
     }
 }
 
-type Driver = Pin<Box<http1::Connection<TokioIo<Tap>, Full<Bytes>>>>;
+type Driver = Pin<Box<http1::Connection<TokioIo<CountingStream>, Full<Bytes>>>>;
 
 pub struct Link {
-    wire: Rc<Wire>,
+    socket: Rc<SharedSocket>,
     sender: SendRequest<Full<Bytes>>,
     driver: Option<Driver>,
     _permit: Option<OwnedSemaphorePermit>,
@@ -179,18 +179,18 @@
 
 /// Why there is no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lost {
+pub enum CallError {
     /// No byte of the request left.
-    Unsent,
-    /// No byte of the request left: it was not to be begun any more once the connection was there.
-    Recalled,
+    NotSent,
+    /// No byte of the request left: it was not to be started any more once the connection was there.
+    Revoked,
     /// The connection broke with the request out, or part of it.
-    Broken,
+    ConnectionLost,
     /// Time was up with the request out.
-    Silent,
+    TimedOut,
 }
 
-pub struct Answer {
+pub struct CallResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     /// When its head arrived.
@@ -201,15 +201,15 @@
     pub reusable: bool,
 }
 
-impl Answer {
+impl CallResponse {
     /// Its first line says 200, and the rest cannot be read.
-    fn spoilt(at: Instant) -> Self {
+    fn unreadable(at: Instant) -> Self {
         let (status, headers) = (StatusCode::OK, HeaderMap::new());
-        Answer { status, headers, at, whole: false, reusable: false }
+        CallResponse { status, headers, at, whole: false, reusable: false }
     }
 }
 
-impl Wire {
+impl SharedSocket {
     /// What has come and is not read: bytes, or `Ok(0)` for the end. Asks the kernel, as the runtime may not have
     /// heard of it yet.
     fn unread(&self) -> io::Result<usize> {
@@ -218,23 +218,23 @@
 }
 
 /// Waits for the head of an answer: till `until`, or a short while from its first byte.
-async fn in_time<F: Future>(wire: &Wire, until: Instant, work: F) -> Option<F::Output> {
+async fn await_head<F: Future>(socket: &SharedSocket, until: Instant, work: F) -> Option<F::Output> {
     let (mut work, mut end) = (pin!(work), pin!(sleep_until(until)));
     let mut looked = false;
     poll_fn(|cx| {
         if let Poll::Ready(out) = work.as_mut().poll(cx) {
             return Poll::Ready(Some(out));
         }
-        let at = wire.first.borrow().begun.map_or(until, |at| until.min(at + HEAD_TIME));
+        let at = socket.first.borrow().started.map_or(until, |at| until.min(at + HEAD_TIMEOUT));
         if !looked && end.deadline() != at {
             end.as_mut().reset(at);
         }
         ready!(end.as_mut().poll(cx));
-        if looked || !wire.unread().is_ok_and(|n| n > 0) {
+        if looked || !socket.unread().is_ok_and(|n| n > 0) {
             return Poll::Ready(None);
         }
         looked = true;
-        end.as_mut().reset(Instant::now() + LAST_LOOK);
+        end.as_mut().reset(Instant::now() + UNREAD_GRACE);
         end.as_mut().poll(cx).map(|()| None)
     })
     .await
@@ -263,73 +263,77 @@
     ) -> Option<Self> {
         let stream = timeout(within, TcpStream::connect(to)).await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
-        let wire = Rc::new(Wire { stream, written: Cell::new(0), first: RefCell::default() });
-        let io = TokioIo::new(Tap(wire.clone()));
-        let (sender, driver) = http1::Builder::new().max_buf_size(BODY_MOST).handshake(io).await.ok()?;
-        Some(Link { wire, sender, driver: Some(Box::pin(driver)), _permit: permit })
+        let socket = Rc::new(SharedSocket { stream, written: Cell::new(0), first: RefCell::default() });
+        let io = TokioIo::new(CountingStream(socket.clone()));
+        let (sender, driver) = http1::Builder::new().max_buf_size(MAX_BODY).handshake(io).await.ok()?;
+        Some(Link { socket, sender, driver: Some(Box::pin(driver)), _permit: permit })
     }
 
     /// Whether the peer has left it open and said nothing out of turn. Asks the kernel: the runtime may not
     /// have heard of a close yet, and a request written then would count as one that may have run. The driver
     /// is asked too: it ends if bytes are left that it has read already, a second copy of an answer, say,
     /// which the next call would take for its own.
-    pub fn sound(&mut self) -> bool {
+    pub fn is_usable(&mut self) -> bool {
         if let Some(d) = &mut self.driver
             && d.as_mut().poll(&mut Context::from_waker(Waker::noop())).is_ready()
         {
             self.driver = None;
         }
-        let quiet = self.wire.unread().is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
+        let quiet = self.socket.unread().is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock);
         quiet && self.driver.is_some() && !self.sender.is_closed()
     }
 
-    async fn start(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Lost> {
-        let before = self.wire.written.get();
+    async fn start(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, CallError> {
+        let before = self.socket.written.get();
         if drive(&mut self.driver, self.sender.ready()).await.is_err() {
-            return Err(Lost::Unsent);
+            return Err(CallError::NotSent);
         }
         let answer = self.sender.try_send_request(request);
         drive(&mut self.driver, answer).await.map_err(|e| {
-            let unsent = e.message().is_some() || self.wire.written.get() == before;
-            if unsent { Lost::Unsent } else { Lost::Broken }
+            let unsent = e.message().is_some() || self.socket.written.get() == before;
+            if unsent { CallError::NotSent } else { CallError::ConnectionLost }
         })
     }
 
     /// Sends a request and waits for the answer until then. After an error the link is of no more use.
-    pub async fn ask(&mut self, request: Request<Full<Bytes>>, until: Instant) -> Result<Answer, Lost> {
-        let (before, wire) = (self.wire.written.get(), self.wire.clone());
-        *wire.first.borrow_mut() = FirstLine::default();
-        let started = in_time(&wire, until, self.start(request)).await;
+    pub async fn ask(
+        &mut self,
+        request: Request<Full<Bytes>>,
+        until: Instant,
+    ) -> Result<CallResponse, CallError> {
+        let (before, socket) = (self.socket.written.get(), self.socket.clone());
+        *socket.first.borrow_mut() = FirstLine::default();
+        let started = await_head(&socket, until, self.start(request)).await;
         let at = Instant::now();
         let (parts, body) = match started {
             // Another protocol: nobody asked for it, and nothing more is read as an answer.
             Some(Ok(answer)) if !answer.status().is_informational() => answer.into_parts(),
             lost => {
-                let first = wire.first.borrow();
+                let first = socket.first.borrow();
                 // What cannot be read further has still delivered if it began so: taken for a reset, a
                 // message that must not run twice would be reported dead.
                 return match lost {
-                    Some(Err(Lost::Unsent)) => Err(Lost::Unsent),
-                    _ if first.status == Some(200) => Ok(Answer::spoilt(at)),
+                    Some(Err(CallError::NotSent)) => Err(CallError::NotSent),
+                    _ if first.status == Some(200) => Ok(CallResponse::unreadable(at)),
                     Some(Err(lost)) => Err(lost),
-                    None if wire.written.get() == before => Err(Lost::Unsent),
-                    None if first.begun.is_none() => Err(Lost::Silent),
-                    _ => Err(Lost::Broken),
+                    None if socket.written.get() == before => Err(CallError::NotSent),
+                    None if first.started.is_none() => Err(CallError::TimedOut),
+                    _ => Err(CallError::ConnectionLost),
                 };
             }
         };
         // Of a body that does not end, or not as its head says, no more than this is read.
-        let body = http_body_util::Limited::new(body, BODY_MOST).collect();
-        let body = timeout(BODY_TIME, drive(&mut self.driver, body)).await;
+        let body = http_body_util::Limited::new(body, MAX_BODY).collect();
+        let body = timeout(BODY_TIMEOUT, drive(&mut self.driver, body)).await;
         let whole = body.is_ok_and(|b| b.is_ok());
         let reusable = whole && {
             let ready = drive(&mut self.driver, self.sender.ready());
-            timeout(BODY_TIME, ready).await.is_ok_and(|r| r.is_ok()) && self.sound()
+            timeout(BODY_TIMEOUT, ready).await.is_ok_and(|r| r.is_ok()) && self.is_usable()
         };
-        Ok(Answer { status: parts.status, headers: parts.headers, at, whole, reusable })
+        Ok(CallResponse { status: parts.status, headers: parts.headers, at, whole, reusable })
     }
 
-    /// Sends a request whose answer has no end; its pieces come from [`Link::piece`].
+    /// Sends a request whose answer has no end; its pieces come from [`Link::next_chunk`].
     pub async fn watch(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -339,7 +343,7 @@
     }
 
     /// The next piece of a body; None when it ends, breaks or stays silent for so long.
-    pub async fn piece(&mut self, body: &mut Incoming, within: Duration) -> Option<Bytes> {
+    pub async fn next_chunk(&mut self, body: &mut Incoming, within: Duration) -> Option<Bytes> {
         loop {
             let frame = timeout(within, drive(&mut self.driver, body.frame())).await.ok()??.ok()?;
             if let Ok(data) = frame.into_data() {
@@ -370,12 +374,12 @@
         ] {
             for size in [1, 3, 1000] {
                 let mut first = FirstLine::default();
-                text.as_bytes().chunks(size).for_each(|piece| first.hear(piece));
+                text.as_bytes().chunks(size).for_each(|piece| first.feed(piece));
                 assert_eq!(first.status, status, "{text:?} in pieces of {size}");
             }
         }
         let mut first = FirstLine::default();
-        first.hear(b"HTTP/1.1 100 Continue\r\n\r\n");
-        assert!(first.begun.is_none(), "the answer itself may still take its time");
+        first.feed(b"HTTP/1.1 100 Continue\r\n\r\n");
+        assert!(first.started.is_none(), "the answer itself may still take its time");
     }
 }
--- a/src/node/log.rs
+++ b/src/node/log.rs
@@ -12,17 +12,17 @@
 }
 
 /// Lines that may wait; more are left out.
-const ASIDE_MOST: usize = 64;
+const MAX_QUEUED_LINES: usize = 64;
 
 /// A way to the log for those who must not wait for its reader.
-pub struct Aside(SyncSender<String>);
+pub struct BackgroundLog(SyncSender<String>);
 
-impl Aside {
+impl BackgroundLog {
     pub fn new() -> io::Result<Self> {
-        let (lines, written) = sync_channel::<String>(ASIDE_MOST);
+        let (lines, written) = sync_channel::<String>(MAX_QUEUED_LINES);
         let write = move || written.iter().for_each(|text| line(format_args!("{text}")));
         thread::Builder::new().name("log".to_owned()).spawn(write)?;
-        Ok(Aside(lines))
+        Ok(BackgroundLog(lines))
     }
 
     pub fn line(&self, text: String) {
@@ -30,8 +30,8 @@
     }
 }
 
-macro_rules! say {
+macro_rules! log_line {
     ($($text:tt)*) => { $crate::node::log::line(format_args!($($text)*)) };
 }
 
-pub(crate) use say;
+pub(crate) use log_line;
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -10,11 +10,11 @@
 #[cfg(test)]
 mod golden_test;
 mod handover;
+mod input;
 mod intake;
 pub mod journal;
 mod link;
 mod log;
-mod news;
 pub mod offline;
 mod old_journal;
 mod operators;
@@ -25,12 +25,12 @@
 
 use crate::scheduler::Scheduler;
 use calls::Calls;
-use config::{Config, Fault};
+use config::{Config, ConfigError};
 use courier::{Courier, End, STOP_CLOSING, STOP_LISTENING};
-use intake::{Intake, Standing};
+use input::Input;
+use intake::{Intake, IntakeState};
 use journal::{Journal, JournalOptions, Recovery};
-use log::say;
-use news::News;
+use log::log_line;
 use options::OnDamage;
 use register::Register;
 use socket2::SockRef;
@@ -45,7 +45,7 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// News that may wait for the courier.
+/// Input that may wait for the courier.
 const INBOX: usize = 1024;
 /// Sockets and files that are neither a client's nor an endpoint's.
 const SPARE_SOCKETS: usize = 32;
@@ -58,20 +58,20 @@
 const KEEP_SHARE: f64 = 0.75;
 
 /// Reads the configuration, then serves until it is told to stop.
-pub fn run() -> Result<(), Fault> {
+pub fn run() -> Result<(), ConfigError> {
     let mut config = Config::read()?;
     let register = Register::new(&config.state, config.options.store.durability);
     // Early: whoever calls is told at once that this process takes no clients yet.
     if let Some(admin) = config.admin {
         let opened = operators::open(admin, config.limits.sockets, register.clone());
-        opened.map_err(|e| Fault::Bad("LB_ADMIN_ADDR", e.to_string()))?;
+        opened.map_err(|e| ConfigError::Invalid("LB_ADMIN_ADDR", e.to_string()))?;
     }
     loop {
         let runtime = runtime::Builder::new_current_thread().enable_all().build();
-        let runtime = runtime.map_err(|e| Fault::Bad("runtime", e.to_string()))?;
+        let runtime = runtime.map_err(|e| ConfigError::Invalid("runtime", e.to_string()))?;
         // With the set all its tasks end, and with them what they hold open.
         match LocalSet::new().block_on(&runtime, serve(config, register.clone()))? {
-            End::Bereft => say!("starting anew"),
+            End::SuccessorExited => log_line!("starting anew"),
             _ => return Ok(()),
         }
         config = Config::read()?;
@@ -98,20 +98,20 @@
     TcpListener::from_std(listener)
 }
 
-fn on(kind: SignalKind, name: &'static str) -> Result<Signal, Fault> {
-    signal(kind).map_err(|e| Fault::Bad(name, e.to_string()))
+fn on(kind: SignalKind, name: &'static str) -> Result<Signal, ConfigError> {
+    signal(kind).map_err(|e| ConfigError::Invalid(name, e.to_string()))
 }
 
 /// Reads the configuration again at each SIGHUP. A file that cannot be read changes nothing.
-async fn reload(mut hangup: Signal, file: PathBuf, news: mpsc::Sender<News>) {
+async fn reload(mut hangup: Signal, file: PathBuf, inputs: mpsc::Sender<Input>) {
     while hangup.recv().await.is_some() {
-        match config::discovery_again(&file) {
+        match config::reread_discovery(&file) {
             Ok(Some(discovery)) => {
-                say!("configuration read again: discovery at {discovery}");
-                let _ = news.send(News::Moved(discovery)).await;
+                log_line!("configuration read again: discovery at {discovery}");
+                let _ = inputs.send(Input::DiscoveryMoved(discovery)).await;
             }
-            Ok(None) => say!("configuration read again: it names no discovery"),
-            Err(fault) => say!("configuration not read again, the old one stays: {fault}"),
+            Ok(None) => log_line!("configuration read again: it names no discovery"),
+            Err(fault) => log_line!("configuration not read again, the old one stays: {fault}"),
         }
     }
 }
@@ -119,18 +119,18 @@
 /// What a start came upon that is not as it was written.
 fn tell(recovery: &Recovery) {
     for damage in recovery.damage.iter().take(DAMAGE_TOLD) {
-        say!("journal: damaged: {damage}");
+        log_line!("journal: damaged: {damage}");
     }
     if let Some(cut) = &recovery.cut {
-        say!("journal: {cut}");
+        log_line!("journal: {cut}");
     }
     if let Some(summary) = recovery.summary() {
-        say!("journal: {summary}");
+        log_line!("journal: {summary}");
     }
 }
 
 /// One tenure: from the wait for it to its end.
-async fn serve(mut config: Config, register: Arc<Register>) -> Result<End, Fault> {
+async fn serve(mut config: Config, register: Arc<Register>) -> Result<End, ConfigError> {
     // First of all: without a handler either signal ends the process at once.
     let mut terminate = on(SignalKind::terminate(), "SIGTERM")?;
     let hangup = on(SignalKind::hangup(), "SIGHUP")?;
@@ -138,11 +138,11 @@
     // The module reckons with the connections that are kept here.
     config.settings.keepalive = keep;
     let scheduler = Scheduler::new(config.settings.clone(), config.seed);
-    let scheduler = scheduler.map_err(|e| Fault::Bad("LB_CONFIG", e))?;
+    let scheduler = scheduler.map_err(|e| ConfigError::Invalid("LB_CONFIG", e))?;
     // Before anything is asked of the process that serves: one that could not listen must not replace it.
-    let listener = listen(&config).map_err(|e| Fault::Bad("LB_LISTEN", e.to_string()))?;
-    let at = listener.local_addr().map_err(|e| Fault::Bad("LB_LISTEN", e.to_string()))?;
-    let state = |e: io::Error| Fault::Bad("LB_STATE", e.to_string());
+    let listener = listen(&config).map_err(|e| ConfigError::Invalid("LB_LISTEN", e.to_string()))?;
+    let at = listener.local_addr().map_err(|e| ConfigError::Invalid("LB_LISTEN", e.to_string()))?;
+    let state = |e: io::Error| ConfigError::Invalid("LB_STATE", e.to_string());
     // Another process comes only where the platform hands the listening socket down.
     let shared = config.listener.is_some();
     let (tenure, predecessor) = tokio::select! {
@@ -151,7 +151,7 @@
         }
         _ = terminate.recv() => return Ok(End::Stopped),
     };
-    register.load().map_err(|e| Fault::Bad("LB_STATE", format!("what operators have set: {e}")))?;
+    register.load().map_err(|e| ConfigError::Invalid("LB_STATE", format!("what operators have set: {e}")))?;
     let store = config.options.store;
     let journal_options = JournalOptions {
         room: ((config.limits.disk_mb * 1e6) as u64).saturating_sub(register::MAX_DISK),
@@ -160,51 +160,51 @@
     };
     let (journal, recovery) = Journal::open(&config.state, journal_options, config.seed).map_err(state)?;
     tell(&recovery);
-    let (news, mut inbox) = mpsc::channel(INBOX);
+    let (inputs, mut inbox) = mpsc::channel(INBOX);
     let for_calls = (config.limits.sockets / 3).max(16);
     let for_operators = config.admin.map_or(0, |_| operators::sockets(config.limits.sockets));
     let for_clients = config.limits.sockets.saturating_sub(for_calls + SPARE_SOCKETS + for_operators).max(8);
     let calls = Calls::new(config.settings.connect_timeout, keep, for_calls, register.clone());
-    let standing = Rc::new(Standing::new(register.clone()));
+    let intake_state = Rc::new(IntakeState::new(register.clone()));
     let (name, kept) = (config.name.clone(), journal.count());
     let intake = Rc::new(Intake {
         classes: config.classes.clone(),
         tenants: config.tenants.clone(),
-        standing: standing.clone(),
-        news: news.clone(),
+        intake_state: intake_state.clone(),
+        inputs: inputs.clone(),
         sockets: for_clients,
         bodies: (config.limits.memory_mb * 1e6 * BODIES_SHARE) as usize,
     });
     let folder = config.state.clone();
-    tokio::task::spawn_local(reload(hangup, config.file.clone(), news.clone()));
+    tokio::task::spawn_local(reload(hangup, config.file.clone(), inputs.clone()));
     let mut courier =
-        Courier::new(config, scheduler, journal, recovery.last, calls, standing.clone(), news.clone());
+        Courier::new(config, scheduler, journal, recovery.last, calls, intake_state.clone(), inputs.clone());
     match predecessor {
         Some(predecessor) => predecessor.resume_into(&mut courier, intake.clone(), register.clone()),
         None => courier.begin(),
     }
     let mut changes = register.serve();
-    standing.ready.set(true);
+    intake_state.ready.set(true);
     let accepting = tokio::task::spawn_local(intake.run(listener));
-    let (to_stop, stopped, stops) = (news.clone(), register.clone(), standing.clone());
+    let (to_stop, stopped, stops) = (inputs.clone(), register.clone(), intake_state.clone());
     tokio::task::spawn_local(async move {
         if terminate.recv().await.is_some() {
-            say!("stopping");
+            log_line!("stopping");
             stopped.end();
-            let _ = to_stop.send(News::Stop).await;
+            let _ = to_stop.send(Input::Stop).await;
             tokio::time::sleep(STOP_LISTENING).await;
             stops.shut();
             tokio::time::sleep(STOP_CLOSING - STOP_LISTENING).await;
             stops.close();
         }
     });
-    let successors = shared.then(|| handover::listen(&folder, news)).transpose();
-    let successors = successors.inspect_err(|e| say!("handover: no successor can be heard: {e}"));
-    say!("{name} serves {at}; {kept} messages resumed");
+    let successors = shared.then(|| handover::listen(&folder, inputs)).transpose();
+    let successors = successors.inspect_err(|e| log_line!("handover: no successor can be heard: {e}"));
+    log_line!("{name} serves {at}; {kept} messages resumed");
     let mut tenure = Some(tenure);
     let successor = loop {
         let mut successor = match courier.run(&mut inbox, &mut changes).await {
-            End::Asked(successor) => successor,
+            End::HandoverReady(successor) => successor,
             end => return Ok(end),
         };
         // Operators set nothing while it is open who keeps it.
@@ -212,13 +212,13 @@
         if courier.hand_over(&mut successor, &mut tenure).await {
             break (successor, register.forward(), held);
         }
-        standing.release();
+        intake_state.release();
     };
     let (successor, forwards, held) = successor;
     drop(held);
     successors.into_iter().flatten().for_each(|task| task.abort());
     accepting.abort();
     let (pass, clients) = mpsc::unbounded_channel();
-    standing.pass_on(pass);
+    intake_state.pass_on(pass);
     Ok(courier.drain_after_handover(successor, inbox, clients, forwards).await)
 }
--- a/src/node/old_journal.rs
+++ b/src/node/old_journal.rs
@@ -2,7 +2,7 @@
 //! migrated.
 
 use super::journal::{Attempt, LiveMessage, Message, NAME};
-use super::log::say;
+use super::log::log_line;
 use super::record_codec::FieldReader;
 use crate::store::scan::Damage;
 use bytes::Bytes;
@@ -45,9 +45,9 @@
         let bytes = fs::read(&journal)?;
         let (live, valid_length) = replay(&bytes);
         if valid_length < bytes.len() {
-            say!("journal: {}", unreadable_rest(&bytes, valid_length));
+            log_line!("journal: {}", unreadable_rest(&bytes, valid_length));
         }
-        say!("journal: {} messages are migrated from the old format", live.len());
+        log_line!("journal: {} messages are migrated from the old format", live.len());
         write(&live, &new)?;
         fs::rename(&journal, &old)?;
     }
--- a/src/node/operators.rs
+++ b/src/node/operators.rs
@@ -1,7 +1,7 @@
 //! The operators' address: a thread and a runtime of its own, so that its answers wait neither for clients
 //! nor for the courier's loop. What it may touch is the register alone.
 
-use super::log::{Aside, say};
+use super::log::{BackgroundLog, log_line};
 use super::register::{Change, ChangeError, Register};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -26,34 +26,34 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout};
 
-/// Callers with an open connection at most; beyond it the one longest without a whole call gives way. Fewer
+/// Callers with an open connection at most; beyond it the one longest without a complete call gives way. Fewer
 /// where there are few descriptors: a part of all.
-const CALLERS_MOST: usize = 24;
-const CALLERS_LEAST: usize = 8;
-const CALLERS_PART: usize = 16;
-/// Held open beside callers: a listener, a runtime, and a file while it is written.
-const OWN: usize = 6;
-/// A whole call is there within this time. Answers are owed within 1 s of it.
-const CALL_TIME: Duration = Duration::from_secs(5);
-const ANSWER_TIME: Duration = Duration::from_millis(800);
+const MAX_CALLERS: usize = 24;
+const MIN_CALLERS: usize = 8;
+const SOCKETS_PER_CALLER: usize = 16;
+/// HeldMessage open beside callers: a listener, a runtime, and a file while it is written.
+const OWN_DESCRIPTORS: usize = 6;
+/// A complete call is there within this time. Answers are owed within 1 s of it.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+const CHANGE_TIMEOUT: Duration = Duration::from_millis(800);
 /// A caller that does not read its answer does not hold its connection.
 const LINGER: Duration = Duration::from_secs(1);
-const HEAD_MOST: usize = 8 * 1024;
-const BODY_MOST: usize = 16 * 1024;
+const MAX_HEAD: usize = 8 * 1024;
+const MAX_BODY: usize = 16 * 1024;
 
 /// What a call asks for.
 #[derive(Debug, PartialEq, Eq)]
-enum Call {
+enum Command {
     Ready,
     Set(Change),
 }
 
 /// Reads a call; an error is its no.
-fn call(method: &Method, path: &str) -> Result<Call, StatusCode> {
+fn parse_command(method: &Method, path: &str) -> Result<Command, StatusCode> {
     let (wanted, call) = match path.strip_prefix("/control/").ok_or(StatusCode::NOT_FOUND)? {
-        "ready" => (Method::GET, Call::Ready),
-        "out-of-service" => (Method::POST, Call::Set(Change::Service { out: true })),
-        "in-service" => (Method::POST, Call::Set(Change::Service { out: false })),
+        "ready" => (Method::GET, Command::Ready),
+        "out-of-service" => (Method::POST, Command::Set(Change::Service { out: true })),
+        "in-service" => (Method::POST, Command::Set(Change::Service { out: false })),
         other => {
             let of = other.strip_prefix("endpoints/").and_then(|rest| rest.split_once('/'));
             let (id, out) = match of {
@@ -61,31 +61,31 @@
                 Some((id, "online")) if !id.is_empty() => (id, false),
                 _ => return Err(StatusCode::NOT_FOUND),
             };
-            (Method::POST, Call::Set(Change::Endpoint { id: id.to_owned(), out }))
+            (Method::POST, Command::Set(Change::Endpoint { id: id.to_owned(), out }))
         }
     };
     if *method == wanted { Ok(call) } else { Err(StatusCode::METHOD_NOT_ALLOWED) }
 }
 
-fn callers_most(sockets: usize) -> usize {
-    (sockets / CALLERS_PART).clamp(CALLERS_LEAST, CALLERS_MOST)
+fn max_callers(sockets: usize) -> usize {
+    (sockets / SOCKETS_PER_CALLER).clamp(MIN_CALLERS, MAX_CALLERS)
 }
 
 /// What this thread holds open at most where the courier may have so many descriptors.
 pub fn sockets(of: usize) -> usize {
-    callers_most(of) + OWN
+    max_callers(of) + OWN_DESCRIPTORS
 }
 
 struct Caller {
-    /// A whole call has come.
-    whole: Cell<bool>,
+    /// A complete call has come.
+    complete: Cell<bool>,
     drop: Notify,
 }
 
-struct Desk {
+struct OperatorServer {
     register: Arc<Register>,
     /// Not written here: a reader of the log that stalls must not hold up an answer.
-    log: Aside,
+    log: BackgroundLog,
     most: usize,
     callers: RefCell<BTreeMap<u64, Rc<Caller>>>,
 }
@@ -97,21 +97,26 @@
     listener.set_nonblocking(true)?;
     let at = listener.local_addr()?;
     let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
-    let log = Aside::new()?;
+    let log = BackgroundLog::new()?;
     thread::Builder::new().name("operators".to_owned()).spawn(move || {
-        let desk = Rc::new(Desk { register, log, most: callers_most(sockets), callers: RefCell::default() });
+        let server = Rc::new(OperatorServer {
+            register,
+            log,
+            most: max_callers(sockets),
+            callers: RefCell::default(),
+        });
         LocalSet::new().block_on(&runtime, async move {
             match tokio::net::TcpListener::from_std(listener) {
-                Ok(listener) => desk.run(listener).await,
-                Err(e) => desk.log.line(format!("operators: cannot listen: {e}")),
+                Ok(listener) => server.run(listener).await,
+                Err(e) => server.log.line(format!("operators: cannot listen: {e}")),
             }
         });
     })?;
-    say!("operators: called at {at}");
+    log_line!("operators: called at {at}");
     Ok(())
 }
 
-impl Desk {
+impl OperatorServer {
     async fn run(self: Rc<Self>, listener: tokio::net::TcpListener) {
         for number in 0.. {
             match listener.accept().await {
@@ -129,22 +134,22 @@
     }
 
     async fn make_room(&self) {
-        // Where all have a whole call, they are answered in a moment.
-        while self.callers.borrow().len() >= self.most && !self.shed() {
+        // Where all have a complete call, they are answered in a moment.
+        while self.callers.borrow().len() >= self.most && !self.evict_oldest() {
             sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// Closes the connection that has been open longest without a whole call, if there is one.
-    fn shed(&self) -> bool {
+    /// Closes the connection that has been open longest without a complete call, if there is one.
+    fn evict_oldest(&self) -> bool {
         let mut callers = self.callers.borrow_mut();
-        let oldest = callers.iter().find(|(_, c)| !c.whole.get()).map(|(n, _)| *n);
+        let oldest = callers.iter().find(|(_, c)| !c.complete.get()).map(|(n, _)| *n);
         let caller = oldest.and_then(|n| callers.remove(&n));
         caller.inspect(|c| c.drop.notify_one()).is_some()
     }
 
     async fn serve(self: Rc<Self>, number: u64, stream: TcpStream) {
-        let caller = Rc::new(Caller { whole: Cell::new(false), drop: Notify::new() });
+        let caller = Rc::new(Caller { complete: Cell::new(false), drop: Notify::new() });
         self.callers.borrow_mut().insert(number, caller.clone());
         let (this, of) = (self.clone(), caller.clone());
         let service = service_fn(move |request| {
@@ -152,14 +157,14 @@
             async move { Ok::<_, Infallible>(this.answer(request, &caller).await) }
         });
         let conn = http1::Builder::new()
-            .max_buf_size(HEAD_MOST)
+            .max_buf_size(MAX_HEAD)
             .keep_alive(false)
             .half_close(true)
             .serve_connection(TokioIo::new(stream), service);
         let mut conn = pin!(conn);
-        let whole = async {
-            sleep(CALL_TIME).await;
-            if caller.whole.get() {
+        let complete = async {
+            sleep(REQUEST_TIMEOUT).await;
+            if caller.complete.get() {
                 sleep(LINGER).await;
             }
         };
@@ -167,25 +172,25 @@
             biased;
             () = caller.drop.notified() => {}
             _ = conn.as_mut() => {}
-            () = whole => {}
+            () = complete => {}
         }
         self.callers.borrow_mut().remove(&number);
     }
 
     async fn answer(&self, request: Request<Incoming>, caller: &Caller) -> Response<Full<Bytes>> {
         let (parts, body) = request.into_parts();
-        let asked = call(&parts.method, parts.uri.path());
+        let asked = parse_command(&parts.method, parts.uri.path());
         // Acted on once all of it is here: half a call is none.
-        let body = Limited::new(body, BODY_MOST).collect().await;
-        caller.whole.set(true);
+        let body = Limited::new(body, MAX_BODY).collect().await;
+        caller.complete.set(true);
         let (status, text) = match asked {
             _ if body.is_err() => (StatusCode::BAD_REQUEST, "the body cannot be read\n"),
             Err(status) => (status, "no such call\n"),
-            Ok(Call::Ready) if self.register.serves() => (StatusCode::OK, "ready\n"),
-            Ok(Call::Ready) => (StatusCode::SERVICE_UNAVAILABLE, "this process takes no clients\n"),
-            Ok(Call::Set(change)) => {
+            Ok(Command::Ready) if self.register.serves() => (StatusCode::OK, "ready\n"),
+            Ok(Command::Ready) => (StatusCode::SERVICE_UNAVAILABLE, "this process takes no clients\n"),
+            Ok(Command::Set(change)) => {
                 let told = change.to_string();
-                let set = timeout(ANSWER_TIME, self.register.clone().set(change)).await;
+                let set = timeout(CHANGE_TIMEOUT, self.register.clone().set(change)).await;
                 let answer = match set {
                     Ok(Ok(())) => (StatusCode::OK, "done\n"),
                     Ok(Err(ChangeError::UnknownEndpoint)) => (StatusCode::NOT_FOUND, "no such endpoint\n"),
@@ -219,22 +224,22 @@
 
     #[test]
     fn calls_are_read_and_all_else_is_a_no() {
-        let endpoint = |out| Ok(Call::Set(Change::Endpoint { id: "s-1".to_owned(), out }));
-        assert_eq!(call(&Method::GET, "/control/ready"), Ok(Call::Ready));
-        assert_eq!(call(&Method::POST, "/control/endpoints/s-1/offline"), endpoint(true));
-        assert_eq!(call(&Method::POST, "/control/endpoints/s-1/online"), endpoint(false));
+        let endpoint = |out| Ok(Command::Set(Change::Endpoint { id: "s-1".to_owned(), out }));
+        assert_eq!(parse_command(&Method::GET, "/control/ready"), Ok(Command::Ready));
+        assert_eq!(parse_command(&Method::POST, "/control/endpoints/s-1/offline"), endpoint(true));
+        assert_eq!(parse_command(&Method::POST, "/control/endpoints/s-1/online"), endpoint(false));
         for (path, out) in [("/control/out-of-service", true), ("/control/in-service", false)] {
-            assert_eq!(call(&Method::POST, path), Ok(Call::Set(Change::Service { out })));
-            assert_eq!(call(&Method::GET, path), Err(StatusCode::METHOD_NOT_ALLOWED));
+            assert_eq!(parse_command(&Method::POST, path), Ok(Command::Set(Change::Service { out })));
+            assert_eq!(parse_command(&Method::GET, path), Err(StatusCode::METHOD_NOT_ALLOWED));
         }
-        assert_eq!(call(&Method::POST, "/control/ready"), Err(StatusCode::METHOD_NOT_ALLOWED));
+        assert_eq!(parse_command(&Method::POST, "/control/ready"), Err(StatusCode::METHOD_NOT_ALLOWED));
         for path in ["/", "/-/ready", "/control", "/control/", "/control/readyy", "/control/endpoints/s-1"] {
-            assert_eq!(call(&Method::GET, path), Err(StatusCode::NOT_FOUND), "{path}");
+            assert_eq!(parse_command(&Method::GET, path), Err(StatusCode::NOT_FOUND), "{path}");
         }
         for path in
             ["/control/endpoints//offline", "/control/endpoints/s-1/gone", "/control/endpoints/a/b/online"]
         {
-            assert_eq!(call(&Method::POST, path), Err(StatusCode::NOT_FOUND), "{path}");
+            assert_eq!(parse_command(&Method::POST, path), Err(StatusCode::NOT_FOUND), "{path}");
         }
     }
 }
--- a/src/node/options.rs
+++ b/src/node/options.rs
@@ -34,13 +34,13 @@
     Refuse,
 }
 
-const SCRUB_S: f64 = 10.0;
+const DEFAULT_SCRUB_S: f64 = 10.0;
 /// A year: longer is a slip.
-const SCRUB_MOST: f64 = 3.2e7;
+const MAX_SCRUB_S: f64 = 3.2e7;
 
 impl Default for Store {
     fn default() -> Self {
-        Store { durability: Durability::default(), on_damage: OnDamage::default(), scrub_s: SCRUB_S }
+        Store { durability: Durability::default(), on_damage: OnDamage::default(), scrub_s: DEFAULT_SCRUB_S }
     }
 }
 
@@ -59,8 +59,8 @@
         let text = fs::read_to_string(path).map_err(|e| at(e.to_string()))?;
         let options: Options = toml::from_str(&text).map_err(|e| at(e.to_string().trim().to_owned()))?;
         let scrub = options.store.scrub_s;
-        if !(0.0..=SCRUB_MOST).contains(&scrub) {
-            return Err(at(format!("store.scrub_s: {scrub} is no time between 0 and {SCRUB_MOST} s")));
+        if !(0.0..=MAX_SCRUB_S).contains(&scrub) {
+            return Err(at(format!("store.scrub_s: {scrub} is no time between 0 and {MAX_SCRUB_S} s")));
         }
         Ok(options)
     }
--- a/src/node/outcomes.rs
+++ b/src/node/outcomes.rs
@@ -1,10 +1,10 @@
 //! Notices to the platform: each accepted message that is not delivered ends with one. A notice is sent until
 //! it is acknowledged, however long that takes.
 
+use super::input::Input;
 use super::journal::Verdict;
 use super::link::Link;
-use super::log::say;
-use super::news::News;
+use super::log::log_line;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, StatusCode, header};
@@ -75,7 +75,7 @@
     }
 
     /// Sends a batch until it is acknowledged, then reports it.
-    pub async fn post(self, mut batch: Vec<Notice>, news: Sender<News>) {
+    pub async fn post(self, mut batch: Vec<Notice>, inputs: Sender<Input>) {
         let mut backoff = FIRST_BACKOFF;
         let (mut acknowledged, mut most, mut answer_timeout) =
             (Vec::new(), batch.len(), FIRST_ANSWER_TIMEOUT);
@@ -88,7 +88,7 @@
                 // One line that cannot be read must not hold back the others: send each in its own request.
                 Some(StatusCode::BAD_REQUEST) if part > 1 => most = 1,
                 Some(StatusCode::BAD_REQUEST) => {
-                    say!("outcomes: the platform cannot read the notice for {:?}", batch[0].id);
+                    log_line!("outcomes: the platform cannot read the notice for {:?}", batch[0].id);
                     acknowledged.extend(batch.drain(..part).map(|n| n.message));
                 }
                 _ => {
@@ -98,13 +98,13 @@
                 }
             }
         }
-        let _ = news.send(News::Told(acknowledged)).await;
+        let _ = inputs.send(Input::NoticesAcknowledged(acknowledged)).await;
     }
 
     async fn send_once(&self, batch: &[Notice], answer_timeout: Duration) -> Option<StatusCode> {
         let to = self.address.get();
         let kept = self.idle.borrow_mut().take().filter(|(_, at)| at.elapsed() < MAX_IDLE);
-        let mut link = match kept.and_then(|(mut link, _)| link.sound().then_some(link)) {
+        let mut link = match kept.and_then(|(mut link, _)| link.is_usable().then_some(link)) {
             Some(link) => link,
             None => Link::open(to, CONNECT_TIMEOUT, None).await?,
         };
