--- a/src/node/courier/attempts.rs
+++ b/src/node/courier/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts to deliver, and probes: begun as the module asks for them, and reported to it when they end.
+//! Delivery attempts and probes: started when the scheduler asks for them, and reported to it when they end.
 
 use super::Courier;
 use crate::interface::{Effect, Ended, EndpointId, Event, MessageId, Outcome};
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// An attempt that the module asks for.
+/// An attempt requested by the scheduler.
 pub(super) struct Send {
     pub(super) message: u64,
     pub(super) endpoint: EndpointId,
@@ -18,13 +18,13 @@
 }
 
 impl Courier {
-    /// Records the attempts of a turn; each begins once it is on record.
+    /// Records the attempts of a turn; each starts once its record is on disk.
     pub(super) fn send(&mut self, sends: Vec<Send>, now: Instant) {
         let late = self.starts_no_calls(now);
         for send in sends {
             self.attempt(&send, now, late);
         }
-        // The attempts are on record before their first byte goes out; the verdicts before their notice.
+        // Attempts must be recorded before their first byte is sent, and verdicts before their notice.
         self.commit_if_due();
     }
 
@@ -33,7 +33,7 @@
         let e = self.endpoints.get(&endpoint);
         let to = e.and_then(|e| Some((e, e.address?)));
         let Some((m, (e, address))) = self.held.get_mut(&message).zip(to) else {
-            // Its client left in this very batch: the module hears that nothing was sent.
+            // Its client disconnected in the same batch: report to the scheduler that nothing was sent.
             self.events.push(never_sent(message, endpoint));
             return;
         };
@@ -42,7 +42,7 @@
         let attempt = Attempt { host: host.clone(), zone, sent: unix(), may_have_run: true };
         m.in_flight = Some((now, None));
         if late {
-            // This process ends before an answer could come: it is left to the next, as never sent.
+            // This process exits before a response could arrive: the next process gets the message as never sent.
             return;
         }
         let number = m.attempts;
@@ -81,16 +81,16 @@
         class.and_then(|c| self.config.settings.classes.get(c)).map(|c| c.effect)
     }
 
-    /// When the time ends in which a repeat is dropped, if an attempt before may have run.
+    /// End of the endpoint's deduplication window, if an earlier attempt may have run.
     fn window_end(&self, message: u64, window: Duration, now: Instant) -> Option<Instant> {
         let mut before = self.journal.get(message).into_iter().flat_map(|m| &m.attempts);
         let first = before.find(|a| a.may_have_run).map(|a| a.sent);
         first.map(|at| now + (at + window).saturating_sub(unix()))
     }
 
-    /// A call has ended.
+    /// Handles the end of a call.
     pub(super) fn call_ended(&mut self, message: u64, attempt: u32, endpoint: EndpointId, end: CallEnd) {
-        // What proves that it never ran; all else may have.
+        // Only these outcomes prove that the request never ran; with any other it may have.
         let never = matches!(end.outcome, Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::NotSent);
         if never {
             self.journal.never_ran(message, attempt);
@@ -98,7 +98,7 @@
         if end.over {
             self.end(message);
         }
-        // It may have gone while the call was out, and its connection was kept after that.
+        // The endpoint may have gone during the call, and the connection was kept after that.
         self.close_unless_usable(endpoint);
         if let (Outcome::Full { wait: Some(_) }, Some(m)) = (end.outcome, self.held.get(&message)) {
             self.revoke_calls_to_destination(m.submitted.destination);
@@ -115,13 +115,13 @@
             answered: end.over,
             report: end.report,
         }));
-        // The module drops a message with its last outcome, and so does the courier.
+        // The scheduler drops a message with its last outcome, and so does the courier.
         if self.journal.get(message).is_none_or(|m| m.verdict.is_some()) {
             self.held.remove(&message);
         }
     }
 
-    /// Calls off the calls that are out for these.
+    /// Cancels the calls in flight for these messages.
     pub(super) fn cancel(&mut self, messages: Vec<u64>) {
         for message in messages {
             if let Some(held) = self.held.get_mut(&message) {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Asks an endpoint how it fares.
+    /// Starts a load probe of an endpoint.
     pub(super) fn probe(&mut self, endpoint: EndpointId) {
         let e = self.endpoints.get(&endpoint);
         if let Some((host, address)) = e.and_then(|e| Some((e.host.clone(), e.address?))) {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// A probe has ended.
+    /// Handles the end of a probe.
     pub(super) fn probed(&mut self, endpoint: EndpointId, sent: Instant, end: CallEnd) {
         let took = end.at.saturating_duration_since(sent);
         let outcome = aged(end.outcome, end.at);
@@ -152,7 +152,7 @@
     }
 }
 
-/// A wait runs from when its answer arrived: the age of the batch is not added to it.
+/// Subtracts the response's age from its wait, which counts from the response's arrival and not from this batch.
 fn aged(outcome: Outcome, at: Instant) -> Outcome {
     match outcome {
         Outcome::Full { wait: Some(wait) } => Outcome::Full { wait: Some(wait.saturating_sub(at.elapsed())) },
@@ -160,7 +160,7 @@
     }
 }
 
-/// What the module is told of an attempt of which no byte has left.
+/// The event for an attempt of which no byte was sent.
 pub(in crate::node) fn never_sent(message: u64, endpoint: EndpointId) -> Event {
     Event::Ended(Ended {
         message: MessageId(message),
--- a/src/node/courier/discovery.rs
+++ b/src/node/courier/discovery.rs
@@ -1,11 +1,11 @@
-//! The courier's watch on discovery's list.
+//! The courier's watch on discovery's endpoint list.
 
 use super::Courier;
 use crate::node::discovery::Watch;
 use std::net::SocketAddr;
 
 impl Courier {
-    /// One watch lasts for good and asks again by itself.
+    /// Starts the watch if there is none. It never ends, and reconnects by itself.
     pub(super) fn watch(&mut self) {
         if self.watch.is_none() {
             self.watch_from(self.seq.unwrap_or(0), self.seq.is_none());
@@ -20,13 +20,13 @@
         self.watch = Some(task.abort_handle());
     }
 
-    /// Asks discovery for nothing more.
+    /// Stops the watch.
     pub(in crate::node) fn leave_watch(&mut self) {
         self.watch.take().into_iter().for_each(|watch| watch.abort());
     }
 
-    /// Discovery has another address. A watch that went on at the old one would hear of drains only once
-    /// that has closed it; and the new one's versions need not continue the old one's, so all is asked for.
+    /// Switches to another address of discovery. A watch left at the old one would learn of drains only after that
+    /// closed the connection. The new one's versions need not continue the old one's, so the full list is requested.
     pub(super) fn move_discovery(&mut self, discovery: SocketAddr) {
         if std::mem::replace(&mut self.config.discovery, discovery) == discovery {
             return;
--- a/src/node/courier/endpoints.rs
+++ b/src/node/courier/endpoints.rs
@@ -8,13 +8,13 @@
 use std::sync::Arc;
 
 impl Courier {
-    /// A zone's place in the configuration; one that it does not name comes behind all.
+    /// A zone's index in the configuration; an unknown zone gets the index after the last.
     pub(in crate::node) fn zone(&self, name: &str) -> usize {
         let zones = &self.config.zones;
         zones.iter().position(|z| z == name).unwrap_or(zones.len())
     }
 
-    /// An endpoint's number; a host that is not known yet is given the next.
+    /// An endpoint's id; an unknown host is assigned the next.
     pub(super) fn endpoint_id(&mut self, host: &str) -> EndpointId {
         if let Some(id) = self.numbers.get(host) {
             return *id;
@@ -29,7 +29,7 @@
         id
     }
 
-    /// Discovery has sent a list, or changes of it.
+    /// Applies a full list or an incremental one from discovery.
     pub(super) fn apply_list(&mut self, list: List) {
         let before: Vec<_> = self.endpoints.iter().filter(|(_, e)| e.ready).map(|(id, _)| *id).collect();
         if list.whole {
@@ -41,7 +41,7 @@
         }
         let named: Vec<_> = entries.iter().map(|e| e.endpoint).collect();
         self.events.push(Event::Listed { whole: list.whole, entries });
-        // To the module one that it has forgotten is a new one.
+        // The scheduler treats an endpoint that it has forgotten as new, so maintenance is reported again.
         let left_out: Vec<_> = named.into_iter().filter(|e| self.left_out(*e)).collect();
         let again = left_out.into_iter().map(|endpoint| Event::Maintenance { endpoint, out: true });
         self.events.extend(again);
@@ -53,7 +53,7 @@
         self.revoke_calls(|endpoint| !ready(endpoint));
     }
 
-    /// One host of a list.
+    /// Applies one list entry.
     fn apply_host(&mut self, host: Host) -> Option<Entry> {
         let (endpoint, zone) = (self.endpoint_id(&host.host), self.zone(&host.site));
         let kinds = &self.config.kinds;
@@ -64,7 +64,7 @@
         if std::mem::replace(&mut e.address, address) != address {
             self.calls.close(endpoint);
         }
-        // An address that cannot be read leaves nowhere to send to.
+        // Without a valid address nothing can be sent to the endpoint.
         let state = match host.health {
             Health::Ready if e.address.is_some() => interface::EndpointState::Ready,
             Health::Gone => interface::EndpointState::Gone,
@@ -76,13 +76,13 @@
         Some(Entry { endpoint, destination, zone, kind, state, weight })
     }
 
-    /// Calls to such endpoints that are still without their connection do not begin.
+    /// Revokes the calls to matching endpoints that are still waiting for a connection.
     fn revoke_calls(&self, to: impl Fn(&EndpointId) -> bool) {
         let leaves = self.held.values().filter_map(|m| m.start_permit.as_ref());
         leaves.filter(|(endpoint, _)| to(endpoint)).for_each(|(_, start_permit)| start_permit.revoke());
     }
 
-    /// Told to wait by a destination: calls that are still without their connection do not begin there.
+    /// A destination asked to wait: revokes the calls to it that are still waiting for a connection.
     pub(super) fn revoke_calls_to_destination(&self, destination: u64) {
         let there = self.held.values().filter(|m| m.submitted.destination == destination);
         there.filter_map(|m| m.start_permit.as_ref()).for_each(|(_, start_permit)| start_permit.revoke());
@@ -92,18 +92,18 @@
         &self.intake_state.register
     }
 
-    /// Whether operators have left it out.
+    /// Whether operators have taken it offline.
     fn left_out(&self, endpoint: EndpointId) -> bool {
         self.endpoints.get(&endpoint).is_some_and(|e| self.register().is_out(&e.host))
     }
 
-    /// Tells which ids operators may name.
+    /// Publishes the endpoint ids that operators may use.
     pub(in crate::node) fn publish_hosts(&self) {
         let listed = self.endpoints.values().filter(|e| e.listed);
         self.register().set_listed(listed.map(|e| e.host.clone()).collect());
     }
 
-    /// Operators have set something, which is on record already.
+    /// Applies an operator's change, which is recorded already.
     pub(super) fn operated(&mut self, change: Change) {
         match change {
             Change::Service { out } => {
@@ -118,7 +118,7 @@
                     "operators: {id} {}",
                     if out { "left out" } else { "used again, as one that is cold" }
                 );
-                // What is kept for it leads to the process that is about to end, or has.
+                // Idle connections lead to a process that is about to exit, or has.
                 self.calls.close(endpoint);
                 self.revoke_calls(|e| out && *e == endpoint);
                 self.events.push(Event::Maintenance { endpoint, out });
@@ -126,15 +126,15 @@
         }
     }
 
-    /// Nothing new goes to an endpoint that is not ready: connections kept for it would only take room, and
-    /// whatever comes to its address next is another.
+    /// Closes an endpoint's idle connections if it takes no new calls: they would only use up sockets, and the next
+    /// process at its address is a different endpoint.
     pub(super) fn close_unless_usable(&self, endpoint: EndpointId) {
         if !self.endpoints.get(&endpoint).is_some_and(|e| e.ready) || self.left_out(endpoint) {
             self.calls.close(endpoint);
         }
     }
 
-    /// The module has forgotten an endpoint.
+    /// Drops an endpoint that the scheduler has forgotten.
     pub(super) fn forget(&mut self, endpoint: EndpointId) {
         self.calls.close(endpoint);
         if let Some(e) = self.endpoints.remove(&endpoint) {
--- a/src/node/courier/notices.rs
+++ b/src/node/courier/notices.rs
@@ -1,20 +1,20 @@
-//! Notices to the platform of messages that have ended undelivered.
+//! Notices to the platform about messages that ended undelivered.
 
 use super::Courier;
 use crate::node::journal::Verdict;
 use crate::node::outcomes::Notice;
 
-/// Batches of notices on their way at once, and notices in one.
+/// Limits on batches in flight, and on notices in a batch.
 const MAX_POSTS_IN_FLIGHT: usize = 4;
 const MAX_BATCH: usize = 200;
 
 impl Courier {
-    /// Nothing but its notice is left to do for a message.
+    /// Queues the notice for a message, the last thing to do for it.
     pub(in crate::node) fn queue_notice(&mut self, message: u64, id: String, verdict: Verdict) {
         self.notices.push_back(Notice { message, id, verdict });
     }
 
-    /// Sends the notices that wait, as far as batches may be on their way.
+    /// Sends queued notices, up to the limit of batches in flight.
     pub(super) fn post(&mut self) {
         while self.posts < MAX_POSTS_IN_FLIGHT && !self.notices.is_empty() {
             let batch: Vec<_> = self.notices.drain(..self.notices.len().min(MAX_BATCH)).collect();
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The platform has acknowledged a batch.
+    /// Handles the platform's acknowledgement of a batch.
     pub(super) fn notices_acknowledged(&mut self, messages: Vec<u64>) {
         self.posts -= 1;
         for message in messages {
--- a/src/node/courier/stopping.rs
+++ b/src/node/courier/stopping.rs
@@ -1,27 +1,27 @@
-//! What is still done after SIGTERM, and when all of it is done.
+//! Shutdown after SIGTERM: what is still done, and when it is complete.
 
 use super::Courier;
 use crate::node::log::log_line;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// After SIGTERM: how long new attempts are begun, and when it ends whatever is still out. SIGKILL comes
-/// no sooner than 3.7 s after it.
+/// After SIGTERM: how long new attempts are started, and when the process exits even with calls in flight. SIGKILL
+/// follows no sooner than 3.7 s after SIGTERM.
 const STOP_SENDING: Duration = Duration::from_millis(2200);
 pub(in crate::node) const STOP_ALL: Duration = Duration::from_millis(3300);
-/// For so long after SIGTERM new connections go on coming.
+/// How long new connections still arrive after SIGTERM.
 pub(in crate::node) const STOP_LISTENING: Duration = Duration::from_millis(700);
-/// When clients that have not handed in a whole request after SIGTERM are told that nobody waits for it any more:
-/// in time for all of them to hear it before the process ends.
+/// When clients with an incomplete request get a 503 after SIGTERM: early enough for all of them to receive it
+/// before the process exits.
 pub(in crate::node) const STOP_CLOSING: Duration = Duration::from_millis(2900);
 
 impl Courier {
-    /// Whether no call is begun any more, as this process would end before its answer.
+    /// Whether new calls are no longer started, as this process would exit before their response.
     pub(super) fn starts_no_calls(&self, now: Instant) -> bool {
         self.stopping.is_some_and(|at| now >= at + STOP_SENDING)
     }
 
-    /// Whether all is done that can be done after SIGTERM.
+    /// Whether the shutdown is complete.
     pub(super) fn stopped(&mut self) -> bool {
         let Some(since) = self.stopping else { return false };
         let since = since.elapsed();
@@ -33,15 +33,15 @@
         since >= STOP_ALL || (quiet && told && idle && !calls && self.pending_actions.is_empty())
     }
 
-    /// Brings the last records to disk.
+    /// Writes the last records to disk.
     pub(super) async fn finish(&mut self) {
         self.record_unsent();
         self.commit_all().await;
         log_line!("journal: {} commits, {} syncs in this life", self.journal.commits, self.journal.syncs);
     }
 
-    /// At the end: what still waits for its connection has not run, whatever the record of its attempt says, and the
-    /// next process may send it.
+    /// Records the calls still waiting for a connection as not run, although their attempt is recorded: the next
+    /// process may send them.
     fn record_unsent(&mut self) {
         for (message, m) in &self.held {
             let Some((_, start_permit)) =
--- a/src/node/courier/submissions.rs
+++ b/src/node/courier/submissions.rs
@@ -1,4 +1,4 @@
-//! Messages that clients submission: which are turned away at once, which come to judgement, and which are taken on.
+//! Submissions from clients: rejected immediately, passed to the scheduler, or accepted.
 
 use super::{Courier, HeldMessage};
 use crate::interface::{DestinationId, Event, MessageId, Past, Taken};
@@ -10,9 +10,9 @@
 use tokio::time::Instant;
 
 impl Courier {
-    /// A client has handed in a message.
+    /// Handles a message submitted by a client.
     pub(super) fn handle_submission(&mut self, submission: Submission) {
-        // Handed in twice under one id: it is taken already, or both hear what becomes of it.
+        // Duplicate id: either the message is accepted already, or both clients get the same reply.
         if let Some(message) = self.ids.get(&submission.submitted.id) {
             let judged = self.submissions.get_mut(message).map(|first| &mut first.reply);
             return match judged.or_else(|| self.pending_actions.answer(*message)) {
@@ -26,9 +26,10 @@
         }
     }
 
-    /// What a client is told whose message does not come to judgement.
+    /// The reply if the message is not passed to the scheduler; `None` if it is.
     fn refusal(&self, submission: &Submission) -> Option<Reply> {
-        // What cannot be tried here any more is better handed in elsewhere than left to the next process.
+        // A message that this process can no longer attempt is better submitted to another courier than left to
+        // the next process.
         if self.pending_actions.failed() || self.starts_no_calls(Instant::now()) {
             return Some(Reply::Unavailable);
         }
@@ -42,7 +43,7 @@
         None
     }
 
-    /// Has the module judge a message in its next turn.
+    /// Queues a message for the scheduler's next turn.
     fn submit(&mut self, submission: Submission) {
         let message = self.next;
         self.next += 1;
@@ -60,8 +61,8 @@
         self.submissions.insert(message, submission);
     }
 
-    /// A client that has given up before it was told counts its message as not taken, and may hand it in
-    /// again elsewhere: it must not be sent from here.
+    /// Drops submissions whose client has disconnected before the reply. Such a client counts its message as not
+    /// accepted and may submit it elsewhere, so it must not be sent from here.
     pub(super) fn drop_abandoned(&mut self) {
         let deserted: Vec<u64> =
             self.submissions.iter().filter(|(_, o)| o.reply.is_closed()).map(|(n, _)| *n).collect();
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Records the new messages that the module keeps, then tells the clients.
+    /// Records the messages that the scheduler accepted, then replies to their clients.
     pub(super) fn take_on(&mut self, refused: &mut HashMap<u64, Verdict>) {
         for (message, submission) in std::mem::take(&mut self.submissions) {
             let Submission { submitted, reply, time_left, .. } = submission;
@@ -99,7 +100,7 @@
         self.commit_if_due();
     }
 
-    /// Nobody is owed anything for the message.
+    /// Drops a message whose client never received the reply.
     pub(in crate::node) fn withdraw(&mut self, message: u64) {
         if let Some(m) = self.held.remove(&message) {
             log_line!("{} withdrawn: its client had not heard", m.submitted.id);
@@ -108,7 +109,7 @@
         self.events.push(Event::Withdrawn { message: MessageId(message) });
     }
 
-    /// Nothing more is owed for the message.
+    /// Ends a message: nothing is left to do for it.
     pub(super) fn end(&mut self, message: u64) {
         if let Some(m) = self.journal.get(message) {
             let id = m.submitted.id.clone();
@@ -118,9 +119,9 @@
     }
 }
 
-/// Answers an submission that does not come to judgement.
+/// Replies to a submission that is not passed to the scheduler.
 fn answer(submission: Submission, reply: Reply) {
     log_line!("{} at the door: {reply:?}", submission.submitted.id);
-    // A client that is gone hears nothing, and nothing was taken.
+    // If the client has disconnected the reply is lost, which is harmless: nothing was accepted.
     let _ = submission.reply.send(reply);
 }
--- a/src/node/courier/turn.rs
+++ b/src/node/courier/turn.rs
@@ -1,4 +1,4 @@
-//! One turn of the decision module: what happened goes in, and what it asks for is carried out.
+//! One turn of the scheduler: passes it the pending events and carries out its actions.
 
 use super::Courier;
 use super::attempts::Send;
@@ -10,7 +10,7 @@
 use std::collections::HashMap;
 use tokio::time::Instant;
 
-/// What a turn decides about messages, to be carried out in this order once all its actions are read.
+/// A turn's decisions about messages, carried out in this order once all its actions are read.
 #[derive(Default)]
 struct Decisions {
     refused: HashMap<u64, Verdict>,
@@ -19,7 +19,7 @@
 }
 
 impl Courier {
-    /// One batch: what happened goes in, and what the module asks for is carried out.
+    /// Passes one batch of events to the scheduler and carries out its actions.
     pub(super) fn turn(&mut self, now: Instant) {
         if let Some((_, token)) = self.wake.take_if(|(at, _)| *at <= now) {
             self.events.push(Event::Woken { token });
@@ -41,7 +41,7 @@
         self.cancel(cancels);
     }
 
-    /// Carries out an action, but for those about messages, which are gathered.
+    /// Carries out an action; decisions about messages are collected instead.
     fn act(&mut self, action: Action, now: Instant, decisions: &mut Decisions) {
         match action {
             Action::Send { message, endpoint, timeout } => {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The module has ended a message undelivered: on record first, then told.
+    /// Records that the scheduler ended a message undelivered; its notice follows the record.
     fn give_up(&mut self, message: u64, verdict: Verdict) {
         let Some(m) = self.held.get(&message) else { return };
         if self.journal.get(message).is_none_or(|m| m.verdict.is_some()) {
--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -63,11 +63,11 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// An agent answers at once; one that does not is asked again. Where a fleet asks together it may be work that
-/// waits in a queue, which each call that is given up and made anew lengthens: schedule doubles with each.
+/// waits in a queue, which each call that is given up and made anew lengthens: the timeout doubles with each.
 const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
 const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_millis(8000);
 /// While nothing changes an empty line comes every 2 s. A machine that vanished leaves the connection open
-/// and silent; a change counts as splitter 6 s later, so silence must be found out early enough before that for
+/// and silent; a change counts as received 6 s later, so silence must be found out early enough before that for
 /// a watch that is not answered and another that is.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
 /// Pause before a watch is asked for again, s, in a fleet of this size or less; in a larger one it grows with
@@ -76,7 +76,7 @@
 const MAX_BACKOFF_S: f64 = 2.0;
 const REFERENCE_FLEET: f64 = 6.0;
 const START_SPREAD_S: f64 = 0.3;
-/// While there is no watch, what the agent has been sent counts as splitter already. So a first watch, and one
+/// While there is no watch, what the agent has been sent counts as received already. So a first watch, and one
 /// after another that was answered, is up within the grace on drains: its call comes in this part of it.
 const GRACE_SHARE: f64 = 0.5;
 /// No list is longer; guards memory against one without an end.
@@ -195,7 +195,7 @@
                         Err(e) => {
                             let from = String::from_utf8_lossy(&value[..value.len().min(MAX_LOGGED_BYTES)]);
                             log_line!("discovery: {} tells what cannot be read, {from:?}: {e}", self.address);
-                            // What it would have splitter is asked for again, as a whole list.
+                            // Request a full list, which includes what this value would have contained.
                             self.fresh = true;
                             return heard;
                         }
@@ -260,8 +260,8 @@
         self.begun
     }
 
-    /// How long what follows may stay away. A value that does not end hides all that is splitter after it, and so is
-    /// no better than silence, whatever else comes meanwhile.
+    /// How long to wait for more bytes. A value that does not end hides everything sent after it, so it counts as
+    /// silence from its start, whatever arrives meanwhile.
     fn time_left(&self) -> Duration {
         self.since.map_or(SILENCE_TIMEOUT, |since| SILENCE_TIMEOUT.saturating_sub(since.elapsed()))
     }
--- a/src/node/intake/guards.rs
+++ b/src/node/intake/guards.rs
@@ -2,7 +2,7 @@
 
 use super::state::IntakeState;
 
-/// An submission that the courier has not answered.
+/// Counts a submission that the courier has not replied to.
 pub(super) struct PendingSubmission<'a>(&'a IntakeState);
 
 impl<'a> PendingSubmission<'a> {
--- a/src/node/intake/requests.rs
+++ b/src/node/intake/requests.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// How long the courier may take to hear of an submission; well under the time for which a client waits.
+/// How long the courier may take to accept a submission; well under the clients' own timeout.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(300);
 
 const TOO_LARGE: &str = "over 64 KiB\n";
--- a/src/node/intake/response.rs
+++ b/src/node/intake/response.rs
@@ -34,7 +34,7 @@
     answer
 }
 
-/// The courier's reply to an submission.
+/// The courier's reply to a submission.
 pub(super) fn respond(reply: Reply) -> Response<Full<Bytes>> {
     match reply {
         Reply::Taken => plain(StatusCode::ACCEPTED, ""),
--- a/src/node/intake/state.rs
+++ b/src/node/intake/state.rs
@@ -1,4 +1,4 @@
-//! IntakeState of the program toward its clients: whether it is ready, stops, or hands over, and their connections.
+//! State of the intake: readiness, shutdown and handover, and the clients' connections.
 
 use super::connection::{Connection, Stage};
 use crate::node::register::Register;
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// IntakeState of the program, as clients may know it.
+/// Readiness, shutdown and handover state, shared by all client connections.
 pub struct IntakeState {
     /// What operators have set.
     pub register: Arc<Register>,
@@ -24,14 +24,14 @@
     pub(super) shut: Notify,
     /// It is open.
     pub listening: Cell<bool>,
-    /// Told to all connections when the courier stops.
+    /// The open connections, notified when the courier stops.
     pub open: RefCell<BTreeMap<u64, Rc<Connection>>>,
     next: Cell<u64>,
     /// Bytes of bodies that are being read or have no answer yet.
     pub(super) bodies: Cell<usize>,
     /// Offers that the courier has not answered.
     pub(super) pending_submissions: Cell<usize>,
-    /// A successor asks: nothing new is offered to the courier.
+    /// A handover is pending: no new messages are submitted to the courier.
     held: Cell<bool>,
     released: Notify,
     /// Where connections go once another process is the courier.
--- a/src/node/intake/submission.rs
+++ b/src/node/intake/submission.rs
@@ -1,4 +1,4 @@
-//! A message on submission to the courier, and the reply that its clients wait for.
+//! A message submitted to the courier, and the reply that its clients wait for.
 
 use crate::node::journal::Message;
 use std::rc::Rc;
--- a/src/node/operators.rs
+++ b/src/node/operators.rs
@@ -31,7 +31,7 @@
 const MAX_CALLERS: usize = 24;
 const MIN_CALLERS: usize = 8;
 const SOCKETS_PER_CALLER: usize = 16;
-/// HeldMessage open beside callers: a listener, a runtime, and a file while it is written.
+/// Descriptors open besides callers: a listener, a runtime, and a file while it is written.
 const OWN_DESCRIPTORS: usize = 6;
 /// A complete call is there within this time. Answers are owed within 1 s of it.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
