--- a/src/node/courier/event_loop.rs
+++ b/src/node/courier/event_loop.rs
@@ -1,4 +1,4 @@
-//! The courier's loop: waits for the next event or timer, and has it dealt with.
+//! The courier's event loop: waits for the next input or timer and handles it.
 
 use super::{Courier, End};
 use crate::node::handover::Successor;
@@ -12,18 +12,19 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// A turn that is late by more was held up, and first lets others read what came meanwhile.
+/// If a turn is late by more than this, the process was stalled: other tasks first get `CATCH_UP` to read what
+/// arrived meanwhile.
 const STALL: Duration = Duration::from_millis(50);
 const CATCH_UP: Duration = Duration::from_millis(2);
-/// How long a successor waits for notices that are on their way.
+/// How long a successor waits for notices in flight.
 const NOTICES_TIME: Duration = Duration::from_millis(300);
-/// How often it is looked whether all is done, after SIGTERM and for a successor.
+/// How often to check for completion: after SIGTERM, and for a handover.
 const STOP_POLL: Duration = Duration::from_millis(20);
 const HANDOVER_POLL: Duration = Duration::from_millis(2);
 
-/// When the loop goes on though nothing comes.
+/// When the loop continues without input.
 struct Timers {
-    /// The module's next turn.
+    /// The scheduler's next turn.
     turn: Option<Instant>,
     commit: Option<Instant>,
     stop: Option<Instant>,
@@ -32,7 +33,7 @@
 }
 
 impl Timers {
-    /// Waits for the first of them, for good if there is none.
+    /// Waits for the earliest timer, forever if there is none.
     async fn first(&self) {
         let timers = [self.turn, self.commit, self.stop, self.handover, self.scrub];
         match timers.into_iter().flatten().min() {
@@ -42,16 +43,16 @@
     }
 }
 
-/// Whether a timer has run out.
+/// Whether a timer has expired.
 fn is_due(timer: Option<Instant>, now: Instant) -> bool {
     timer.is_some_and(|at| at <= now)
 }
 
 impl Courier {
-    /// Runs until the courier has stopped, or may be handed over.
+    /// Runs until the courier has stopped or can be handed over.
     pub async fn run(&mut self, inbox: &mut Receiver<Input>, changes: &mut UnboundedReceiver<Change>) -> End {
         let mut last_turn: Option<Instant> = None;
-        // Also where the module need not ask: on sockets nobody sends the list unasked.
+        // Starts the watch although the scheduler has not asked for it: on sockets discovery sends no list unasked.
         self.watch();
         self.post();
         self.scrub = self.config.options.store.scrub().map(|every| Instant::now() + every);
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Does what is due by now.
+    /// Runs the expired timers.
     async fn run_timers(
         &mut self,
         timers: &Timers,
@@ -120,20 +121,20 @@
         }
     }
 
-    /// After a standstill answers may be there that nobody has read yet. They come first: a message must not be
-    /// given up for want of one.
+    /// After a stall there may be unread responses. They are processed first, so that no message is given up whose
+    /// response has already arrived.
     async fn catch_up(&mut self, now: Instant, inbox: &mut Receiver<Input>) {
         if self.wake.is_none_or(|(at, _)| at + STALL >= now) {
             return;
         }
         sleep(CATCH_UP).await;
-        // Whoever was woken together with this has its turn first.
+        // Let tasks that were woken at the same time run first.
         yield_now().await;
         self.handle_waiting_inputs(inbox);
     }
 
-    /// The successor, once nothing is in judgement. Notices that are not acknowledged soon go out again from
-    /// there, which does no harm.
+    /// The successor, once no submission or event is pending. Notices that are not acknowledged in time are sent again
+    /// by the successor, which is harmless.
     fn ready_successor(&mut self) -> Option<Successor> {
         let (_, since) = self.successor.as_ref()?;
         let told = self.notices.is_empty() && self.posts == 0;
@@ -145,7 +146,7 @@
         self.successor.take_if(|_| due).map(|(successor, _)| successor)
     }
 
-    /// Has the next segment of the journal read again, beside the loop: the disk may take its time.
+    /// Scrubs the next segment of the journal on a blocking thread, as the disk may be slow.
     fn scrub(&mut self, now: Instant) {
         self.scrub = self.config.options.store.scrub().map(|every| now + every);
         if let Some(scrub) = self.journal.scrub() {
@@ -160,11 +161,11 @@
 
     fn scrubbed(&mut self, scrubbed: &Scrubbed) {
         if let (true, Some(damage)) = (self.journal.scrubbed(scrubbed), &scrubbed.damage) {
-            log_line!("journal: damaged: {damage}; what lives of it is written anew from memory");
+            log_line!("journal: damaged: {damage}; its live messages are rewritten from memory");
         }
     }
 
-    /// Hears all that waits.
+    /// Handles all queued input.
     fn handle_waiting_inputs(&mut self, inbox: &mut Receiver<Input>) {
         while let Ok(inputs) = inbox.try_recv() {
             self.handle_input(inputs);
@@ -187,7 +188,7 @@
             Input::DiscoveryMoved(discovery) => self.move_discovery(discovery),
             Input::Scrubbed(scrubbed) => self.scrubbed(&scrubbed),
             Input::Successor(successor) => {
-                // One at a time: another asks again.
+                // One handover at a time: another successor will retry.
                 if self.successor.is_none() {
                     self.intake_state.hold();
                     self.successor = Some((successor, Instant::now()));
--- a/src/node/courier/mod.rs
+++ b/src/node/courier/mod.rs
@@ -1,7 +1,7 @@
-//! The only owner of the decision module. Feeds it what happened, no oftener than once a tick, and carries
-//! out what it asks for; holds bodies, ids and timers. It decides nothing about a message itself.
+//! Owns the scheduler. Passes it events at most once a tick and carries out its actions; holds message bodies,
+//! ids and timers. Makes no decision about a message itself.
 //!
-//! This module has its state; each of the others has one kind of event or step.
+//! This module defines the state; each submodule handles one kind of event or step.
 
 mod attempts;
 mod discovery;
@@ -34,13 +34,13 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Why the courier does not go on.
+/// Why the event loop ended.
 pub enum End {
-    /// All is done that could be after SIGTERM.
+    /// The shutdown after SIGTERM is complete.
     Stopped,
-    /// Nothing is in judgement: all can be handed over.
+    /// No submission or event is pending: the state can be handed over.
     HandoverReady(Successor),
-    /// The successor has ended after it had taken over.
+    /// The successor exited after it had taken over.
     SuccessorExited,
 }
 
@@ -49,29 +49,29 @@
     pub(super) host: String,
     pub(super) address: Option<SocketAddr>,
     pub(super) zone: usize,
-    /// As the list has it: elsewhere no connection to it is kept.
+    /// Ready according to the list. No idle connections are kept to other endpoints.
     pub(super) ready: bool,
-    /// A list has named it; others are known by a record alone.
+    /// Whether a list has named it; others are known from a journal record only.
     pub(super) listed: bool,
 }
 
-/// A message that is taken on and has not ended.
+/// An accepted message that has not ended.
 pub(super) struct HeldMessage {
     pub(super) submitted: Rc<Message>,
     pub(super) attempts: u32,
-    /// The call that is out: when it left, and how to call it off.
+    /// The call in flight: when it was started, and the channel that cancels it.
     pub(super) in_flight: Option<(Instant, Option<oneshot::Sender<()>>)>,
-    /// Where its last call went, and whether that may still begin.
+    /// The endpoint of the last call, and whether that call may still start.
     pub(super) start_permit: Option<(EndpointId, StartPermit)>,
 }
 
 impl HeldMessage {
-    /// One of which no call is out.
+    /// A message without a call in flight.
     fn new(submitted: Rc<Message>, attempts: u32) -> Self {
         HeldMessage { submitted, attempts, in_flight: None, start_permit: None }
     }
 
-    /// Calls off the call that is out.
+    /// Cancels the call in flight.
     pub(super) fn cancel(&mut self) {
         if let Some(cancel) = self.in_flight.as_mut().and_then(|(_, cancel)| cancel.take()) {
             let _ = cancel.send(());
@@ -91,35 +91,35 @@
     pub(super) origin: Instant,
     pub(super) events: Vec<Event>,
     submissions: BTreeMap<u64, Submission>,
-    /// Those that the module knows; it says when one is forgotten. Numbers are never used again.
+    /// The endpoints that the scheduler knows; it reports when it forgets one. Ids are never reused.
     pub(super) endpoints: HashMap<EndpointId, Endpoint>,
     pub(super) numbered: u32,
     pub(super) numbers: HashMap<String, EndpointId>,
     pub(super) destinations: BTreeSet<u64>,
     pub(super) held: BTreeMap<u64, HeldMessage>,
-    /// Messages by the id that their clients gave them, until they have ended.
+    /// Message numbers by client-assigned id, until the message ends.
     pub(super) ids: HashMap<String, u64>,
     pub(super) next: u64,
-    /// The module's one wake-up; a later request for one takes its place.
+    /// The scheduler's only wake-up; a later request replaces it.
     wake: Option<(Instant, u64)>,
     pub(super) notices: VecDeque<Notice>,
     posts: usize,
     watch: Option<AbortHandle>,
-    /// The version of the list, where it is one of discovery's.
+    /// Version of the endpoint list, if it came from discovery.
     pub(super) seq: Option<u64>,
-    /// A successor that waits, and since when.
+    /// A successor waiting for the handover, and since when.
     successor: Option<(Successor, Instant)>,
-    /// Discovery has answered since the start.
+    /// Whether discovery has answered since the start.
     pub(super) listed: bool,
     pub(super) stopping: Option<Instant>,
-    /// What waits for the record.
+    /// Actions to be taken once their record is on disk.
     pub(super) pending_actions: PendingActions,
-    /// When the next segment of the journal is read again.
+    /// When the next segment of the journal is scrubbed.
     scrub: Option<Instant>,
 }
 
 impl Courier {
-    /// A courier without messages; `last` is the last number that a message on record has had.
+    /// A courier without messages; `last` is the highest message number on record.
     pub fn new(
         config: Config,
         scheduler: Scheduler,
--- a/src/node/courier/resume.rs
+++ b/src/node/courier/resume.rs
@@ -1,4 +1,4 @@
-//! Starts from the journal: messages on record come back to the decision module, with what is known of them.
+//! Start from the journal: recovered messages are passed to the scheduler with the history of their attempts.
 
 use super::{Courier, HeldMessage};
 use crate::interface::{DestinationId, Event, MessageId, Past, Ran, Taken};
@@ -7,22 +7,22 @@
 use std::time::Duration;
 
 const UNKNOWN_AGE: Duration = Duration::from_secs(24 * 3600);
-/// A clock that is being set right may go back by so much.
+/// A clock adjustment may set the clock back by this much.
 const CLOCK_SLACK: Duration = Duration::from_secs(1);
 
 impl Courier {
-    /// Starts with the list at hand and with what the journal holds.
+    /// Starts with the configured endpoint list and the journal's messages.
     pub fn begin(&mut self) {
         let known = self.config.known.clone();
         self.seq = known.as_ref().map(|l| l.seq);
         self.apply_list(List { whole: true, ..known.unwrap_or_default() });
         let mut live: Vec<_> = self.journal.live().map(|(n, m)| (m.submitted.until, n)).collect();
-        // Those that are out of time end first, and the others come to judgement by how little they have left.
+        // Expired messages end first; the others reach the scheduler in order of their deadline.
         live.sort_unstable();
         live.into_iter().for_each(|(_, message)| self.resume(message));
     }
 
-    /// Hands back a message that is on record, with what is known of its attempts.
+    /// Passes a recovered message to the scheduler with its attempts.
     pub(in crate::node) fn resume(&mut self, message: u64) {
         let Some(m) = self.journal.get(message) else { return };
         let (now, submitted, taken, verdict) = (unix(), m.submitted.clone(), m.taken, m.verdict);
@@ -31,8 +31,8 @@
         self.ids.insert(submitted.id.clone(), message);
         let class = self.config.classes.iter().position(|c| *c == submitted.class);
         let tenant = self.config.tenants.iter().position(|t| *t == submitted.tenant);
-        // A message with its end decided only waits to have it acknowledged: sending it again would
-        // deliver what a client was told to hand in again.
+        // A message with a verdict only waits for its notice to be acknowledged. Sending it again would deliver a
+        // message that its client was told to submit again.
         let verdict = verdict.or(class.is_none().then_some(Verdict::Dead));
         if let Some(verdict) = verdict {
             return self.queue_notice(message, submitted.id.clone(), verdict);
@@ -53,7 +53,7 @@
         self.held.insert(message, HeldMessage::new(submitted, attempts));
     }
 
-    /// An attempt on record that may have run, as the module is told of it.
+    /// A recorded attempt that may have run, in the scheduler's form.
     fn ran(&mut self, attempt: &Attempt, now: Duration) -> Ran {
         Ran {
             endpoint: self.endpoint_id(&attempt.host),
@@ -63,13 +63,13 @@
     }
 }
 
-/// What a message on record has left. A clock that went back gives it no more than it had when it was taken on.
+/// Time left for a recovered message. A clock that was set back gives it no more than it had when accepted.
 fn time_left(submitted: &Message, taken: Duration, now: Duration) -> Duration {
     submitted.until.saturating_sub(now.max(taken))
 }
 
-/// How long ago an attempt on record was made. If the clock has gone back since, nobody knows: then any time in
-/// which a repeat is dropped counts as over.
+/// Age of a recorded attempt. If the clock was set back since, the age is unknown: then every deduplication window
+/// counts as expired.
 fn age(sent: Duration, now: Duration) -> Duration {
     if sent > now + CLOCK_SLACK { UNKNOWN_AGE } else { now.saturating_sub(sent) }
 }
--- a/src/node/courier/resume_test.rs
+++ b/src/node/courier/resume_test.rs
@@ -1,9 +1,9 @@
-//! A clock that is set back while no process runs.
+//! Recovery after the clock was set back while no process was running.
 
 use super::*;
 
 #[test]
-fn a_clock_that_went_back_between_two_lives_gives_no_time_and_no_window() {
+fn a_clock_set_back_between_two_runs_gives_no_extra_time_and_no_window() {
     let at = Duration::from_secs;
     let submitted = Message { until: at(120), ..Message::default() };
     assert_eq!(time_left(&submitted, at(100), at(105)), at(15));
--- a/src/node/intake/closing.rs
+++ b/src/node/intake/closing.rs
@@ -1,4 +1,4 @@
-//! How a client's connection ends: with a last answer, if one is owed, that arrives.
+//! Closing a client's connection so that its last response, if there is one, arrives.
 
 use super::connection::{Connection, Stage};
 use socket2::SockRef;
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// What comes behind the courier's last answer is read and dropped for so long: a close over unread bytes is a
-/// reset, which may overtake that answer.
+/// How long, and up to how many bytes, to read and discard after the last response: closing a socket with unread
+/// bytes sends a reset, which may overtake that response.
 const LINGER: Duration = Duration::from_millis(60);
 const MAX_LINGER_BYTES: usize = 256 * 1024;
 
@@ -20,20 +20,20 @@
 
 /// Why a connection ends.
 pub(super) enum CloseReason {
-    /// Another process goes on with it.
+    /// It was passed to another process.
     Passed,
-    /// Its last answer is written, or its client has gone.
+    /// Its last response is written, or its client has disconnected.
     Done,
-    /// For want of a request in time.
+    /// No complete request arrived in time.
     Late,
-    /// Its descriptor is needed.
+    /// Its descriptor is needed for another client.
     Evicted,
-    /// The process is about to end.
+    /// The process is about to exit.
     Stopping,
 }
 
 impl CloseReason {
-    /// What a client is told that has begun a request.
+    /// The response to a client with an incomplete request.
     fn last_answer(&self) -> Option<&'static [u8]> {
         match self {
             CloseReason::Passed | CloseReason::Done => None,
@@ -44,10 +44,10 @@
 }
 
 impl Connection {
-    /// Writes the last answer, if one is owed, and closes so that it arrives.
+    /// Writes the last response, if one is due, and closes so that it arrives.
     pub(super) async fn finish(&self, reason: CloseReason) {
         if let Some(answer) = reason.last_answer().filter(|_| self.has_unanswered_request()) {
-            // Nothing else is on its way to the client, so that there is room for so little.
+            // Nothing else is being sent to the client, so the send buffer has room for it.
             let _ = self.stream.try_write(answer);
         }
         self.enter(Stage::Closing);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Reads and drops what the client still sends, until it goes.
+    /// Reads and discards what the client still sends, until it disconnects.
     async fn drop_what_comes(&self) {
         let (mut bytes, mut dropped) = ([0; 4096], 0);
         while dropped < MAX_LINGER_BYTES && self.stream.readable().await.is_ok() {
--- a/src/node/intake/connection.rs
+++ b/src/node/intake/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: where its request stands, and until when it is waited for.
+//! State and time-outs of one client connection.
 
 use super::framing::Framing;
 use super::limits::{MAX_BODY, MAX_HEAD, REQUEST_TIMEOUT, SILENT_TIMEOUT};
@@ -11,25 +11,25 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Bytes of a request that are kept for another process to read on from.
+/// Most bytes of a request kept so that another process can continue reading it.
 const MAX_RECEIVED: usize = MAX_HEAD + MAX_BODY;
 
-/// Where a client's connection stands.
+/// Stage of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Nothing has come on it yet.
+    /// Nothing received yet.
     Silent,
-    /// Part of a head has come.
+    /// Part of a request head received.
     Head,
-    /// A request is being read.
+    /// The request's body is being read.
     Reading,
-    /// All of it is here, and it waits to be offered to the courier.
+    /// Received whole, waiting to be offered to the courier.
     Received,
-    /// It is with the courier, or its answer is on its way.
+    /// Submitted to the courier, or its response is being sent.
     Submitted,
-    /// Between requests; `well` if the last one was not at fault.
+    /// Between requests; `well` if the last one was valid.
     Idle { well: bool },
-    /// Its last answer is out, and it waits for the client to go.
+    /// The last response is sent; waiting for the client to close.
     Closing,
 }
 
@@ -37,33 +37,33 @@
 pub struct Connection {
     pub(super) stream: TcpStream,
     pub(super) stage: Cell<Stage>,
-    /// Since when it stands there.
+    /// When it entered this stage.
     pub(super) since: Cell<Instant>,
-    /// When something last came on it.
+    /// When bytes were last received.
     pub(super) last: Cell<Instant>,
-    /// In how many pieces the request has come so far.
+    /// Number of reads that the request has taken so far.
     pub(super) pieces: Cell<u32>,
-    /// When the request counts as begun.
+    /// When the request counts as started.
     pub(super) begun: Cell<Instant>,
-    /// Nothing is waited for after this, whatever has begun.
+    /// Overrides the stage's time-out, even for a partly received request.
     ends: Cell<Option<Instant>>,
-    /// An answer has gone out on it.
+    /// A response was sent on it.
     pub(super) served: Cell<bool>,
-    /// An answer is not wholly written.
+    /// A response is partly written.
     pub(super) answering: Cell<bool>,
     pub(super) framing: RefCell<Framing>,
-    /// What has come of a request that has no answer yet, for another process to read on from; none once it
-    /// is longer than any that is taken.
+    /// Received bytes of a request without a response, so that another process can continue; `None` once they exceed
+    /// the longest request that is accepted.
     pub(super) unanswered: RefCell<Option<Vec<u8>>>,
     pub(super) close: Notify,
-    /// Closes it whatever has come on it.
+    /// Closes it in any stage.
     pub(super) evict: Notify,
-    /// Another process goes on with it.
+    /// Passes it to another process.
     pub(super) pass: Notify,
 }
 
 impl Connection {
-    /// For a connection that came so long ago, or stood for so long where it stands.
+    /// `age` is the time since the connection was accepted, or since it entered its present stage.
     pub(super) fn new(stream: TcpStream, age: Duration, served: bool) -> Self {
         let since = Instant::now().checked_sub(age).unwrap_or_else(Instant::now);
         Connection {
@@ -84,20 +84,20 @@
         }
     }
 
-    /// Goes on to another stage.
+    /// Enters another stage.
     pub(super) fn enter(&self, stage: Stage) {
         self.stage.set(stage);
         self.since.set(Instant::now());
     }
 
-    /// Whether nothing has come that is not read. Asks the kernel: the runtime may not have heard of it yet.
+    /// Whether there are no unread bytes. Asks the kernel, as the runtime may not have been notified yet.
     pub(super) fn nothing_unread(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         SockRef::from(&self.stream).peek(&mut byte).is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Whether a request is under way that has no answer yet, and of which nothing is written. Empty lines between
-    /// two requests are none.
+    /// Whether a request was started of whose response nothing is written. Empty lines between two requests do not
+    /// count as one.
     pub(super) fn has_unanswered_request(&self) -> bool {
         let begun = match self.stage.get() {
             Stage::Head => self.framing.borrow().begun,
@@ -107,7 +107,7 @@
         begun && !self.answering.get()
     }
 
-    /// Bytes of a request have come.
+    /// Handles received bytes of a request.
     pub(super) fn received(&self, bytes: &[u8]) {
         self.framing.borrow_mut().hear(bytes);
         self.last.set(Instant::now());
@@ -130,7 +130,7 @@
         });
     }
 
-    /// The answer is decided: what follows is another request.
+    /// The response is decided: later bytes belong to the next request.
     pub(super) fn answered(&self, well: bool) {
         *self.framing.borrow_mut() = Framing::default();
         *self.unanswered.borrow_mut() = Some(Vec::new());
@@ -140,17 +140,17 @@
         self.enter(Stage::Idle { well });
     }
 
-    /// When the request that is being read must be there.
+    /// Deadline for the request being read.
     pub(super) fn request_due(&self) -> Instant {
         self.begun.get() + REQUEST_TIMEOUT
     }
 
-    /// Whatever has not come whole by then is not waited for.
+    /// Sets a deadline for an incomplete request, whatever its stage.
     pub(super) fn end_by(&self, at: Instant) {
         self.ends.set(Some(at));
     }
 
-    /// When it is closed for want of a request.
+    /// When it is closed if no complete request arrives.
     pub(super) fn due(&self) -> Option<Instant> {
         match self.stage.get() {
             Stage::Silent | Stage::Head | Stage::Reading if self.ends.get().is_some() => self.ends.get(),
--- a/src/node/intake/eviction.rs
+++ b/src/node/intake/eviction.rs
@@ -1,51 +1,52 @@
-//! Which connection is closed to make room for a newcomer.
+//! Chooses the connection to close when a new client needs a socket.
 
 use super::connection::{Connection, Stage};
 use super::state::IntakeState;
 use std::time::Duration;
 
-/// A connection without an open request may be closed after this time, where room is needed.
+/// Idle time after which a connection may be closed if a socket is needed.
 const IDLE_TIME: Duration = Duration::from_secs(2);
-/// A request that comes in several pieces counts as at work for so long after each.
+/// A request received in several pieces counts as active for this long after each.
 const WORK_TIME: Duration = Duration::from_millis(500);
-/// A new connection's request is mostly there already and read by then.
+/// By this age a new connection's request has usually arrived and been read.
 const FRESH_TIME: Duration = Duration::from_millis(10);
-/// Of those to whom room could go, so many are looked at more closely; the others are for the next time.
+/// Number of candidates that are checked for unread bytes; the others are left for the next time.
 const MAX_CANDIDATES: usize = 8;
 
 impl Connection {
-    /// How readily it is closed to make room: low first, None not at all. What has never handed in anything
-    /// goes before a usual client's connection.
+    /// Eviction order: lowest first, `None` never. Connections that never submitted anything go before those of
+    /// ordinary clients.
     fn eviction_rank(&self) -> Option<u8> {
         let age = self.since.get().elapsed();
-        // Of those that write: what only began, and then stopped, goes before what goes on.
+        // Among partial requests, stalled ones go before those still being received.
         let works = self.pieces.get() > 1 && self.last.get().elapsed() < WORK_TIME;
         match self.stage.get() {
             Stage::Closing => Some(0),
             Stage::Silent if age > FRESH_TIME => Some(0),
             Stage::Idle { well: false } => Some(1),
             Stage::Idle { .. } if age > IDLE_TIME => Some(2),
-            // A first request that is closed on has failed; a later one could be lost.
+            // Closing during a first request makes it fail visibly; a later one could be lost.
             Stage::Head | Stage::Reading if self.served.get() => None,
-            // Clients that ask once and keep their connection would shut out all that come within that time.
+            // Otherwise clients that keep their connection after one request would block new ones for `IDLE_TIME`.
             Stage::Idle { .. } => Some(4),
             Stage::Head | Stage::Reading if age > FRESH_TIME => Some(if works { 5 } else { 3 }),
             _ => None,
         }
     }
 
-    /// Whether closing it cuts off nothing that has come.
+    /// Whether closing it loses no received bytes.
     fn is_free(&self) -> bool {
         self.stage.get() == Stage::Closing || self.nothing_unread()
     }
 }
 
 impl IntakeState {
-    /// Closes the connection that is of least use, if one can go. One on which something waits to be read is not
-    /// closed: it may be the whole of a request.
+    /// Closes the least useful connection, if any can be closed. One with unread bytes is kept: they may be a complete
+    /// request.
     pub(super) fn evict_one(&self) -> bool {
         let mut open = self.open.borrow_mut();
-        // In a flood of newcomers the silent ones show in a moment, and go before what has served.
+        // In a burst of new connections the silent ones show within `FRESH_TIME`; wait for that rather than evict one
+        // that has been served.
         if open.values().filter(|c| c.eviction_rank().is_none()).count() * 4 > open.len() {
             return false;
         }
--- a/src/node/intake/limits.rs
+++ b/src/node/intake/limits.rs
@@ -8,12 +8,12 @@
 pub(super) const MAX_DRAINED_BODY: usize = 1024 * 1024;
 /// Bytes of a request's head at most.
 pub(super) const MAX_HEAD: usize = 16 * 1024;
-/// A client is owed an answer or a close within 3 s of connecting: so long it may stay silent, and so long its
-/// request may take, from its first byte or, for the first one, from connecting. Usual clients connect ahead
-/// and send a second or two later, and some that are true take 2 s to write: a close before that fails them.
+/// A client must get a response or a close within 3 s of connecting. These limit how long it may stay silent, and how
+/// long a request may take from its first byte or, for the first one, from connecting. Ordinary clients connect ahead
+/// and send a second or two later, and some valid ones take 2 s to write: an earlier close would fail them.
 pub(super) const SILENT_TIMEOUT: Duration = Duration::from_millis(2500);
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_millis(2850);
-/// Bytes that wait unread when a connection's time is up may be the rest of its request: they are read for so long
-/// yet, in steps, which still ends within the 3 s.
+/// Bytes still unread at a connection's time-out may be the rest of its request: they are read for this much longer,
+/// in steps, which still ends within the 3 s.
 pub(super) const UNREAD_GRACE: Duration = Duration::from_millis(80);
 pub(super) const UNREAD_STEP: Duration = Duration::from_millis(5);
