--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -1,5 +1,5 @@
-//! Calls to endpoints and probes, and the connections kept for them. One call a connection at a time; what
-//! may have run is told apart from what never did.
+//! Calls to endpoints, probes, and their connection pool. A connection carries one call at a time. Calls that may
+//! have run are distinguished from those that certainly did not.
 
 use super::input::Input;
 use super::journal::Message;
@@ -22,20 +22,20 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, oneshot};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// How often idle connections are looked through.
+/// How often idle connections are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How a call ended.
 #[derive(Debug)]
 pub struct CallEnd {
     pub outcome: Outcome,
-    /// The message is over, whatever else is tried.
+    /// The message has ended; further attempts are pointless.
     pub over: bool,
     pub report: Option<Report>,
     pub at: Instant,
 }
 
-/// What an attempt needs to know.
+/// Parameters of an attempt.
 pub struct Call {
     pub message: u64,
     pub attempt: u32,
@@ -49,23 +49,23 @@
     pub start_permit: StartPermit,
 }
 
-/// Whether a call may still begin once its connection is there. That can take longer than what allowed it
-/// lasts: its endpoint drains, its destination tells a wait, or the time in which a repeat is dropped ends.
+/// Permission to start a call once its connection is open. Connecting can outlast the permission: the endpoint
+/// drains, the destination asks to wait, or the endpoint's deduplication window ends.
 #[derive(Clone, Default)]
 pub struct StartPermit {
     revoked: Rc<Cell<bool>>,
     begun: Rc<Cell<bool>>,
-    /// Not begun from then on.
+    /// The call must not start after this.
     pub ends: Option<Instant>,
 }
 
 impl StartPermit {
-    /// The call is not begun any more; one that has begun goes on.
+    /// Prevents the call from starting; a started one continues.
     pub fn revoke(&self) {
         self.revoked.set(true);
     }
 
-    /// Whether its first byte may have gone out.
+    /// Whether its first byte may have been sent.
     pub fn has_started(&self) -> bool {
         self.begun.get()
     }
@@ -75,15 +75,15 @@
     }
 }
 
-/// How calls fared on connections by the time for which these had stood idle: some endpoints, or what lies
-/// between, drop them long before the limit and say so only to the next request, which then may have run.
+/// Break rates of calls by how long their connection had been idle. Some endpoints, or middleboxes, drop idle
+/// connections long before the limit and reset only on the next request, which then counts as one that may have run.
 #[derive(Default)]
 struct BreakRates {
     fresh: BreakRate,
     idle: [BreakRate; 8],
 }
 
-/// The share of calls that broke, smoothed, as it was when last noted.
+/// Smoothed share of calls whose connection broke, as of the last update.
 #[derive(Clone, Copy, Default)]
 struct BreakRate {
     share: f64,
@@ -91,10 +91,10 @@
 }
 
 const BREAK_RATE_GAIN: f64 = 0.05;
-/// An old share loses half its weight in this time, s: what is shunned is tried again.
+/// Half-life of a share, s: it decays so that avoided connections are tried again.
 const BREAK_RATE_HALF_LIFE_S: f64 = 10.0;
-/// More breaks than on fresh connections that a message bears which may be sent again, and one that may not:
-/// what breaks is lost then, which weighs many times a new connection.
+/// Tolerated break rate above that of fresh connections, for messages that may be sent again and for those that may
+/// not: these are lost if the connection breaks, which costs far more than a new connection.
 const MAX_EXCESS: f64 = 0.1;
 const MAX_EXCESS_ONCE: f64 = 0.03;
 
@@ -112,7 +112,7 @@
 }
 
 impl BreakRates {
-    /// Rows double in span, from 50 ms.
+    /// Buckets double in width, from 50 ms.
     fn bucket(idle: Duration) -> usize {
         (idle.as_millis() as u64 / 25).max(1).ilog2().min(7) as usize
     }
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Breaks beyond those on fresh connections. What has been dropped after a time is not there after a
-    /// longer one either; only a close right behind an answer, the first row, says nothing of later.
+    /// Break rate above that of fresh connections. A connection dropped after some idle time is also gone after a longer
+    /// one; only a close right after a response, the first bucket, implies nothing for the others.
     fn excess(&self, idle: Duration) -> f64 {
         let row = Self::bucket(idle);
         let rows = self.idle[row.min(1)..=row].iter();
@@ -143,11 +143,10 @@
     connect: Duration,
     keep: Duration,
     sockets: Arc<Semaphore>,
-    /// By endpoint, not by address: a new endpoint at the address of one that is gone must not inherit links
-    /// to that one.
+    /// By endpoint, not by address: a new endpoint at the address of a former one must not inherit its connections.
     idle: Rc<RefCell<HashMap<EndpointId, Vec<IdleConnection>>>>,
     break_rates: Rc<RefCell<BreakRates>>,
-    /// Asked before the first byte of each call: what operators leave out gets none from their yes on.
+    /// Checked before the first byte of each call: an endpoint gets no call once operators were told it is offline.
     register: Arc<Register>,
 }
 
@@ -180,7 +179,7 @@
         self.idle.borrow_mut().remove(&endpoint);
     }
 
-    /// A kept connection and how long it stood idle.
+    /// An idle connection from the pool, and its idle time.
     fn take(&self, endpoint: EndpointId, once: bool) -> Option<(Link, Duration)> {
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(&endpoint)?;
@@ -191,7 +190,7 @@
             if age >= self.keep || !k.link.is_usable() {
                 continue;
             }
-            // So would one on a connection that has stood for as long as those that broke of late.
+            // So would one on a connection that has been idle for as long as those that broke recently.
             let excess = self.break_rates.borrow().excess(age);
             if excess <= if once { MAX_EXCESS_ONCE } else { MAX_EXCESS } {
                 return Some((k.link, age));
@@ -212,7 +211,7 @@
             .push(IdleConnection { link, since: Instant::now() });
     }
 
-    /// Room for one more socket; an idle connection elsewhere gives way to it.
+    /// A permit for one more socket; if there is none, closes the oldest idle connection.
     async fn permit(&self) -> Option<OwnedSemaphorePermit> {
         if let Ok(permit) = self.sockets.clone().try_acquire_owned() {
             return Some(permit);
@@ -268,8 +267,8 @@
         Ok(answer)
     }
 
-    /// Makes one attempt and reports its end. The connection is closed before a time-out or a cancel is
-    /// told: else the next call would find this one's slot still taken.
+    /// Makes one attempt and reports its end. The connection is closed before a time-out or a cancellation is
+    /// reported: otherwise the next call would find this one's slot still occupied.
     pub async fn call(self, call: Call, cancel: oneshot::Receiver<()>, inputs: Sender<Input>) {
         let Call { message, attempt, endpoint, host, address, submitted, timeout, once, start_permit } = call;
         let until = Instant::now() + timeout;
@@ -288,7 +287,7 @@
                     biased;
                     answer = &mut asked => Some(answer),
                     _ = cancel => {
-                        // It may not begin any more; and an answer that is there already counts.
+                        // The call must not start any more, but a response that has already arrived counts.
                         start_permit.revoke();
                         tokio::time::timeout(UNREAD_GRACE, &mut asked).await.ok()
                     }
@@ -303,7 +302,7 @@
         let _ = inputs.send(Input::CallEnded { message, attempt, endpoint, end }).await;
     }
 
-    /// Sends a check and reports its end.
+    /// Sends a load probe and reports its end.
     pub async fn probe(
         self,
         (endpoint, host): (EndpointId, String),
@@ -330,7 +329,7 @@
     }
 }
 
-/// What an answer proves. Only what was turned away or never left counts as not run.
+/// Maps a response to an outcome. Only calls that were rejected or never sent count as not run.
 fn ended(answer: Result<CallResponse, CallError>) -> CallEnd {
     let answer = match answer {
         Ok(answer) => answer,
@@ -344,7 +343,7 @@
             return CallEnd { outcome, over: false, report: None, at: Instant::now() };
         }
     };
-    // A spoilt answer proves nothing but a first line with 200: the request has run, or may have.
+    // A broken response proves something only if its status is 200; otherwise the request may have run.
     if !answer.whole && answer.status != StatusCode::OK {
         return CallEnd { outcome: Outcome::Reset, over: false, report: None, at: answer.at };
     }
@@ -356,10 +355,10 @@
             Outcome::Full { wait: ms.map(|ms| Duration::from_secs_f64(ms / 1000.0)) }
         }
         StatusCode::SERVICE_UNAVAILABLE if head("Slots-Taken") == Some("1") => Outcome::NotSent,
-        // It is the connection that is turned away, not the call: the endpoint holds as many as it will, and
-        // those that are kept serve on. Taken for a limit of the destination it would stop these too. Covers
-        // an endpoint that is shutting down as well. Hurts where a destination at its limit closes whatever
-        // it turns away: then new connections alone are held back, and its limit is found on kept ones.
+        // The endpoint rejects the connection, not the call: it is at its connection limit, and pooled ones keep
+        // working. Treating this as the destination's limit would stop those too. Also covers an endpoint that is
+        // shutting down. Drawback: if a destination at its limit closes every rejected connection, only new
+        // connections are held back, and the limit is found on pooled ones.
         StatusCode::SERVICE_UNAVAILABLE if closes(&answer.headers) => Outcome::ConnectFailed,
         StatusCode::SERVICE_UNAVAILABLE => Outcome::Full { wait: None },
         StatusCode::GATEWAY_TIMEOUT | StatusCode::GONE => Outcome::NotSent,
@@ -369,7 +368,7 @@
     CallEnd { outcome, over, report: report(&answer.headers), at: answer.at }
 }
 
-/// Whether the connection ends with this answer.
+/// Whether the endpoint closes the connection after this response.
 fn closes(headers: &HeaderMap) -> bool {
     let all = headers.get_all(CONNECTION).into_iter().filter_map(|v| v.to_str().ok());
     all.flat_map(|v| v.split(',')).any(|v| v.trim().eq_ignore_ascii_case("close"))
--- a/src/node/input.rs
+++ b/src/node/input.rs
@@ -1,4 +1,4 @@
-//! What reaches the courier from its other parts.
+//! Input to the courier's event loop from the other modules.
 
 use super::calls::CallEnd;
 use super::discovery::List;
@@ -23,13 +23,13 @@
         end: CallEnd,
     },
     EndpointList(List),
-    /// The platform has acknowledged the notices for these.
+    /// The platform has acknowledged the notices for these messages.
     NoticesAcknowledged(Vec<u64>),
-    /// Another process is there to go on in this one's place.
+    /// Another process asks to take over from this one.
     Successor(Successor),
-    /// The configuration was read again: where discovery is now.
+    /// The configuration was reloaded: the address of discovery.
     DiscoveryMoved(SocketAddr),
-    /// A segment of the journal was read again.
+    /// A segment of the journal was scrubbed.
     Scrubbed(Scrubbed),
     Stop,
 }
--- a/src/node/link.rs
+++ b/src/node/link.rs
@@ -1,5 +1,5 @@
-//! One connection to another machine, driven by whoever holds it. There is no task behind it: dropping a
-//! link closes its socket at once, and what became of a request is known.
+//! An outbound HTTP connection, polled by its owner. It has no background task: dropping a link closes its socket
+//! immediately, and the state of a request is always known.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -27,11 +27,11 @@
 const HEAD_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long the rest of an answer may take once its head is here.
 const BODY_TIMEOUT: Duration = Duration::from_millis(200);
-/// Bytes that wait unread when time is up are an answer that has come in time: they are read for so long yet.
+/// Bytes unread at the time-out are a response that arrived in time: they are read for this much longer.
 pub const UNREAD_GRACE: Duration = Duration::from_millis(20);
 const MAX_BODY: usize = 64 * 1024;
 
-/// The socket, how much has been written to it, and what its answer began with.
+/// The socket, the bytes written to it, and the response's first line.
 struct SharedSocket {
     stream: TcpStream,
     written: Cell<u64>,
@@ -177,16 +177,16 @@
     _permit: Option<OwnedSemaphorePermit>,
 }
 
-/// Why there is no answer.
+/// Why there is no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// No byte of the request left.
+    /// No byte of the request was sent.
     NotSent,
-    /// No byte of the request left: it was not to be started any more once the connection was there.
+    /// No byte of the request was sent: its start permit had been revoked when the connection was open.
     Revoked,
-    /// The connection broke with the request out, or part of it.
+    /// The connection broke after all or part of the request was sent.
     ConnectionLost,
-    /// Time was up with the request out.
+    /// Timed out after the request was sent.
     TimedOut,
 }
 
@@ -195,14 +195,14 @@
     pub headers: HeaderMap,
     /// When its head arrived.
     pub at: Instant,
-    /// All of it came as its head says. One that did not is spoilt, whatever its status.
+    /// Received completely, as its head declares.
     pub whole: bool,
     /// Whether the link can carry another request.
     pub reusable: bool,
 }
 
 impl CallResponse {
-    /// Its first line says 200, and the rest cannot be read.
+    /// A response with status 200 whose rest cannot be read.
     fn unreadable(at: Instant) -> Self {
         let (status, headers) = (StatusCode::OK, HeaderMap::new());
         CallResponse { status, headers, at, whole: false, reusable: false }
@@ -217,7 +217,7 @@
     }
 }
 
-/// Waits for the head of an answer: till `until`, or a short while from its first byte.
+/// Waits for a response head until `until`, or `HEAD_TIMEOUT` after its first byte.
 async fn await_head<F: Future>(socket: &SharedSocket, until: Instant, work: F) -> Option<F::Output> {
     let (mut work, mut end) = (pin!(work), pin!(sleep_until(until)));
     let mut looked = false;
--- a/src/node/log.rs
+++ b/src/node/log.rs
@@ -1,20 +1,20 @@
-//! The operators' log on standard error: one line an event, a message's lines under its client's id.
+//! The log on standard error: one line per event; lines about a message start with its client-assigned id.
 
 use std::fmt;
 use std::io::{self, Write};
 use std::sync::mpsc::{SyncSender, sync_channel};
 use std::thread;
 
-/// Writes one line in one call, so that lines never mix. A reader that is gone must not end the courier, as
-/// `eprintln!` would.
+/// Writes one line in one call, so that lines never mix. A closed standard error must not end the
+/// courier, as `eprintln!` would.
 pub fn line(text: fmt::Arguments) {
     let _ = io::stderr().write_all(format!("{text}\n").as_bytes());
 }
 
-/// Lines that may wait; more are left out.
+/// Lines that may be queued; further ones are dropped.
 const MAX_QUEUED_LINES: usize = 64;
 
-/// A way to the log for those who must not wait for its reader.
+/// Writes to the log from a thread of its own, for callers that must not block on its reader.
 pub struct BackgroundLog(SyncSender<String>);
 
 impl BackgroundLog {
