--- a/src/node/config.rs
+++ b/src/node/config.rs
@@ -1,5 +1,5 @@
-//! What the platform tells a courier: environment and `LB_CONFIG`, at its start and when it is told to read
-//! the file again.
+//! Configuration from the platform: environment variables and the `LB_CONFIG` file, read at the start and reread on
+//! SIGHUP.
 
 use super::discovery::List;
 use super::options::Options;
@@ -13,7 +13,7 @@
 use std::os::fd::RawFd;
 use std::path::{Path, PathBuf};
 
-/// Why a start cannot go on.
+/// Why the courier cannot start.
 #[derive(Debug)]
 pub enum ConfigError {
     Missing(&'static str),
@@ -39,7 +39,7 @@
     pub memory_mb: f64,
 }
 
-/// Where the file tells none: the most that a courier gets.
+/// Default memory limit: the most that a courier is given.
 fn default_memory_mb() -> f64 {
     192.0
 }
@@ -55,7 +55,7 @@
     settings: PlatformConfig,
 }
 
-/// All that a courier is told.
+/// The complete configuration.
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
@@ -64,7 +64,7 @@
     pub discovery: SocketAddr,
     /// The descriptor of the clients' listening socket, where the platform holds it.
     pub listener: Option<RawFd>,
-    /// Where operators call, if anywhere.
+    /// The operators' address, if there is one.
     pub admin: Option<SocketAddr>,
     pub state: PathBuf,
     pub seed: u64,
@@ -87,7 +87,7 @@
     }
 }
 
-/// The same of a variable that need not be set.
+/// An environment variable that need not be set.
 fn optional(name: &'static str) -> Result<Option<String>, ConfigError> {
     match required(name) {
         Ok(value) => Ok(Some(value)),
@@ -112,7 +112,7 @@
 }
 
 impl ConfigFile {
-    /// Reads the whole file, or tells what is wrong with it.
+    /// Reads and validates the file.
     fn read(path: &Path) -> Result<(Self, Settings, Option<SocketAddr>), ConfigError> {
         let bad = |why: String| ConfigError::Invalid("LB_CONFIG", format!("{}: {why}", path.display()));
         let page = fs::read(path).map_err(|e| bad(e.to_string()))?;
@@ -127,7 +127,7 @@
     }
 }
 
-/// Where the file says that discovery is, as it stands now. An error changes nothing.
+/// The address of discovery from the file as it is now. An error changes nothing.
 pub fn reread_discovery(path: &Path) -> Result<Option<SocketAddr>, ConfigError> {
     ConfigFile::read(path).map(|(_, _, discovery)| discovery)
 }
--- a/src/node/discovery.rs
+++ b/src/node/discovery.rs
@@ -1,5 +1,5 @@
-//! The watch on the list of endpoints. It lasts until its connection ends or falls silent; then it is
-//! asked for again, with backoff.
+//! The watch on the endpoint list: a streaming request that is repeated, with backoff, when its connection ends or
+//! falls silent.
 
 use super::input::Input;
 use super::link::Link;
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::{Instant, sleep};
 
-/// A list, or its changes, as discovery writes it.
+/// A full or incremental endpoint list in discovery's JSON form.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct List {
     #[serde(default)]
@@ -26,7 +26,7 @@
     pub hosts: Vec<Host>,
 }
 
-/// For the log: how many entries, and each one that is not ready.
+/// For the log: the number of entries, and each one that is not ready.
 impl fmt::Display for List {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{} {}", if self.whole { "whole," } else { "changes," }, self.hosts.len())?;
@@ -56,7 +56,7 @@
     Ready,
     Draining,
     Gone,
-    /// A word that is not known here: nothing new is sent there.
+    /// A value unknown to this version: nothing new is sent to the endpoint.
     #[serde(other)]
     Unknown,
 }
@@ -79,25 +79,25 @@
 /// While there is no watch, what the agent has been sent counts as received already. So a first watch, and one
 /// after another that was answered, is up within the grace on drains: its call comes in this part of it.
 const GRACE_SHARE: f64 = 0.5;
-/// No list is longer; guards memory against one without an end.
+/// Longer than any list; bounds memory against one without an end.
 const MAX_VALUE: usize = 8 * 1024 * 1024;
-/// Bytes that the log shows of what cannot be read.
+/// Bytes of an invalid value that are logged.
 const MAX_LOGGED_BYTES: usize = 60;
 
 pub struct Watch {
     pub address: SocketAddr,
     pub seed: u64,
-    /// The version that the courier has.
+    /// The list version that the courier has.
     pub seq: u64,
-    /// Ask for the whole list: the version is not known to be one of discovery's.
+    /// Request the full list, as the version may not be one of discovery's.
     pub fresh: bool,
-    /// How many couriers there are.
+    /// Number of couriers.
     pub fleet: usize,
-    /// Nothing new may go to an endpoint this long after news that it drains.
+    /// No new call may go to an endpoint this long after the notice that it drains.
     pub grace: Duration,
 }
 
-/// When to ask again, and how long to wait for the answer.
+/// Retry pauses and response time-outs of the watch.
 struct Backoff {
     scale: f64,
     /// The first pause, at most, while discovery is not known to turn callers away.
@@ -113,12 +113,12 @@
         Backoff { scale, most, backoff: FIRST_BACKOFF_S, answer: FIRST_RESPONSE_TIMEOUT }
     }
 
-    /// When the first watch is asked for; `jitter` is from 0 to 1.
+    /// Delay before the first request; `jitter` is from 0 to 1.
     fn spread(&self, jitter: f64) -> Duration {
         Duration::from_secs_f64((START_SPREAD_S * self.scale).min(self.most) * jitter)
     }
 
-    /// A watch has held: the next is asked for as if it were the first.
+    /// Resets pauses and time-outs after a watch that lasted.
     fn renew(&mut self) {
         (self.backoff, self.answer) = (FIRST_BACKOFF_S, FIRST_RESPONSE_TIMEOUT);
     }
@@ -132,14 +132,14 @@
         Duration::from_secs_f64(pause)
     }
 
-    /// The last call had no answer in time.
+    /// Doubles the response time-out after a request without a response.
     fn unanswered(&mut self) {
         self.answer = (self.answer * 2).min(MAX_RESPONSE_TIMEOUT);
     }
 }
 
 impl Watch {
-    /// Watches for good. Ends only when nobody listens any more.
+    /// Watches until the receiver is dropped.
     pub async fn run(mut self, inputs: Sender<Input>) {
         let mut rng = SmallRng::seed_from_u64(self.seed);
         let mut schedule = Backoff::new(self.fleet, self.grace);
@@ -187,7 +187,7 @@
                 return heard;
             }
             while let Some(item) = splitter.next() {
-                // An empty line says that all is as it was: an answer too.
+                // An empty line means that nothing has changed, which is a response too.
                 let list = match item {
                     Item::Heartbeat => List { seq: self.seq, ..List::default() },
                     Item::Value(value) => match serde_json::from_slice::<List>(&value) {
@@ -221,12 +221,12 @@
     }
 }
 
-/// What discovery says at one time.
+/// One item of discovery's stream.
 #[derive(Debug, PartialEq)]
 enum Item {
     /// An empty line.
     Heartbeat,
-    /// A JSON value, or a line that is none.
+    /// A JSON value, or a line that is not JSON.
     Value(Vec<u8>),
 }
 
@@ -234,17 +234,17 @@
 #[derive(Default)]
 struct ValueSplitter {
     bytes: Vec<u8>,
-    /// Up to here there is no end of a value.
+    /// Bytes scanned so far, without the end of a value.
     seen: usize,
     /// Brackets that are open there, and whether it is within a string, right behind a backslash.
     depth: usize,
     quoted: bool,
     escaped: bool,
-    /// Something but white space stands before.
+    /// Whether anything but white space was scanned.
     begun: bool,
     /// The rest of a value's last line is no empty line.
     ended: bool,
-    /// Since when a value is unfinished.
+    /// When the unfinished value started.
     since: Option<Instant>,
 }
 
@@ -278,7 +278,7 @@
                     self.escaped = true;
                     false
                 }
-                // No string of JSON spans lines: this one was cut.
+                // JSON strings do not span lines: this one was truncated.
                 b'\n' if self.quoted || self.depth == 0 => true,
                 b'"' => {
                     (self.quoted, self.begun) = (!self.quoted, true);
--- a/src/node/intake/framing.rs
+++ b/src/node/intake/framing.rs
@@ -1,4 +1,4 @@
-//! Where a request ends, told by its raw bytes: a request whose end is in doubt may hide another one.
+//! Checks a request's framing in its raw bytes, against request smuggling: an ambiguous end may hide another request.
 
 use hyper::StatusCode;
 
@@ -9,17 +9,17 @@
 #[derive(Default)]
 pub(super) struct Framing {
     line: Vec<u8>,
-    /// Something but empty lines has come.
+    /// Anything but empty lines was received.
     pub(super) begun: bool,
     /// The head has ended.
     ended: bool,
     lengths: usize,
-    /// Bytes since the head's end.
+    /// Bytes after the head.
     behind: usize,
 }
 
 impl Framing {
-    /// Reads on in the request's bytes.
+    /// Scans further bytes of the request.
     pub(super) fn hear(&mut self, bytes: &[u8]) {
         for (n, byte) in bytes.iter().enumerate() {
             if self.ended {
--- a/src/node/intake/mod.rs
+++ b/src/node/intake/mod.rs
@@ -27,9 +27,9 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::sleep;
 
-/// Nobody has come for so long: the listening socket may close.
+/// The listening socket closes after this long without a new connection.
 const QUIET_BEFORE_SHUT: Duration = Duration::from_millis(20);
-/// When a newcomer is looked at again for whom there was no room.
+/// Retry interval for accepting while no socket is free.
 const FULL_RETRY: Duration = Duration::from_millis(5);
 /// When connections are accepted again after an error.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
@@ -65,13 +65,13 @@
                     shut = true;
                     continue;
                 }
-                // Whoever was let in by the system, and not by this loop yet, would be reset with the socket.
+                // Connections still in the kernel's backlog would be reset with the socket.
                 () = sleep(QUIET_BEFORE_SHUT), if shut => return self.intake_state.listening.set(false),
             };
             match accepted {
                 Ok((stream, _)) => {
                     tokio::task::spawn_local(self.clone().serve(stream, Duration::ZERO, false, Bytes::new()));
-                    // A newcomer's request is read before the next may push it out.
+                    // Let the new connection's request be read before the next one may evict it.
                     tokio::task::yield_now().await;
                 }
                 Err(e) => {
--- a/src/node/intake/state.rs
+++ b/src/node/intake/state.rs
@@ -18,11 +18,11 @@
     pub register: Arc<Register>,
     pub ready: Cell<bool>,
     pub stopping: Cell<bool>,
-    /// No request is waited for any more.
+    /// Incomplete requests are no longer waited for.
     pub(super) closing: Cell<bool>,
-    /// The listening socket is to close once nobody stands before it.
+    /// Asks to close the listening socket once its backlog is empty.
     pub(super) shut: Notify,
-    /// It is open.
+    /// Whether the listening socket is open.
     pub listening: Cell<bool>,
     /// The open connections, notified when the courier stops.
     pub open: RefCell<BTreeMap<u64, Rc<Connection>>>,
@@ -84,7 +84,7 @@
         self.held.set(true);
     }
 
-    /// It was not handed over.
+    /// The handover was aborted.
     pub fn release(&self) {
         self.held.set(false);
         self.released.notify_waiters();
@@ -150,7 +150,7 @@
         self.open.borrow().values().for_each(|connection| connection.close.notify_one());
     }
 
-    /// Whether clients are to go elsewhere.
+    /// Whether clients are told to use another courier.
     pub(super) fn sends_away(&self) -> bool {
         self.stopping.get() || self.register.out_of_service()
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,5 +1,4 @@
-//! The real courier: the decision module on real sockets. Each part has one job; `courier` owns the module
-//! and the others tell it what happened.
+//! The courier process: the scheduler on real sockets. `courier` owns the scheduler; the other modules send it input.
 
 mod calls;
 mod channel;
@@ -47,21 +46,21 @@
 
 /// Input that may wait for the courier.
 const INBOX: usize = 1024;
-/// Sockets and files that are neither a client's nor an endpoint's.
+/// Descriptors for neither clients nor endpoints.
 const SPARE_SOCKETS: usize = 32;
 const BACKLOG: u32 = 1024;
-/// Damaged places that are told one by one.
+/// Damaged places that are logged one by one.
 const DAMAGE_TOLD: usize = 32;
 /// Share of the memory that bodies of clients may take while they are read.
 const BODIES_SHARE: f64 = 0.125;
 /// Share of the endpoints' limit for which a connection may stand idle here.
 const KEEP_SHARE: f64 = 0.75;
 
-/// Reads the configuration, then serves until it is told to stop.
+/// Reads the configuration, then serves until SIGTERM.
 pub fn run() -> Result<(), ConfigError> {
     let mut config = Config::read()?;
     let register = Register::new(&config.state, config.options.store.durability);
-    // Early: whoever calls is told at once that this process takes no clients yet.
+    // Opened early, so that operators learn at once that this process does not serve clients yet.
     if let Some(admin) = config.admin {
         let opened = operators::open(admin, config.limits.sockets, register.clone());
         opened.map_err(|e| ConfigError::Invalid("LB_ADMIN_ADDR", e.to_string()))?;
@@ -69,7 +68,7 @@
     loop {
         let runtime = runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.map_err(|e| ConfigError::Invalid("runtime", e.to_string()))?;
-        // With the set all its tasks end, and with them what they hold open.
+        // Dropping the set ends all its tasks and closes their sockets.
         match LocalSet::new().block_on(&runtime, serve(config, register.clone()))? {
             End::SuccessorExited => log_line!("starting anew"),
             _ => return Ok(()),
@@ -116,7 +115,7 @@
     }
 }
 
-/// What a start came upon that is not as it was written.
+/// Logs the damage found during recovery.
 fn tell(recovery: &Recovery) {
     for damage in recovery.damage.iter().take(DAMAGE_TOLD) {
         log_line!("journal: damaged: {damage}");
@@ -129,17 +128,17 @@
     }
 }
 
-/// One tenure: from the wait for it to its end.
+/// Serves one tenure, from waiting for the lock to its release.
 async fn serve(mut config: Config, register: Arc<Register>) -> Result<End, ConfigError> {
-    // First of all: without a handler either signal ends the process at once.
+    // Installed first: without a handler either signal terminates the process.
     let mut terminate = on(SignalKind::terminate(), "SIGTERM")?;
     let hangup = on(SignalKind::hangup(), "SIGHUP")?;
     let keep = config.settings.keepalive.mul_f64(KEEP_SHARE);
-    // The module reckons with the connections that are kept here.
+    // The scheduler must assume the idle time used by the connection pool.
     config.settings.keepalive = keep;
     let scheduler = Scheduler::new(config.settings.clone(), config.seed);
     let scheduler = scheduler.map_err(|e| ConfigError::Invalid("LB_CONFIG", e))?;
-    // Before anything is asked of the process that serves: one that could not listen must not replace it.
+    // Before the serving process is contacted: a process that cannot listen must not replace it.
     let listener = listen(&config).map_err(|e| ConfigError::Invalid("LB_LISTEN", e.to_string()))?;
     let at = listener.local_addr().map_err(|e| ConfigError::Invalid("LB_LISTEN", e.to_string()))?;
     let state = |e: io::Error| ConfigError::Invalid("LB_STATE", e.to_string());
@@ -207,7 +206,7 @@
             End::HandoverReady(successor) => successor,
             end => return Ok(end),
         };
-        // Operators set nothing while it is open who keeps it.
+        // Block operators' changes until it is decided which process records them.
         let held = register.block_changes().await;
         if courier.hand_over(&mut successor, &mut tenure).await {
             break (successor, register.forward(), held);
--- a/src/node/operators.rs
+++ b/src/node/operators.rs
@@ -1,5 +1,5 @@
 //! The operators' address: a thread and a runtime of its own, so that its answers wait neither for clients
-//! nor for the courier's loop. What it may touch is the register alone.
+//! nor for the courier's loop. It accesses only the register.
 
 use super::log::{BackgroundLog, log_line};
 use super::register::{Change, ChangeError, Register};
@@ -36,19 +36,19 @@
 /// A complete call is there within this time. Answers are owed within 1 s of it.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(800);
-/// A caller that does not read its answer does not hold its connection.
+/// How long a caller that does not read its response may keep its connection.
 const LINGER: Duration = Duration::from_secs(1);
 const MAX_HEAD: usize = 8 * 1024;
 const MAX_BODY: usize = 16 * 1024;
 
-/// What a call asks for.
+/// A request from an operator.
 #[derive(Debug, PartialEq, Eq)]
 enum Command {
     Ready,
     Set(Change),
 }
 
-/// Reads a call; an error is its no.
+/// Parses a request; an error is the response's status.
 fn parse_command(method: &Method, path: &str) -> Result<Command, StatusCode> {
     let (wanted, call) = match path.strip_prefix("/control/").ok_or(StatusCode::NOT_FOUND)? {
         "ready" => (Method::GET, Command::Ready),
@@ -180,7 +180,7 @@
     async fn answer(&self, request: Request<Incoming>, caller: &Caller) -> Response<Full<Bytes>> {
         let (parts, body) = request.into_parts();
         let asked = parse_command(&parts.method, parts.uri.path());
-        // Acted on once all of it is here: half a call is none.
+        // Acted on only once the request is complete.
         let body = Limited::new(body, MAX_BODY).collect().await;
         caller.complete.set(true);
         let (status, text) = match asked {
--- a/src/node/options.rs
+++ b/src/node/options.rs
@@ -1,5 +1,5 @@
-//! What operators set beside the platform's configuration: an optional TOML file that `LB_OPTIONS` names. Without
-//! it all is as the defaults say.
+//! Operators' options besides the platform's configuration: an optional TOML file named by `LB_OPTIONS`. Without it
+//! the defaults apply.
 
 use crate::store::Durability;
 use serde::Deserialize;
@@ -19,15 +19,15 @@
 pub struct Store {
     pub durability: Durability,
     pub on_damage: OnDamage,
-    /// A sealed segment is read again so often, s; 0 for never.
+    /// Interval between scrubs of a sealed segment, s; 0 disables them.
     scrub_s: f64,
 }
 
-/// What a start does that comes upon damage.
+/// What to do if the journal is found damaged at the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OnDamage {
-    /// Keeps it aside, tells it, and serves.
+    /// Quarantines and logs the damage, and serves.
     #[default]
     Serve,
     /// Ends, with nothing changed: `courier journal check` shows it, `repair` mends it.
@@ -35,7 +35,7 @@
 }
 
 const DEFAULT_SCRUB_S: f64 = 10.0;
-/// A year: longer is a slip.
+/// A year: anything longer is a mistake.
 const MAX_SCRUB_S: f64 = 3.2e7;
 
 impl Default for Store {
@@ -45,7 +45,7 @@
 }
 
 impl Store {
-    /// How often a segment is read again, if ever.
+    /// The scrub interval, if scrubbing is enabled.
     pub fn scrub(&self) -> Option<Duration> {
         (self.scrub_s > 0.0).then(|| Duration::from_secs_f64(self.scrub_s))
     }
