--- a/src/node/calls.rs
+++ b/src/node/calls.rs
@@ -1,10 +1,10 @@
-//! Calls to endpoints and probes, and the connections kept for them. One call a connection at a time; what
-//! may have run is told apart from what never did.
+//! Calls to endpoints, probes, and their connection pool. A connection carries one call at a time. Calls that may
+//! have run are distinguished from those that certainly did not.
 
+use super::input::Input;
 use super::journal::Message;
-use super::link::{Answer, LAST_LOOK, Link, Lost};
-use super::log::say;
-use super::news::News;
+use super::link::{CallError, CallResponse, Link, UNREAD_GRACE};
+use super::log::log_line;
 use super::register::Register;
 use crate::interface::{EndpointId, Outcome, Report};
 use bytes::Bytes;
@@ -22,118 +22,118 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, oneshot};
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_millis(500);
+/// How often idle connections are checked.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How a call ended.
 #[derive(Debug)]
 pub struct CallEnd {
     pub outcome: Outcome,
-    /// The message is over, whatever else is tried.
+    /// The message has ended; further attempts are pointless.
     pub over: bool,
     pub report: Option<Report>,
     pub at: Instant,
 }
 
-/// What an attempt needs to know.
+/// Parameters of an attempt.
 pub struct Call {
     pub message: u64,
     pub attempt: u32,
     pub endpoint: EndpointId,
     pub host: String,
     pub address: SocketAddr,
-    pub letter: Rc<Message>,
+    pub submitted: Rc<Message>,
     pub timeout: Duration,
     /// It must not be sent again if it may have run.
     pub once: bool,
-    pub leave: Leave,
+    pub start_permit: StartPermit,
 }
 
-/// Whether a call may still begin once its connection is there. That can take longer than what allowed it
-/// lasts: its endpoint drains, its destination tells a wait, or the time in which a repeat is dropped ends.
+/// Permission to start a call once its connection is open. Connecting can outlast the permission: the endpoint
+/// drains, the destination asks to wait, or the endpoint's deduplication window ends.
 #[derive(Clone, Default)]
-pub struct Leave {
-    recalled: Rc<Cell<bool>>,
+pub struct StartPermit {
+    revoked: Rc<Cell<bool>>,
     begun: Rc<Cell<bool>>,
-    /// Not begun from then on.
+    /// The call must not start after this.
     pub ends: Option<Instant>,
 }
 
-impl Leave {
-    /// The call is not begun any more; one that has begun goes on.
-    pub fn recall(&self) {
-        self.recalled.set(true);
+impl StartPermit {
+    /// Prevents the call from starting; a started one continues.
+    pub fn revoke(&self) {
+        self.revoked.set(true);
     }
 
-    /// Whether its first byte may have gone out.
-    pub fn has_begun(&self) -> bool {
+    /// Whether its first byte may have been sent.
+    pub fn has_started(&self) -> bool {
         self.begun.get()
     }
 
-    fn holds(&self) -> bool {
-        !self.recalled.get() && self.ends.is_none_or(|at| Instant::now() < at)
+    fn is_valid(&self) -> bool {
+        !self.revoked.get() && self.ends.is_none_or(|at| Instant::now() < at)
     }
 }
 
-/// How calls fared on connections by the time for which these had stood idle: some endpoints, or what lies
-/// between, drop them long before the limit and say so only to the next request, which then may have run.
+/// Break rates of calls by how long their connection had been idle. Some endpoints, or middleboxes, drop idle
+/// connections long before the limit and reset only on the next request, which then counts as one that may have run.
 #[derive(Default)]
-struct Fates {
-    fresh: Fate,
-    idle: [Fate; 8],
+struct BreakRates {
+    fresh: BreakRate,
+    idle: [BreakRate; 8],
 }
 
-/// The share of calls that broke, smoothed, as it was when last noted.
+/// Smoothed share of calls whose connection broke, as of the last update.
 #[derive(Clone, Copy, Default)]
-struct Fate {
+struct BreakRate {
     share: f64,
     at: Option<Instant>,
 }
 
-const FATE_GAIN: f64 = 0.05;
-/// An old share loses half its weight in this time, s: what is shunned is tried again.
-const FATE_HALVES: f64 = 10.0;
-/// More breaks than on fresh connections that a message bears which may be sent again, and one that may not:
-/// what breaks is lost then, which weighs many times a new connection.
-const BREAKS_MOST: f64 = 0.1;
-const BREAKS_ONCE: f64 = 0.03;
+const BREAK_RATE_GAIN: f64 = 0.05;
+/// Half-life of a share, s: it decays so that avoided connections are tried again.
+const BREAK_RATE_HALF_LIFE_S: f64 = 10.0;
+/// Tolerated break rate above that of fresh connections, for messages that may be sent again and for those that may
+/// not: these are lost if the connection breaks, which costs far more than a new connection.
+const MAX_EXCESS: f64 = 0.1;
+const MAX_EXCESS_ONCE: f64 = 0.03;
 
-impl Fate {
+impl BreakRate {
     fn now(&self) -> f64 {
         let age = self.at.map_or(0.0, |at| at.elapsed().as_secs_f64());
-        self.share * 0.5f64.powf(age / FATE_HALVES)
+        self.share * 0.5f64.powf(age / BREAK_RATE_HALF_LIFE_S)
     }
 
     fn note(&mut self, broke: bool) {
         let share = self.now();
         let seen = if broke { 1.0 } else { 0.0 };
-        *self = Fate { share: share + FATE_GAIN * (seen - share), at: Some(Instant::now()) };
+        *self = BreakRate { share: share + BREAK_RATE_GAIN * (seen - share), at: Some(Instant::now()) };
     }
 }
 
-impl Fates {
-    /// Rows double in span, from 50 ms.
-    fn row(idle: Duration) -> usize {
+impl BreakRates {
+    /// Buckets double in width, from 50 ms.
+    fn bucket(idle: Duration) -> usize {
         (idle.as_millis() as u64 / 25).max(1).ilog2().min(7) as usize
     }
 
     fn note(&mut self, idle: Option<Duration>, broke: bool) {
         match idle {
-            Some(idle) => self.idle[Self::row(idle)].note(broke),
+            Some(idle) => self.idle[Self::bucket(idle)].note(broke),
             None => self.fresh.note(broke),
         }
     }
 
-    /// Breaks beyond those on fresh connections. What has been dropped after a time is not there after a
-    /// longer one either; only a close right behind an answer, the first row, says nothing of later.
+    /// Break rate above that of fresh connections. A connection dropped after some idle time is also gone after a longer
+    /// one; only a close right after a response, the first bucket, implies nothing for the others.
     fn excess(&self, idle: Duration) -> f64 {
-        let row = Self::row(idle);
+        let row = Self::bucket(idle);
         let rows = self.idle[row.min(1)..=row].iter();
-        rows.map(Fate::now).fold(0.0, f64::max) - self.fresh.now()
+        rows.map(BreakRate::now).fold(0.0, f64::max) - self.fresh.now()
     }
 }
 
-struct Kept {
+struct IdleConnection {
     link: Link,
     since: Instant,
 }
@@ -143,31 +143,30 @@
     connect: Duration,
     keep: Duration,
     sockets: Arc<Semaphore>,
-    /// By endpoint, not by address: a new endpoint at the address of one that is gone must not inherit links
-    /// to that one.
-    idle: Rc<RefCell<HashMap<EndpointId, Vec<Kept>>>>,
-    fates: Rc<RefCell<Fates>>,
-    /// Asked before the first byte of each call: what operators leave out gets none from their yes on.
+    /// By endpoint, not by address: a new endpoint at the address of a former one must not inherit its connections.
+    idle: Rc<RefCell<HashMap<EndpointId, Vec<IdleConnection>>>>,
+    break_rates: Rc<RefCell<BreakRates>>,
+    /// Checked before the first byte of each call: an endpoint gets no call once operators were told it is offline.
     register: Arc<Register>,
 }
 
 impl Calls {
     /// `keep` is how long a connection may stand idle, well below the endpoints' own limit.
     pub fn new(connect: Duration, keep: Duration, sockets: usize, register: Arc<Register>) -> Self {
-        let idle = Rc::new(RefCell::new(HashMap::<EndpointId, Vec<Kept>>::new()));
+        let idle = Rc::new(RefCell::new(HashMap::<EndpointId, Vec<IdleConnection>>::new()));
         let swept = Rc::downgrade(&idle);
         tokio::task::spawn_local(async move {
             while let Some(idle) = swept.upgrade() {
                 idle.borrow_mut().retain(|_, kept| {
-                    kept.retain_mut(|k| k.since.elapsed() < keep && k.link.sound());
+                    kept.retain_mut(|k| k.since.elapsed() < keep && k.link.is_usable());
                     !kept.is_empty()
                 });
                 drop(idle);
-                sleep(SWEEP).await;
+                sleep(SWEEP_INTERVAL).await;
             }
         });
         let sockets = Arc::new(Semaphore::new(sockets));
-        Calls { connect, keep, sockets, idle, fates: Rc::default(), register }
+        Calls { connect, keep, sockets, idle, break_rates: Rc::default(), register }
     }
 
     /// Closes all idle connections.
@@ -180,7 +179,7 @@
         self.idle.borrow_mut().remove(&endpoint);
     }
 
-    /// A kept connection and how long it stood idle.
+    /// An idle connection from the pool, and its idle time.
     fn take(&self, endpoint: EndpointId, once: bool) -> Option<(Link, Duration)> {
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(&endpoint)?;
@@ -188,15 +187,15 @@
             // A request on a connection that the peer has closed, or is about to, would end as a reset and
             // count as one that may have run.
             let age = k.since.elapsed();
-            if age >= self.keep || !k.link.sound() {
+            if age >= self.keep || !k.link.is_usable() {
                 continue;
             }
-            // So would one on a connection that has stood for as long as those that broke of late.
-            let excess = self.fates.borrow().excess(age);
-            if excess <= if once { BREAKS_ONCE } else { BREAKS_MOST } {
+            // So would one on a connection that has been idle for as long as those that broke recently.
+            let excess = self.break_rates.borrow().excess(age);
+            if excess <= if once { MAX_EXCESS_ONCE } else { MAX_EXCESS } {
                 return Some((k.link, age));
             }
-            if excess <= BREAKS_MOST {
+            if excess <= MAX_EXCESS {
                 kept.push(k);
                 return None;
             }
@@ -205,10 +204,14 @@
     }
 
     fn keep(&self, endpoint: EndpointId, link: Link) {
-        self.idle.borrow_mut().entry(endpoint).or_default().push(Kept { link, since: Instant::now() });
+        self.idle
+            .borrow_mut()
+            .entry(endpoint)
+            .or_default()
+            .push(IdleConnection { link, since: Instant::now() });
     }
 
-    /// Room for one more socket; an idle connection elsewhere gives way to it.
+    /// A permit for one more socket; if there is none, closes the oldest idle connection.
     async fn permit(&self) -> Option<OwnedSemaphorePermit> {
         if let Ok(permit) = self.sockets.clone().try_acquire_owned() {
             return Some(permit);
@@ -242,21 +245,21 @@
         (to, once): (SocketAddr, bool),
         request: Request<Full<Bytes>>,
         until: Instant,
-        leave: &Leave,
-    ) -> Result<Answer, Lost> {
+        start_permit: &StartPermit,
+    ) -> Result<CallResponse, CallError> {
         // A call whose time is up while it still has no connection was never sent.
         let link = timeout_at(until, self.link(endpoint, to, once)).await.ok().flatten();
-        let (mut link, idle) = link.ok_or(Lost::Unsent)?;
-        if !leave.holds() || self.register.is_out(host) {
-            return Err(Lost::Recalled);
+        let (mut link, idle) = link.ok_or(CallError::NotSent)?;
+        if !start_permit.is_valid() || self.register.is_out(host) {
+            return Err(CallError::Revoked);
         }
-        leave.begun.set(true);
+        start_permit.begun.set(true);
         let answer = link.ask(request, until).await;
         if let Err(lost) = answer {
             let stood = idle.map_or("new".to_owned(), |i| format!("idle for {} ms", i.as_millis()));
-            say!("{to} {lost:?}: on a connection {stood}");
+            log_line!("{to} {lost:?}: on a connection {stood}");
         }
-        self.fates.borrow_mut().note(idle, matches!(answer, Err(Lost::Broken)));
+        self.break_rates.borrow_mut().note(idle, matches!(answer, Err(CallError::ConnectionLost)));
         let answer = answer?;
         if answer.reusable {
             self.keep(endpoint, link);
@@ -264,28 +267,29 @@
         Ok(answer)
     }
 
-    /// Makes one attempt and reports its end. The connection is closed before a time-out or a cancel is
-    /// told: else the next call would find this one's slot still taken.
-    pub async fn call(self, call: Call, cancel: oneshot::Receiver<()>, news: Sender<News>) {
-        let Call { message, attempt, endpoint, host, address, letter, timeout, once, leave } = call;
+    /// Makes one attempt and reports its end. The connection is closed before a time-out or a cancellation is
+    /// reported: otherwise the next call would find this one's slot still occupied.
+    pub async fn call(self, call: Call, cancel: oneshot::Receiver<()>, inputs: Sender<Input>) {
+        let Call { message, attempt, endpoint, host, address, submitted, timeout, once, start_permit } = call;
         let until = Instant::now() + timeout;
         let mut request = Request::post("/inbox")
             .header(HOST, address.to_string())
-            .header("X-Request-ID", &letter.id)
+            .header("X-Request-ID", &submitted.id)
             .header("X-Timeout", format!("{}m", timeout.as_millis().max(1)));
-        if let Some(key) = &letter.key {
+        if let Some(key) = &submitted.key {
             request = request.header("Idempotency-Key", key);
         }
-        let end = match request.body(Full::new(letter.body.clone())) {
+        let end = match request.body(Full::new(submitted.body.clone())) {
             Ok(request) => {
-                let mut asked = pin!(self.ask((endpoint, &host), (address, once), request, until, &leave));
+                let mut asked =
+                    pin!(self.ask((endpoint, &host), (address, once), request, until, &start_permit));
                 let answer = tokio::select! {
                     biased;
                     answer = &mut asked => Some(answer),
                     _ = cancel => {
-                        // It may not begin any more; and an answer that is there already counts.
-                        leave.recall();
-                        tokio::time::timeout(LAST_LOOK, &mut asked).await.ok()
+                        // The call must not start any more, but a response that has already arrived counts.
+                        start_permit.revoke();
+                        tokio::time::timeout(UNREAD_GRACE, &mut asked).await.ok()
                     }
                 };
                 answer.map_or_else(
@@ -295,45 +299,51 @@
             }
             Err(_) => CallEnd { outcome: Outcome::NotSent, over: false, report: None, at: Instant::now() },
         };
-        let _ = news.send(News::Called { message, attempt, endpoint, end }).await;
+        let _ = inputs.send(Input::CallEnded { message, attempt, endpoint, end }).await;
     }
 
-    /// Sends a check and reports its end.
+    /// Sends a load probe and reports its end.
     pub async fn probe(
         self,
         (endpoint, host): (EndpointId, String),
         address: SocketAddr,
         timeout: Duration,
-        news: Sender<News>,
+        inputs: Sender<Input>,
     ) {
         let sent = Instant::now();
         let request = Request::get("/-/load").header(HOST, address.to_string()).body(Full::default());
         let answer = match request {
             Ok(request) => {
-                self.ask((endpoint, &host), (address, false), request, sent + timeout, &Leave::default())
-                    .await
+                self.ask(
+                    (endpoint, &host),
+                    (address, false),
+                    request,
+                    sent + timeout,
+                    &StartPermit::default(),
+                )
+                .await
             }
-            Err(_) => Err(Lost::Unsent),
+            Err(_) => Err(CallError::NotSent),
         };
-        let _ = news.send(News::Probed { endpoint, sent, end: ended(answer) }).await;
+        let _ = inputs.send(Input::Probed { endpoint, sent, end: ended(answer) }).await;
     }
 }
 
-/// What an answer proves. Only what was turned away or never left counts as not run.
-fn ended(answer: Result<Answer, Lost>) -> CallEnd {
+/// Maps a response to an outcome. Only calls that were rejected or never sent count as not run.
+fn ended(answer: Result<CallResponse, CallError>) -> CallEnd {
     let answer = match answer {
         Ok(answer) => answer,
         Err(lost) => {
             let outcome = match lost {
-                Lost::Unsent => Outcome::ConnectFailed,
-                Lost::Recalled => Outcome::NotSent,
-                Lost::Broken => Outcome::Reset,
-                Lost::Silent => Outcome::TimedOut,
+                CallError::NotSent => Outcome::ConnectFailed,
+                CallError::Revoked => Outcome::NotSent,
+                CallError::ConnectionLost => Outcome::Reset,
+                CallError::TimedOut => Outcome::TimedOut,
             };
             return CallEnd { outcome, over: false, report: None, at: Instant::now() };
         }
     };
-    // A spoilt answer proves nothing but a first line with 200: the request has run, or may have.
+    // A broken response proves something only if its status is 200; otherwise the request may have run.
     if !answer.whole && answer.status != StatusCode::OK {
         return CallEnd { outcome: Outcome::Reset, over: false, report: None, at: answer.at };
     }
@@ -345,10 +355,10 @@
             Outcome::Full { wait: ms.map(|ms| Duration::from_secs_f64(ms / 1000.0)) }
         }
         StatusCode::SERVICE_UNAVAILABLE if head("Slots-Taken") == Some("1") => Outcome::NotSent,
-        // It is the connection that is turned away, not the call: the endpoint holds as many as it will, and
-        // those that are kept serve on. Taken for a limit of the destination it would stop these too. Covers
-        // an endpoint that is shutting down as well. Hurts where a destination at its limit closes whatever
-        // it turns away: then new connections alone are held back, and its limit is found on kept ones.
+        // The endpoint rejects the connection, not the call: it is at its connection limit, and pooled ones keep
+        // working. Treating this as the destination's limit would stop those too. Also covers an endpoint that is
+        // shutting down. Drawback: if a destination at its limit closes every rejected connection, only new
+        // connections are held back, and the limit is found on pooled ones.
         StatusCode::SERVICE_UNAVAILABLE if closes(&answer.headers) => Outcome::ConnectFailed,
         StatusCode::SERVICE_UNAVAILABLE => Outcome::Full { wait: None },
         StatusCode::GATEWAY_TIMEOUT | StatusCode::GONE => Outcome::NotSent,
@@ -358,7 +368,7 @@
     CallEnd { outcome, over, report: report(&answer.headers), at: answer.at }
 }
 
-/// Whether the connection ends with this answer.
+/// Whether the endpoint closes the connection after this response.
 fn closes(headers: &HeaderMap) -> bool {
     let all = headers.get_all(CONNECTION).into_iter().filter_map(|v| v.to_str().ok());
     all.flat_map(|v| v.split(',')).any(|v| v.trim().eq_ignore_ascii_case("close"))
--- a/src/node/courier/event_loop.rs
+++ b/src/node/courier/event_loop.rs
@@ -1,10 +1,10 @@
-//! The courier's loop: waits for the next event or timer, and has it dealt with.
+//! The courier's event loop: waits for the next input or timer and handles it.
 
 use super::{Courier, End};
 use crate::node::handover::Successor;
+use crate::node::input::Input;
 use crate::node::journal::Scrubbed;
-use crate::node::log::say;
-use crate::node::news::News;
+use crate::node::log::log_line;
 use crate::node::register::Change;
 use std::future::pending;
 use std::time::Duration;
@@ -12,18 +12,19 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// A turn that is late by more was held up, and first lets others read what came meanwhile.
-const STANDSTILL: Duration = Duration::from_millis(50);
+/// If a turn is late by more than this, the process was stalled: other tasks first get `CATCH_UP` to read what
+/// arrived meanwhile.
+const STALL: Duration = Duration::from_millis(50);
 const CATCH_UP: Duration = Duration::from_millis(2);
-/// How long a successor waits for notices that are on their way.
+/// How long a successor waits for notices in flight.
 const NOTICES_TIME: Duration = Duration::from_millis(300);
-/// How often it is looked whether all is done, after SIGTERM and for a successor.
+/// How often to check for completion: after SIGTERM, and for a handover.
 const STOP_POLL: Duration = Duration::from_millis(20);
 const HANDOVER_POLL: Duration = Duration::from_millis(2);
 
-/// When the loop goes on though nothing comes.
+/// When the loop continues without input.
 struct Timers {
-    /// The module's next turn.
+    /// The scheduler's next turn.
     turn: Option<Instant>,
     commit: Option<Instant>,
     stop: Option<Instant>,
@@ -32,7 +33,7 @@
 }
 
 impl Timers {
-    /// Waits for the first of them, for good if there is none.
+    /// Waits for the earliest timer, forever if there is none.
     async fn first(&self) {
         let timers = [self.turn, self.commit, self.stop, self.handover, self.scrub];
         match timers.into_iter().flatten().min() {
@@ -42,16 +43,16 @@
     }
 }
 
-/// Whether a timer has run out.
+/// Whether a timer has expired.
 fn is_due(timer: Option<Instant>, now: Instant) -> bool {
     timer.is_some_and(|at| at <= now)
 }
 
 impl Courier {
-    /// Runs until the courier has stopped, or may be handed over.
-    pub async fn run(&mut self, inbox: &mut Receiver<News>, changes: &mut UnboundedReceiver<Change>) -> End {
+    /// Runs until the courier has stopped or can be handed over.
+    pub async fn run(&mut self, inbox: &mut Receiver<Input>, changes: &mut UnboundedReceiver<Change>) -> End {
         let mut last_turn: Option<Instant> = None;
-        // Also where the module need not ask: on sockets nobody sends the list unasked.
+        // Starts the watch although the scheduler has not asked for it: on sockets discovery sends no list unasked.
         self.watch();
         self.post();
         self.scrub = self.config.options.store.scrub().map(|every| Instant::now() + every);
@@ -65,10 +66,10 @@
                     self.commit_if_due();
                     self.post();
                 }
-                news = inbox.recv() => {
-                    let Some(news) = news else { return End::Stopped };
-                    self.hear(news);
-                    self.hear_waiting(inbox);
+                inputs = inbox.recv() => {
+                    let Some(inputs) = inputs else { return End::Stopped };
+                    self.handle_input(inputs);
+                    self.handle_waiting_inputs(inbox);
                     self.commit_if_due();
                     self.post();
                 }
@@ -79,7 +80,7 @@
                 return End::Stopped;
             }
             if let Some(successor) = self.ready_successor() {
-                return End::Asked(successor);
+                return End::HandoverReady(successor);
             }
         }
     }
@@ -97,11 +98,11 @@
         }
     }
 
-    /// Does what is due by now.
+    /// Runs the expired timers.
     async fn run_timers(
         &mut self,
         timers: &Timers,
-        inbox: &mut Receiver<News>,
+        inbox: &mut Receiver<Input>,
         last_turn: &mut Option<Instant>,
     ) {
         let now = Instant::now();
@@ -120,37 +121,39 @@
         }
     }
 
-    /// After a standstill answers may be there that nobody has read yet. They come first: a message must not be
-    /// given up for want of one.
-    async fn catch_up(&mut self, now: Instant, inbox: &mut Receiver<News>) {
-        if self.wake.is_none_or(|(at, _)| at + STANDSTILL >= now) {
+    /// After a stall there may be unread responses. They are processed first, so that no message is given up whose
+    /// response has already arrived.
+    async fn catch_up(&mut self, now: Instant, inbox: &mut Receiver<Input>) {
+        if self.wake.is_none_or(|(at, _)| at + STALL >= now) {
             return;
         }
         sleep(CATCH_UP).await;
-        // Whoever was woken together with this has its turn first.
+        // Let tasks that were woken at the same time run first.
         yield_now().await;
-        self.hear_waiting(inbox);
+        self.handle_waiting_inputs(inbox);
     }
 
-    /// The successor, once nothing is in judgement. Notices that are not acknowledged soon go out again from
-    /// there, which does no harm.
+    /// The successor, once no submission or event is pending. Notices that are not acknowledged in time are sent again
+    /// by the successor, which is harmless.
     fn ready_successor(&mut self) -> Option<Successor> {
         let (_, since) = self.successor.as_ref()?;
         let told = self.notices.is_empty() && self.posts == 0;
-        let judged = self.offers.is_empty() && self.events.is_empty() && self.standing.pending_offers() == 0;
-        let kept = self.dues.is_empty() || self.dues.failed();
+        let judged = self.submissions.is_empty()
+            && self.events.is_empty()
+            && self.intake_state.pending_submissions() == 0;
+        let kept = self.pending_actions.is_empty() || self.pending_actions.failed();
         let due = judged && kept && (told || since.elapsed() > NOTICES_TIME);
         self.successor.take_if(|_| due).map(|(successor, _)| successor)
     }
 
-    /// Has the next segment of the journal read again, beside the loop: the disk may take its time.
+    /// Scrubs the next segment of the journal on a blocking thread, as the disk may be slow.
     fn scrub(&mut self, now: Instant) {
         self.scrub = self.config.options.store.scrub().map(|every| now + every);
         if let Some(scrub) = self.journal.scrub() {
-            let news = self.news.clone();
+            let inputs = self.inputs.clone();
             tokio::task::spawn_local(async move {
                 if let Ok(scrubbed) = tokio::task::spawn_blocking(|| scrub.run()).await {
-                    let _ = news.send(News::Scrubbed(scrubbed)).await;
+                    let _ = inputs.send(Input::Scrubbed(scrubbed)).await;
                 }
             });
         }
@@ -158,41 +161,41 @@
 
     fn scrubbed(&mut self, scrubbed: &Scrubbed) {
         if let (true, Some(damage)) = (self.journal.scrubbed(scrubbed), &scrubbed.damage) {
-            say!("journal: damaged: {damage}; what lives of it is written anew from memory");
+            log_line!("journal: damaged: {damage}; its live messages are rewritten from memory");
         }
     }
 
-    /// Hears all that waits.
-    fn hear_waiting(&mut self, inbox: &mut Receiver<News>) {
-        while let Ok(news) = inbox.try_recv() {
-            self.hear(news);
+    /// Handles all queued input.
+    fn handle_waiting_inputs(&mut self, inbox: &mut Receiver<Input>) {
+        while let Ok(inputs) = inbox.try_recv() {
+            self.handle_input(inputs);
         }
     }
 
-    fn hear(&mut self, news: News) {
-        match news {
-            News::Offered(offer) => self.offered(offer),
-            News::Called { message, attempt, endpoint, end } => {
+    fn handle_input(&mut self, inputs: Input) {
+        match inputs {
+            Input::Submitted(submission) => self.handle_submission(submission),
+            Input::CallEnded { message, attempt, endpoint, end } => {
                 self.call_ended(message, attempt, endpoint, end);
             }
-            News::Probed { endpoint, sent, end } => self.probed(endpoint, sent, end),
-            News::Listed(list) => {
+            Input::Probed { endpoint, sent, end } => self.probed(endpoint, sent, end),
+            Input::EndpointList(list) => {
                 (self.listed, self.seq) = (true, Some(list.seq));
-                say!("list {}: {}", list.seq, list);
+                log_line!("list {}: {}", list.seq, list);
                 self.apply_list(list);
             }
-            News::Told(messages) => self.told(messages),
-            News::Moved(discovery) => self.move_discovery(discovery),
-            News::Scrubbed(scrubbed) => self.scrubbed(&scrubbed),
-            News::Successor(successor) => {
-                // One at a time: another asks again.
+            Input::NoticesAcknowledged(messages) => self.notices_acknowledged(messages),
+            Input::DiscoveryMoved(discovery) => self.move_discovery(discovery),
+            Input::Scrubbed(scrubbed) => self.scrubbed(&scrubbed),
+            Input::Successor(successor) => {
+                // One handover at a time: another successor will retry.
                 if self.successor.is_none() {
-                    self.standing.hold();
+                    self.intake_state.hold();
                     self.successor = Some((successor, Instant::now()));
                 }
             }
-            News::Stop => {
-                self.standing.stop();
+            Input::Stop => {
+                self.intake_state.stop();
                 self.stopping.get_or_insert(Instant::now());
             }
         }
--- a/src/node/intake/standing.rs
+++ b/src/node/intake/state.rs
@@ -1,4 +1,4 @@
-//! Standing of the program toward its clients: whether it is ready, stops, or hands over, and their connections.
+//! State of the intake: readiness, shutdown and handover, and the clients' connections.
 
 use super::connection::{Connection, Stage};
 use crate::node::register::Register;
@@ -12,26 +12,26 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Standing of the program, as clients may know it.
-pub struct Standing {
+/// Readiness, shutdown and handover state, shared by all client connections.
+pub struct IntakeState {
     /// What operators have set.
     pub register: Arc<Register>,
     pub ready: Cell<bool>,
     pub stopping: Cell<bool>,
-    /// No request is waited for any more.
+    /// Incomplete requests are no longer waited for.
     pub(super) closing: Cell<bool>,
-    /// The listening socket is to close once nobody stands before it.
+    /// Asks to close the listening socket once its backlog is empty.
     pub(super) shut: Notify,
-    /// It is open.
+    /// Whether the listening socket is open.
     pub listening: Cell<bool>,
-    /// Told to all connections when the courier stops.
+    /// The open connections, notified when the courier stops.
     pub open: RefCell<BTreeMap<u64, Rc<Connection>>>,
     next: Cell<u64>,
     /// Bytes of bodies that are being read or have no answer yet.
     pub(super) bodies: Cell<usize>,
     /// Offers that the courier has not answered.
-    pub(super) pending_offers: Cell<usize>,
-    /// A successor asks: nothing new is offered to the courier.
+    pub(super) pending_submissions: Cell<usize>,
+    /// A handover is pending: no new messages are submitted to the courier.
     held: Cell<bool>,
     released: Notify,
     /// Where connections go once another process is the courier.
@@ -47,9 +47,9 @@
     pub served: bool,
 }
 
-impl Standing {
+impl IntakeState {
     pub fn new(register: Arc<Register>) -> Self {
-        Standing {
+        IntakeState {
             register,
             ready: Cell::default(),
             stopping: Cell::default(),
@@ -59,7 +59,7 @@
             open: RefCell::default(),
             next: Cell::default(),
             bodies: Cell::default(),
-            pending_offers: Cell::default(),
+            pending_submissions: Cell::default(),
             held: Cell::default(),
             released: Notify::new(),
             successor: RefCell::default(),
@@ -67,8 +67,8 @@
     }
 
     /// Offers that the courier has not answered.
-    pub fn pending_offers(&self) -> usize {
-        self.pending_offers.get()
+    pub fn pending_submissions(&self) -> usize {
+        self.pending_submissions.get()
     }
 
     /// Counts a connection among the open ones, under a number of its own.
@@ -84,7 +84,7 @@
         self.held.set(true);
     }
 
-    /// It was not handed over.
+    /// The handover was aborted.
     pub fn release(&self) {
         self.held.set(false);
         self.released.notify_waiters();
@@ -114,7 +114,7 @@
         let received = connection.unanswered.borrow().clone();
         let (Some(successor), Some(received)) = (successor.as_ref(), received) else { return false };
         let stage = connection.stage.get();
-        if stage == Stage::Offered || connection.answering.get() {
+        if stage == Stage::Submitted || connection.answering.get() {
             return false;
         }
         let Ok(socket) = SockRef::from(&connection.stream).try_clone() else { return false };
@@ -150,7 +150,7 @@
         self.open.borrow().values().for_each(|connection| connection.close.notify_one());
     }
 
-    /// Whether clients are to go elsewhere.
+    /// Whether clients are told to use another courier.
     pub(super) fn sends_away(&self) -> bool {
         self.stopping.get() || self.register.out_of_service()
     }
--- a/src/node/log.rs
+++ b/src/node/log.rs
@@ -1,28 +1,28 @@
-//! The operators' log on standard error: one line an event, a message's lines under its client's id.
+//! The log on standard error: one line per event; lines about a message start with its client-assigned id.
 
 use std::fmt;
 use std::io::{self, Write};
 use std::sync::mpsc::{SyncSender, sync_channel};
 use std::thread;
 
-/// Writes one line in one call, so that lines never mix. A reader that is gone must not end the courier, as
-/// `eprintln!` would.
+/// Writes one line in one call, so that lines never mix. A closed standard error must not end the
+/// courier, as `eprintln!` would.
 pub fn line(text: fmt::Arguments) {
     let _ = io::stderr().write_all(format!("{text}\n").as_bytes());
 }
 
-/// Lines that may wait; more are left out.
-const ASIDE_MOST: usize = 64;
+/// Lines that may be queued; further ones are dropped.
+const MAX_QUEUED_LINES: usize = 64;
 
-/// A way to the log for those who must not wait for its reader.
-pub struct Aside(SyncSender<String>);
+/// Writes to the log from a thread of its own, for callers that must not block on its reader.
+pub struct BackgroundLog(SyncSender<String>);
 
-impl Aside {
+impl BackgroundLog {
     pub fn new() -> io::Result<Self> {
-        let (lines, written) = sync_channel::<String>(ASIDE_MOST);
+        let (lines, written) = sync_channel::<String>(MAX_QUEUED_LINES);
         let write = move || written.iter().for_each(|text| line(format_args!("{text}")));
         thread::Builder::new().name("log".to_owned()).spawn(write)?;
-        Ok(Aside(lines))
+        Ok(BackgroundLog(lines))
     }
 
     pub fn line(&self, text: String) {
@@ -30,8 +30,8 @@
     }
 }
 
-macro_rules! say {
+macro_rules! log_line {
     ($($text:tt)*) => { $crate::node::log::line(format_args!($($text)*)) };
 }
 
-pub(crate) use say;
+pub(crate) use log_line;
--- a/src/node/options.rs
+++ b/src/node/options.rs
@@ -1,5 +1,5 @@
-//! What operators set beside the platform's configuration: an optional TOML file that `LB_OPTIONS` names. Without
-//! it all is as the defaults say.
+//! Operators' options besides the platform's configuration: an optional TOML file named by `LB_OPTIONS`. Without it
+//! the defaults apply.
 
 use crate::store::Durability;
 use serde::Deserialize;
@@ -19,33 +19,33 @@
 pub struct Store {
     pub durability: Durability,
     pub on_damage: OnDamage,
-    /// A sealed segment is read again so often, s; 0 for never.
+    /// Interval between scrubs of a sealed segment, s; 0 disables them.
     scrub_s: f64,
 }
 
-/// What a start does that comes upon damage.
+/// What to do if the journal is found damaged at the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OnDamage {
-    /// Keeps it aside, tells it, and serves.
+    /// Quarantines and logs the damage, and serves.
     #[default]
     Serve,
     /// Ends, with nothing changed: `courier journal check` shows it, `repair` mends it.
     Refuse,
 }
 
-const SCRUB_S: f64 = 10.0;
-/// A year: longer is a slip.
-const SCRUB_MOST: f64 = 3.2e7;
+const DEFAULT_SCRUB_S: f64 = 10.0;
+/// A year: anything longer is a mistake.
+const MAX_SCRUB_S: f64 = 3.2e7;
 
 impl Default for Store {
     fn default() -> Self {
-        Store { durability: Durability::default(), on_damage: OnDamage::default(), scrub_s: SCRUB_S }
+        Store { durability: Durability::default(), on_damage: OnDamage::default(), scrub_s: DEFAULT_SCRUB_S }
     }
 }
 
 impl Store {
-    /// How often a segment is read again, if ever.
+    /// The scrub interval, if scrubbing is enabled.
     pub fn scrub(&self) -> Option<Duration> {
         (self.scrub_s > 0.0).then(|| Duration::from_secs_f64(self.scrub_s))
     }
@@ -59,8 +59,8 @@
         let text = fs::read_to_string(path).map_err(|e| at(e.to_string()))?;
         let options: Options = toml::from_str(&text).map_err(|e| at(e.to_string().trim().to_owned()))?;
         let scrub = options.store.scrub_s;
-        if !(0.0..=SCRUB_MOST).contains(&scrub) {
-            return Err(at(format!("store.scrub_s: {scrub} is no time between 0 and {SCRUB_MOST} s")));
+        if !(0.0..=MAX_SCRUB_S).contains(&scrub) {
+            return Err(at(format!("store.scrub_s: {scrub} is no time between 0 and {MAX_SCRUB_S} s")));
         }
         Ok(options)
     }
