--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,11 +9,11 @@
 pub const MS: Duration = Duration::from_millis(1);
 pub const DEST: DestinationId = DestinationId(7);
 
-pub fn class(effect: Effect, aim_ms: u32, deadline_ms: u32, worth: f64) -> Class {
+pub fn class(effect: Effect, latency_target_ms: u32, deadline_ms: u32, value: f64) -> Class {
     Class {
-        latency_target: MS * aim_ms,
+        latency_target: MS * latency_target_ms,
         deadline: MS * deadline_ms,
-        value: worth,
+        value,
         late_value_share: 0.3,
         effect,
         ordered: false,
@@ -96,21 +96,21 @@
 }
 
 /// A module and its clock; remembers every action with its time.
-pub struct Drive {
+pub struct Driver {
     pub scheduler: Scheduler,
     pub now: Duration,
     pub log: Vec<(Duration, Action)>,
     wakes: Vec<(Duration, u64)>,
 }
 
-impl Drive {
+impl Driver {
     pub fn new(settings: Settings, entries: Vec<Entry>) -> Self {
-        Drive::seeded(settings, entries, 11)
+        Driver::seeded(settings, entries, 11)
     }
 
     pub fn seeded(settings: Settings, entries: Vec<Entry>, seed: u64) -> Self {
         let scheduler = Scheduler::new(settings, seed).expect("workable settings");
-        let mut drive = Drive { scheduler, now: MS * 1000, log: Vec::new(), wakes: Vec::new() };
+        let mut drive = Driver { scheduler, now: MS * 1000, log: Vec::new(), wakes: Vec::new() };
         drive.feed(&[Event::Listed { whole: true, entries }]);
         drive
     }
@@ -129,7 +129,7 @@
     }
 
     /// Lets time pass in ticks, waking the module as it asked; returns what it did.
-    pub fn pass(&mut self, span: Duration) -> Vec<Action> {
+    pub fn advance(&mut self, span: Duration) -> Vec<Action> {
         let (end, mut all) = (self.now + span, Vec::new());
         while self.now < end {
             self.now += MS * 5;
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -38,8 +38,8 @@
     }
 
     /// The answer that comes; none if the connection ends without one.
-    fn answer(&mut self) -> Option<Page> {
-        Page::read(&mut self.from)
+    fn answer(&mut self) -> Option<HttpMessage> {
+        HttpMessage::read(&mut self.from)
     }
 
     fn status(&mut self) -> u16 {
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_request_half_read_at_sigterm_is_read_to_its_end_and_delivered() {
-    let (folder, endpoint, discovery) = one(|_| Act::Answer(OK));
+    let (folder, endpoint, discovery) = one_endpoint(|_| Reply::Answer(OK));
     let mut courier = Courier::start(&folder, &discovery);
     let (head, rest) = halves("half");
     let mut served = Client::resting(&courier, "before");
@@ -75,12 +75,12 @@
     served.send(&head);
     new.send(&message("body", "payment", 7, 20_000)[..150]);
     courier.signal("-TERM");
-    courier.says("stopping");
+    courier.wait_for_log("stopping");
     served.send(&rest);
     new.send(&message("body", "payment", 7, 20_000)[150..]);
     for client in [&mut served, &mut new] {
         let page = client.answer().expect("an answer");
-        assert_eq!((page.status(), page.head("connection")), (202, Some("close")));
+        assert_eq!((page.status(), page.header("connection")), (202, Some("close")));
         assert!(client.is_closed());
     }
     assert_eq!(courier.exit(), 0);
@@ -91,16 +91,16 @@
 
 #[test]
 fn requests_that_come_together_with_sigterm_are_answered() {
-    let (folder, endpoint, discovery) = one(|_| Act::Answer(OK));
+    let (folder, endpoint, discovery) = one_endpoint(|_| Reply::Answer(OK));
     let mut courier = Courier::start(&folder, &discovery);
     let (mut rests, mut silent) = (Client::resting(&courier, "m0"), Client::new(&courier));
     // Once this is answered the silent one is let in as well.
     assert_eq!(courier.get("/-/ready").map(|page| page.status()), Some(200));
-    courier.stop();
+    courier.pause();
     rests.send(&message("m1", "payment", 7, 20_000));
     silent.send(&message("m2", "payment", 7, 20_000));
     courier.signal("-TERM");
-    courier.go();
+    courier.resume();
     let taken: Vec<_> = [("m1", &mut rests), ("m2", &mut silent)]
         .into_iter()
         .filter_map(|(id, client)| {
@@ -112,20 +112,20 @@
     assert_eq!(courier.exit(), 0);
     // What was taken on has gone, or goes in the next life; nothing else.
     let _next = Courier::start(&folder, &discovery);
-    until("what was taken on", || endpoint.calls().len() > taken.len());
+    wait_until("what was taken on", || endpoint.calls().len() > taken.len());
     let mut ids = endpoint.ids();
     ids.sort();
     assert_eq!(ids[1..], taken);
 }
 
 #[test]
-fn whoever_writes_until_the_process_ends_is_told_before_it_does() {
-    let (folder, _endpoint, discovery) = one(|_| Act::Answer(OK));
+fn clients_still_writing_at_shutdown_get_a_response() {
+    let (folder, _endpoint, discovery) = one_endpoint(|_| Reply::Answer(OK));
     let mut courier = Courier::start(&folder, &discovery);
     let mut served = Client::resting(&courier, "m0");
     served.send("POST /status HTTP/1.1\r\n");
     courier.signal("-TERM");
-    courier.says("stopping");
+    courier.wait_for_log("stopping");
     // Late enough that its own time would outlast the process.
     thread::sleep(500 * MS);
     let (mut head, mut body) = (Client::new(&courier), Client::new(&courier));
@@ -144,12 +144,12 @@
 
 #[test]
 fn a_request_whose_last_byte_comes_near_the_end_is_refused_not_left_to_the_next_process() {
-    let (folder, endpoint, discovery) = one(|_| Act::Answer(OK));
+    let (folder, endpoint, discovery) = one_endpoint(|_| Reply::Answer(OK));
     let mut courier = Courier::start(&folder, &discovery);
     let mut client = Client::new(&courier);
     let text = message("late", "payment", 7, 20_000);
     courier.signal("-TERM");
-    courier.says("stopping");
+    courier.wait_for_log("stopping");
     client.send(&text[..text.len() - 1]);
     // No call is begun any more then.
     thread::sleep(2300 * MS);
@@ -157,14 +157,14 @@
     assert_eq!(client.status(), 503);
     assert_eq!(courier.exit(), 0);
     let next = Courier::start(&folder, &discovery);
-    next.take("next", "payment", 7, 20_000);
-    until("the next", || !endpoint.calls().is_empty());
+    next.submit_accepted("next", "payment", 7, 20_000);
+    wait_until("the next", || !endpoint.calls().is_empty());
     assert_eq!(endpoint.ids(), ["next"]);
 }
 
 #[test]
-fn who_waits_before_a_full_house_at_sigterm_is_let_in_and_answered() {
-    let (folder, _endpoint, discovery) = one(|_| Act::Answer(OK));
+fn clients_waiting_for_a_free_connection_at_sigterm_are_answered() {
+    let (folder, _endpoint, discovery) = one_endpoint(|_| Reply::Answer(OK));
     let mut config = config(&discovery, discovery.lines.lock().expect("lines")[0].clone());
     // The least that is taken: room for eleven clients.
     config["limits"]["sockets"] = json!(64);
@@ -178,7 +178,7 @@
     let mut waits: Vec<_> = (0..3).map(|_| Client::new(&courier)).collect();
     waits.iter_mut().enumerate().for_each(|(n, c)| c.send(&message(&format!("w{n}"), "status", 7, 20_000)));
     courier.signal("-TERM");
-    courier.says("stopping");
+    courier.wait_for_log("stopping");
     thread::sleep(1000 * MS);
     for (n, client) in house.iter_mut().enumerate() {
         client.send(&rest.replace("half", &format!("half{n}")));
@@ -192,7 +192,7 @@
 
 #[test]
 fn what_comes_just_as_a_connections_time_is_up_is_read() {
-    let (folder, endpoint, discovery) = one(|_| Act::Answer(OK));
+    let (folder, endpoint, discovery) = one_endpoint(|_| Reply::Answer(OK));
     let courier = Courier::start(&folder, &discovery);
     let (head, rest) = halves("head");
     let body = message("body", "status", 7, 20_000);
@@ -201,19 +201,19 @@
     first.send(&head);
     last.send(&body[..body.len() - 1]);
     thread::sleep(2000 * MS);
-    courier.stop();
+    courier.pause();
     thread::sleep(1000 * MS);
     silent.send(&message("silent", "status", 7, 20_000));
     first.send(&rest);
     last.send(&body[body.len() - 1..]);
-    courier.go();
+    courier.resume();
     assert_eq!([silent.status(), first.status(), last.status()], [202; 3]);
-    until("all of them", || endpoint.calls().len() == 3);
+    wait_until("all of them", || endpoint.calls().len() == 3);
 }
 
 #[test]
-fn a_later_request_that_does_not_end_gets_a_word_before_the_close() {
-    let (folder, _endpoint, discovery) = one(|_| Act::Answer(OK));
+fn an_incomplete_later_request_gets_a_response_before_the_close() {
+    let (folder, _endpoint, discovery) = one_endpoint(|_| Reply::Answer(OK));
     let courier = Courier::start(&folder, &discovery);
     let mut client = Client::resting(&courier, "m0");
     client.send(&halves("half").0);
@@ -223,39 +223,39 @@
 
 #[test]
 fn a_request_that_comes_as_its_courier_goes_out_of_service_is_answered() {
-    let (folder, endpoint, discovery) = one(|_| Act::Answer(OK));
+    let (folder, endpoint, discovery) = one_endpoint(|_| Reply::Answer(OK));
     let known = discovery.lines.lock().expect("lines")[0].clone();
     let mut command = command(&folder, &discovery, &config(&discovery, known));
     let courier = Courier::spawn(command.env("LB_ADMIN_ADDR", "127.0.0.1:0"));
     let mut client = Client::resting(&courier, "m0");
     // Otherwise both may be called at once, in either order.
-    until("the first", || endpoint.ids() == ["m0"]);
+    wait_until("the first", || endpoint.ids() == ["m0"]);
     let mut operator = TcpStream::connect(courier.admin.expect("an address")).expect("a connection");
-    courier.stop();
+    courier.pause();
     operator.write_all(b"POST /control/out-of-service HTTP/1.1\r\nHost: x\r\n\r\n").expect("sent");
     client.send(&message("m1", "payment", 7, 20_000));
-    courier.go();
+    courier.resume();
     let page = client.answer().expect("an answer");
     assert_eq!(page.status(), 202);
     assert!(client.is_closed(), "and its connection is let go");
-    until("both", || endpoint.ids() == ["m0", "m1"]);
+    wait_until("both", || endpoint.ids() == ["m0", "m1"]);
 }
 
 #[test]
 fn a_client_that_leaves_and_comes_again_midway_is_served_once_or_not_at_all() {
-    let (folder, endpoint, discovery) = one(|_| Act::Answer(OK));
+    let (folder, endpoint, discovery) = one_endpoint(|_| Reply::Answer(OK));
     let courier = Courier::start(&folder, &discovery);
     let (mut leaves, mut again) = (Client::new(&courier), Client::new(&courier));
     assert_eq!(courier.get("/-/ready").map(|page| page.status()), Some(200));
-    courier.stop();
+    courier.pause();
     leaves.send(&message("pay", "payment", 7, 20_000));
     drop(leaves);
     again.send(&message("pay", "payment", 7, 20_000));
-    courier.go();
+    courier.resume();
     let status = again.status();
     assert!([202, 503].contains(&status), "{status}");
-    courier.take("end", "payment", 7, 20_000);
-    until("the end", || endpoint.ids().contains(&"end".to_owned()));
+    courier.submit_accepted("end", "payment", 7, 20_000);
+    wait_until("the end", || endpoint.ids().contains(&"end".to_owned()));
     let calls = endpoint.ids().iter().filter(|id| *id == "pay").count();
     assert_eq!(calls, usize::from(status == 202), "told {status}");
 }
@@ -270,42 +270,42 @@
 ) -> (Endpoint, Discovery, Courier, Folder) {
     let answers = Arc::new(AtomicBool::new(false));
     let open = answers.clone();
-    let (folder, endpoint, discovery) = one(move |_| {
-        until("the answer is due", || open.load(Ordering::SeqCst));
-        Act::Answer(OK)
+    let (folder, endpoint, discovery) = one_endpoint(move |_| {
+        wait_until("the answer is due", || open.load(Ordering::SeqCst));
+        Reply::Answer(OK)
     });
     // Nothing can be sent to destination 9.
     let hosts = vec![ready(&endpoint), host("s-9", &endpoint, 9, "draining")];
     discovery.lines.lock().expect("lines")[0] = list(1, true, hosts);
     let courier = Courier::start(&folder, &discovery);
-    courier.take("m", class, 7, time_ms);
-    until("the call", || endpoint.calls().len() == 1);
-    courier.stop();
+    courier.submit_accepted("m", class, 7, time_ms);
+    wait_until("the call", || endpoint.calls().len() == 1);
+    courier.pause();
     answers.store(true, Ordering::SeqCst);
     thread::sleep(span_ms * MS);
-    courier.go();
+    courier.resume();
     (endpoint, discovery, courier, folder)
 }
 
 #[test]
-fn an_answer_that_is_there_when_a_call_times_out_counts() {
+fn a_response_received_before_the_timeout_is_handled_counts() {
     // The least time-out is 1 s.
     let (endpoint, discovery, courier, _folder) = answered_in_a_standstill("status", 20_000, 1300);
-    courier.says("m attempt 0: Delivered");
-    courier.take("next", "status", 7, 20_000);
-    until("the next", || endpoint.calls().len() == 2);
+    courier.wait_for_log("m attempt 0: Delivered");
+    courier.submit_accepted("next", "status", 7, 20_000);
+    wait_until("the next", || endpoint.calls().len() == 2);
     assert_eq!(endpoint.ids(), ["m", "next"]);
     assert!(discovery.results("m").is_empty());
 }
 
 #[test]
-fn an_answer_that_is_there_at_the_deadline_counts() {
+fn a_response_received_before_the_deadline_is_handled_counts() {
     // What may run only once is waited for as long as it has.
     let (_endpoint, discovery, courier, _folder) = answered_in_a_standstill("payment", 1000, 1300);
-    courier.says("m attempt 0: Delivered");
+    courier.wait_for_log("m attempt 0: Delivered");
     // Nobody answers this one: once its notice is there, the other's would be.
-    courier.take("other", "status", 9, 1000);
-    until("the other's end", || !discovery.results("other").is_empty());
+    courier.submit_accepted("other", "status", 9, 1000);
+    wait_until("the other's end", || !discovery.results("other").is_empty());
     assert!(discovery.results("m").is_empty(), "{:?}", discovery.results("m"));
 }
 
@@ -314,22 +314,22 @@
     for reload in [false, true] {
         let Unconnected { listener, endpoint: slow, discovery, mut config, queued: _queued } =
             Unconnected::new();
-        let (folder, other) = (Folder::new(), Endpoint::new(|_| Act::Answer(OK)));
+        let (folder, other) = (Folder::new(), Endpoint::new(|_| Reply::Answer(OK)));
         let courier = Courier::with(&folder, &discovery, &config);
-        courier.take("m", "payment", 7, 25_000);
-        courier.says("m attempt 0: to s-1");
+        courier.submit_accepted("m", "payment", 7, 25_000);
+        courier.wait_for_log("m attempt 0: to s-1");
         let without = list(2, true, vec![host("s-2", &other, 7, "ready")]);
         let moved = Discovery::new(without.clone());
         if reload {
             config["discovery"] = json!(moved.address.to_string());
             courier.reload(&folder, &config.to_string());
         } else {
-            discovery.tell(without);
+            discovery.push_line(without);
         }
-        courier.says("list 2");
-        slow.serve(listener, |_, _| Act::Answer(OK));
-        until("its connection", || slow.connections.load(Ordering::SeqCst) == 2);
-        until("the call elsewhere", || other.ids() == ["m"]);
+        courier.wait_for_log("list 2");
+        slow.serve(listener, |_, _| Reply::Answer(OK));
+        wait_until("its connection", || slow.connections.load(Ordering::SeqCst) == 2);
+        wait_until("the call elsewhere", || other.ids() == ["m"]);
         assert!(slow.calls().is_empty(), "begun at one that is gone; by a reload: {reload}");
     }
 }
@@ -339,14 +339,14 @@
     let Unconnected { listener, endpoint: place, discovery, config, queued: _queued } = Unconnected::new();
     let folder = Folder::new();
     let mut courier = Courier::with(&folder, &discovery, &config);
-    courier.take("pay", "payment", 7, 25_000);
-    courier.says("pay attempt 0: to s-1");
+    courier.submit_accepted("pay", "payment", 7, 25_000);
+    courier.wait_for_log("pay attempt 0: to s-1");
     courier.signal("-TERM");
     assert_eq!(courier.exit(), 0);
-    place.serve(listener, |_, _| Act::Answer(OK));
+    place.serve(listener, |_, _| Reply::Answer(OK));
     let next = Courier::with(&folder, &discovery, &config);
-    next.take("next", "payment", 7, 25_000);
-    until("the calls", || place.calls().len() + discovery.results("pay").len() >= 2);
+    next.submit_accepted("next", "payment", 7, 25_000);
+    wait_until("the calls", || place.calls().len() + discovery.results("pay").len() >= 2);
     let mut ids = place.ids();
     ids.sort();
     assert_eq!(ids, ["next", "pay"], "it may run only once, and had not");
@@ -362,7 +362,7 @@
         for (n, mut stream) in own.incoming().flatten().enumerate() {
             thread::spawn(move || {
                 let mut from = BufReader::new(stream.try_clone().expect("a handle"));
-                while Page::read(&mut from).is_some() {
+                while HttpMessage::read(&mut from).is_some() {
                     if n > 0 {
                         let _ = stream.write_all(OK.as_bytes());
                         continue;
@@ -391,12 +391,16 @@
     ] {
         let (folder, _listener, discovery, config) = endless(head, more);
         let courier = Courier::with(&folder, &discovery, &config);
-        courier.take("pay", "payment", 7, 25_000);
-        courier.says(if result.is_some() { "pay given up: Dead" } else { "pay attempt 0: Delivered" });
-        courier.take("next", "payment", 7, 25_000);
-        courier.says("next attempt 0: Delivered");
+        courier.submit_accepted("pay", "payment", 7, 25_000);
+        courier.wait_for_log(if result.is_some() {
+            "pay given up: Dead"
+        } else {
+            "pay attempt 0: Delivered"
+        });
+        courier.submit_accepted("next", "payment", 7, 25_000);
+        courier.wait_for_log("next attempt 0: Delivered");
         if let Some(result) = result {
-            until("its notice", || discovery.results("pay") == [result]);
+            wait_until("its notice", || discovery.results("pay") == [result]);
         } else {
             assert!(discovery.results("pay").is_empty(), "{head:?}");
         }
@@ -407,12 +411,12 @@
 fn a_connection_that_resets_halfway_may_have_run() {
     for half in ["HTTP/1.1 20", "HTTP", "\r\n"] {
         let (folder, endpoint, discovery) =
-            one(move |n| if n == 0 { Act::AnswerAndClose(half) } else { Act::Answer(OK) });
+            one_endpoint(move |n| if n == 0 { Reply::AnswerAndClose(half) } else { Reply::Answer(OK) });
         let courier = Courier::start(&folder, &discovery);
-        courier.take("pay", "payment", 7, 20_000);
-        until("the notice", || discovery.results("pay") == ["dead"]);
-        courier.take("state", "status", 7, 20_000);
-        until("the next", || endpoint.ids() == ["pay", "state"]);
+        courier.submit_accepted("pay", "payment", 7, 20_000);
+        wait_until("the notice", || discovery.results("pay") == ["dead"]);
+        courier.submit_accepted("state", "status", 7, 20_000);
+        wait_until("the next", || endpoint.ids() == ["pay", "state"]);
     }
 }
 
@@ -423,11 +427,15 @@
     let discovery = Discovery::new(list(1, true, vec![ready(&place)]));
     let folder = Folder::new();
     let courier = Courier::start(&folder, &discovery);
-    courier.take("m", "status", 7, 20_000);
+    courier.submit_accepted("m", "status", 7, 20_000);
     let call = |listener: &TcpListener| {
         let (stream, _) = listener.accept().expect("a connection");
         let mut from = BufReader::new(stream.try_clone().expect("a handle"));
-        let id = Page::read(&mut from).expect("a call").head("x-request-id").unwrap_or_default().to_owned();
+        let id = HttpMessage::read(&mut from)
+            .expect("a call")
+            .header("x-request-id")
+            .unwrap_or_default()
+            .to_owned();
         (stream, id)
     };
     let (mut first, id) = call(&listener);
@@ -445,25 +453,25 @@
             || end.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset)
     );
     second.write_all(OK.as_bytes()).expect("written");
-    courier.says("m attempt 1: Delivered");
+    courier.wait_for_log("m attempt 1: Delivered");
 }
 
 // ---- discovery and the platform ----------------------------------------------------------------------
 
 #[test]
 fn lists_that_come_indented_are_read() {
-    let (a, b) = (Endpoint::new(|_| Act::Answer(OK)), Endpoint::new(|_| Act::Answer(OK)));
+    let (a, b) = (Endpoint::new(|_| Reply::Answer(OK)), Endpoint::new(|_| Reply::Answer(OK)));
     let discovery = Discovery::new(list(1, true, vec![ready(&a)]));
     discovery.indented.store(true, Ordering::SeqCst);
     let folder = Folder::new();
     let courier = Courier::with(&folder, &discovery, &config(&discovery, Value::Null));
-    courier.says("list 1");
-    courier.take("m1", "status", 7, 20_000);
-    until("the first", || a.ids() == ["m1"]);
-    discovery.tell(list(2, false, vec![host("s-1", &a, 7, "draining"), host("s-2", &b, 7, "ready")]));
-    courier.says("list 2");
-    courier.take("m2", "status", 7, 20_000);
-    until("the second", || b.ids() == ["m2"]);
+    courier.wait_for_log("list 1");
+    courier.submit_accepted("m1", "status", 7, 20_000);
+    wait_until("the first", || a.ids() == ["m1"]);
+    discovery.push_line(list(2, false, vec![host("s-1", &a, 7, "draining"), host("s-2", &b, 7, "ready")]));
+    courier.wait_for_log("list 2");
+    courier.submit_accepted("m2", "status", 7, 20_000);
+    wait_until("the second", || b.ids() == ["m2"]);
     assert_eq!(discovery.watches.load(Ordering::SeqCst), 1, "on one watch");
     assert_eq!(a.ids(), ["m1"]);
 }
@@ -471,26 +479,30 @@
 #[test]
 fn what_a_watch_was_telling_when_it_ended_or_fell_silent_is_asked_for_again() {
     for (silent, indented) in [(false, false), (true, false), (true, true)] {
-        let (a, b) = (Endpoint::new(|_| Act::Answer(OK)), Endpoint::new(|_| Act::Answer(OK)));
+        let (a, b) = (Endpoint::new(|_| Reply::Answer(OK)), Endpoint::new(|_| Reply::Answer(OK)));
         let discovery = Discovery::new(list(1, true, vec![ready(&a)]));
-        discovery.torn.store(1, Ordering::SeqCst);
-        discovery.torn_silent.store(silent, Ordering::SeqCst);
+        discovery.partial_watches.store(1, Ordering::SeqCst);
+        discovery.partial_then_silent.store(silent, Ordering::SeqCst);
         discovery.indented.store(indented, Ordering::SeqCst);
         let folder = Folder::new();
         let courier = Courier::start(&folder, &discovery);
-        courier.says("list 1");
-        discovery.tell(list(2, false, vec![host("s-1", &a, 7, "draining"), host("s-2", &b, 7, "ready")]));
-        courier.says("in the middle of a list");
-        courier.says("list 2");
-        courier.take("m", "status", 7, 20_000);
-        until("the call", || b.ids() == ["m"]);
+        courier.wait_for_log("list 1");
+        discovery.push_line(list(
+            2,
+            false,
+            vec![host("s-1", &a, 7, "draining"), host("s-2", &b, 7, "ready")],
+        ));
+        courier.wait_for_log("in the middle of a list");
+        courier.wait_for_log("list 2");
+        courier.submit_accepted("m", "status", 7, 20_000);
+        wait_until("the call", || b.ids() == ["m"]);
         assert!(a.calls().is_empty());
     }
 }
 
 #[test]
 fn a_watch_that_dies_with_discovery_down_is_asked_for_until_it_is_back() {
-    let (a, b) = (Endpoint::new(|_| Act::Answer(OK)), Endpoint::new(|_| Act::Answer(OK)));
+    let (a, b) = (Endpoint::new(|_| Reply::Answer(OK)), Endpoint::new(|_| Reply::Answer(OK)));
     // A second socket holds the port, so that it stays refused, and nobody else gets it, while the first is away.
     let bound = |address: std::net::SocketAddr| {
         let socket =
@@ -511,8 +523,8 @@
     let courier = Courier::with(&folder, &Discovery::new(first.clone()), &config);
     // An answer that came before its question would be none.
     let tell = |stream: &mut TcpStream, list: &Value| {
-        let page =
-            Page::read(&mut BufReader::new(stream.try_clone().expect("a handle"))).expect("a question");
+        let page = HttpMessage::read(&mut BufReader::new(stream.try_clone().expect("a handle")))
+            .expect("a question");
         assert!(page.first.starts_with("GET /api/targets"), "{page:?}");
         let text = format!("{list}\n");
         write!(stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{text}\r\n", text.len())
@@ -520,18 +532,18 @@
     };
     let (mut watch, _) = listener.accept().expect("a watch");
     tell(&mut watch, &first);
-    courier.says("list 1");
+    courier.wait_for_log("list 1");
     // Down: the watch breaks, and nobody listens.
     drop(listener);
     drop(watch);
-    courier.says("no connection");
+    courier.wait_for_log("no connection");
     later.listen(8).expect("listens");
     let listener = TcpListener::from(later);
     let (mut watch, _) = listener.accept().expect("a watch");
     tell(&mut watch, &list(2, true, vec![host("s-2", &b, 7, "ready")]));
-    courier.says("list 2");
-    courier.take("m", "status", 7, 20_000);
-    until("the call", || b.ids() == ["m"]);
+    courier.wait_for_log("list 2");
+    courier.submit_accepted("m", "status", 7, 20_000);
+    wait_until("the call", || b.ids() == ["m"]);
     assert!(a.calls().is_empty());
 }
 
@@ -539,13 +551,13 @@
 fn a_notice_whose_connection_has_died_in_silence_goes_on_another_in_time() {
     let platform = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = platform.local_addr().expect("an address");
-    let endpoint = Endpoint::new(|_| Act::Break);
+    let endpoint = Endpoint::new(|_| Reply::Disconnect);
     let watched = Discovery::new(list(1, true, vec![ready(&endpoint)]));
     let mut config = config(&watched, watched.lines.lock().expect("lines")[0].clone());
     config["discovery"] = json!(address.to_string());
     let folder = Folder::new();
     let courier = Courier::with(&folder, &watched, &config);
-    courier.take("pay", "payment", 7, 20_000);
+    courier.submit_accepted("pay", "payment", 7, 20_000);
     // Posts come on connections of their own; the watch's is another, and has no answer here.
     let (tell, posts) = std::sync::mpsc::channel();
     thread::spawn(move || {
@@ -553,7 +565,7 @@
             let tell = tell.clone();
             thread::spawn(move || {
                 let mut from = BufReader::new(stream.try_clone().expect("a handle"));
-                while let Some(page) = Page::read(&mut from) {
+                while let Some(page) = HttpMessage::read(&mut from) {
                     if page.first.starts_with("POST /v1/outcomes") {
                         let (answer, wait) = std::sync::mpsc::channel::<bool>();
                         let _ = tell.send((page, Instant::now(), answer));
@@ -571,7 +583,7 @@
     let (_, _, answer) = next();
     answer.send(true).expect("told");
     // The connection is kept, and dies now: whatever is posted on it has no answer.
-    courier.take("pay2", "payment", 7, 20_000);
+    courier.submit_accepted("pay2", "payment", 7, 20_000);
     let (first, at, _never) = next();
     let (again, later, answer) = next();
     answer.send(true).expect("told");
@@ -588,7 +600,7 @@
     let discovery = Discovery::new(list(1, true, vec![host("s-1", endpoint, 7, "draining")]));
     let courier = Courier::start(&folder, &discovery);
     for n in 0..count {
-        courier.take(&format!("m{n}"), class, 7, time_ms);
+        courier.submit_accepted(&format!("m{n}"), class, 7, time_ms);
     }
     courier.kill();
     (folder, discovery)
@@ -596,18 +608,18 @@
 
 #[test]
 fn what_a_killed_process_had_untried_is_tried_by_the_next_though_its_list_comes_late() {
-    let endpoint = Endpoint::new(|_| Act::Answer(OK));
+    let endpoint = Endpoint::new(|_| Reply::Answer(OK));
     let (folder, discovery) = untried(&endpoint, 20, "payment", 20_000);
     assert!(endpoint.calls().is_empty());
     // The list at hand is older than the destination itself, and the news comes only after a while.
-    let other = Endpoint::new(|_| Act::Hang);
+    let other = Endpoint::new(|_| Reply::Hang);
     discovery.lines.lock().expect("lines")[0] = list(2, true, vec![]);
     let known = list(1, true, vec![host("s-9", &other, 9, "ready")]);
     let courier = Courier::with(&folder, &discovery, &config(&discovery, known));
-    courier.says("list 2");
+    courier.wait_for_log("list 2");
     thread::sleep(1500 * MS);
-    discovery.tell(list(3, false, vec![ready(&endpoint)]));
-    until("all of them", || endpoint.calls().len() == 20);
+    discovery.push_line(list(3, false, vec![ready(&endpoint)]));
+    wait_until("all of them", || endpoint.calls().len() == 20);
     let mut ids = endpoint.ids();
     ids.sort();
     ids.dedup();
@@ -617,7 +629,7 @@
 
 #[test]
 fn what_a_killed_process_had_untried_is_tried_though_little_time_is_left_and_more_comes() {
-    let endpoint = Endpoint::new(|_| Act::Late(50 * MS, OK));
+    let endpoint = Endpoint::new(|_| Reply::Late(50 * MS, OK));
     let (folder, discovery) = untried(&endpoint, 24, "status", 4_000);
     discovery.lines.lock().expect("lines")[0] = list(2, true, vec![ready(&endpoint)]);
     let mut command =
@@ -625,22 +637,22 @@
     let courier = Courier::launch(&mut command);
     // Newcomers from the first moment on, faster than they can go.
     for n in 0..60 {
-        courier.hand_in(&format!("new{n}"), "status", 7, 4_000);
+        courier.submit(&format!("new{n}"), "status", 7, 4_000);
     }
     let tried = || endpoint.ids().iter().filter(|id| id.starts_with('m')).count();
     let given = || (0..24).filter(|n| !discovery.results(&format!("m{n}")).is_empty()).count();
-    until("an end for each", || tried() + given() >= 24);
+    wait_until("an end for each", || tried() + given() >= 24);
     assert!(tried() >= 20, "{} tried, {} given up", tried(), given());
 }
 
 #[test]
 fn what_is_out_of_time_at_the_start_is_told_at_once() {
-    let endpoint = Endpoint::new(|_| Act::Answer(OK));
+    let endpoint = Endpoint::new(|_| Reply::Answer(OK));
     let (folder, discovery) = untried(&endpoint, 3, "payment", 700);
     thread::sleep(800 * MS);
     discovery.lines.lock().expect("lines")[0] = list(2, true, vec![ready(&endpoint)]);
     let _courier = Courier::start(&folder, &discovery);
-    until("their notices", || (0..3).all(|n| discovery.results(&format!("m{n}")) == ["bounced"]));
+    wait_until("their notices", || (0..3).all(|n| discovery.results(&format!("m{n}")) == ["bounced"]));
     assert!(endpoint.calls().is_empty());
 }
 
@@ -648,13 +660,13 @@
 
 #[test]
 fn a_request_that_comes_together_with_a_successor_is_answered_and_delivered_once() {
-    let (folder, endpoint, discovery) = one(|_| Act::Answer(OK));
+    let (folder, endpoint, discovery) = one_endpoint(|_| Reply::Answer(OK));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let known = discovery.lines.lock().expect("lines")[0].clone();
     let config = config(&discovery, known);
     let mut old = Courier::spawn(&mut inheriting(&folder, &discovery, &config, &listener));
     let mut clients: Vec<_> = (0..4).map(|n| Client::resting(&old, &format!("a{n}"))).collect();
-    old.stop();
+    old.pause();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&message(&format!("b{n}"), "payment", 7, 20_000));
     }
@@ -662,12 +674,12 @@
     let mut next = inheriting(&folder, &discovery, &config, &listener);
     let next = thread::spawn(move || Courier::spawn(&mut next));
     thread::sleep(300 * MS);
-    old.go();
+    old.resume();
     assert!(clients.iter_mut().all(|client| client.status() == 202));
     let _next = next.join().expect("it serves");
     old.signal("-TERM");
     assert_eq!(old.exit(), 0);
-    until("all", || endpoint.calls().len() >= 8);
+    wait_until("all", || endpoint.calls().len() >= 8);
     let mut ids = endpoint.ids();
     ids.sort();
     assert_eq!(ids, ["a0", "a1", "a2", "a3", "b0", "b1", "b2", "b3"]);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -16,7 +16,7 @@
     (set.couriers, set.weights, set.slots) = (COURIERS, WeightKind::Nominal, 2);
     let listed = Entry { weight: 12.0, ..entry(0, 1, 0, 0) };
     let mut fleet: Vec<_> =
-        (0..COURIERS).map(|n| Drive::seeded(set.clone(), vec![listed], n as u64)).collect();
+        (0..COURIERS).map(|n| Driver::seeded(set.clone(), vec![listed], n as u64)).collect();
     let (start, mut calls, mut next) = (fleet[0].now, vec![(0, 0); 20], 0);
     let mut saw = vec![false; COURIERS];
     let back = start + MS * 2000 + away;
@@ -26,7 +26,7 @@
         let turn = (fleet[0].now - start).as_millis() % 100 == 0;
         next += usize::from(turn);
         for n in 0..COURIERS {
-            let mut actions = fleet[n].pass(MS * 5);
+            let mut actions = fleet[n].advance(MS * 5);
             let now = fleet[n].now;
             let due = answers.extract_if(.., |a| a.1 == n && a.0 <= now);
             let mut news: Vec<_> = due.map(|a| a.2).collect();
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_fleet_does_not_push_over_a_destination_that_returns() {
+fn a_fleet_does_not_overload_a_destination_that_returns_cold() {
     // Each courier within "its share" would send one call at once: a hundred calls where six are taken.
     let calls = calls_after_return(MS * 10_000);
     // Capacity is over the listed 12 a second; cold it is 0.2 of that and grows evenly in 10 s.
@@ -82,7 +82,7 @@
     (set.couriers, set.weights, set.slots) = (couriers, WeightKind::Nominal, 4.max(400 / couriers));
     let listed = Entry { weight: limit, ..entry(0, 1, 0, 0) };
     let mut fleet: Vec<_> =
-        (0..couriers).map(|n| Drive::seeded(set.clone(), vec![listed], n as u64)).collect();
+        (0..couriers).map(|n| Driver::seeded(set.clone(), vec![listed], n as u64)).collect();
     let (start, mut rng, mut id) = (fleet[0].now, SmallRng::seed_from_u64(3), 0);
     let mut seconds = vec![Second::default(); length];
     let (mut used, mut answers) = (0, Vec::<(Duration, usize, Event)>::new());
@@ -92,7 +92,7 @@
             used = second.checked_sub(1).map_or(0, |last| seconds[last].refused);
         }
         for (n, courier) in fleet.iter_mut().enumerate() {
-            let mut actions = courier.pass(MS * 5);
+            let mut actions = courier.advance(MS * 5);
             let now = courier.now;
             let mut news: Vec<_> = answers.extract_if(.., |a| a.1 == n && a.0 <= now).map(|a| a.2).collect();
             if rng.random::<f64>() < load * 0.005 / couriers as f64 {
@@ -136,10 +136,10 @@
 fn clumps_are_not_held_back_while_the_fleet_is_well_within_a_limit() {
     // Each courier has one call a second; two messages that come together go together.
     let set = Settings { couriers: 100, weights: WeightKind::Nominal, ..settings() };
-    let mut d = Drive::new(set, vec![Entry { weight: 100.0, ..entry(0, 1, 0, 0) }]);
+    let mut d = Driver::new(set, vec![Entry { weight: 100.0, ..entry(0, 1, 0, 0) }]);
     let mut out = sends(&d.feed(&[taken(1, 0, 1, MS * 8000)])).len();
     d.feed(&[ended(1, 0, Outcome::Delivered, 100)]);
-    d.pass(MS * 3000);
+    d.advance(MS * 3000);
     out += sends(&d.feed(&[taken(2, 0, 1, MS * 8000), taken(3, 0, 1, MS * 8000)])).len();
     assert_eq!(out, 3);
 }
@@ -148,12 +148,12 @@
 fn a_message_that_meets_its_end_at_a_slow_pace_is_kept() {
     // A call each 1.4 s: the second one may leave after these and takes 0.1 s, well within its 2 s.
     let set = Settings { couriers: 100, weights: WeightKind::Nominal, ..settings() };
-    let mut d = Drive::new(set, vec![Entry { weight: 60.0, ..entry(0, 1, 0, 0) }]);
+    let mut d = Driver::new(set, vec![Entry { weight: 60.0, ..entry(0, 1, 0, 0) }]);
     assert_eq!(sends(&d.feed(&[taken(1, 0, 1, MS * 8000)])), [(1, 0)]);
     d.feed(&[ended(1, 0, Outcome::Delivered, 100)]);
-    d.pass(MS * 5);
+    d.advance(MS * 5);
     let mut actions = d.feed(&[taken(2, 0, 1, MS * 2000)]);
-    actions.extend(d.pass(MS * 1500));
+    actions.extend(d.advance(MS * 1500));
     assert_eq!(sends(&actions), [(2, 0)], "{actions:?}");
 }
 
@@ -161,7 +161,7 @@
 fn a_first_refusal_takes_no_more_from_a_courier_than_what_is_over_its_share() {
     // One call in five seconds is its even share; it had three tenths of that, and called once in 17 s.
     let set = Settings { couriers: 300, weights: WeightKind::Nominal, ..settings() };
-    let mut d = Drive::new(set, vec![Entry { weight: 60.0, ..entry(0, 1, 0, 0) }]);
+    let mut d = Driver::new(set, vec![Entry { weight: 60.0, ..entry(0, 1, 0, 0) }]);
     let mut out = sends(&d.feed(&[taken(1, 1, 1, MS * 20_000)]));
     out.extend(sends(&d.feed(&[ended(1, 0, Outcome::Delivered, 100)])));
     out.extend(sends(&d.feed(&[taken(2, 1, 1, MS * 20_000)])));
@@ -170,7 +170,7 @@
     let mut taken_there = 0;
     for second in 0..30 {
         let mut out = sends(&d.feed(&[taken(10 + second, 1, 1, MS * 20_000)]));
-        out.extend(sends(&d.pass(MS * 1000)));
+        out.extend(sends(&d.advance(MS * 1000)));
         taken_there += out.len();
         for (message, endpoint) in out {
             assert!(sends(&d.feed(&[ended(message, endpoint, Outcome::Delivered, 100)])).is_empty());
@@ -185,7 +185,7 @@
     let mut after = 0;
     for seed in 0..40 {
         let set = Settings { couriers: 40, weights: WeightKind::Nominal, ..settings() };
-        let mut d = Drive::seeded(set, vec![Entry { weight: 40.0, ..entry(0, 1, 0, 0) }], seed);
+        let mut d = Driver::seeded(set, vec![Entry { weight: 40.0, ..entry(0, 1, 0, 0) }], seed);
         let (start, mut next, mut out) = (d.now, 0, Vec::new());
         let mut back = None;
         while d.now < start + MS * 20_000 {
@@ -201,7 +201,7 @@
                 }
                 out.extend(sends(&d.feed(&[ended(message, endpoint, outcome, 5)])));
             }
-            out.extend(sends(&d.pass(MS * 5)));
+            out.extend(sends(&d.advance(MS * 5)));
         }
     }
     assert!(after >= 105, "{after} calls of forty couriers in the 4 s after each saw it back");
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal of real processes: synced, damaged, looked at and mended.
+//! The journal of real processes: synced, damaged, looked at and repaired.
 
 mod rig;
 use rig::*;
@@ -46,13 +46,13 @@
 }
 
 /// Five messages in the journal of a courier that was killed; nobody has called for them.
-fn five(options: &str) -> (Folder, Discovery) {
-    let nowhere = Endpoint::new(|_| Act::Hang);
-    let discovery = Discovery::new(list(1, true, vec![host("s-0", &nowhere, 7, "draining")]));
+fn journal_with_five_messages(options: &str) -> (Folder, Discovery) {
+    let unused = Endpoint::new(|_| Reply::Hang);
+    let discovery = Discovery::new(list(1, true, vec![host("s-0", &unused, 7, "draining")]));
     let folder = Folder::new();
     let courier = Courier::spawn(&mut with_options(&folder, &discovery, options));
     for n in 0..5 {
-        courier.take(&format!("m{n}"), ["notice", "status", "payment"][n % 3], 7, 25_000);
+        courier.submit_accepted(&format!("m{n}"), ["notice", "status", "payment"][n % 3], 7, 25_000);
     }
     let busy = run_courier(&["check"], &folder);
     assert_eq!(busy.status.code(), Some(3), "{}", printed(&busy));
@@ -62,34 +62,36 @@
 }
 
 fn deliver(folder: &Folder, discovery: &Discovery, options: &str) -> Vec<String> {
-    let endpoint = Endpoint::new(|_| Act::Answer(OK));
-    discovery.tell(list(2, false, vec![host("s-1", &endpoint, 7, "ready")]));
+    let endpoint = Endpoint::new(|_| Reply::Answer(OK));
+    discovery.push_line(list(2, false, vec![host("s-1", &endpoint, 7, "ready")]));
     let courier = Courier::spawn(&mut with_options(folder, discovery, options));
-    courier.take("last", "status", 7, 20_000);
-    until("the last of all", || endpoint.ids().len() + discovery.notices.lock().expect("notices").len() >= 6);
+    courier.submit_accepted("last", "status", 7, 20_000);
+    wait_until("the last of all", || {
+        endpoint.ids().len() + discovery.notices.lock().expect("notices").len() >= 6
+    });
     let mut ids = endpoint.ids();
     ids.sort();
     ids
 }
 
 #[test]
-fn a_synced_journal_outlives_sigkill_in_either_mode_of_the_next_life() {
+fn a_synced_journal_survives_sigkill_in_either_durability_mode() {
     const POWER: &str = "[store]\ndurability = \"power\"\n";
     for (before, after) in [(POWER, POWER), (POWER, ""), ("", POWER)] {
-        let (folder, discovery) = five(before);
+        let (folder, discovery) = journal_with_five_messages(before);
         assert_eq!(deliver(&folder, &discovery, after), ["last", "m0", "m1", "m2", "m3", "m4"]);
     }
 }
 
 #[test]
-fn a_journal_is_looked_at_without_a_change_and_mended_on_a_copy() {
-    let (folder, discovery) = five("");
-    let sound = run_courier(&["check"], &folder);
+fn a_journal_is_inspected_without_changes_and_repaired_on_a_copy() {
+    let (folder, discovery) = journal_with_five_messages("");
+    let intact = run_courier(&["check"], &folder);
     assert_eq!(
-        (sound.status.code(), printed(&sound).contains("5 messages live")),
+        (intact.status.code(), printed(&intact).contains("5 messages live")),
         (Some(0), true),
         "{}",
-        printed(&sound)
+        printed(&intact)
     );
     // The first message's payload: its id can still be read.
     let (path, at) = (segment(&folder), 128 + 32 + 60);
@@ -112,11 +114,11 @@
     let one = printed(&run_courier(&["show", "--id", "m2"], &folder));
     assert!(one.lines().count() == 1 && one.starts_with("m2: payment for 7, waits"), "{one}");
     assert_eq!(files(&folder.0), before, "nothing is changed by looking");
-    let mended = run_courier(&["repair"], &folder);
-    assert_eq!(mended.status.code(), Some(0), "{}", printed(&mended));
+    let repaired = run_courier(&["repair"], &folder);
+    assert_eq!(repaired.status.code(), Some(0), "{}", printed(&repaired));
     assert_eq!(fs::read(folder.0.join("state/journal.damaged-1").join(name)).expect("kept"), bytes);
-    let (again, sound) = (run_courier(&["check"], &folder), run_courier(&["repair"], &folder));
-    assert_eq!((again.status.code(), sound.status.code()), (Some(0), Some(0)));
+    let (again, intact) = (run_courier(&["check"], &folder), run_courier(&["repair"], &folder));
+    assert_eq!((again.status.code(), intact.status.code()), (Some(0), Some(0)));
     assert!(printed(&again).contains("5 messages live, 1 of them decided"), "{}", printed(&again));
     assert!(!folder.0.join("state/journal.damaged-2").exists(), "nothing to mend, nothing done");
     assert_eq!(deliver(&folder, &discovery, ""), ["last", "m1", "m2", "m3", "m4"]);
@@ -124,9 +126,9 @@
 }
 
 #[test]
-fn where_the_policy_refuses_damage_the_courier_starts_once_it_is_mended() {
+fn with_on_damage_refuse_the_courier_starts_once_repaired() {
     const REFUSE: &str = "[store]\non_damage = \"refuse\"\n";
-    let (folder, discovery) = five(REFUSE);
+    let (folder, discovery) = journal_with_five_messages(REFUSE);
     let path = segment(&folder);
     let mut bytes = fs::read(&path).expect("read");
     bytes[300] ^= 8;
@@ -140,7 +142,7 @@
 }
 
 #[test]
-fn what_cannot_be_done_is_told_and_the_exit_code_says_it() {
+fn failures_are_reported_with_a_message_and_an_exit_code() {
     let folder = Folder::new();
     let none = run_courier(&["check"], &folder);
     assert_eq!(none.status.code(), Some(3));
@@ -149,9 +151,9 @@
         Command::new(env!("CARGO_BIN_EXE_courier")).args(["journal", "mend"]).output().expect("it runs");
     assert_eq!(wrong.status.code(), Some(2));
     let discovery = Discovery::new(list(1, true, Vec::new()));
-    let slip =
+    let typo =
         with_options(&folder, &discovery, "[store]\ndurabilty = \"power\"\n").output().expect("it runs");
-    assert_eq!(slip.status.code(), Some(1));
-    let told = printed(&slip);
+    assert_eq!(typo.status.code(), Some(1));
+    let told = printed(&typo);
     assert!(told.contains("LB_OPTIONS") && told.contains("durabilty") && told.contains("line 2"), "{told}");
 }
--- a/tests/lab.rs
+++ b/tests/lab.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// A machine that is busy with something else says nothing of the courier: it is asked again.
-const TRIES: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 const LIMIT: Duration = Duration::from_secs(60);
 
 fn folder(name: &str) -> PathBuf {
@@ -23,19 +23,20 @@
     Options { seed, out: folder(name), courier: env!("CARGO_BIN_EXE_courier").into() }
 }
 
-fn play(name: &str, seed: u64) -> Finished {
+fn run_experiment(name: &str, seed: u64) -> Finished {
     // By seed: tests of one experiment run side by side.
     let out = format!("{name}-{seed}");
     let file = format!("{}/lab/experiments/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     let experiment = Experiment::read(Path::new(&file), &[]).expect("it is sound");
-    let mut played = (0..TRIES).map(|_| run::run(&experiment, &options(&out, seed)).expect("it runs"));
-    let valid = played.find(|f| f.outcome != Outcome::Invalid);
+    let mut runs_so_far =
+        (0..MAX_ATTEMPTS).map(|_| run::run(&experiment, &options(&out, seed)).expect("it runs"));
+    let valid = runs_so_far.find(|f| f.outcome != Outcome::Invalid);
     valid.expect("the lab was late each time")
 }
 
 #[test]
 fn a_small_fleet_holds_through_a_kill_and_a_drain() {
-    let finished = play("smoke", 1);
+    let finished = run_experiment("smoke", 1);
     assert_eq!(finished.outcome, Outcome::Holds, "{}", finished.summary.text());
     // It was no idle run: all was asked for, and the killed one came back.
     assert!(finished.summary.messages > 1000 && finished.summary.couriers[1].lives == 2);
@@ -44,14 +45,14 @@
 /// Plays until it is killed; for the test below.
 #[test]
 #[ignore = "is started by another test"]
-fn plays_on() {
-    play("smoke", 2);
+fn run_until_killed() {
+    run_experiment("smoke", 2);
 }
 
 #[test]
 fn couriers_end_with_a_lab_that_is_killed() {
     let mut lab = Command::new(std::env::current_exe().expect("this program"));
-    let lab = lab.args(["--exact", "plays_on", "--ignored"]);
+    let lab = lab.args(["--exact", "run_until_killed", "--ignored"]);
     let mut lab = lab.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it starts");
     let children = || -> Vec<u32> {
         let of = format!("/proc/{0}/task", lab.id());
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -14,7 +14,7 @@
 
 /// Two endpoints of destination 7.
 fn two() -> (Folder, [Endpoint; 2], Discovery) {
-    let ends = [Endpoint::new(|_| Act::Answer(OK)), Endpoint::new(|_| Act::Answer(OK))];
+    let ends = [Endpoint::new(|_| Reply::Answer(OK)), Endpoint::new(|_| Reply::Answer(OK))];
     let hosts = vec![host("s-1", &ends[0], 7, "ready"), host("s-2", &ends[1], 7, "ready")];
     (Folder::new(), ends, Discovery::new(list(1, true, hosts)))
 }
@@ -22,8 +22,8 @@
 /// Hands in messages until an endpoint has had one more call; what was handed in.
 fn until_called(courier: &Courier, endpoint: &Endpoint, prefix: &str) -> usize {
     let (before, mut n) = (endpoint.calls().len(), 0);
-    until("a call there", || {
-        courier.take(&format!("{prefix}{n}"), "status", 7, 20_000);
+    wait_until("a call there", || {
+        courier.submit_accepted(&format!("{prefix}{n}"), "status", 7, 20_000);
         n += 1;
         thread::sleep(20 * MS);
         endpoint.calls().len() > before
@@ -40,23 +40,23 @@
         assert_eq!(courier.operate("POST", "/control/endpoints/s-1/offline"), 200);
     }
     let before = a.calls().len();
-    discovery.tell(list(2, false, vec![host("s-1", &a, 7, "draining")]));
-    courier.says("s-1=Draining");
-    discovery.tell(list(3, true, vec![host("s-1", &a, 7, "ready"), host("s-2", &b, 7, "ready")]));
-    courier.says("list 3");
+    discovery.push_line(list(2, false, vec![host("s-1", &a, 7, "draining")]));
+    courier.wait_for_log("s-1=Draining");
+    discovery.push_line(list(3, true, vec![host("s-1", &a, 7, "ready"), host("s-2", &b, 7, "ready")]));
+    courier.wait_for_log("list 3");
     for n in 0..20 {
-        courier.take(&format!("m{n}"), "status", 7, 20_000);
+        courier.submit_accepted(&format!("m{n}"), "status", 7, 20_000);
     }
-    until("all at the other", || b.calls().len() >= 20);
+    wait_until("all at the other", || b.calls().len() >= 20);
     assert_eq!(a.calls().len(), before, "left out");
 
     // Neither SIGKILL nor a list that has it ready ends that.
     courier.kill();
     let courier = with_admin(&folder, &discovery);
     for n in 0..20 {
-        courier.take(&format!("k{n}"), "status", 7, 20_000);
+        courier.submit_accepted(&format!("k{n}"), "status", 7, 20_000);
     }
-    until("all at the other", || b.calls().len() >= 40);
+    wait_until("all at the other", || b.calls().len() >= 40);
     assert_eq!(a.calls().len(), before, "left out over a restart");
 
     assert_eq!(courier.operate("POST", "/control/endpoints/s-1/online"), 200);
@@ -79,16 +79,16 @@
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
     let folder = Folder::new();
     let courier = with_admin(&folder, &discovery);
-    courier.take("m", "status", 7, 4_000);
-    courier.says("m attempt 0: to s-1");
+    courier.submit_accepted("m", "status", 7, 4_000);
+    courier.wait_for_log("m attempt 0: to s-1");
     assert_eq!(courier.operate("POST", "/control/endpoints/s-1/offline"), 200);
-    endpoint.serve(listener, |_, _| Act::Answer(OK));
-    until("its end", || discovery.results("m") == ["bounced"]);
+    endpoint.serve(listener, |_, _| Reply::Answer(OK));
+    wait_until("its end", || discovery.results("m") == ["bounced"]);
     assert!(endpoint.calls().is_empty(), "{:?}", endpoint.calls());
 }
 
 #[test]
-fn what_is_unknown_or_malformed_gets_a_no() {
+fn unknown_or_malformed_operator_calls_are_refused() {
     let (folder, _ends, discovery) = two();
     let courier = with_admin(&folder, &discovery);
     for (method, path, status) in [
@@ -112,11 +112,11 @@
     drop(half);
     assert_eq!(courier.get("/-/ready").map(|page| page.status()), Some(200));
     let page = raw(admin, b"GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n").expect("an answer");
-    assert_eq!(page.head("connection"), Some("close"), "one call to a connection");
+    assert_eq!(page.header("connection"), Some("close"), "one call to a connection");
 }
 
 #[test]
-fn callers_that_hold_a_connection_keep_nobody_out() {
+fn operator_connections_held_open_do_not_block_others() {
     let (folder, _ends, discovery) = two();
     let courier = with_admin(&folder, &discovery);
     let admin = courier.admin.expect("an address");
@@ -139,12 +139,12 @@
     let (folder, [a, b], discovery) = two();
     let courier = with_admin(&folder, &discovery);
     let connect = |courier: &Courier| TcpStream::connect(courier.address).expect("connects");
-    let hand_in = |stream: &mut TcpStream, id: &str| {
+    let submit = |stream: &mut TcpStream, id: &str| {
         stream.write_all(message(id, "status", 7, 20_000).as_bytes()).expect("written");
-        Page::read(&mut BufReader::new(stream.try_clone().expect("a handle"))).expect("an answer")
+        HttpMessage::read(&mut BufReader::new(stream.try_clone().expect("a handle"))).expect("an answer")
     };
     let mut idle = connect(&courier);
-    assert_eq!(hand_in(&mut idle, "m1").status(), 202);
+    assert_eq!(submit(&mut idle, "m1").status(), 202);
     // One has half a message in when the call comes.
     let (mut busy, text) = (connect(&courier), message("m2", "status", 7, 20_000));
     busy.write_all(&text.as_bytes()[..text.len() - 2]).expect("written");
@@ -154,9 +154,10 @@
     idle.set_read_timeout(Some(LIMIT)).expect("a limit");
     assert_eq!(idle.read(&mut [0]).expect("an end"), 0, "an idle connection is let go");
     busy.write_all(&text.as_bytes()[text.len() - 2..]).expect("written");
-    let page = Page::read(&mut BufReader::new(busy.try_clone().expect("a handle"))).expect("an answer");
-    assert_eq!((page.status(), page.head("connection")), (202, Some("close")));
-    until("both", || a.calls().len() + b.calls().len() == 2);
+    let page =
+        HttpMessage::read(&mut BufReader::new(busy.try_clone().expect("a handle"))).expect("an answer");
+    assert_eq!((page.status(), page.header("connection")), (202, Some("close")));
+    wait_until("both", || a.calls().len() + b.calls().len() == 2);
     assert_eq!(courier.operate("GET", "/control/ready"), 200, "the process serves all the same");
     // It stays so over a restart, until the call back.
     courier.kill();
@@ -167,8 +168,8 @@
     assert_eq!(courier.operate("POST", "/control/in-service"), 200);
     assert_eq!(courier.get("/-/ready").map(|page| page.status()), Some(200));
     let mut again = connect(&courier);
-    assert_eq!(hand_in(&mut again, "m3").status(), 202);
-    assert_eq!(hand_in(&mut again, "m4").status(), 202, "connections are kept again");
+    assert_eq!(submit(&mut again, "m3").status(), 202);
+    assert_eq!(submit(&mut again, "m4").status(), 202, "connections are kept again");
 }
 
 #[test]
@@ -205,12 +206,12 @@
     let (admin, clients): (SocketAddr, SocketAddr) = (address("called at "), address("serves "));
     // From here on nobody reads its log: once the pipe is full, the loop stops in the middle of a line.
     let mut n = 0;
-    until("it stands still", || {
+    wait_until("it stands still", || {
         n += 1;
         let mut stream = TcpStream::connect(clients).expect("connects");
         stream.set_read_timeout(Some(1000 * MS)).expect("a limit");
         stream.write_all(message(&format!("m{n}"), "status", 7, 20_000).as_bytes()).expect("written");
-        Page::read(&mut BufReader::new(stream)).is_none()
+        HttpMessage::read(&mut BufReader::new(stream)).is_none()
     });
     for n in 0..100 {
         let path = format!("/control/endpoints/s-1/{}", if n % 2 == 0 { "offline" } else { "online" });
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -19,15 +19,15 @@
 
 /// Hands in a message at each of these times, in ms, and answers each call after 80 ms. Returns what each
 /// message earned of its worth.
-fn earned(set: &Settings, limit: f64, arrivals: &[(u32, usize)]) -> Vec<f64> {
-    let mut d = Drive::new(set.clone(), vec![Entry { weight: limit, ..entry(0, 1, 0, 0) }]);
+fn value_fractions(set: &Settings, limit: f64, arrivals: &[(u32, usize)]) -> Vec<f64> {
+    let mut d = Driver::new(set.clone(), vec![Entry { weight: limit, ..entry(0, 1, 0, 0) }]);
     let (start, mut earned) = (d.now, vec![0.0; arrivals.len()]);
     let (mut next, mut answers) = (0, Vec::<(Duration, u64, u32)>::new());
     let end = start + MS * arrivals.last().map_or(0, |a| a.0) + MS * 13_000;
     while d.now < end {
-        let mut actions = d.pass(MS * 5);
+        let mut actions = d.advance(MS * 5);
         let now = d.now;
-        let mut news: Vec<_> = answers
+        let mut events: Vec<_> = answers
             .extract_if(.., |a| a.0 <= now)
             .map(|(_, message, endpoint)| {
                 let (at, class) = arrivals[message as usize];
@@ -40,11 +40,11 @@
             .collect();
         while arrivals.get(next).is_some_and(|a| start + MS * a.0 <= now) {
             let class = arrivals[next].1;
-            news.push(taken(next as u64, class, 1, set.classes[class].deadline));
+            events.push(taken(next as u64, class, 1, set.classes[class].deadline));
             next += 1;
         }
-        if !news.is_empty() {
-            actions.extend(d.feed(&news));
+        if !events.is_empty() {
+            actions.extend(d.feed(&events));
         }
         answers.extend(sends(&actions).into_iter().map(|(m, e)| (now + MS * 80, m, e)));
     }
@@ -60,7 +60,7 @@
 fn a_long_overload_leaves_no_backlog_that_makes_all_that_follows_late() {
     // The limit is 1.7 calls a second; 2.5 messages come, every third a notice.
     let arrivals: Vec<_> = (0..90u32).map(|n| (n * 400, usize::from(n % 3 > 0))).collect();
-    let earned = earned(&notices_and_orders(), 1.7, &arrivals);
+    let earned = value_fractions(&notices_and_orders(), 1.7, &arrivals);
     let (notices, orders) = (share(&earned, &arrivals, 0), share(&earned, &arrivals, 1));
     assert!(notices > 0.8, "notices earn {notices}, orders {orders}");
     assert!(orders > 0.78, "notices earn {notices}, orders {orders}");
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -19,7 +19,7 @@
 pub const MS: Duration = Duration::from_millis(1);
 
 /// Waits until something holds; a fault if it never does.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + LIMIT;
     while !holds() {
         assert!(Instant::now() < end, "never came: {what}");
@@ -29,23 +29,23 @@
 
 /// A request or an answer, as it stood on the wire.
 #[derive(Clone, Debug, Default)]
-pub struct Page {
+pub struct HttpMessage {
     pub first: String,
-    pub heads: Vec<(String, String)>,
+    pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
-impl Page {
-    pub fn head(&self, name: &str) -> Option<&str> {
-        self.heads.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+impl HttpMessage {
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
     pub fn status(&self) -> u16 {
         self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
-    pub fn read(from: &mut impl BufRead) -> Option<Page> {
-        let mut page = Page::default();
+    pub fn read(from: &mut impl BufRead) -> Option<HttpMessage> {
+        let mut page = HttpMessage::default();
         let mut line = String::new();
         from.read_line(&mut line).ok().filter(|n| *n > 0)?;
         page.first = line.trim_end().to_owned();
@@ -53,9 +53,9 @@
             line.clear();
             from.read_line(&mut line).ok().filter(|n| *n > 0)?;
             let Some((name, value)) = line.trim_end().split_once(':') else { break };
-            page.heads.push((name.to_owned(), value.trim().to_owned()));
+            page.headers.push((name.to_owned(), value.trim().to_owned()));
         }
-        let length = page.head("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
+        let length = page.header("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
         page.body = vec![0; length];
         from.read_exact(&mut page.body).ok()?;
         Some(page)
@@ -63,44 +63,44 @@
 }
 
 /// What a fake endpoint does with a call.
-pub enum Act {
+pub enum Reply {
     Answer(&'static str),
     AnswerAndClose(&'static str),
     /// Answers once the time has passed.
     Late(Duration, &'static str),
     Hang,
-    Break,
+    Disconnect,
 }
 
 pub const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedCall {
     pub id: String,
-    pub page: Page,
+    pub page: HttpMessage,
     pub at: Instant,
     pub connection: usize,
 }
 
 pub struct Endpoint {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Seen>>>,
+    pub seen: Arc<Mutex<Vec<ReceivedCall>>>,
     /// Connections accepted.
     pub connections: Arc<AtomicUsize>,
 }
 
 impl Endpoint {
     /// `act` is asked with the number of the call, from 0.
-    pub fn new(act: impl Fn(usize) -> Act + Send + Sync + 'static) -> Self {
+    pub fn new(act: impl Fn(usize) -> Reply + Send + Sync + 'static) -> Self {
         Self::with(move |call, _| act(call))
     }
 
     /// `act` is asked with the number of the connection.
-    pub fn by_connection(act: impl Fn(usize) -> Act + Send + Sync + 'static) -> Self {
+    pub fn by_connection(act: impl Fn(usize) -> Reply + Send + Sync + 'static) -> Self {
         Self::with(move |_, connection| act(connection))
     }
 
-    fn with(act: impl Fn(usize, usize) -> Act + Send + Sync + 'static) -> Self {
+    fn with(act: impl Fn(usize, usize) -> Reply + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let endpoint = Endpoint::at(&listener);
         endpoint.serve(listener, act);
@@ -113,7 +113,7 @@
         Endpoint { address, seen: Arc::default(), connections: Arc::default() }
     }
 
-    pub fn serve(&self, listener: TcpListener, act: impl Fn(usize, usize) -> Act + Send + Sync + 'static) {
+    pub fn serve(&self, listener: TcpListener, act: impl Fn(usize, usize) -> Reply + Send + Sync + 'static) {
         let (act, all, connections) = (Arc::new(act), self.seen.clone(), self.connections.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -124,7 +124,7 @@
         });
     }
 
-    pub fn calls(&self) -> Vec<Seen> {
+    pub fn calls(&self) -> Vec<ReceivedCall> {
         self.seen.lock().expect("calls").clone()
     }
 
@@ -133,31 +133,36 @@
     }
 }
 
-fn serve(stream: TcpStream, connection: usize, act: &dyn Fn(usize, usize) -> Act, all: &Mutex<Vec<Seen>>) {
+fn serve(
+    stream: TcpStream,
+    connection: usize,
+    act: &dyn Fn(usize, usize) -> Reply,
+    all: &Mutex<Vec<ReceivedCall>>,
+) {
     let mut out = stream.try_clone().expect("a handle");
     let mut from = BufReader::new(stream);
-    while let Some(page) = Page::read(&mut from) {
-        let id = page.head("x-request-id").unwrap_or_default().to_owned();
+    while let Some(page) = HttpMessage::read(&mut from) {
+        let id = page.header("x-request-id").unwrap_or_default().to_owned();
         let n = {
             let mut all = all.lock().expect("calls");
-            all.push(Seen { id, page, at: Instant::now(), connection });
+            all.push(ReceivedCall { id, page, at: Instant::now(), connection });
             all.len() - 1
         };
         let sent = match act(n, connection) {
-            Act::Answer(text) => out.write_all(text.as_bytes()),
-            Act::AnswerAndClose(text) => {
+            Reply::Answer(text) => out.write_all(text.as_bytes()),
+            Reply::AnswerAndClose(text) => {
                 let _ = out.write_all(text.as_bytes());
                 return;
             }
-            Act::Late(time, text) => {
+            Reply::Late(time, text) => {
                 thread::sleep(time);
                 out.write_all(text.as_bytes())
             }
-            Act::Hang => {
+            Reply::Hang => {
                 let _ = from.read(&mut [0]);
                 return;
             }
-            Act::Break => return,
+            Reply::Disconnect => return,
         };
         if sent.is_err() {
             return;
@@ -181,12 +186,12 @@
     pub refuse_posts: Arc<AtomicUsize>,
     pub posts: Arc<AtomicUsize>,
     /// Posts with more than one notice are answered 400.
-    pub picky: Arc<AtomicBool>,
+    pub reject_batches: Arc<AtomicBool>,
     /// Watches with a lower number fall silent after their first line, and stay open.
-    pub mute: Arc<AtomicUsize>,
+    pub silent_watches: Arc<AtomicUsize>,
     /// Watches with a lower number get half of what follows their first line; then they end, or fall silent.
-    pub torn: Arc<AtomicUsize>,
-    pub torn_silent: Arc<AtomicBool>,
+    pub partial_watches: Arc<AtomicUsize>,
+    pub partial_then_silent: Arc<AtomicBool>,
     /// Lists come indented, over several lines.
     pub indented: Arc<AtomicBool>,
 }
@@ -203,10 +208,10 @@
             cut: Arc::default(),
             refuse_posts: Arc::default(),
             posts: Arc::default(),
-            picky: Arc::default(),
-            mute: Arc::default(),
-            torn: Arc::default(),
-            torn_silent: Arc::default(),
+            reject_batches: Arc::default(),
+            silent_watches: Arc::default(),
+            partial_watches: Arc::default(),
+            partial_then_silent: Arc::default(),
             indented: Arc::default(),
         };
         let own = this.clone();
@@ -222,7 +227,7 @@
     fn serve(&self, stream: TcpStream) {
         let mut out = stream.try_clone().expect("a handle");
         let mut from = BufReader::new(stream);
-        while let Some(page) = Page::read(&mut from) {
+        while let Some(page) = HttpMessage::read(&mut from) {
             if page.first.starts_with("GET /api/targets?stream=1") {
                 self.asked.lock().expect("asked").push(page.first.clone());
                 return self.watch(&mut out);
@@ -232,7 +237,10 @@
                 .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1))
                 .is_err();
             self.posts.fetch_add(1, Ordering::SeqCst);
-            if none && self.picky.load(Ordering::SeqCst) && page.body.split(|b| *b == b'\n').count() > 2 {
+            if none
+                && self.reject_batches.load(Ordering::SeqCst)
+                && page.body.split(|b| *b == b'\n').count() > 2
+            {
                 let _ = write!(out, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
                 continue;
             }
@@ -255,15 +263,15 @@
             let indented = self.indented.load(Ordering::SeqCst);
             let form = |l: &Value| if indented { format!("{l:#}\n") } else { format!("{l}\n") };
             let mut text: String = lines[sent.min(lines.len())..].iter().map(form).collect();
-            if sent > 0 && number < self.torn.load(Ordering::SeqCst) && !text.is_empty() {
+            if sent > 0 && number < self.partial_watches.load(Ordering::SeqCst) && !text.is_empty() {
                 let half = &text[..text.len() / 2];
                 let _ = write!(out, "{:x}\r\n{half}\r\n", half.len());
-                if self.torn_silent.load(Ordering::SeqCst) {
+                if self.partial_then_silent.load(Ordering::SeqCst) {
                     thread::sleep(LIMIT);
                 }
                 return;
             }
-            let silent = sent > 0 && number < self.mute.load(Ordering::SeqCst);
+            let silent = sent > 0 && number < self.silent_watches.load(Ordering::SeqCst);
             if silent {
                 thread::sleep(5 * MS);
                 continue;
@@ -282,7 +290,7 @@
         }
     }
 
-    pub fn tell(&self, line: Value) {
+    pub fn push_line(&self, line: Value) {
         self.lines.lock().expect("lines").push(line);
     }
 
@@ -294,7 +302,7 @@
 }
 
 /// One endpoint of destination 7, and discovery that lists it.
-pub fn one(act: impl Fn(usize) -> Act + Send + Sync + 'static) -> (Folder, Endpoint, Discovery) {
+pub fn one_endpoint(act: impl Fn(usize) -> Reply + Send + Sync + 'static) -> (Folder, Endpoint, Discovery) {
     let endpoint = Endpoint::new(act);
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
     (Folder::new(), endpoint, discovery)
@@ -422,7 +430,7 @@
     /// Starts one and waits until it is ready.
     pub fn spawn(command: &mut Command) -> Self {
         let courier = Self::launch(command);
-        until("ready", || courier.get("/-/ready").is_some_and(|page| page.status() == 200));
+        wait_until("ready", || courier.get("/-/ready").is_some_and(|page| page.status() == 200));
         courier
     }
 
@@ -456,22 +464,22 @@
     }
 
     /// Has it stand still, as on a machine that does something else: whatever comes now comes at one moment to it.
-    pub fn stop(&self) {
+    pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        until("it stands still", || {
+        wait_until("it stands still", || {
             let stat = fs::read_to_string(&stat).expect("its state");
             stat.rsplit_once(')').is_some_and(|(_, rest)| rest.trim_start().starts_with('T'))
         });
     }
 
     /// Lets it go on.
-    pub fn go(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
     /// Waits for a line of its log.
-    pub fn says(&self, words: &str) {
+    pub fn wait_for_log(&self, words: &str) {
         let end = Instant::now() + LIMIT;
         while let Ok(line) = self.log.recv_timeout(end.saturating_duration_since(Instant::now())) {
             if line.contains(words) {
@@ -495,14 +503,14 @@
 
     pub fn exit(&mut self) -> i32 {
         let mut code = None;
-        until("the end of the process", || {
+        wait_until("the end of the process", || {
             code = self.child.try_wait().expect("a status");
             code.is_some()
         });
         code.and_then(|c| c.code()).unwrap_or(-1)
     }
 
-    pub fn get(&self, path: &str) -> Option<Page> {
+    pub fn get(&self, path: &str) -> Option<HttpMessage> {
         raw(self.address, format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes())
     }
 
@@ -513,12 +521,12 @@
     }
 
     /// Hands in a message; the answer.
-    pub fn hand_in(&self, id: &str, class: &str, dest: u64, time_ms: u64) -> Page {
+    pub fn submit(&self, id: &str, class: &str, dest: u64, time_ms: u64) -> HttpMessage {
         raw(self.address, message(id, class, dest, time_ms).as_bytes()).expect("an answer")
     }
 
-    pub fn take(&self, id: &str, class: &str, dest: u64, time_ms: u64) {
-        assert_eq!(self.hand_in(id, class, dest, time_ms).status(), 202, "{id}");
+    pub fn submit_accepted(&self, id: &str, class: &str, dest: u64, time_ms: u64) {
+        assert_eq!(self.submit(id, class, dest, time_ms).status(), 202, "{id}");
     }
 }
 
@@ -538,9 +546,9 @@
 }
 
 /// Sends bytes on a connection of their own; the answer, if one comes.
-pub fn raw(to: SocketAddr, bytes: &[u8]) -> Option<Page> {
+pub fn raw(to: SocketAddr, bytes: &[u8]) -> Option<HttpMessage> {
     let mut stream = TcpStream::connect(to).ok()?;
     stream.set_read_timeout(Some(LIMIT)).ok()?;
     stream.write_all(bytes).ok()?;
-    Page::read(&mut BufReader::new(stream))
+    HttpMessage::read(&mut BufReader::new(stream))
 }
--- a/tests/state_form.rs
+++ b/tests/state_form.rs
@@ -27,13 +27,13 @@
 type Ends = BTreeMap<Duration, (u64, u32)>;
 
 /// Takes messages at a rate past what the slots allow, and ends each call after its time.
-fn play(drive: &mut Drive, ends: &mut Ends, from: u64, to: u64) -> Vec<Action> {
+fn play(drive: &mut Driver, ends: &mut Ends, from: u64, to: u64) -> Vec<Action> {
     let mut all = Vec::new();
     for message in from..to {
         let (class, destination) = ((message % 3) as usize, 7 + message % 2);
         let mut actions =
             drive.feed(&[taken(message, class, destination, MS * (600 + 40 * (message % 50) as u32))]);
-        actions.extend(drive.pass(MS * 15));
+        actions.extend(drive.advance(MS * 15));
         let due: Vec<_> = ends.range(..=drive.now).map(|(at, ended)| (*at, *ended)).collect();
         for (at, (message, endpoint)) in due {
             ends.remove(&at);
@@ -53,9 +53,9 @@
 }
 
 /// What the fixture was packed from: two destinations, one with separate routes, amid a rush.
-fn rush() -> (Drive, Ends) {
+fn rush() -> (Driver, Ends) {
     let entries = vec![entry(0, 7, 0, 0), entry(1, 7, 1, 0), entry(2, 8, 0, 1), entry(3, 8, 1, 1)];
-    let mut drive = Drive::new(settings(), entries);
+    let mut drive = Driver::new(settings(), entries);
     let mut ends = Ends::new();
     play(&mut drive, &mut ends, 0, 120);
     (drive, ends)
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -10,7 +10,7 @@
 const DESTINATIONS: u64 = 5;
 const EACH: u32 = 2;
 
-fn world(zones: usize) -> Drive {
+fn world(zones: usize) -> Driver {
     let set = Settings { slots: 60, zone_costs: vec![0.0; zones], couriers: 1, ..settings() };
     let mut entries = Vec::new();
     for z in 0..zones {
@@ -19,11 +19,11 @@
             entries.extend((0..EACH).map(|n| entry(id(n), d, z, 0)));
         }
     }
-    Drive::new(set, entries)
+    Driver::new(set, entries)
 }
 
 /// Traffic for all destinations for so long; `how` tells how each call ends, by endpoint, and after how many ms.
-fn traffic(drive: &mut Drive, next: &mut u64, span: Duration, how: impl Fn(u32) -> (Outcome, u32)) {
+fn traffic(drive: &mut Driver, next: &mut u64, span: Duration, how: impl Fn(u32) -> (Outcome, u32)) {
     let (end, mut coming) = (drive.now + span, Vec::<(Duration, Event)>::new());
     let from = drive.log.len();
     let mut seen = from;
@@ -33,7 +33,7 @@
         let now = drive.now;
         events.extend(coming.extract_if(.., |(at, _)| *at <= now).map(|(_, event)| event));
         drive.feed(&events);
-        drive.pass(MS * 10);
+        drive.advance(MS * 10);
         let sent: Vec<_> = drive.log[seen..].iter().map(|(at, action)| (*at, action.clone())).collect();
         seen = drive.log.len();
         for (at, action) in sent {
@@ -52,7 +52,7 @@
     (Outcome::Delivered, 30)
 }
 
-fn notes(drive: &Drive, zone: usize) -> Vec<String> {
+fn notes(drive: &Driver, zone: usize) -> Vec<String> {
     let prefix = format!("zone {zone}: ");
     let note = |(_, action): &(Duration, Action)| match action {
         Action::Note { text } => text.strip_prefix(&prefix).map(str::to_owned),
@@ -62,7 +62,7 @@
 }
 
 /// Where each note says the zone went.
-fn path(drive: &Drive, zone: usize) -> Vec<String> {
+fn path(drive: &Driver, zone: usize) -> Vec<String> {
     let to = |text: String| text.split(" to ").nth(1).and_then(|t| t.split(' ').next().map(str::to_owned));
     notes(drive, zone).into_iter().filter_map(to).collect()
 }
