--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Settings and a driver shared by the tests. The driver answers nothing by itself: each test says
-//! what happens, and reads what the module asks for.
+//! Settings and a driver shared by the tests. The driver generates no events by itself: each test supplies
+//! them and reads the actions that the scheduler returns.
 #![allow(dead_code)]
 
 use lanegate_courier::interface::*;
@@ -21,7 +21,7 @@
     }
 }
 
-/// Class 0 repeatable, 1 keyed within its zone, 2 once only.
+/// Class 0 is repeatable, class 1 keyed within its zone, class 2 must run at most once.
 pub fn settings() -> Settings {
     let keyed = Effect::Keyed { scope: KeyScope::Zone, window: MS * 5000 };
     Settings {
@@ -95,7 +95,7 @@
     })
 }
 
-/// A module and its clock; remembers every action with its time.
+/// A scheduler and its clock; records every action with its time.
 pub struct Driver {
     pub scheduler: Scheduler,
     pub now: Duration,
@@ -115,7 +115,7 @@
         drive
     }
 
-    /// Hands in events now; returns the actions they led to.
+    /// Passes events to the scheduler at the current time; returns the resulting actions.
     pub fn feed(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.scheduler.handle(self.now, events, &mut actions);
@@ -128,7 +128,7 @@
         actions
     }
 
-    /// Lets time pass in ticks, waking the module as it asked; returns what it did.
+    /// Advances the clock in ticks, delivering the requested wake-ups; returns the resulting actions.
     pub fn advance(&mut self, span: Duration) -> Vec<Action> {
         let (end, mut all) = (self.now + span, Vec::new());
         while self.now < end {
--- a/tests/courier.rs
+++ b/tests/courier.rs
@@ -1,4 +1,4 @@
-//! The courier as a process, against fakes on loopback sockets.
+//! Runs the courier process against fakes on loopback sockets.
 
 mod rig;
 use rig::*;
@@ -35,7 +35,7 @@
 fn accepted_messages_survive_sigkill_and_are_delivered_once() {
     let (folder, endpoint, discovery) = one_endpoint(|_| Reply::Answer(OK));
     let unused = Endpoint::new(|_| Reply::Hang);
-    // Listed but draining: the messages are taken and held.
+    // Listed but draining: the messages are accepted and held.
     discovery.lines.lock().expect("lines")[0] = list(1, true, vec![host("s-0", &unused, 7, "draining")]);
     let courier = Courier::start(&folder, &discovery);
     for n in 0..5 {
@@ -45,10 +45,10 @@
     discovery.push_line(list(2, false, vec![host("s-1", &endpoint, 7, "ready")]));
     let courier = Courier::start(&folder, &discovery);
     wait_until("all five", || endpoint.calls().len() == 5);
-    // Its answers are read and on record, too.
+    // Time for the responses to be read and recorded.
     thread::sleep(1000 * MS);
     courier.kill();
-    // Delivered is over: a further life sends nothing again.
+    // Delivered messages are final: a restarted courier does not resend them.
     let courier = Courier::start(&folder, &discovery);
     courier.submit_accepted("last", "status", 7, 20_000);
     wait_until("the last", || endpoint.ids().contains(&"last".to_owned()));
@@ -167,7 +167,7 @@
         courier.submit_accepted(&format!("pay{n}"), "payment", 7, 20_000);
         wait_until("the call", || endpoint.calls().len() == n + 1);
     }
-    // On a stale connection an unsafe message would have ended as one that may have run.
+    // On a stale connection an unsafe message would have ended dead, as it may have run.
     courier.submit_accepted("end", "status", 7, 20_000);
     wait_until("the end", || endpoint.calls().len() == 7);
     assert!(discovery.notices.lock().expect("notices").is_empty());
@@ -212,7 +212,7 @@
     assert!(discovery.results("pay").is_empty());
 }
 
-/// An address where nobody listens.
+/// An address that nothing listens on.
 fn unused_address() -> std::net::SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address")
 }
@@ -294,7 +294,7 @@
 fn a_request_whose_client_disconnected_before_the_response_is_not_sent() {
     let (folder, endpoint, discovery) = one_endpoint(|_| Reply::Answer(OK));
     let courier = Courier::start(&folder, &discovery);
-    // The courier stands still while a request comes and its client gives up, as on a busy machine.
+    // The courier is suspended while a request arrives and its client disconnects, as on a busy machine.
     courier.signal("-STOP");
     let mut client = TcpStream::connect(courier.address).expect("a connection");
     client.write_all(message("gone", "payment", 7, 20_000).as_bytes()).expect("sent");
@@ -444,7 +444,7 @@
     wait_until("tries", || discovery.posts.load(Ordering::SeqCst) >= 8);
     thread::sleep(3500 * MS);
     courier.kill();
-    // All have their end by now, and the next life starts with them in one batch.
+    // All messages have ended by now, and the restarted courier sends their notices in one batch.
     discovery.reject_batches.store(true, Ordering::SeqCst);
     discovery.refuse_posts.store(0, Ordering::SeqCst);
     let _courier = Courier::start(&folder, &discovery);
@@ -471,7 +471,7 @@
     wait_until("the call", || endpoint.calls().len() == 1);
     courier.submit_accepted("next", "status", 7, 20_000);
     wait_until("the next call", || endpoint.calls().len() == 2);
-    // Its answer is read and on record, too.
+    // Time for the response to be read and recorded.
     thread::sleep(1000 * MS);
     courier.kill();
     let courier = Courier::start(&folder, &discovery);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Hundreds of modules, each on its own, against one destination that was away and returns cold.
+//! Hundreds of independent schedulers against one destination that was down and returns cold.
 
 mod common;
 use common::*;
@@ -53,7 +53,8 @@
 
 #[test]
 fn a_fleet_does_not_overload_a_destination_that_returns_cold() {
-    // Each courier within "its share" would send one call at once: a hundred calls where six are taken.
+    // If each courier sent the one call that its share allows, a hundred calls would arrive at once where six are
+    // accepted.
     let calls = calls_after_return(MS * 10_000);
     // Capacity is over the listed 12 a second; cold it is 0.2 of that and grows evenly in 10 s.
     for (first, window) in calls.windows(6).enumerate() {
@@ -122,7 +123,8 @@
 
 #[test]
 fn a_fleet_that_is_asked_for_more_than_a_limit_keeps_to_it_together() {
-    // Paces that had grown while there was room all met the limit at once; each refusal told one of them.
+    // All couriers had raised their pace while there was room and hit the limit at the same time, and each refusal
+    // slowed only one of them.
     for (couriers, least, most) in [(2, 75, 25), (100, 80, 15)] {
         let seconds = calls_under_a_limit(couriers, 100.0, 140.0, 25);
         let (taken, refused) =
@@ -146,7 +148,7 @@
 
 #[test]
 fn a_message_that_meets_its_end_at_a_slow_pace_is_kept() {
-    // A call each 1.4 s: the second one may leave after these and takes 0.1 s, well within its 2 s.
+    // The pace is one call per 1.4 s: the second call may start after that and takes 0.1 s, within its 2 s.
     let set = Settings { couriers: 100, weights: WeightKind::Nominal, ..settings() };
     let mut d = Driver::new(set, vec![Entry { weight: 60.0, ..entry(0, 1, 0, 0) }]);
     assert_eq!(sends(&d.feed(&[taken(1, 0, 1, MS * 8000)])), [(1, 0)]);
@@ -159,7 +161,7 @@
 
 #[test]
 fn a_first_refusal_takes_no_more_from_a_courier_than_what_is_over_its_share() {
-    // One call in five seconds is its even share; it had three tenths of that, and called once in 17 s.
+    // The even share is one call in 5 s; the courier had been cut to three tenths of that, one call in 17 s.
     let set = Settings { couriers: 300, weights: WeightKind::Nominal, ..settings() };
     let mut d = Driver::new(set, vec![Entry { weight: 60.0, ..entry(0, 1, 0, 0) }]);
     let mut out = sends(&d.feed(&[taken(1, 1, 1, MS * 20_000)]));
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,11 +1,11 @@
-//! More than a destination takes, for long: which messages are worth its calls.
+//! Sustained overload of a destination: which messages get its limited calls.
 
 mod common;
 use common::*;
 use lanegate_courier::interface::*;
 use std::time::Duration;
 
-/// Notices lose all their worth soon after their aim, orders little by little.
+/// Notices lose all their value soon after their latency target, orders lose it gradually.
 fn notices_and_orders() -> Settings {
     let mut set = Settings { weights: WeightKind::Nominal, value_decay: ValueDecay::Linear, ..settings() };
     let keyed = Effect::Keyed { scope: KeyScope::All, window: MS * 5000 };
@@ -17,8 +17,8 @@
     set
 }
 
-/// Hands in a message at each of these times, in ms, and answers each call after 80 ms. Returns what each
-/// message earned of its worth.
+/// Submits a message at each of these times, in ms, and answers each call after 80 ms. Returns the fraction of
+/// its value that each message earned.
 fn value_fractions(set: &Settings, limit: f64, arrivals: &[(u32, usize)]) -> Vec<f64> {
     let mut d = Driver::new(set.clone(), vec![Entry { weight: limit, ..entry(0, 1, 0, 0) }]);
     let (start, mut earned) = (d.now, vec![0.0; arrivals.len()]);
@@ -58,7 +58,7 @@
 
 #[test]
 fn a_long_overload_leaves_no_backlog_that_makes_all_that_follows_late() {
-    // The limit is 1.7 calls a second; 2.5 messages come, every third a notice.
+    // The limit is 1.7 calls a second; 2.5 messages a second arrive, every third a notice.
     let arrivals: Vec<_> = (0..90u32).map(|n| (n * 400, usize::from(n % 3 > 0))).collect();
     let earned = value_fractions(&notices_and_orders(), 1.7, &arrivals);
     let (notices, orders) = (share(&earned, &arrivals, 0), share(&earned, &arrivals, 1));
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -1,5 +1,5 @@
-//! The courier's binary among small fakes on loopback sockets: a client, endpoints, discovery and the
-//! platform, each on port 0. Tests wait for conditions, with a limit that only a fault reaches.
+//! Runs the courier's binary against fakes on loopback sockets: a client, endpoints, discovery and the
+//! platform, each on port 0. Tests wait for conditions, with a time limit that is reached only on failure.
 #![allow(dead_code)]
 
 use serde_json::{Value, json};
@@ -18,16 +18,16 @@
 pub const LIMIT: Duration = Duration::from_secs(60);
 pub const MS: Duration = Duration::from_millis(1);
 
-/// Waits until something holds; a fault if it never does.
+/// Waits until a condition holds; panics after `LIMIT`.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + LIMIT;
     while !holds() {
-        assert!(Instant::now() < end, "never came: {what}");
+        assert!(Instant::now() < end, "condition not met within {LIMIT:?}: {what}");
         thread::sleep(5 * MS);
     }
 }
 
-/// A request or an answer, as it stood on the wire.
+/// A request or response as read from the wire.
 #[derive(Clone, Debug, Default)]
 pub struct HttpMessage {
     pub first: String,
@@ -66,7 +66,7 @@
 pub enum Reply {
     Answer(&'static str),
     AnswerAndClose(&'static str),
-    /// Answers once the time has passed.
+    /// Answers after the given delay.
     Late(Duration, &'static str),
     Hang,
     Disconnect,
@@ -90,12 +90,12 @@
 }
 
 impl Endpoint {
-    /// `act` is asked with the number of the call, from 0.
+    /// `act` is called with the number of the call, from 0.
     pub fn new(act: impl Fn(usize) -> Reply + Send + Sync + 'static) -> Self {
         Self::with(move |call, _| act(call))
     }
 
-    /// `act` is asked with the number of the connection.
+    /// `act` is called with the number of the connection.
     pub fn by_connection(act: impl Fn(usize) -> Reply + Send + Sync + 'static) -> Self {
         Self::with(move |_, connection| act(connection))
     }
@@ -107,7 +107,7 @@
         endpoint
     }
 
-    /// One that accepts nothing yet.
+    /// Creates an endpoint that does not accept connections yet.
     pub fn at(listener: &TcpListener) -> Self {
         let address = listener.local_addr().expect("an address");
         Endpoint { address, seen: Arc::default(), connections: Arc::default() }
@@ -170,29 +170,29 @@
     }
 }
 
-/// Discovery and the platform in one.
+/// Fake of both discovery and the platform.
 #[derive(Clone)]
 pub struct Discovery {
     pub address: SocketAddr,
-    /// The lines that a watch gets, in order; the first is whole.
+    /// The lines sent on a watch, in order; the first is a complete list.
     pub lines: Arc<Mutex<Vec<Value>>>,
     pub notices: Arc<Mutex<Vec<Value>>>,
     pub watches: Arc<AtomicUsize>,
-    /// What each watch asked for.
+    /// The request line of each watch.
     pub asked: Arc<Mutex<Vec<String>>>,
-    /// Watches with a lower number are cut off.
+    /// Watches with a lower number are disconnected.
     pub cut: Arc<AtomicUsize>,
-    /// How many posts are answered 503 first.
+    /// Number of posts still to be answered with 503.
     pub refuse_posts: Arc<AtomicUsize>,
     pub posts: Arc<AtomicUsize>,
     /// Posts with more than one notice are answered 400.
     pub reject_batches: Arc<AtomicBool>,
-    /// Watches with a lower number fall silent after their first line, and stay open.
+    /// Watches with a lower number send nothing after their first line, and stay open.
     pub silent_watches: Arc<AtomicUsize>,
-    /// Watches with a lower number get half of what follows their first line; then they end, or fall silent.
+    /// Watches with a lower number get half of the data after their first line; then they end or fall silent.
     pub partial_watches: Arc<AtomicUsize>,
     pub partial_then_silent: Arc<AtomicBool>,
-    /// Lists come indented, over several lines.
+    /// Lists are sent as indented JSON, over several lines.
     pub indented: Arc<AtomicBool>,
 }
 
@@ -308,8 +308,8 @@
     (Folder::new(), endpoint, discovery)
 }
 
-/// A socket that holds one connection in its queue: further ones come up only once it accepts and the kernel asks
-/// again.
+/// A socket with a backlog of one connection: further ones are established only once it accepts and the kernel
+/// retransmits the SYN.
 fn full() -> TcpListener {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
@@ -317,14 +317,15 @@
     socket.into()
 }
 
-/// An endpoint of destination 7 whose connections do not come up before it is served, and discovery that lists it.
+/// An endpoint of destination 7 whose connections are not established before it is served, and discovery that
+/// lists it.
 pub struct Unconnected {
     pub listener: TcpListener,
     pub endpoint: Endpoint,
     pub discovery: Discovery,
-    /// A call waits for its connection longer than any test does.
+    /// Its connect timeout is longer than any test takes.
     pub config: Value,
-    /// The connection that its queue holds, to be kept.
+    /// The connection that fills the backlog; it has to stay open.
     pub queued: TcpStream,
 }
 
@@ -354,7 +355,7 @@
     serde_json::from_str(include_str!("../settings.json")).expect("settings")
 }
 
-/// A folder of one test, removed with it.
+/// A temporary folder for one test, removed on drop.
 pub struct Folder(pub PathBuf);
 
 impl Folder {
@@ -373,10 +374,10 @@
     }
 }
 
-/// A courier that runs; killed when dropped.
+/// A running courier process; killed on drop.
 pub struct Courier {
     pub address: SocketAddr,
-    /// Where operators call, where that is set.
+    /// The operators' address, if one is configured.
     pub admin: Option<SocketAddr>,
     child: Child,
     log: Receiver<String>,
@@ -417,7 +418,7 @@
 }
 
 impl Courier {
-    /// Starts one that knows the list as discovery has it, and waits until it is ready.
+    /// Starts a courier configured with discovery's current list, and waits until it is ready.
     pub fn start(folder: &Folder, discovery: &Discovery) -> Self {
         let known = discovery.lines.lock().expect("lines")[0].clone();
         Self::with(folder, discovery, &config(discovery, known))
@@ -427,21 +428,21 @@
         Self::spawn(&mut command(folder, discovery, config))
     }
 
-    /// Starts one and waits until it is ready.
+    /// Starts a courier and waits until it is ready.
     pub fn spawn(command: &mut Command) -> Self {
         let courier = Self::launch(command);
         wait_until("ready", || courier.get("/-/ready").is_some_and(|page| page.status() == 200));
         courier
     }
 
-    /// Starts one that serves, ready or not.
+    /// Starts a courier and waits until it listens, ready or not.
     pub fn launch(command: &mut Command) -> Self {
         let mut child = command.spawn().expect("the courier starts");
         let log = BufReader::new(child.stderr.take().expect("its log"));
         let (tell, lines) = channel();
         thread::spawn(move || {
             log.lines().map_while(Result::ok).for_each(|line| {
-                // Nobody may be reading any more.
+                // The receiver may have been dropped.
                 let _ = tell.send(line);
             })
         });
@@ -463,7 +464,7 @@
         assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
     }
 
-    /// Has it stand still, as on a machine that does something else: whatever comes now comes at one moment to it.
+    /// Suspends the process, as on a busy machine: all input until `resume` reaches it at the same moment.
     pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
@@ -473,7 +474,7 @@
         });
     }
 
-    /// Lets it go on.
+    /// Resumes the process.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
@@ -486,10 +487,10 @@
                 return;
             }
         }
-        panic!("never said: {words}");
+        panic!("log line not seen within {LIMIT:?}: {words}");
     }
 
-    /// Replaces its configuration and tells it to read it again.
+    /// Replaces the configuration file and sends SIGHUP to reload it.
     pub fn reload(&self, folder: &Folder, text: &str) {
         fs::write(folder.0.join("config.next"), text).expect("a config");
         fs::rename(folder.0.join("config.next"), folder.0.join("config.json")).expect("in its place");
@@ -514,13 +515,13 @@
         raw(self.address, format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes())
     }
 
-    /// Calls the operators' address; the status.
+    /// Calls the operators' address and returns the status.
     pub fn operate(&self, method: &str, path: &str) -> u16 {
         let call = format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n");
         raw(self.admin.expect("an operators' address"), call.as_bytes()).map_or(0, |page| page.status())
     }
 
-    /// Hands in a message; the answer.
+    /// Submits a message and returns the response.
     pub fn submit(&self, id: &str, class: &str, dest: u64, time_ms: u64) -> HttpMessage {
         raw(self.address, message(id, class, dest, time_ms).as_bytes()).expect("an answer")
     }
@@ -545,7 +546,7 @@
     )
 }
 
-/// Sends bytes on a connection of their own; the answer, if one comes.
+/// Sends bytes on a new connection and returns the response, if there is one.
 pub fn raw(to: SocketAddr, bytes: &[u8]) -> Option<HttpMessage> {
     let mut stream = TcpStream::connect(to).ok()?;
     stream.set_read_timeout(Some(LIMIT)).ok()?;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,5 @@
-//! The six rules over random event sequences with fixed seeds. The other side answers at random:
-//! it is no model of a destination, only a source of every kind of news in every order.
+//! The six rules over random event sequences with fixed seeds. The fake answers at random:
+//! it does not model a destination, but produces every kind of event in every order.
 
 mod common;
 use common::*;
@@ -23,7 +23,7 @@
 
 struct Told {
     entry: Entry,
-    /// Since when it is not to be used.
+    /// Time from which it must not be used.
     ended: Option<Duration>,
 }
 
@@ -244,7 +244,7 @@
         let (a, s) = play(seed);
         (answers, sends) = (answers + a, sends + s);
     }
-    // The sequences must be busy ones, or the checks above would hold for nothing.
+    // Without enough activity in the sequences the checks above would pass vacuously.
     assert!(answers > 1000 && sends > 4000, "{answers} answers, {sends} sends");
 }
 
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -41,7 +41,7 @@
     let mut d = Driver::new(Settings { slots: 1, ..settings() }, vec![entry(0, 1, 0, 0), entry(1, 2, 0, 0)]);
     assert_eq!(sends(&d.feed(&[taken(1, 2, 1, MS * 20_000)])), [(1, 0)]);
     d.feed(&[taken(2, 2, 1, MS * 20_000), taken(3, 0, 2, MS * 8000)]);
-    // The aim of class 0 is the nearest.
+    // Class 0 has the earliest latency target.
     assert_eq!(sends(&d.feed(&[ended(1, 0, Outcome::Delivered, 5)])), [(3, 1)]);
 }
 
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_stuck_call_gives_up_its_slot_when_others_wait_for_it() {
-    // Incident i5036bc: unsafe calls without an answer held the slots for their whole life.
+    // Incident i5036bc: unsafe calls without an answer held their slots until the deadline.
     let mut d = Driver::new(Settings { slots: 2, ..settings() }, vec![entry(0, 1, 0, 0), entry(1, 2, 0, 0)]);
     d.feed(&[taken(1, 2, 1, MS * 20_000), taken(2, 2, 2, MS * 20_000)]);
     let cancel = |a: &Action| matches!(a, Action::Cancel { .. });
@@ -235,7 +235,8 @@
 
 #[test]
 fn calls_sent_without_a_pace_are_no_debt_once_one_is_learnt() {
-    // Found by the wait scenarios: the bucket went deep into the red while no pace was known.
+    // Found by the wait scenarios: while no pace was known, calls were still charged to the token bucket, which
+    // went far below zero.
     let mut d = Driver::new(settings(), vec![entry(0, 1, 0, 0)]);
     assert_eq!(serve(&mut d, 0, 60, 0, 1, Outcome::Delivered, 50), 60);
     assert_eq!(serve(&mut d, 100, 1, 0, 1, Outcome::Full { wait: None }, 20), 1);
@@ -245,7 +246,7 @@
 
 #[test]
 fn a_rush_of_refusals_without_a_wait_counts_once_in_the_backoff() {
-    // Found in ticket5210: a dozen calls that were out together were refused together, and the destination
+    // Found in ticket5210: a dozen calls in flight together were refused together, and the destination
     // was left alone for seconds after it had room again.
     let mut d = Driver::new(Settings { slots: 16, ..settings() }, vec![entry(0, 1, 0, 0)]);
     assert_eq!(serve(&mut d, 0, 20, 0, 1, Outcome::Delivered, 50), 20);
@@ -255,13 +256,14 @@
     for (message, endpoint) in &rush {
         d.feed(&[ended(*message, *endpoint, Outcome::Full { wait: None }, 20)]);
     }
-    // The first pause is a tenth of a second, half as much again with its jitter.
+    // The first back-off is 100 ms, up to 150 ms with jitter.
     assert!(!sends(&d.advance(MS * 200)).is_empty(), "still paused after one rush");
 }
 
 #[test]
 fn an_endpoint_grown_slower_than_its_time_out_is_waited_for_in_the_end() {
-    // Found on slow days: latency was learnt from answers alone, so no answer ever came in time.
+    // Found in runs with slow endpoints: latency was estimated from answered calls only, so the time-out never
+    // grew and every call timed out.
     let mut d = Driver::new(settings(), vec![entry(0, 1, 0, 0)]);
     assert_eq!(serve(&mut d, 0, 20, 0, 1, Outcome::Delivered, 50), 20);
     let (slow, mut delivered) = (MS * 1600, 0);
@@ -282,7 +284,8 @@
 
 #[test]
 fn what_a_told_wait_outlasts_is_refused_at_once() {
-    // Found in r7218db: a destination was shut for 11 s, and what had 5 s was held to its end all the same.
+    // Found in r7218db: a destination asked for a wait of 11 s, and messages with 5 s left were still held until
+    // their deadline.
     let mut d = Driver::new(settings(), vec![entry(0, 1, 0, 0)]);
     assert_eq!(serve(&mut d, 0, 20, 0, 1, Outcome::Delivered, 50), 20);
     assert_eq!(sends(&d.feed(&[taken(100, 1, 1, MS * 20_000)])), [(100, 0)]);
@@ -290,7 +293,7 @@
     d.feed(&[ended(100, 0, Outcome::Full { wait: Some(MS * 11_000) }, 20)]);
     let actions = d.feed(&[taken(101, 0, 1, MS * 5000), taken(102, 1, 1, MS * 20_000)]);
     let refusals: Vec<_> = actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).collect();
-    // No client heeds more than five seconds here.
+    // Clients honour at most five seconds here (`retry_after`).
     assert_eq!(refusals, [&Action::Refuse { message: MessageId(101), wait: Some(MS * 5000) }]);
     assert!(sends(&d.advance(MS * 21_000)).contains(&(102, 0)), "what can wait is sent when it opens");
 }
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -1,11 +1,12 @@
-//! What is thought of a zone, with injected time: many endpoints that fail at once, and what is not that.
+//! Zone health with injected time: many endpoints of a zone that fail at once, and failures that must not
+//! count as that.
 
 mod common;
 use common::*;
 use lanegate_courier::interface::*;
 use std::time::Duration;
 
-/// Of each destination, so many endpoints in each zone. Endpoint `100 z + 10 d + n` is the n-th of destination d
+/// Creates this many endpoints per zone for each destination. Endpoint `100 z + 10 d + n` is the n-th of destination d
 /// in zone z.
 const DESTINATIONS: u64 = 5;
 const EACH: u32 = 2;
@@ -43,7 +44,7 @@
             }
         }
     }
-    // What is still out ends well.
+    // Calls still in flight succeed.
     let rest: Vec<_> = coming.into_iter().map(|(_, event)| event).collect();
     drive.feed(&rest);
 }
@@ -61,7 +62,7 @@
     drive.log.iter().filter_map(note).collect()
 }
 
-/// Where each note says the zone went.
+/// The zone states that the notes report, in order.
 fn path(drive: &Driver, zone: usize) -> Vec<String> {
     let to = |text: String| text.split(" to ").nth(1).and_then(|t| t.split(' ').next().map(str::to_owned));
     notes(drive, zone).into_iter().filter_map(to).collect()
