--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the benchmarks share: a folder of a run's own, and a message with its attempt.
+//! Shared by the benchmarks: a temporary folder per run, and a message with its attempt.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A folder of one run, removed with it.
+/// A temporary folder for one run, removed on drop.
 pub struct Place(pub PathBuf);
 
 impl Place {
--- a/benches/journal.rs
+++ b/benches/journal.rs
@@ -1,5 +1,5 @@
-//! The journal: what a record costs, and how long a start takes. Figures that pages rest on come from here; they
-//! are compared within one run only.
+//! Journal benchmarks: the cost of a record and the duration of a start. The figures in the documentation come from
+//! here; they are comparable within one run only.
 
 mod common;
 use common::*;
@@ -16,7 +16,7 @@
     Journal::open(&place.0, journal_options, 1).expect("opens").0
 }
 
-/// A message with all that a usual one has.
+/// A message with all the fields of a typical one.
 fn usual(n: u64, body: usize) -> Rc<Message> {
     Rc::new(Message {
         class: "update-notices".to_owned(),
@@ -27,14 +27,14 @@
     })
 }
 
-/// Lets a commit end where it is made on another thread.
+/// Waits for a commit that is made on another thread.
 fn commit(journal: &mut Journal, runtime: &tokio::runtime::Runtime) {
     let done = journal.commit().unwrap_or_else(|| runtime.block_on(journal.done()));
     done.expect("written");
 }
 
-/// A message's usual records: taken on, tried, ended; each in a commit of its own, as a courier with one message
-/// at a time makes them.
+/// A message's usual records (accepted, attempted, ended), each in its own commit, as a courier with one message
+/// at a time writes them.
 fn message(c: &mut Criterion) {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     let mut group = c.benchmark_group("message");
@@ -58,7 +58,7 @@
     group.finish();
 }
 
-/// A folder in which so many bytes of messages live, a tenth of them decided.
+/// Creates a journal with this many bytes of live messages, a tenth of them decided.
 fn filled(name: &str, live: u64, body: usize) -> (Place, u64) {
     let (place, room) = (Place::new(name), live * 3);
     let mut journal = open_at(&place, room, Durability::Process);
@@ -80,7 +80,7 @@
     (place, room)
 }
 
-/// From the call to all that lives, by bytes that live. The largest is a gigabyte.
+/// Time from the call until all live messages are read, by live bytes. The largest case is a gigabyte.
 fn open(c: &mut Criterion) {
     let mut group = c.benchmark_group("open");
     group.sample_size(10);
@@ -94,7 +94,7 @@
     group.finish();
 }
 
-/// Reading bytes of every kind takes time linear in them.
+/// Checks that reading takes time linear in the bytes, whatever they contain.
 fn read(c: &mut Criterion) {
     let mut group = c.benchmark_group("read");
     group.sample_size(10);
@@ -103,7 +103,7 @@
         let head = frame::Head { number: 1, identity: 5, first: 1, oldest: 1, synced: false }.bytes();
         let mut noise = vec![0; megabytes * 1_000_000];
         rng.fill_bytes(&mut noise);
-        // The worst: every two bytes could begin a record.
+        // Worst case: a record could begin at every second byte.
         let magic: Vec<u8> = [0xD5, 0x4C].repeat(megabytes * 500_000);
         for (name, rest) in [("noise", noise), ("beginnings", magic)] {
             let bytes = [&head[..], &rest].concat();
--- a/benches/stall.rs
+++ b/benches/stall.rs
@@ -1,5 +1,5 @@
-//! How long the courier's loop stands in a commit, with much alive and old segments dropped all the time: in `power`
-//! the thread that writes does the rest. Prints the median, the 99th percentile and the longest of the calls.
+//! How long a commit blocks the courier's event loop, with many live messages and old segments being dropped all the
+//! time: in `power` the writer thread does the rest. Prints the median, the 99th percentile and the longest of the calls.
 
 mod common;
 use common::*;
@@ -12,7 +12,7 @@
 const LIVE: u64 = 100_000_000;
 const BODY: usize = 4000;
 const COMMITS: usize = 20_000;
-/// Messages that come, and as many that end, between two commits.
+/// Messages that arrive between two commits; as many end.
 const BATCH: u64 = 8;
 
 fn main() {
@@ -43,7 +43,7 @@
         for n in 0..COMMITS {
             for _ in 0..BATCH {
                 accept(&mut journal, &mut live);
-                // Every second one stays: what is dropped holds messages that live.
+                // Every second message stays, so that dropped segments hold live messages.
                 let out = if n % 2 == 0 { live.pop_front() } else { live.pop_back() };
                 journal.end(out.expect("one lives"));
             }
--- a/benches/start.rs
+++ b/benches/start.rs
@@ -1,5 +1,5 @@
-//! How long the real program takes from its start to its first yes at `/-/ready`, by bytes of messages that live in
-//! its journal; with the processor time that it took, which tells how long a part of a core needs. Prints a table
+//! Time from the start of the real program to its first 200 at `/-/ready`, by bytes of live messages in its journal;
+//! with the CPU time used, from which the time on a fraction of a core follows. Prints a table
 //! and draws it to `target/start.svg`.
 
 mod common;
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Bytes that live, of a body each, and the disk: nothing, the most that the platform's 3 MB hold (the second case
+/// Live bytes, bytes per body, and the disk limit: nothing, the most that the platform's 3 MB hold (the second case
 /// of it in as many messages as a courier holds), and more.
 const CASES: [(u64, usize, f64); 8] = [
     (0, 350, 3.0),
@@ -72,7 +72,7 @@
         && answer.ends_with(b"200")
 }
 
-/// Seconds to ready, and seconds of processor time until then.
+/// Returns the seconds until ready and the CPU seconds used until then.
 fn start(folder: &Path, disk_mb: f64) -> (f64, f64) {
     let listen = free();
     let settings: serde_json::Value =
--- a/fuzz/fuzz_targets/journal.rs
+++ b/fuzz/fuzz_targets/journal.rs
@@ -1,5 +1,5 @@
-//! Any bytes as the segments of a journal: read whole, in pieces that cover them, without a panic, and in time and
-//! room linear in them.
+//! Reads arbitrary bytes as journal segments: completely, in pieces that cover them, without a panic, and in time
+//! and memory linear in their length.
 
 #![no_main]
 
@@ -8,7 +8,7 @@
 use lanegate_courier::node::journal;
 use lanegate_courier::store::frame::{self, HEADS, Head, Label};
 
-/// The first byte tells how the rest is to be taken: as it is, or as payloads in records that pass their checks.
+/// The first byte selects how the rest is used: as it is, or as payloads of records with valid checksums.
 fn segment(data: &[u8]) -> Vec<u8> {
     let Some((how, rest)) = data.split_first() else { return Vec::new() };
     let head = Head { number: 1, identity: 9, first: 1, oldest: 1, synced: how & 2 != 0 };
@@ -26,7 +26,7 @@
     }
 }
 
-/// The folder of a journal that holds this one segment.
+/// Creates a journal folder with this single segment.
 fn folder(bytes: &[u8]) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("fuzz-journal-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,5 +1,5 @@
-//! What is owed in the instant in which something ends. Each crossing is forced: by a peer that stops at a byte, by
-//! a courier that stands still while both things come, or by a process that is killed. `docs/endings.md` lists them.
+//! Races between an event and the end of a connection, call or process. Each is forced: by a peer that stops at a
+//! given byte, by suspending the courier until both events are there, or by a kill. `docs/endings.md` lists them.
 
 mod rig;
 use rig::*;
@@ -25,7 +25,7 @@
         Client { stream, from }
     }
 
-    /// One that has had an answer and rests.
+    /// A connection that has had a response and is idle.
     fn resting(courier: &Courier, id: &str) -> Self {
         let mut client = Client::new(courier);
         client.send(&message(id, "status", 7, 20_000));
@@ -37,7 +37,7 @@
         self.stream.write_all(text.as_bytes()).expect("written");
     }
 
-    /// The answer that comes; none if the connection ends without one.
+    /// The next response; none if the connection ends without one.
     fn answer(&mut self) -> Option<HttpMessage> {
         HttpMessage::read(&mut self.from)
     }
@@ -52,7 +52,7 @@
     }
 }
 
-/// A message, cut into what ends within its head and the rest.
+/// A message, split within its header.
 fn halves(id: &str) -> (String, String) {
     let text = message(id, "status", 7, 20_000);
     let at = text.find("X-Timeout").expect("a head");
@@ -94,7 +94,7 @@
     let (folder, endpoint, discovery) = one_endpoint(|_| Reply::Answer(OK));
     let mut courier = Courier::start(&folder, &discovery);
     let (mut rests, mut silent) = (Client::resting(&courier, "m0"), Client::new(&courier));
-    // Once this is answered the silent one is let in as well.
+    // Once this is answered, the silent connection has been accepted too.
     assert_eq!(courier.get("/-/ready").map(|page| page.status()), Some(200));
     courier.pause();
     rests.send(&message("m1", "payment", 7, 20_000));
@@ -110,7 +110,7 @@
         })
         .collect();
     assert_eq!(courier.exit(), 0);
-    // What was taken on has gone, or goes in the next life; nothing else.
+    // Accepted messages were sent, or are sent after the restart; nothing else is.
     let _next = Courier::start(&folder, &discovery);
     wait_until("what was taken on", || endpoint.calls().len() > taken.len());
     let mut ids = endpoint.ids();
@@ -133,9 +133,9 @@
     head.send(&first);
     let text = message("body", "payment", 7, 20_000);
     body.send(&text[..text.len() - 1]);
-    // Each has begun a request: an end without a word could hide that it was taken on.
+    // Each has begun a request: a close without a response would leave open whether it was accepted.
     for client in [&mut served, &mut head, &mut body] {
-        let page = client.answer().expect("a word before the end");
+        let page = client.answer().expect("a response before the close");
         assert!([408, 503].contains(&page.status()), "{page:?}");
         assert!(client.is_closed());
     }
@@ -151,7 +151,7 @@
     courier.signal("-TERM");
     courier.wait_for_log("stopping");
     client.send(&text[..text.len() - 1]);
-    // No call is begun any more then.
+    // By then no new call is started.
     thread::sleep(2300 * MS);
     client.send(&text[text.len() - 1..]);
     assert_eq!(client.status(), 503);
@@ -166,7 +166,7 @@
 fn clients_waiting_for_a_free_connection_at_sigterm_are_answered() {
     let (folder, _endpoint, discovery) = one_endpoint(|_| Reply::Answer(OK));
     let mut config = config(&discovery, discovery.lines.lock().expect("lines")[0].clone());
-    // The least that is taken: room for eleven clients.
+    // The smallest accepted limit: room for eleven clients.
     config["limits"]["sockets"] = json!(64);
     let mut courier = Courier::with(&folder, &discovery, &config);
     let (head, rest) = halves("half");
@@ -300,7 +300,7 @@
 
 #[test]
 fn a_response_received_before_the_deadline_is_handled_counts() {
-    // What may run only once is waited for as long as it has.
+    // A message that may run only once is waited for until its deadline.
     let (_endpoint, discovery, courier, _folder) = answered_in_a_standstill("payment", 1000, 1300);
     courier.wait_for_log("m attempt 0: Delivered");
     // Nobody answers this one: once its notice is there, the other's would be.
@@ -440,7 +440,7 @@
     };
     let (mut first, id) = call(&listener);
     assert_eq!(id, "m");
-    // Half a line, which proves nothing, just before its time is up.
+    // Half a status line, which proves nothing, just before the time-out.
     thread::sleep(900 * MS);
     first.write_all(b"HTTP/1.").expect("written");
     let (mut second, id) = call(&listener);
@@ -533,7 +533,7 @@
     let (mut watch, _) = listener.accept().expect("a watch");
     tell(&mut watch, &first);
     courier.wait_for_log("list 1");
-    // Down: the watch breaks, and nobody listens.
+    // Discovery is down: the watch breaks, and connections are refused.
     drop(listener);
     drop(watch);
     courier.wait_for_log("no connection");
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,5 +1,5 @@
-//! One process in another's place while clients go on: what each keeps, and what comes of it if either is
-//! killed midway.
+//! Handover from a running process to its successor under traffic: what each keeps, and what happens if either
+//! is killed midway.
 
 mod rig;
 use rig::*;
@@ -41,7 +41,7 @@
         TcpStream::connect(self.listener.local_addr().expect("an address")).expect("connects")
     }
 
-    /// Every message has come to the endpoint once, and in the end none is owed any more.
+    /// Waits for all messages and checks that each reached the endpoint exactly once.
     fn all_once(&self, messages: &[&str]) {
         wait_until("all messages", || self.endpoint.calls().len() >= messages.len());
         let mut ids = self.endpoint.ids();
@@ -74,7 +74,7 @@
     wait_until("the call", || fixture.endpoint.calls().len() == 1);
     let text = message("m2", "payment", 7, 25_000);
     write(&mut half, &text[..text.len() - 3]);
-    // Connections are accepted in turn: once this is answered, the ones before it are the old process's.
+    // Connections are accepted in order: once this is answered, the old process has accepted the earlier ones.
     assert_eq!(old.get("/-/ready").map(|page| page.status()), Some(200));
     let new = fixture.start();
     assert_eq!(new.operate("GET", "/control/ready"), 200);
@@ -89,7 +89,7 @@
     answers.store(true, Ordering::SeqCst);
     fixture.all_once(&["m1", "m2", "m3", "m4"]);
     assert_eq!(old.exit(), 0, "it ends with its last call");
-    // What the old one's call had come to is on record: a further life sends nothing again.
+    // The outcome of the old process's call is recorded: a restarted courier does not resend the message.
     new.submit_accepted("last", "status", 7, 20_000);
     wait_until("the last", || fixture.endpoint.ids().contains(&"last".to_owned()));
     new.kill();
@@ -134,7 +134,7 @@
     for n in 0..3 {
         let socket = fixture.folder.0.join("state/handover");
         let mut successor = UnixStream::connect(socket).expect("the old process listens");
-        // Its hello, as a frame; then it reads part of the state and is gone.
+        // Sends the framed Hello, reads part of the state and disconnects.
         successor.write_all(b"\x08\0\0\0\x82\x65Hello\xf4").expect("written");
         successor.read_exact(&mut [0; 64]).expect("the state comes");
         drop(successor);
@@ -150,7 +150,7 @@
 #[test]
 fn the_old_process_goes_on_from_the_journal_when_its_successor_is_killed() {
     let fixture = HandoverFixture::new(|_| Reply::Answer(OK));
-    // Draining: messages are taken and held.
+    // Draining: messages are accepted and held.
     let away = list(1, true, vec![host("s-1", &fixture.endpoint, 7, "draining")]);
     fixture.discovery.lines.lock().expect("lines")[0] = away;
     let old = fixture.start();
@@ -193,7 +193,7 @@
     old.submit_accepted("pay", "payment", 7, 25_000);
     old.submit_accepted("state", "status", 7, 25_000);
     wait_until("both calls", || fixture.endpoint.calls().len() == 2);
-    // Its module is made for another set of tenants.
+    // The successor is configured with another set of tenants.
     let known = fixture.discovery.lines.lock().expect("lines")[0].clone();
     let mut other = config(&fixture.discovery, known);
     other["settings"]["customers"] = json!([{"name": "acme"}]);
@@ -238,7 +238,7 @@
     let address = fixture.listener.local_addr().expect("an address");
     let ended = second.env("LB_LISTEN", address.to_string()).output().expect("it ends");
     assert_eq!(ended.status.code(), Some(1), "the address is in use, and no socket is handed down");
-    // Nor one to which a descriptor is handed that listens to nobody, or is none.
+    // The same for an inherited descriptor that is not a listening socket or not a descriptor at all.
     for descriptor in ["0", "-1", "seven"] {
         let mut second = command(&fixture.folder, &fixture.discovery, &page);
         let ended = second.env("LB_LISTEN_FD", descriptor).output().expect("it ends");
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal of real processes: synced, damaged, looked at and repaired.
+//! The journal of real processes: synced, damaged, inspected and repaired.
 
 mod rig;
 use rig::*;
@@ -18,7 +18,7 @@
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
-/// All files below a folder, with what they hold.
+/// All files below a folder, with their contents.
 fn files(folder: &Path) -> BTreeMap<PathBuf, Vec<u8>> {
     let mut found = BTreeMap::new();
     for entry in fs::read_dir(folder).expect("listed").flatten() {
@@ -45,7 +45,7 @@
     command
 }
 
-/// Five messages in the journal of a courier that was killed; nobody has called for them.
+/// Creates the journal of a killed courier with five messages, none of which was attempted.
 fn journal_with_five_messages(options: &str) -> (Folder, Discovery) {
     let unused = Endpoint::new(|_| Reply::Hang);
     let discovery = Discovery::new(list(1, true, vec![host("s-0", &unused, 7, "draining")]));
--- a/tests/lab.rs
+++ b/tests/lab.rs
@@ -1,4 +1,4 @@
-//! Experiments of the lab on this program: what has to hold of several processes, with faults between them.
+//! Lab experiments on the courier: invariants of several processes under injected faults.
 
 use courier_lab::experiment::Experiment;
 use courier_lab::run::{self, Finished, Options, Outcome};
@@ -9,7 +9,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A machine that is busy with something else says nothing of the courier: it is asked again.
+/// A run that was invalid because the machine was busy says nothing about the courier and is repeated.
 const MAX_ATTEMPTS: usize = 3;
 const LIMIT: Duration = Duration::from_secs(60);
 
@@ -24,7 +24,7 @@
 }
 
 fn run_experiment(name: &str, seed: u64) -> Finished {
-    // By seed: tests of one experiment run side by side.
+    // One folder per seed, as tests of one experiment run in parallel.
     let out = format!("{name}-{seed}");
     let file = format!("{}/lab/experiments/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     let experiment = Experiment::read(Path::new(&file), &[]).expect("it is sound");
@@ -38,11 +38,11 @@
 fn a_small_fleet_holds_through_a_kill_and_a_drain() {
     let finished = run_experiment("smoke", 1);
     assert_eq!(finished.outcome, Outcome::Holds, "{}", finished.summary.text());
-    // It was no idle run: all was asked for, and the killed one came back.
+    // The run had its full load, and the killed courier was restarted.
     assert!(finished.summary.messages > 1000 && finished.summary.couriers[1].lives == 2);
 }
 
-/// Plays until it is killed; for the test below.
+/// Runs until it is killed; started by the test below.
 #[test]
 #[ignore = "is started by another test"]
 fn run_until_killed() {
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,5 @@
-//! The operators' address of a courier that runs: endpoints left out, clients sent away, callers that hang on.
+//! The operators' address of a running courier: endpoints taken offline, clients turned away, callers that hold
+//! their connections open.
 
 mod rig;
 use rig::*;
@@ -106,7 +107,7 @@
         let page = raw(admin, text.as_bytes());
         assert!(page.is_none_or(|page| page.status() >= 400), "{text:?}");
     }
-    // Half a call is none.
+    // An incomplete call has no effect.
     let mut half = TcpStream::connect(admin).expect("connects");
     half.write_all(b"POST /control/out-of-service HTTP/1.1\r\nContent-Length: 5\r\n\r\nab").expect("written");
     drop(half);
@@ -204,7 +205,7 @@
         after.unwrap_or_else(|| panic!("no address: {line}"))
     };
     let (admin, clients): (SocketAddr, SocketAddr) = (address("called at "), address("serves "));
-    // From here on nobody reads its log: once the pipe is full, the loop stops in the middle of a line.
+    // From here on the log is not read: once the pipe is full, the event loop blocks in the middle of a line.
     let mut n = 0;
     wait_until("it stands still", || {
         n += 1;
--- a/tests/rough.rs
+++ b/tests/rough.rs
@@ -1,5 +1,5 @@
-//! Days that are not calm: configurations read again, bad clients, spoilt answers, endpoints replaced. The
-//! courier as a process, against fakes on loopback sockets.
+//! The courier process under adverse conditions: reloads, bad clients, malformed responses, replaced endpoints.
+//! The peers are fakes on loopback sockets.
 
 mod rig;
 use rig::*;
@@ -71,7 +71,7 @@
 
 // ---- spoilt answers ----------------------------------------------------------------------------------
 
-/// What an endpoint says to its first call; later ones are answered well.
+/// An endpoint that answers its first call with `text`; later calls succeed.
 fn first(text: &'static str) -> (Folder, Endpoint, Discovery) {
     one_endpoint(move |n| Reply::Answer(if n == 0 { text } else { OK }))
 }
@@ -273,7 +273,7 @@
     let open = cases.map(|bytes| open(&courier, bytes));
     for (mut stream, case) in open.into_iter().zip(cases) {
         let mut answer = Vec::new();
-        // A reset is a close, too.
+        // A reset counts as a close.
         let _ = stream.read_to_end(&mut answer);
         assert!(answer.is_empty() || answer.starts_with(b"HTTP/1.1 4"), "{case:?}: {answer:?}");
     }
