--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Settings and a driver shared by the tests. The driver answers nothing by itself: each test says
-//! what happens, and reads what the module asks for.
+//! Settings and a driver shared by the tests. The driver generates no events by itself: each test supplies
+//! them and reads the actions that the scheduler returns.
 #![allow(dead_code)]
 
 use lanegate_courier::interface::*;
@@ -9,11 +9,11 @@
 pub const MS: Duration = Duration::from_millis(1);
 pub const DEST: DestinationId = DestinationId(7);
 
-pub fn class(effect: Effect, aim_ms: u32, deadline_ms: u32, worth: f64) -> Class {
+pub fn class(effect: Effect, latency_target_ms: u32, deadline_ms: u32, value: f64) -> Class {
     Class {
-        latency_target: MS * aim_ms,
+        latency_target: MS * latency_target_ms,
         deadline: MS * deadline_ms,
-        value: worth,
+        value,
         late_value_share: 0.3,
         effect,
         ordered: false,
@@ -21,7 +21,7 @@
     }
 }
 
-/// Class 0 repeatable, 1 keyed within its zone, 2 once only.
+/// Class 0 is repeatable, class 1 keyed within its zone, class 2 must run at most once.
 pub fn settings() -> Settings {
     let keyed = Effect::Keyed { scope: KeyScope::Zone, window: MS * 5000 };
     Settings {
@@ -95,27 +95,27 @@
     })
 }
 
-/// A module and its clock; remembers every action with its time.
-pub struct Drive {
+/// A scheduler and its clock; records every action with its time.
+pub struct Driver {
     pub scheduler: Scheduler,
     pub now: Duration,
     pub log: Vec<(Duration, Action)>,
     wakes: Vec<(Duration, u64)>,
 }
 
-impl Drive {
+impl Driver {
     pub fn new(settings: Settings, entries: Vec<Entry>) -> Self {
-        Drive::seeded(settings, entries, 11)
+        Driver::seeded(settings, entries, 11)
     }
 
     pub fn seeded(settings: Settings, entries: Vec<Entry>, seed: u64) -> Self {
         let scheduler = Scheduler::new(settings, seed).expect("workable settings");
-        let mut drive = Drive { scheduler, now: MS * 1000, log: Vec::new(), wakes: Vec::new() };
+        let mut drive = Driver { scheduler, now: MS * 1000, log: Vec::new(), wakes: Vec::new() };
         drive.feed(&[Event::Listed { whole: true, entries }]);
         drive
     }
 
-    /// Hands in events now; returns the actions they led to.
+    /// Passes events to the scheduler at the current time; returns the resulting actions.
     pub fn feed(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.scheduler.handle(self.now, events, &mut actions);
@@ -128,8 +128,8 @@
         actions
     }
 
-    /// Lets time pass in ticks, waking the module as it asked; returns what it did.
-    pub fn pass(&mut self, span: Duration) -> Vec<Action> {
+    /// Advances the clock in ticks, delivering the requested wake-ups; returns the resulting actions.
+    pub fn advance(&mut self, span: Duration) -> Vec<Action> {
         let (end, mut all) = (self.now + span, Vec::new());
         while self.now < end {
             self.now += MS * 5;
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -1,5 +1,5 @@
-//! The courier's binary among small fakes on loopback sockets: a client, endpoints, discovery and the
-//! platform, each on port 0. Tests wait for conditions, with a limit that only a fault reaches.
+//! Runs the courier's binary against fakes on loopback sockets: a client, endpoints, discovery and the
+//! platform, each on port 0. Tests wait for conditions, with a time limit that is reached only on failure.
 #![allow(dead_code)]
 
 use serde_json::{Value, json};
@@ -18,34 +18,34 @@
 pub const LIMIT: Duration = Duration::from_secs(60);
 pub const MS: Duration = Duration::from_millis(1);
 
-/// Waits until something holds; a fault if it never does.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds; panics after `LIMIT`.
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let end = Instant::now() + LIMIT;
     while !holds() {
-        assert!(Instant::now() < end, "never came: {what}");
+        assert!(Instant::now() < end, "condition not met within {LIMIT:?}: {what}");
         thread::sleep(5 * MS);
     }
 }
 
-/// A request or an answer, as it stood on the wire.
+/// A request or response as read from the wire.
 #[derive(Clone, Debug, Default)]
-pub struct Page {
+pub struct HttpMessage {
     pub first: String,
-    pub heads: Vec<(String, String)>,
+    pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
-impl Page {
-    pub fn head(&self, name: &str) -> Option<&str> {
-        self.heads.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+impl HttpMessage {
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
     pub fn status(&self) -> u16 {
         self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
-    pub fn read(from: &mut impl BufRead) -> Option<Page> {
-        let mut page = Page::default();
+    pub fn read(from: &mut impl BufRead) -> Option<HttpMessage> {
+        let mut page = HttpMessage::default();
         let mut line = String::new();
         from.read_line(&mut line).ok().filter(|n| *n > 0)?;
         page.first = line.trim_end().to_owned();
@@ -53,9 +53,9 @@
             line.clear();
             from.read_line(&mut line).ok().filter(|n| *n > 0)?;
             let Some((name, value)) = line.trim_end().split_once(':') else { break };
-            page.heads.push((name.to_owned(), value.trim().to_owned()));
+            page.headers.push((name.to_owned(), value.trim().to_owned()));
         }
-        let length = page.head("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
+        let length = page.header("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
         page.body = vec![0; length];
         from.read_exact(&mut page.body).ok()?;
         Some(page)
@@ -63,57 +63,57 @@
 }
 
 /// What a fake endpoint does with a call.
-pub enum Act {
+pub enum Reply {
     Answer(&'static str),
     AnswerAndClose(&'static str),
-    /// Answers once the time has passed.
+    /// Answers after the given delay.
     Late(Duration, &'static str),
     Hang,
-    Break,
+    Disconnect,
 }
 
 pub const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedCall {
     pub id: String,
-    pub page: Page,
+    pub page: HttpMessage,
     pub at: Instant,
     pub connection: usize,
 }
 
 pub struct Endpoint {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Seen>>>,
+    pub seen: Arc<Mutex<Vec<ReceivedCall>>>,
     /// Connections accepted.
     pub connections: Arc<AtomicUsize>,
 }
 
 impl Endpoint {
-    /// `act` is asked with the number of the call, from 0.
-    pub fn new(act: impl Fn(usize) -> Act + Send + Sync + 'static) -> Self {
+    /// `act` is called with the number of the call, from 0.
+    pub fn new(act: impl Fn(usize) -> Reply + Send + Sync + 'static) -> Self {
         Self::with(move |call, _| act(call))
     }
 
-    /// `act` is asked with the number of the connection.
-    pub fn by_connection(act: impl Fn(usize) -> Act + Send + Sync + 'static) -> Self {
+    /// `act` is called with the number of the connection.
+    pub fn by_connection(act: impl Fn(usize) -> Reply + Send + Sync + 'static) -> Self {
         Self::with(move |_, connection| act(connection))
     }
 
-    fn with(act: impl Fn(usize, usize) -> Act + Send + Sync + 'static) -> Self {
+    fn with(act: impl Fn(usize, usize) -> Reply + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let endpoint = Endpoint::at(&listener);
         endpoint.serve(listener, act);
         endpoint
     }
 
-    /// One that accepts nothing yet.
+    /// Creates an endpoint that does not accept connections yet.
     pub fn at(listener: &TcpListener) -> Self {
         let address = listener.local_addr().expect("an address");
         Endpoint { address, seen: Arc::default(), connections: Arc::default() }
     }
 
-    pub fn serve(&self, listener: TcpListener, act: impl Fn(usize, usize) -> Act + Send + Sync + 'static) {
+    pub fn serve(&self, listener: TcpListener, act: impl Fn(usize, usize) -> Reply + Send + Sync + 'static) {
         let (act, all, connections) = (Arc::new(act), self.seen.clone(), self.connections.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -124,7 +124,7 @@
         });
     }
 
-    pub fn calls(&self) -> Vec<Seen> {
+    pub fn calls(&self) -> Vec<ReceivedCall> {
         self.seen.lock().expect("calls").clone()
     }
 
@@ -133,31 +133,36 @@
     }
 }
 
-fn serve(stream: TcpStream, connection: usize, act: &dyn Fn(usize, usize) -> Act, all: &Mutex<Vec<Seen>>) {
+fn serve(
+    stream: TcpStream,
+    connection: usize,
+    act: &dyn Fn(usize, usize) -> Reply,
+    all: &Mutex<Vec<ReceivedCall>>,
+) {
     let mut out = stream.try_clone().expect("a handle");
     let mut from = BufReader::new(stream);
-    while let Some(page) = Page::read(&mut from) {
-        let id = page.head("x-request-id").unwrap_or_default().to_owned();
+    while let Some(page) = HttpMessage::read(&mut from) {
+        let id = page.header("x-request-id").unwrap_or_default().to_owned();
         let n = {
             let mut all = all.lock().expect("calls");
-            all.push(Seen { id, page, at: Instant::now(), connection });
+            all.push(ReceivedCall { id, page, at: Instant::now(), connection });
             all.len() - 1
         };
         let sent = match act(n, connection) {
-            Act::Answer(text) => out.write_all(text.as_bytes()),
-            Act::AnswerAndClose(text) => {
+            Reply::Answer(text) => out.write_all(text.as_bytes()),
+            Reply::AnswerAndClose(text) => {
                 let _ = out.write_all(text.as_bytes());
                 return;
             }
-            Act::Late(time, text) => {
+            Reply::Late(time, text) => {
                 thread::sleep(time);
                 out.write_all(text.as_bytes())
             }
-            Act::Hang => {
+            Reply::Hang => {
                 let _ = from.read(&mut [0]);
                 return;
             }
-            Act::Break => return,
+            Reply::Disconnect => return,
         };
         if sent.is_err() {
             return;
@@ -165,29 +170,29 @@
     }
 }
 
-/// Discovery and the platform in one.
+/// Fake of both discovery and the platform.
 #[derive(Clone)]
 pub struct Discovery {
     pub address: SocketAddr,
-    /// The lines that a watch gets, in order; the first is whole.
+    /// The lines sent on a watch, in order; the first is a complete list.
     pub lines: Arc<Mutex<Vec<Value>>>,
     pub notices: Arc<Mutex<Vec<Value>>>,
     pub watches: Arc<AtomicUsize>,
-    /// What each watch asked for.
+    /// The request line of each watch.
     pub asked: Arc<Mutex<Vec<String>>>,
-    /// Watches with a lower number are cut off.
+    /// Watches with a lower number are disconnected.
     pub cut: Arc<AtomicUsize>,
-    /// How many posts are answered 503 first.
+    /// Number of posts still to be answered with 503.
     pub refuse_posts: Arc<AtomicUsize>,
     pub posts: Arc<AtomicUsize>,
     /// Posts with more than one notice are answered 400.
-    pub picky: Arc<AtomicBool>,
-    /// Watches with a lower number fall silent after their first line, and stay open.
-    pub mute: Arc<AtomicUsize>,
-    /// Watches with a lower number get half of what follows their first line; then they end, or fall silent.
-    pub torn: Arc<AtomicUsize>,
-    pub torn_silent: Arc<AtomicBool>,
-    /// Lists come indented, over several lines.
+    pub reject_batches: Arc<AtomicBool>,
+    /// Watches with a lower number send nothing after their first line, and stay open.
+    pub silent_watches: Arc<AtomicUsize>,
+    /// Watches with a lower number get half of the data after their first line; then they end or fall silent.
+    pub partial_watches: Arc<AtomicUsize>,
+    pub partial_then_silent: Arc<AtomicBool>,
+    /// Lists are sent as indented JSON, over several lines.
     pub indented: Arc<AtomicBool>,
 }
 
@@ -203,10 +208,10 @@
             cut: Arc::default(),
             refuse_posts: Arc::default(),
             posts: Arc::default(),
-            picky: Arc::default(),
-            mute: Arc::default(),
-            torn: Arc::default(),
-            torn_silent: Arc::default(),
+            reject_batches: Arc::default(),
+            silent_watches: Arc::default(),
+            partial_watches: Arc::default(),
+            partial_then_silent: Arc::default(),
             indented: Arc::default(),
         };
         let own = this.clone();
@@ -222,7 +227,7 @@
     fn serve(&self, stream: TcpStream) {
         let mut out = stream.try_clone().expect("a handle");
         let mut from = BufReader::new(stream);
-        while let Some(page) = Page::read(&mut from) {
+        while let Some(page) = HttpMessage::read(&mut from) {
             if page.first.starts_with("GET /api/targets?stream=1") {
                 self.asked.lock().expect("asked").push(page.first.clone());
                 return self.watch(&mut out);
@@ -232,7 +237,10 @@
                 .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1))
                 .is_err();
             self.posts.fetch_add(1, Ordering::SeqCst);
-            if none && self.picky.load(Ordering::SeqCst) && page.body.split(|b| *b == b'\n').count() > 2 {
+            if none
+                && self.reject_batches.load(Ordering::SeqCst)
+                && page.body.split(|b| *b == b'\n').count() > 2
+            {
                 let _ = write!(out, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
                 continue;
             }
@@ -255,15 +263,15 @@
             let indented = self.indented.load(Ordering::SeqCst);
             let form = |l: &Value| if indented { format!("{l:#}\n") } else { format!("{l}\n") };
             let mut text: String = lines[sent.min(lines.len())..].iter().map(form).collect();
-            if sent > 0 && number < self.torn.load(Ordering::SeqCst) && !text.is_empty() {
+            if sent > 0 && number < self.partial_watches.load(Ordering::SeqCst) && !text.is_empty() {
                 let half = &text[..text.len() / 2];
                 let _ = write!(out, "{:x}\r\n{half}\r\n", half.len());
-                if self.torn_silent.load(Ordering::SeqCst) {
+                if self.partial_then_silent.load(Ordering::SeqCst) {
                     thread::sleep(LIMIT);
                 }
                 return;
             }
-            let silent = sent > 0 && number < self.mute.load(Ordering::SeqCst);
+            let silent = sent > 0 && number < self.silent_watches.load(Ordering::SeqCst);
             if silent {
                 thread::sleep(5 * MS);
                 continue;
@@ -282,7 +290,7 @@
         }
     }
 
-    pub fn tell(&self, line: Value) {
+    pub fn push_line(&self, line: Value) {
         self.lines.lock().expect("lines").push(line);
     }
 
@@ -294,14 +302,14 @@
 }
 
 /// One endpoint of destination 7, and discovery that lists it.
-pub fn one(act: impl Fn(usize) -> Act + Send + Sync + 'static) -> (Folder, Endpoint, Discovery) {
+pub fn one_endpoint(act: impl Fn(usize) -> Reply + Send + Sync + 'static) -> (Folder, Endpoint, Discovery) {
     let endpoint = Endpoint::new(act);
     let discovery = Discovery::new(list(1, true, vec![host("s-1", &endpoint, 7, "ready")]));
     (Folder::new(), endpoint, discovery)
 }
 
-/// A socket that holds one connection in its queue: further ones come up only once it accepts and the kernel asks
-/// again.
+/// A socket with a backlog of one connection: further ones are established only once it accepts and the kernel
+/// retransmits the SYN.
 fn full() -> TcpListener {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
@@ -309,14 +317,15 @@
     socket.into()
 }
 
-/// An endpoint of destination 7 whose connections do not come up before it is served, and discovery that lists it.
+/// An endpoint of destination 7 whose connections are not established before it is served, and discovery that
+/// lists it.
 pub struct Unconnected {
     pub listener: TcpListener,
     pub endpoint: Endpoint,
     pub discovery: Discovery,
-    /// A call waits for its connection longer than any test does.
+    /// Its connect timeout is longer than any test takes.
     pub config: Value,
-    /// The connection that its queue holds, to be kept.
+    /// The connection that fills the backlog; it has to stay open.
     pub queued: TcpStream,
 }
 
@@ -346,7 +355,7 @@
     serde_json::from_str(include_str!("../settings.json")).expect("settings")
 }
 
-/// A folder of one test, removed with it.
+/// A temporary folder for one test, removed on drop.
 pub struct Folder(pub PathBuf);
 
 impl Folder {
@@ -365,10 +374,10 @@
     }
 }
 
-/// A courier that runs; killed when dropped.
+/// A running courier process; killed on drop.
 pub struct Courier {
     pub address: SocketAddr,
-    /// Where operators call, where that is set.
+    /// The operators' address, if one is configured.
     pub admin: Option<SocketAddr>,
     child: Child,
     log: Receiver<String>,
@@ -409,7 +418,7 @@
 }
 
 impl Courier {
-    /// Starts one that knows the list as discovery has it, and waits until it is ready.
+    /// Starts a courier configured with discovery's current list, and waits until it is ready.
     pub fn start(folder: &Folder, discovery: &Discovery) -> Self {
         let known = discovery.lines.lock().expect("lines")[0].clone();
         Self::with(folder, discovery, &config(discovery, known))
@@ -419,21 +428,21 @@
         Self::spawn(&mut command(folder, discovery, config))
     }
 
-    /// Starts one and waits until it is ready.
+    /// Starts a courier and waits until it is ready.
     pub fn spawn(command: &mut Command) -> Self {
         let courier = Self::launch(command);
-        until("ready", || courier.get("/-/ready").is_some_and(|page| page.status() == 200));
+        wait_until("ready", || courier.get("/-/ready").is_some_and(|page| page.status() == 200));
         courier
     }
 
-    /// Starts one that serves, ready or not.
+    /// Starts a courier and waits until it listens, ready or not.
     pub fn launch(command: &mut Command) -> Self {
         let mut child = command.spawn().expect("the courier starts");
         let log = BufReader::new(child.stderr.take().expect("its log"));
         let (tell, lines) = channel();
         thread::spawn(move || {
             log.lines().map_while(Result::ok).for_each(|line| {
-                // Nobody may be reading any more.
+                // The receiver may have been dropped.
                 let _ = tell.send(line);
             })
         });
@@ -455,33 +464,33 @@
         assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
     }
 
-    /// Has it stand still, as on a machine that does something else: whatever comes now comes at one moment to it.
-    pub fn stop(&self) {
+    /// Suspends the process, as on a busy machine: all input until `resume` reaches it at the same moment.
+    pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
-        until("it stands still", || {
+        wait_until("it stands still", || {
             let stat = fs::read_to_string(&stat).expect("its state");
             stat.rsplit_once(')').is_some_and(|(_, rest)| rest.trim_start().starts_with('T'))
         });
     }
 
-    /// Lets it go on.
-    pub fn go(&self) {
+    /// Resumes the process.
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
     /// Waits for a line of its log.
-    pub fn says(&self, words: &str) {
+    pub fn wait_for_log(&self, words: &str) {
         let end = Instant::now() + LIMIT;
         while let Ok(line) = self.log.recv_timeout(end.saturating_duration_since(Instant::now())) {
             if line.contains(words) {
                 return;
             }
         }
-        panic!("never said: {words}");
+        panic!("log line not seen within {LIMIT:?}: {words}");
     }
 
-    /// Replaces its configuration and tells it to read it again.
+    /// Replaces the configuration file and sends SIGHUP to reload it.
     pub fn reload(&self, folder: &Folder, text: &str) {
         fs::write(folder.0.join("config.next"), text).expect("a config");
         fs::rename(folder.0.join("config.next"), folder.0.join("config.json")).expect("in its place");
@@ -495,30 +504,30 @@
 
     pub fn exit(&mut self) -> i32 {
         let mut code = None;
-        until("the end of the process", || {
+        wait_until("the end of the process", || {
             code = self.child.try_wait().expect("a status");
             code.is_some()
         });
         code.and_then(|c| c.code()).unwrap_or(-1)
     }
 
-    pub fn get(&self, path: &str) -> Option<Page> {
+    pub fn get(&self, path: &str) -> Option<HttpMessage> {
         raw(self.address, format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes())
     }
 
-    /// Calls the operators' address; the status.
+    /// Calls the operators' address and returns the status.
     pub fn operate(&self, method: &str, path: &str) -> u16 {
         let call = format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n");
         raw(self.admin.expect("an operators' address"), call.as_bytes()).map_or(0, |page| page.status())
     }
 
-    /// Hands in a message; the answer.
-    pub fn hand_in(&self, id: &str, class: &str, dest: u64, time_ms: u64) -> Page {
+    /// Submits a message and returns the response.
+    pub fn submit(&self, id: &str, class: &str, dest: u64, time_ms: u64) -> HttpMessage {
         raw(self.address, message(id, class, dest, time_ms).as_bytes()).expect("an answer")
     }
 
-    pub fn take(&self, id: &str, class: &str, dest: u64, time_ms: u64) {
-        assert_eq!(self.hand_in(id, class, dest, time_ms).status(), 202, "{id}");
+    pub fn submit_accepted(&self, id: &str, class: &str, dest: u64, time_ms: u64) {
+        assert_eq!(self.submit(id, class, dest, time_ms).status(), 202, "{id}");
     }
 }
 
@@ -537,10 +546,10 @@
     )
 }
 
-/// Sends bytes on a connection of their own; the answer, if one comes.
-pub fn raw(to: SocketAddr, bytes: &[u8]) -> Option<Page> {
+/// Sends bytes on a new connection and returns the response, if there is one.
+pub fn raw(to: SocketAddr, bytes: &[u8]) -> Option<HttpMessage> {
     let mut stream = TcpStream::connect(to).ok()?;
     stream.set_read_timeout(Some(LIMIT)).ok()?;
     stream.write_all(bytes).ok()?;
-    Page::read(&mut BufReader::new(stream))
+    HttpMessage::read(&mut BufReader::new(stream))
 }
